--- a/cmd/drill/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"os"
 
-	"grebeglade/internal/drill"
+	"grebeglade/internal/frontend/simulator"
 )
 
 func main() {
-	if err := drill.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -7,7 +7,7 @@
 	"os"
 	"slices"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Allocator is what a running allocator is told.
@@ -16,7 +16,7 @@
 	Listen   string
 	List     string
 	Zone     string
-	Settings choice.Settings
+	Settings placement.Settings
 	Groups   []string // names, in the order of Settings.Groups
 	Kinds    []string // names, in the order of Settings.Kinds
 	Limits   Limits
@@ -35,24 +35,24 @@
 
 // State says where binds are written down that must be known after a crash.
 type State struct {
-	Dir  string        `json:"dir"`
-	Keep choice.Millis `json:"keep_ms"`
-	Most int           `json:"most"`
-	Sync string        `json:"sync"`
+	Dir  string           `json:"dir"`
+	Keep placement.Millis `json:"keep_ms"`
+	Most int              `json:"most"`
+	Sync string           `json:"sync"`
 }
 
 // Trace says where calls and decisions are recorded, and how much of them is kept.
 type Trace struct {
 	Dir   string // "" for nowhere
 	File  int64  // bytes of one file
-	Age   choice.Millis
+	Age   placement.Millis
 	Total int64 // bytes of all files
 }
 
 // Log says how to log.
 type Log struct{ Level, Format string }
 
-const defaultTarget = choice.Millis(1e3)
+const defaultTarget = placement.Millis(1e3)
 
 // Load reads an allocator's file.
 func Load(file string) (*Allocator, error) {
@@ -134,7 +134,7 @@
 }
 
 // ReadShared reads the blocks that allocators and day scripts have in common: kinds, groups, rules, reports.
-func ReadShared(b *Block, s *choice.Settings, kinds, groups *[]string) {
+func ReadShared(b *Block, s *placement.Settings, kinds, groups *[]string) {
 	rules := b.Block("rules")
 	s.ColdFor = rules.Time("cold_for", 15e3)
 	s.ColdFrom = rules.Number("cold_from", 0.25, 0, 1)
@@ -149,7 +149,7 @@
 	s.RoomInList = rules.Flag("room_in_list", true)
 	for _, k := range b.Named("kind") {
 		*kinds = append(*kinds, k.Name)
-		s.Kinds = append(s.Kinds, choice.Kind{
+		s.Kinds = append(s.Kinds, placement.Kind{
 			Cores: k.Number("cores", 16, 0.001, 1e6), Memory: k.Number("memory", 32, 0.001, 1e9),
 		})
 	}
@@ -168,17 +168,17 @@
 	}
 }
 
-var effects = map[string]choice.Effect{
-	"restartable": choice.Restartable, "deduplicated": choice.Deduplicated, "run-once": choice.RunOnce,
+var effects = map[string]placement.Effect{
+	"restartable": placement.Restartable, "deduplicated": placement.Deduplicated, "run-once": placement.RunOnce,
 }
 
-var scopes = map[string]choice.Scope{
-	"none": choice.ScopeNone, "node": choice.ScopeNode, "cell": choice.ScopeCell, "zone": choice.ScopeZone,
-	"all": choice.ScopeAll,
+var scopes = map[string]placement.Scope{
+	"none": placement.ScopeNone, "node": placement.ScopeNode, "cell": placement.ScopeCell, "zone": placement.ScopeZone,
+	"all": placement.ScopeAll,
 }
 
-func readGroup(b *Block, kinds []string) choice.Group {
-	g := choice.Group{
+func readGroup(b *Block, kinds []string) placement.Group {
+	g := placement.Group{
 		Target:      b.Time("target", defaultTarget),
 		Utility:     b.Number("utility", 1, 0, 1e9),
 		Effect:      effects[b.Word("effect", "restartable", "restartable", "deduplicated", "run-once")],
@@ -190,15 +190,15 @@
 		Fade:        b.Number("fade", 0.2, 0, 1),
 		Kind:        -1,
 	}
-	if g.Effect == choice.Deduplicated && (g.DedupScope == choice.ScopeNone || g.DedupWindow <= 0) {
+	if g.Effect == placement.Deduplicated && (g.DedupScope == placement.ScopeNone || g.DedupWindow <= 0) {
 		b.Problem("effect", fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name),
 			`add dedup_scope = "cell" and dedup_window = "5s"`)
 	}
-	if g.Effect != choice.Deduplicated && (b.Has("dedup_scope") || b.Has("dedup_window")) {
+	if g.Effect != placement.Deduplicated && (b.Has("dedup_scope") || b.Has("dedup_window")) {
 		b.Problem("dedup_scope", fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name),
 			`write effect = "deduplicated", or leave them out`)
 	}
-	if g.Spread == choice.ScopeNone && b.Has("spread_most") {
+	if g.Spread == placement.ScopeNone && b.Has("spread_most") {
 		b.Problem("spread_most", "spread_most stands without spread", `add spread = "node", "cell" or "zone"`)
 	}
 	if name := b.Text("kind", ""); name != "" {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 const good = `
@@ -43,11 +43,11 @@
 	require.NoError(t, err)
 	assert.Equal(t, 2, a.Settings.Ordinal)
 	assert.Equal(t, int64(2<<20), a.Limits.Waiting)
-	assert.Equal(t, choice.Millis(12000), a.Settings.ColdFor)
+	assert.Equal(t, placement.Millis(12000), a.Settings.ColdFor)
 	assert.Equal(t, []string{"serve", "check"}, a.Groups)
-	assert.Equal(t, choice.Millis(700), a.Settings.Groups[0].Target)
+	assert.Equal(t, placement.Millis(700), a.Settings.Groups[0].Target)
 	assert.Equal(t, 0, a.Settings.Groups[0].Kind)
-	assert.Equal(t, choice.ScopeCell, a.Settings.Groups[1].DedupScope)
+	assert.Equal(t, placement.ScopeCell, a.Settings.Groups[1].DedupScope)
 }
 
 func TestWhatIsWrongIsNamedWithItsLineAndTheFix(t *testing.T) {
--- a/config/reader.go
+++ b/config/reader.go
@@ -17,7 +17,7 @@
 	"github.com/zclconf/go-cty/cty"
 	"github.com/zclconf/go-cty/cty/convert"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Problem is one thing that is wrong with a file.
@@ -214,7 +214,7 @@
 }
 
 // Time reads a length of time with its unit, such as "250ms".
-func (b *Block) Time(name string, otherwise choice.Millis) choice.Millis {
+func (b *Block) Time(name string, otherwise placement.Millis) placement.Millis {
 	v, ok := b.value(name, cty.DynamicPseudoType, `a time with its unit, such as "250ms"`)
 	if !ok {
 		return otherwise
@@ -228,7 +228,7 @@
 		b.Problem(name, fmt.Sprintf("%s is %q", name, v.AsString()), `write a time with its unit, such as "250ms" or "1.5s"`)
 		return otherwise
 	}
-	return choice.Millis(float64(d) / 1e6)
+	return placement.Millis(float64(d) / 1e6)
 }
 
 func show(v cty.Value) string {
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -1,7 +1,7 @@
 // Package allocator is the allocator without I/O: one state machine that carries workloads from ask to end.
 //
 // Calls come in, each with its time; what is to be done goes out through World. Where a workload goes is
-// decided by choice alone; the engine keeps each workload's step, its timers, and the order of things. It
+// decided by placement alone; the engine keeps each workload's step, its timers, and the order of things. It
 // runs alike behind sockets, in virtual time, on the bench and in tests. Times are milliseconds on a clock
 // that never steps back. An engine belongs to one goroutine, and World must not call back into it.
 package allocator
@@ -9,18 +9,18 @@
 import (
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/record"
-	"grebeglade/internal/schedule"
+	"grebeglade/internal/eventlog"
+	"grebeglade/internal/timerqueue"
+	"grebeglade/placement"
 )
 
 // clockGrain is how far apart two times may be and still be the same, in ms: clocks outside count
 // nanoseconds, and a time that was rounded down must not miss its timer.
-const clockGrain = choice.Millis(1e-6)
+const clockGrain = placement.Millis(1e-6)
 
 // LongestTimer is for how long a timer is set at most, in ms; what is due later is set again. A timer that no longer counts
 // stays until it comes, and owners may wait for weeks: so the timers are bounded by what came within this time.
-const LongestTimer = choice.Millis(60e3)
+const LongestTimer = placement.Millis(60e3)
 
 // Verdict is the one final answer to an ask.
 type Verdict uint8
@@ -45,83 +45,83 @@
 // World is what the engine acts on.
 type World interface {
 	// Bind offers the workload to the node, which may accept it within the time-out.
-	Bind(id choice.WorkloadID, bind int, node choice.NodeID, timeout choice.Millis)
+	Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis)
 	// Stop calls a bind off. With onlyWaiting, a node that has accepted it keeps it.
-	Stop(id choice.WorkloadID, bind int, node choice.NodeID, why Why, onlyWaiting bool)
-	Probe(node choice.NodeID)
+	Stop(id placement.WorkloadID, bind int, node placement.NodeID, why Why, onlyWaiting bool)
+	Probe(node placement.NodeID)
 	// Watch asks the machine list for its changes.
 	Watch()
 	// Answer gives the owner the final answer; nothing is sent for the workload after Rejected or Unschedulable.
-	Answer(id choice.WorkloadID, v Verdict, node choice.NodeID)
+	Answer(id placement.WorkloadID, v Verdict, node placement.NodeID)
 	// Ended tells that a placed workload stands no more.
-	Ended(id choice.WorkloadID, node choice.NodeID, moved bool, why choice.Reason)
+	Ended(id placement.WorkloadID, node placement.NodeID, moved bool, why placement.Reason)
 	// Dropped tells that the engine has let go of the workload; its id will not be named again.
-	Dropped(id choice.WorkloadID)
+	Dropped(id placement.WorkloadID)
 	// Wake asks for a call of Tick at that time; an earlier one stands besides.
-	Wake(at choice.Millis)
+	Wake(at placement.Millis)
 }
 
-// Module is where workloads go: choice.Allocator, or one that writes down its calls.
+// Module is where workloads go: placement.Allocator, or one that writes down its calls.
 type Module interface {
-	Place(choice.Millis, choice.Workload) choice.Step
-	Adopt(choice.Millis, choice.Workload, choice.NodeID) choice.Step
-	List(choice.Millis, choice.ListKind, []choice.Node)
-	Report(choice.Millis, choice.NodeID, choice.Load)
-	Probed(choice.Millis, choice.NodeID, bool, *choice.Load)
-	Note(choice.Millis, choice.WorkloadID, choice.NoteKind, float64)
-	Upkeep(choice.Millis) choice.Chores
+	Place(placement.Millis, placement.Workload) placement.Step
+	Adopt(placement.Millis, placement.Workload, placement.NodeID) placement.Step
+	List(placement.Millis, placement.ListKind, []placement.Node)
+	Report(placement.Millis, placement.NodeID, placement.Load)
+	Probed(placement.Millis, placement.NodeID, bool, *placement.Load)
+	Note(placement.Millis, placement.WorkloadID, placement.NoteKind, float64)
+	Upkeep(placement.Millis) placement.Chores
 }
 
 // held is one workload that the module has not let go of.
 type held struct {
-	id        choice.WorkloadID
-	group     choice.GroupID
-	step      choice.Step
+	id        placement.WorkloadID
+	group     placement.GroupID
+	step      placement.Step
 	binds     int
-	node      choice.NodeID // of the last bind
+	node      placement.NodeID // of the last bind
 	placed    bool
 	withdrawn bool
 	moving    bool
-	timer     uint64        // number of the timer that counts for its step, 0 for none
-	due       choice.Millis // when that step is due
+	timer     uint64           // number of the timer that counts for its step, 0 for none
+	due       placement.Millis // when that step is due
 }
 
 // latest tells whether the bind of that number is the last one made, and may still be answered.
-func (h *held) latest(bind int) bool { return bind+1 == h.binds && h.step.Kind != choice.Wait }
+func (h *held) latest(bind int) bool { return bind+1 == h.binds && h.step.Kind != placement.Wait }
 
 // Engine is one allocator.
 type Engine struct {
 	module   Module
-	groups   []choice.Group
+	groups   []placement.Group
 	world    World
-	log      *record.Log
+	log      *eventlog.Log
 	timesOut bool
-	held     map[choice.WorkloadID]*held
-	timers   schedule.Queue[timer]
-	wake     choice.Millis // earliest wake-up asked for and not come, or 0
-	woken    bool          // whether wake holds
+	held     map[placement.WorkloadID]*held
+	timers   timerqueue.Queue[timer]
+	wake     placement.Millis // earliest wake-up asked for and not come, or 0
+	woken    bool             // whether wake holds
 }
 
 // Options say what an engine does itself.
 type Options struct {
-	TimesOut bool        // binds time out here; else the world reports their time-outs
-	Log      *record.Log // may be nil
-	Module   Module      // nil for a module made from the settings and the seed
+	TimesOut bool          // binds time out here; else the world reports their time-outs
+	Log      *eventlog.Log // may be nil
+	Module   Module        // nil for a module made from the settings and the seed
 }
 
 // New makes an engine. Start must be called first.
-func New(s choice.Settings, seed uint64, w World, o Options) *Engine {
+func New(s placement.Settings, seed uint64, w World, o Options) *Engine {
 	if o.Module == nil {
-		o.Module = choice.New(s, seed)
+		o.Module = placement.New(s, seed)
 	}
 	return &Engine{
 		module: o.Module, groups: s.Groups, world: w, log: o.Log, timesOut: o.TimesOut,
-		held: map[choice.WorkloadID]*held{},
+		held: map[placement.WorkloadID]*held{},
 	}
 }
 
 // Start begins the chores.
-func (e *Engine) Start(now choice.Millis) {
+func (e *Engine) Start(now placement.Millis) {
 	e.chores(now)
 	e.ask(now)
 }
@@ -130,8 +130,8 @@
 func (e *Engine) Held() int { return len(e.held) }
 
 // Ask takes a workload under an id that was never used before.
-func (e *Engine) Ask(now choice.Millis, w choice.Workload) {
-	e.log.Add(record.Event{At: now, Kind: record.Asked, Workload: w.ID, Group: w.Group})
+func (e *Engine) Ask(now placement.Millis, w placement.Workload) {
+	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Asked, Workload: w.ID, Group: w.Group})
 	h := &held{id: w.ID, group: w.Group}
 	e.held[w.ID] = h
 	e.carryOut(now, h, e.module.Place(now, w))
@@ -141,28 +141,28 @@
 // AskTogether takes workloads that are wanted together: it asks the module for all of them, and offers those that
 // have a place if they are at least so many. Otherwise nothing is sent, and the module takes its binds back. It
 // returns which are offered; the others are let go of without an answer.
-func (e *Engine) AskTogether(now choice.Millis, ws []choice.Workload, need int) []bool {
-	steps, offered, n := make([]choice.Step, len(ws)), make([]bool, len(ws)), 0
+func (e *Engine) AskTogether(now placement.Millis, ws []placement.Workload, need int) []bool {
+	steps, offered, n := make([]placement.Step, len(ws)), make([]bool, len(ws)), 0
 	for i, w := range ws {
-		e.log.Add(record.Event{At: now, Kind: record.Asked, Workload: w.ID, Group: w.Group})
-		if steps[i] = e.module.Place(now, w); steps[i].Kind == choice.Bind {
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Asked, Workload: w.ID, Group: w.Group})
+		if steps[i] = e.module.Place(now, w); steps[i].Kind == placement.Bind {
 			n++
 		}
 	}
 	for i, w := range ws {
 		switch s := steps[i]; {
-		case s.Kind == choice.Bind && n >= need:
+		case s.Kind == placement.Bind && n >= need:
 			offered[i] = true
 			h := &held{id: w.ID, group: w.Group}
 			e.held[w.ID] = h
 			e.carryOut(now, h, s)
 			continue
-		case s.Kind == choice.Bind:
-			s.Next(now, choice.Result{Kind: choice.NotSent, Over: true})
-		case s.Kind == choice.Wait:
-			s.Next(now, choice.Result{Kind: choice.Withdrawn, Over: true})
+		case s.Kind == placement.Bind:
+			s.Next(now, placement.Result{Kind: placement.NotSent, Over: true})
+		case s.Kind == placement.Wait:
+			s.Next(now, placement.Result{Kind: placement.Withdrawn, Over: true})
 		}
-		e.log.Add(record.Event{At: now, Kind: record.Turned, Workload: w.ID, Group: w.Group})
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Turned, Workload: w.ID, Group: w.Group})
 		e.world.Dropped(w.ID)
 	}
 	e.ask(now)
@@ -170,31 +170,31 @@
 }
 
 // Adopt takes over a workload that runs already; its bind counts as number 0.
-func (e *Engine) Adopt(now choice.Millis, w choice.Workload, node choice.NodeID) {
-	e.log.Add(record.Event{At: now, Kind: record.Adopted, Workload: w.ID, Group: w.Group, Node: node})
+func (e *Engine) Adopt(now placement.Millis, w placement.Workload, node placement.NodeID) {
+	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Adopted, Workload: w.ID, Group: w.Group, Node: node})
 	e.held[w.ID] = &held{
 		id: w.ID, group: w.Group, step: e.module.Adopt(now, w, node), binds: 1, node: node, placed: true,
 	}
 }
 
 // Confirmed takes a node's yes. One for a bind that has ended is passed over: its end was said to the node.
-func (e *Engine) Confirmed(now choice.Millis, id choice.WorkloadID, bind int, l *choice.Load) {
+func (e *Engine) Confirmed(now placement.Millis, id placement.WorkloadID, bind int, l *placement.Load) {
 	h := e.held[id]
 	if h == nil || h.placed || !h.latest(bind) {
 		e.report(now, h, l)
 		return
 	}
 	h.placed, h.timer = true, 0
-	e.note(now, h, choice.Result{Kind: choice.Confirmed})
+	e.note(now, h, placement.Result{Kind: placement.Confirmed})
 	if !h.withdrawn {
-		e.log.Add(record.Event{At: now, Kind: record.Answered, Detail: uint8(Placed), Workload: id, Node: h.node})
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Answered, Detail: uint8(Placed), Workload: id, Node: h.node})
 		e.world.Answer(id, Placed, h.node)
 	}
-	e.carryOut(now, h, h.step.Next(now, choice.Result{Kind: choice.Confirmed, Load: l}))
+	e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Confirmed, Load: l}))
 }
 
 // report hands on the load that came with an answer that itself comes too late.
-func (e *Engine) report(now choice.Millis, h *held, l *choice.Load) {
+func (e *Engine) report(now placement.Millis, h *held, l *placement.Load) {
 	if l != nil && h != nil {
 		e.module.Report(now, h.node, *l)
 	}
@@ -203,7 +203,7 @@
 // Settled takes the end of a bind: of one that is out r.Kind says how, a placed one has then ended. Of a
 // bind that ended before, only the load counts.
 func (e *Engine) Settled(
-	now choice.Millis, id choice.WorkloadID, bind int, node choice.NodeID, r choice.Result,
+	now placement.Millis, id placement.WorkloadID, bind int, node placement.NodeID, r placement.Result,
 ) {
 	h := e.held[id]
 	if h == nil || !h.latest(bind) {
@@ -216,10 +216,10 @@
 	e.ask(now)
 }
 
-func (e *Engine) settle(now choice.Millis, h *held, r choice.Result) {
+func (e *Engine) settle(now placement.Millis, h *held, r placement.Result) {
 	if h.placed {
-		r.Kind = choice.Ended
-		e.log.Add(record.Event{At: now, Kind: record.Ended, Workload: h.id, Node: h.node, Reason: r.Reason})
+		r.Kind = placement.Ended
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Ended, Workload: h.id, Node: h.node, Reason: r.Reason})
 		if !h.withdrawn {
 			e.world.Ended(h.id, h.node, h.moving, r.Reason)
 		}
@@ -230,59 +230,59 @@
 	e.carryOut(now, h, h.step.Next(now, r))
 }
 
-func (e *Engine) note(now choice.Millis, h *held, r choice.Result) {
-	e.log.Add(record.Event{
-		At: now, Kind: record.Outcome, Detail: uint8(r.Kind), Reason: r.Reason, Workload: h.id, Node: h.node,
+func (e *Engine) note(now placement.Millis, h *held, r placement.Result) {
+	e.log.Add(eventlog.Event{
+		At: now, Kind: eventlog.Outcome, Detail: uint8(r.Kind), Reason: r.Reason, Workload: h.id, Node: h.node,
 		Bind: int32(h.binds - 1), Group: h.group,
 	})
 }
 
 // Withdraw takes the owner's word that it no longer wants the workload. No answer is owed after it.
-func (e *Engine) Withdraw(now choice.Millis, id choice.WorkloadID) {
+func (e *Engine) Withdraw(now placement.Millis, id placement.WorkloadID) {
 	h := e.held[id]
 	if h == nil || h.withdrawn {
 		return
 	}
 	h.withdrawn = true
-	e.log.Add(record.Event{At: now, Kind: record.Withdrawn, Workload: id})
-	if h.step.Kind != choice.Wait {
+	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Withdrawn, Workload: id})
+	if h.step.Kind != placement.Wait {
 		e.world.Stop(id, h.binds-1, h.node, Withdrawn, false)
 	}
-	e.carryOut(now, h, h.step.Next(now, choice.Result{Kind: choice.Withdrawn, Over: true}))
+	e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Withdrawn, Over: true}))
 }
 
 // Cut takes the loss of the connection to a node: what was out there may have run. What stands there does
 // so still, as far as anyone knows.
-func (e *Engine) Cut(now choice.Millis, node choice.NodeID) {
+func (e *Engine) Cut(now placement.Millis, node placement.NodeID) {
 	for _, h := range e.on(node) {
 		if !h.placed {
-			e.settle(now, h, choice.Result{Kind: choice.Unclear, Over: h.withdrawn})
+			e.settle(now, h, placement.Result{Kind: placement.Unclear, Over: h.withdrawn})
 		}
 	}
 	e.ask(now)
 }
 
 // Stands takes a node's own account of our workloads there: those that it does not name have ended.
-func (e *Engine) Stands(now choice.Millis, node choice.NodeID, named func(choice.WorkloadID, int) bool) {
+func (e *Engine) Stands(now placement.Millis, node placement.NodeID, named func(placement.WorkloadID, int) bool) {
 	for _, h := range e.on(node) {
 		if h.placed && !named(h.id, h.binds-1) {
-			e.settle(now, h, choice.Result{Kind: choice.Ended, Over: true})
+			e.settle(now, h, placement.Result{Kind: placement.Ended, Over: true})
 		}
 	}
 	e.ask(now)
 }
 
 // Lost takes the loss of a node with all that stood there or was under way to it.
-func (e *Engine) Lost(now choice.Millis, node choice.NodeID) {
+func (e *Engine) Lost(now placement.Millis, node placement.NodeID) {
 	e.Cut(now, node)
-	e.Stands(now, node, func(choice.WorkloadID, int) bool { return false })
+	e.Stands(now, node, func(placement.WorkloadID, int) bool { return false })
 }
 
 // on returns the workloads whose last bind went to the node, in the order of their ids.
-func (e *Engine) on(node choice.NodeID) []*held {
+func (e *Engine) on(node placement.NodeID) []*held {
 	var there []*held
 	for _, h := range e.held {
-		if h.node == node && h.binds > 0 && h.step.Kind != choice.Wait {
+		if h.node == node && h.binds > 0 && h.step.Kind != placement.Wait {
 			there = append(there, h)
 		}
 	}
@@ -291,42 +291,42 @@
 }
 
 // Holds tells whether that bind is the workload's last and placed.
-func (e *Engine) Holds(id choice.WorkloadID, bind int) bool {
+func (e *Engine) Holds(id placement.WorkloadID, bind int) bool {
 	h := e.held[id]
 	return h != nil && h.placed && h.latest(bind)
 }
 
 // Surplus tells what to do with a copy that nobody waits for any more: whether to stop it. A run-once
 // workload that was started stays, since its owner was told that it may run.
-func (e *Engine) Surplus(g choice.GroupID) bool {
-	return int(g) >= len(e.groups) || e.groups[g].Effect != choice.RunOnce
+func (e *Engine) Surplus(g placement.GroupID) bool {
+	return int(g) >= len(e.groups) || e.groups[g].Effect != placement.RunOnce
 }
 
 // Note takes what is told of a workload; of a bind that is not the last it tells nothing.
-func (e *Engine) Note(now choice.Millis, id choice.WorkloadID, bind int, k choice.NoteKind, value float64) {
+func (e *Engine) Note(now placement.Millis, id placement.WorkloadID, bind int, k placement.NoteKind, value float64) {
 	if h := e.held[id]; h != nil && h.latest(bind) {
 		e.module.Note(now, id, k, value)
 	}
 }
 
 // Report takes a load report that came by itself.
-func (e *Engine) Report(now choice.Millis, node choice.NodeID, l choice.Load) {
+func (e *Engine) Report(now placement.Millis, node placement.NodeID, l placement.Load) {
 	e.module.Report(now, node, l)
 }
 
 // Probed takes the answer to a probe, or that none came.
-func (e *Engine) Probed(now choice.Millis, node choice.NodeID, answered bool, l *choice.Load) {
+func (e *Engine) Probed(now placement.Millis, node placement.NodeID, answered bool, l *placement.Load) {
 	e.module.Probed(now, node, answered, l)
 }
 
 // List takes a message of the machine list. Those who send it see to its order.
-func (e *Engine) List(now choice.Millis, k choice.ListKind, nodes []choice.Node) {
-	e.log.Add(record.Event{At: now, Kind: record.Listed, Detail: uint8(k), Bind: int32(len(nodes))})
+func (e *Engine) List(now placement.Millis, k placement.ListKind, nodes []placement.Node) {
+	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Listed, Detail: uint8(k), Bind: int32(len(nodes))})
 	e.module.List(now, k, nodes)
 }
 
 // Tick does what has come due. It may be called at any time.
-func (e *Engine) Tick(now choice.Millis) {
+func (e *Engine) Tick(now placement.Millis) {
 	if e.woken && e.wake <= now+clockGrain {
 		e.woken = false
 	}
@@ -346,38 +346,38 @@
 		}
 		h.timer = 0
 		switch h.step.Kind {
-		case choice.Wait:
-			e.carryOut(now, h, h.step.Next(now, choice.Result{Kind: choice.Due}))
+		case placement.Wait:
+			e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Due}))
 		default:
-			runOnce := int(h.group) < len(e.groups) && e.groups[h.group].Effect == choice.RunOnce
+			runOnce := int(h.group) < len(e.groups) && e.groups[h.group].Effect == placement.RunOnce
 			if !h.withdrawn {
 				e.world.Stop(h.id, h.binds-1, h.node, TimedOut, runOnce)
 			}
-			e.settle(now, h, choice.Result{Kind: choice.TimedOut})
+			e.settle(now, h, placement.Result{Kind: placement.TimedOut})
 		}
 	}
 	e.ask(now)
 }
 
 // carryOut does what a step asks for and keeps its continuation.
-func (e *Engine) carryOut(now choice.Millis, h *held, s choice.Step) {
+func (e *Engine) carryOut(now placement.Millis, h *held, s placement.Step) {
 	h.step = s
 	switch s.Kind {
-	case choice.Bind:
+	case placement.Bind:
 		h.node = s.Node
 		h.binds++
-		e.log.Add(record.Event{
-			At: now, Kind: record.Bound, Workload: h.id, Node: s.Node, Bind: int32(h.binds - 1), Group: h.group,
+		e.log.Add(eventlog.Event{
+			At: now, Kind: eventlog.Bound, Workload: h.id, Node: s.Node, Bind: int32(h.binds - 1), Group: h.group,
 		})
 		if e.timesOut {
 			e.set(now, h, now+s.Timeout)
 		}
 		e.world.Bind(h.id, h.binds-1, s.Node, s.Timeout)
-	case choice.Wait:
+	case placement.Wait:
 		e.set(now, h, max(s.Until, now))
-	case choice.Rejected:
+	case placement.Rejected:
 		e.answer(now, h, Rejected)
-	case choice.Unschedulable:
+	case placement.Unschedulable:
 		e.answer(now, h, Unschedulable)
 	}
 	if s.Next == nil {
@@ -386,21 +386,21 @@
 	}
 }
 
-func (e *Engine) answer(now choice.Millis, h *held, v Verdict) {
+func (e *Engine) answer(now placement.Millis, h *held, v Verdict) {
 	if h.withdrawn {
 		return
 	}
-	e.log.Add(record.Event{At: now, Kind: record.Answered, Detail: uint8(v), Workload: h.id, Group: h.group})
+	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Answered, Detail: uint8(v), Workload: h.id, Group: h.group})
 	e.world.Answer(h.id, v, 0)
 }
 
-func (e *Engine) chores(now choice.Millis) {
+func (e *Engine) chores(now placement.Millis) {
 	c := e.module.Upkeep(now)
 	if c.Watch {
 		e.world.Watch()
 	}
 	for _, n := range c.Probes {
-		e.log.Add(record.Event{At: now, Kind: record.Probed, Node: n})
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Probed, Node: n})
 		e.world.Probe(n)
 	}
 	for _, id := range c.Moves {
@@ -409,19 +409,19 @@
 			continue
 		}
 		h.moving = true
-		e.log.Add(record.Event{At: now, Kind: record.Stopped, Detail: uint8(Moved), Workload: id, Node: h.node})
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Stopped, Detail: uint8(Moved), Workload: id, Node: h.node})
 		e.world.Stop(id, h.binds-1, h.node, Moved, false)
 	}
 	e.timers.Add(c.Again, timer{chores: true})
 }
 
 // set sets the timer of a workload's step.
-func (e *Engine) set(now choice.Millis, h *held, due choice.Millis) {
+func (e *Engine) set(now placement.Millis, h *held, due placement.Millis) {
 	h.due, h.timer = due, e.timers.Add(min(due, now+LongestTimer), timer{id: h.id})
 }
 
 // ask sees to it that a wake-up comes by the time of the first timer.
-func (e *Engine) ask(now choice.Millis) {
+func (e *Engine) ask(now placement.Millis) {
 	at, ok := e.timers.Next()
 	if !ok || e.woken && e.wake <= at {
 		return
@@ -432,6 +432,6 @@
 
 // timer is one thing that comes due: chores, or the wait or time-out of a workload.
 type timer struct {
-	id     choice.WorkloadID
+	id     placement.WorkloadID
 	chores bool
 }
--- a/internal/allocator/engine_test.go
+++ b/internal/allocator/engine_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"grebeglade/choice"
-	"grebeglade/internal/record"
+	"grebeglade/internal/eventlog"
+	"grebeglade/placement"
 )
 
 // script is a world that writes down what the engine wants.
@@ -15,22 +15,22 @@
 
 func (s *script) say(format string, args ...any) { s.did = append(s.did, fmt.Sprintf(format, args...)) }
 
-func (s *script) Bind(id choice.WorkloadID, bind int, n choice.NodeID, _ choice.Millis) {
+func (s *script) Bind(id placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
 	s.say("bind %d.%d to %d", id, bind, n)
 }
-func (s *script) Stop(id choice.WorkloadID, bind int, _ choice.NodeID, w Why, onlyWaiting bool) {
+func (s *script) Stop(id placement.WorkloadID, bind int, _ placement.NodeID, w Why, onlyWaiting bool) {
 	s.say("stop %d.%d %d %v", id, bind, w, onlyWaiting)
 }
-func (s *script) Probe(n choice.NodeID) { s.say("probe %d", n) }
-func (s *script) Watch()                { s.say("watch") }
-func (s *script) Answer(id choice.WorkloadID, v Verdict, _ choice.NodeID) {
+func (s *script) Probe(n placement.NodeID) { s.say("probe %d", n) }
+func (s *script) Watch()                   { s.say("watch") }
+func (s *script) Answer(id placement.WorkloadID, v Verdict, _ placement.NodeID) {
 	s.say("answer %d %s", id, v)
 }
-func (s *script) Ended(id choice.WorkloadID, _ choice.NodeID, moved bool, why choice.Reason) {
+func (s *script) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
 	s.say("ended %d %v %d", id, moved, why)
 }
-func (s *script) Dropped(choice.WorkloadID) {}
-func (s *script) Wake(choice.Millis)        {}
+func (s *script) Dropped(placement.WorkloadID) {}
+func (s *script) Wake(placement.Millis)        {}
 
 // take returns what was wanted since the last time.
 func (s *script) take() []string {
@@ -40,44 +40,44 @@
 }
 
 const (
-	restartable choice.GroupID = iota
+	restartable placement.GroupID = iota
 	runOnce
 )
 
 // begin is an engine that knows that many empty machines of 10 cores.
 func begin(nodes int) (*Engine, *script) {
-	group := choice.Group{Target: 1000, Utility: 1, Kind: -1}
+	group := placement.Group{Target: 1000, Utility: 1, Kind: -1}
 	once := group
-	once.Effect = choice.RunOnce
+	once.Effect = placement.RunOnce
 	w := &script{}
-	e := New(choice.Settings{
-		Allocators: 1, Groups: []choice.Group{group, once}, Kinds: []choice.Kind{{Cores: 10, Memory: 20}}, MaxBinds: 3,
+	e := New(placement.Settings{
+		Allocators: 1, Groups: []placement.Group{group, once}, Kinds: []placement.Kind{{Cores: 10, Memory: 20}}, MaxBinds: 3,
 		RoomInList: true, ReportsUse: true,
-	}, 1, w, Options{TimesOut: true, Log: record.NewLog(100)})
+	}, 1, w, Options{TimesOut: true, Log: eventlog.NewLog(100)})
 	e.Start(0)
-	var entries []choice.Node
+	var entries []placement.Node
 	for i := range nodes {
-		entries = append(entries, choice.Node{
-			ID: choice.NodeID(i + 1), Cell: choice.CellID(i), Born: choice.LongAgo, FreeCores: 10, FreeMemory: 20,
+		entries = append(entries, placement.Node{
+			ID: placement.NodeID(i + 1), Cell: placement.CellID(i), Born: placement.LongAgo, FreeCores: 10, FreeMemory: 20,
 		})
 	}
-	e.List(0, choice.Whole, entries)
+	e.List(0, placement.Whole, entries)
 	return e, w
 }
 
-func ask(e *Engine, now choice.Millis, id choice.WorkloadID, g choice.GroupID) {
-	e.Ask(now, choice.Workload{ID: id, Service: 1, Group: g, Cores: 1, Memory: 1, Left: 6000})
+func ask(e *Engine, now placement.Millis, id placement.WorkloadID, g placement.GroupID) {
+	e.Ask(now, placement.Workload{ID: id, Service: 1, Group: g, Cores: 1, Memory: 1, Left: 6000})
 }
 
-func settled(k choice.ResultKind) choice.Result { return choice.Result{Kind: k} }
+func settled(k placement.ResultKind) placement.Result { return placement.Result{Kind: k} }
 
 func TestAPlacedWorkloadIsAnsweredOnceAndEndsOnce(t *testing.T) {
 	e, w := begin(1)
 	ask(e, 10, 7, restartable)
 	e.Confirmed(20, 7, 0, nil)
 	e.Confirmed(21, 7, 0, nil)
-	e.Settled(30, 7, 0, 1, choice.Result{Kind: choice.Unclear, Reason: choice.Evicted})
-	e.Settled(31, 7, 0, 1, settled(choice.Ended))
+	e.Settled(30, 7, 0, 1, placement.Result{Kind: placement.Unclear, Reason: placement.Evicted})
+	e.Settled(31, 7, 0, 1, settled(placement.Ended))
 	assert.Equal(t, []string{"bind 7.0 to 1", "answer 7 placed", "ended 7 false 5"}, w.take())
 	assert.Zero(t, e.Held())
 }
@@ -86,8 +86,8 @@
 	e, w := begin(2)
 	ask(e, 10, 7, restartable)
 	first := w.take()[0]
-	e.Settled(20, 7, 0, 1, choice.Result{Kind: choice.Declined, Reason: choice.NoCores})
-	e.Settled(30, 7, 1, 2, choice.Result{Kind: choice.Declined, Reason: choice.NoCores})
+	e.Settled(20, 7, 0, 1, placement.Result{Kind: placement.Declined, Reason: placement.NoCores})
+	e.Settled(30, 7, 1, 2, placement.Result{Kind: placement.Declined, Reason: placement.NoCores})
 	did := w.take()
 	assert.NotEqual(t, first, did[0])
 	assert.Equal(t, "answer 7 rejected", did[len(did)-1])
@@ -130,7 +130,7 @@
 	assert.Equal(t, []string{"stop 7.0 2 false"}, w.take())
 	// The node's yes was on its way.
 	e.Confirmed(7, 7, 0, nil)
-	e.Settled(9, 7, 0, 1, settled(choice.Ended))
+	e.Settled(9, 7, 0, 1, settled(placement.Ended))
 	assert.Empty(t, w.take())
 	// One that was withdrawn and never answered is let go of when its time is up.
 	e.Withdraw(10, 8)
@@ -143,7 +143,7 @@
 func TestWithoutAnyNodeAWorkloadWaitsAndIsRejectedInTime(t *testing.T) {
 	e, w := begin(0)
 	ask(e, 0, 7, restartable)
-	for now := choice.Millis(0); now <= 1100; now += 50 {
+	for now := placement.Millis(0); now <= 1100; now += 50 {
 		e.Tick(now)
 	}
 	assert.Contains(t, w.take(), "answer 7 rejected")
@@ -158,9 +158,9 @@
 	ask(e, 0, 7, restartable)
 	e.Confirmed(5, 7, 0, nil)
 	ask(e, 6, 8, restartable)
-	e.Adopt(7, choice.Workload{ID: 9, Service: 2, Cores: 1, Memory: 1}, 1)
+	e.Adopt(7, placement.Workload{ID: 9, Service: 2, Cores: 1, Memory: 1}, 1)
 	w.take()
-	e.List(10, choice.Changes, []choice.Node{{ID: 1, State: choice.Gone}})
+	e.List(10, placement.Changes, []placement.Node{{ID: 1, State: placement.Gone}})
 	e.Lost(10, 1)
 	did := w.take()
 	assert.Contains(t, did, "ended 7 false 0")
@@ -170,12 +170,12 @@
 
 func TestANodeSaysWhatStandsAndTheRestHasEnded(t *testing.T) {
 	e, w := begin(1)
-	for id := choice.WorkloadID(1); id <= 3; id++ {
+	for id := placement.WorkloadID(1); id <= 3; id++ {
 		ask(e, 0, id, restartable)
 		e.Confirmed(5, id, 0, nil)
 	}
 	w.take()
-	e.Stands(10, 1, func(id choice.WorkloadID, bind int) bool { return id == 2 && bind == 0 })
+	e.Stands(10, 1, func(id placement.WorkloadID, bind int) bool { return id == 2 && bind == 0 })
 	assert.Equal(t, []string{"ended 1 false 0", "ended 3 false 0"}, w.take())
 	assert.True(t, e.Holds(2, 0))
 }
@@ -198,37 +198,37 @@
 	e, _ := begin(1)
 	ask(e, 10, 7, restartable)
 	e.Confirmed(20, 7, 0, nil)
-	e.Settled(30, 7, 0, 1, settled(choice.Ended))
+	e.Settled(30, 7, 0, 1, settled(placement.Ended))
 	events, whole := e.log.Since(1)
 	assert.True(t, whole)
-	var kinds []record.Kind
+	var kinds []eventlog.Kind
 	for i, ev := range events {
 		assert.Equal(t, uint64(i+2), ev.Revision)
 		kinds = append(kinds, ev.Kind)
 	}
-	assert.Equal(t, []record.Kind{record.Asked, record.Bound, record.Outcome, record.Answered, record.Ended}, kinds)
+	assert.Equal(t, []eventlog.Kind{eventlog.Asked, eventlog.Bound, eventlog.Outcome, eventlog.Answered, eventlog.Ended}, kinds)
 }
 
 // Three days with an owner that would wait for a month: each ask left a timer for that long. The clock begins late, so that
 // nothing rests on its being small: 30 years on, it still counts thousandths of a millisecond.
 func TestTimersOfOwnersThatWaitForLongDoNotPileUp(t *testing.T) {
 	e, w := begin(1)
-	const begins, month = choice.Millis(1e12), choice.Millis(30 * 24 * 3600e3)
-	most, last := 0, choice.WorkloadID(3*24*3600)
-	for id := choice.WorkloadID(1); id <= last; id++ {
-		now := begins + choice.Millis(id)*1000
+	const begins, month = placement.Millis(1e12), placement.Millis(30 * 24 * 3600e3)
+	most, last := 0, placement.WorkloadID(3*24*3600)
+	for id := placement.WorkloadID(1); id <= last; id++ {
+		now := begins + placement.Millis(id)*1000
 		e.Tick(now)
-		e.Ask(now, choice.Workload{ID: id, Service: 1, Cores: 1, Memory: 1, Left: month})
+		e.Ask(now, placement.Workload{ID: id, Service: 1, Cores: 1, Memory: 1, Left: month})
 		e.Confirmed(now+20, id, 0, nil)
-		e.Settled(now+900, id, 0, 1, settled(choice.Ended))
+		e.Settled(now+900, id, 0, 1, settled(placement.Ended))
 		most = max(most, e.timers.Len())
 		w.take()
 	}
 	assert.LessOrEqual(t, most, 62, "a minute of asks, and the chores")
 	assert.Zero(t, e.Held())
 	// One that waits is timed out when its time comes, to the thousandth.
-	at := begins + choice.Millis(last)*1000 + 5000.25
-	e.Ask(at, choice.Workload{ID: last + 1, Service: 1, Group: runOnce, Cores: 1, Memory: 1, Left: 200e3})
+	at := begins + placement.Millis(last)*1000 + 5000.25
+	e.Ask(at, placement.Workload{ID: last + 1, Service: 1, Group: runOnce, Cores: 1, Memory: 1, Left: 200e3})
 	for now := at; now < at+200e3-20.001; now += 500 {
 		e.Tick(now)
 	}
--- a/internal/bench/bench.go
+++ b/internal/benchmark/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures how fast an allocator decides: the module alone, the engine beside it, and the whole
+// Package benchmark measures how fast an allocator decides: the module alone, the engine beside it, and the whole
 // path over loopback sockets, in one run, so that the ratios hold on any machine.
-package bench
+package benchmark
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
-	"grebeglade/internal/record"
+	"grebeglade/internal/eventlog"
 	"grebeglade/internal/replay"
+	"grebeglade/placement"
 )
 
 // Fleet is what decisions are measured on: nodes of 64 cores, each with residents of ours.
@@ -45,58 +45,58 @@
 	LateSends     int     `json:"late_sends"` // asks that the tool itself sent over 1 ms late
 }
 
-func settings(allocators int) choice.Settings {
-	return choice.Settings{
-		Allocators: allocators, Kinds: []choice.Kind{{Cores: cores, Memory: memory}}, MaxBinds: 3, RoomInList: true,
+func settings(allocators int) placement.Settings {
+	return placement.Settings{
+		Allocators: allocators, Kinds: []placement.Kind{{Cores: cores, Memory: memory}}, MaxBinds: 3, RoomInList: true,
 		ReportsUse: true, ColdFor: 15e3, ColdBears: 24, OverloadFor: 2e3,
-		Groups: []choice.Group{{Target: 1e3, Utility: 1, Calm: 0.8, Fade: 0.2, Kind: -1}},
+		Groups: []placement.Group{{Target: 1e3, Utility: 1, Calm: 0.8, Fade: 0.2, Kind: -1}},
 	}
 }
 
-func (f Fleet) entries() []choice.Node {
-	nodes := make([]choice.Node, f.Nodes)
+func (f Fleet) entries() []placement.Node {
+	nodes := make([]placement.Node, f.Nodes)
 	for i := range nodes {
-		nodes[i] = choice.Node{
-			ID: choice.NodeID(i + 1), Cell: choice.CellID(i / 8), Born: choice.LongAgo,
+		nodes[i] = placement.Node{
+			ID: placement.NodeID(i + 1), Cell: placement.CellID(i / 8), Born: placement.LongAgo,
 			FreeCores: cores / 2, FreeMemory: memory / 2,
 		}
 	}
 	return nodes
 }
 
-func workload(id choice.WorkloadID) choice.Workload {
-	return choice.Workload{ID: id, Service: choice.ServiceID(id % services), Cores: 0.5, Memory: 1, Left: 6000}
+func workload(id placement.WorkloadID) placement.Workload {
+	return placement.Workload{ID: id, Service: placement.ServiceID(id % services), Cores: 0.5, Memory: 1, Left: 6000}
 }
 
-var load = choice.Load{SpareCores: cores * 0.6, SpareMemory: memory * 0.6, Backlog: 0, Utilization: 0.4}
+var load = placement.Load{SpareCores: cores * 0.6, SpareMemory: memory * 0.6, Backlog: 0, Utilization: 0.4}
 
 // module carries workloads from ask to end with the module alone, and returns how many a second.
 func (f Fleet) module(long time.Duration) float64 {
-	a := choice.New(settings(1), 1)
-	a.List(0, choice.Whole, f.entries())
-	id := choice.WorkloadID(0)
+	a := placement.New(settings(1), 1)
+	a.List(0, placement.Whole, f.entries())
+	id := placement.WorkloadID(0)
 	for n := range f.Nodes {
 		for range f.Residents {
 			id++
-			a.Adopt(0, workload(id), choice.NodeID(n+1))
+			a.Adopt(0, workload(id), placement.NodeID(n+1))
 		}
 	}
-	return f.rate(long, func(now choice.Millis, id choice.WorkloadID) {
+	return f.rate(long, func(now placement.Millis, id placement.WorkloadID) {
 		s := a.Place(now, workload(id))
 		l := load
-		if s.Kind == choice.Bind {
-			s = s.Next(now, choice.Result{Kind: choice.Confirmed, Load: &l})
-			s.Next(now, choice.Result{Kind: choice.Ended})
+		if s.Kind == placement.Bind {
+			s = s.Next(now, placement.Result{Kind: placement.Confirmed, Load: &l})
+			s.Next(now, placement.Result{Kind: placement.Ended})
 		}
-	}, func(now choice.Millis) { a.Upkeep(now) }, id)
+	}, func(now placement.Millis) { a.Upkeep(now) }, id)
 }
 
 // rate calls one for workload after workload, a millisecond of the module's time apart.
 func (f Fleet) rate(
-	long time.Duration, one func(choice.Millis, choice.WorkloadID), chores func(choice.Millis), id choice.WorkloadID,
+	long time.Duration, one func(placement.Millis, placement.WorkloadID), chores func(placement.Millis), id placement.WorkloadID,
 ) float64 {
 	began, n := time.Now(), 0
-	for now := choice.Millis(0); ; now++ {
+	for now := placement.Millis(0); ; now++ {
 		if int(now)%250 == 0 {
 			chores(now)
 		}
@@ -111,39 +111,39 @@
 
 // nowhere is a world that remembers the last bind only.
 type nowhere struct {
-	node choice.NodeID
+	node placement.NodeID
 	bind int
 }
 
-func (w *nowhere) Bind(_ choice.WorkloadID, bind int, n choice.NodeID, _ choice.Millis) {
+func (w *nowhere) Bind(_ placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
 	w.bind, w.node = bind, n
 }
-func (*nowhere) Stop(choice.WorkloadID, int, choice.NodeID, allocator.Why, bool) {}
-func (*nowhere) Probe(choice.NodeID)                                             {}
-func (*nowhere) Watch()                                                          {}
-func (*nowhere) Answer(choice.WorkloadID, allocator.Verdict, choice.NodeID)      {}
-func (*nowhere) Ended(choice.WorkloadID, choice.NodeID, bool, choice.Reason)     {}
-func (*nowhere) Dropped(choice.WorkloadID)                                       {}
-func (*nowhere) Wake(choice.Millis)                                              {}
+func (*nowhere) Stop(placement.WorkloadID, int, placement.NodeID, allocator.Why, bool) {}
+func (*nowhere) Probe(placement.NodeID)                                                {}
+func (*nowhere) Watch()                                                                {}
+func (*nowhere) Answer(placement.WorkloadID, allocator.Verdict, placement.NodeID)      {}
+func (*nowhere) Ended(placement.WorkloadID, placement.NodeID, bool, placement.Reason)  {}
+func (*nowhere) Dropped(placement.WorkloadID)                                          {}
+func (*nowhere) Wake(placement.Millis)                                                 {}
 
 // engine does the same through the engine, with its record and its timers.
 func (f Fleet) engine(long time.Duration) float64 {
 	w := &nowhere{}
-	e := allocator.New(settings(1), 1, w, allocator.Options{TimesOut: true, Log: record.NewLog(1 << 14)})
+	e := allocator.New(settings(1), 1, w, allocator.Options{TimesOut: true, Log: eventlog.NewLog(1 << 14)})
 	e.Start(0)
-	e.List(0, choice.Whole, f.entries())
-	id := choice.WorkloadID(0)
+	e.List(0, placement.Whole, f.entries())
+	id := placement.WorkloadID(0)
 	for n := range f.Nodes {
 		for range f.Residents {
 			id++
-			e.Adopt(0, workload(id), choice.NodeID(n+1))
+			e.Adopt(0, workload(id), placement.NodeID(n+1))
 		}
 	}
-	return f.rate(long, func(now choice.Millis, id choice.WorkloadID) {
+	return f.rate(long, func(now placement.Millis, id placement.WorkloadID) {
 		l := load
 		e.Ask(now, workload(id))
 		e.Confirmed(now, id, w.bind, &l)
-		e.Settled(now, id, w.bind, w.node, choice.Result{Kind: choice.Ended})
+		e.Settled(now, id, w.bind, w.node, placement.Result{Kind: placement.Ended})
 	}, e.Tick, id)
 }
 
--- a/internal/bench/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"grebeglade/choice"
 	"grebeglade/internal/daemon"
-	"grebeglade/internal/link"
-	"grebeglade/internal/port"
+	"grebeglade/internal/frontend/native"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -26,8 +26,8 @@
 
 // cluster is an allocator on sockets among nodes that accept at once, and an owner's connection to it.
 type cluster struct {
-	loop    *link.Loop
-	port    *port.Port
+	loop    *transport.Loop
+	port    *native.Port
 	closers []io.Closer
 	owner   net.Conn
 	in      *bufio.Reader
@@ -45,8 +45,8 @@
 	}
 }
 
-func config(list string, most int) port.Config {
-	return port.Config{
+func config(list string, most int) native.Config {
+	return native.Config{
 		Name: "bench", Incarnation: 2, Seed: 1, Settings: settings(1), Groups: []string{"g"}, Kinds: []string{"k"},
 		List: list, RecordSize: 1 << 14, MostHeld: most,
 	}
@@ -54,7 +54,7 @@
 
 // start brings the cluster up and waits until every resident is adopted.
 func (f Fleet) start(offered func(uint64)) (*cluster, error) {
-	c := &cluster{loop: link.NewLoop(nil), offered: offered}
+	c := &cluster{loop: transport.NewLoop(nil), offered: offered}
 	u := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
 	for i := range f.Nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,14 +77,14 @@
 	c.closers = append(c.closers, l)
 	go c.accept(l, func(conn net.Conn) {
 		w := &writer{w: conn}
-		w.send(link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+		w.send(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
 		w.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}})
 		io.Copy(io.Discard, conn)
 	})
 	pc := config(l.Addr().String(), 0)
 	pc.Trace = f.trace
 	if f.state.Dir != "" {
-		pc.Settings.Groups[0].Effect = choice.RunOnce
+		pc.Settings.Groups[0].Effect = placement.RunOnce
 		j, err := daemon.OpenJournal(f.state, &pc, c.loop, slog.New(slog.DiscardHandler))
 		if err != nil {
 			c.Close()
@@ -92,13 +92,13 @@
 		}
 		c.journal = j
 	} else if f.once {
-		pc.Settings.Groups[0].Effect = choice.RunOnce
+		pc.Settings.Groups[0].Effect = placement.RunOnce
 	}
-	c.port = port.New(pc)
+	c.port = native.New(pc)
 	if c.journal != nil {
 		c.journal.Serve(c.port)
 	}
-	addr, err := c.loop.Listen(c.port, "127.0.0.1:0", link.DefaultLimits)
+	addr, err := c.loop.Listen(c.port, "127.0.0.1:0", transport.DefaultLimits)
 	if err != nil {
 		c.Close()
 		return nil, err
@@ -106,7 +106,7 @@
 	c.loop.Run()
 	for deadline := time.Now().Add(warmUp); ; time.Sleep(5 * time.Millisecond) {
 		held := 0
-		c.loop.Ask(c.port, func(choice.Millis) { held = c.port.Held() })
+		c.loop.Ask(c.port, func(placement.Millis) { held = c.port.Held() })
 		if held == f.Nodes*f.Residents {
 			break
 		}
@@ -122,7 +122,7 @@
 	c.closers = append(c.closers, c.owner)
 	c.in = bufio.NewReaderSize(c.owner, 1<<16)
 	w := &writer{w: c.owner}
-	w.send(link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
+	w.send(transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
 	if _, err := receive(c.in); err != nil {
 		c.Close()
 		return nil, err
@@ -157,7 +157,7 @@
 			Ask: &pb.Ask{Ask: id, Key: id, Service: id % services, Group: "g", Cores: 0.5, Memory: 1},
 		}})
 	}
-	out.send(link.Hello(hello))
+	out.send(transport.Hello(hello))
 	spareCores, spareMemory, util := load.SpareCores, load.SpareMemory, load.Utilization
 	l := &pb.Load{SpareCores: &spareCores, SpareMemory: &spareMemory, Utilization: &util}
 	for {
@@ -188,7 +188,7 @@
 }
 
 func (w *writer) keep(f *pb.Frame) {
-	if b, err := link.Append(w.b, f); err == nil {
+	if b, err := transport.Append(w.b, f); err == nil {
 		w.b = b
 	}
 }
@@ -205,7 +205,9 @@
 	w.flush()
 }
 
-func receive(r *bufio.Reader) (*pb.Frame, error) { return link.Read(r, link.DefaultLimits.Frame) }
+func receive(r *bufio.Reader) (*pb.Frame, error) {
+	return transport.Read(r, transport.DefaultLimits.Frame)
+}
 
 func askFrame(no uint64) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
@@ -303,23 +305,23 @@
 }
 
 // still is a net that takes frames and sends none.
-type still struct{ last link.ConnID }
+type still struct{ last transport.ConnID }
 
-func (s *still) Dial(string) link.ConnID   { s.last++; return s.last }
-func (*still) Send(link.ConnID, *pb.Frame) {}
-func (*still) Close(link.ConnID)           {}
-func (*still) WakeAt(choice.Millis)        {}
-func (*still) Now() choice.Millis          { return 0 }
+func (s *still) Dial(string) transport.ConnID   { s.last++; return s.last }
+func (*still) Send(transport.ConnID, *pb.Frame) {}
+func (*still) Close(transport.ConnID)           {}
+func (*still) WakeAt(placement.Millis)          {}
+func (*still) Now() placement.Millis            { return 0 }
 
 // filled is an allocator that holds so many placed workloads on 1,000 nodes, each asked for and confirmed over
 // the wire.
-func filled(residents int) (*port.Port, error) {
+func filled(residents int) (*native.Port, error) {
 	s := &still{}
-	p := port.New(config("list", 0))
+	p := native.New(config("list", 0))
 	p.Start(0, s)
 	list := s.last
 	p.Opened(0, list)
-	p.Received(0, list, link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
+	p.Received(0, list, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
 	const nodes = 1000
 	u := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
 	for i := range nodes {
@@ -332,7 +334,7 @@
 	each := (residents + nodes - 1) / nodes
 	id := uint64(0)
 	for i := range nodes {
-		c := list + 1 + link.ConnID(i)
+		c := list + 1 + transport.ConnID(i)
 		h := &pb.Hello{Role: pb.Role_NODE, Name: "n", Node: uint32(i + 1), Incarnation: 1, UpForMs: -1}
 		for n := 0; n < each && int(id) < residents; n++ {
 			id++
@@ -342,7 +344,7 @@
 			}})
 		}
 		p.Opened(0, c)
-		p.Received(0, c, link.Hello(h))
+		p.Received(0, c, transport.Hello(h))
 	}
 	return p, nil
 }
--- a/internal/bench/state.go
+++ b/internal/benchmark/state.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	conf "grebeglade/config"
 	"grebeglade/internal/recovery"
-	"grebeglade/internal/state"
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage"
+	"grebeglade/internal/storage/statepb"
 )
 
 // StateCost is what durable state costs with one way of syncing, where every workload is run-once.
@@ -86,20 +86,20 @@
 
 // stateRead fills a directory behind a history ten times as long, and measures the next start.
 func stateRead(path string, keys int) (r StateRead, err error) {
-	d, err := state.Dir(path)
+	d, err := storage.Dir(path)
 	if err != nil {
 		return r, err
 	}
 	now := func() float64 { return 1 }
-	l, _, err := state.Open(d, &statepb.Life{Incarnation: 1}, state.DefaultLogMost, now)
+	l, _, err := storage.Open(d, &statepb.Life{Incarnation: 1}, storage.DefaultLogMost, now)
 	if err != nil {
 		return r, err
 	}
 	for i := range 10 * keys {
 		b := recovery.Bind{Key: uint64(i), Group: "g", Node: 1, Incarnation: 1, Workload: uint64(i), Until: 1e15}
-		entries := []*statepb.Entry{state.Bound(b)}
+		entries := []*statepb.Entry{storage.Bound(b)}
 		if i >= keys {
-			entries = append(entries, state.Never(b.Key, 1, 0))
+			entries = append(entries, storage.Never(b.Key, 1, 0))
 		}
 		if err := l.Commit(entries, false); err != nil {
 			return r, err
@@ -118,11 +118,11 @@
 		}
 	}
 	began := time.Now()
-	l, found, err := state.Open(d, &statepb.Life{Incarnation: 2}, state.DefaultLogMost, now)
+	l, found, err := storage.Open(d, &statepb.Life{Incarnation: 2}, storage.DefaultLogMost, now)
 	if err != nil {
 		return r, err
 	}
-	book := recovery.New(recovery.Settings{}, state.Left(found), 1)
+	book := recovery.New(recovery.Settings{}, storage.Left(found), 1)
 	r.Keys, r.Ms = book.Len(), float64(time.Since(began))/1e6
 	return r, l.Close()
 }
--- a/internal/bench/trace.go
+++ b/internal/benchmark/trace.go
@@ -1,4 +1,4 @@
-package bench
+package benchmark
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/internal/lab"
+	"grebeglade/internal/simulation"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -62,11 +62,11 @@
 
 // day plays a script and returns one allocator's records.
 func day(script, dir string) ([]*trace.Record, []*tracepb.Source, error) {
-	s, err := lab.Open(script)
+	s, err := simulation.Open(script)
 	if err != nil {
 		return nil, nil, err
 	}
-	if _, err := lab.PlayVirtual(s, lab.Options{Seed: 1, Trace: dir}); err != nil {
+	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir}); err != nil {
 		return nil, nil, err
 	}
 	names, _, _ := trace.Files(filepath.Join(dir, "allocator-1"))
--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/bench"
+	"grebeglade/internal/benchmark"
 )
 
 func benchCommand() *cobra.Command {
@@ -24,15 +24,15 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var result struct {
-				Rates  []bench.Rates `json:"rates"`
-				Memory *bench.Memory `json:"memory,omitempty"`
+				Rates  []benchmark.Rates `json:"rates"`
+				Memory *benchmark.Memory `json:"memory,omitempty"`
 			}
 			rows := [][]string{{"NODES", "MODULE/S", "ENGINE/S", "RATIO", "SOCKETS/S", "RATIO", "ASK TO OFFER, MEDIAN", "P99"}}
 			for _, n := range nodes {
 				if n < 1 || n > 20000 || residents < 0 || long <= 0 {
 					return fmt.Errorf("--nodes takes 1 to 20000 each, --residents 0 or more, --for a time above 0")
 				}
-				r, err := bench.Measure(bench.Fleet{Nodes: n, Residents: residents}, long, sockets)
+				r, err := benchmark.Measure(benchmark.Fleet{Nodes: n, Residents: residents}, long, sockets)
 				if err != nil {
 					return failure{err}
 				}
@@ -47,7 +47,7 @@
 				rows = append(rows, row)
 			}
 			if held > 0 {
-				m, err := bench.Held(held)
+				m, err := benchmark.Held(held)
 				if err != nil {
 					return failure{err}
 				}
@@ -78,7 +78,7 @@
 }
 
 func benchTraceCommand() *cobra.Command {
-	var fleet bench.Fleet
+	var fleet benchmark.Fleet
 	var script string
 	var size int64
 	var long time.Duration
@@ -91,7 +91,7 @@
 			if fleet.Nodes < 1 || fleet.Residents < 0 || long <= 0 || size < 0 {
 				return fmt.Errorf("--nodes takes 1 or more, --residents and --file-mib 0 or more, --for a time above 0")
 			}
-			t, err := bench.Trace(script, fleet, long, size<<20)
+			t, err := benchmark.Trace(script, fleet, long, size<<20)
 			if err != nil {
 				return failure{err}
 			}
@@ -123,7 +123,7 @@
 }
 
 func benchStateCommand() *cobra.Command {
-	var fleet bench.Fleet
+	var fleet benchmark.Fleet
 	var dir string
 	var long time.Duration
 	var asJSON bool
@@ -135,7 +135,7 @@
 			if fleet.Nodes < 1 || long <= 0 {
 				return fmt.Errorf("--nodes takes 1 or more, --for a time above 0")
 			}
-			r, err := bench.State(dir, fleet, long)
+			r, err := benchmark.State(dir, fleet, long)
 			if err != nil {
 				return failure{err}
 			}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -28,14 +28,14 @@
 		return nil, failure{fmt.Errorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to", addr, err)}
 	}
 	c := &client{conn: conn, in: bufio.NewReader(conn), made: time.Now()}
-	if err := c.send(link.Hello(&pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()})); err != nil {
+	if err := c.send(transport.Hello(&pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()})); err != nil {
 		return nil, err
 	}
 	f, err := c.receive(talkWithin)
 	if err != nil {
 		return nil, err
 	}
-	if _, refusal := link.CheckHello(f); refusal != "" {
+	if _, refusal := transport.CheckHello(f); refusal != "" {
 		return nil, failure{fmt.Errorf("%s: %s", addr, refusal)}
 	}
 	return c, nil
@@ -45,7 +45,7 @@
 func (c *client) clock() float64 { return float64(time.Since(c.made)) / float64(time.Millisecond) }
 
 func (c *client) send(f *pb.Frame) error {
-	b, err := link.Append(nil, f)
+	b, err := transport.Append(nil, f)
 	if err == nil {
 		_, err = c.conn.Write(b)
 	}
@@ -59,7 +59,7 @@
 	if err := c.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return nil, failure{err}
 	}
-	f, err := link.Read(c.in, 64<<20)
+	f, err := transport.Read(c.in, 64<<20)
 	if err != nil {
 		return nil, failure{fmt.Errorf("no answer: %w", err)}
 	}
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/choice"
-	"grebeglade/internal/lab"
+	"grebeglade/internal/simulation"
+	"grebeglade/placement"
 )
 
 func labCommand() *cobra.Command {
@@ -34,11 +34,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if asJSON {
-				return printJSON(c, lab.Names())
+				return printJSON(c, simulation.Names())
 			}
 			rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
-			for _, name := range lab.Names() {
-				s, err := lab.Open(name)
+			for _, name := range simulation.Names() {
+				s, err := simulation.Open(name)
 				if err != nil {
 					return err
 				}
@@ -52,7 +52,7 @@
 }
 
 func labPlayCommand() *cobra.Command {
-	var o lab.Options
+	var o simulation.Options
 	var virtual, asJSON, verbose bool
 	var allocators, nodes int
 	var rate, load float64
@@ -66,7 +66,7 @@
 			"audits the five rules from the frames that passed. Exit status 0 if they held, 1 if one broke.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := lab.Open(args[0])
+			s, err := simulation.Open(args[0])
 			if err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 			}
 			s.Resize(allocators, nodes)
 			if length > 0 {
-				s.Stretch(choice.Millis(float64(length) / 1e6))
+				s.Stretch(placement.Millis(float64(length) / 1e6))
 			}
 			if rate > 0 {
 				s.Owner.Rate = rate
@@ -83,17 +83,17 @@
 			if load > 0 {
 				s.Load(load)
 			}
-			switch p := lab.GangPolicy(policy); p {
-			case lab.Together, lab.Independent, lab.ForEver:
+			switch p := simulation.GangPolicy(policy); p {
+			case simulation.Together, simulation.Independent, simulation.ForEver:
 				s.Owner.Policy = p
 			default:
 				return fmt.Errorf("--gangs %q is not known; known are together, independent, for-ever", policy)
 			}
-			if _, ok := lab.Sabotages[lab.Sabotage(sabotage)]; !ok && sabotage != "" {
-				known := slices.Sorted(maps.Keys(lab.Sabotages))
+			if _, ok := simulation.Sabotages[simulation.Sabotage(sabotage)]; !ok && sabotage != "" {
+				known := slices.Sorted(maps.Keys(simulation.Sabotages))
 				return fmt.Errorf("--break %q is not known; known are %v", sabotage, known)
 			}
-			o.Sabotage, o.Log = lab.Sabotage(sabotage), labLog(c.ErrOrStderr(), verbose)
+			o.Sabotage, o.Log = simulation.Sabotage(sabotage), labLog(c.ErrOrStderr(), verbose)
 			r, err := playDay(c, s, o, virtual)
 			if err != nil {
 				return err
@@ -127,20 +127,20 @@
 			"and deaths of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is cut off, out of order or malformed.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			found := map[string][]lab.Broken{}
+			found := map[string][]simulation.Broken{}
 			broken := false
 			for _, name := range args {
 				f, err := os.Open(name)
 				if err != nil {
 					return err
 				}
-				h, err := lab.ReadHistory(name, f)
+				h, err := simulation.ReadHistory(name, f)
 				f.Close()
 				if err != nil {
 					return err
 				}
 				a := h.Audit()
-				found[name], broken = append([]lab.Broken{}, a.Broken...), broken || len(a.Broken) > 0
+				found[name], broken = append([]simulation.Broken{}, a.Broken...), broken || len(a.Broken) > 0
 				if !asJSON {
 					fmt.Fprintf(c.OutOrStdout(), "%s: ", name)
 					tellRules(c.OutOrStdout(), a.Frames, a.Broken, a.More)
@@ -168,13 +168,13 @@
 	return slog.New(slog.NewTextHandler(w, nil))
 }
 
-func playDay(c *cobra.Command, s *lab.Script, o lab.Options, virtual bool) (*lab.Result, error) {
-	var r *lab.Result
+func playDay(c *cobra.Command, s *simulation.Script, o simulation.Options, virtual bool) (*simulation.Result, error) {
+	var r *simulation.Result
 	var err error
 	if virtual {
-		r, err = lab.PlayVirtual(s, o)
+		r, err = simulation.PlayVirtual(s, o)
 	} else {
-		r, err = lab.PlaySockets(c.Context(), s, o, func(p lab.Progress) { showProgress(c.ErrOrStderr(), p) })
+		r, err = simulation.PlaySockets(c.Context(), s, o, func(p simulation.Progress) { showProgress(c.ErrOrStderr(), p) })
 	}
 	if errors.Is(err, context.Canceled) {
 		err = errors.New("stopped before the day was over; nothing is judged")
@@ -185,12 +185,12 @@
 	return r, nil
 }
 
-func showProgress(w io.Writer, p lab.Progress) {
+func showProgress(w io.Writer, p simulation.Progress) {
 	fmt.Fprintf(w, "%4.0f of %.0f s: %d asks, %d placed, %d rejected, %d unschedulable, %d waiting\n",
 		float64(min(p.At, p.Of))/1000, float64(p.Of)/1000, p.Asks, p.Placed, p.Rejected, p.Unschedulable, p.Waits)
 }
 
-func showDay(c *cobra.Command, r *lab.Result, asJSON bool) error {
+func showDay(c *cobra.Command, r *simulation.Result, asJSON bool) error {
 	if asJSON {
 		if err := printJSON(c, r); err != nil {
 			return err
@@ -205,7 +205,7 @@
 }
 
 // tellDay says in plain words what came of a day.
-func tellDay(w io.Writer, r *lab.Result) {
+func tellDay(w io.Writer, r *simulation.Result) {
 	how := "on loopback sockets"
 	if r.Virtual {
 		how = "in virtual time"
@@ -233,7 +233,7 @@
 }
 
 // tellRules says which rules broke, and shows the frames of the first.
-func tellRules(w io.Writer, frames int, broken []lab.Broken, more int) {
+func tellRules(w io.Writer, frames int, broken []simulation.Broken, more int) {
 	if len(broken) == 0 {
 		fmt.Fprintf(w, "All rules held, by the %d frames that passed.\n", frames)
 		return
@@ -248,7 +248,7 @@
 }
 
 func labHuntCommand() *cobra.Command {
-	var h lab.Hunt
+	var h simulation.Hunt
 	var seconds int
 	var dir, sabotage string
 	var asJSON bool
@@ -262,10 +262,10 @@
 			if seconds < 0 || h.Days < 0 || seconds+h.Days == 0 || h.Allocators < 1 || h.Nodes < 4 || h.Worst < 0 {
 				return errors.New("give --seconds or --days above 0, --allocators of 1 and --nodes of 4 or more")
 			}
-			if _, ok := lab.Sabotages[lab.Sabotage(sabotage)]; !ok && sabotage != "" {
-				return fmt.Errorf("--break %q is not known; known are %v", sabotage, slices.Sorted(maps.Keys(lab.Sabotages)))
+			if _, ok := simulation.Sabotages[simulation.Sabotage(sabotage)]; !ok && sabotage != "" {
+				return fmt.Errorf("--break %q is not known; known are %v", sabotage, slices.Sorted(maps.Keys(simulation.Sabotages)))
 			}
-			h.Time, h.Sabotage = time.Duration(seconds)*time.Second, lab.Sabotage(sabotage)
+			h.Time, h.Sabotage = time.Duration(seconds)*time.Second, simulation.Sabotage(sabotage)
 			r, err := h.Run(c.Context(), func(days, finds int) {
 				fmt.Fprintf(c.ErrOrStderr(), "%d days, %d break a rule\n", days, finds)
 			})
@@ -280,7 +280,7 @@
 			} else {
 				tellHunt(c.OutOrStdout(), r, dir)
 			}
-			if err == nil && slices.ContainsFunc(r.Finds, func(f lab.Find) bool { return f.Rule > 0 }) {
+			if err == nil && slices.ContainsFunc(r.Finds, func(f simulation.Find) bool { return f.Rule > 0 }) {
 				err = errWrong
 			}
 			return err
@@ -299,7 +299,7 @@
 	return c
 }
 
-func writeFinds(dir string, finds []lab.Find) error {
+func writeFinds(dir string, finds []simulation.Find) error {
 	if dir == "" {
 		return nil
 	}
@@ -318,7 +318,7 @@
 	return nil
 }
 
-func tellHunt(w io.Writer, r *lab.HuntReport, dir string) {
+func tellHunt(w io.Writer, r *simulation.HuntReport, dir string) {
 	n := r.Nearest
 	fmt.Fprintf(w, "%d days in %.0f s. Nearest approach to a limit, which is 1: answers %.3f, drains %.3f, cold nodes %.3f, spread %.3f.\n",
 		r.Days, r.Seconds, n.Answer, n.Drain, n.Cold, n.Spread)
@@ -346,12 +346,12 @@
 			"allocators do then.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := lab.Open(script)
+			s, err := simulation.Open(script)
 			if err != nil {
 				return err
 			}
 			s.Resize(0, max(0, nodes))
-			loop, addr, err := lab.StandFleet(s, seed, list, nil)
+			loop, addr, err := simulation.StandFleet(s, seed, list, nil)
 			if err != nil {
 				return failure{err}
 			}
@@ -371,7 +371,7 @@
 func demoCommand() *cobra.Command {
 	var length time.Duration
 	var asJSON bool
-	var o lab.Options
+	var o simulation.Options
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Play a rough day on loopback sockets, with no file and no other program",
@@ -383,11 +383,11 @@
 			if length < time.Second {
 				return fmt.Errorf("--for %s is too short for a day; give 1s or more", length)
 			}
-			s, err := lab.Open("rough")
+			s, err := simulation.Open("rough")
 			if err != nil {
 				return err
 			}
-			s.Stretch(choice.Millis(float64(length) / 1e6))
+			s.Stretch(placement.Millis(float64(length) / 1e6))
 			r, err := playDay(c, s, o, false)
 			if err != nil {
 				return err
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -10,13 +10,13 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/load"
+	"grebeglade/internal/loadgen"
 )
 
 func labLoadCommand() *cobra.Command {
-	var o load.Options
-	var rate load.Rate
-	var shape load.Shape
+	var o loadgen.Options
+	var rate loadgen.Rate
+	var shape loadgen.Shape
 	var seed uint64
 	var ramp float64
 	var files []string
@@ -33,14 +33,14 @@
 			if o.Conns < 1 || shape.Services < 1 || !(shape.Cores > 0) || shape.Memory < 0 || shape.Pending <= 0 || shape.Life < 0 {
 				return fmt.Errorf("--connections and --services must be 1 or more, --cores and --pending above 0, --memory and --life not below 0")
 			}
-			var schedule load.Schedule
+			var schedule loadgen.Schedule
 			if len(files) > 0 {
 				readers, done, err := openTraces(c, files)
 				if err != nil {
 					return err
 				}
 				defer done()
-				s, err := load.FromTrace(readers, speed, shape.Life)
+				s, err := loadgen.FromTrace(readers, speed, shape.Life)
 				if err != nil {
 					return err
 				}
@@ -52,14 +52,14 @@
 				if err := rate.Check(); err != nil {
 					return err
 				}
-				schedule = load.Make(rate, shape, seed)
+				schedule = loadgen.Make(rate, shape, seed)
 			}
 			if !asJSON {
-				o.Told = func(p load.Progress) {
+				o.Told = func(p loadgen.Progress) {
 					fmt.Fprintf(c.ErrOrStderr(), "%3.0f s: %d asks sent, %d answered, %d placed\n", p.At.Seconds(), p.Sent, p.Answered, p.Placed)
 				}
 			}
-			r, err := load.Run(c.Context(), schedule, o)
+			r, err := loadgen.Run(c.Context(), schedule, o)
 			if err != nil {
 				return failure{err}
 			}
@@ -98,7 +98,7 @@
 	return c
 }
 
-func tellLoad(w io.Writer, r *load.Result) {
+func tellLoad(w io.Writer, r *loadgen.Result) {
 	fmt.Fprintf(w, "%d asks were due and %d sent in %.1f s: %.1f of %.1f a second.\n", r.Due, r.Sent, r.Seconds, r.SentPerSec, r.DuePerSec)
 	fmt.Fprintf(w, "Placed %d, rejected %d, unschedulable %d, unanswered %d, answered late %d; %d of those placed have ended.\n",
 		r.Placed, r.Rejected, r.Unschedulable, r.Unanswered, r.Late, r.Ended)
@@ -107,7 +107,7 @@
 			"follows is the tool's own delay and not the allocator's; ask for less, or from more than one machine.\n",
 			r.SentLate.Median, r.SentLate.P99)
 	}
-	row := func(name string, l load.Latency) []string {
+	row := func(name string, l loadgen.Latency) []string {
 		return []string{
 			name, fmt.Sprint(l.Count), fmt.Sprintf("%.2f", l.Median), fmt.Sprintf("%.2f", l.P90), fmt.Sprintf("%.2f", l.P99),
 			fmt.Sprintf("%.2f", l.P999), fmt.Sprintf("%.2f", l.Max),
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 const (
@@ -64,8 +64,8 @@
 
 func servePlatform(c *cobra.Command, conf *platform.Config, file string, reload <-chan os.Signal, log *slog.Logger) error {
 	p := platform.New(conf, log)
-	loop := link.NewLoop(nil)
-	if _, err := loop.Serve(p, func() link.Form { return wire.Lines{} }, conf.Listen, p.Limits()); err != nil {
+	loop := transport.NewLoop(nil)
+	if _, err := loop.Serve(p, func() transport.Form { return codec.Lines{} }, conf.Listen, p.Limits()); err != nil {
 		return failure{err}
 	}
 	loop.Run()
@@ -82,7 +82,7 @@
 			// The file may be in the middle of being written, so it is read a few times.
 			if conf, err := platform.ReadConfig(file, conf.Listen); err == nil {
 				again = nil
-				loop.Ask(p, func(now choice.Millis) { p.Reload(now, conf.Journal) })
+				loop.Ask(p, func(now placement.Millis) { p.Reload(now, conf.Journal) })
 			} else if tries++; tries < readMost {
 				again = time.After(readEvery)
 			} else {
@@ -97,7 +97,7 @@
 			look = ticker.C
 		case <-look:
 			stopped := false
-			loop.Ask(p, func(now choice.Millis) { stopped = p.Stopped(now) })
+			loop.Ask(p, func(now placement.Millis) { stopped = p.Stopped(now) })
 			if stopped {
 				log.Info("stopped", "counts", fmt.Sprintf("%+v", p.Counts))
 				return nil
--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
 )
 
 // asProcess has the test's binary be the program itself.
@@ -59,7 +59,7 @@
 
 // nodeThatAccepts is a stand-in that takes whatever it is offered, once it may: the answer to each set-up waits until
 // something comes from may, which never holds back where it is nil. Set-ups are told on asked, unless that is nil.
-func nodeThatAccepts(t *testing.T, asked chan<- wire.Tag, may <-chan struct{}) string {
+func nodeThatAccepts(t *testing.T, asked chan<- codec.Tag, may <-chan struct{}) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -75,7 +75,7 @@
 	return l.Addr().String()
 }
 
-func acceptAll(c net.Conn, asked chan<- wire.Tag, may <-chan struct{}) {
+func acceptAll(c net.Conn, asked chan<- codec.Tag, may <-chan struct{}) {
 	defer c.Close()
 	var b []byte
 	part := make([]byte, 4096)
@@ -83,13 +83,13 @@
 		n, err := c.Read(part)
 		b = append(b, part[:n]...)
 		for {
-			m, used, err := wire.Binary{}.Cut(b)
+			m, used, err := codec.Binary{}.Cut(b)
 			if err != nil || used == 0 {
 				break
 			}
 			b = b[used:]
-			m1 := m.(*wire.Message)
-			if m1.Verb != wire.Start {
+			m1 := m.(*codec.Message)
+			if m1.Verb != codec.Start {
 				continue
 			}
 			if asked != nil {
@@ -99,7 +99,7 @@
 				<-may
 			}
 			text := "taken by a node"
-			out, err := wire.Binary{}.Append(nil, &wire.Message{Verb: wire.Started, Tag: m1.Tag, Description: &text})
+			out, err := codec.Binary{}.Append(nil, &codec.Message{Verb: codec.Started, Tag: m1.Tag, Description: &text})
 			if err != nil {
 				return
 			}
@@ -269,7 +269,7 @@
 func TestARestartAnswersAllThatWasTaken(t *testing.T) {
 	first, _ := journalService(t)
 	second, followedSecond := journalService(t)
-	asked, may := make(chan wire.Tag, 10), make(chan struct{})
+	asked, may := make(chan codec.Tag, 10), make(chan struct{})
 	node := nodeThatAccepts(t, asked, may)
 	file := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, file, first, node)
@@ -277,7 +277,7 @@
 
 	waiting, half, late, watch := p.owner(t), p.owner(t), p.owner(t), p.owner(t)
 	waiting.says(setUp(2))
-	assert.Equal(t, wire.Tag(2), <-asked)
+	assert.Equal(t, codec.Tag(2), <-asked)
 	half.says(setUp(3)[:40])
 	p.signal(t, syscall.SIGTERM)
 	watch.stopping()
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/state"
+	"grebeglade/internal/storage"
 )
 
 func stateCommand() *cobra.Command {
@@ -18,20 +18,20 @@
 }
 
 // stateDir opens a directory that must be there.
-func stateDir(path string) (state.Disk, error) {
+func stateDir(path string) (storage.Disk, error) {
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
 		return nil, fmt.Errorf("%s is no directory; the setting state.dir names the one of an allocator", path)
 	}
-	return state.Dir(path)
+	return storage.Dir(path)
 }
 
 // readState reads a directory; a damaged one is something wrong, not bad input.
-func readState(path string) (*state.Found, error) {
+func readState(path string) (*storage.Found, error) {
 	d, err := stateDir(path)
 	if err != nil {
 		return nil, err
 	}
-	f, err := state.Look(d)
+	f, err := storage.Look(d)
 	if err != nil {
 		return nil, failure{err}
 	}
@@ -112,7 +112,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := state.FindDamage(d)
+			r, err := storage.FindDamage(d)
 			if err != nil {
 				return failure{err}
 			}
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/choice"
 	"grebeglade/config"
-	"grebeglade/internal/port"
+	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/replay"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -473,8 +473,8 @@
 				if err != nil {
 					return err
 				}
-				o.Settings = func(was choice.Settings) (choice.Settings, error) {
-					s := port.WithSpreads(conf.Settings)
+				o.Settings = func(was placement.Settings) (placement.Settings, error) {
+					s := native.WithSpreads(conf.Settings)
 					if len(s.Groups) != len(was.Groups) || len(s.Kinds) != len(was.Kinds) {
 						return was, fmt.Errorf("the settings have %d groups and %d kinds, the trace has %d and %d; they must be as many",
 							len(conf.Groups), len(s.Kinds), len(was.Groups)*len(conf.Groups)/len(s.Groups), len(was.Kinds))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -11,10 +11,10 @@
 	"os"
 	"time"
 
-	"grebeglade/choice"
 	"grebeglade/config"
-	"grebeglade/internal/link"
-	"grebeglade/internal/port"
+	"grebeglade/internal/frontend/native"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -24,8 +24,8 @@
 // Daemon is an allocator that listens.
 type Daemon struct {
 	Addr string // where it listens
-	loop *link.Loop
-	port *port.Port
+	loop *transport.Loop
+	port *native.Port
 	log  *slog.Logger
 
 	recorder *trace.Recorder // nil without a trace
@@ -52,8 +52,8 @@
 		return nil, fmt.Errorf("draw a seed: %w", err)
 	}
 	log = log.With("allocator", c.Name)
-	d := &Daemon{loop: link.NewLoop(log), log: log}
-	pc := port.Config{
+	d := &Daemon{loop: transport.NewLoop(log), log: log}
+	pc := native.Config{
 		Name: c.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: binary.LittleEndian.Uint64(seed[:]),
 		Settings: c.Settings, Groups: c.Groups, Kinds: c.Kinds, Zone: c.Zone, List: c.List,
 		MostHeld: c.Limits.Workloads, Log: log, Wall: float64(time.Now().UnixNano())/1e6 - float64(d.loop.Now()),
@@ -78,11 +78,11 @@
 		}
 		d.recorder, pc.Trace = r, r
 	}
-	d.port = port.New(pc)
+	d.port = native.New(pc)
 	if d.journal != nil {
 		d.journal.Serve(d.port)
 	}
-	limits := link.Limits{
+	limits := transport.Limits{
 		Frame: int(c.Limits.Frame), Waiting: int(c.Limits.Waiting), Connections: c.Limits.Connections,
 	}
 	addr, err := d.loop.Listen(d.port, c.Listen, limits)
@@ -101,7 +101,7 @@
 // Stop turns every further ask away, waits until what is held has its answer or ctx ends, and leaves. What is
 // placed runs on. It returns the number of workloads that were left without an answer.
 func (d *Daemon) Stop(ctx context.Context) int {
-	d.loop.Ask(d.port, func(choice.Millis) { d.port.Shut() })
+	d.loop.Ask(d.port, func(placement.Millis) { d.port.Shut() })
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	left := d.pending()
@@ -140,6 +140,6 @@
 }
 
 func (d *Daemon) pending() (n int) {
-	d.loop.Ask(d.port, func(choice.Millis) { n = d.port.Pending() })
+	d.loop.Ask(d.port, func(placement.Millis) { n = d.port.Pending() })
 	return n
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/config"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -41,7 +41,7 @@
 }
 
 func send(c net.Conn, f *pb.Frame) error {
-	b, err := link.Append(nil, f)
+	b, err := transport.Append(nil, f)
 	if err == nil {
 		_, err = c.Write(b)
 	}
@@ -60,7 +60,7 @@
 	if _, err := io.ReadFull(c, body); err != nil {
 		return nil, err
 	}
-	return link.Decode(body)
+	return transport.Decode(body)
 }
 
 // asks has an owner ask once, and returns its one answer.
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	for _, f := range []*pb.Frame{
-		link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: owner, Incarnation: 1}), {Body: &pb.Frame_Ask{Ask: ask}},
+		transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: owner, Incarnation: 1}), {Body: &pb.Frame_Ask{Ask: ask}},
 	} {
 		if err := send(c, f); err != nil {
 			return nil, err
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/config"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -52,7 +52,7 @@
 func (c *peerConn) send(f *pb.Frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if b, err := link.Append(nil, f); err == nil {
+	if b, err := transport.Append(nil, f); err == nil {
 		c.Write(b)
 	}
 }
@@ -66,7 +66,7 @@
 	if _, err := io.ReadFull(c.in, body); err != nil {
 		return nil, err
 	}
-	return link.Decode(body)
+	return transport.Decode(body)
 }
 
 // cluster is a machine list and nodes that start what they are offered at once, say so or not, and count starts by key.
@@ -112,7 +112,7 @@
 		addr := c.serve(func(p *peerConn) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			p.send(link.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.stands[id]}))
+			p.send(transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.stands[id]}))
 		}, func(p *peerConn, f *pb.Frame) {
 			if o := f.GetOffer(); o != nil {
 				c.offered(p, id, o)
@@ -123,7 +123,7 @@
 		})
 	}
 	c.list = c.serve(func(p *peerConn) {
-		p.send(link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
+		p.send(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
 		p.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}})
 	}, func(*peerConn, *pb.Frame) {})
 	return c
@@ -200,7 +200,7 @@
 		conn, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
 		p := &peerConn{Conn: conn, in: bufio.NewReader(conn)}
-		p.send(link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: uint64(kill + 1)}))
+		p.send(transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: uint64(kill + 1)}))
 		_, err = p.receive()
 		require.NoError(t, err)
 		ask := map[uint64]uint64{}
--- a/internal/record/record.go
+++ b/internal/eventlog/record.go
@@ -1,9 +1,9 @@
-// Package record keeps what an allocator was asked, decided and saw, in order and by revision.
+// Package eventlog keeps what an allocator was asked, decided and saw, in order and by revision.
 //
 // Revisions start at 1 and have no gaps. The log holds the latest events up to its size; older ones are
 // dropped, which Since reports. Times are milliseconds on the allocator's own clock. A log belongs to one
 // goroutine.
-package record
+package eventlog
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Kind says what happened.
@@ -40,14 +40,14 @@
 // Event is one entry. Fields that do not apply are 0.
 type Event struct {
 	Revision uint64
-	At       choice.Millis
+	At       placement.Millis
 	Kind     Kind
 	Detail   uint8
-	Reason   choice.Reason
+	Reason   placement.Reason
 	Bind     int32
-	Workload choice.WorkloadID
-	Node     choice.NodeID
-	Group    choice.GroupID
+	Workload placement.WorkloadID
+	Node     placement.NodeID
+	Group    placement.GroupID
 }
 
 // Log is the record of one allocator.
--- a/internal/record/record_test.go
+++ b/internal/eventlog/record_test.go
@@ -1,17 +1,17 @@
-package record
+package eventlog
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 func TestTheLogKeepsTheLatestAndSaysWhatIsGone(t *testing.T) {
 	l := NewLog(3)
 	for i := range 5 {
-		l.Add(Event{At: choice.Millis(i), Kind: Asked})
+		l.Add(Event{At: placement.Millis(i), Kind: Asked})
 	}
 	events, whole := l.Since(2)
 	assert.True(t, whole)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
-	"grebeglade/choice"
 	"grebeglade/config"
-	"grebeglade/internal/lab"
+	"grebeglade/internal/simulation"
+	"grebeglade/placement"
 )
 
 // Plan is an experiment as its file says it.
@@ -49,7 +49,7 @@
 	Allocators int
 	Load       float64
 	Rate       float64
-	Length     choice.Millis
+	Length     placement.Millis
 	Script     string
 }
 
@@ -137,7 +137,7 @@
 	return p, nil
 }
 
-func toDuration(t choice.Millis) time.Duration { return time.Duration(float64(t) * 1e6) }
+func toDuration(t placement.Millis) time.Duration { return time.Duration(float64(t) * 1e6) }
 
 // Cells are all crossings; the last factor changes first.
 func (p *Plan) Cells() []Cell {
@@ -156,7 +156,7 @@
 
 // Day is the script of a cell: what its levels' day blocks say, then the script that they or the plan name. Where two
 // levels set the same, the one of the factor that stands first counts.
-func (p *Plan) Day(c Cell) (*lab.Script, error) {
+func (p *Plan) Day(c Cell) (*simulation.Script, error) {
 	b, err := config.Parse(p.file, p.src)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	from, err := lab.Parse(base)
+	from, err := simulation.Parse(base)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.file, err)
 	}
@@ -186,7 +186,7 @@
 	} else {
 		day.Inherit(from)
 	}
-	s, err := lab.Decode(day)
+	s, err := simulation.Decode(day)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/parquet-go/parquet-go"
 
-	"grebeglade/internal/lab"
+	"grebeglade/internal/simulation"
 )
 
 // Files of an experiment's directory.
@@ -248,7 +248,7 @@
 		run.Error = err.Error()
 		return run
 	}
-	var result *lab.Result
+	var result *simulation.Result
 	if build != "" {
 		result, err = b.play(ctx, build, p, j)
 	} else {
@@ -256,7 +256,7 @@
 		if deadline, ok := ctx.Deadline(); ok && deadline.Before(until) {
 			until = deadline
 		}
-		result, err = lab.PlayVirtual(s, lab.Options{Seed: j.seed, Oracle: p.Oracle, Until: until, Stopped: ctx.Err})
+		result, err = simulation.PlayVirtual(s, simulation.Options{Seed: j.seed, Oracle: p.Oracle, Until: until, Stopped: ctx.Err})
 	}
 	if err != nil {
 		run.Error = err.Error()
@@ -374,7 +374,7 @@
 
 // play has another build play a cell's day, by its own command. What a level sets besides size and load the other
 // build would have to understand in the same words, so it is handed a script that names what differs.
-func (b *builds) play(ctx context.Context, build string, p *Plan, j job) (*lab.Result, error) {
+func (b *builds) play(ctx context.Context, build string, p *Plan, j job) (*simulation.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.Each)
 	defer cancel()
 	args := []string{b.bins[build], "lab", "play", p.Script, "--virtual", "--json", "--seed", fmt.Sprint(j.seed)}
@@ -394,7 +394,7 @@
 		}
 	}
 	out, err := output(ctx, "", args...)
-	var r lab.Result
+	var r simulation.Result
 	if jerr := json.Unmarshal([]byte(out), &r); jerr != nil {
 		if err == nil {
 			err = jerr
--- a/internal/port/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -1,4 +1,4 @@
-package port
+package native
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -17,7 +17,7 @@
 // further ones that never ended. An unreachable node of which the list told every 200 ms was dialled ever more often.
 func TestListNewsOfANodeThatRefusesBeginsNoSecondRowOfDials(t *testing.T) {
 	r := newRig(t)
-	dials := func(for_ choice.Millis) int {
+	dials := func(for_ placement.Millis) int {
 		before := r.w.last
 		for end := r.now + for_; r.now < end; {
 			r.listed(1, pb.NodeEntry_READY, 1, -1)
@@ -60,7 +60,7 @@
 func TestCellsOfOneNameInTwoZonesAreTwoCells(t *testing.T) {
 	r := newRig(t)
 	r.update(pb.ListUpdate_WHOLE, nodeEntry(1, "x", "rack-1"), nodeEntry(2, "y", "rack-1"), nodeEntry(3, "y", "rack-1"))
-	cell := func(i int) choice.CellID { return r.p.nodes[i].entry.Cell }
+	cell := func(i int) placement.CellID { return r.p.nodes[i].entry.Cell }
 	assert.NotEqual(t, cell(0), cell(1))
 	assert.Equal(t, cell(1), cell(2))
 }
@@ -84,7 +84,7 @@
 			}
 		}
 		r.update(pb.ListUpdate_WHOLE, entries...)
-		seen := map[choice.CellID]string{}
+		seen := map[placement.CellID]string{}
 		for _, n := range r.p.nodes {
 			if other, twice := seen[n.entry.Cell]; twice && other != n.cell {
 				require.Failf(t, "one number for two cells", "%s and %s", other, n.cell)
@@ -140,17 +140,17 @@
 	r := newRig(t, func(c *Config) { c.RecordSize = 100 })
 	most := 0
 	for minute := range uint32(3 * 24 * 60) {
-		id, owner := minute+1, link.ConnID(1e6+minute)
+		id, owner := minute+1, transport.ConnID(1e6+minute)
 		e := nodeEntry(id, "z", fmt.Sprint("cell-", minute))
 		e.Address, e.UpForMs = fmt.Sprint("at-", id), 5
 		r.update(pb.ListUpdate_WHOLE, e)
 		n := r.w.dialed[e.Address]
 		require.NotZero(t, n)
 		r.p.Opened(r.now, n)
-		r.from(n, link.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
+		r.from(n, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
 		r.wake(r.now + 25e3) // cold budgets wait for a window after our start
 		r.p.Opened(r.now, owner)
-		r.from(owner, link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: fmt.Sprint("owner-", minute), Incarnation: 1, SentMs: 1}))
+		r.from(owner, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: fmt.Sprint("owner-", minute), Incarnation: 1, SentMs: 1}))
 		part := func(k uint64) *pb.Ask {
 			return &pb.Ask{Key: uint64(minute)*10 + k, Service: uint64(minute), Group: "serve", Cores: 1, Memory: 1, RunsForMs: 1}
 		}
--- a/internal/port/delay.go
+++ b/internal/frontend/native/delay.go
@@ -1,14 +1,14 @@
-package port
+package native
 
 import (
 	"math"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 const (
-	keepWays = 64                  // frames of an owner whose way is remembered: some of them were not held up
-	waysFor  = choice.Millis(60e3) // ms for which they count; over longer two clocks may part by more than a margin
+	keepWays = 64                     // frames of an owner whose way is remembered: some of them were not held up
+	waysFor  = placement.Millis(60e3) // ms for which they count; over longer two clocks may part by more than a margin
 )
 
 // ways are how long the last frames of a connection were under way, up to a constant that only the sender's clock knows.
@@ -21,15 +21,15 @@
 // no allocator can see what happens to an answer on its way back.
 type ways []way
 
-type way struct{ at, took choice.Millis }
+type way struct{ at, took placement.Millis }
 
 // late takes a frame that was sent at that time of its sender's and returns how much longer it took than the quickest of
 // the last ones.
-func (w *ways) late(now choice.Millis, sent float64) choice.Millis {
+func (w *ways) late(now placement.Millis, sent float64) placement.Millis {
 	if !(sent > 0) || math.IsInf(sent, 0) {
 		return 0
 	}
-	took := now - choice.Millis(sent)
+	took := now - placement.Millis(sent)
 	least := took
 	for _, o := range *w {
 		if now-o.at < waysFor {
@@ -45,7 +45,7 @@
 
 // underWay is how much of an ask's time was over when it came: what its connection shows, or what it may have waited
 // while this process stood still.
-func (p *Port) underWay(now choice.Millis, from *peer, sent float64) choice.Millis {
+func (p *Port) underWay(now placement.Millis, from *peer, sent float64) placement.Millis {
 	late := from.ways.late(now, sent)
 	if now-p.stoodTo < stoodAfter {
 		late = max(late, p.stood)
--- a/internal/port/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -1,4 +1,4 @@
-package port
+package native
 
 import (
 	"cmp"
@@ -6,28 +6,28 @@
 	"maps"
 	"slices"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/gang"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 const (
-	leaseSpare  = choice.Millis(3e3)  // ms beyond a start's time that an undeclared part may stand
-	adoptSettle = choice.Millis(1500) // ms after our start that parts found on nodes wait for the others
+	leaseSpare  = placement.Millis(3e3)  // ms beyond a start's time that an undeclared part may stand
+	adoptSettle = placement.Millis(1500) // ms after our start that parts found on nodes wait for the others
 	mostParts   = 1000
 )
 
 // spreads are the places that no two parts of a gang may share, by wish. Each of the settings' groups has a
-// variant for each, so that choice keeps it like any other spread.
+// variant for each, so that placement keeps it like any other spread.
 var spreads = []struct {
 	word  string
-	scope choice.Scope
-}{{"node", choice.ScopeNode}, {"cell", choice.ScopeCell}, {"zone", choice.ScopeZone}}
+	scope placement.Scope
+}{{"node", placement.ScopeNode}, {"cell", placement.ScopeCell}, {"zone", placement.ScopeZone}}
 
 // WithSpreads adds to settings the variants of each group.
-func WithSpreads(s choice.Settings) choice.Settings {
+func WithSpreads(s placement.Settings) placement.Settings {
 	base := s.Groups
 	s.Groups = slices.Clone(base)
 	for _, spread := range spreads {
@@ -55,19 +55,19 @@
 	state   *gang.Gang // nil while parts of it are being found after a restart
 	id      askID
 	ask     *pb.GangAsk
-	parts   []choice.WorkloadID // as asked for last, 0 for none
-	expires choice.Millis
-	since   choice.Millis
+	parts   []placement.WorkloadID // as asked for last, 0 for none
+	expires placement.Millis
+	since   placement.Millis
 	pending bool
 	kept    bool // a part was found that had been declared standing
 	told    gang.State
 }
 
 // partOf is what goes with the offer of a part.
-func (g *group) partOf(now choice.Millis, part int) *pb.GangPart {
+func (g *group) partOf(now placement.Millis, part int) *pb.GangPart {
 	lease := max(0, g.expires-now) + leaseSpare
 	if g.state != nil && g.state.State == gang.Standing {
-		lease = choice.Millis(g.ask.ReplaceWithinMs) + leaseSpare
+		lease = placement.Millis(g.ask.ReplaceWithinMs) + leaseSpare
 	}
 	return &pb.GangPart{
 		Part: uint32(part), Of: uint32(len(g.parts)), Need: g.ask.Need, LeaseMs: float64(lease), Replace: g.ask.Replace,
@@ -76,7 +76,7 @@
 }
 
 // gangAsk takes a group to its module, or turns it away at once with the reason.
-func (p *Port) gangAsk(now choice.Millis, c link.ConnID, owner string, a *pb.GangAsk) {
+func (p *Port) gangAsk(now placement.Millis, c transport.ConnID, owner string, a *pb.GangAsk) {
 	p.Counts.Asks++
 	id, late := askID{owner, a.Ask}, p.underWay(now, p.peers[c], a.SentMs)
 	if p.gangs[id] != nil || p.passed(c, a.Ask) {
@@ -96,9 +96,9 @@
 		p.answer(c, a.Ask, pb.Verdict_UNSCHEDULABLE, 0, "a bind of one of its parts went out before; it may have run")
 		return
 	}
-	left := choice.Millis(a.LeftMs) - late
+	left := placement.Millis(a.LeftMs) - late
 	g := &group{
-		id: id, ask: a, parts: make([]choice.WorkloadID, len(a.Parts)), expires: now + left, since: now, pending: true,
+		id: id, ask: a, parts: make([]placement.WorkloadID, len(a.Parts)), expires: now + left, since: now, pending: true,
 	}
 	g.state = gang.New(now, p.wish(a, left), p.c.Seed^a.Ask)
 	p.gangs[id] = g
@@ -115,7 +115,7 @@
 	keys := map[uint64]bool{}
 	known := a.Spread == "" || slices.ContainsFunc(spreads, func(s struct {
 		word  string
-		scope choice.Scope
+		scope placement.Scope
 	}) bool {
 		return s.word == a.Spread
 	})
@@ -156,8 +156,8 @@
 	return n
 }
 
-func (p *Port) wish(a *pb.GangAsk, left choice.Millis) gang.Wish {
-	w := gang.Wish{Need: int(a.Need), Left: left, ReplaceWithin: choice.Millis(a.ReplaceWithinMs)}
+func (p *Port) wish(a *pb.GangAsk, left placement.Millis) gang.Wish {
+	w := gang.Wish{Need: int(a.Need), Left: left, ReplaceWithin: placement.Millis(a.ReplaceWithinMs)}
 	if a.Replace {
 		w.OnLoss = gang.Replace
 	}
@@ -180,7 +180,7 @@
 }
 
 // part makes the workload of a part that is asked for.
-func (p *Port) part(now choice.Millis, g *group, i int, left choice.Millis) choice.Workload {
+func (p *Port) part(now placement.Millis, g *group, i int, left placement.Millis) placement.Workload {
 	a := g.ask.Parts[i]
 	p.lastID++
 	id := p.lastID
@@ -195,14 +195,14 @@
 	w.Again = w.Again || g.state.Tries() > 1
 	for k, s := range spreads {
 		if s.word == g.ask.Spread {
-			w.Group += choice.GroupID((k + 1) * len(p.c.Groups))
+			w.Group += placement.GroupID((k + 1) * len(p.c.Groups))
 		}
 	}
 	return w
 }
 
 // act does what a group's module wants done.
-func (p *Port) act(now choice.Millis, g *group, acts []gang.Act) {
+func (p *Port) act(now placement.Millis, g *group, acts []gang.Act) {
 	for _, a := range acts {
 		switch a.Kind {
 		case gang.Try:
@@ -244,8 +244,8 @@
 
 // wakeGang has a group's module called once that time has come, if the group is still there. A timer stands for a minute at
 // most, as in the engine.
-func (p *Port) wakeGang(now choice.Millis, g *group, at choice.Millis) {
-	p.timers.At(max(now, min(at, now+allocator.LongestTimer)), func(now choice.Millis) {
+func (p *Port) wakeGang(now placement.Millis, g *group, at placement.Millis) {
+	p.timers.At(max(now, min(at, now+allocator.LongestTimer)), func(now placement.Millis) {
 		switch {
 		case p.gangs[g.id] != g:
 		case now < at:
@@ -256,8 +256,8 @@
 	})
 }
 
-func (p *Port) try(now choice.Millis, g *group, a gang.Act) {
-	ws := make([]choice.Workload, len(a.Parts))
+func (p *Port) try(now placement.Millis, g *group, a gang.Act) {
+	ws := make([]placement.Workload, len(a.Parts))
 	for k, i := range a.Parts {
 		ws[k] = p.part(now, g, i, g.expires-now)
 	}
@@ -272,12 +272,12 @@
 	p.act(now, g, g.state.Tried(now, offered))
 }
 
-func (p *Port) stopPart(now choice.Millis, g *group, part int) {
+func (p *Port) stopPart(now placement.Millis, g *group, part int) {
 	id := g.parts[part]
 	wl := p.wls[id]
 	switch {
 	case wl == nil:
-		p.later = append(p.later, func(now choice.Millis) {
+		p.later = append(p.later, func(now placement.Millis) {
 			if p.gangs[g.id] == g && g.parts[part] == id {
 				p.act(now, g, g.state.Ended(now, part, false))
 			}
@@ -307,14 +307,14 @@
 }
 
 // keepAgain repeats a Keep that was lost with its connection.
-func (p *Port) keepAgain(n *node, id choice.WorkloadID, s *pb.Standing) {
+func (p *Port) keepAgain(n *node, id placement.WorkloadID, s *pb.Standing) {
 	wl := p.wls[id]
 	if wl != nil && wl.gang != nil && !s.Kept && wl.gang.state != nil && wl.gang.state.State == gang.Standing {
 		p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: s.Offer.Bind}}})
 	}
 }
 
-func (p *Port) gangAnswer(now choice.Millis, g *group, v pb.Verdict, reason string) {
+func (p *Port) gangAnswer(now placement.Millis, g *group, v pb.Verdict, reason string) {
 	if g.pending {
 		g.pending = false
 		p.pending--
@@ -334,7 +334,7 @@
 }
 
 func (p *Port) gangWhy(g *group) string {
-	if g.state.Tries() <= 1 && !slices.ContainsFunc(g.parts, func(id choice.WorkloadID) bool { return id != 0 }) {
+	if g.state.Tries() <= 1 && !slices.ContainsFunc(g.parts, func(id placement.WorkloadID) bool { return id != 0 }) {
 		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known", g.ask.Need, len(g.parts), len(p.nodes))
 	}
 	return fmt.Sprintf("it fell apart, %d times begun", g.state.Tries())
@@ -349,16 +349,16 @@
 
 // partEvent takes something that happened to a part to its module, once the engine is done with what it does.
 // What concerns a workload that is no more the part's is passed over.
-func (p *Port) partEvent(id choice.WorkloadID, wl *workload, event func(now choice.Millis) []gang.Act) {
+func (p *Port) partEvent(id placement.WorkloadID, wl *workload, event func(now placement.Millis) []gang.Act) {
 	g := wl.gang
-	p.later = append(p.later, func(now choice.Millis) {
+	p.later = append(p.later, func(now placement.Millis) {
 		if g.state != nil && p.gangs[g.id] == g && g.parts[wl.part] == id {
 			p.act(now, g, event(now))
 		}
 	})
 }
 
-func (p *Port) partAnswered(id choice.WorkloadID, wl *workload, v allocator.Verdict) {
+func (p *Port) partAnswered(id placement.WorkloadID, wl *workload, v allocator.Verdict) {
 	if p.tap != nil {
 		p.tap.Answered(p.now, id, uint8(v), wl.last(), "a part of a gang")
 	}
@@ -368,12 +368,12 @@
 			p.partRuns(id)
 		}
 	case allocator.Rejected:
-		p.partEvent(id, wl, func(now choice.Millis) []gang.Act { return wl.gang.state.Failed(now, wl.part, false) })
+		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Failed(now, wl.part, false) })
 	default:
 		// It may run where its last bind went. Its gang is undone, so nothing of it may be left.
 		// A run-once one was called off only as far as it was waiting; any other has been stopped already.
 		to, bind, stopped := wl.last(), p.bindID(id, wl), wl.called == len(wl.nodes) && !p.keeps(wl)
-		p.partEvent(id, wl, func(now choice.Millis) []gang.Act {
+		p.partEvent(id, wl, func(now placement.Millis) []gang.Act {
 			if n := p.node(to); n != nil && n.ready && !stopped {
 				p.stop(n, bind, false)
 			}
@@ -384,17 +384,17 @@
 
 // keeps tells whether a node that accepted the workload keeps it when its bind times out.
 func (p *Port) keeps(wl *workload) bool {
-	return p.gangPart(wl.ask).Effect == choice.RunOnce
+	return p.gangPart(wl.ask).Effect == placement.RunOnce
 }
 
 // partRuns takes that a workload runs, if it is a part.
-func (p *Port) partRuns(id choice.WorkloadID) {
+func (p *Port) partRuns(id placement.WorkloadID) {
 	if wl := p.wls[id]; wl != nil && wl.gang != nil {
-		p.partEvent(id, wl, func(now choice.Millis) []gang.Act { return wl.gang.state.Up(now, wl.part) })
+		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Up(now, wl.part) })
 	}
 }
 
-func (p *Port) gangWithdraw(now choice.Millis, g *group) {
+func (p *Port) gangWithdraw(now placement.Millis, g *group) {
 	if g.state == nil {
 		return // parts are still being found; they are decided about together
 	}
@@ -403,7 +403,7 @@
 }
 
 // gangOwnerGone withdraws an owner's groups that have no answer yet: it can be told none.
-func (p *Port) gangOwnerGone(now choice.Millis, owner string) {
+func (p *Port) gangOwnerGone(now placement.Millis, owner string) {
 	for _, id := range p.gangIDs() {
 		if g := p.gangs[id]; g != nil && id.owner == owner && g.pending {
 			p.gangWithdraw(now, g)
@@ -419,20 +419,20 @@
 
 // found takes a part that an earlier incarnation started. When all nodes have had time to tell, the group goes
 // on as it was declared, or nothing of it is left.
-func (p *Port) found(now choice.Millis, id choice.WorkloadID, wl *workload, s *pb.Standing) {
+func (p *Port) found(now placement.Millis, id placement.WorkloadID, wl *workload, s *pb.Standing) {
 	of := s.Offer.Gang
 	key := askID{wl.owner, wl.ask.Ask}
 	g := p.gangs[key]
 	if g == nil {
 		of.Of = min(max(of.Of, of.Part+1), mostParts)
 		g = &group{
-			id: key, since: now, parts: make([]choice.WorkloadID, of.Of),
+			id: key, since: now, parts: make([]placement.WorkloadID, of.Of),
 			ask: &pb.GangAsk{
 				Ask: key.ask, Need: of.Need, Replace: of.Replace, ReplaceWithinMs: of.ReplaceWithinMs, Parts: make([]*pb.Ask, of.Of),
 			},
 		}
 		p.gangs[key] = g
-		p.timers.At(now+adoptSettle, func(now choice.Millis) { p.recover(now, g) })
+		p.timers.At(now+adoptSettle, func(now placement.Millis) { p.recover(now, g) })
 	}
 	if g.state != nil || int(of.Part) >= len(g.parts) || g.parts[of.Part] != 0 {
 		// It comes after its group was decided about, or stands twice.
@@ -445,7 +445,7 @@
 	g.kept = g.kept || s.Kept
 }
 
-func (p *Port) recover(now choice.Millis, g *group) {
+func (p *Port) recover(now placement.Millis, g *group) {
 	if p.gangs[g.id] != g {
 		return
 	}
@@ -462,7 +462,7 @@
 }
 
 // gangStates answers an operator's question.
-func (p *Port) gangStates(now choice.Millis, most int) (states []*pb.GangStatus, leftOut uint32) {
+func (p *Port) gangStates(now placement.Millis, most int) (states []*pb.GangStatus, leftOut uint32) {
 	ids := p.gangIDs()
 	for _, id := range ids[:min(len(ids), most)] {
 		g := p.gangs[id]
--- a/internal/port/journal.go
+++ b/internal/frontend/native/journal.go
@@ -1,19 +1,19 @@
-package port
+package native
 
 import (
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/record"
+	"grebeglade/internal/eventlog"
 	"grebeglade/internal/recovery"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // unix is a time of the clock's as one that the next life knows too.
-func (p *Port) unix(now choice.Millis) float64 { return p.c.Wall + float64(now) }
+func (p *Port) unix(now placement.Millis) float64 { return p.c.Wall + float64(now) }
 
 // knew answers an ask by what was written down, and tells whether it did. The answer is right at once: nobody waits for
 // what nobody can find out.
-func (p *Port) knew(now choice.Millis, c link.ConnID, a *pb.Ask) bool {
+func (p *Port) knew(now placement.Millis, c transport.ConnID, a *pb.Ask) bool {
 	verdict, reason := pb.Verdict_UNSCHEDULABLE, "a bind of this key went out before; it may have run"
 	switch p.book.Asked(p.unix(now), a.Key, a.Group) {
 	case recovery.Place:
@@ -22,7 +22,7 @@
 		verdict, reason = pb.Verdict_REJECTED, "the state directory knows as many keys as it may; raise state.most, or ask another"
 	}
 	p.Counts.Known++
-	p.record.Add(record.Event{At: now, Kind: record.Turned})
+	p.record.Add(eventlog.Event{At: now, Kind: eventlog.Turned})
 	p.answer(c, a.Ask, verdict, 0, reason)
 	return true
 }
@@ -30,7 +30,7 @@
 // write has a bind last before its offer leaves. What was called off, timed out or ended meanwhile does not leave any more,
 // nor does it where what it was decided by has changed: the node drains, is gone or started anew, or more of the service was
 // found standing. What could not be written was never sent.
-func (p *Port) write(id choice.WorkloadID, wl *workload, bind int, to choice.NodeID, o *pb.Offer) {
+func (p *Port) write(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
 	since, boot := p.now, uint64(0)
 	if n := p.node(to); n != nil {
 		boot = n.boot
@@ -41,13 +41,13 @@
 		Key: wl.ask.Key, Group: wl.ask.Group, Node: uint32(to), Incarnation: o.Bind.Incarnation, Workload: o.Bind.Workload,
 		Number: o.Bind.Number,
 	})
-	p.c.Journal.Bound(b, func(now choice.Millis, err error) {
+	p.c.Journal.Bound(b, func(now placement.Millis, err error) {
 		p.begin(now)
 		stands := p.wls[id] == wl && len(wl.nodes)-1 == bind && wl.called != len(wl.nodes)
 		if p.writing[id] == wl && len(wl.nodes)-1 == bind {
 			delete(p.writing, id)
 			n := p.node(to)
-			stands = stands && !wl.outdated && n != nil && n.boot == boot && n.told().State == choice.Ready
+			stands = stands && !wl.outdated && n != nil && n.boot == boot && n.told().State == placement.Ready
 		}
 		switch {
 		case err != nil:
--- a/internal/port/list.go
+++ b/internal/frontend/native/list.go
@@ -1,17 +1,17 @@
-package port
+package native
 
 import (
 	"maps"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // listLink is the connection to the machine list and what was heard on it.
 type listLink struct {
-	conn    link.ConnID
+	conn    transport.ConnID
 	ready   bool
 	wanted  bool // a call waits for the connection
 	out     bool // a call waits for its answer
@@ -21,27 +21,27 @@
 	refused string
 }
 
-func (p *Port) dialList(now choice.Millis) {
+func (p *Port) dialList(now placement.Millis) {
 	if p.c.List == "" {
 		return
 	}
 	p.list.conn = p.net.Dial(p.c.List)
 	c := p.list.conn
-	p.timers.At(now+helloWithin, func(choice.Millis) {
+	p.timers.At(now+helloWithin, func(placement.Millis) {
 		if p.list.conn == c && !p.list.ready {
 			p.drop(c, "no hello came in time")
 		}
 	})
 }
 
-func (p *Port) listClosed(now choice.Millis, why string) {
+func (p *Port) listClosed(now placement.Millis, why string) {
 	p.log.Warn("no connection to the machine list", "address", p.c.List, "why", why)
 	failed := p.list.out || p.list.wanted
 	p.list.conn, p.list.ready, p.list.out, p.list.wanted = 0, false, false, false
 	if failed {
-		p.engine.List(now, choice.Failed, nil)
+		p.engine.List(now, placement.Failed, nil)
 	}
-	pause := min(redialMost, redialFirst*choice.Millis(int(1)<<min(p.list.fails, 10)))
+	pause := min(redialMost, redialFirst*placement.Millis(int(1)<<min(p.list.fails, 10)))
 	p.list.fails++
 	p.timers.At(now+p.jitter(pause), p.dialList)
 }
@@ -59,9 +59,9 @@
 	}}})
 }
 
-func (p *Port) fromList(now choice.Millis, f *pb.Frame) {
+func (p *Port) fromList(now placement.Millis, f *pb.Frame) {
 	if !p.list.ready {
-		h, refusal := link.CheckHello(f)
+		h, refusal := transport.CheckHello(f)
 		if refusal == "" && h.Role != pb.Role_LIST {
 			refusal = "no machine list answers at its address"
 		}
@@ -82,7 +82,7 @@
 	}
 	if u.Kind == pb.ListUpdate_FAILED {
 		p.list.out = false
-		p.engine.List(now, choice.Failed, nil)
+		p.engine.List(now, placement.Failed, nil)
 		return
 	}
 	p.list.out = false
@@ -95,7 +95,7 @@
 	case u.Epoch == p.list.epoch && u.Revision < p.list.have:
 		return // an answer older than one already seen
 	case u.Epoch == p.list.epoch && u.Revision == p.list.have && !whole:
-		p.engine.List(now, choice.Changes, nil) // no news is news too: the watch stands
+		p.engine.List(now, placement.Changes, nil) // no news is news too: the watch stands
 		return
 	}
 	p.list.epoch, p.list.have = u.Epoch, u.Revision
@@ -106,22 +106,22 @@
 }
 
 // listed takes entries into our own book of nodes, then to the engine, then to the connections.
-func (p *Port) listed(now choice.Millis, u *pb.ListUpdate) {
+func (p *Port) listed(now placement.Millis, u *pb.ListUpdate) {
 	p.Counts.ListEntries += uint64(len(u.Entries))
-	kind := choice.Changes
+	kind := placement.Changes
 	if u.Kind == pb.ListUpdate_WHOLE {
-		kind = choice.Whole
-		named := make(map[choice.NodeID]bool, len(u.Entries))
+		kind = placement.Whole
+		named := make(map[placement.NodeID]bool, len(u.Entries))
 		for _, e := range u.Entries {
-			named[choice.NodeID(e.Id)] = true
+			named[placement.NodeID(e.Id)] = true
 		}
 		for _, n := range p.nodes {
 			if !named[n.id] {
-				n.entry.State = choice.Gone
+				n.entry.State = placement.Gone
 			}
 		}
 	}
-	nodes := make([]choice.Node, 0, len(u.Entries))
+	nodes := make([]placement.Node, 0, len(u.Entries))
 	var touched []*node
 	over := 0
 	for _, e := range u.Entries {
@@ -142,7 +142,7 @@
 	}
 	before := len(p.nodes)
 	p.nodes = slices.DeleteFunc(p.nodes, func(n *node) bool {
-		if n.entry.State != choice.Gone || n.ready || n.dialling {
+		if n.entry.State != placement.Gone || n.ready || n.dialling {
 			return false
 		}
 		p.lost(now, n)
@@ -151,7 +151,7 @@
 		}
 		return true
 	})
-	maps.DeleteFunc(p.starts, func(_ choice.NodeID, s start) bool { return now-s.born >= p.c.Settings.ColdFor })
+	maps.DeleteFunc(p.starts, func(_ placement.NodeID, s start) bool { return now-s.born >= p.c.Settings.ColdFor })
 	if len(p.nodes) < before {
 		zones, cells := map[string]bool{p.c.Zone: true}, map[string]bool{}
 		for _, n := range p.nodes {
@@ -163,8 +163,8 @@
 }
 
 // enter writes a list entry into the book. It returns nil where the book is full.
-func (p *Port) enter(now choice.Millis, e *pb.NodeEntry) *node {
-	id := choice.NodeID(e.Id)
+func (p *Port) enter(now placement.Millis, e *pb.NodeEntry) *node {
+	id := placement.NodeID(e.Id)
 	i, known := p.find(id)
 	if !known && len(p.nodes) >= mostNodes {
 		return nil
@@ -200,8 +200,8 @@
 	if kind < 0 {
 		kind = len(p.c.Kinds)
 	}
-	n.entry = choice.Node{
-		ID: id, State: stateOf(e.State), Kind: choice.KindID(kind), Zone: p.zones.number(e.Zone),
+	n.entry = placement.Node{
+		ID: id, State: stateOf(e.State), Kind: placement.KindID(kind), Zone: p.zones.number(e.Zone),
 		Cell: p.cells.number(n.cell), Born: n.entry.Born, FreeCores: e.FreeCores, FreeMemory: e.FreeMemory,
 	}
 	return n
@@ -209,24 +209,24 @@
 
 // starts takes when a node started. That is worked out once for each start: the way here differs from news to
 // news, and is no restart.
-func (n *node) starts(now choice.Millis, boot uint64, upFor float64) {
+func (n *node) starts(now placement.Millis, boot uint64, upFor float64) {
 	if n.boot == boot {
 		return
 	}
-	n.boot, n.entry.Born, n.draining = boot, choice.LongAgo, false
+	n.boot, n.entry.Born, n.draining = boot, placement.LongAgo, false
 	if upFor >= 0 {
-		n.entry.Born = now - choice.Millis(upFor)
+		n.entry.Born = now - placement.Millis(upFor)
 	}
 }
 
-func stateOf(s pb.NodeEntry_State) choice.NodeState {
+func stateOf(s pb.NodeEntry_State) placement.NodeState {
 	switch s {
 	case pb.NodeEntry_READY:
-		return choice.Ready
+		return placement.Ready
 	case pb.NodeEntry_DRAINING:
-		return choice.Draining
+		return placement.Draining
 	}
-	return choice.Gone
+	return placement.Gone
 }
 
 // numbers give each name a number of its own, in the order in which they are met. There are never more names than
--- a/internal/port/nodes.go
+++ b/internal/frontend/native/nodes.go
@@ -1,23 +1,23 @@
-package port
+package native
 
 import (
 	"math"
 	"slices"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
-	"grebeglade/internal/link"
-	"grebeglade/internal/record"
+	"grebeglade/internal/eventlog"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func (p *Port) find(id choice.NodeID) (int, bool) {
-	return slices.BinarySearchFunc(p.nodes, id, func(n *node, id choice.NodeID) int {
+func (p *Port) find(id placement.NodeID) (int, bool) {
+	return slices.BinarySearchFunc(p.nodes, id, func(n *node, id placement.NodeID) int {
 		return int(int64(n.id) - int64(id))
 	})
 }
 
-func (p *Port) node(id choice.NodeID) *node {
+func (p *Port) node(id placement.NodeID) *node {
 	if i, ok := p.find(id); ok {
 		return p.nodes[i]
 	}
@@ -25,8 +25,8 @@
 }
 
 // dial opens the connection to a node, unless there is one or nothing to dial.
-func (p *Port) dial(now choice.Millis, n *node) {
-	if n.dialling || n.ready || n.addr == "" || n.entry.State == choice.Gone {
+func (p *Port) dial(now placement.Millis, n *node) {
+	if n.dialling || n.ready || n.addr == "" || n.entry.State == placement.Gone {
 		return
 	}
 	n.dialling = true
@@ -34,7 +34,7 @@
 	n.conn = p.net.Dial(n.addr)
 	c := n.conn
 	p.peers[c] = &peer{role: pb.Role_NODE, node: n}
-	p.timers.At(now+connectWithin, func(choice.Millis) {
+	p.timers.At(now+connectWithin, func(placement.Millis) {
 		if n.conn == c && n.dialling {
 			p.drop(c, "no connection in time")
 		}
@@ -42,27 +42,27 @@
 }
 
 // nodeClosed takes the end of a node's connection, or that there will be none.
-func (p *Port) nodeClosed(now choice.Millis, c link.ConnID, n *node, why string) {
+func (p *Port) nodeClosed(now placement.Millis, c transport.ConnID, n *node, why string) {
 	if n.conn != c {
 		return
 	}
 	stood := n.ready
 	n.conn, n.dialling, n.ready = 0, false, false
 	if stood {
-		p.record.Add(record.Event{At: now, Kind: record.NodeSeen, Node: n.id})
+		p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeSeen, Node: n.id})
 		p.log.Info("connection to node lost", "node", n.id, "why", why)
 		p.engine.Cut(now, n.id)
 		n.fails = 0
 	}
-	if n.entry.State == choice.Gone {
+	if n.entry.State == placement.Gone {
 		p.lost(now, n)
 		return
 	}
-	pause := min(redialMost, redialFirst*choice.Millis(int(1)<<min(n.fails, 10)))
+	pause := min(redialMost, redialFirst*placement.Millis(int(1)<<min(n.fails, 10)))
 	n.fails++
 	// If news of it has had it dialled meanwhile, that dial has a successor of its own: else each would begin another row.
 	dials := n.dials
-	p.timers.At(now+p.jitter(pause), func(now choice.Millis) {
+	p.timers.At(now+p.jitter(pause), func(now placement.Millis) {
 		if p.node(n.id) == n && n.dials == dials {
 			p.dial(now, n)
 		}
@@ -70,19 +70,19 @@
 }
 
 // lost ends what stood on a node that is gone for good.
-func (p *Port) lost(now choice.Millis, n *node) {
+func (p *Port) lost(now placement.Millis, n *node) {
 	p.lostNow = true
 	p.engine.Lost(now, n.id)
 	p.lostNow = false
 }
 
-func (p *Port) fromNode(now choice.Millis, c link.ConnID, n *node, f *pb.Frame) {
+func (p *Port) fromNode(now placement.Millis, c transport.ConnID, n *node, f *pb.Frame) {
 	if n.conn != c {
 		return
 	}
 	if !n.ready {
-		h, refusal := link.CheckHello(f)
-		if refusal == "" && (h.Role != pb.Role_NODE || choice.NodeID(h.Node) != n.id) {
+		h, refusal := transport.CheckHello(f)
+		if refusal == "" && (h.Role != pb.Role_NODE || placement.NodeID(h.Node) != n.id) {
 			refusal = "another than the node that the list names answers at its address"
 		}
 		if refusal != "" {
@@ -99,7 +99,7 @@
 		p.offerAnswered(now, n, b.OfferAnswer)
 	case *pb.Frame_End:
 		if id, bind, ok := p.bound(n, b.End.Bind); ok {
-			r := choice.Result{Kind: choice.Unclear, Reason: reasonOf(b.End.Why), Over: true, Load: load(b.End.Load)}
+			r := placement.Result{Kind: placement.Unclear, Reason: reasonOf(b.End.Why), Over: true, Load: load(b.End.Load)}
 			if !p.engine.Holds(id, bind) {
 				r.Over = p.wls[id].stopped
 			}
@@ -112,7 +112,7 @@
 		if id, bind, ok := p.bound(n, b.Note.Bind); ok {
 			if kind, ok := noteKinds[b.Note.Kind]; ok {
 				p.engine.Note(now, id, bind, kind, b.Note.Value)
-				if kind == choice.Running && p.engine.Holds(id, bind) {
+				if kind == placement.Running && p.engine.Holds(id, bind) {
 					p.partRuns(id)
 				}
 			}
@@ -128,18 +128,18 @@
 }
 
 // nodeStands takes a node's hello: who it is since when, and what of ours stands there.
-func (p *Port) nodeStands(now choice.Millis, n *node, h *pb.Hello) {
+func (p *Port) nodeStands(now placement.Millis, n *node, h *pb.Hello) {
 	n.ready, n.dialling, n.fails, n.refusal = true, false, 0, ""
-	p.record.Add(record.Event{At: now, Kind: record.NodeSeen, Detail: 1, Node: n.id})
+	p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeSeen, Detail: 1, Node: n.id})
 	// A node that is back says so itself, long before the list does: offers would reach it cold meanwhile that
 	// nobody counts.
 	if h.Incarnation > n.boot {
 		n.starts(now, h.Incarnation, h.UpForMs)
-		p.engine.List(now, choice.Changes, []choice.Node{n.told()})
+		p.engine.List(now, placement.Changes, []placement.Node{n.told()})
 	}
 	p.nodeDrains(now, n, h.Draining)
 	type ref struct {
-		id   choice.WorkloadID
+		id   placement.WorkloadID
 		bind int
 	}
 	named := map[ref]bool{}
@@ -158,7 +158,7 @@
 		}
 	}
 	p.lostNow = true
-	p.engine.Stands(now, n.id, func(id choice.WorkloadID, bind int) bool { return named[ref{id, bind}] })
+	p.engine.Stands(now, n.id, func(id placement.WorkloadID, bind int) bool { return named[ref{id, bind}] })
 	p.lostNow = false
 	for _, s := range strays {
 		p.stray(now, n, s)
@@ -167,7 +167,7 @@
 
 // stray takes a workload that stands on a node and is not on our books: of an earlier incarnation it is
 // adopted; a copy that we gave up is stopped, or kept where stopping it could not undo its effect.
-func (p *Port) stray(now choice.Millis, n *node, s *pb.Standing) {
+func (p *Port) stray(now placement.Millis, n *node, s *pb.Standing) {
 	o := s.Offer
 	w := p.workload(0, o.Ask)
 	_, held := p.keys[o.Ask.Key]
@@ -187,7 +187,7 @@
 	}
 	p.lastID++
 	w.ID = p.lastID
-	wl := &workload{owner: o.Owner, ask: o.Ask, nodes: []choice.NodeID{n.id}, bind: o.Bind, since: now, answer: allocator.Placed}
+	wl := &workload{owner: o.Owner, ask: o.Ask, nodes: []placement.NodeID{n.id}, bind: o.Bind, since: now, answer: allocator.Placed}
 	p.wls[w.ID] = wl
 	p.old[oldBindOf(n.id, o.Bind)] = w.ID
 	p.asks[askID{wl.owner, wl.ask.Ask}] = w.ID
@@ -202,7 +202,7 @@
 	}
 	p.engine.Adopt(now, w, n.id)
 	if s.Running {
-		p.engine.Note(now, w.ID, 0, choice.Running, 1)
+		p.engine.Note(now, w.ID, 0, placement.Running, 1)
 	}
 	if o.Gang != nil {
 		p.found(now, w.ID, wl, s)
@@ -210,14 +210,14 @@
 }
 
 // known finds the workload and the bind that a node speaks of: one of ours that went to that node.
-func (p *Port) known(n *node, b *pb.BindID) (choice.WorkloadID, int, bool) {
+func (p *Port) known(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
 	if b == nil || b.Allocator != p.c.Name {
 		return 0, 0, false
 	}
 	if id, ok := p.old[oldBindOf(n.id, b)]; ok {
 		return id, 0, true
 	}
-	id := choice.WorkloadID(b.Workload)
+	id := placement.WorkloadID(b.Workload)
 	wl := p.wls[id]
 	if b.Incarnation == p.c.Incarnation && b.Workload <= math.MaxUint32 && wl != nil && wl.bind == nil &&
 		int(b.Number) < len(wl.nodes) && wl.nodes[b.Number] == n.id {
@@ -227,7 +227,7 @@
 }
 
 // bound is known for what a node says by itself: counted and logged where it speaks of no bind of ours.
-func (p *Port) bound(n *node, b *pb.BindID) (choice.WorkloadID, int, bool) {
+func (p *Port) bound(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
 	id, bind, ok := p.known(n, b)
 	if !ok {
 		p.Counts.Stray++
@@ -237,11 +237,11 @@
 	return id, bind, ok
 }
 
-func oldBindOf(n choice.NodeID, b *pb.BindID) oldBind {
+func oldBindOf(n placement.NodeID, b *pb.BindID) oldBind {
 	return oldBind{n, b.Incarnation, b.Workload, b.Number}
 }
 
-func (p *Port) offerAnswered(now choice.Millis, n *node, a *pb.OfferAnswer) {
+func (p *Port) offerAnswered(now placement.Millis, n *node, a *pb.OfferAnswer) {
 	id, bind, ok := p.bound(n, a.Bind)
 	switch {
 	case !ok:
@@ -259,8 +259,8 @@
 		if p.tap != nil && a.Text != "" {
 			p.tap.Refused(now, id, n.id, a.Text)
 		}
-		p.engine.Settled(now, id, bind, n.id, choice.Result{
-			Kind: choice.Declined, Reason: reasonOf(a.Why), Over: p.wls[id].stopped, Load: load(a.Load),
+		p.engine.Settled(now, id, bind, n.id, placement.Result{
+			Kind: placement.Declined, Reason: reasonOf(a.Why), Over: p.wls[id].stopped, Load: load(a.Load),
 		})
 	}
 }
@@ -268,50 +268,50 @@
 // nodeDrains takes a node's own word that it drains, or no longer does. It counts over the list's, which is later, until
 // the node says otherwise or starts anew. It was forgotten with its connection: an offer that then waited for the next one
 // reached a node long after it had said that it drains.
-func (p *Port) nodeDrains(now choice.Millis, n *node, draining bool) {
+func (p *Port) nodeDrains(now placement.Millis, n *node, draining bool) {
 	if n.draining == draining {
 		return
 	}
 	n.draining = draining
-	p.engine.List(now, choice.Changes, []choice.Node{n.told()})
+	p.engine.List(now, placement.Changes, []placement.Node{n.told()})
 }
 
 // told is the list's entry under the node's own word.
-func (n *node) told() choice.Node {
+func (n *node) told() placement.Node {
 	e := n.entry
-	if n.draining && e.State == choice.Ready {
-		e.State = choice.Draining
+	if n.draining && e.State == placement.Ready {
+		e.State = placement.Draining
 	}
 	return e
 }
 
-func reasonOf(w pb.Why) choice.Reason {
+func reasonOf(w pb.Why) placement.Reason {
 	switch w {
 	case pb.Why_NO_CORES:
-		return choice.NoCores
+		return placement.NoCores
 	case pb.Why_NO_MEMORY:
-		return choice.NoMemory
+		return placement.NoMemory
 	case pb.Why_TOO_MANY_WAITING:
-		return choice.TooManyWaiting
+		return placement.TooManyWaiting
 	case pb.Why_NOT_HERE:
-		return choice.NotHere
+		return placement.NotHere
 	case pb.Why_EVICTED:
-		return choice.Evicted
+		return placement.Evicted
 	case pb.Why_PUSHED_OUT:
-		return choice.PushedOut
+		return placement.PushedOut
 	case pb.Why_SENT_AWAY:
-		return choice.SentAway
+		return placement.SentAway
 	}
-	return choice.NoReason
+	return placement.NoReason
 }
 
-var noteKinds = map[pb.Note_Kind]choice.NoteKind{
-	pb.Note_RUNNING: choice.Running, pb.Note_CORES_USED: choice.CoresUsed,
+var noteKinds = map[pb.Note_Kind]placement.NoteKind{
+	pb.Note_RUNNING: placement.Running, pb.Note_CORES_USED: placement.CoresUsed,
 }
 
 // load reads a report, or returns nil where none came along, or one too old to tell anything.
-func load(l *pb.Load) *choice.Load {
-	if l == nil || !(choice.Millis(l.AgeMs) < noReport) {
+func load(l *pb.Load) *placement.Load {
+	if l == nil || !(placement.Millis(l.AgeMs) < noReport) {
 		return nil
 	}
 	value := func(v *float64) float64 {
@@ -320,7 +320,7 @@
 		}
 		return *v
 	}
-	return &choice.Load{
+	return &placement.Load{
 		SpareCores: value(l.SpareCores), SpareMemory: value(l.SpareMemory), Backlog: value(l.Backlog),
 		Utilization: value(l.Utilization),
 	}
--- a/internal/port/port.go
+++ b/internal/frontend/native/port.go
@@ -1,9 +1,9 @@
-// Package port puts an allocator on the wire: frames become calls of the engine, and what the engine wants
-// becomes frames. It is a link.Party, so it runs alike on sockets and in virtual time.
+// Package native puts an allocator on the wire: frames become calls of the engine, and what the engine wants
+// becomes frames. It is a transport.Party, so it runs alike on sockets and in virtual time.
 //
 // It keeps the connections to owners, nodes and the machine list: who is who, what waits for a connection,
 // when to dial again. It decides nothing about placing. Times are milliseconds; one goroutine.
-package port
+package native
 
 import (
 	"cmp"
@@ -12,41 +12,41 @@
 	"math"
 	"slices"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/eventlog"
 	"grebeglade/internal/gang"
-	"grebeglade/internal/link"
-	"grebeglade/internal/record"
 	"grebeglade/internal/recovery"
 	"grebeglade/internal/replay"
-	"grebeglade/internal/schedule"
+	"grebeglade/internal/timerqueue"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 	"grebeglade/trace/tracepb"
 )
 
 const (
-	connectWithin = choice.Millis(250)   // ms; a node that is not there by then is unreachable
-	probeWithin   = choice.Millis(250)   // ms; a probe unanswered for so long failed
-	redialFirst   = choice.Millis(100)   // ms before dialling again after a first failure; doubles
-	redialMost    = choice.Millis(10e3)  // ms; longer would leave a node that is back unused
-	helloWithin   = choice.Millis(5e3)   // ms that a peer may be silent at first: it is no peer of ours then
-	mostNodes     = 1 << 15              // nodes that are kept; under half of the numbers that zones and cells have
-	recordSize    = 1 << 14              // events of the record that are kept, unless told otherwise
-	pulse         = choice.Millis(20)    // ms between wake-ups, at most: a process that does nothing else cannot tell that it stood still
-	lateAfter     = choice.Millis(10)    // ms; a wake-up later than that means that the process stood still
-	stoodAfter    = choice.Millis(50)    // ms after it stood still for which asks may have waited through it
-	noReport      = choice.Millis(100e3) // ms; a report older than this tells nothing
+	connectWithin = placement.Millis(250)   // ms; a node that is not there by then is unreachable
+	probeWithin   = placement.Millis(250)   // ms; a probe unanswered for so long failed
+	redialFirst   = placement.Millis(100)   // ms before dialling again after a first failure; doubles
+	redialMost    = placement.Millis(10e3)  // ms; longer would leave a node that is back unused
+	helloWithin   = placement.Millis(5e3)   // ms that a peer may be silent at first: it is no peer of ours then
+	mostNodes     = 1 << 15                 // nodes that are kept; under half of the numbers that zones and cells have
+	recordSize    = 1 << 14                 // events of the record that are kept, unless told otherwise
+	pulse         = placement.Millis(20)    // ms between wake-ups, at most: a process that does nothing else cannot tell that it stood still
+	lateAfter     = placement.Millis(10)    // ms; a wake-up later than that means that the process stood still
+	stoodAfter    = placement.Millis(50)    // ms after it stood still for which asks may have waited through it
+	noReport      = placement.Millis(100e3) // ms; a report older than this tells nothing
 )
 
 // lastAsked is the last number that an ask may get: those that are left are for what stands on nodes and for parts of groups.
-const lastAsked = choice.WorkloadID(math.MaxUint32 - 1<<20)
+const lastAsked = placement.WorkloadID(math.MaxUint32 - 1<<20)
 
 // Config is what an allocator is told at its start.
 type Config struct {
 	Name        string // its own, kept over restarts
 	Incarnation uint64 // grows with each start
 	Seed        uint64
-	Settings    choice.Settings
+	Settings    placement.Settings
 	Groups      []string // names, in the order of Settings.Groups
 	Kinds       []string // names, in the order of Settings.Kinds
 	Zone        string
@@ -59,14 +59,14 @@
 
 	Journal  Journal // where binds are written down that must be known after a crash; nil for nowhere
 	Left     []recovery.Bind
-	KeepOnce choice.Millis // that a run-once workload is known after its last bind
-	MostKept int           // keys known at a time, 0 for any number
+	KeepOnce placement.Millis // that a run-once workload is known after its last bind
+	MostKept int              // keys known at a time, 0 for any number
 }
 
 // Journal writes down what must be known after a crash.
 type Journal interface {
 	// Bound writes a bind down. Lasts is called on the port's goroutine once it lasts, or with the reason why it was not kept.
-	Bound(b recovery.Bind, lasts func(now choice.Millis, err error))
+	Bound(b recovery.Bind, lasts func(now placement.Millis, err error))
 	// Never takes a bind back that was not taken up. Nobody waits for it.
 	Never(key, incarnation uint64, number uint32)
 }
@@ -87,9 +87,9 @@
 type workload struct {
 	owner    string
 	ask      *pb.Ask
-	nodes    []choice.NodeID // of each bind
-	bind     *pb.BindID      // of an adopted one: as its node knows it
-	since    choice.Millis
+	nodes    []placement.NodeID // of each bind
+	bind     *pb.BindID         // of an adopted one: as its node knows it
+	since    placement.Millis
 	answer   allocator.Verdict
 	stopped  bool   // its owner wants it no more
 	called   int    // bind that was called off, counted from 1; 0 for none
@@ -99,7 +99,7 @@
 }
 
 // last is the node that its last bind went to, 0 if there was none: no node has that number.
-func (wl *workload) last() choice.NodeID {
+func (wl *workload) last() placement.NodeID {
 	if len(wl.nodes) == 0 {
 		return 0
 	}
@@ -108,7 +108,7 @@
 
 // oldBind names a bind of an earlier incarnation.
 type oldBind struct {
-	node        choice.NodeID
+	node        placement.NodeID
 	incarnation uint64
 	workload    uint64
 	number      uint32
@@ -121,15 +121,15 @@
 
 // node is one machine that the list has named.
 type node struct {
-	id       choice.NodeID
-	entry    choice.Node
+	id       placement.NodeID
+	entry    placement.Node
 	kind     string
 	zone     string
 	cell     string // with its zone in front
 	addr     string
 	boot     uint64
-	listed   choice.Millis
-	conn     link.ConnID
+	listed   placement.Millis
+	conn     transport.ConnID
 	dialling bool
 	ready    bool
 	draining bool // by its own word
@@ -141,7 +141,7 @@
 // start is a life of a node and when it began.
 type start struct {
 	boot uint64
-	born choice.Millis
+	born placement.Millis
 }
 
 // peer is who speaks on a connection.
@@ -197,7 +197,7 @@
 }
 
 // passed tells whether an ask is over.
-func (p *Port) passed(c link.ConnID, ask uint64) bool {
+func (p *Port) passed(c transport.ConnID, ask uint64) bool {
 	from := p.peers[c]
 	if from == nil {
 		return false
@@ -210,34 +210,34 @@
 type Port struct {
 	c       Config
 	log     *slog.Logger
-	net     link.Net
+	net     transport.Net
 	engine  *allocator.Engine
-	record  *record.Log
-	timers  link.Timers
-	wake    choice.Millis // the engine's, if wakes
+	record  *eventlog.Log
+	timers  transport.Timers
+	wake    placement.Millis // the engine's, if wakes
 	wakes   bool
-	now     choice.Millis
-	later   []func(now choice.Millis) // results that came up while the engine was at work
-	peers   map[link.ConnID]*peer
-	owners  map[string]link.ConnID
+	now     placement.Millis
+	later   []func(now placement.Millis) // results that came up while the engine was at work
+	peers   map[transport.ConnID]*peer
+	owners  map[string]transport.ConnID
 	nodes   []*node // by id
-	wls     map[choice.WorkloadID]*workload
-	writing map[choice.WorkloadID]*workload // whose last bind is being written down
-	asks    map[askID]choice.WorkloadID
-	keys    map[uint64]choice.WorkloadID
-	old     map[oldBind]choice.WorkloadID
+	wls     map[placement.WorkloadID]*workload
+	writing map[placement.WorkloadID]*workload // whose last bind is being written down
+	asks    map[askID]placement.WorkloadID
+	keys    map[uint64]placement.WorkloadID
+	old     map[oldBind]placement.WorkloadID
 	gangs   map[askID]*group
-	lastID  choice.WorkloadID
+	lastID  placement.WorkloadID
 	groups  map[string]int
-	zones   numbers[choice.ZoneID]
-	cells   numbers[choice.CellID]
-	starts  map[choice.NodeID]start // of cold nodes that the list lacks
-	probes  map[uint64]choice.NodeID
+	zones   numbers[placement.ZoneID]
+	cells   numbers[placement.CellID]
+	starts  map[placement.NodeID]start // of cold nodes that the list lacks
+	probes  map[uint64]placement.NodeID
 	probeNo uint64
 	draws   uint64
-	due     choice.Millis // wake-up that was set
-	stood   choice.Millis // how long the process stood still, at most
-	stoodTo choice.Millis
+	due     placement.Millis // wake-up that was set
+	stood   placement.Millis // how long the process stood still, at most
+	stoodTo placement.Millis
 	list    listLink
 	tap     *replay.Tap // nil without a trace
 	book    *recovery.Book
@@ -250,13 +250,13 @@
 // New makes an allocator; link or lab starts it.
 func New(c Config) *Port {
 	p := &Port{
-		c: c, log: c.Log, record: record.NewLog(cmp.Or(c.RecordSize, recordSize)),
-		peers: map[link.ConnID]*peer{}, owners: map[string]link.ConnID{},
-		wls: map[choice.WorkloadID]*workload{}, writing: map[choice.WorkloadID]*workload{}, asks: map[askID]choice.WorkloadID{},
-		keys: map[uint64]choice.WorkloadID{}, old: map[oldBind]choice.WorkloadID{},
+		c: c, log: c.Log, record: eventlog.NewLog(cmp.Or(c.RecordSize, recordSize)),
+		peers: map[transport.ConnID]*peer{}, owners: map[string]transport.ConnID{},
+		wls: map[placement.WorkloadID]*workload{}, writing: map[placement.WorkloadID]*workload{}, asks: map[askID]placement.WorkloadID{},
+		keys: map[uint64]placement.WorkloadID{}, old: map[oldBind]placement.WorkloadID{},
 		gangs: map[askID]*group{}, groups: map[string]int{},
-		zones: newNumbers[choice.ZoneID](c.Zone), cells: newNumbers[choice.CellID](""), starts: map[choice.NodeID]start{},
-		probes: map[uint64]choice.NodeID{},
+		zones: newNumbers[placement.ZoneID](c.Zone), cells: newNumbers[placement.CellID](""), starts: map[placement.NodeID]start{},
+		probes: map[uint64]placement.NodeID{},
 	}
 	if p.log == nil {
 		p.log = slog.New(slog.DiscardHandler)
@@ -292,7 +292,7 @@
 }
 
 // Record is what happened, by revision.
-func (p *Port) Record() *record.Log { return p.record }
+func (p *Port) Record() *eventlog.Log { return p.record }
 
 // Pending is the number of workloads that have no final answer yet.
 func (p *Port) Pending() int { return p.pending }
@@ -303,7 +303,7 @@
 // Shut has every further ask rejected. What is held is still answered; Pending tells when all is.
 func (p *Port) Shut() { p.closing = true }
 
-func (p *Port) Start(now choice.Millis, net link.Net) {
+func (p *Port) Start(now placement.Millis, net transport.Net) {
 	p.now, p.net = now, net
 	p.engine.Start(now)
 	p.dialList(now)
@@ -312,14 +312,14 @@
 
 // begin takes the time of what is handled next. A process that stood still finds frames that have waited, and
 // cannot know for how long: at most since it last did anything.
-func (p *Port) begin(now choice.Millis) {
+func (p *Port) begin(now placement.Millis) {
 	if now-p.due > lateAfter && p.due > 0 {
 		p.stood, p.stoodTo = now-p.now, now
 	}
 	p.now, p.due = now, max(p.due, now)
 }
 
-func (p *Port) Wake(now choice.Millis) {
+func (p *Port) Wake(now placement.Millis) {
 	p.begin(now)
 	p.due = now // the wake-up is used up, and settle sets the next
 	p.timers.Run(now)
@@ -331,7 +331,7 @@
 }
 
 // settle hands the engine what came up while it was at work, then sets the wake-up.
-func (p *Port) settle(now choice.Millis) {
+func (p *Port) settle(now placement.Millis) {
 	for len(p.later) > 0 {
 		calls := p.later
 		p.later = nil
@@ -354,14 +354,14 @@
 	p.net.WakeAt(next)
 }
 
-func (p *Port) Opened(now choice.Millis, c link.ConnID) {
+func (p *Port) Opened(now placement.Millis, c transport.ConnID) {
 	p.begin(now)
 	switch from := p.peers[c]; {
 	case c == p.list.conn:
 		p.net.Send(c, p.hello(pb.Role_ALLOCATOR))
 	case from == nil:
 		p.peers[c] = &peer{}
-		p.timers.At(now+helloWithin, func(choice.Millis) {
+		p.timers.At(now+helloWithin, func(placement.Millis) {
 			if from := p.peers[c]; from != nil && from.role == pb.Role_ROLE_UNSPECIFIED {
 				p.refuse(c, "no hello came in time")
 			}
@@ -373,23 +373,23 @@
 }
 
 func (p *Port) hello(r pb.Role, standing ...*pb.Standing) *pb.Frame {
-	return link.Hello(&pb.Hello{Role: r, Name: p.c.Name, Incarnation: p.c.Incarnation, Standing: standing})
+	return transport.Hello(&pb.Hello{Role: r, Name: p.c.Name, Incarnation: p.c.Incarnation, Standing: standing})
 }
 
 // refuse ends a connection with a reason that the peer can act on.
-func (p *Port) refuse(c link.ConnID, reason string) {
+func (p *Port) refuse(c transport.ConnID, reason string) {
 	p.log.Warn("connection refused", "reason", reason)
-	p.net.Send(c, link.Refuse(reason))
+	p.net.Send(c, transport.Refuse(reason))
 	p.drop(c, reason)
 }
 
 // drop ends a connection from our side.
-func (p *Port) drop(c link.ConnID, why string) {
+func (p *Port) drop(c transport.ConnID, why string) {
 	p.net.Close(c)
 	p.Closed(p.now, c, why)
 }
 
-func (p *Port) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (p *Port) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	p.begin(now)
 	from := p.peers[c]
 	switch {
@@ -409,8 +409,8 @@
 }
 
 // greet takes the first frame of a connection that came in.
-func (p *Port) greet(now choice.Millis, c link.ConnID, from *peer, f *pb.Frame) {
-	h, refusal := link.CheckHello(f)
+func (p *Port) greet(now placement.Millis, c transport.ConnID, from *peer, f *pb.Frame) {
+	h, refusal := transport.CheckHello(f)
 	switch {
 	case refusal != "":
 		p.refuse(c, refusal)
@@ -443,7 +443,7 @@
 	return standing
 }
 
-func (p *Port) Closed(now choice.Millis, c link.ConnID, why string) {
+func (p *Port) Closed(now placement.Millis, c transport.ConnID, why string) {
 	p.begin(now)
 	from := p.peers[c]
 	delete(p.peers, c)
@@ -461,8 +461,8 @@
 }
 
 // ownerGone withdraws what an owner had pending: it can be told no answer. What is placed runs on.
-func (p *Port) ownerGone(now choice.Millis, owner string) {
-	var ids []choice.WorkloadID
+func (p *Port) ownerGone(now placement.Millis, owner string) {
+	var ids []placement.WorkloadID
 	for id, wl := range p.wls {
 		if wl.owner == owner && wl.answer == 0 && wl.gang == nil {
 			ids = append(ids, id)
@@ -475,7 +475,7 @@
 	p.gangOwnerGone(now, owner)
 }
 
-func (p *Port) fromOwner(now choice.Millis, c link.ConnID, owner string, f *pb.Frame) {
+func (p *Port) fromOwner(now placement.Millis, c transport.ConnID, owner string, f *pb.Frame) {
 	switch {
 	case f.GetAsk() != nil:
 		p.ask(now, c, owner, f.GetAsk())
@@ -493,7 +493,7 @@
 	}
 }
 
-func (p *Port) withdraw(now choice.Millis, id choice.WorkloadID) {
+func (p *Port) withdraw(now placement.Millis, id placement.WorkloadID) {
 	if wl := p.wls[id]; wl != nil && !wl.stopped {
 		p.Counts.Withdrawn++
 		wl.stopped = true
@@ -505,7 +505,7 @@
 }
 
 // ask takes an ask to the engine, or turns it away at once with the reason.
-func (p *Port) ask(now choice.Millis, c link.ConnID, owner string, a *pb.Ask) {
+func (p *Port) ask(now placement.Millis, c transport.ConnID, owner string, a *pb.Ask) {
 	p.Counts.Asks++
 	late := p.underWay(now, p.peers[c], a.SentMs)
 	if _, ok := p.asks[askID{owner, a.Ask}]; ok || p.passed(c, a.Ask) {
@@ -514,7 +514,7 @@
 	}
 	if reason := p.unfit(a); reason != "" {
 		p.Counts.Turned++
-		p.record.Add(record.Event{At: now, Kind: record.Turned})
+		p.record.Add(eventlog.Event{At: now, Kind: eventlog.Turned})
 		p.answer(c, a.Ask, pb.Verdict_REJECTED, 0, reason)
 		return
 	}
@@ -535,14 +535,14 @@
 	p.engine.Ask(now, w)
 }
 
-func (p *Port) workload(id choice.WorkloadID, a *pb.Ask) choice.Workload {
+func (p *Port) workload(id placement.WorkloadID, a *pb.Ask) placement.Workload {
 	group, ok := p.groups[a.Group]
 	if !ok {
 		group = len(p.c.Groups)
 	}
-	return choice.Workload{
-		ID: id, Service: choice.ServiceID(a.Service), Group: choice.GroupID(group),
-		Cores: a.Cores, Memory: a.Memory, Left: choice.Millis(a.LeftMs), Again: a.Again,
+	return placement.Workload{
+		ID: id, Service: placement.ServiceID(a.Service), Group: placement.GroupID(group),
+		Cores: a.Cores, Memory: a.Memory, Left: placement.Millis(a.LeftMs), Again: a.Again,
 	}
 }
 
@@ -572,7 +572,7 @@
 	return ""
 }
 
-func (p *Port) answer(c link.ConnID, ask uint64, v pb.Verdict, node choice.NodeID, reason string) {
+func (p *Port) answer(c transport.ConnID, ask uint64, v pb.Verdict, node placement.NodeID, reason string) {
 	if from := p.peers[c]; from != nil {
 		from.past.add(ask, false)
 	}
@@ -582,7 +582,7 @@
 }
 
 // offer is a workload's bind as it goes over the wire.
-func (p *Port) offer(id choice.WorkloadID, wl *workload) *pb.Offer {
+func (p *Port) offer(id placement.WorkloadID, wl *workload) *pb.Offer {
 	o := &pb.Offer{Bind: p.bindID(id, wl), Owner: wl.owner, Ask: wl.ask}
 	if wl.gang != nil {
 		o.Gang = wl.gang.partOf(p.now, wl.part)
@@ -590,7 +590,7 @@
 	return o
 }
 
-func (p *Port) bindID(id choice.WorkloadID, wl *workload) *pb.BindID {
+func (p *Port) bindID(id placement.WorkloadID, wl *workload) *pb.BindID {
 	if wl.bind != nil {
 		return wl.bind
 	}
@@ -600,15 +600,15 @@
 }
 
 // jitter is a quarter more or less than d, by chance.
-func (p *Port) jitter(d choice.Millis) choice.Millis {
+func (p *Port) jitter(d placement.Millis) placement.Millis {
 	p.draws++
-	return schedule.Jitter(d, p.c.Seed, p.draws)
+	return timerqueue.Jitter(d, p.c.Seed, p.draws)
 }
 
 // world is the port as the engine sees it.
 type world Port
 
-func (w *world) Bind(id choice.WorkloadID, bind int, to choice.NodeID, timeout choice.Millis) {
+func (w *world) Bind(id placement.WorkloadID, bind int, to placement.NodeID, timeout placement.Millis) {
 	p := (*Port)(w)
 	wl := p.wls[id]
 	wl.nodes = append(wl.nodes, to)
@@ -624,7 +624,7 @@
 
 // send lets an offer leave, if its node is connected. None waits for a connection: it would reach a node that drains or
 // starts anew meanwhile, and what waited brought nothing (docs/review-findings.md).
-func (p *Port) send(id choice.WorkloadID, wl *workload, bind int, to choice.NodeID, o *pb.Offer) {
+func (p *Port) send(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
 	if n := p.node(to); n != nil && n.ready {
 		p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
 		return
@@ -634,14 +634,14 @@
 }
 
 // unreachable has the engine hear, once it is done with what it does, that a bind never left.
-func (p *Port) unreachable(id choice.WorkloadID, bind int, node choice.NodeID) {
-	p.later = append(p.later, func(now choice.Millis) {
-		p.engine.Settled(now, id, bind, node, choice.Result{Kind: choice.Unreachable})
+func (p *Port) unreachable(id placement.WorkloadID, bind int, node placement.NodeID) {
+	p.later = append(p.later, func(now placement.Millis) {
+		p.engine.Settled(now, id, bind, node, placement.Result{Kind: placement.Unreachable})
 	})
 }
 
 func (w *world) Stop(
-	id choice.WorkloadID, _ int, at choice.NodeID, why allocator.Why, onlyWaiting bool,
+	id placement.WorkloadID, _ int, at placement.NodeID, why allocator.Why, onlyWaiting bool,
 ) {
 	p := (*Port)(w)
 	wl := p.wls[id]
@@ -658,19 +658,19 @@
 	p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: b, OnlyWaiting: onlyWaiting}}})
 }
 
-func (w *world) Probe(id choice.NodeID) {
+func (w *world) Probe(id placement.NodeID) {
 	p := (*Port)(w)
 	p.Counts.Probes++
 	n := p.node(id)
 	if n == nil || !n.ready {
-		p.later = append(p.later, func(now choice.Millis) { p.engine.Probed(now, id, false, nil) })
+		p.later = append(p.later, func(now placement.Millis) { p.engine.Probed(now, id, false, nil) })
 		return
 	}
 	p.probeNo++
 	no := p.probeNo
 	p.probes[no] = id
 	p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{Id: no}}})
-	p.timers.At(p.now+probeWithin, func(now choice.Millis) {
+	p.timers.At(p.now+probeWithin, func(now placement.Millis) {
 		if _, out := p.probes[no]; out {
 			delete(p.probes, no)
 			p.engine.Probed(now, id, false, nil)
@@ -680,7 +680,7 @@
 
 func (w *world) Watch() { (*Port)(w).watchList() }
 
-func (w *world) Answer(id choice.WorkloadID, v allocator.Verdict, node choice.NodeID) {
+func (w *world) Answer(id placement.WorkloadID, v allocator.Verdict, node placement.NodeID) {
 	p := (*Port)(w)
 	wl := p.wls[id]
 	wl.answer = v
@@ -710,7 +710,7 @@
 
 // why says in words what a rejected workload met.
 func (p *Port) why(wl *workload) string {
-	fits := slices.ContainsFunc(p.c.Settings.Kinds, func(k choice.Kind) bool {
+	fits := slices.ContainsFunc(p.c.Settings.Kinds, func(k placement.Kind) bool {
 		return wl.ask.Cores <= k.Cores && wl.ask.Memory <= k.Memory
 	})
 	switch {
@@ -724,12 +724,12 @@
 	return fmt.Sprintf("none of %d nodes is feasible", len(p.nodes))
 }
 
-func (w *world) Ended(id choice.WorkloadID, _ choice.NodeID, moved bool, why choice.Reason) {
+func (w *world) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
 	p := (*Port)(w)
 	wl := p.wls[id]
 	if wl.gang != nil {
-		finished := !moved && !p.lostNow && why == choice.NoReason
-		p.partEvent(id, wl, func(now choice.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, finished) })
+		finished := !moved && !p.lostNow && why == placement.NoReason
+		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, finished) })
 		return
 	}
 	c, ok := p.owners[wl.owner]
@@ -740,23 +740,23 @@
 	switch {
 	case moved:
 		over.Why = pb.Why_MOVED
-	case why == choice.Evicted:
+	case why == placement.Evicted:
 		over.Why = pb.Why_EVICTED
-	case why == choice.PushedOut:
+	case why == placement.PushedOut:
 		over.Why = pb.Why_PUSHED_OUT
-	case why == choice.SentAway:
+	case why == placement.SentAway:
 		over.Why = pb.Why_SENT_AWAY
-	case why == choice.NoReason && p.lostNow:
+	case why == placement.NoReason && p.lostNow:
 		over.Why = pb.Why_LOST
 	}
 	p.net.Send(c, &pb.Frame{Body: &pb.Frame_Over{Over: over}})
 }
 
-func (w *world) Dropped(id choice.WorkloadID) {
+func (w *world) Dropped(id placement.WorkloadID) {
 	p := (*Port)(w)
 	wl := p.wls[id]
 	if wl.gang != nil && wl.stopped {
-		p.partEvent(id, wl, func(now choice.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, false) })
+		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, false) })
 	}
 	delete(p.wls, id)
 	if p.asks[askID{wl.owner, wl.ask.Ask}] == id {
@@ -770,7 +770,7 @@
 	}
 }
 
-func (w *world) Wake(at choice.Millis) {
+func (w *world) Wake(at placement.Millis) {
 	if p := (*Port)(w); !p.wakes || at < p.wake {
 		p.wake, p.wakes = at, true
 	}
--- a/internal/port/port_test.go
+++ b/internal/frontend/native/port_test.go
@@ -1,4 +1,4 @@
-package port
+package native
 
 import (
 	"testing"
@@ -6,41 +6,41 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
 	"grebeglade/internal/recovery"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // wire is a net that keeps what was sent.
 type wire struct {
-	now    choice.Millis
-	dialed map[string]link.ConnID
-	last   link.ConnID
-	sent   map[link.ConnID][]*pb.Frame
-	closed map[link.ConnID]bool
-	wake   choice.Millis
+	now    placement.Millis
+	dialed map[string]transport.ConnID
+	last   transport.ConnID
+	sent   map[transport.ConnID][]*pb.Frame
+	closed map[transport.ConnID]bool
+	wake   placement.Millis
 }
 
-func (w *wire) Dial(addr string) link.ConnID {
+func (w *wire) Dial(addr string) transport.ConnID {
 	w.last++
 	w.dialed[addr] = w.last
 	return w.last
 }
-func (w *wire) Send(c link.ConnID, f *pb.Frame) { w.sent[c] = append(w.sent[c], f) }
-func (w *wire) Close(c link.ConnID)             { w.closed[c] = true }
-func (w *wire) WakeAt(t choice.Millis)          { w.wake = t }
-func (w *wire) Now() choice.Millis              { return w.now }
+func (w *wire) Send(c transport.ConnID, f *pb.Frame) { w.sent[c] = append(w.sent[c], f) }
+func (w *wire) Close(c transport.ConnID)             { w.closed[c] = true }
+func (w *wire) WakeAt(t placement.Millis)            { w.wake = t }
+func (w *wire) Now() placement.Millis                { return w.now }
 
 // take returns what was sent over a connection since the last time.
-func (w *wire) take(c link.ConnID) []*pb.Frame {
+func (w *wire) take(c transport.ConnID) []*pb.Frame {
 	sent := w.sent[c]
 	delete(w.sent, c)
 	return sent
 }
 
 const (
-	ownerConn link.ConnID = 1000 + iota
+	ownerConn transport.ConnID = 1000 + iota
 	secondOwner
 	operatorConn
 )
@@ -50,21 +50,21 @@
 	*testing.T
 	p    *Port
 	w    *wire
-	now  choice.Millis
-	list link.ConnID
+	now  placement.Millis
+	list transport.ConnID
 	rev  uint64
 }
 
 func newRig(t *testing.T, change ...func(*Config)) *rig {
-	w := &wire{dialed: map[string]link.ConnID{}, sent: map[link.ConnID][]*pb.Frame{}, closed: map[link.ConnID]bool{}}
-	group := choice.Group{Target: 1000, Utility: 1, Kind: -1}
+	w := &wire{dialed: map[string]transport.ConnID{}, sent: map[transport.ConnID][]*pb.Frame{}, closed: map[transport.ConnID]bool{}}
+	group := placement.Group{Target: 1000, Utility: 1, Kind: -1}
 	once, dedup := group, group
-	once.Effect = choice.RunOnce
-	dedup.Effect, dedup.DedupScope, dedup.DedupWindow = choice.Deduplicated, choice.ScopeCell, 5000
+	once.Effect = placement.RunOnce
+	dedup.Effect, dedup.DedupScope, dedup.DedupWindow = placement.Deduplicated, placement.ScopeCell, 5000
 	c := Config{
 		Name: "a", Incarnation: 5, Seed: 1, Groups: []string{"serve", "once", "check"}, Kinds: []string{"k"}, List: "list",
-		Settings: choice.Settings{
-			Allocators: 1, Groups: []choice.Group{group, once, dedup}, Kinds: []choice.Kind{{Cores: 10, Memory: 20}},
+		Settings: placement.Settings{
+			Allocators: 1, Groups: []placement.Group{group, once, dedup}, Kinds: []placement.Kind{{Cores: 10, Memory: 20}},
 			MaxBinds: 3, RoomInList: true, ReportsUse: true, ColdFor: 10000, ColdBears: 10, OverloadFor: 2000,
 		},
 	}
@@ -75,18 +75,18 @@
 	r.p.Start(0, w)
 	r.list = w.dialed["list"]
 	r.p.Opened(0, r.list)
-	r.from(r.list, link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+	r.from(r.list, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
 	r.owner(ownerConn, "o")
 	return r
 }
 
-func (r *rig) at(now choice.Millis) { r.now, r.w.now = now, now }
+func (r *rig) at(now placement.Millis) { r.now, r.w.now = now, now }
 
-func (r *rig) from(c link.ConnID, f *pb.Frame) { r.p.Received(r.now, c, f) }
+func (r *rig) from(c transport.ConnID, f *pb.Frame) { r.p.Received(r.now, c, f) }
 
-func (r *rig) owner(c link.ConnID, name string) {
+func (r *rig) owner(c transport.ConnID, name string) {
 	r.p.Opened(r.now, c)
-	r.from(c, link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: 1}))
+	r.from(c, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: 1}))
 	r.w.take(c)
 }
 
@@ -114,24 +114,24 @@
 func addr(id uint32) string { return "node-" + string(rune('0'+id)) }
 
 // node brings a node up: listed, connected, with what stands on it.
-func (r *rig) node(id uint32, boot uint64, standing ...*pb.Standing) link.ConnID {
+func (r *rig) node(id uint32, boot uint64, standing ...*pb.Standing) transport.ConnID {
 	r.listed(id, pb.NodeEntry_READY, boot, -1)
 	return r.connect(id, boot, -1, standing...)
 }
 
 // again waits until a node that was connected is dialled again, and lets the connection come about.
-func (r *rig) again(id uint32, boot uint64, up float64, standing ...*pb.Standing) link.ConnID {
+func (r *rig) again(id uint32, boot uint64, up float64, standing ...*pb.Standing) transport.ConnID {
 	for before := r.w.dialed[addr(id)]; r.w.dialed[addr(id)] == before; {
 		r.wake(r.now + 10)
 	}
 	return r.connect(id, boot, up, standing...)
 }
 
-func (r *rig) connect(id uint32, boot uint64, up float64, standing ...*pb.Standing) link.ConnID {
+func (r *rig) connect(id uint32, boot uint64, up float64, standing ...*pb.Standing) transport.ConnID {
 	c := r.w.dialed[addr(id)]
 	require.NotZero(r, c, "not dialled")
 	r.p.Opened(r.now, c)
-	r.from(c, link.Hello(&pb.Hello{
+	r.from(c, transport.Hello(&pb.Hello{
 		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: boot, UpForMs: up, Standing: standing,
 	}))
 	return c
@@ -146,7 +146,7 @@
 }
 
 // offer is the one offer that went to a node.
-func (r *rig) offer(c link.ConnID) *pb.Offer {
+func (r *rig) offer(c transport.ConnID) *pb.Offer {
 	r.Helper()
 	var offers []*pb.Offer
 	for _, f := range r.w.take(c) {
@@ -158,7 +158,7 @@
 	return offers[0]
 }
 
-func (r *rig) answers(c link.ConnID, b *pb.BindID, accepted bool, why pb.Why) {
+func (r *rig) answers(c transport.ConnID, b *pb.BindID, accepted bool, why pb.Why) {
 	r.from(c, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: b, Accepted: accepted, Why: why}}})
 }
 
@@ -176,7 +176,7 @@
 }
 
 // wake lets time pass, waking the port whenever it asked for it.
-func (r *rig) wake(until choice.Millis) {
+func (r *rig) wake(until placement.Millis) {
 	for r.w.wake <= until {
 		r.at(r.w.wake)
 		r.p.Wake(r.now)
@@ -289,15 +289,15 @@
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, r.verdicts())
 	// A connection that is gone takes nothing back: only the node does, at its next hello or by starting anew.
 	r.p.Closed(r.now, n, "reset")
-	assert.Equal(t, choice.Draining, r.p.nodes[0].told().State)
+	assert.Equal(t, placement.Draining, r.p.nodes[0].told().State)
 	r.ask(3, "serve")
 	assert.Equal(t, map[uint64]pb.Verdict{3: pb.Verdict_REJECTED}, r.verdicts())
 	r.again(1, 1, -1)
-	assert.Equal(t, choice.Ready, r.p.nodes[0].told().State)
+	assert.Equal(t, placement.Ready, r.p.nodes[0].told().State)
 	n = r.p.nodes[0].conn
 	drains(true)
 	r.listed(1, pb.NodeEntry_READY, 2, 5)
-	assert.Equal(t, choice.Ready, r.p.nodes[0].told().State)
+	assert.Equal(t, placement.Ready, r.p.nodes[0].told().State)
 }
 
 func TestListNewsOlderThanWhatWasSeenIsPassedOver(t *testing.T) {
@@ -306,7 +306,7 @@
 	r.listed(1, pb.NodeEntry_DRAINING, 1, -1)
 	r.rev -= 2
 	r.listed(1, pb.NodeEntry_READY, 1, -1)
-	assert.Equal(t, choice.Draining, r.p.nodes[0].entry.State)
+	assert.Equal(t, placement.Draining, r.p.nodes[0].entry.State)
 	// Changes of a list that started anew mean nothing without the whole.
 	r.w.take(r.list)
 	r.from(r.list, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{Epoch: 2, Revision: 1}}})
@@ -315,7 +315,7 @@
 	r.from(r.list, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
 		Epoch: 2, Revision: 1, Kind: pb.ListUpdate_WHOLE,
 	}}})
-	assert.Equal(t, choice.Gone, r.p.nodes[0].entry.State, "kept while its connection stands")
+	assert.Equal(t, placement.Gone, r.p.nodes[0].entry.State, "kept while its connection stands")
 }
 
 // A node that is back tells so in its hello, before the list does; an offer to one that is not connected never leaves.
@@ -331,13 +331,13 @@
 	assert.Equal(t, r.now, r.p.nodes[0].entry.Born)
 	// The list's news of the life before does not undo it.
 	r.listed(1, pb.NodeEntry_DRAINING, 1, -1)
-	assert.Equal(t, choice.Ready, r.p.nodes[0].entry.State)
+	assert.Equal(t, placement.Ready, r.p.nodes[0].entry.State)
 	assert.Equal(t, r.now, r.p.nodes[0].entry.Born)
 	// Nor does it when the connection is gone again: found by a hunt, where a list that was late undid a drain.
 	r.listed(1, pb.NodeEntry_DRAINING, 2, -1)
 	r.p.Closed(r.now, n, "reset")
 	r.listed(1, pb.NodeEntry_READY, 1, -1)
-	assert.Equal(t, choice.Draining, r.p.nodes[0].entry.State)
+	assert.Equal(t, placement.Draining, r.p.nodes[0].entry.State)
 }
 
 func TestAnAllocatorThatIsBackAdoptsWhatStands(t *testing.T) {
@@ -398,7 +398,7 @@
 	r.p.Closed(r.now, ownerConn, "reset")
 	assert.Equal(t, uint64(1), r.p.Counts.Withdrawn, "what was pending can be told no answer")
 	r.p.Opened(r.now, secondOwner)
-	r.from(secondOwner, link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
+	r.from(secondOwner, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
 	standing := r.w.take(secondOwner)[0].GetHello().Standing
 	require.Len(t, standing, 1)
 	assert.Equal(t, uint64(1), standing[0].Offer.Ask.Ask)
@@ -415,19 +415,19 @@
 		assert.True(t, r.w.closed[secondOwner])
 		return r.w.take(secondOwner)[0].GetRefusal().GetReason()
 	}
-	later := link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "x"})
+	later := transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "x"})
 	later.GetHello().Major = 2
 	assert.Equal(t, "version 2.1 is not spoken here; this side speaks 1.x", refusal(later))
-	assert.Equal(t, "the hello names no name", refusal(link.Hello(&pb.Hello{Role: pb.Role_OWNER})))
+	assert.Equal(t, "the hello names no name", refusal(transport.Hello(&pb.Hello{Role: pb.Role_OWNER})))
 	assert.Equal(t, "the first frame must be a hello", refusal(&pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}))
-	assert.Contains(t, refusal(link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l"})), "not the role LIST")
+	assert.Contains(t, refusal(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l"})), "not the role LIST")
 	// A second connection under one name takes over; another node's answer at a node's address is not used.
 	r.owner(secondOwner, "o")
 	assert.True(t, r.w.closed[ownerConn])
 	r.listed(1, pb.NodeEntry_READY, 1, -1)
 	c := r.w.dialed[addr(1)]
 	r.p.Opened(r.now, c)
-	r.from(c, link.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: 2, Incarnation: 1}))
+	r.from(c, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: 2, Incarnation: 1}))
 	assert.True(t, r.w.closed[c])
 }
 
@@ -463,7 +463,7 @@
 	r.answers(n, r.offer(n).Bind, false, pb.Why_NO_CORES)
 	r.ask(3, "serve", func(a *pb.Ask) { a.Cores = 0.5 })
 	r.p.Opened(r.now, operatorConn)
-	r.from(operatorConn, link.Hello(&pb.Hello{Role: pb.Role_OPERATOR}))
+	r.from(operatorConn, transport.Hello(&pb.Hello{Role: pb.Role_OPERATOR}))
 	state := func(w pb.Query_What) *pb.State {
 		r.w.take(operatorConn)
 		r.from(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: w}}})
@@ -490,7 +490,7 @@
 }
 
 // offers are those that went to a node since the last time, in order.
-func (r *rig) offers(c link.ConnID) (offers []*pb.Offer) {
+func (r *rig) offers(c transport.ConnID) (offers []*pb.Offer) {
 	for _, f := range r.w.take(c) {
 		if f.GetOffer() != nil {
 			offers = append(offers, f.GetOffer())
@@ -500,7 +500,7 @@
 }
 
 // runs has a node say yes, and that the workload runs.
-func (r *rig) runs(c link.ConnID, b *pb.BindID) {
+func (r *rig) runs(c transport.ConnID, b *pb.BindID) {
 	r.answers(c, b, true, 0)
 	r.from(c, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: b, Kind: pb.Note_RUNNING, Value: 1}}})
 }
@@ -660,9 +660,11 @@
 }
 
 // disk is a journal that is slow: what is written lasts when the test says so.
-type disk struct{ lasts []func(choice.Millis, error) }
+type disk struct {
+	lasts []func(placement.Millis, error)
+}
 
-func (d *disk) Bound(_ recovery.Bind, lasts func(choice.Millis, error)) {
+func (d *disk) Bound(_ recovery.Bind, lasts func(placement.Millis, error)) {
 	d.lasts = append(d.lasts, lasts)
 }
 func (d *disk) Never(uint64, uint64, uint32) {}
@@ -675,24 +677,24 @@
 		Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9}, Owner: "o",
 		Ask: &pb.Ask{Ask: 70, Key: 700, Service: 1, Group: "once", Cores: 1, Memory: 1},
 	}}
-	for name, change := range map[string]func(r *rig, n link.ConnID) link.ConnID{
-		"it drains": func(r *rig, n link.ConnID) link.ConnID {
+	for name, change := range map[string]func(r *rig, n transport.ConnID) transport.ConnID{
+		"it drains": func(r *rig, n transport.ConnID) transport.ConnID {
 			n = r.connect(1, 1, -1)
 			r.from(n, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: true}}})
 			return n
 		},
-		"the list says so": func(r *rig, n link.ConnID) link.ConnID {
+		"the list says so": func(r *rig, n transport.ConnID) transport.ConnID {
 			n = r.connect(1, 1, -1)
 			r.listed(1, pb.NodeEntry_DRAINING, 1, -1)
 			return n
 		},
-		"it starts anew": func(r *rig, n link.ConnID) link.ConnID {
+		"it starts anew": func(r *rig, n transport.ConnID) transport.ConnID {
 			return r.connect(1, 2, 0)
 		},
-		"more stands there": func(r *rig, n link.ConnID) link.ConnID {
+		"more stands there": func(r *rig, n transport.ConnID) transport.ConnID {
 			return r.connect(1, 1, -1, standing)
 		},
-		"": func(r *rig, n link.ConnID) link.ConnID { return r.connect(1, 1, -1) },
+		"": func(r *rig, n transport.ConnID) transport.ConnID { return r.connect(1, 1, -1) },
 	} {
 		d := &disk{}
 		r := newRig(t, func(c *Config) { c.Journal = d })
--- a/internal/port/state.go
+++ b/internal/frontend/native/state.go
@@ -1,17 +1,17 @@
-package port
+package native
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // state answers an operator's question from what the allocator itself goes by.
-func (p *Port) state(now choice.Millis, q *pb.Query) *pb.State {
+func (p *Port) state(now placement.Millis, q *pb.Query) *pb.State {
 	s := &pb.State{Revision: p.record.Revision()}
 	most := int(cmp.Or(q.Most, 1000))
 	switch q.What {
@@ -25,7 +25,7 @@
 		s.Gangs, s.LeftOut = p.gangStates(now, most)
 	case pb.Query_NODES:
 		s.LeftOut = uint32(max(0, len(p.nodes)-most))
-		residents, out := map[choice.NodeID]uint32{}, map[choice.NodeID]uint32{}
+		residents, out := map[placement.NodeID]uint32{}, map[placement.NodeID]uint32{}
 		for _, wl := range p.wls {
 			if len(wl.nodes) > 0 && wl.answer == allocator.Placed {
 				residents[wl.nodes[len(wl.nodes)-1]]++
@@ -42,7 +42,7 @@
 	return s
 }
 
-func (p *Port) workloadState(now choice.Millis, id choice.WorkloadID) *pb.WorkloadState {
+func (p *Port) workloadState(now placement.Millis, id placement.WorkloadID) *pb.WorkloadState {
 	wl := p.wls[id]
 	w := &pb.WorkloadState{
 		Workload: uint64(id), Owner: wl.owner, Ask: wl.ask.Ask, Key: wl.ask.Key, Service: wl.ask.Service,
@@ -59,7 +59,7 @@
 	return w
 }
 
-func (p *Port) nodeStatus(now choice.Millis, n *node) *pb.NodeStatus {
+func (p *Port) nodeStatus(now placement.Millis, n *node) *pb.NodeStatus {
 	s := &pb.NodeStatus{
 		Id: uint32(n.id), Kind: n.kind, Zone: n.zone, Address: n.addr, FreeCores: n.entry.FreeCores,
 		FreeMemory: n.entry.FreeMemory, ListedMs: float64(now - n.listed), LastRefusal: n.refusal,
--- a/internal/platform/wire/fuzz_test.go
+++ b/internal/frontend/platform/codec/fuzz_test.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"testing"
--- a/internal/platform/wire/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -1,7 +1,7 @@
-// Package wire reads and writes the three forms that the platform speaks: lines of JSON with owners, binary
+// Package codec reads and writes the three forms that the platform speaks: lines of JSON with owners, binary
 // messages with nodes, and the journal service's stream of events. It is bounded and does no I/O; the forms are
-// link.Form.
-package wire
+// transport.Form.
+package codec
 
 import (
 	"fmt"
--- a/internal/platform/journal.go
+++ b/internal/frontend/platform/journal.go
@@ -7,49 +7,49 @@
 	"log/slog"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 const (
-	newsWithin   = choice.Millis(2500) // ms: the journal service comments each second, so silence is a fault
-	followWithin = choice.Millis(500)  // ms for a connection to it
-	followFirst  = choice.Millis(50)   // ms before it is dialled again
-	followMost   = choice.Millis(500)  // ms, in the end: what it has to tell counts as told 2 s after a break
-	readyAfter   = choice.Millis(50)   // ms after the service's first word by which what was missed has come
-	readyMost    = choice.Millis(500)  // ms after the start by which tests pass also where the service is not heard
-	mostSpoilt   = 3                   // times that one event is asked for again, if it cannot be read
+	newsWithin   = placement.Millis(2500) // ms: the journal service comments each second, so silence is a fault
+	followWithin = placement.Millis(500)  // ms for a connection to it
+	followFirst  = placement.Millis(50)   // ms before it is dialled again
+	followMost   = placement.Millis(500)  // ms, in the end: what it has to tell counts as told 2 s after a break
+	readyAfter   = placement.Millis(50)   // ms after the service's first word by which what was missed has come
+	readyMost    = placement.Millis(500)  // ms after the start by which tests pass also where the service is not heard
+	mostSpoilt   = 3                      // times that one event is asked for again, if it cannot be read
 )
 
 // journal is the connection to the journal service, and how far it was heard.
 type journal struct {
 	addr   string
-	conn   link.ConnID
+	conn   transport.ConnID
 	pos    uint64
-	heard  choice.Millis
+	heard  placement.Millis
 	fails  int
 	spoilt int
 }
 
-func (p *Platform) dialJournal(now choice.Millis) {
+func (p *Platform) dialJournal(now placement.Millis) {
 	j := &p.journal
 	if j.conn != 0 {
 		return
 	}
-	j.conn, j.heard = p.net.DialAs(j.addr, &wire.Stream{}, followWithin), now
+	j.conn, j.heard = p.net.DialAs(j.addr, &codec.Stream{}, followWithin), now
 }
 
-func (p *Platform) journalOpened(now choice.Millis) {
+func (p *Platform) journalOpened(now placement.Millis) {
 	j := &p.journal
-	p.net.Send(j.conn, wire.Follow{Host: j.addr, After: j.pos})
+	p.net.Send(j.conn, codec.Follow{Host: j.addr, After: j.pos})
 	j.heard = now
 	p.mindJournal(now, j.conn)
 }
 
 // mindJournal dials anew once the journal service has been silent for too long.
-func (p *Platform) mindJournal(now choice.Millis, c link.ConnID) {
-	p.timers.At(p.journal.heard+newsWithin, func(now choice.Millis) {
+func (p *Platform) mindJournal(now placement.Millis, c transport.ConnID) {
+	p.timers.At(p.journal.heard+newsWithin, func(now placement.Millis) {
 		switch {
 		case p.journal.conn != c:
 		case now-p.journal.heard < newsWithin:
@@ -60,7 +60,7 @@
 	})
 }
 
-func (p *Platform) redialJournal(now choice.Millis, why string) {
+func (p *Platform) redialJournal(now placement.Millis, why string) {
 	p.log.Info("asking the journal service anew", "why", why)
 	if p.journal.conn != 0 {
 		p.net.Close(p.journal.conn)
@@ -69,7 +69,7 @@
 	p.dialJournal(now)
 }
 
-func (p *Platform) journalClosed(now choice.Millis, why string) {
+func (p *Platform) journalClosed(now placement.Millis, why string) {
 	j := &p.journal
 	j.conn = 0
 	pause := p.backoff(followFirst, followMost, j.fails)
@@ -78,7 +78,7 @@
 	p.timers.At(now+pause, p.dialJournal)
 }
 
-func (p *Platform) heardNews(now choice.Millis, news *wire.News) {
+func (p *Platform) heardNews(now placement.Millis, news *codec.News) {
 	j := &p.journal
 	j.heard = now
 	if len(news.Events) == 0 {
@@ -109,10 +109,10 @@
 	Room                              []float64
 }
 
-var states = map[string]choice.NodeState{"Ready": choice.Ready, "Terminating": choice.Draining, "Gone": choice.Gone}
+var states = map[string]placement.NodeState{"Ready": placement.Ready, "Terminating": placement.Draining, "Gone": placement.Gone}
 
 // news takes an event: changes of the list of nodes, or the whole. What was known at the start counts as cached.
-func (p *Platform) news(now choice.Millis, data []byte, cached bool) error {
+func (p *Platform) news(now placement.Millis, data []byte, cached bool) error {
 	var e struct {
 		Hosts *struct {
 			Snapshot  bool
@@ -125,7 +125,7 @@
 	if e.Hosts == nil {
 		return nil // of something else
 	}
-	nodes := make([]choice.Node, 0, len(e.Hosts.Endpoints))
+	nodes := make([]placement.Node, 0, len(e.Hosts.Endpoints))
 	for _, at := range e.Hosts.Endpoints {
 		n, err := p.entry(now, at)
 		if err != nil {
@@ -133,33 +133,33 @@
 		}
 		nodes = append(nodes, n)
 	}
-	kind := choice.Changes
+	kind := placement.Changes
 	if e.Hosts.Snapshot {
-		kind = choice.Whole
+		kind = placement.Whole
 	}
 	if cached {
-		kind = choice.Cached
+		kind = placement.Cached
 	}
 	if p.log.Enabled(context.Background(), slog.LevelDebug) { // writing a list of hundreds takes longer than reading it
 		p.log.Debug("list", "kind", kind, "nodes", fmt.Sprint(e.Hosts.Endpoints))
 	}
 	p.engine.List(now, kind, nodes)
-	p.follow(now, e.Hosts.Endpoints, nodes, kind != choice.Changes)
+	p.follow(now, e.Hosts.Endpoints, nodes, kind != placement.Changes)
 	return nil
 }
 
-func (p *Platform) entry(now choice.Millis, at endpoint) (choice.Node, error) {
+func (p *Platform) entry(now placement.Millis, at endpoint) (placement.Node, error) {
 	state, known := states[at.Status]
 	if !known || at.Name == "" {
-		return choice.Node{}, fmt.Errorf("node %.40q has the state %.40q", at.Name, at.Status)
+		return placement.Node{}, fmt.Errorf("node %.40q has the state %.40q", at.Name, at.Status)
 	}
-	n := choice.Node{
-		ID: p.intern(at.Name).id, State: state, Cell: choice.CellID(at.Group), Born: choice.LongAgo,
-		Kind: choice.KindID(slices.Index(p.c.Told.Kinds, at.Type)),
-		Zone: choice.ZoneID(slices.Index(p.c.Told.Zones, at.Zone)),
+	n := placement.Node{
+		ID: p.intern(at.Name).id, State: state, Cell: placement.CellID(at.Group), Born: placement.LongAgo,
+		Kind: placement.KindID(slices.Index(p.c.Told.Kinds, at.Type)),
+		Zone: placement.ZoneID(slices.Index(p.c.Told.Zones, at.Zone)),
 	}
 	if at.SinceMs > 0 {
-		n.Born = now + choice.Millis(at.SinceMs) - p.wall()
+		n.Born = now + placement.Millis(at.SinceMs) - p.wall()
 		// The same start must not look like another because clocks are read anew each time.
 		if old := p.nodes[n.ID].entry.Born; max(old-n.Born, n.Born-old) < 20 {
 			n.Born = old
@@ -172,8 +172,8 @@
 }
 
 // follow brings connections in line with the list, and ends what stood on processes that are no more.
-func (p *Platform) follow(now choice.Millis, ends []endpoint, nodes []choice.Node, whole bool) {
-	listed := map[choice.NodeID]bool{}
+func (p *Platform) follow(now placement.Millis, ends []endpoint, nodes []placement.Node, whole bool) {
+	listed := map[placement.NodeID]bool{}
 	for i, entry := range nodes {
 		n := p.nodes[entry.ID]
 		listed[entry.ID] = true
@@ -185,7 +185,7 @@
 			p.hangUp(now, n, "the node's address has changed")
 		}
 		switch {
-		case entry.State == choice.Gone:
+		case entry.State == placement.Gone:
 			p.dead(now, n)
 		case restarted:
 			p.lostBefore(now, n, entry.Born)
@@ -199,7 +199,7 @@
 	}
 	for _, n := range inOrder(p.nodes) {
 		if n.listed && !listed[n.id] {
-			n.entry.State = choice.Gone
+			n.entry.State = placement.Gone
 			p.dead(now, n)
 		}
 	}
@@ -207,8 +207,8 @@
 
 // settleAt gives a node its address. Whoever had it before is no more, also where the list is yet to say so: a bind for it
 // must not reach the one that is there now.
-func (p *Platform) settleAt(now choice.Millis, n *node, addr string) {
-	if n.entry.State == choice.Gone {
+func (p *Platform) settleAt(now placement.Millis, n *node, addr string) {
+	if n.entry.State == placement.Gone {
 		return
 	}
 	if p.addrs[n.addr] == n {
@@ -225,7 +225,7 @@
 
 // getReady answers the tests that came before the journal service was heard: what it told between the configuration and the
 // start counts as told, so nothing may be asked of us, and placed by a list that is behind, before that.
-func (p *Platform) getReady(now choice.Millis) {
+func (p *Platform) getReady(now placement.Millis) {
 	p.ready = true
 	tests := p.tests
 	p.tests = nil
--- a/internal/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -5,31 +5,31 @@
 	"slices"
 	"strconv"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/settings"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 // deadAfter is for how long nobody listens at an address, in ms, until what stood there is lost.
-const deadAfter = choice.Millis(600)
+const deadAfter = placement.Millis(600)
 
 // node is a node as the platform names it, with our connections to it.
 type node struct {
-	id        choice.NodeID
+	id        placement.NodeID
 	name      string
 	addr      string
-	entry     choice.Node
+	entry     placement.Node
 	listed    bool
 	conn      *conn // that new binds take
 	dialling  *conn
 	waiting   []func(c *conn) // for a connection; nil when there will be none
 	fails     int
-	refused   choice.Millis // since when nobody listens, or 0
+	refused   placement.Millis // since when nobody listens, or 0
 	redialing bool
-	resting   bool                            // its connection gave way to another node's; it is dialled only for what is to be said to it
-	unsent    []wire.Tag                      // releases that wait for a connection
-	holds     map[choice.WorkloadID]*workload // out or standing there
+	resting   bool                               // its connection gave way to another node's; it is dialled only for what is to be said to it
+	unsent    []codec.Tag                        // releases that wait for a connection
+	holds     map[placement.WorkloadID]*workload // out or standing there
 }
 
 // intern names a node by a number that depends on its name alone, so that all allocators know it by the same.
@@ -39,19 +39,19 @@
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	id := choice.NodeID(h.Sum32())
+	id := placement.NodeID(h.Sum32())
 	for p.nodes[id] != nil {
 		id++
 	}
-	n := &node{id: id, name: name, holds: map[choice.WorkloadID]*workload{}}
-	n.entry = choice.Node{ID: id, State: choice.Gone, Born: choice.LongAgo}
+	n := &node{id: id, name: name, holds: map[placement.WorkloadID]*workload{}}
+	n.entry = placement.Node{ID: id, State: placement.Gone, Born: placement.LongAgo}
 	p.nodes[id], p.byName[name] = n, n
 	return n
 }
 
 // forget lets go of a node that is gone and holds nothing.
-func (p *Platform) forget(now choice.Millis, n *node) {
-	if n.entry.State != choice.Gone || len(n.holds) > 0 || p.nodes[n.id] != n {
+func (p *Platform) forget(now placement.Millis, n *node) {
+	if n.entry.State != placement.Gone || len(n.holds) > 0 || p.nodes[n.id] != n {
 		return
 	}
 	delete(p.nodes, n.id)
@@ -63,7 +63,7 @@
 	n.answerWaiting(nil)
 }
 
-func (p *Platform) nodeOpened(now choice.Millis, c *conn) {
+func (p *Platform) nodeOpened(now placement.Millis, c *conn) {
 	n := c.node
 	c.opened, c.heard = true, now
 	if n.dialling != c {
@@ -74,13 +74,13 @@
 	n.dialling, n.conn, n.fails, n.refused = nil, c, 0, 0
 	n.answerWaiting(c)
 	for _, t := range n.unsent {
-		p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: t}.With(wire.Well))
+		p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: t}.With(codec.Well))
 	}
 	n.unsent = nil
 }
 
 // nodeClosed takes the end of a connection to a node, or that there will be none. What was out there may have run.
-func (p *Platform) nodeClosed(now choice.Millis, c *conn, why string) {
+func (p *Platform) nodeClosed(now placement.Millis, c *conn, why string) {
 	n := c.node
 	p.log.Debug("connection to a node ended", "node", n.name, "stood", c.opened, "out", len(c.open), "holds", len(n.holds), "why", why)
 	if n.conn == c {
@@ -88,14 +88,14 @@
 	}
 	for _, wl := range inOrder(c.open) {
 		p.unbind(wl)
-		p.engine.Settled(now, wl.id, wl.bind, n.id, choice.Result{Kind: choice.Unclear, Over: false})
+		p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.Unclear, Over: false})
 	}
 	if n.dialling == c {
 		n.dialling = nil
 		n.answerWaiting(nil)
 		n.fails++
 		switch {
-		case why != link.Refused:
+		case why != transport.Refused:
 			n.refused = 0
 		case n.refused == 0:
 			n.refused = now
@@ -107,22 +107,22 @@
 }
 
 // dead ends what stood on a node whose process is no more.
-func (p *Platform) dead(now choice.Millis, n *node) { p.lostBefore(now, n, now+1) }
+func (p *Platform) dead(now placement.Millis, n *node) { p.lostBefore(now, n, now+1) }
 
 // lostBefore ends what was confirmed before that time: the process that held it is no more.
-func (p *Platform) lostBefore(now choice.Millis, n *node, born choice.Millis) {
+func (p *Platform) lostBefore(now placement.Millis, n *node, born placement.Millis) {
 	for _, wl := range inOrder(n.holds) {
 		if wl.placed && wl.stands < born {
 			p.Counts.Lost++
-			wl.cause = wire.Broken
-			p.engine.Settled(now, wl.id, wl.bind, n.id, choice.Result{Kind: choice.Ended, Over: true})
+			wl.cause = codec.Broken
+			p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.Ended, Over: true})
 		}
 	}
 	p.forget(now, n)
 }
 
 // offer sends a bind, over a connection that is there or comes up in time.
-func (p *Platform) offer(wl *workload, until choice.Millis) {
+func (p *Platform) offer(wl *workload, until placement.Millis) {
 	n, bind := wl.node, wl.bind
 	if n == nil {
 		p.never(wl)
@@ -134,7 +134,7 @@
 			return
 		}
 		// Meanwhile the node may drain, or its time be over.
-		if c == nil || n.entry.State != choice.Ready || until <= p.now {
+		if c == nil || n.entry.State != placement.Ready || until <= p.now {
 			p.never(wl)
 			return
 		}
@@ -145,24 +145,24 @@
 // never has the engine hear, once it is done with what it does, that a bind did not leave.
 func (p *Platform) never(wl *workload) {
 	bind := wl.bind
-	p.later = append(p.later, func(now choice.Millis) {
+	p.later = append(p.later, func(now placement.Millis) {
 		if p.wls[wl.id] == wl && wl.bind == bind {
 			p.unbind(wl)
-			node := choice.NodeID(0)
+			node := placement.NodeID(0)
 			if wl.node != nil {
 				node = wl.node.id
 			}
-			p.engine.Settled(now, wl.id, bind, node, choice.Result{Kind: choice.Unreachable})
+			p.engine.Settled(now, wl.id, bind, node, placement.Result{Kind: placement.Unreachable})
 		}
 	})
 }
 
-func (p *Platform) send(wl *workload, c *conn, until choice.Millis) {
+func (p *Platform) send(wl *workload, c *conn, until placement.Millis) {
 	wl.on, wl.out, wl.sentAt, c.used = c, true, p.now, p.now
 	c.open[wl.id] = wl
-	p.net.Send(c.id, &wire.Message{
-		Verb: wire.Start, Tag: wl.tag, Description: wl.asked, Fields: map[wire.Field]string{
-			wire.Group: wl.class, wire.Left: strconv.Itoa(int(until - p.now)), wire.Key: wl.key,
+	p.net.Send(c.id, &codec.Message{
+		Verb: codec.Start, Tag: wl.tag, Description: wl.asked, Fields: map[codec.Field]string{
+			codec.Group: wl.class, codec.Left: strconv.Itoa(int(until - p.now)), codec.Key: wl.key,
 		},
 	})
 }
@@ -184,7 +184,7 @@
 	p.unbind(wl)
 	if out {
 		wl.gaveUp = append(wl.gaveUp, c.id)
-		p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: wl.tag}.With(wire.Well))
+		p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: wl.tag}.With(codec.Well))
 	}
 	if timedOut {
 		// A connection on which nothing has come since is no place for the next bind.
@@ -195,13 +195,13 @@
 		p.retire(c)
 		return
 	}
-	bind, kind := wl.bind, choice.Unclear
+	bind, kind := wl.bind, placement.Unclear
 	if !out {
-		kind = choice.Unreachable
+		kind = placement.Unreachable
 	}
-	p.later = append(p.later, func(now choice.Millis) {
+	p.later = append(p.later, func(now placement.Millis) {
 		if p.wls[wl.id] == wl && wl.node != nil {
-			p.engine.Settled(now, wl.id, bind, wl.node.id, choice.Result{Kind: kind, Over: true})
+			p.engine.Settled(now, wl.id, bind, wl.node.id, placement.Result{Kind: kind, Over: true})
 		}
 	})
 }
@@ -211,7 +211,7 @@
 	if c == nil || c.node.conn == c || len(c.open) > 0 || p.conns[c.id] != c || c.node.conn == nil {
 		return
 	}
-	p.later = append(p.later, func(now choice.Millis) {
+	p.later = append(p.later, func(now placement.Millis) {
 		if p.conns[c.id] == c {
 			p.drop(now, c, "another connection is used")
 		}
@@ -232,17 +232,17 @@
 		return
 	}
 	c.used = p.now
-	p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: wl.tag}.With(wire.Well))
+	p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: wl.tag}.With(codec.Well))
 }
 
-var noteKinds = map[string]choice.NoteKind{"up": choice.Running, "cpu": choice.CoresUsed}
+var noteKinds = map[string]placement.NoteKind{"up": placement.Running, "cpu": placement.CoresUsed}
 
-var reasons = map[string]choice.Reason{
-	"cpu_full": choice.NoCores, "mem_full": choice.NoMemory, "busy": choice.TooManyWaiting, "wrong_host": choice.NotHere,
-	"oom": choice.Evicted, "preempted": choice.PushedOut, "drained": choice.SentAway,
+var reasons = map[string]placement.Reason{
+	"cpu_full": placement.NoCores, "mem_full": placement.NoMemory, "busy": placement.TooManyWaiting, "wrong_host": placement.NotHere,
+	"oom": placement.Evicted, "preempted": placement.PushedOut, "drained": placement.SentAway,
 }
 
-func (p *Platform) fromNode(now choice.Millis, c *conn, m *wire.Message) {
+func (p *Platform) fromNode(now placement.Millis, c *conn, m *codec.Message) {
 	n := c.node
 	load, err := p.load(m)
 	if err != nil {
@@ -254,14 +254,14 @@
 		wl = nil
 	}
 	switch {
-	case m.Verb == wire.Echoed:
+	case m.Verb == codec.Echoed:
 		if p.probes[m.Tag] == n.id {
 			delete(p.probes, m.Tag)
 			p.engine.Probed(now, n.id, true, load)
 			load = nil
 		}
 	case wl == nil: // its end was said before, or it is nobody's
-	case m.Verb == wire.Started && wl.out:
+	case m.Verb == codec.Started && wl.out:
 		if m.Description == nil {
 			p.drop(now, c, "an answer without a description")
 			return
@@ -270,16 +270,16 @@
 		p.unbind(wl) // it stays on the node's books, as it stands there now
 		p.engine.Confirmed(now, wl.id, wl.bind, load)
 		load = nil
-	case m.Verb == wire.Finish && (wl.out || wl.placed):
+	case m.Verb == codec.Finish && (wl.out || wl.placed):
 		p.unbind(wl)
 		wl.cause = m.Cause
-		p.engine.Settled(now, wl.id, wl.bind, n.id, choice.Result{
-			Kind: resultOf(m.Cause), Reason: reasons[m.Fields[wire.Note]], Over: wl.placed, Load: load,
+		p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{
+			Kind: resultOf(m.Cause), Reason: reasons[m.Fields[codec.Note]], Over: wl.placed, Load: load,
 		})
 		load = nil
-	case m.Verb == wire.Notice && wl.placed:
-		kind, known := noteKinds[m.Fields[wire.Note]]
-		if v, err := strconv.ParseFloat(m.Fields[wire.Figure], 64); known && (err == nil || kind == choice.Running) {
+	case m.Verb == codec.Notice && wl.placed:
+		kind, known := noteKinds[m.Fields[codec.Note]]
+		if v, err := strconv.ParseFloat(m.Fields[codec.Figure], 64); known && (err == nil || kind == placement.Running) {
 			p.engine.Note(now, wl.id, wl.bind, kind, v)
 		}
 	}
@@ -297,26 +297,26 @@
 }
 
 // resultOf says what a cause means for a bind that is out.
-func resultOf(c wire.Cause) choice.ResultKind {
+func resultOf(c codec.Cause) placement.ResultKind {
 	switch c {
-	case wire.Full:
-		return choice.Declined
-	case wire.Moot:
-		return choice.NotSent
+	case codec.Full:
+		return placement.Declined
+	case codec.Moot:
+		return placement.NotSent
 	}
-	return choice.Unclear
+	return placement.Unclear
 }
 
 // load reads the report that a message brings, or returns nil.
-func (p *Platform) load(m *wire.Message) (*choice.Load, error) {
-	text, ok := m.Fields[wire.Report]
+func (p *Platform) load(m *codec.Message) (*placement.Load, error) {
+	text, ok := m.Fields[codec.Report]
 	if !ok {
 		return nil, nil
 	}
 	l := settings.NoLoad()
-	err := wire.Figures(text, func(name, v string) error {
+	err := codec.Figures(text, func(name, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		if err == nil && wire.Finite(n) {
+		if err == nil && codec.Finite(n) {
 			settings.SetLoad(l, name, n)
 		}
 		return err
@@ -325,12 +325,12 @@
 }
 
 // test asks a node for its report.
-func (p *Platform) test(id choice.NodeID) {
+func (p *Platform) test(id placement.NodeID) {
 	p.Counts.Probes++
 	p.probe++
 	t := p.probe
 	p.probes[t] = id
-	fail := func(now choice.Millis) {
+	fail := func(now placement.Millis) {
 		if _, out := p.probes[t]; out {
 			delete(p.probes, t)
 			p.engine.Probed(now, id, false, nil)
@@ -346,6 +346,6 @@
 			return
 		}
 		c.used = p.now
-		p.net.Send(c.id, wire.Message{Verb: wire.Echo, Tag: t}.With(wire.Failed))
+		p.net.Send(c.id, codec.Message{Verb: codec.Echo, Tag: t}.With(codec.Failed))
 	})
 }
--- a/internal/platform/owners.go
+++ b/internal/frontend/platform/owners.go
@@ -5,21 +5,21 @@
 	"math"
 	"strconv"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 // mostLeft bounds how long an owner may say that it waits: a day.
 const mostLeft = 86400e3
 
-func (p *Platform) ownerOpened(now choice.Millis, id link.ConnID) {
-	c := &conn{id: id, opened: true, heard: now, open: map[choice.WorkloadID]*workload{}}
+func (p *Platform) ownerOpened(now placement.Millis, id transport.ConnID) {
+	c := &conn{id: id, opened: true, heard: now, open: map[placement.WorkloadID]*workload{}}
 	p.conns[id] = c
 	if p.owners++; p.owners > p.mostOwners() {
 		p.makeRoom(now, c)
 	}
-	p.timers.At(now+muteFor, func(now choice.Millis) {
+	p.timers.At(now+muteFor, func(now placement.Millis) {
 		if p.conns[id] == c && !c.spoke {
 			p.Counts.Bad++
 			p.drop(now, c, "nothing came")
@@ -30,7 +30,7 @@
 // makeRoom ends the owner's connection that is least missed, of those with no set-up open: one that never spoke before one
 // of which nothing was placed, that before one of which something was, and of these the one longest silent. It guards
 // against owners that open connections and keep them, by the thousand. Where all carry set-ups, the new one goes.
-func (p *Platform) makeRoom(now choice.Millis, latest *conn) {
+func (p *Platform) makeRoom(now placement.Millis, latest *conn) {
 	var least *conn
 	for _, c := range p.conns {
 		if c.node == nil && c != latest && len(c.open) == 0 && (least == nil || lessMissed(c, least)) {
@@ -56,45 +56,45 @@
 }
 
 // ownerClosed withdraws what an owner's connection had open: no answer can reach it any more.
-func (p *Platform) ownerClosed(now choice.Millis, c *conn) {
+func (p *Platform) ownerClosed(now placement.Millis, c *conn) {
 	p.owners--
 	for _, wl := range inOrder(c.open) {
 		p.withdraw(now, wl)
 	}
 }
 
-func (p *Platform) withdraw(now choice.Millis, wl *workload) {
+func (p *Platform) withdraw(now placement.Millis, wl *workload) {
 	p.Counts.Withdrawn++
 	p.answered(wl)
 	p.engine.Withdraw(now, wl.id)
 }
 
-func (p *Platform) fromOwner(now choice.Millis, c *conn, m *wire.Message) {
+func (p *Platform) fromOwner(now placement.Millis, c *conn, m *codec.Message) {
 	c.spoke = true
 	switch m.Verb {
-	case wire.Start:
+	case codec.Start:
 		p.start(now, c, m)
-	case wire.Finish:
+	case codec.Finish:
 		wl := p.tags[m.Tag]
 		if wl == nil || !wl.placed && wl.from != c.id {
 			return
 		}
 		// What stands is ended on any connection; what is pending only where it was asked.
 		p.withdraw(now, wl)
-	case wire.Echo:
-		answer := func(choice.Millis) {
-			verdict := wire.Passed
+	case codec.Echo:
+		answer := func(placement.Millis) {
+			verdict := codec.Passed
 			if p.stopping {
-				verdict = wire.Failed
+				verdict = codec.Failed
 			}
-			p.net.Send(c.id, wire.Message{Verb: wire.Echoed, Tag: m.Tag}.With(verdict))
+			p.net.Send(c.id, codec.Message{Verb: codec.Echoed, Tag: m.Tag}.With(verdict))
 		}
 		if p.ready || p.stopping || len(p.tests) >= keepTests {
 			answer(now)
 		} else {
 			p.tests = append(p.tests, answer)
 		}
-	case wire.Pending, wire.Finished, wire.Notice, wire.Echoed:
+	case codec.Pending, codec.Finished, codec.Notice, codec.Echoed:
 	default:
 		p.bad(now, c, m.Tag, fmt.Errorf("an owner may not send %v", m.Verb))
 		return
@@ -103,15 +103,15 @@
 }
 
 // bad answers what cannot be used, and ends the connection that it came on.
-func (p *Platform) bad(now choice.Millis, c *conn, t wire.Tag, err error) {
+func (p *Platform) bad(now placement.Millis, c *conn, t codec.Tag, err error) {
 	p.Counts.Bad++
 	p.log.Debug("not taken", "tag", t, "err", err)
-	p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: t}.With(wire.Incompatible))
+	p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: t}.With(codec.Incompatible))
 	p.drop(now, c, err.Error())
 }
 
 // start takes a set-up: one more workload, or one that stands already.
-func (p *Platform) start(now choice.Millis, c *conn, m *wire.Message) {
+func (p *Platform) start(now placement.Millis, c *conn, m *codec.Message) {
 	w, at, err := p.read(m)
 	known := p.tags[m.Tag]
 	switch {
@@ -129,11 +129,11 @@
 		p.bad(now, c, m.Tag, fmt.Errorf("the tag is that of another set-up"))
 		return
 	case known != nil:
-		p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: m.Tag}.With(wire.Incompatible))
+		p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: m.Tag}.With(codec.Incompatible))
 		return
 	case at == "" && (p.stopping && now-p.stopAt > drainFor || len(p.wls) >= heldPerMB*p.c.Limits.MemoryMB),
 		p.lastID == math.MaxUint32:
-		p.net.Send(c.id, wire.Message{Verb: wire.Finish, Tag: m.Tag}.With(wire.Full))
+		p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: m.Tag}.With(codec.Full))
 		return
 	}
 	// Its owner's time runs from when it was sent: what it waited for us is gone.
@@ -141,7 +141,7 @@
 	p.lastID++
 	w.ID = p.lastID
 	wl := &workload{
-		id: w.ID, tag: m.Tag, class: m.Fields[wire.Group], key: m.Fields[wire.Key],
+		id: w.ID, tag: m.Tag, class: m.Fields[codec.Group], key: m.Fields[codec.Key],
 		asked: m.Description, from: c.id,
 	}
 	p.wls[w.ID], p.tags[m.Tag] = wl, wl
@@ -157,7 +157,7 @@
 }
 
 // adopt takes a workload that stands on a node.
-func (p *Platform) adopt(now choice.Millis, wl *workload, w choice.Workload, at string) {
+func (p *Platform) adopt(now placement.Millis, wl *workload, w placement.Workload, at string) {
 	p.Counts.Adopted++
 	n := p.intern(at)
 	wl.done, wl.placed, wl.node, wl.stands = true, true, n, now
@@ -168,18 +168,18 @@
 
 // read checks a set-up. What no owner would send must not reach the decisions: a figure out of range would stay in
 // what they reckon with.
-func (p *Platform) read(m *wire.Message) (w choice.Workload, at string, err error) {
+func (p *Platform) read(m *codec.Message) (w placement.Workload, at string, err error) {
 	var known bool
-	if w.Group, known = p.groups[m.Fields[wire.Group]]; !known {
-		return w, "", fmt.Errorf("class %.40q is not known", m.Fields[wire.Group])
+	if w.Group, known = p.groups[m.Fields[codec.Group]]; !known {
+		return w, "", fmt.Errorf("class %.40q is not known", m.Fields[codec.Group])
 	}
 	if m.Description == nil {
 		return w, "", fmt.Errorf("the description is missing")
 	}
-	if len(m.Fields[wire.Key]) == 0 || len(m.Fields[wire.Key]) > 64 {
-		return w, "", fmt.Errorf("key %.40q is none", m.Fields[wire.Key])
+	if len(m.Fields[codec.Key]) == 0 || len(m.Fields[codec.Key]) > 64 {
+		return w, "", fmt.Errorf("key %.40q is none", m.Fields[codec.Key])
 	}
-	err = wire.Figures(m.Fields[wire.Extras], func(name, v string) (err error) {
+	err = codec.Figures(m.Fields[codec.Extras], func(name, v string) (err error) {
 		switch name {
 		case "cores":
 			w.Cores, err = amount(name, v)
@@ -190,7 +190,7 @@
 			if n, err = strconv.ParseUint(v, 16, 64); err != nil {
 				err = fmt.Errorf("service %.40q is no number in hex", v)
 			}
-			w.Service = choice.ServiceID(n)
+			w.Service = placement.ServiceID(n)
 		case "at":
 			at = v
 		}
@@ -204,16 +204,16 @@
 	}
 	if at == "" {
 		var left float64
-		if left, err = amount("left", m.Fields[wire.Left]); err != nil {
+		if left, err = amount("left", m.Fields[codec.Left]); err != nil {
 			return w, "", err
 		}
-		w.Left = choice.Millis(left)
+		w.Left = placement.Millis(left)
 	}
-	w.Again = m.Fields[wire.Retry] != "" && m.Fields[wire.Retry] != "0"
+	w.Again = m.Fields[codec.Retry] != "" && m.Fields[codec.Retry] != "0"
 	return w, at, nil
 }
 
-func (p *Platform) fitsAny(w choice.Workload) bool {
+func (p *Platform) fitsAny(w placement.Workload) bool {
 	for _, k := range p.c.Told.Settings.Kinds {
 		if w.Cores > 0 && w.Memory > 0 && w.Cores <= k.Cores && w.Memory <= k.Memory {
 			return true
@@ -224,7 +224,7 @@
 
 func amount(name, v string) (float64, error) {
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !wire.Finite(n) || n <= 0 || n > mostLeft {
+	if err != nil || !codec.Finite(n) || n <= 0 || n > mostLeft {
 		return 0, fmt.Errorf("%s is %.40q; it must be a number above 0", name, v)
 	}
 	return n, nil
@@ -232,7 +232,7 @@
 
 // tellOwner sends on the connection that a workload came on, else on the one of which most was placed, as that is an owner's
 // who stays, and not one's who asked once; without any it waits for one.
-func (p *Platform) tellOwner(wl *workload, m *wire.Message) {
+func (p *Platform) tellOwner(wl *workload, m *codec.Message) {
 	if p.conns[wl.from] != nil {
 		p.net.Send(wl.from, m)
 		return
@@ -254,7 +254,7 @@
 }
 
 // payOwed sends what has waited for an owner.
-func (p *Platform) payOwed(now choice.Millis, c *conn) {
+func (p *Platform) payOwed(now placement.Millis, c *conn) {
 	if len(p.over) == 0 || p.conns[c.id] != c {
 		return
 	}
