--- a/internal/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -11,24 +11,24 @@
 	"slices"
 	"time"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform/wire"
-	"grebeglade/internal/schedule"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/timerqueue"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 // What the platform's protocol states, or leaves to both sides to bear.
 const (
-	muteFor     = choice.Millis(2000) // ms a connection may stay without a whole message; the platform wants a word in 3 s
-	wholeWithin = choice.Millis(1000) // ms from a message's first byte to its last
-	drainFor    = choice.Millis(750)  // ms after SIGTERM in which asks still come and are served
-	leaveWithin = choice.Millis(1000) // ms after that for releases that wait; the platform gives 3.7 s from SIGTERM on at least
-	endGrace    = choice.Millis(3000) // ms that a node may take to confirm an end that we sent it
-	pulse       = choice.Millis(1000) // ms between wake-ups at least
-	keepTests   = 64                  // tests that wait until we are ready
-	keepOver    = 4096                // releases that wait for a connection to an owner
-	heldPerMB   = 64                  // workloads held for each MB of memory: a few KB each, with their descriptions
+	muteFor     = placement.Millis(2000) // ms a connection may stay without a whole message; the platform wants a word in 3 s
+	wholeWithin = placement.Millis(1000) // ms from a message's first byte to its last
+	drainFor    = placement.Millis(750)  // ms after SIGTERM in which asks still come and are served
+	leaveWithin = placement.Millis(1000) // ms after that for releases that wait; the platform gives 3.7 s from SIGTERM on at least
+	endGrace    = placement.Millis(3000) // ms that a node may take to confirm an end that we sent it
+	pulse       = placement.Millis(1000) // ms between wake-ups at least
+	keepTests   = 64                     // tests that wait until we are ready
+	keepOver    = 4096                   // releases that wait for a connection to an owner
+	heldPerMB   = 64                     // workloads held for each MB of memory: a few KB each, with their descriptions
 )
 
 // ownersShare is the share of the descriptors for owners' connections: owners keep to a third, the rest is for those that
@@ -39,74 +39,74 @@
 const overOwners = 8
 
 type workload struct {
-	id     choice.WorkloadID
-	tag    wire.Tag
+	id     placement.WorkloadID
+	tag    codec.Tag
 	class  string
 	key    string
 	asked  *string // description of the set-up
-	from   link.ConnID
+	from   transport.ConnID
 	bind   int // number of the last one
 	node   *node
-	on     *conn         // to the node, of the last bind
-	out    bool          // its bind has left and has no end
-	gaveUp []link.ConnID // to nodes, on which binds were given up
-	sentAt choice.Millis
+	on     *conn              // to the node, of the last bind
+	out    bool               // its bind has left and has no end
+	gaveUp []transport.ConnID // to nodes, on which binds were given up
+	sentAt placement.Millis
 	answer *string // description of the node's answer
-	stands choice.Millis
+	stands placement.Millis
 	done   bool // answered, or withdrawn: no answer is owed
 	placed bool
 	moved  bool
-	cause  wire.Cause // of the end that the node told
+	cause  codec.Cause // of the end that the node told
 }
 
 // conn is one connection, to a node or from an owner.
 type conn struct {
-	id     link.ConnID
+	id     transport.ConnID
 	node   *node
 	opened bool
-	spoke  bool          // a whole message came
-	used   choice.Millis // when something was last sent to the node
-	placed int           // workloads of its owner that were placed
-	heard  choice.Millis
-	open   map[choice.WorkloadID]*workload // set-ups that have no answer here
+	spoke  bool             // a whole message came
+	used   placement.Millis // when something was last sent to the node
+	placed int              // workloads of its owner that were placed
+	heard  placement.Millis
+	open   map[placement.WorkloadID]*workload // set-ups that have no answer here
 }
 
 // Platform is the party. It belongs to one goroutine.
 type Platform struct {
 	c      *Config
 	log    *slog.Logger
-	wall   func() choice.Millis // Unix time
-	net    link.Wire
-	now    choice.Millis
+	wall   func() placement.Millis // Unix time
+	net    transport.Wire
+	now    placement.Millis
 	engine *allocator.Engine
-	timers link.Timers
-	later  []func(choice.Millis)
-	wake   choice.Millis
+	timers transport.Timers
+	later  []func(placement.Millis)
+	wake   placement.Millis
 	wakes  bool
-	due    choice.Millis
+	due    placement.Millis
 
-	conns   map[link.ConnID]*conn
+	conns   map[transport.ConnID]*conn
 	owners  int
 	toNodes int // connections to nodes, also those being dialled
-	tidied  choice.Millis
-	wls     map[choice.WorkloadID]*workload
-	tags    map[wire.Tag]*workload
-	lastID  choice.WorkloadID
+	tidied  placement.Millis
+	wls     map[placement.WorkloadID]*workload
+	tags    map[codec.Tag]*workload
+	lastID  placement.WorkloadID
 	pending int
 	over    []owed
 
-	groups map[string]choice.GroupID
-	nodes  map[choice.NodeID]*node
+	groups map[string]placement.GroupID
+	nodes  map[placement.NodeID]*node
 	byName map[string]*node
 	addrs  map[string]*node // by address
-	probes map[wire.Tag]choice.NodeID
-	probe  wire.Tag
+	probes map[codec.Tag]placement.NodeID
+	probe  codec.Tag
 
 	journal  journal
-	ready    bool                      // the journal service was heard, or has had its time
-	tests    []func(now choice.Millis) // that wait until we are ready
+	ready    bool                         // the journal service was heard, or has had its time
+	tests    []func(now placement.Millis) // that wait until we are ready
 	stopping bool
-	stopAt   choice.Millis
+	stopAt   placement.Millis
 	draws    uint64
 
 	Counts Counts
@@ -119,8 +119,8 @@
 
 // owed is a message that waits for a connection to an owner.
 type owed struct {
-	m     *wire.Message
-	until choice.Millis
+	m     *codec.Message
+	until placement.Millis
 }
 
 // New makes the party. Its log may be nil.
@@ -129,13 +129,13 @@
 		log = slog.New(slog.DiscardHandler)
 	}
 	p := &Platform{
-		c: c, log: log, conns: map[link.ConnID]*conn{}, wls: map[choice.WorkloadID]*workload{},
-		tags: map[wire.Tag]*workload{}, groups: map[string]choice.GroupID{}, nodes: map[choice.NodeID]*node{},
-		byName: map[string]*node{}, addrs: map[string]*node{}, probes: map[wire.Tag]choice.NodeID{},
-		wall: func() choice.Millis { return choice.Millis(float64(time.Now().UnixNano()) / 1e6) },
+		c: c, log: log, conns: map[transport.ConnID]*conn{}, wls: map[placement.WorkloadID]*workload{},
+		tags: map[codec.Tag]*workload{}, groups: map[string]placement.GroupID{}, nodes: map[placement.NodeID]*node{},
+		byName: map[string]*node{}, addrs: map[string]*node{}, probes: map[codec.Tag]placement.NodeID{},
+		wall: func() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) },
 	}
 	for i, name := range c.Told.Groups {
-		p.groups[name] = choice.GroupID(i)
+		p.groups[name] = placement.GroupID(i)
 	}
 	p.journal.addr, p.journal.pos = c.Journal, c.Pos
 	p.engine = allocator.New(c.Told.Settings, c.Seed, (*world)(p), allocator.Options{TimesOut: true})
@@ -143,15 +143,15 @@
 }
 
 // Limits are those of the party's connections.
-func (p *Platform) Limits() link.Limits {
-	return link.Limits{
-		Frame: wire.MostBytes, Waiting: 256 << 10, Connections: p.mostOwners() + overOwners, Wait: true, Inbox: 512, Whole: wholeWithin,
+func (p *Platform) Limits() transport.Limits {
+	return transport.Limits{
+		Frame: codec.MostBytes, Waiting: 256 << 10, Connections: p.mostOwners() + overOwners, Wait: true, Inbox: 512, Whole: wholeWithin,
 	}
 }
 
 func (p *Platform) mostOwners() int { return int(float64(p.c.Limits.Sockets) * ownersShare) }
 
-func (p *Platform) Start(now choice.Millis, w link.Wire) {
+func (p *Platform) Start(now placement.Millis, w transport.Wire) {
 	p.now, p.net = now, w
 	for i, raw := range p.c.Known {
 		if err := p.news(now, raw, i == 0); err != nil {
@@ -166,7 +166,7 @@
 }
 
 // Stop has tests fail from now on; asks are served a little longer, then rejected.
-func (p *Platform) Stop(now choice.Millis) {
+func (p *Platform) Stop(now placement.Millis) {
 	if !p.stopping {
 		p.stopping, p.stopAt = true, now
 	}
@@ -174,7 +174,7 @@
 
 // Stopped tells whether all that is owed has been said since Stop. Releases that wait for a connection to their node are
 // given a while; what is owed to owners that have no connection here is told by whoever adopts it next.
-func (p *Platform) Stopped(now choice.Millis) bool {
+func (p *Platform) Stopped(now placement.Millis) bool {
 	if !p.stopping || now-p.stopAt <= drainFor || p.pending > 0 {
 		return false
 	}
@@ -183,13 +183,13 @@
 }
 
 // Reload takes a new address of the journal service.
-func (p *Platform) Reload(now choice.Millis, journal string) {
+func (p *Platform) Reload(now placement.Millis, journal string) {
 	p.journal.addr, p.journal.fails = journal, 0
 	p.redialJournal(now, "the address has changed")
 	p.settle(now)
 }
 
-func (p *Platform) Wake(now choice.Millis) {
+func (p *Platform) Wake(now placement.Millis) {
 	p.now, p.due = now, now
 	p.timers.Run(now)
 	if now-p.tidied >= pulse {
@@ -204,7 +204,7 @@
 }
 
 // settle hands the engine what came up while it was at work, then sets the wake-up.
-func (p *Platform) settle(now choice.Millis) {
+func (p *Platform) settle(now placement.Millis) {
 	for len(p.later) > 0 {
 		calls := p.later
 		p.later = nil
@@ -226,7 +226,7 @@
 	p.net.WakeAt(next)
 }
 
-func (p *Platform) Opened(now choice.Millis, id link.ConnID) {
+func (p *Platform) Opened(now placement.Millis, id transport.ConnID) {
 	p.now = now
 	c := p.conns[id]
 	switch {
@@ -240,15 +240,15 @@
 	p.settle(now)
 }
 
-func (p *Platform) Received(now choice.Millis, id link.ConnID, m any) {
+func (p *Platform) Received(now placement.Millis, id transport.ConnID, m any) {
 	p.now = now
 	c := p.conns[id]
 	switch m := m.(type) {
-	case *wire.News:
+	case *codec.News:
 		if id == p.journal.conn {
 			p.heardNews(now, m)
 		}
-	case *wire.Message:
+	case *codec.Message:
 		if c == nil {
 			break
 		}
@@ -262,13 +262,13 @@
 	p.settle(now)
 }
 
-func (p *Platform) Closed(now choice.Millis, id link.ConnID, why string) {
+func (p *Platform) Closed(now placement.Millis, id transport.ConnID, why string) {
 	p.now = now
 	p.closed(now, id, why)
 	p.settle(now)
 }
 
-func (p *Platform) closed(now choice.Millis, id link.ConnID, why string) {
+func (p *Platform) closed(now placement.Millis, id transport.ConnID, why string) {
 	c := p.conns[id]
 	delete(p.conns, id)
 	switch {
@@ -284,7 +284,7 @@
 }
 
 // drop ends a connection from our side.
-func (p *Platform) drop(now choice.Millis, c *conn, why string) {
+func (p *Platform) drop(now placement.Millis, c *conn, why string) {
 	p.net.Close(c.id)
 	p.closed(now, c.id, why)
 }
@@ -301,7 +301,7 @@
 // world is the platform as the engine sees it.
 type world Platform
 
-func (w *world) Bind(id choice.WorkloadID, bind int, to choice.NodeID, timeout choice.Millis) {
+func (w *world) Bind(id placement.WorkloadID, bind int, to placement.NodeID, timeout placement.Millis) {
 	p := (*Platform)(w)
 	wl := p.wls[id]
 	wl.bind, wl.node, wl.on, wl.out = bind, p.nodes[to], nil, false
@@ -309,7 +309,7 @@
 	p.offer(wl, p.now+timeout)
 }
 
-func (w *world) Stop(id choice.WorkloadID, _ int, _ choice.NodeID, why allocator.Why, _ bool) {
+func (w *world) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.Why, _ bool) {
 	p := (*Platform)(w)
 	wl := p.wls[id]
 	switch {
@@ -317,13 +317,13 @@
 		// The platform ends it at its node too, which then says so.
 		p.Counts.Moves++
 		wl.moved = true
-		p.tellOwner(wl, &wire.Message{Verb: wire.Move, Tag: wl.tag})
+		p.tellOwner(wl, &codec.Message{Verb: codec.Move, Tag: wl.tag})
 	case wl.placed:
 		p.release(wl)
 		bind := wl.bind
-		p.timers.At(p.now+endGrace, func(now choice.Millis) {
+		p.timers.At(p.now+endGrace, func(now placement.Millis) {
 			if p.wls[id] == wl {
-				p.engine.Settled(now, id, bind, wl.node.id, choice.Result{Kind: choice.Ended, Over: true})
+				p.engine.Settled(now, id, bind, wl.node.id, placement.Result{Kind: placement.Ended, Over: true})
 			}
 		})
 	default:
@@ -331,29 +331,29 @@
 	}
 }
 
-func (w *world) Probe(id choice.NodeID) { (*Platform)(w).test(id) }
+func (w *world) Probe(id placement.NodeID) { (*Platform)(w).test(id) }
 
 // Watch has nothing to ask: the journal service is followed at all times.
 func (w *world) Watch() {}
 
-func (w *world) Answer(id choice.WorkloadID, v allocator.Verdict, _ choice.NodeID) {
+func (w *world) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
 	p := (*Platform)(w)
 	wl := p.wls[id]
 	c := p.answered(wl)
-	m := wire.Message{Verb: wire.Finish, Tag: wl.tag}
+	m := codec.Message{Verb: codec.Finish, Tag: wl.tag}
 	switch v {
 	case allocator.Placed:
 		p.Counts.Placed++
 		if c != nil {
 			c.placed++
 		}
-		p.net.Send(wl.from, &wire.Message{Verb: wire.Started, Tag: wl.tag, Description: wl.answer})
+		p.net.Send(wl.from, &codec.Message{Verb: codec.Started, Tag: wl.tag, Description: wl.answer})
 	case allocator.Rejected:
 		p.Counts.Rejected++
-		p.net.Send(wl.from, m.With(wire.Full))
+		p.net.Send(wl.from, m.With(codec.Full))
 	default:
 		p.Counts.Unschedulable++
-		p.net.Send(wl.from, m.With(wire.Broken))
+		p.net.Send(wl.from, m.With(codec.Broken))
 	}
 }
 
@@ -370,22 +370,22 @@
 	return c
 }
 
-func (w *world) Ended(id choice.WorkloadID, _ choice.NodeID, moved bool, _ choice.Reason) {
+func (w *world) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, _ placement.Reason) {
 	p := (*Platform)(w)
 	wl := p.wls[id]
 	cause := wl.cause
 	if !wl.placed || cause == 0 {
-		cause = wire.Broken
+		cause = codec.Broken
 	}
-	if moved || wl.moved || cause == wire.Cancelled {
+	if moved || wl.moved || cause == codec.Cancelled {
 		return // its owner has been told, or was the one to end it
 	}
 	p.Counts.Released++
 	p.log.Debug("over", "tag", wl.tag, "cause", uint8(cause), "by_its_connection", p.conns[wl.from] != nil)
-	p.tellOwner(wl, wire.Message{Verb: wire.Finish, Tag: wl.tag}.With(cause))
+	p.tellOwner(wl, codec.Message{Verb: codec.Finish, Tag: wl.tag}.With(cause))
 }
 
-func (w *world) Dropped(id choice.WorkloadID) {
+func (w *world) Dropped(id placement.WorkloadID) {
 	p := (*Platform)(w)
 	wl := p.wls[id]
 	p.answered(wl)
@@ -399,19 +399,19 @@
 	}
 }
 
-func (w *world) Wake(at choice.Millis) {
+func (w *world) Wake(at placement.Millis) {
 	if p := (*Platform)(w); !p.wakes || at < p.wake {
 		p.wake, p.wakes = at, true
 	}
 }
 
 // jitter is a quarter more or less than d, by chance.
-func (p *Platform) jitter(d choice.Millis) choice.Millis {
+func (p *Platform) jitter(d placement.Millis) placement.Millis {
 	p.draws++
-	return schedule.Jitter(d, p.c.Seed, p.draws)
+	return timerqueue.Jitter(d, p.c.Seed, p.draws)
 }
 
 // backoff is a pause that doubles with each failure in a row.
-func (p *Platform) backoff(first, most choice.Millis, fails int) choice.Millis {
-	return p.jitter(min(most, first*choice.Millis(math.Exp2(float64(min(fails, 16))))))
+func (p *Platform) backoff(first, most placement.Millis, fails int) placement.Millis {
+	return p.jitter(min(most, first*placement.Millis(math.Exp2(float64(min(fails, 16))))))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 func TestAWorkloadGoesFromItsOwnerToANodeAndBack(t *testing.T) {
@@ -18,7 +18,7 @@
 	r.says(r.owner, ask(7))
 	require.Equal(t, []string{"START"}, r.heard(r.node, 7))
 	r.says(r.node, started(7))
-	r.says(r.node, finish(7, wire.Well))
+	r.says(r.node, finish(7, codec.Well))
 	assert.Equal(t, []string{"STARTED", "FINISH 16"}, r.heard(r.owner, 7))
 	assert.Empty(t, r.wls)
 	assert.Empty(t, r.tags)
@@ -31,16 +31,16 @@
 			r.Closed(r.at, r.node, "reset")
 			for range 8 {
 				r.pass(300)
-				r.Closed(r.at, r.w.to(nodeAddr), link.Refused)
+				r.Closed(r.at, r.w.to(nodeAddr), transport.Refused)
 			}
 		},
 		"the list says gone": func(r *rig) {
 			r.Closed(r.at, r.node, "reset")
-			r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 2, Data: listOf(2, "Gone", 0)}}})
+			r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Gone", 0)}}})
 		},
 		"the list says that it has started anew": func(r *rig) {
 			r.pass(100)
-			news := &wire.News{Events: []wire.Event{{ID: 2, Data: listOf(2, "Ready", float64(r.wall()))}}}
+			news := &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Ready", float64(r.wall()))}}}
 			r.Received(r.at, r.w.to(journalAddr), news)
 		},
 	} {
@@ -59,14 +59,14 @@
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
 	r.Closed(r.at, r.owner, "closed")
-	r.says(r.node, finish(7, wire.Well))
+	r.says(r.node, finish(7, codec.Well))
 	r.Opened(r.at, 2000)
 	r.says(2000, ask(8))
 	assert.Equal(t, []string{"FINISH 16"}, r.heard(2000, 7))
 }
 
 func TestWhatNoOwnerWouldSendIsAnsweredAndGoesNoFurther(t *testing.T) {
-	for name, m := range map[string]*wire.Message{
+	for name, m := range map[string]*codec.Message{
 		"a class that is not known": ask(7, "class", "none"),
 		"no number":                 ask(7, "extras", "cores:NaN;memory:2;service:07"),
 		"below zero":                ask(7, "extras", "cores:-1;memory:2;service:07"),
@@ -89,7 +89,7 @@
 	r.says(r.owner, ask(7))
 	r.Opened(r.at, 2000)
 	r.says(2000, ask(7))
-	r.says(2000, finish(7, wire.Well))
+	r.says(2000, finish(7, codec.Well))
 	assert.Equal(t, []string{"FINISH 88"}, r.heard(2000, 7))
 	r.says(r.node, started(7))
 	assert.Equal(t, []string{"STARTED"}, r.heard(r.owner, 7))
@@ -104,7 +104,7 @@
 func TestConnectionsThatNeverSpokeGiveWayFirst(t *testing.T) {
 	r := newRig(t)
 	r.says(r.owner, ask(7))
-	for c := link.ConnID(2000); c < 2100; c++ {
+	for c := transport.ConnID(2000); c < 2100; c++ {
 		r.Opened(r.at, c)
 	}
 	assert.False(t, r.w.closed[r.owner])
@@ -128,7 +128,7 @@
 func TestASetUpThatIsTakenBackIsGivenUpAtItsNodeAndNotAnswered(t *testing.T) {
 	r := newRig(t)
 	r.says(r.owner, ask(7))
-	r.says(r.owner, finish(7, wire.Well))
+	r.says(r.owner, finish(7, codec.Well))
 	r.says(r.node, started(7))
 	assert.Equal(t, []string{"START", "FINISH 16"}, r.heard(r.node, 7))
 	assert.Empty(t, r.heard(r.owner, 7))
@@ -150,10 +150,10 @@
 	r := newRig(t)
 	r.says(r.owner, ask(7))
 	r.Stop(r.at)
-	r.says(r.owner, wire.Message{Verb: wire.Echo, Tag: 1}.With(wire.Failed))
-	last := r.w.sent[r.owner][0].(*wire.Message)
-	assert.Equal(t, wire.Echoed, last.Verb)
-	assert.Equal(t, wire.Failed, last.Cause)
+	r.says(r.owner, codec.Message{Verb: codec.Echo, Tag: 1}.With(codec.Failed))
+	last := r.w.sent[r.owner][0].(*codec.Message)
+	assert.Equal(t, codec.Echoed, last.Verb)
+	assert.Equal(t, codec.Failed, last.Cause)
 	r.pass(drainFor + 50)
 	assert.False(t, r.Stopped(r.at))
 	r.says(r.owner, ask(8))
@@ -165,15 +165,15 @@
 func TestTheJournalIsFollowedOverBreaksSilenceAndNewAddresses(t *testing.T) {
 	r := newRig(t)
 	first := r.w.to(journalAddr)
-	assert.Equal(t, []any{wire.Follow{Host: journalAddr, After: 1}}, r.w.sent[first])
-	r.Received(r.at, first, &wire.News{Events: []wire.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}})
+	assert.Equal(t, []any{codec.Follow{Host: journalAddr, After: 1}}, r.w.sent[first])
+	r.Received(r.at, first, &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}})
 	r.Closed(r.at, first, "reset")
 	r.pass(200)
 	second := r.w.to(journalAddr)
 	r.Opened(r.at, second)
-	assert.Equal(t, []any{wire.Follow{Host: journalAddr, After: 2}}, r.w.sent[second])
-	r.Received(r.at, second, &wire.News{Events: []wire.Event{{ID: 1, Data: listOf(1, "Ready", 0)}}})
-	assert.Equal(t, choice.Draining, r.byName["s-01"].entry.State, "what was told before is passed over")
+	assert.Equal(t, []any{codec.Follow{Host: journalAddr, After: 2}}, r.w.sent[second])
+	r.Received(r.at, second, &codec.News{Events: []codec.Event{{ID: 1, Data: listOf(1, "Ready", 0)}}})
+	assert.Equal(t, placement.Draining, r.byName["s-01"].entry.State, "what was told before is passed over")
 	r.pass(newsWithin + 200)
 	third := r.w.to(journalAddr)
 	assert.Greater(t, third, second, "it was silent")
@@ -186,7 +186,7 @@
 	r := newRig(t)
 	r.says(r.owner, ask(7, "extras", "cores:1;memory:2;service:07;at:s-01"))
 	assert.Empty(t, r.heard(r.owner, 7))
-	r.says(r.node, finish(7, wire.Well))
+	r.says(r.node, finish(7, codec.Well))
 	assert.Equal(t, []string{"FINISH 16"}, r.heard(r.owner, 7))
 }
 
@@ -195,7 +195,7 @@
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
 	r.Closed(r.at, r.node, "reset")
-	r.says(r.owner, finish(7, wire.Well))
+	r.says(r.owner, finish(7, codec.Well))
 	r.pass(200)
 	again := r.w.to(nodeAddr)
 	require.Greater(t, again, r.node)
@@ -205,19 +205,19 @@
 
 func TestAllTablesAreBackAtRestAfterManyWorkloadsAndConnections(t *testing.T) {
 	r := newRig(t)
-	r.says(r.owner, finish(1, wire.Well)) // it spoke, so it stays
+	r.says(r.owner, finish(1, codec.Well)) // it spoke, so it stays
 	for i := range 3000 {
-		tag, c := wire.Tag(10+i), link.ConnID(10000+i)
+		tag, c := codec.Tag(10+i), transport.ConnID(10000+i)
 		r.Opened(r.at, c)
 		r.says(c, ask(tag))
 		switch i % 4 {
 		case 0:
 			r.says(r.w.to(nodeAddr), started(tag))
-			r.says(r.w.to(nodeAddr), finish(tag, wire.Well))
+			r.says(r.w.to(nodeAddr), finish(tag, codec.Well))
 		case 1:
-			r.says(r.w.to(nodeAddr), finish(tag, wire.Full))
+			r.says(r.w.to(nodeAddr), finish(tag, codec.Full))
 		case 2:
-			r.says(c, finish(tag, wire.Well))
+			r.says(c, finish(tag, codec.Well))
 		}
 		r.Closed(r.at, c, "closed")
 		r.pass(20)
@@ -244,7 +244,7 @@
 	r.says(r.node, started(6))
 	r.w.ended[r.owner] = true
 	r.says(r.owner, ask(7))
-	r.says(r.owner, finish(6, wire.Well))
+	r.says(r.owner, finish(6, codec.Well))
 	assert.Empty(t, r.heard(r.node, 7))
 	assert.Equal(t, []string{"START", "FINISH 16"}, r.heard(r.node, 6))
 	r.Closed(r.at, r.owner, "closed")
@@ -260,7 +260,7 @@
 			i, fmt.Sprintf("127.0.1.%d:5080", i)))
 	}
 	data := fmt.Sprintf(`{"hosts":{"endpoints":[%s]}}`, strings.Join(ends, ","))
-	r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 2, Data: []byte(data)}}})
+	r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 2, Data: []byte(data)}}})
 }
 
 // open brings up all connections that are being dialled to nodes, and returns how many there are to nodes.
@@ -306,7 +306,7 @@
 	r.listNodes(40)
 	for i := range 40 {
 		n := r.byName[fmt.Sprintf("m-%02d", i)]
-		r.says(r.owner, ask(wire.Tag(100+i), "extras", "cores:1;memory:2;service:07;at:"+n.name))
+		r.says(r.owner, ask(codec.Tag(100+i), "extras", "cores:1;memory:2;service:07;at:"+n.name))
 		r.pass(1)
 		r.open()
 	}
@@ -328,7 +328,7 @@
 func TestAnIdleConnectionIsEndedBeforeItsNodeDoes(t *testing.T) {
 	r := newRig(t)
 	r.c.Told.IdleTimeout = 5000
-	r.says(r.owner, finish(1, wire.Well)) // it spoke, so it stays
+	r.says(r.owner, finish(1, codec.Well)) // it spoke, so it stays
 	r.pass(5000*idleShare - 100)
 	assert.False(t, r.w.closed[r.node])
 	r.pass(100 + pulse + 50)
@@ -366,7 +366,7 @@
 		r.pass(20)
 		if c := r.w.to(nodeAddr); c != last {
 			dials, last = dials+1, c
-			r.Closed(r.at, c, link.Refused)
+			r.Closed(r.at, c, transport.Refused)
 		}
 	}
 	assert.Equal(t, 2, dials-int(r.Counts.Probes), "one that finds nobody, and one that shows that it stays so")
@@ -395,9 +395,9 @@
 	r.says(r.node, started(7))
 	assert.Empty(t, r.heard(r.owner, 7))
 	r.says(second, started(7))
-	r.says(r.node, finish(7, wire.Cancelled))
+	r.says(r.node, finish(7, codec.Cancelled))
 	assert.Equal(t, []string{"STARTED"}, r.heard(r.owner, 7))
-	r.says(second, finish(7, wire.Well))
+	r.says(second, finish(7, codec.Well))
 	assert.Equal(t, []string{"STARTED", "FINISH 16"}, r.heard(r.owner, 7))
 }
 
@@ -412,7 +412,7 @@
 	r.pass(200)
 	again := r.w.to(nodeAddr)
 	r.Opened(r.at, again)
-	r.says(again, finish(7, wire.Well))
+	r.says(again, finish(7, codec.Well))
 	assert.Equal(t, []string{"STARTED", "FINISH 16"}, r.heard(r.owner, 7), "on the next connection")
 }
 
@@ -420,9 +420,9 @@
 func TestABindThatWaitsForItsConnectionLeavesOnlyIfStillWanted(t *testing.T) {
 	for name, meanwhile := range map[string]func(r *rig, n *node){
 		"its owner has gone":    func(r *rig, _ *node) { r.Closed(r.at, r.owner, "closed") },
-		"its owner gives it up": func(r *rig, _ *node) { r.says(r.owner, finish(7, wire.Well)) },
+		"its owner gives it up": func(r *rig, _ *node) { r.says(r.owner, finish(7, codec.Well)) },
 		"the node drains": func(r *rig, n *node) {
-			r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 3, Data: listOf(3, "Terminating", 0)}}})
+			r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 3, Data: listOf(3, "Terminating", 0)}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -448,7 +448,7 @@
 	c := r.w.to("127.0.1.0:5080")
 	require.NotZero(t, c)
 	r.Opened(r.at, c)
-	r.says(c, finish(7, wire.Well))
+	r.says(c, finish(7, codec.Well))
 	assert.Equal(t, []string{"FINISH 16"}, r.heard(r.owner, 7))
 }
 
@@ -463,9 +463,9 @@
 	assert.True(t, r.w.closed[old])
 	assert.True(t, r.w.closed[r.w.to("127.0.0.7:7070")])
 	r.Opened(r.at, last)
-	assert.Equal(t, []any{wire.Follow{Host: "127.0.0.6:7070", After: 1}}, r.w.sent[last])
-	drain := &wire.News{Events: []wire.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}}
-	r.Received(r.at, old, &wire.News{Events: []wire.Event{{ID: 5, Data: listOf(5, "Ready", 0)}}})
+	assert.Equal(t, []any{codec.Follow{Host: "127.0.0.6:7070", After: 1}}, r.w.sent[last])
+	drain := &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}}
+	r.Received(r.at, old, &codec.News{Events: []codec.Event{{ID: 5, Data: listOf(5, "Ready", 0)}}})
 	r.Received(r.at, last, drain)
 	r.says(r.owner, ask(7))
 	assert.Empty(t, r.heard(r.node, 7))
@@ -478,12 +478,12 @@
 	r.listNodes(2)
 	r.says(r.owner, ask(7, "extras", "cores:1;memory:2;service:07;at:m-01"))
 	whole := fmt.Sprintf(`{"hosts":{"snapshot":true,"endpoints":[{"name":"s-01","address":%q,"zone":"z","type":"small","status":"Ready","room":[20,40]}]}}`, nodeAddr)
-	r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 9, Data: []byte(whole)}}})
+	r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 9, Data: []byte(whole)}}})
 	assert.Equal(t, []string{"FINISH 41"}, r.heard(r.owner, 7))
 	assert.Nil(t, r.byName["m-01"])
 	assert.NotNil(t, r.byName["s-01"])
-	r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 8, Data: listOf(8, "Gone", 0)}}})
-	assert.Equal(t, choice.Ready, r.byName["s-01"].entry.State, "an earlier number revives nothing and ends nothing")
+	r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 8, Data: listOf(8, "Gone", 0)}}})
+	assert.Equal(t, placement.Ready, r.byName["s-01"].entry.State, "an earlier number revives nothing and ends nothing")
 }
 
 // A release that waits for its node's connection is sent before the process leaves, or given up after a while.
@@ -494,7 +494,7 @@
 		r.says(r.node, started(7))
 		r.Stop(r.at)
 		r.Closed(r.at, r.node, "reset")
-		r.says(r.owner, finish(7, wire.Well))
+		r.says(r.owner, finish(7, codec.Well))
 		r.pass(drainFor + 50)
 		assert.False(t, r.Stopped(r.at))
 		if comesUp {
@@ -514,13 +514,13 @@
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
 	data := fmt.Sprintf(`{"hosts":{"endpoints":[{"name":"s-02","address":%q,"zone":"z","type":"small","status":"Ready","room":[0,0]}]}}`, nodeAddr)
-	r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 2, Data: []byte(data)}}})
+	r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 2, Data: []byte(data)}}})
 	assert.Equal(t, []string{"STARTED", "FINISH 41"}, r.heard(r.owner, 7))
 	assert.True(t, r.w.closed[r.node])
 	r.says(r.owner, ask(8))
 	assert.Equal(t, r.node, r.w.to(nodeAddr), "nobody is dialled there for the old one")
 	assert.Equal(t, []string{"FINISH 34"}, r.heard(r.owner, 8))
-	r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 3, Data: listOf(3, "Gone", 0)}}})
+	r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 3, Data: listOf(3, "Gone", 0)}}})
 	assert.NotNil(t, r.byName["s-02"])
 	assert.Equal(t, r.byName["s-02"], r.addrs[nodeAddr])
 }
@@ -540,7 +540,7 @@
 	second := r.w.to(nodeAddr) // the first swallowed a bind
 	r.Opened(r.at, second)
 	require.NotNil(t, r.conns[r.node])
-	r.says(second, finish(7, wire.Well))
+	r.says(second, finish(7, codec.Well))
 	assert.Equal(t, []string{"STARTED", "FINISH 16"}, r.heard(r.owner, 7))
 }
 
@@ -548,27 +548,27 @@
 // where it was silent for longer, nor are told the ends of its workloads. It could harm an owner of whom little was placed.
 func TestAnOwnerWithMuchPlacedOutlastsThoseWhoAskOnce(t *testing.T) {
 	r := newRig(t)
-	gone := link.ConnID(1999)
+	gone := transport.ConnID(1999)
 	r.Opened(r.at, gone)
 	r.says(gone, ask(6))
 	r.says(r.node, started(6))
-	for tag := wire.Tag(7); tag < 9; tag++ {
+	for tag := codec.Tag(7); tag < 9; tag++ {
 		r.says(r.owner, ask(tag))
 		r.says(r.node, started(tag))
 	}
 	r.Closed(r.at, gone, "closed")
 	for i := range 100 {
 		r.pass(20)
-		c, tag := link.ConnID(2000+i), wire.Tag(100+i)
+		c, tag := transport.ConnID(2000+i), codec.Tag(100+i)
 		r.Opened(r.at, c)
 		r.says(c, ask(tag))
 		r.says(r.node, started(tag))
-		r.says(r.node, finish(tag, wire.Well))
+		r.says(r.node, finish(tag, codec.Well))
 	}
 	assert.False(t, r.w.closed[r.owner])
 	assert.LessOrEqual(t, r.owners, r.mostOwners())
-	r.says(r.node, finish(6, wire.Well))
-	r.says(r.node, finish(7, wire.Well))
+	r.says(r.node, finish(6, codec.Well))
+	r.says(r.node, finish(7, codec.Well))
 	assert.Equal(t, []string{"FINISH 16"}, r.heard(r.owner, 6))
 	assert.Equal(t, []string{"STARTED", "FINISH 16"}, r.heard(r.owner, 7))
 }
@@ -576,12 +576,12 @@
 // A test passes once the journal service was heard, so that nothing is placed by what the configuration knew before the
 // start: a drain told in between counts. Where the service is not heard it passes all the same, a little later.
 func TestATestPassesOnceTheJournalWasHeard(t *testing.T) {
-	test := wire.Message{Verb: wire.Echo, Tag: 1}.With(wire.Failed)
+	test := codec.Message{Verb: codec.Echo, Tag: 1}.With(codec.Failed)
 	for name, hear := range map[string]func(r *rig){
 		"what was missed": func(r *rig) {
-			r.Received(r.at, r.w.to(journalAddr), &wire.News{Events: []wire.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}})
+			r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}})
 		},
-		"that nothing was": func(r *rig) { r.Received(r.at, r.w.to(journalAddr), &wire.News{}); r.pass(readyAfter + 10) },
+		"that nothing was": func(r *rig) { r.Received(r.at, r.w.to(journalAddr), &codec.News{}); r.pass(readyAfter + 10) },
 		"nothing":          func(r *rig) { r.pass(readyMost) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -590,7 +590,7 @@
 			assert.Empty(t, r.w.sent[r.owner])
 			hear(r)
 			require.Len(t, r.w.sent[r.owner], 1)
-			assert.Equal(t, wire.Passed, r.w.sent[r.owner][0].(*wire.Message).Cause)
+			assert.Equal(t, codec.Passed, r.w.sent[r.owner][0].(*codec.Message).Cause)
 			assert.Empty(t, r.tests)
 		})
 	}
--- a/internal/platform/pool.go
+++ b/internal/frontend/platform/pool.go
@@ -1,8 +1,8 @@
 package platform
 
 import (
-	"grebeglade/choice"
-	"grebeglade/internal/platform/wire"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/placement"
 )
 
 // Connections to nodes. A node is dialled once something is to be said to it or heard from it: there may be more nodes
@@ -10,11 +10,11 @@
 // Where the nodes' share is used up, the connection that is least missed gives way.
 
 const (
-	connectWithin = choice.Millis(250)  // ms, where the settings do not say
-	redialFirst   = choice.Millis(50)   // ms before a node is dialled again
-	redialMost    = choice.Millis(2000) // ms, in the end: what stands there is heard within the 8 s in which owners are told
-	revisitAfter  = choice.Millis(3000) // ms until a node that gave way is heard again; owners are told within 8 s
-	idleShare     = 0.9                 // of the settings' idle time, so that no set-up crosses the node's own close
+	connectWithin = placement.Millis(250)  // ms, where the settings do not say
+	redialFirst   = placement.Millis(50)   // ms before a node is dialled again
+	redialMost    = placement.Millis(2000) // ms, in the end: what stands there is heard within the 8 s in which owners are told
+	revisitAfter  = placement.Millis(3000) // ms until a node that gave way is heard again; owners are told within 8 s
+	idleShare     = 0.9                    // of the settings' idle time, so that no set-up crosses the node's own close
 )
 
 // keptDescriptors are those for neither owners nor nodes: 3 standard files, the listener, 8 of event loops and the runtime,
@@ -41,7 +41,7 @@
 	p.connect(p.now, n)
 }
 
-func (n *node) reachable() bool { return n.addr != "" && n.entry.State != choice.Gone }
+func (n *node) reachable() bool { return n.addr != "" && n.entry.State != placement.Gone }
 
 // wanted tells whether there is something to say to a node or to hear from it.
 func (n *node) wanted() bool { return len(n.holds) > 0 || len(n.unsent) > 0 || len(n.waiting) > 0 }
@@ -55,14 +55,14 @@
 }
 
 // connect dials a node if there is something to say to it or to hear.
-func (p *Platform) connect(now choice.Millis, n *node) {
+func (p *Platform) connect(now placement.Millis, n *node) {
 	if n.wanted() {
 		p.dial(now, n)
 	}
 }
 
 // dial dials a node, unless it is connected or there is nothing to dial.
-func (p *Platform) dial(now choice.Millis, n *node) {
+func (p *Platform) dial(now placement.Millis, n *node) {
 	if n.conn != nil && p.idle(now, n.conn) {
 		n.conn = nil // the node may be closing it now
 	}
@@ -77,14 +77,14 @@
 	if within <= 0 {
 		within = connectWithin
 	}
-	id := p.net.DialAs(n.addr, wire.Binary{}, within)
-	n.dialling = &conn{id: id, node: n, used: now, open: map[choice.WorkloadID]*workload{}}
+	id := p.net.DialAs(n.addr, codec.Binary{}, within)
+	n.dialling = &conn{id: id, node: n, used: now, open: map[placement.WorkloadID]*workload{}}
 	p.conns[id] = n.dialling
 	p.toNodes++
 }
 
 // redial dials a node again after a pause, if it is still wanted then.
-func (p *Platform) redial(now choice.Millis, n *node) {
+func (p *Platform) redial(now placement.Millis, n *node) {
 	if n.redialing || n.resting || !n.reachable() || !n.wanted() {
 		return
 	}
@@ -95,7 +95,7 @@
 		// that a part of a core can do, and answers were late by half a second.
 		at = max(at, n.refused+deadAfter)
 	}
-	p.timers.At(at, func(now choice.Millis) {
+	p.timers.At(at, func(now placement.Millis) {
 		n.redialing = false
 		if p.nodes[n.id] == n {
 			p.connect(now, n)
@@ -106,7 +106,7 @@
 // giveWay ends the connection to another node that is least missed: one to a node on which nothing of ours stands before
 // one that may have an end to tell, and of these the one longest unused. One with a set-up open never does. A node tells
 // the ends of what stood there on the next connection, so one that gave way is visited again.
-func (p *Platform) giveWay(now choice.Millis, to *node) bool {
+func (p *Platform) giveWay(now placement.Millis, to *node) bool {
 	var least *conn
 	before := func(x, y *conn) bool {
 		if none := len(x.node.holds) == 0; none != (len(y.node.holds) == 0) {
@@ -128,7 +128,7 @@
 		return true
 	}
 	n.resting = true
-	p.timers.At(now+revisitAfter, func(now choice.Millis) {
+	p.timers.At(now+revisitAfter, func(now placement.Millis) {
 		if n.resting = false; p.nodes[n.id] == n {
 			p.connect(now, n)
 		}
@@ -138,7 +138,7 @@
 }
 
 // hangUp ends all that is connected or being dialled to a node.
-func (p *Platform) hangUp(now choice.Millis, n *node, why string) {
+func (p *Platform) hangUp(now placement.Millis, n *node, why string) {
 	for _, c := range []*conn{n.conn, n.dialling} {
 		if c != nil {
 			p.drop(now, c, why)
@@ -147,13 +147,13 @@
 }
 
 // idle tells whether a connection to a node has carried nothing for so long that the node is about to close it.
-func (p *Platform) idle(now choice.Millis, c *conn) bool {
+func (p *Platform) idle(now placement.Millis, c *conn) bool {
 	after := p.c.Told.IdleTimeout
 	return after > 0 && now-max(c.used, c.heard) > after*idleShare
 }
 
 // tidy ends idle connections to nodes before the nodes do.
-func (p *Platform) tidy(now choice.Millis) {
+func (p *Platform) tidy(now placement.Millis) {
 	for _, c := range inOrder(p.conns) {
 		if c.node != nil && c.opened && len(c.open) == 0 && p.idle(now, c) {
 			p.drop(now, c, "it was idle")
--- a/internal/drill/adapter.go
+++ b/internal/frontend/simulator/adapter.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"bufio"
@@ -7,9 +7,9 @@
 	"io"
 	"math"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/settings"
+	"grebeglade/placement"
 )
 
 // cameAgain is the bit of a task that was refused, failed, moved or lost before.
@@ -24,23 +24,23 @@
 	out     *reply
 }
 
-func (in *instance) Bind(id choice.WorkloadID, _ int, node choice.NodeID, timeout choice.Millis) {
+func (in *instance) Bind(id placement.WorkloadID, _ int, node placement.NodeID, timeout placement.Millis) {
 	in.out.record(outBind, in.id, uint32(id), uint32(node), nanos(timeout))
 }
 
 // Stop takes a placed task off. What timed out or was withdrawn, the bench sees to itself.
-func (in *instance) Stop(id choice.WorkloadID, _ int, _ choice.NodeID, why allocator.Why, _ bool) {
+func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.Why, _ bool) {
 	if why == allocator.Moved {
 		in.out.record(outTakeOff, in.id, uint32(id))
 	}
 }
 
-func (in *instance) Probe(n choice.NodeID) { in.out.record(outTest, in.id, uint32(n)) }
+func (in *instance) Probe(n placement.NodeID) { in.out.record(outTest, in.id, uint32(n)) }
 
 func (in *instance) Watch() { in.out.record(outObserve, in.id, uint8(1)) }
 
 // Answer says what the bench does not know by itself.
-func (in *instance) Answer(id choice.WorkloadID, v allocator.Verdict, _ choice.NodeID) {
+func (in *instance) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
 	switch v {
 	case allocator.Rejected:
 		in.out.record(outPushBack, in.id, uint32(id), uint64(0))
@@ -49,22 +49,22 @@
 	}
 }
 
-func (in *instance) Ended(choice.WorkloadID, choice.NodeID, bool, choice.Reason) {}
+func (in *instance) Ended(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
 
-func (in *instance) Dropped(choice.WorkloadID) {}
+func (in *instance) Dropped(placement.WorkloadID) {}
 
-func (in *instance) Wake(at choice.Millis) { in.out.record(outAlarm, in.id, nanos(at), uint32(0)) }
+func (in *instance) Wake(at placement.Millis) { in.out.record(outAlarm, in.id, nanos(at), uint32(0)) }
 
 // host runs the instances of one process.
 type host struct {
 	instances map[uint16]*instance
-	lists     map[uint32][]choice.Node
+	lists     map[uint32][]placement.Node
 	out       reply
 }
 
 // Serve answers batches until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]choice.Node{}}
+	h := &host{instances: map[uint16]*instance{}, lists: map[uint32][]placement.Node{}}
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
 	for {
 		err := readBatch(in, h.record)
@@ -80,9 +80,9 @@
 	}
 }
 
-func millis(ns uint64) choice.Millis { return choice.Millis(float64(ns) / 1e6) }
+func millis(ns uint64) placement.Millis { return placement.Millis(float64(ns) / 1e6) }
 
-func nanos(t choice.Millis) uint64 { return uint64(math.Round(float64(t) * 1e6)) }
+func nanos(t placement.Millis) uint64 { return uint64(math.Round(float64(t) * 1e6)) }
 
 func (h *host) record(clock uint64, code uint8, f *fields) error {
 	now := millis(clock)
@@ -113,7 +113,7 @@
 		req, attempt := f.u32(), f.u8()
 		f.skip(4 + 8)
 		if f.err == nil {
-			in.engine.Confirmed(now, choice.WorkloadID(req), int(attempt), nil)
+			in.engine.Confirmed(now, placement.WorkloadID(req), int(attempt), nil)
 		}
 	case inHint:
 		in.hint(now, f)
@@ -121,7 +121,7 @@
 		in.settled(now, f)
 	case inDropped:
 		if req := f.u32(); f.err == nil {
-			in.engine.Withdraw(now, choice.WorkloadID(req))
+			in.engine.Withdraw(now, placement.WorkloadID(req))
 		}
 	case inWakeup:
 		if f.skip(4); f.err == nil {
@@ -135,22 +135,22 @@
 
 func (h *host) sheet(f *fields) error {
 	slot := f.u32()
-	nodes := make([]choice.Node, f.count(int(f.u32()), 30))
+	nodes := make([]placement.Node, f.count(int(f.u32()), 30))
 	for i := range nodes {
-		n := choice.Node{FreeCores: f.f32(), ID: choice.NodeID(f.u32()), Zone: choice.ZoneID(f.u16())}
+		n := placement.Node{FreeCores: f.f32(), ID: placement.NodeID(f.u32()), Zone: placement.ZoneID(f.u16())}
 		n.FreeMemory = f.f32()
-		n.Kind = choice.KindID(f.u8())
-		n.Cell = choice.CellID(f.u16())
+		n.Kind = placement.KindID(f.u8())
+		n.Cell = placement.CellID(f.u16())
 		switch f.u8() {
 		case 1:
-			n.State = choice.Ready
+			n.State = placement.Ready
 		case 2:
-			n.State = choice.Draining
+			n.State = placement.Draining
 		default:
-			n.State = choice.Gone
+			n.State = placement.Gone
 		}
 		f.skip(4)
-		n.Born = choice.LongAgo
+		n.Born = placement.LongAgo
 		if born := f.u64(); born > 0 {
 			n.Born = millis(born)
 		}
@@ -160,7 +160,7 @@
 	return f.err
 }
 
-func (h *host) attach(now choice.Millis, id uint16, f *fields) error {
+func (h *host) attach(now placement.Millis, id uint16, f *fields) error {
 	seed := f.u64()
 	text := f.take(f.count(int(f.u32()), 1))
 	if f.err != nil {
@@ -177,20 +177,20 @@
 	return nil
 }
 
-func (h *host) directory(now choice.Millis, in *instance, f *fields) error {
+func (h *host) directory(now placement.Millis, in *instance, f *fields) error {
 	kind := f.u8()
 	f.skip(8)
 	slot := f.u32()
 	if f.err != nil {
 		return f.err
 	}
-	kinds := map[uint8]choice.ListKind{0: choice.Changes, 4: choice.Whole, 3: choice.Cached, 2: choice.Failed}
+	kinds := map[uint8]placement.ListKind{0: placement.Changes, 4: placement.Whole, 3: placement.Cached, 2: placement.Failed}
 	as, ok := kinds[kind]
 	if !ok {
 		return nil
 	}
-	var nodes []choice.Node
-	if as != choice.Failed {
+	var nodes []placement.Node
+	if as != placement.Failed {
 		if nodes, ok = h.lists[slot]; !ok {
 			return fmt.Errorf("names list %d, which was never sent", slot)
 		}
@@ -199,13 +199,13 @@
 	return nil
 }
 
-func (in *instance) newTask(now choice.Millis, f *fields) {
+func (in *instance) newTask(now placement.Millis, f *fields) {
 	req := f.u32()
-	w := choice.Workload{ID: choice.WorkloadID(req), Group: choice.GroupID(f.u16())}
+	w := placement.Workload{ID: placement.WorkloadID(req), Group: placement.GroupID(f.u16())}
 	f.skip(2 + 8)
 	w.Left = millis(f.u64())
 	f.skip(8)
-	w.Service = choice.ServiceID(f.u64())
+	w.Service = placement.ServiceID(f.u64())
 	w.Cores, w.Memory = f.f32(), f.f32()
 	w.Again = f.u8()&cameAgain != 0
 	if f.err == nil {
@@ -213,12 +213,12 @@
 	}
 }
 
-func (in *instance) standing(now choice.Millis, f *fields) {
+func (in *instance) standing(now placement.Millis, f *fields) {
 	req := f.u32()
 	f.skip(2 + 8)
-	node := choice.NodeID(f.u32())
-	w := choice.Workload{ID: choice.WorkloadID(req), Memory: f.f32(), Service: choice.ServiceID(f.u64())}
-	w.Group = choice.GroupID(f.u16())
+	node := placement.NodeID(f.u32())
+	w := placement.Workload{ID: placement.WorkloadID(req), Memory: f.f32(), Service: placement.ServiceID(f.u64())}
+	w.Group = placement.GroupID(f.u16())
 	f.skip(8)
 	w.Cores = f.f32()
 	if f.err == nil {
@@ -226,50 +226,50 @@
 	}
 }
 
-func (in *instance) hint(now choice.Millis, f *fields) {
+func (in *instance) hint(now placement.Millis, f *fields) {
 	req, attempt, what := f.u32(), f.u8(), f.u8()
 	f.skip(4)
 	level := f.f32()
-	notes := map[uint8]choice.NoteKind{1: choice.Running, 2: choice.CoresUsed}
+	notes := map[uint8]placement.NoteKind{1: placement.Running, 2: placement.CoresUsed}
 	kind, known := notes[what]
 	if f.err == nil && known {
-		in.engine.Note(now, choice.WorkloadID(req), int(attempt), kind, level)
+		in.engine.Note(now, placement.WorkloadID(req), int(attempt), kind, level)
 	}
 }
 
 // resultOf says what an outcome code means for a bind that is out.
-func resultOf(code uint8) choice.ResultKind {
+func resultOf(code uint8) placement.ResultKind {
 	switch code {
 	case 2:
-		return choice.Declined
+		return placement.Declined
 	case 3:
-		return choice.TimedOut
+		return placement.TimedOut
 	case 4:
-		return choice.Unreachable
+		return placement.Unreachable
 	case 7:
-		return choice.NotSent
+		return placement.NotSent
 	}
-	return choice.Unclear
+	return placement.Unclear
 }
 
-func (in *instance) settled(now choice.Millis, f *fields) {
+func (in *instance) settled(now placement.Millis, f *fields) {
 	req, final, attempt, remark := f.u32(), f.u8(), f.u8(), f.u32()
 	code := f.u8()
 	f.skip(8)
-	node := choice.NodeID(f.u32())
+	node := placement.NodeID(f.u32())
 	load := in.load(f)
 	if f.err != nil {
 		return
 	}
-	r := choice.Result{Kind: resultOf(code), Over: final != 0, Load: load}
-	if remark <= uint32(choice.SentAway) {
-		r.Reason = choice.Reason(remark)
+	r := placement.Result{Kind: resultOf(code), Over: final != 0, Load: load}
+	if remark <= uint32(placement.SentAway) {
+		r.Reason = placement.Reason(remark)
 	}
-	in.engine.Settled(now, choice.WorkloadID(req), int(attempt), node, r)
+	in.engine.Settled(now, placement.WorkloadID(req), int(attempt), node, r)
 }
 
 // load reads a report, or returns nil where none came along.
-func (in *instance) load(f *fields) *choice.Load {
+func (in *instance) load(f *fields) *placement.Load {
 	n := f.count(int(f.u8()), 4)
 	if n == 0 {
 		return nil
@@ -283,9 +283,9 @@
 	return l
 }
 
-func (in *instance) pong(now choice.Millis, f *fields) {
+func (in *instance) pong(now placement.Millis, f *fields) {
 	f.skip(8)
-	code, node := f.u8(), choice.NodeID(f.u32())
+	code, node := f.u8(), placement.NodeID(f.u32())
 	load := in.load(f)
 	if f.err == nil {
 		in.engine.Probed(now, node, code == 0, load)
--- a/internal/drill/drill_test.go
+++ b/internal/frontend/simulator/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package simulator
 
 import (
 	"bytes"
--- a/internal/drill/wire.go
+++ b/internal/frontend/simulator/wire.go
@@ -1,5 +1,5 @@
-// Package drill speaks the bench's wire and translates it into calls of the decision module.
-package drill
+// Package simulator speaks the bench's wire and translates it into calls of the decision module.
+package simulator
 
 import (
 	"bufio"
@@ -176,7 +176,7 @@
 		case uint64:
 			p.b = binary.BigEndian.AppendUint64(p.b, v)
 		default:
-			panic(fmt.Sprintf("drill: no encoding for %T", part))
+			panic(fmt.Sprintf("simulator: no encoding for %T", part))
 		}
 	}
 	binary.BigEndian.PutUint32(p.b[start-4:], uint32(len(p.b)-start))
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -15,16 +15,16 @@
 	"hash/fnv"
 	"slices"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 const (
-	mostTries    = 3                  // times that a group is begun; each that falls apart costs starts and stops
-	pauseFirst   = choice.Millis(400) // ms, at least, before a group that fell apart is begun again; doubles
-	leastStart   = choice.Millis(300) // ms that a start needs; with less left another try is waste
-	answerMargin = choice.Millis(20)  // ms before the pending timeout by which the group is answered, at least
-	marginShare  = 0.02               // of the pending timeout, likewise: the ask may have been held up on its way here
-	stopAgain    = choice.Millis(2e3) // ms after which a stop that came to nothing is repeated
+	mostTries    = 3                     // times that a group is begun; each that falls apart costs starts and stops
+	pauseFirst   = placement.Millis(400) // ms, at least, before a group that fell apart is begun again; doubles
+	leastStart   = placement.Millis(300) // ms that a start needs; with less left another try is waste
+	answerMargin = placement.Millis(20)  // ms before the pending timeout by which the group is answered, at least
+	marginShare  = 0.02                  // of the pending timeout, likewise: the ask may have been held up on its way here
+	stopAgain    = placement.Millis(2e3) // ms after which a stop that came to nothing is repeated
 )
 
 // State is how far a group is.
@@ -64,7 +64,7 @@
 
 // Part is what a decision needs of a part.
 type Part struct {
-	Effect choice.Effect
+	Effect placement.Effect
 	Size   float64 // its share of a machine: larger ones are asked for first
 }
 
@@ -72,9 +72,9 @@
 type Wish struct {
 	Parts         []Part
 	Need          int // parts that must run, at least
-	Left          choice.Millis
+	Left          placement.Millis
 	OnLoss        OnLoss
-	ReplaceWithin choice.Millis
+	ReplaceWithin placement.Millis
 }
 
 // ActKind says what is to be done.
@@ -99,8 +99,8 @@
 	Part  int
 	Parts []int // of Try, larger ones first
 	Need  int   // of Try
-	At    choice.Millis
-	Left  choice.Millis // of Ask
+	At    placement.Millis
+	Left  placement.Millis // of Ask
 }
 
 // Gang is one group.
@@ -108,25 +108,25 @@
 	State   State
 	Parts   []PartState
 	wish    Wish
-	expires choice.Millis
+	expires placement.Millis
 	seed    uint64
 	tries   int
 	owed    bool // the owner has no answer yet
 	again   bool // it is begun again once it is undone
 	harmed  bool // a part that must not run twice may have run
-	wake    choice.Millis
-	stopAt  choice.Millis // when stops are repeated
+	wake    placement.Millis
+	stopAt  placement.Millis // when stops are repeated
 }
 
 // New makes a group that is to be begun.
-func New(now choice.Millis, w Wish, seed uint64) *Gang {
+func New(now placement.Millis, w Wish, seed uint64) *Gang {
 	w.Need = min(max(1, w.Need), len(w.Parts))
 	return &Gang{wish: w, Parts: make([]PartState, len(w.Parts)), expires: now + w.Left, seed: seed, owed: true}
 }
 
 // Recover makes a group of what was found of it after a restart: its parts that run. One that was declared
 // standing goes on if enough of it is there; any other is undone. Its owner has its answer, or is gone.
-func Recover(now choice.Millis, w Wish, running []bool, declared bool, seed uint64) (*Gang, []Act) {
+func Recover(now placement.Millis, w Wish, running []bool, declared bool, seed uint64) (*Gang, []Act) {
 	g := New(now, w, seed)
 	g.owed, g.State = false, Standing
 	for i, runs := range running {
@@ -153,7 +153,7 @@
 }
 
 // Begin begins the group: all parts are asked for at once, so that what is known decides about it as a whole.
-func (g *Gang) Begin(now choice.Millis) []Act {
+func (g *Gang) Begin(now placement.Millis) []Act {
 	if g.State != Pending {
 		return nil
 	}
@@ -176,12 +176,12 @@
 // answerBy is when the group is answered at the latest. Its owner counts from when it asked; how long the ask was under way
 // nobody here knows. A hunt found groups answered some 30 ms too late over a network that holds frames up; with less than a
 // fiftieth of the time left nothing starts any more, so that little is given away.
-func (g *Gang) answerBy() choice.Millis {
-	return g.expires - max(answerMargin, choice.Millis(marginShare)*g.wish.Left)
+func (g *Gang) answerBy() placement.Millis {
+	return g.expires - max(answerMargin, placement.Millis(marginShare)*g.wish.Left)
 }
 
 // Tried takes which parts were offered. Either that is enough for the group, or nothing was sent.
-func (g *Gang) Tried(now choice.Millis, offered []bool) []Act {
+func (g *Gang) Tried(now placement.Millis, offered []bool) []Act {
 	if g.State != Starting {
 		return nil
 	}
@@ -198,7 +198,7 @@
 }
 
 // giveUp answers at once a group of which nothing is left.
-func (g *Gang) giveUp(choice.Millis) []Act {
+func (g *Gang) giveUp(placement.Millis) []Act {
 	g.State = GivenUp
 	return append(g.refuse(), Act{Kind: Forget})
 }
@@ -216,7 +216,7 @@
 }
 
 // Up takes that a part runs.
-func (g *Gang) Up(now choice.Millis, part int) []Act {
+func (g *Gang) Up(now placement.Millis, part int) []Act {
 	if g.Parts[part] != Asked {
 		return nil // called off meanwhile: its stop is on the way
 	}
@@ -231,7 +231,7 @@
 }
 
 // stands declares the group standing once enough parts run and none is on its way.
-func (g *Gang) stands(choice.Millis) []Act {
+func (g *Gang) stands(placement.Millis) []Act {
 	if g.count(Running, Finished) < g.wish.Need || g.count(Asked) > 0 {
 		return nil
 	}
@@ -250,8 +250,8 @@
 }
 
 // Failed takes that a part will not be placed, and whether it may run all the same.
-func (g *Gang) Failed(now choice.Millis, part int, mayRun bool) []Act {
-	if mayRun && g.wish.Parts[part].Effect != choice.Restartable {
+func (g *Gang) Failed(now placement.Millis, part int, mayRun bool) []Act {
+	if mayRun && g.wish.Parts[part].Effect != placement.Restartable {
 		g.harmed = true
 	}
 	was := g.Parts[part]
@@ -263,13 +263,13 @@
 }
 
 // Ended takes that a part is no more: it ran to its own end, or was stopped, evicted or lost.
-func (g *Gang) Ended(now choice.Millis, part int, finished bool) []Act {
+func (g *Gang) Ended(now placement.Millis, part int, finished bool) []Act {
 	was := g.Parts[part]
 	switch {
 	case was == Running && finished:
 		g.Parts[part] = Finished
 	case was == Running || was == Stopping || was == Asked:
-		if g.wish.Parts[part].Effect == choice.RunOnce {
+		if g.wish.Parts[part].Effect == placement.RunOnce {
 			g.harmed = true
 		}
 		g.Parts[part] = Lost
@@ -280,7 +280,7 @@
 }
 
 // without goes on after a part is no more on its way or no more running.
-func (g *Gang) without(now choice.Millis, was PartState) []Act {
+func (g *Gang) without(now placement.Millis, was PartState) []Act {
 	switch g.State {
 	case Starting:
 		if g.count(Asked, Running, Finished) < g.wish.Need {
@@ -296,12 +296,12 @@
 }
 
 // mend goes on with a standing group that lost a part, or whose part could not be replaced.
-func (g *Gang) mend(now choice.Millis, was PartState) []Act {
+func (g *Gang) mend(now placement.Millis, was PartState) []Act {
 	if g.count(Finished) > 0 || g.count(Asked, Running) >= g.wish.Need {
 		return g.done() // its work is coming to its end, or enough of it is left
 	}
 	lost := slices.Index(g.Parts, Lost)
-	if g.wish.OnLoss == Replace && was == Running && lost >= 0 && g.wish.Parts[lost].Effect != choice.RunOnce {
+	if g.wish.OnLoss == Replace && was == Running && lost >= 0 && g.wish.Parts[lost].Effect != placement.RunOnce {
 		g.Parts[lost] = Asked
 		return []Act{{Kind: Ask, Part: lost, Left: g.wish.ReplaceWithin}, {Kind: Wake, At: now + g.wish.ReplaceWithin}}
 	}
@@ -310,19 +310,19 @@
 
 // undo stops what there is of the group: first what is only on its way, which costs least and frees the nodes'
 // lines, then what runs, larger parts first. If it may be begun again, the owner waits; else it is told at once.
-func (g *Gang) undo(now choice.Millis, mayRetry bool) []Act {
+func (g *Gang) undo(now placement.Millis, mayRetry bool) []Act {
 	g.State = Undoing
 	var stop []int
 	for i, s := range g.Parts {
 		// One that ran to its own end has had its effect. Begun again, a deduplicated one had it twice where its mark does
 		// not reach: a lost answer had kept the group from standing for longer than that part ran.
-		if s == Finished && g.wish.Parts[i].Effect != choice.Restartable {
+		if s == Finished && g.wish.Parts[i].Effect != placement.Restartable {
 			g.harmed = true
 		}
 		if s != Asked && s != Running {
 			continue
 		}
-		if g.wish.Parts[i].Effect == choice.RunOnce {
+		if g.wish.Parts[i].Effect == placement.RunOnce {
 			g.harmed = true
 		}
 		stop = append(stop, i)
@@ -345,7 +345,7 @@
 }
 
 // undone goes on once nothing of the group is left.
-func (g *Gang) undone(now choice.Millis) []Act {
+func (g *Gang) undone(now placement.Millis) []Act {
 	if g.count(Asked, Running, Stopping) > 0 {
 		return nil
 	}
@@ -363,19 +363,19 @@
 // pause is how long a group that fell apart waits. Groups that compete fall apart together; chance parts them,
 // and doubling gives one of them the time to stand. Of two alike the one with more parts comes first: it is the
 // harder one to place, and room that it does not get at once soon goes to others.
-func (g *Gang) pause() choice.Millis {
+func (g *Gang) pause() placement.Millis {
 	h := fnv.New64a()
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], g.seed)
 	binary.BigEndian.PutUint64(b[8:], uint64(g.tries))
 	h.Write(b[:])
 	chance := float64(h.Sum64()>>11%1024) / 1024
-	longest := pauseFirst * choice.Millis(int(1)<<min(g.tries, 8)) / choice.Millis(min(len(g.Parts), 4))
-	return pauseFirst + longest*choice.Millis(chance)
+	longest := pauseFirst * placement.Millis(int(1)<<min(g.tries, 8)) / placement.Millis(min(len(g.Parts), 4))
+	return pauseFirst + longest*placement.Millis(chance)
 }
 
 // Withdraw takes that the owner wants the group no more. It is owed no answer.
-func (g *Gang) Withdraw(now choice.Millis) []Act {
+func (g *Gang) Withdraw(now placement.Millis) []Act {
 	g.owed, g.again = false, false
 	switch g.State {
 	case Pending:
@@ -387,7 +387,7 @@
 }
 
 // Due takes that a time has come.
-func (g *Gang) Due(now choice.Millis) []Act {
+func (g *Gang) Due(now placement.Millis) []Act {
 	switch g.State {
 	case Pending:
 		if now >= g.wake {
@@ -412,7 +412,7 @@
 }
 
 // late ends a start whose time is up: if enough parts run the others are called off, else all of it.
-func (g *Gang) late(now choice.Millis) []Act {
+func (g *Gang) late(now placement.Millis) []Act {
 	if g.count(Running, Finished) < g.wish.Need {
 		return g.undo(now, false)
 	}
@@ -427,7 +427,7 @@
 }
 
 // stopMore repeats the stops whose end is not known yet.
-func (g *Gang) stopMore(now choice.Millis) []Act {
+func (g *Gang) stopMore(now placement.Millis) []Act {
 	g.stopAt = now + stopAgain
 	acts := []Act{{Kind: Wake, At: g.stopAt}}
 	for i, s := range g.Parts {
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // started is a group of parts of one effect that has been begun, all of it offered.
-func started(need int, w Wish, effects ...choice.Effect) *Gang {
+func started(need int, w Wish, effects ...placement.Effect) *Gang {
 	for i, e := range effects {
 		w.Parts = append(w.Parts, Part{Effect: e, Size: float64(i)})
 	}
@@ -46,7 +46,7 @@
 	return words
 }
 
-const safe = choice.Restartable
+const safe = placement.Restartable
 
 func TestAGroupStandsOnceAllOfItRuns(t *testing.T) {
 	g := New(0, Wish{Parts: []Part{{Size: 0.1}, {Size: 0.9}}, Left: 5e3}, 1)
@@ -77,14 +77,14 @@
 	assert.Empty(t, g.Ended(30, 0, false))
 	acts = g.Ended(40, 1, false)
 	require.Equal(t, []string{"wake"}, kinds(acts))
-	assert.Greater(t, acts[0].At, choice.Millis(40)+pauseFirst-1)
+	assert.Greater(t, acts[0].At, placement.Millis(40)+pauseFirst-1)
 	assert.Equal(t, []string{"try", "wake"}, kinds(g.Due(acts[0].At)))
 	assert.Equal(t, 2, g.Tries())
 }
 
 func TestTheBudgetOfTriesEnds(t *testing.T) {
 	g := started(2, Wish{Left: 100e3}, safe, safe)
-	now := choice.Millis(0)
+	now := placement.Millis(0)
 	for try := 1; ; try++ {
 		acts := g.Failed(now, 0, false)
 		if try == mostTries {
@@ -99,18 +99,18 @@
 }
 
 func TestAPartThatMayHaveRunAndMustNotTwiceEndsTheGroup(t *testing.T) {
-	for _, effect := range []choice.Effect{choice.RunOnce, choice.Deduplicated} {
+	for _, effect := range []placement.Effect{placement.RunOnce, placement.Deduplicated} {
 		g := started(2, Wish{}, effect, safe)
 		assert.Equal(t, []string{"give up", "stop 1", "wake"}, kinds(g.Failed(20, 0, true)))
 	}
 	// It was started and stopped: it has run.
-	g := started(2, Wish{}, choice.RunOnce, safe)
+	g := started(2, Wish{}, placement.RunOnce, safe)
 	up(g, 0)
 	assert.Equal(t, []string{"give up", "stop 0", "wake"}, kinds(g.Failed(20, 1, false)))
 	// A restartable one may run twice; it never ran, so it may be tried again.
 	g = started(2, Wish{}, safe, safe)
 	assert.Equal(t, []string{"stop 1", "wake"}, kinds(g.Failed(20, 0, true)))
-	g = started(2, Wish{}, choice.RunOnce, safe)
+	g = started(2, Wish{}, placement.RunOnce, safe)
 	assert.Equal(t, []string{"stop 1", "wake"}, kinds(g.Failed(20, 0, false)), "it never ran")
 }
 
@@ -126,11 +126,11 @@
 	up(g, 0, 1)
 	acts := g.Ended(20, 0, false)
 	assert.Equal(t, []string{"ask 0", "wake"}, kinds(acts))
-	assert.Equal(t, choice.Millis(3e3), acts[0].Left)
+	assert.Equal(t, placement.Millis(3e3), acts[0].Left)
 	assert.Equal(t, []string{"keep"}, kinds(g.Up(900, 0)))
 	g.Ended(1000, 1, false)
 	assert.Equal(t, []string{"over", "stop 0", "wake"}, kinds(g.Failed(1200, 1, false)))
-	g = started(2, Wish{OnLoss: Replace, ReplaceWithin: 3e3}, choice.RunOnce, safe)
+	g = started(2, Wish{OnLoss: Replace, ReplaceWithin: 3e3}, placement.RunOnce, safe)
 	up(g, 0, 1)
 	assert.Equal(t, []string{"over", "stop 1", "wake"}, kinds(g.Ended(20, 0, false)), "it must not start twice")
 	// More parts than needed: one may go.
@@ -188,12 +188,12 @@
 type world struct {
 	gangs   [2]Gang
 	parts   [2][2]PartState
-	now     [2]choice.Millis
-	wakes   [2]choice.Millis // the next one, 0 for none
-	at      [2][2]int        // node that a part's offer went to, -1 for none
-	phase   [2][2]string     // offered, runs, stopping
-	orphans [2]bool          // by node: a part runs there that was given up
-	fault   bool             // it has happened
+	now     [2]placement.Millis
+	wakes   [2]placement.Millis // the next one, 0 for none
+	at      [2][2]int           // node that a part's offer went to, -1 for none
+	phase   [2][2]string        // offered, runs, stopping
+	orphans [2]bool             // by node: a part runs there that was given up
+	fault   bool                // it has happened
 	answers [2]int
 	broken  string
 }
@@ -320,7 +320,7 @@
 
 // Every order of everything that can happen to two groups of two parts on two nodes, with one fault.
 func TestNoOrderOfEventsLeavesAPartOfAGroup(t *testing.T) {
-	for _, effect := range []choice.Effect{choice.Restartable, choice.RunOnce} {
+	for _, effect := range []placement.Effect{placement.Restartable, placement.RunOnce} {
 		var first world
 		for g := range 2 {
 			first.gangs[g] = *New(0, Wish{Parts: []Part{{Effect: effect}, {Effect: effect}}, Need: 2, Left: 1500}, uint64(g))
@@ -368,20 +368,20 @@
 
 // A network that held a group's ask up had it answered after its owner had given up: the margin grows with the time.
 func TestAGroupIsAnsweredEarlyByAShareOfItsTime(t *testing.T) {
-	for left, want := range map[choice.Millis]choice.Millis{500: 480, 8000: 7840} {
+	for left, want := range map[placement.Millis]placement.Millis{500: 480, 8000: 7840} {
 		g := New(1000, Wish{Left: left, Need: 1, Parts: []Part{{Size: 1}}}, 1)
-		var wakes []choice.Millis
+		var wakes []placement.Millis
 		for _, a := range g.Begin(1000) {
 			if a.Kind == Wake {
 				wakes = append(wakes, a.At)
 			}
 		}
-		assert.Equal(t, []choice.Millis{1000 + want}, wakes)
+		assert.Equal(t, []placement.Millis{1000 + want}, wakes)
 	}
 }
 
 func TestAGroupOneOfWhosePartsRanToItsEndIsNotBegunAgain(t *testing.T) {
-	for effect, again := range map[choice.Effect]bool{choice.Restartable: true, choice.Deduplicated: false} {
+	for effect, again := range map[placement.Effect]bool{placement.Restartable: true, placement.Deduplicated: false} {
 		g := New(0, Wish{Left: 8000, Need: 2, Parts: []Part{{Size: 1, Effect: effect}, {Size: 1, Effect: effect}}}, 1)
 		g.Begin(0)
 		g.Tried(0, []bool{true, true})
--- a/internal/load/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
-	"grebeglade/internal/lab"
-	"grebeglade/internal/link"
-	"grebeglade/internal/port"
+	"grebeglade/internal/frontend/native"
+	"grebeglade/internal/simulation"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 	"grebeglade/trace"
 )
@@ -64,10 +64,10 @@
 // What an allocator was asked on a day can be asked of another one, faster.
 func TestATraceIsAskedAgainAtItsTimes(t *testing.T) {
 	dir := t.TempDir()
-	s, err := lab.Open("quiet")
+	s, err := simulation.Open("quiet")
 	require.NoError(t, err)
 	s.Stretch(4000)
-	r, err := lab.PlayVirtual(s, lab.Options{Seed: 1, Trace: dir})
+	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
 	require.NoError(t, err)
 	names, _, _ := trace.Files(dir + "/allocator-1")
 	require.NotEmpty(t, names)
@@ -103,12 +103,12 @@
 			go func() {
 				in := bufio.NewReader(conn)
 				send := func(f *pb.Frame) {
-					if b, err := link.Append(nil, f); err == nil {
+					if b, err := transport.Append(nil, f); err == nil {
 						conn.Write(b)
 					}
 				}
 				if _, err := receive(in); err == nil {
-					send(link.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 1}))
+					send(transport.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 1}))
 					serve(in, send, conn)
 				}
 			}()
@@ -218,15 +218,15 @@
 
 // The tool speaks to a real allocator as any owner does: without a node, all is rejected at once, with the reason.
 func TestARealAllocatorIsAsked(t *testing.T) {
-	loop := link.NewLoop(nil)
+	loop := transport.NewLoop(nil)
 	defer loop.Close()
-	p := port.New(port.Config{
+	p := native.New(native.Config{
 		Name: "a", Incarnation: 1, Groups: []string{"g"}, Kinds: []string{"k"},
-		Settings: choice.Settings{
-			Allocators: 1, Groups: []choice.Group{{Target: 1000, Utility: 1, Kind: -1}}, Kinds: []choice.Kind{{Cores: 2, Memory: 2}}, MaxBinds: 3,
+		Settings: placement.Settings{
+			Allocators: 1, Groups: []placement.Group{{Target: 1000, Utility: 1, Kind: -1}}, Kinds: []placement.Kind{{Cores: 2, Memory: 2}}, MaxBinds: 3,
 		},
 	})
-	addr, err := loop.Listen(p, "127.0.0.1:0", link.DefaultLimits)
+	addr, err := loop.Listen(p, "127.0.0.1:0", transport.DefaultLimits)
 	require.NoError(t, err)
 	loop.Run()
 	r := run(t, addr, 2, ask(0), ask(0), ask(0))
--- a/internal/load/schedule.go
+++ b/internal/loadgen/schedule.go
@@ -1,10 +1,10 @@
-// Package load asks a running allocator for workloads at times that are fixed beforehand, whether or not it keeps up,
+// Package loadgen asks a running allocator for workloads at times that are fixed beforehand, whether or not it keeps up,
 // and measures how long each answer took from when its ask was due. What the tool itself sends late is known and told
 // apart: it counts for the latency, as the owner had to wait for it, and where it is more than a little the run says that
 // the tool and not the allocator was measured.
 //
 // Times are durations since the start of the load, unless they say otherwise.
-package load
+package loadgen
 
 import (
 	"cmp"
--- a/internal/oracle/oracle.go
+++ b/internal/oracle/oracle.go
@@ -13,11 +13,11 @@
 	"cmp"
 	"slices"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Span is a stretch of time.
-type Span struct{ From, Until choice.Millis }
+type Span struct{ From, Until placement.Millis }
 
 // Machine is a machine with the times at which it is there.
 type Machine struct {
@@ -30,20 +30,20 @@
 
 // Want is a workload: what it asks for, what it then uses, and when it is wanted.
 type Want struct {
-	From, Until           choice.Millis
+	From, Until           placement.Millis
 	Service               uint64
 	Cores, Memory         float64
 	UsesCores, UsesMemory float64
-	Spread                choice.Scope
+	Spread                placement.Scope
 	SpreadMost            int
-	Again                 choice.Millis // after its machine died, until its owner asks again; below 0 for never
+	Again                 placement.Millis // after its machine died, until its owner asks again; below 0 for never
 }
 
 // Rules are the limits beyond those of the machines.
 type Rules struct {
 	// Bears is how many workloads a machine may be sent within Window, so long after its start; below 0 for any.
-	Bears  func(up choice.Millis) float64
-	Window choice.Millis
+	Bears  func(up placement.Millis) float64
+	Window placement.Millis
 	Asked  bool // what a machine loses waits until its owner asks again
 }
 
@@ -51,30 +51,30 @@
 type placed struct {
 	w     *Want
 	on    *machine
-	since choice.Millis
+	since placement.Millis
 }
 
 type machine struct {
 	*Machine
 	up                  bool
-	born                choice.Millis
+	born                placement.Millis
 	first               bool // of its lives: it has been up for long
 	draining            bool
 	askCores, askMemory float64
 	useCores, useMemory float64
 	here                []*placed
-	sent                []choice.Millis
+	sent                []placement.Millis
 }
 
 type change struct {
-	at   choice.Millis
+	at   placement.Millis
 	rank int // what frees room comes first
 	do   func()
 }
 
 // Place is the core time, in core milliseconds until the end, that a scheduler gets to run which places at once, sees
 // all, and never moves anything: the largest that wait first, each where least is left over. Rules may be nil.
-func Place(machines []Machine, wants []Want, end choice.Millis, rules *Rules) float64 {
+func Place(machines []Machine, wants []Want, end placement.Millis, rules *Rules) float64 {
 	p := &placing{end: end, rules: rules}
 	changes := p.changes
 	for i := range machines {
@@ -124,7 +124,7 @@
 type placing struct {
 	machines []*machine
 	waiting  []*Want
-	end      choice.Millis
+	end      placement.Millis
 	rules    *Rules
 	ran      float64
 	changes  []change
@@ -147,7 +147,7 @@
 	m.useMemory += sign * w.UsesMemory
 }
 
-func (p *placing) dies(m *machine, at choice.Millis) {
+func (p *placing) dies(m *machine, at placement.Millis) {
 	for _, x := range m.here {
 		p.ran += x.w.Cores * float64(min(at, p.end)-x.since)
 		switch w := x.w; {
@@ -178,7 +178,7 @@
 // slack keeps rounding from refusing what just fits.
 const slack = 1e-9
 
-func (p *placing) placeAll(now choice.Millis) {
+func (p *placing) placeAll(now placement.Millis) {
 	slices.SortStableFunc(p.waiting, func(x, y *Want) int { return cmp.Compare(y.Cores, x.Cores) })
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *Want) bool {
 		var best *machine
@@ -207,7 +207,7 @@
 }
 
 // allows tells whether the rules let a workload go there.
-func (p *placing) allows(m *machine, w *Want, now choice.Millis) bool {
+func (p *placing) allows(m *machine, w *Want, now placement.Millis) bool {
 	if p.rules.Bears != nil && !m.first {
 		if most := p.rules.Bears(now - m.born); most >= 0 {
 			recent := 0
@@ -221,7 +221,7 @@
 			}
 		}
 	}
-	if w.Spread == choice.ScopeNone {
+	if w.Spread == placement.ScopeNone {
 		return true
 	}
 	held := 0
@@ -238,13 +238,13 @@
 	return held < w.SpreadMost
 }
 
-func (m *machine) near(o *machine, s choice.Scope) bool {
+func (m *machine) near(o *machine, s placement.Scope) bool {
 	switch s {
-	case choice.ScopeNode:
+	case placement.ScopeNode:
 		return m == o
-	case choice.ScopeCell:
+	case placement.ScopeCell:
 		return m.Zone == o.Zone && m.Cell == o.Cell
-	case choice.ScopeZone:
+	case placement.ScopeZone:
 		return m.Zone == o.Zone
 	}
 	return true
@@ -252,8 +252,8 @@
 
 // Bound is core time, in core milliseconds until the end, that no scheduler can exceed: at each instant what is
 // wanted then, as far as the machines that are up could hold it if they were one, in each respect by itself.
-func Bound(machines []Machine, wants []Want, end choice.Millis) float64 {
-	times := []choice.Millis{end}
+func Bound(machines []Machine, wants []Want, end placement.Millis) float64 {
+	times := []placement.Millis{end}
 	for _, m := range machines {
 		for _, s := range m.Up {
 			times = append(times, s.From, s.Until)
--- a/internal/oracle/oracle_test.go
+++ b/internal/oracle/oracle_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 func machineOf(cores float64, up ...Span) Machine {
 	return Machine{Zone: "z", Cell: "c", Cores: cores, Memory: 100, AskCores: cores, AskMemory: 100, Up: up}
 }
 
-func want(from, until choice.Millis, cores float64) Want {
+func want(from, until placement.Millis, cores float64) Want {
 	return Want{From: from, Until: until, Service: 1, Cores: cores, UsesCores: cores, Memory: 1, UsesMemory: 1}
 }
 
@@ -58,7 +58,7 @@
 func TestRulesKeepWorkloadsApartAndColdMachinesStanding(t *testing.T) {
 	m := []Machine{machineOf(10, Span{0, 10}, Span{20, 1000})}
 	w := []Want{want(30, 100, 1), want(30, 100, 1), want(30, 100, 1)}
-	bears := &Rules{Window: 1000, Bears: func(up choice.Millis) float64 {
+	bears := &Rules{Window: 1000, Bears: func(up placement.Millis) float64 {
 		if up >= 500 {
 			return -1
 		}
@@ -66,7 +66,7 @@
 	}}
 	assert.Equal(t, 2*70.0, Place(m, w, 1000, bears))
 	for i := range w {
-		w[i].Spread, w[i].SpreadMost = choice.ScopeCell, 1
+		w[i].Spread, w[i].SpreadMost = placement.ScopeCell, 1
 	}
 	assert.Equal(t, 70.0, Place(m, w, 1000, bears))
 	assert.Equal(t, 3*70.0, Place(m, w, 1000, nil))
@@ -79,13 +79,13 @@
 		time := rapid.Float64Range(0, 1000)
 		var m []Machine
 		for range rapid.IntRange(1, 5).Draw(t, "machines") {
-			from := choice.Millis(time.Draw(t, "from"))
+			from := placement.Millis(time.Draw(t, "from"))
 			m = append(m, machineOf(rapid.Float64Range(1, 10).Draw(t, "cores"), Span{0, from}, Span{from + 50, 2000}))
 		}
 		var w []Want
 		for range rapid.IntRange(0, 30).Draw(t, "wants") {
-			from := choice.Millis(time.Draw(t, "from"))
-			w = append(w, want(from, from+choice.Millis(time.Draw(t, "for")), rapid.Float64Range(0.1, 8).Draw(t, "cores")))
+			from := placement.Millis(time.Draw(t, "from"))
+			w = append(w, want(from, from+placement.Millis(time.Draw(t, "for")), rapid.Float64Range(0.1, 8).Draw(t, "cores")))
 		}
 		bound := Bound(m, w, 1000)
 		if placed := Place(m, w, 1000, nil); placed > bound*(1+1e-9)+1e-6 {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -15,19 +15,19 @@
 //	before   its time is over                     unknown   it is placed
 package recovery
 
-import "grebeglade/choice"
+import "grebeglade/placement"
 
 // Rule is what a group's workloads need.
 type Rule struct {
-	Effect choice.Effect
-	Window choice.Millis // that a deduplicated one's mark counts
+	Effect placement.Effect
+	Window placement.Millis // that a deduplicated one's mark counts
 }
 
 // Settings are what a book goes by.
 type Settings struct {
 	Groups map[string]Rule
-	Keep   choice.Millis // that a run-once key is known after its last bind
-	Most   int           // keys that may be known, 0 for any number
+	Keep   placement.Millis // that a run-once key is known after its last bind
+	Most   int              // keys that may be known, 0 for any number
 }
 
 // Bind is the last offer of a key.
@@ -79,11 +79,11 @@
 	if r, ok := b.s.Groups[group]; ok {
 		return r
 	}
-	return Rule{Effect: choice.RunOnce}
+	return Rule{Effect: placement.RunOnce}
 }
 
 // Needs tells whether an offer of that group must be written down, and last, before it leaves.
-func (b *Book) Needs(group string) bool { return b.rule(group).Effect != choice.Restartable }
+func (b *Book) Needs(group string) bool { return b.rule(group).Effect != placement.Restartable }
 
 // Asked rules on an ask. Whether the key stands somewhere its caller knows better.
 func (b *Book) Asked(now float64, key uint64, group string) Ruling {
@@ -92,7 +92,7 @@
 		delete(b.keys, key)
 		ok = false
 	}
-	if ok && (k.before || b.rule(k.bind.Group).Effect == choice.RunOnce) {
+	if ok && (k.before || b.rule(k.bind.Group).Effect == placement.RunOnce) {
 		return MayHaveRun
 	}
 	if !ok && b.Needs(group) && b.s.Most > 0 && len(b.keys) >= b.s.Most && !b.prune(now) {
@@ -110,7 +110,7 @@
 // Offer takes a bind that is about to leave, and returns it with the time until which it must be known.
 func (b *Book) Offer(now float64, bind Bind) Bind {
 	keep := b.s.Keep
-	if r := b.rule(bind.Group); r.Effect == choice.Deduplicated {
+	if r := b.rule(bind.Group); r.Effect == placement.Deduplicated {
 		keep = r.Window
 	}
 	bind.Until = now + float64(keep)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -5,12 +5,12 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 var settings = Settings{
 	Groups: map[string]Rule{
-		"serve": {Effect: choice.Restartable}, "check": {Effect: choice.Deduplicated, Window: 50}, "once": {Effect: choice.RunOnce},
+		"serve": {Effect: placement.Restartable}, "check": {Effect: placement.Deduplicated, Window: 50}, "once": {Effect: placement.RunOnce},
 	},
 	Keep: 1000,
 }
--- a/internal/replay/encode.go
+++ b/internal/replay/encode.go
@@ -5,11 +5,11 @@
 package replay
 
 import (
-	"grebeglade/choice"
+	"grebeglade/placement"
 	"grebeglade/trace/tracepb"
 )
 
-func encodeSettings(s choice.Settings) *tracepb.Settings {
+func encodeSettings(s placement.Settings) *tracepb.Settings {
 	e := &tracepb.Settings{
 		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), ColdFor: float64(s.ColdFor),
 		ColdFrom: s.ColdFrom, ColdBears: s.ColdBears, OverloadFor: float64(s.OverloadFor), MustAsk: s.MustAsk,
@@ -29,42 +29,42 @@
 	return e
 }
 
-func decodeSettings(e *tracepb.Settings) choice.Settings {
-	s := choice.Settings{
+func decodeSettings(e *tracepb.Settings) placement.Settings {
+	s := placement.Settings{
 		Allocators: int(e.GetAllocators()), Ordinal: int(e.GetOrdinal()),
-		ColdFor: choice.Millis(e.GetColdFor()), ColdFrom: e.GetColdFrom(), ColdBears: e.GetColdBears(),
-		OverloadFor: choice.Millis(e.GetOverloadFor()), MustAsk: e.GetMustAsk(), AskWithin: choice.Millis(e.GetAskWithin()),
+		ColdFor: placement.Millis(e.GetColdFor()), ColdFrom: e.GetColdFrom(), ColdBears: e.GetColdBears(),
+		OverloadFor: placement.Millis(e.GetOverloadFor()), MustAsk: e.GetMustAsk(), AskWithin: placement.Millis(e.GetAskWithin()),
 		ConfirmsRunning: e.GetConfirmsRunning(), ReportsUse: e.GetReportsUse(), RoomInList: e.GetRoomInList(),
 		MaxBinds: int(e.GetMaxBinds()), MayProbe: e.GetMayProbe(),
 	}
 	for _, k := range e.GetKinds() {
-		s.Kinds = append(s.Kinds, choice.Kind{Cores: k.Cores, Memory: k.Memory})
+		s.Kinds = append(s.Kinds, placement.Kind{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range e.GetGroups() {
-		s.Groups = append(s.Groups, choice.Group{
-			Target: choice.Millis(g.Target), Utility: g.Utility, Effect: choice.Effect(g.Effect),
-			DedupScope: choice.Scope(g.DedupScope), DedupWindow: choice.Millis(g.DedupWindow), Spread: choice.Scope(g.Spread),
+		s.Groups = append(s.Groups, placement.Group{
+			Target: placement.Millis(g.Target), Utility: g.Utility, Effect: placement.Effect(g.Effect),
+			DedupScope: placement.Scope(g.DedupScope), DedupWindow: placement.Millis(g.DedupWindow), Spread: placement.Scope(g.Spread),
 			SpreadMost: int(g.SpreadMost), Calm: g.Calm, Fade: g.Fade, Kind: int(g.Kind),
 		})
 	}
 	return s
 }
 
-func encodeWorkload(w choice.Workload) *tracepb.Workload {
+func encodeWorkload(w placement.Workload) *tracepb.Workload {
 	return &tracepb.Workload{
 		Id: uint32(w.ID), Service: uint64(w.Service), Group: uint32(w.Group), Cores: w.Cores, Memory: w.Memory,
 		Left: float64(w.Left), Again: w.Again,
 	}
 }
 
-func decodeWorkload(e *tracepb.Workload) choice.Workload {
-	return choice.Workload{
-		ID: choice.WorkloadID(e.GetId()), Service: choice.ServiceID(e.GetService()), Group: choice.GroupID(e.GetGroup()),
-		Cores: e.GetCores(), Memory: e.GetMemory(), Left: choice.Millis(e.GetLeft()), Again: e.GetAgain(),
+func decodeWorkload(e *tracepb.Workload) placement.Workload {
+	return placement.Workload{
+		ID: placement.WorkloadID(e.GetId()), Service: placement.ServiceID(e.GetService()), Group: placement.GroupID(e.GetGroup()),
+		Cores: e.GetCores(), Memory: e.GetMemory(), Left: placement.Millis(e.GetLeft()), Again: e.GetAgain(),
 	}
 }
 
-func encodeLoad(l *choice.Load) *tracepb.Load {
+func encodeLoad(l *placement.Load) *tracepb.Load {
 	if l == nil {
 		return nil
 	}
@@ -73,16 +73,16 @@
 	}
 }
 
-func decodeLoad(e *tracepb.Load) *choice.Load {
+func decodeLoad(e *tracepb.Load) *placement.Load {
 	if e == nil {
 		return nil
 	}
-	return &choice.Load{
+	return &placement.Load{
 		SpareCores: e.SpareCores, SpareMemory: e.SpareMemory, Backlog: e.Backlog, Utilization: e.Utilization,
 	}
 }
 
-func encodeNodes(nodes []choice.Node) []*tracepb.Node {
+func encodeNodes(nodes []placement.Node) []*tracepb.Node {
 	all := make([]*tracepb.Node, len(nodes))
 	for i, n := range nodes {
 		all[i] = &tracepb.Node{
@@ -93,25 +93,25 @@
 	return all
 }
 
-func decodeNodes(all []*tracepb.Node) []choice.Node {
-	nodes := make([]choice.Node, len(all))
+func decodeNodes(all []*tracepb.Node) []placement.Node {
+	nodes := make([]placement.Node, len(all))
 	for i, n := range all {
-		nodes[i] = choice.Node{
-			ID: choice.NodeID(n.Id), State: choice.NodeState(n.State), Kind: choice.KindID(n.Kind),
-			Zone: choice.ZoneID(n.Zone), Cell: choice.CellID(n.Cell), Born: choice.Millis(n.Born), FreeCores: n.FreeCores,
+		nodes[i] = placement.Node{
+			ID: placement.NodeID(n.Id), State: placement.NodeState(n.State), Kind: placement.KindID(n.Kind),
+			Zone: placement.ZoneID(n.Zone), Cell: placement.CellID(n.Cell), Born: placement.Millis(n.Born), FreeCores: n.FreeCores,
 			FreeMemory: n.FreeMemory,
 		}
 	}
 	return nodes
 }
 
-func encodeStep(s choice.Step) *tracepb.Step {
+func encodeStep(s placement.Step) *tracepb.Step {
 	return &tracepb.Step{
 		Kind: uint32(s.Kind), Node: uint32(s.Node), Timeout: float64(s.Timeout), Until: float64(s.Until),
 	}
 }
 
-func encodeChores(c choice.Chores) *tracepb.Chores {
+func encodeChores(c placement.Chores) *tracepb.Chores {
 	e := &tracepb.Chores{Watch: c.Watch, Again: float64(c.Again)}
 	for _, id := range c.Moves {
 		e.Moves = append(e.Moves, uint32(id))
--- a/internal/replay/extract.go
+++ b/internal/replay/extract.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -88,12 +88,12 @@
 // decide runs a module on some calls and returns its first step for the last one.
 func (x *Extract) decide(before []*trace.Record, last *trace.Record) *tracepb.Step {
 	r := &run{
-		module: choice.New(decodeSettings(x.Start.Settings), x.Start.Seed), steps: map[uint32]choice.Step{},
+		module: placement.New(decodeSettings(x.Start.Settings), x.Start.Seed), steps: map[uint32]placement.Step{},
 	}
 	for _, rec := range before {
 		r.replayed(rec)
 	}
-	return encodeStep(r.module.Place(choice.Millis(last.AtMs), decodeWorkload(last.GetPlace().Workload)))
+	return encodeStep(r.module.Place(placement.Millis(last.AtMs), decodeWorkload(last.GetPlace().Workload)))
 }
 
 // replayed makes a call without comparing; a result for a workload whose ask was left out is left out too.
@@ -103,7 +103,7 @@
 			return
 		}
 	}
-	r.call(choice.Millis(rec.AtMs), rec)
+	r.call(placement.Millis(rec.AtMs), rec)
 }
 
 // Print writes the calls as a test in Go that makes the decision again.
@@ -111,9 +111,9 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "// %d of %d calls of %s before the decision on one ask.\n", len(x.Calls)-1, x.All, x.Source)
 	fmt.Fprintf(&b, "func TestExtracted(t *testing.T) {\n")
-	fmt.Fprintf(&b, "\ta := choice.New(%#v, %d)\n", decodeSettings(x.Start.Settings), x.Start.Seed)
+	fmt.Fprintf(&b, "\ta := placement.New(%#v, %d)\n", decodeSettings(x.Start.Settings), x.Start.Seed)
 	if slices.ContainsFunc(x.Calls[:len(x.Calls)-1], func(r *trace.Record) bool { _, of := workloadOf(r); return of }) {
-		b.WriteString("\tsteps := map[choice.WorkloadID]choice.Step{}\n")
+		b.WriteString("\tsteps := map[placement.WorkloadID]placement.Step{}\n")
 	}
 	for i, rec := range x.Calls {
 		line := goCall(rec)
@@ -122,11 +122,11 @@
 		}
 		fmt.Fprintf(&b, "\t%s\n", line)
 	}
-	fmt.Fprintf(&b, "\tassert.Equal(t, choice.StepKind(%d), s.Kind) // %s\n", x.Decision.Kind, stepText(x.Decision))
-	fmt.Fprintf(&b, "\tassert.Equal(t, choice.NodeID(%d), s.Node)\n}\n", x.Decision.Node)
+	fmt.Fprintf(&b, "\tassert.Equal(t, placement.StepKind(%d), s.Kind) // %s\n", x.Decision.Kind, stepText(x.Decision))
+	fmt.Fprintf(&b, "\tassert.Equal(t, placement.NodeID(%d), s.Node)\n}\n", x.Decision.Node)
 	text := strings.NewReplacer(
-		"Born:-Inf", "Born:choice.LongAgo", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
-		"}, choice.Node{", "},\nchoice.Node{", "}, choice.Group{", "},\nchoice.Group{",
+		"Born:-Inf", "Born:placement.LongAgo", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
+		"}, placement.Node{", "},\nplacement.Node{", "}, placement.Group{", "},\nplacement.Group{",
 	).Replace(b.String())
 	formatted, err := format.Source([]byte(text))
 	if err != nil {
@@ -147,8 +147,8 @@
 		w := decodeWorkload(b.Adopt.Workload)
 		return fmt.Sprintf("steps[%d] = a.Adopt(%s, %#v, %d)", w.ID, at, w, b.Adopt.Node)
 	case *tracepb.Record_Next:
-		result := choice.Result{Kind: choice.ResultKind(b.Next.Kind), Reason: choice.Reason(b.Next.Reason), Over: b.Next.Over}
-		text := fmt.Sprintf("choice.Result{Kind: %d, Reason: %d, Over: %v}", result.Kind, result.Reason, result.Over)
+		result := placement.Result{Kind: placement.ResultKind(b.Next.Kind), Reason: placement.Reason(b.Next.Reason), Over: b.Next.Over}
+		text := fmt.Sprintf("placement.Result{Kind: %d, Reason: %d, Over: %v}", result.Kind, result.Reason, result.Over)
 		if l := decodeLoad(b.Next.Load); l != nil {
 			text = strings.TrimSuffix(text, "}") + fmt.Sprintf(", Load: &%#v}", *l)
 		}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
-	"grebeglade/internal/lab"
 	"grebeglade/internal/replay"
+	"grebeglade/internal/simulation"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -22,10 +22,10 @@
 // traced plays a script in virtual time and returns the traces of each allocator.
 func traced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
-	s, err := lab.Open(name)
+	s, err := simulation.Open(name)
 	require.NoError(t, err)
 	dir := t.TempDir()
-	_, err = lab.PlayVirtual(s, lab.Options{Seed: 1, Trace: dir})
+	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
 	require.NoError(t, err)
 	return open(t, dir)
 }
@@ -61,7 +61,7 @@
 }
 
 func TestEveryScriptIsDecidedAgainAlike(t *testing.T) {
-	for _, name := range lab.Names() {
+	for _, name := range simulation.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			identical(t, traced(t, name))
@@ -70,11 +70,11 @@
 }
 
 func TestADayOverSocketsIsDecidedAgainAlike(t *testing.T) {
-	s, err := lab.Open("rough")
+	s, err := simulation.Open("rough")
 	require.NoError(t, err)
 	s.Stretch(4000)
 	dir := t.TempDir()
-	r, err := lab.PlaySockets(context.Background(), s, lab.Options{Seed: 3, Trace: dir}, nil)
+	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, Trace: dir}, nil)
 	require.NoError(t, err)
 	assert.Empty(t, r.Broken)
 	identical(t, open(t, dir))
@@ -82,25 +82,25 @@
 
 // Recording must not change what is decided.
 func TestADayWithATraceIsTheSameDay(t *testing.T) {
-	s, err := lab.Open("rough")
+	s, err := simulation.Open("rough")
 	require.NoError(t, err)
-	with, err := lab.PlayVirtual(s, lab.Options{Seed: 5, Trace: t.TempDir()})
+	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, Trace: t.TempDir()})
 	require.NoError(t, err)
-	s, err = lab.Open("rough")
+	s, err = simulation.Open("rough")
 	require.NoError(t, err)
-	without, err := lab.PlayVirtual(s, lab.Options{Seed: 5})
+	without, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5})
 	require.NoError(t, err)
 	assert.Equal(t, without.Digest, with.Digest)
 }
 
 func TestAModuleThatIsChangedIsCaughtAtItsFirstOtherDecision(t *testing.T) {
 	files := traced(t, "full")["allocator-1"]
-	changed := func(s choice.Settings, seed uint64) allocator.Module {
-		s.Groups = append([]choice.Group(nil), s.Groups...)
+	changed := func(s placement.Settings, seed uint64) allocator.Module {
+		s.Groups = append([]placement.Group(nil), s.Groups...)
 		for i := range s.Groups {
 			s.Groups[i].Calm = 0.35 // a lower cap on ρ
 		}
-		return choice.New(s, seed)
+		return placement.New(s, seed)
 	}
 	reports, err := replay.Files(files, replay.Options{Module: changed})
 	require.NoError(t, err)
@@ -121,12 +121,12 @@
 
 func TestOtherSettingsAreComparedByTheirAsks(t *testing.T) {
 	files := traced(t, "full")["allocator-1"]
-	reports, err := replay.Files(files, replay.Options{Settings: func(s choice.Settings) (choice.Settings, error) { return s, nil }})
+	reports, err := replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
 	require.NoError(t, err)
 	w := reports[0].WhatIf
 	assert.Equal(t, w.Asks, w.SameNode+w.StillRejected, "the same settings decide alike")
-	reports, err = replay.Files(files, replay.Options{Settings: func(s choice.Settings) (choice.Settings, error) {
-		s.Kinds = append([]choice.Kind(nil), s.Kinds...)
+	reports, err = replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
+		s.Kinds = append([]placement.Kind(nil), s.Kinds...)
 		for i := range s.Kinds {
 			s.Kinds[i].Cores /= 4
 		}
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/choice"
 	"grebeglade/internal/allocator"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -59,16 +59,16 @@
 // Options are what a run is made with.
 type Options struct {
 	// Settings replaces the settings of the trace: every step may differ then, and the run goes on.
-	Settings func(choice.Settings) (choice.Settings, error)
+	Settings func(placement.Settings) (placement.Settings, error)
 	// Module replaces the module, for tests of the comparison.
-	Module func(choice.Settings, uint64) allocator.Module
+	Module func(placement.Settings, uint64) allocator.Module
 }
 
 // run is one allocator's life as it is decided again.
 type run struct {
 	opts   Options
 	module allocator.Module
-	steps  map[uint32]choice.Step
+	steps  map[uint32]placement.Step
 	report Report
 	last   []string
 	next   uint64 // revision
@@ -79,7 +79,7 @@
 // divergence: what comes after is the answer to another decision.
 func Run(records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, o Options) ([]*Report, error) {
 	if o.Module == nil {
-		o.Module = func(s choice.Settings, seed uint64) allocator.Module { return choice.New(s, seed) }
+		o.Module = func(s placement.Settings, seed uint64) allocator.Module { return placement.New(s, seed) }
 	}
 	runs := map[uint32]*run{}
 	for r, err := range records {
@@ -91,7 +91,7 @@
 			if r.GetStart() == nil {
 				return nil, ErrNoStart
 			}
-			one = &run{opts: o, steps: map[uint32]choice.Step{}, next: r.Revision}
+			one = &run{opts: o, steps: map[uint32]placement.Step{}, next: r.Revision}
 			one.report.Source = sourceName(sources, r.Source)
 			runs[r.Source] = one
 		}
@@ -120,7 +120,7 @@
 }
 
 func (r *run) take(rec *trace.Record) error {
-	now := choice.Millis(rec.AtMs)
+	now := placement.Millis(rec.AtMs)
 	if g := rec.GetGap(); g != nil {
 		return fmt.Errorf("%d records are missing here (%s); what follows cannot be decided again", g.Missing, g.Why)
 	}
@@ -151,26 +151,26 @@
 }
 
 // call makes one call and compares what came of it. It returns whether the record is a call.
-func (r *run) call(now choice.Millis, rec *trace.Record) bool {
+func (r *run) call(now placement.Millis, rec *trace.Record) bool {
 	switch b := rec.Body.(type) {
 	case *tracepb.Record_Place:
 		w := decodeWorkload(b.Place.Workload)
 		r.step(rec, b.Place.Workload.GetId(), r.module.Place(now, w))
 	case *tracepb.Record_Adopt:
 		w := decodeWorkload(b.Adopt.Workload)
-		r.step(rec, b.Adopt.Workload.GetId(), r.module.Adopt(now, w, choice.NodeID(b.Adopt.Node)))
+		r.step(rec, b.Adopt.Workload.GetId(), r.module.Adopt(now, w, placement.NodeID(b.Adopt.Node)))
 	case *tracepb.Record_Next:
 		r.advance(now, rec, b.Next)
 	case *tracepb.Record_List:
-		r.module.List(now, choice.ListKind(b.List.Kind), decodeNodes(b.List.Nodes))
+		r.module.List(now, placement.ListKind(b.List.Kind), decodeNodes(b.List.Nodes))
 	case *tracepb.Record_Report:
 		if l := decodeLoad(b.Report.Load); l != nil {
-			r.module.Report(now, choice.NodeID(b.Report.Node), *l)
+			r.module.Report(now, placement.NodeID(b.Report.Node), *l)
 		}
 	case *tracepb.Record_Probed:
-		r.module.Probed(now, choice.NodeID(b.Probed.Node), b.Probed.Answered, decodeLoad(b.Probed.Load))
+		r.module.Probed(now, placement.NodeID(b.Probed.Node), b.Probed.Answered, decodeLoad(b.Probed.Load))
 	case *tracepb.Record_Note:
-		r.module.Note(now, choice.WorkloadID(b.Note.Workload), choice.NoteKind(b.Note.Kind), b.Note.Value)
+		r.module.Note(now, placement.WorkloadID(b.Note.Workload), placement.NoteKind(b.Note.Kind), b.Note.Value)
 	case *tracepb.Record_Upkeep:
 		got := encodeChores(r.module.Upkeep(now))
 		r.compare(rec, proto.Equal(got, rec.Chores), choresText(rec.Chores), choresText(got))
@@ -182,7 +182,7 @@
 
 // advance hands a result on. With other settings a workload may stand at another step than it did; what that
 // step would have come to is unknown, so its bind is taken back and the workload left.
-func (r *run) advance(now choice.Millis, rec *trace.Record, n *tracepb.Next) {
+func (r *run) advance(now placement.Millis, rec *trace.Record, n *tracepb.Next) {
 	s, ok := r.steps[n.Workload]
 	if !ok || s.Next == nil {
 		if r.opts.Settings == nil {
@@ -190,12 +190,12 @@
 		}
 		return
 	}
-	r.step(rec, n.Workload, s.Next(now, choice.Result{
-		Kind: choice.ResultKind(n.Kind), Reason: choice.Reason(n.Reason), Over: n.Over, Load: decodeLoad(n.Load),
+	r.step(rec, n.Workload, s.Next(now, placement.Result{
+		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Over: n.Over, Load: decodeLoad(n.Load),
 	}))
 }
 
-func (r *run) step(rec *trace.Record, id uint32, s choice.Step) {
+func (r *run) step(rec *trace.Record, id uint32, s placement.Step) {
 	got := encodeStep(s)
 	if r.opts.Settings != nil {
 		r.whatIf(rec, id, s, got)
@@ -211,8 +211,8 @@
 
 // whatIf counts how a first step differs. Where the recorded workload was bound to a node, whichever it now
 // is, the recorded results are taken for its own; where it was not, its bind is taken back.
-func (r *run) whatIf(rec *trace.Record, id uint32, s choice.Step, got *tracepb.Step) {
-	was, is := choice.StepKind(rec.Step.GetKind()), s.Kind
+func (r *run) whatIf(rec *trace.Record, id uint32, s placement.Step, got *tracepb.Step) {
+	was, is := placement.StepKind(rec.Step.GetKind()), s.Kind
 	r.report.Decisions++
 	if was == is && rec.Step.GetNode() == got.Node {
 		r.report.Same++
@@ -221,15 +221,15 @@
 		w := r.report.WhatIf
 		w.Asks++
 		switch {
-		case was == choice.Bind && is == choice.Bind && rec.Step.Node == got.Node:
+		case was == placement.Bind && is == placement.Bind && rec.Step.Node == got.Node:
 			w.SameNode++
-		case was == choice.Bind && is == choice.Bind:
+		case was == placement.Bind && is == placement.Bind:
 			w.OtherNode++
-		case was == choice.Bind && is == choice.Rejected:
+		case was == placement.Bind && is == placement.Rejected:
 			w.NowRejected++
-		case was == choice.Rejected && is == choice.Bind:
+		case was == placement.Rejected && is == placement.Bind:
 			w.NowBound++
-		case was == choice.Rejected && is == choice.Rejected:
+		case was == placement.Rejected && is == placement.Rejected:
 			w.StillRejected++
 		}
 	}
@@ -238,8 +238,8 @@
 	case s.Next == nil:
 	case was == is:
 		r.steps[id] = s
-	case s.Kind == choice.Bind || s.Kind == choice.Resident:
-		s.Next(choice.Millis(rec.AtMs), choice.Result{Kind: choice.NotSent, Over: true})
+	case s.Kind == placement.Bind || s.Kind == placement.Resident:
+		s.Next(placement.Millis(rec.AtMs), placement.Result{Kind: placement.NotSent, Over: true})
 	}
 }
 
@@ -279,9 +279,9 @@
 	switch {
 	case s == nil:
 		return "nothing"
-	case choice.StepKind(s.Kind) == choice.Bind:
+	case placement.StepKind(s.Kind) == placement.Bind:
 		return fmt.Sprintf("bind to node %d for %.3f ms", s.Node, s.Timeout)
-	case choice.StepKind(s.Kind) == choice.Wait:
+	case placement.StepKind(s.Kind) == placement.Wait:
 		return fmt.Sprintf("wait until %.3f ms", s.Until)
 	}
 	return word(stepWords, s.Kind)
--- a/internal/replay/tap.go
+++ b/internal/replay/tap.go
@@ -1,7 +1,7 @@
 package replay
 
 import (
-	"grebeglade/choice"
+	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -15,7 +15,7 @@
 // Began is what an allocator starts with.
 type Began struct {
 	Source               *tracepb.Source
-	Settings             choice.Settings
+	Settings             placement.Settings
 	Seed                 uint64
 	Groups, Kinds, Zones []string
 }
@@ -23,7 +23,7 @@
 // Tap is the module with every call written down. Its methods are the module's, and a few for what goes on
 // round it.
 type Tap struct {
-	module   *choice.Allocator
+	module   *placement.Allocator
 	sink     Sink
 	revision uint64
 	records  []*trace.Record
@@ -31,14 +31,14 @@
 
 // NewTap makes a module whose calls go to a sink.
 func NewTap(b Began, sink Sink) *Tap {
-	t := &Tap{module: choice.New(b.Settings, b.Seed), sink: sink}
+	t := &Tap{module: placement.New(b.Settings, b.Seed), sink: sink}
 	t.add(0, &trace.Record{Body: &tracepb.Record_Start{Start: &tracepb.Start{
 		Source: b.Source, Settings: encodeSettings(b.Settings), Seed: b.Seed, Groups: b.Groups, Kinds: b.Kinds, Zones: b.Zones,
 	}}})
 	return t
 }
 
-func (t *Tap) add(now choice.Millis, r *trace.Record) {
+func (t *Tap) add(now placement.Millis, r *trace.Record) {
 	t.revision++
 	r.AtMs, r.Revision = float64(now), t.revision
 	if t.records = append(t.records, r); len(t.records) >= batchMost {
@@ -55,11 +55,11 @@
 }
 
 // step writes a step down with the call that it came of, and follows its continuation.
-func (t *Tap) step(now choice.Millis, id choice.WorkloadID, r *trace.Record, s choice.Step) choice.Step {
+func (t *Tap) step(now placement.Millis, id placement.WorkloadID, r *trace.Record, s placement.Step) placement.Step {
 	r.Step = encodeStep(s)
 	t.add(now, r)
 	if next := s.Next; next != nil {
-		s.Next = func(now choice.Millis, result choice.Result) choice.Step {
+		s.Next = func(now placement.Millis, result placement.Result) placement.Step {
 			return t.step(now, id, &trace.Record{Body: &tracepb.Record_Next{Next: &tracepb.Next{
 				Workload: uint32(id), Kind: uint32(result.Kind), Reason: uint32(result.Reason), Over: result.Over,
 				Load: encodeLoad(result.Load),
@@ -69,43 +69,43 @@
 	return s
 }
 
-func (t *Tap) Place(now choice.Millis, w choice.Workload) choice.Step {
+func (t *Tap) Place(now placement.Millis, w placement.Workload) placement.Step {
 	return t.step(now, w.ID, &trace.Record{Body: &tracepb.Record_Place{Place: &tracepb.Place{
 		Workload: encodeWorkload(w),
 	}}}, t.module.Place(now, w))
 }
 
-func (t *Tap) Adopt(now choice.Millis, w choice.Workload, node choice.NodeID) choice.Step {
+func (t *Tap) Adopt(now placement.Millis, w placement.Workload, node placement.NodeID) placement.Step {
 	return t.step(now, w.ID, &trace.Record{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{
 		Workload: encodeWorkload(w), Node: uint32(node),
 	}}}, t.module.Adopt(now, w, node))
 }
 
-func (t *Tap) List(now choice.Millis, k choice.ListKind, nodes []choice.Node) {
+func (t *Tap) List(now placement.Millis, k placement.ListKind, nodes []placement.Node) {
 	t.module.List(now, k, nodes)
 	t.add(now, &trace.Record{Body: &tracepb.Record_List{List: &tracepb.List{Kind: uint32(k), Nodes: encodeNodes(nodes)}}})
 }
 
-func (t *Tap) Report(now choice.Millis, id choice.NodeID, l choice.Load) {
+func (t *Tap) Report(now placement.Millis, id placement.NodeID, l placement.Load) {
 	t.module.Report(now, id, l)
 	t.add(now, &trace.Record{Body: &tracepb.Record_Report{Report: &tracepb.Report{Node: uint32(id), Load: encodeLoad(&l)}}})
 }
 
-func (t *Tap) Probed(now choice.Millis, id choice.NodeID, answered bool, l *choice.Load) {
+func (t *Tap) Probed(now placement.Millis, id placement.NodeID, answered bool, l *placement.Load) {
 	t.module.Probed(now, id, answered, l)
 	t.add(now, &trace.Record{Body: &tracepb.Record_Probed{Probed: &tracepb.Probed{
 		Node: uint32(id), Answered: answered, Load: encodeLoad(l),
 	}}})
 }
 
-func (t *Tap) Note(now choice.Millis, id choice.WorkloadID, k choice.NoteKind, value float64) {
+func (t *Tap) Note(now placement.Millis, id placement.WorkloadID, k placement.NoteKind, value float64) {
 	t.module.Note(now, id, k, value)
 	t.add(now, &trace.Record{Body: &tracepb.Record_Note{Note: &tracepb.Note{
 		Workload: uint32(id), Kind: uint32(k), Value: value,
 	}}})
 }
 
-func (t *Tap) Upkeep(now choice.Millis) choice.Chores {
+func (t *Tap) Upkeep(now placement.Millis) placement.Chores {
 	c := t.module.Upkeep(now)
 	t.add(now, &trace.Record{Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}, Chores: encodeChores(c)})
 	t.Flush()
@@ -113,40 +113,40 @@
 }
 
 // Asked writes down whose a workload is, before it is placed or adopted.
-func (t *Tap) Asked(now choice.Millis, id choice.WorkloadID, owner string, ask, key uint64) {
+func (t *Tap) Asked(now placement.Millis, id placement.WorkloadID, owner string, ask, key uint64) {
 	t.add(now, &trace.Record{Body: &tracepb.Record_Asked{Asked: &tracepb.Asked{
 		Workload: uint32(id), Owner: owner, Ask: ask, Key: key,
 	}}})
 }
 
 // Answered writes down what an owner was told.
-func (t *Tap) Answered(now choice.Millis, id choice.WorkloadID, verdict uint8, node choice.NodeID, text string) {
+func (t *Tap) Answered(now placement.Millis, id placement.WorkloadID, verdict uint8, node placement.NodeID, text string) {
 	t.add(now, &trace.Record{Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{
 		Workload: uint32(id), Verdict: uint32(verdict), Node: uint32(node), Text: text,
 	}}})
 }
 
 // Refused writes down a node's own words.
-func (t *Tap) Refused(now choice.Millis, id choice.WorkloadID, node choice.NodeID, text string) {
+func (t *Tap) Refused(now placement.Millis, id placement.WorkloadID, node placement.NodeID, text string) {
 	t.add(now, &trace.Record{Body: &tracepb.Record_Refused{Refused: &tracepb.Refused{
 		Workload: uint32(id), Node: uint32(node), Text: text,
 	}}})
 }
 
 // Heard writes down which revision of the list came.
-func (t *Tap) Heard(now choice.Millis, epoch, revision uint64) {
+func (t *Tap) Heard(now placement.Millis, epoch, revision uint64) {
 	t.add(now, &trace.Record{Body: &tracepb.Record_Heard{Heard: &tracepb.Heard{Epoch: epoch, Revision: revision}}})
 }
 
 // GangAsked writes down that workloads belong together.
-func (t *Tap) GangAsked(now choice.Millis, owner string, ask uint64, parts, need int, left choice.Millis) {
+func (t *Tap) GangAsked(now placement.Millis, owner string, ask uint64, parts, need int, left placement.Millis) {
 	t.add(now, &trace.Record{Body: &tracepb.Record_GangAsked{GangAsked: &tracepb.GangAsked{
 		Owner: owner, Ask: ask, Parts: uint32(parts), Need: uint32(need), Left: float64(left),
 	}}})
 }
 
 // GangState writes down how far a gang has come.
-func (t *Tap) GangState(now choice.Millis, owner string, ask uint64, state string, parts []choice.WorkloadID) {
+func (t *Tap) GangState(now placement.Millis, owner string, ask uint64, state string, parts []placement.WorkloadID) {
 	g := &tracepb.GangState{Owner: owner, Ask: ask, State: state}
 	for _, id := range parts {
 		g.Workloads = append(g.Workloads, uint32(id))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,22 +11,22 @@
 	"strconv"
 	"strings"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Told is what was told. Names are in the order of the numbers that decisions know them by.
 type Told struct {
-	choice.Settings
+	placement.Settings
 	Reports        []string // values in a load report
 	Groups         []string
 	Kinds          []string
 	Zones          []string
-	ConnectTimeout choice.Millis // a connection that is not up by then has failed; 0 where it is not told
-	IdleTimeout    choice.Millis // a connection that carries nothing for so long is closed; 0 where it is not told
+	ConnectTimeout placement.Millis // a connection that is not up by then has failed; 0 where it is not told
+	IdleTimeout    placement.Millis // a connection that carries nothing for so long is closed; 0 where it is not told
 }
 
 // SetLoad sets the value of that name in a load report; other names are passed over.
-func SetLoad(l *choice.Load, name string, v float64) {
+func SetLoad(l *placement.Load, name string, v float64) {
 	switch name {
 	case "x0":
 		l.SpareCores = v
@@ -40,9 +40,9 @@
 }
 
 // NoLoad is a report that lacks all values.
-func NoLoad() *choice.Load {
+func NoLoad() *placement.Load {
 	none := math.NaN()
-	return &choice.Load{SpareCores: none, SpareMemory: none, Backlog: none, Utilization: none}
+	return &placement.Load{SpareCores: none, SpareMemory: none, Backlog: none, Utilization: none}
 }
 
 // FromJSON reads the nested form.
@@ -130,7 +130,7 @@
 	return c.parse(path, v)
 }
 
-func (c *config) millis(path string) choice.Millis { return choice.Millis(c.number(path) / 1e6) }
+func (c *config) millis(path string) placement.Millis { return placement.Millis(c.number(path) / 1e6) }
 
 func (c *config) flag(path string) bool {
 	v := c.text(path)
@@ -167,13 +167,13 @@
 	return w
 }
 
-var effects = map[string]choice.Effect{
-	"read_like": choice.Restartable, "idempotency_key": choice.Deduplicated, "non_idempotent": choice.RunOnce,
+var effects = map[string]placement.Effect{
+	"read_like": placement.Restartable, "idempotency_key": placement.Deduplicated, "non_idempotent": placement.RunOnce,
 }
 
-var scopes = map[string]choice.Scope{
-	"off": choice.ScopeNone, "machine": choice.ScopeNode, "cell": choice.ScopeCell, "zone": choice.ScopeZone,
-	"all": choice.ScopeAll,
+var scopes = map[string]placement.Scope{
+	"off": placement.ScopeNone, "machine": placement.ScopeNode, "cell": placement.ScopeCell, "zone": placement.ScopeZone,
+	"all": placement.ScopeAll,
 }
 
 var confirmsRunning = map[string]bool{"running": true, "accepted": false}
@@ -186,7 +186,7 @@
 func FromPairs(text string) (*Told, error) { return newConfig(text).read() }
 
 func (c *config) read() (*Told, error) {
-	s := choice.Settings{
+	s := placement.Settings{
 		Allocators:      int(c.number("balancers")),
 		Ordinal:         int(c.number("ordinal")),
 		ColdFor:         c.millis("contract.cold_ns"),
@@ -204,14 +204,14 @@
 		s.AskWithin = c.millis("contract.ask_within_ns")
 	}
 	for i := range c.list("family_info.kind_cores") {
-		s.Kinds = append(s.Kinds, choice.Kind{
+		s.Kinds = append(s.Kinds, placement.Kind{
 			Cores:  c.element("family_info.kind_cores", i),
 			Memory: c.element("family_info.memory_by_kind", i),
 		})
 	}
 	for i := 0; i < int(c.number("request_classes.count")) && c.err == nil; i++ {
 		at := fmt.Sprintf("request_classes.%d.", i)
-		g := choice.Group{
+		g := placement.Group{
 			Target:     c.millis(at + "aim_ns"),
 			Utility:    c.number(at + "value"),
 			Effect:     word(c, at+"effect", c.text(at+"effect"), effects),
@@ -225,7 +225,7 @@
 		} else {
 			c.fail("family_info.apart_by", "has no value for every class")
 		}
-		if g.Effect == choice.Deduplicated {
+		if g.Effect == placement.Deduplicated {
 			g.DedupScope = word(c, at+"dedup_scope", c.text(at+"dedup_scope"), scopes)
 			g.DedupWindow = c.millis(at + "window_ns")
 		}
--- a/internal/lab/audit.go
+++ b/internal/simulation/audit.go
@@ -1,22 +1,22 @@
-package lab
+package simulation
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // Terms are what the auditor holds a day to.
 type Terms struct {
-	Slack      choice.Millis // beyond the pending timeout within which an answer still counts
-	DrainGrace choice.Millis
+	Slack      placement.Millis // beyond the pending timeout within which an answer still counts
+	DrainGrace placement.Millis
 	MaxBinds   int        // of one ask; 0 for any number
 	Model      *NodeModel // for what cold nodes bear
-	Groups     map[string]choice.Group
+	Groups     map[string]placement.Group
 }
 
 // Broken is a rule that did not hold, with the frames that show it.
@@ -30,18 +30,18 @@
 }
 
 const (
-	closeTo    = choice.Millis(1)    // ms; two readings of one time may differ by as much
-	nearStill  = choice.Millis(50)   // ms around a stand-still in which its effects fall
-	brokenMost = 100                 // breaks that are kept
-	shownMost  = 24                  // frames shown of one break
-	coldLooks  = choice.Millis(60e3) // ms for which arrivals at a cold node are kept
+	closeTo    = placement.Millis(1)    // ms; two readings of one time may differ by as much
+	nearStill  = placement.Millis(50)   // ms around a stand-still in which its effects fall
+	brokenMost = 100                    // breaks that are kept
+	shownMost  = 24                     // frames shown of one break
+	coldLooks  = placement.Millis(60e3) // ms for which arrivals at a cold node are kept
 )
 
 // Auditor decides the five rules from what passed between the parties, and from nothing else.
 type Auditor struct {
 	terms  Terms
 	allocs map[string]*allocatorSeen
-	conns  map[*Gate]map[link.ConnID]*connSeen
+	conns  map[*Gate]map[transport.ConnID]*connSeen
 	asks   map[askRef]*askSeen
 	order  []*askSeen
 	nodes  map[uint32]*nodeSeen
@@ -79,7 +79,7 @@
 type allocatorSeen struct {
 	name  string
 	life  uint64 // its incarnation, by its own hello
-	still [][2]choice.Millis
+	still [][2]placement.Millis
 	told  map[uint32]*toldSeen
 	open  map[bindKey]*bindSeen // binds that have no end yet
 	epoch uint64                // of the list, and its revision
@@ -89,20 +89,20 @@
 // toldSeen is what an allocator was told of a node.
 type toldSeen struct {
 	boot       uint64
-	gone       bool          // by the list
-	listGone   choice.Millis // since when the list calls it draining or gone; below 0: it does not
-	nodeDrains choice.Millis // likewise the node itself
+	gone       bool             // by the list
+	listGone   placement.Millis // since when the list calls it draining or gone; below 0: it does not
+	nodeDrains placement.Millis // likewise the node itself
 }
 
 type nodeSeen struct {
 	zone, cell string
 	boot       uint64
-	born       choice.Millis
+	born       placement.Millis
 	arrivals   []arrival
 }
 
 type arrival struct {
-	at   choice.Millis
+	at   placement.Millis
 	told bool
 	seen frameSeen
 }
@@ -111,7 +111,7 @@
 	ref       askRef
 	ask       *pb.Ask
 	alloc     string
-	deadline  choice.Millis
+	deadline  placement.Millis
 	received  bool
 	withdrawn bool // the allocator was told
 	excused   bool // nobody owes an answer any more
@@ -125,8 +125,8 @@
 type bindSeen struct {
 	key    bindKey
 	node   uint32
-	sent   choice.Millis
-	within choice.Millis
+	sent   placement.Millis
+	within placement.Millis
 	closed bool // answered, or its connection is gone
 	stands bool // the node said yes
 	never  bool // it is known not to have run
@@ -134,10 +134,10 @@
 }
 
 // out tells whether an answer is still waited for.
-func (b *bindSeen) out(now choice.Millis) bool { return !b.closed && now < b.sent+b.within-closeTo }
+func (b *bindSeen) out(now placement.Millis) bool { return !b.closed && now < b.sent+b.within-closeTo }
 
 type frameSeen struct {
-	at  choice.Millis
+	at  placement.Millis
 	who string
 	out bool
 	f   *pb.Frame
@@ -146,14 +146,14 @@
 // NewAuditor makes an auditor that has seen nothing.
 func NewAuditor(t Terms) *Auditor {
 	return &Auditor{
-		terms: t, allocs: map[string]*allocatorSeen{}, conns: map[*Gate]map[link.ConnID]*connSeen{},
+		terms: t, allocs: map[string]*allocatorSeen{}, conns: map[*Gate]map[transport.ConnID]*connSeen{},
 		asks: map[askRef]*askSeen{}, nodes: map[uint32]*nodeSeen{}, starts: map[uint64][]bindKey{}, once: map[uint64][]*bindSeen{},
 		dead: map[string]bool{}, gangs: map[askRef]*gangSeen{}, parts: map[bindKey]*partSeen{},
 		partBinds: map[bindKey]bool{}, stopped: map[bindKey]stopSeen{},
 	}
 }
 
-func (a *Auditor) breaks(rule int, now choice.Millis, node uint32, w *askSeen, what string, frames ...frameSeen) {
+func (a *Auditor) breaks(rule int, now placement.Millis, node uint32, w *askSeen, what string, frames ...frameSeen) {
 	if len(a.Broken) >= brokenMost {
 		a.More++
 		return
@@ -181,14 +181,14 @@
 func (a *Auditor) node(id uint32) *nodeSeen {
 	n := a.nodes[id]
 	if n == nil {
-		n = &nodeSeen{born: choice.LongAgo}
+		n = &nodeSeen{born: placement.LongAgo}
 		a.nodes[id] = n
 	}
 	return n
 }
 
 // Life forgets what a dead allocator was told, and excuses what it held.
-func (a *Auditor) Life(now choice.Millis, g *Gate, alive bool) {
+func (a *Auditor) Life(now placement.Millis, g *Gate, alive bool) {
 	if !alive && g.Role == pb.Role_NODE {
 		a.nodeDied(now, uint32(g.ID))
 	}
@@ -208,15 +208,15 @@
 }
 
 // Still notes for how long an allocator stands still.
-func (a *Auditor) Still(now choice.Millis, g *Gate, until choice.Millis) {
+func (a *Auditor) Still(now placement.Millis, g *Gate, until placement.Millis) {
 	if g.Role == pb.Role_ALLOCATOR {
 		s := a.allocator(g.Name)
-		s.still = append(s.still, [2]choice.Millis{now, until})
+		s.still = append(s.still, [2]placement.Millis{now, until})
 	}
 }
 
 // Conn takes the end of a connection: what was out over it may have run, what waited at it gets no answer.
-func (a *Auditor) Conn(now choice.Millis, g *Gate, c link.ConnID, open bool) {
+func (a *Auditor) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
 	if open {
 		return
 	}
@@ -242,14 +242,14 @@
 }
 
 // Frame takes one frame at one end.
-func (a *Auditor) Frame(now, arrived choice.Millis, g *Gate, c link.ConnID, out bool, f *pb.Frame) {
+func (a *Auditor) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
 	a.Frames++
 	if h := f.GetHello(); h != nil && out && g.Role == pb.Role_ALLOCATOR {
 		a.allocator(g.Name).life = h.Incarnation
 	}
 	if h := f.GetHello(); h != nil && !out {
 		if a.conns[g] == nil {
-			a.conns[g] = map[link.ConnID]*connSeen{}
+			a.conns[g] = map[transport.ConnID]*connSeen{}
 		}
 		a.conns[g][c] = &connSeen{role: h.Role, name: h.Name, node: h.Node}
 		if g.Role == pb.Role_ALLOCATOR && h.Role == pb.Role_NODE {
@@ -270,7 +270,7 @@
 }
 
 // nodeGreets takes a node's account of what stands there: the rest has ended.
-func (a *Auditor) nodeGreets(now choice.Millis, s *allocatorSeen, h *pb.Hello) {
+func (a *Auditor) nodeGreets(now placement.Millis, s *allocatorSeen, h *pb.Hello) {
 	t := a.told(s, h.Node)
 	t.boot = max(t.boot, h.Incarnation)
 	// A connection that ends takes nothing back: only the node does, here or as it starts anew.
@@ -313,11 +313,11 @@
 	}
 }
 
-func (a *Auditor) atOwner(now choice.Millis, g *Gate, c link.ConnID, seen frameSeen) {
+func (a *Auditor) atOwner(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Ask:
 		w := &askSeen{
-			ref: askRef{g.Name, b.Ask.Ask}, ask: b.Ask, deadline: now + choice.Millis(b.Ask.LeftMs) + a.terms.Slack,
+			ref: askRef{g.Name, b.Ask.Ask}, ask: b.Ask, deadline: now + placement.Millis(b.Ask.LeftMs) + a.terms.Slack,
 		}
 		if peer := a.conns[g][c]; peer != nil {
 			w.alloc = peer.name
@@ -329,7 +329,7 @@
 		// To the first rule a group is one ask; its parts' offers are held to the other rules by their own keys.
 		w := &askSeen{
 			ref: askRef{g.Name, b.GangAsk.Ask}, ask: b.GangAsk.Parts[0], gang: true,
-			deadline: now + choice.Millis(b.GangAsk.LeftMs) + a.terms.Slack,
+			deadline: now + placement.Millis(b.GangAsk.LeftMs) + a.terms.Slack,
 		}
 		if peer := a.conns[g][c]; peer != nil {
 			w.alloc = peer.name
@@ -355,14 +355,14 @@
 		}
 		a.unanswered(now, w)
 		if !w.answered && !w.excused {
-			a.Nearest.Answer = max(a.Nearest.Answer, 1-float64((w.deadline-now)/max(1, choice.Millis(w.ask.LeftMs)+a.terms.Slack)))
+			a.Nearest.Answer = max(a.Nearest.Answer, 1-float64((w.deadline-now)/max(1, placement.Millis(w.ask.LeftMs)+a.terms.Slack)))
 		}
 		w.answered = true
 	}
 }
 
 // unanswered tells on an ask that has no answer although its owner's time is up.
-func (a *Auditor) unanswered(now choice.Millis, w *askSeen) {
+func (a *Auditor) unanswered(now placement.Millis, w *askSeen) {
 	if w.excused || w.answered || !w.received || now <= w.deadline+closeTo {
 		return
 	}
@@ -384,7 +384,7 @@
 	return t
 }
 
-func (a *Auditor) atAllocator(now choice.Millis, g *Gate, c link.ConnID, seen frameSeen) {
+func (a *Auditor) atAllocator(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
 	s := a.allocator(g.Name)
 	peer := a.conns[g][c]
 	if peer == nil {
@@ -443,7 +443,7 @@
 }
 
 // listed takes what the list tells an allocator; news older than what it has told before is none.
-func (a *Auditor) listed(now choice.Millis, g *Gate, s *allocatorSeen, u *pb.ListUpdate) {
+func (a *Auditor) listed(now placement.Millis, g *Gate, s *allocatorSeen, u *pb.ListUpdate) {
 	whole := u.Kind == pb.ListUpdate_WHOLE
 	if u.Kind == pb.ListUpdate_FAILED || u.Epoch == s.epoch && u.Revision < s.have || u.Epoch != s.epoch && !whole {
 		return
@@ -482,7 +482,7 @@
 }
 
 // answers checks an allocator's answer as it leaves.
-func (a *Auditor) answers(now choice.Millis, w *askSeen, v *pb.Answer, seen frameSeen) {
+func (a *Auditor) answers(now placement.Millis, w *askSeen, v *pb.Answer, seen frameSeen) {
 	if w == nil {
 		a.breaks(1, now, 0, nil, "an answer for no ask", seen)
 		return
@@ -497,8 +497,8 @@
 		a.gangAnswers(now, w, v)
 		return
 	}
-	if v.Verdict != pb.Verdict_REJECTED || g.Effect == choice.Restartable ||
-		g.Effect == choice.Deduplicated && g.DedupScope == choice.ScopeAll {
+	if v.Verdict != pb.Verdict_REJECTED || g.Effect == placement.Restartable ||
+		g.Effect == placement.Deduplicated && g.DedupScope == placement.ScopeAll {
 		return
 	}
 	for _, b := range w.binds {
@@ -510,7 +510,7 @@
 }
 
 // offers checks an offer as it leaves.
-func (a *Auditor) offers(now choice.Millis, s *allocatorSeen, node uint32, o *pb.Offer, seen frameSeen) {
+func (a *Auditor) offers(now placement.Millis, s *allocatorSeen, node uint32, o *pb.Offer, seen frameSeen) {
 	w := a.asks[askRef{o.Owner, o.Ask.Ask}]
 	if w != nil && w.gang {
 		w = a.partAsk(w, o)
@@ -537,14 +537,14 @@
 			a.breaks(2, now, node, w, "the same bind sent twice")
 		case b.out(now):
 			a.breaks(2, now, node, w, "two binds out at once")
-		case g.Effect == choice.RunOnce:
+		case g.Effect == placement.RunOnce:
 			a.breaks(2, now, node, w, "a run-once workload sent again that may have run")
-		case g.Effect == choice.Deduplicated && (now-b.sent >= g.DedupWindow || !a.same(g.DedupScope, b.node, node)):
+		case g.Effect == placement.Deduplicated && (now-b.sent >= g.DedupWindow || !a.same(g.DedupScope, b.node, node)):
 			a.breaks(2, now, node, w, "a deduplicated workload sent beyond its scope or window")
 		}
 	}
 	t := a.told(s, node)
-	for _, since := range [2]choice.Millis{t.listGone, t.nodeDrains} {
+	for _, since := range [2]placement.Millis{t.listGone, t.nodeDrains} {
 		if since >= 0 && a.terms.DrainGrace > 0 {
 			a.Nearest.Drain = max(a.Nearest.Drain, float64((now-since)/a.terms.DrainGrace))
 		}
@@ -553,8 +553,8 @@
 			break
 		}
 	}
-	b := &bindSeen{key: keyOf(o.Bind), node: node, sent: now, within: choice.Millis(o.AcceptWithinMs), wl: w}
-	if g.Effect == choice.RunOnce {
+	b := &bindSeen{key: keyOf(o.Bind), node: node, sent: now, within: placement.Millis(o.AcceptWithinMs), wl: w}
+	if g.Effect == placement.RunOnce {
 		// Whatever ask it is for, and whatever life sends it.
 		for _, other := range a.once[w.ask.Key] {
 			if !other.never && other.wl != w {
@@ -565,7 +565,7 @@
 	}
 	w.binds = append(w.binds, b)
 	s.open[b.key] = b
-	if g.Spread == choice.ScopeNone {
+	if g.Spread == placement.ScopeNone {
 		return
 	}
 	held := 0
@@ -580,32 +580,32 @@
 	}
 }
 
-var place = map[choice.Scope]string{choice.ScopeNode: "node", choice.ScopeCell: "cell", choice.ScopeZone: "zone"}
+var place = map[placement.Scope]string{placement.ScopeNode: "node", placement.ScopeCell: "cell", placement.ScopeZone: "zone"}
 
 // same tells whether two nodes lie in one place of that kind.
-func (a *Auditor) same(s choice.Scope, x, y uint32) bool {
+func (a *Auditor) same(s placement.Scope, x, y uint32) bool {
 	m, n := a.node(x), a.node(y)
 	switch s {
-	case choice.ScopeNode:
+	case placement.ScopeNode:
 		return x == y
-	case choice.ScopeCell:
+	case placement.ScopeCell:
 		return m.zone == n.zone && m.cell == n.cell
-	case choice.ScopeZone:
+	case placement.ScopeZone:
 		return m.zone == n.zone
 	}
-	return s == choice.ScopeAll
+	return s == placement.ScopeAll
 }
 
-func (a *Auditor) atNode(now, arrived choice.Millis, g *Gate, seen frameSeen) {
+func (a *Auditor) atNode(now, arrived placement.Millis, g *Gate, seen frameSeen) {
 	n := a.node(uint32(g.ID))
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Register:
 		r := b.Register
 		n.zone, n.cell = r.Zone, r.Cell
 		if r.Boot != n.boot {
-			n.boot, n.born, n.arrivals = r.Boot, choice.LongAgo, nil
+			n.boot, n.born, n.arrivals = r.Boot, placement.LongAgo, nil
 			if r.UpForMs >= 0 {
-				n.born = now - choice.Millis(r.UpForMs)
+				n.born = now - placement.Millis(r.UpForMs)
 			}
 		}
 	case *pb.Frame_Offer:
@@ -624,7 +624,7 @@
 }
 
 // arrives checks what reaches a cold node.
-func (a *Auditor) arrives(now choice.Millis, id uint32, n *nodeSeen, o *pb.Offer, seen frameSeen) {
+func (a *Auditor) arrives(now placement.Millis, id uint32, n *nodeSeen, o *pb.Offer, seen frameSeen) {
 	m := a.terms.Model
 	up := now - n.born
 	if up >= m.ColdFor {
@@ -658,9 +658,9 @@
 }
 
 // runs checks that a run-once workload starts once.
-func (a *Auditor) runs(now choice.Millis, node uint32, b *pb.BindID) {
+func (a *Auditor) runs(now placement.Millis, node uint32, b *pb.BindID) {
 	o := a.allocator(b.Allocator).open[keyOf(b)]
-	if o == nil || a.terms.Groups[o.wl.ask.Group].Effect != choice.RunOnce {
+	if o == nil || a.terms.Groups[o.wl.ask.Group].Effect != placement.RunOnce {
 		return
 	}
 	started := a.starts[o.wl.ask.Key]
@@ -673,7 +673,7 @@
 }
 
 // Finish tells on what is still unanswered when all is over.
-func (a *Auditor) Finish(now choice.Millis) {
+func (a *Auditor) Finish(now placement.Millis) {
 	for _, w := range a.order {
 		a.unanswered(now, w)
 	}
--- a/internal/lab/auditgangs.go
+++ b/internal/simulation/auditgangs.go
@@ -1,21 +1,21 @@
-package lab
+package simulation
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // partialMost is how long, in ms, a part may stand beyond its lease without the rest of its group: leases run
 // from acceptance, and a node may stand still when one ends.
-const partialMost = choice.Millis(5e3)
+const partialMost = placement.Millis(5e3)
 
 // stopAgain is how long, in ms, a part may be without an end before its stop is repeated.
-const stopAgain = choice.Millis(1e3)
+const stopAgain = placement.Millis(1e3)
 
 // bindsMost is how many binds one part may have: each try of a group and each replacement has those of an
 // ordinary workload. It guards against retries without end.
@@ -28,8 +28,8 @@
 	standing map[uint32]*partSeen // by part
 	stood    bool                 // its owner was told
 	ends     bool                 // it stood, and a part has come to its own end
-	partial  choice.Millis        // since when some parts stand and not enough, below 0: not
-	lease    choice.Millis
+	partial  placement.Millis     // since when some parts stand and not enough, below 0: not
+	lease    placement.Millis
 	told     bool // on
 	alloc    string
 	parts    map[uint64]*askSeen
@@ -40,7 +40,7 @@
 	gang  *gangSeen
 	part  uint32
 	node  uint32
-	since choice.Millis
+	since placement.Millis
 	cores float64
 	seen  frameSeen
 }
@@ -71,12 +71,12 @@
 		}
 		a.gangs[ref] = g
 	}
-	g.lease = max(g.lease, choice.Millis(o.GetGang().GetLeaseMs()))
+	g.lease = max(g.lease, placement.Millis(o.GetGang().GetLeaseMs()))
 	return g
 }
 
 // gangAnswers notes that a group stands, or checks that it may be rejected.
-func (a *Auditor) gangAnswers(now choice.Millis, w *askSeen, v *pb.Answer) {
+func (a *Auditor) gangAnswers(now placement.Millis, w *askSeen, v *pb.Answer) {
 	g := a.gangs[w.ref]
 	if g == nil {
 		return
@@ -89,7 +89,7 @@
 		return
 	}
 	for _, p := range g.parts {
-		if a.terms.Groups[p.ask.Group].Effect != choice.RunOnce {
+		if a.terms.Groups[p.ask.Group].Effect != placement.RunOnce {
 			continue
 		}
 		for _, b := range p.binds {
@@ -102,7 +102,7 @@
 }
 
 // gangFrame follows the parts of groups at the nodes.
-func (a *Auditor) gangFrame(now choice.Millis, g *Gate, c link.ConnID, seen frameSeen) {
+func (a *Auditor) gangFrame(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Hello:
 		if peer := a.conns[g][c]; g.Role == pb.Role_NODE && seen.out && peer != nil {
@@ -137,7 +137,7 @@
 }
 
 // nodeTells takes a node's account to an allocator: what it does not name ended while nobody was told.
-func (a *Auditor) nodeTells(now choice.Millis, node uint32, allocator string, h *pb.Hello) {
+func (a *Auditor) nodeTells(now placement.Millis, node uint32, allocator string, h *pb.Hello) {
 	named := map[bindKey]bool{}
 	for _, s := range h.Standing {
 		named[keyOf(s.Offer.Bind)] = true
@@ -151,7 +151,7 @@
 
 // allocatorLives notes whether an allocator runs. While it does not, ends of parts go over no connection, and a
 // group that was declared standing has nobody to mend it.
-func (a *Auditor) allocatorLives(now choice.Millis, name string, alive bool) {
+func (a *Auditor) allocatorLives(now placement.Millis, name string, alive bool) {
 	a.dead[name] = !alive
 	for _, g := range a.gangs {
 		if g.alloc == name && g.partial >= 0 {
@@ -162,7 +162,7 @@
 
 // stops checks that a part is stopped once: a stop may be repeated only after a while without an end, or over
 // another connection.
-func (a *Auditor) stops(now choice.Millis, c link.ConnID, b *pb.BindID, seen frameSeen) {
+func (a *Auditor) stops(now placement.Millis, c transport.ConnID, b *pb.BindID, seen frameSeen) {
 	k := keyOf(b)
 	if last, met := a.stopped[k]; met && last.c == c && now-last.seen.at < stopAgain {
 		a.breaks(6, now, 0, nil, "a part stopped twice", last.seen, seen)
@@ -172,11 +172,11 @@
 
 // stopSeen is the last stop of a part.
 type stopSeen struct {
-	c    link.ConnID
+	c    transport.ConnID
 	seen frameSeen
 }
 
-func (a *Auditor) partStands(now choice.Millis, p *partSeen) {
+func (a *Auditor) partStands(now placement.Millis, p *partSeen) {
 	if p.since >= 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 }
 
 // partGone takes the end of a part. One that was not accepted yet never stood.
-func (a *Auditor) partGone(now choice.Millis, k bindKey, p *partSeen, why pb.Why) {
+func (a *Auditor) partGone(now placement.Millis, k bindKey, p *partSeen, why pb.Why) {
 	g := p.gang
 	if p.since >= 0 {
 		spent := float64(now-p.since) / 1000 * p.cores
@@ -206,7 +206,7 @@
 }
 
 // weigh notes since when a group is neither whole nor gone.
-func (a *Auditor) weigh(now choice.Millis, g *gangSeen) {
+func (a *Auditor) weigh(now placement.Millis, g *gangSeen) {
 	a.tell(now, g)
 	if n := len(g.standing); n == 0 || n >= g.need || g.ends {
 		g.partial = -1
@@ -216,7 +216,7 @@
 }
 
 // tell tells on a group that is partial for longer than its lease and the time to settle.
-func (a *Auditor) tell(now choice.Millis, g *gangSeen) {
+func (a *Auditor) tell(now placement.Millis, g *gangSeen) {
 	if g.partial < 0 || g.told || g.stood && a.dead[g.alloc] || now-g.partial <= g.lease+partialMost {
 		return
 	}
@@ -232,7 +232,7 @@
 }
 
 // nodeDied ends what stood on a node whose process is gone.
-func (a *Auditor) nodeDied(now choice.Millis, node uint32) {
+func (a *Auditor) nodeDied(now placement.Millis, node uint32) {
 	for k, p := range a.parts {
 		if p.node == node {
 			a.partGone(now, k, p, pb.Why_LOST)
@@ -240,7 +240,7 @@
 	}
 }
 
-func (a *Auditor) finishGangs(now choice.Millis) {
+func (a *Auditor) finishGangs(now placement.Millis) {
 	for _, p := range a.parts {
 		if p.since >= 0 {
 			spent := float64(now-p.since) / 1000 * p.cores
--- a/internal/lab/best.go
+++ b/internal/simulation/best.go
@@ -1,8 +1,8 @@
-package lab
+package simulation
 
 import (
-	"grebeglade/choice"
 	"grebeglade/internal/oracle"
+	"grebeglade/placement"
 )
 
 // Oracle is how far a day was from the best, in shares of the core time that was wanted while owners asked. The best
@@ -17,7 +17,7 @@
 }
 
 // atOnce is how old the news may be on a day on which the engine sees the true state, in ms.
-const atOnce = choice.Millis(10)
+const atOnce = placement.Millis(10)
 
 // oracle works out what the best could have run of what was wanted on this day.
 func (d *Day) oracle(ran float64) (*Oracle, error) {
@@ -27,7 +27,7 @@
 		return &Oracle{}, nil
 	}
 	m := &d.script.Node
-	rules := &oracle.Rules{Window: m.OverloadFor, Bears: func(up choice.Millis) float64 {
+	rules := &oracle.Rules{Window: m.OverloadFor, Bears: func(up placement.Millis) float64 {
 		if up >= m.ColdFor {
 			return -1
 		}
@@ -61,11 +61,11 @@
 }
 
 // again is how long an owner waits, in the mean, before it asks again for what was lost.
-func (d *Day) again(e choice.Effect) choice.Millis {
+func (d *Day) again(e placement.Effect) placement.Millis {
 	switch e {
-	case choice.RunOnce:
+	case placement.RunOnce:
 		return -1
-	case choice.Deduplicated:
+	case placement.Deduplicated:
 		return max(d.script.Owner.Again, settleAfter)
 	}
 	return d.script.Owner.Again
--- a/internal/lab/day.go
+++ b/internal/simulation/day.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"encoding/binary"
@@ -13,17 +13,17 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/oracle"
-	"grebeglade/internal/port"
-	"grebeglade/internal/state"
+	"grebeglade/internal/storage"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
 
-const settleFor = choice.Millis(2e3) // ms after the last answer for what is still under way
+const settleFor = placement.Millis(2e3) // ms after the last answer for what is still under way
 
 // Options are what a day is played with, besides its script.
 type Options struct {
@@ -102,9 +102,9 @@
 	specs  []*NodeSpec
 	allocs []*Gate
 	owners []*Gate
-	ports  [][]*port.Port // by allocator, one for each life
-	begins choice.Millis  // when owners begin: nodes and allocators know of each other by then
-	fell   chan struct{}  // one for each node that fell over
+	ports  [][]*native.Port // by allocator, one for each life
+	begins placement.Millis // when owners begin: nodes and allocators know of each other by then
+	fell   chan struct{}    // one for each node that fell over
 	drains map[*Gate][]oracle.Span
 
 	wall      float64    // Unix time, in ms, at which the host's clock stood at 0
@@ -116,7 +116,7 @@
 // Terms are what the script's day is audited by.
 func (s *Script) Terms() Terms {
 	t := Terms{
-		Slack: s.Owner.Slack, DrainGrace: s.Drain, MaxBinds: s.Settings.MaxBinds, Model: &s.Node, Groups: map[string]choice.Group{},
+		Slack: s.Owner.Slack, DrainGrace: s.Drain, MaxBinds: s.Settings.MaxBinds, Model: &s.Node, Groups: map[string]placement.Group{},
 	}
 	for i, name := range s.Groups {
 		t.Groups[name] = s.Settings.Groups[i]
@@ -125,7 +125,7 @@
 }
 
 // NewDay brings the script's parties to the host and plans its faults.
-func NewDay(s *Script, o Options, host Host, w Witness, now choice.Millis) (*Day, error) {
+func NewDay(s *Script, o Options, host Host, w Witness, now placement.Millis) (*Day, error) {
 	d := newDay(s, o, host, w, now)
 	if err := d.populate(); err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 	return d, nil
 }
 
-func newDay(s *Script, o Options, host Host, w Witness, now choice.Millis) *Day {
+func newDay(s *Script, o Options, host Host, w Witness, now placement.Millis) *Day {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -154,7 +154,7 @@
 func (d *Day) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
 func (d *Day) newList() *Gate {
-	return NewGate("list", pb.Role_LIST, 0, d.w, func(inc uint64) link.Party { return NewList(&d.script.List, inc) })
+	return NewGate("list", pb.Role_LIST, 0, d.w, func(inc uint64) transport.Party { return NewList(&d.script.List, inc) })
 }
 
 // addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
@@ -208,7 +208,7 @@
 	}
 	for i := range s.Owners {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := NewGate(name, pb.Role_OWNER, i, d.w, func(uint64) link.Party {
+		g := NewGate(name, pb.Role_OWNER, i, d.w, func(uint64) transport.Party {
 			return NewOwner(name, i, &owner, d.opts.Seed)
 		})
 		d.owners = append(d.owners, g)
@@ -221,7 +221,7 @@
 
 func (d *Day) addNode(spec *NodeSpec) error {
 	var g *Gate
-	g = NewGate(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.w, func(boot uint64) link.Party {
+	g = NewGate(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.w, func(boot uint64) transport.Party {
 		n := NewNode(spec, &d.script.Node, boot)
 		n.Fell = func() {
 			d.fell <- struct{}{}
@@ -238,7 +238,7 @@
 		}
 		return n
 	})
-	g.Dies = func(inner link.Party) { inner.(*Node).Died() }
+	g.Dies = func(inner transport.Party) { inner.(*Node).Died() }
 	d.nodes = append(d.nodes, g)
 	addr, err := d.host.Add(g, spec.Zone)
 	spec.Addr = addr
@@ -255,7 +255,7 @@
 	if d.opts.Sabotage == SpreadBlind {
 		settings.Groups = slices.Clone(settings.Groups)
 		for g := range settings.Groups {
-			settings.Groups[g].Spread = choice.ScopeNone
+			settings.Groups[g].Spread = placement.ScopeNone
 		}
 	}
 	name := fmt.Sprintf("allocator-%d", i+1)
@@ -263,13 +263,13 @@
 	var recorder *trace.Recorder
 	var gate *Gate
 	journal := &journal{
-		disk: state.NewMemory(hashOf(d.opts.Seed, uint64(i))), takes: s.State.Disk, honest: d.opts.Sabotage != SyncsNever,
-		now:   func() choice.Millis { return gate.net.Now() },
-		later: func(at choice.Millis, do func(now choice.Millis)) { d.host.Do(gate, at, do) },
+		disk: storage.NewMemory(hashOf(d.opts.Seed, uint64(i))), takes: s.State.Disk, honest: d.opts.Sabotage != SyncsNever,
+		now:   func() placement.Millis { return gate.net.Now() },
+		later: func(at placement.Millis, do func(now placement.Millis)) { d.host.Do(gate, at, do) },
 	}
 	frames := 0
-	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) link.Party {
-		c := port.Config{
+	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) transport.Party {
+		c := native.Config{
 			Name: name, Incarnation: inc, Seed: hashOf(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
 			Groups: s.Groups, Kinds: s.Kinds, Zone: d.zone(i), List: list, MostHeld: s.Limits.Workloads,
 			Log: d.opts.Log.With("allocator", name), Wall: d.wall,
@@ -290,19 +290,19 @@
 				c.Left = nil
 			}
 		}
-		p := port.New(c)
+		p := native.New(c)
 		d.ports[i] = append(d.ports[i], p)
 		if m := d.opts.Mishap; m != nil && i == 0 {
 			return &unlucky{
 				Party: p, m: m, seen: &frames,
-				delay: func(at choice.Millis, do func(now choice.Millis)) {
-					d.host.Do(gate, at, func(now choice.Millis) {
+				delay: func(at placement.Millis, do func(now placement.Millis)) {
+					d.host.Do(gate, at, func(now placement.Millis) {
 						if gate.Alive() {
 							do(now)
 						}
 					})
 				},
-				crash: func(now choice.Millis) {
+				crash: func(now placement.Millis) {
 					gate.Kill(now)
 					if m.Back {
 						d.host.Do(gate, now+mishapAway, gate.Restart)
@@ -312,12 +312,12 @@
 		}
 		return d.opts.Sabotage.around(p)
 	})
-	gate.Dies = func(link.Party) { journal.crash() }
+	gate.Dies = func(transport.Party) { journal.crash() }
 	return gate
 }
 
 // record begins the trace of an allocator's life, after the end of the one before.
-func (d *Day) record(before *trace.Recorder, c port.Config) *trace.Recorder {
+func (d *Day) record(before *trace.Recorder, c native.Config) *trace.Recorder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before != nil {
@@ -357,8 +357,8 @@
 }
 
 // Ends is when owners have stopped asking and the last answer is due.
-func (d *Day) Ends() choice.Millis {
-	last := choice.Millis(0)
+func (d *Day) Ends() placement.Millis {
+	last := placement.Millis(0)
 	for _, g := range d.script.Demand {
 		last = max(last, g.Pending)
 	}
@@ -372,7 +372,7 @@
 func (r *Result) SinglesWanted() bool { return r.Singles > 0 }
 
 // QuietAt is when owners have stopped asking.
-func (d *Day) QuietAt() choice.Millis { return d.begins + d.script.Length }
+func (d *Day) QuietAt() placement.Millis { return d.begins + d.script.Length }
 
 // Open is the number of asks that wait for an answer. The owners' goroutines must not run meanwhile.
 func (d *Day) Open() (n int) {
@@ -513,22 +513,22 @@
 		d.during(f, at, until, func(n *Node) { n.Swells = swell }, func(n *Node) { n.Swells = Swelling{} })
 	case "neighbour":
 		for _, g := range d.some(d.nodes, f.Part) {
-			shift := f.Every * choice.Millis(d.rng.Float64())
+			shift := f.Every * placement.Millis(d.rng.Float64())
 			for t := at + shift; t < until; t += 2 * f.Every {
-				d.onNode(g, t, func(_ choice.Millis, n *Node) { n.Neighbour = f.Size })
-				d.onNode(g, min(until, t+f.Every), func(_ choice.Millis, n *Node) { n.Neighbour = 0 })
+				d.onNode(g, t, func(_ placement.Millis, n *Node) { n.Neighbour = f.Size })
+				d.onNode(g, min(until, t+f.Every), func(_ placement.Millis, n *Node) { n.Neighbour = 0 })
 			}
 		}
 	case "lying":
 		d.during(f, at, until, func(n *Node) { n.Lies = f.Size }, func(n *Node) { n.Lies = 0 })
 	case "never-starts":
 		for _, g := range d.some(d.nodes, f.Part) {
-			d.onNode(g, at, func(_ choice.Millis, n *Node) { n.Stuck = true })
-			d.onNode(g, until, func(now choice.Millis, n *Node) { n.Unstick(now) })
+			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.Stuck = true })
+			d.onNode(g, until, func(now placement.Millis, n *Node) { n.Unstick(now) })
 		}
 	case "forget":
 		for _, g := range d.some(d.nodes, f.Part) {
-			d.onNode(g, at, func(_ choice.Millis, n *Node) { n.Forget(f.Size) })
+			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.Forget(f.Size) })
 		}
 	case "deploy":
 		d.waves(f, at, f.Wait, true)
@@ -548,10 +548,10 @@
 }
 
 // planOutside plans what happens to owners and the list.
-func (d *Day) planOutside(f Fault, at, until choice.Millis) {
-	owners := func(at choice.Millis, do func(now choice.Millis, o *Owner)) {
+func (d *Day) planOutside(f Fault, at, until placement.Millis) {
+	owners := func(at placement.Millis, do func(now placement.Millis, o *Owner)) {
 		for _, g := range d.owners {
-			d.host.Do(g, at, func(now choice.Millis) {
+			d.host.Do(g, at, func(now placement.Millis) {
 				if o, ok := g.Inner().(*Owner); ok {
 					do(g.clock.local(now), o)
 				}
@@ -560,13 +560,13 @@
 	}
 	switch f.Kind {
 	case "burst":
-		owners(at, func(_ choice.Millis, o *Owner) { o.Burst = f.Size })
-		owners(until, func(_ choice.Millis, o *Owner) { o.Burst = 1 })
+		owners(at, func(_ placement.Millis, o *Owner) { o.Burst = f.Size })
+		owners(until, func(_ placement.Millis, o *Owner) { o.Burst = 1 })
 	case "hot-allocator":
-		owners(at, func(_ choice.Millis, o *Owner) { o.HotFirst = f.Size })
-		owners(until, func(_ choice.Millis, o *Owner) { o.HotFirst = 0 })
+		owners(at, func(_ placement.Millis, o *Owner) { o.HotFirst = f.Size })
+		owners(until, func(_ placement.Millis, o *Owner) { o.HotFirst = 0 })
 	case "reconnect":
-		owners(at, func(now choice.Millis, o *Owner) { o.Restart(now, f.Size, f.For) })
+		owners(at, func(now placement.Millis, o *Owner) { o.Restart(now, f.Size, f.For) })
 	case "owner-disconnect":
 		for _, g := range d.some(d.owners, f.Part) {
 			d.host.Do(g, at, g.Cut)
@@ -574,63 +574,63 @@
 			d.host.Do(g, at+2, g.Heal)
 		}
 	case "list-overrun":
-		d.onList(at, func(_ choice.Millis, l *List) { l.Slower, l.Later = f.Size, choice.Millis(f.Size)*50 })
-		d.onList(until, func(_ choice.Millis, l *List) { l.Slower, l.Later = 1, 0 })
+		d.onList(at, func(_ placement.Millis, l *List) { l.Slower, l.Later = f.Size, placement.Millis(f.Size)*50 })
+		d.onList(until, func(_ placement.Millis, l *List) { l.Slower, l.Later = 1, 0 })
 	case "list-late":
-		d.onList(at, func(_ choice.Millis, l *List) { l.Later = choice.Millis(f.Size) })
-		d.onList(until, func(_ choice.Millis, l *List) { l.Later = 0 })
+		d.onList(at, func(_ placement.Millis, l *List) { l.Later = placement.Millis(f.Size) })
+		d.onList(until, func(_ placement.Millis, l *List) { l.Later = 0 })
 	case "list-stale":
-		d.onList(at, func(now choice.Millis, l *List) { l.Stale(now, true) })
-		d.onList(until, func(now choice.Millis, l *List) { l.Stale(now, false) })
+		d.onList(at, func(now placement.Millis, l *List) { l.Stale(now, true) })
+		d.onList(until, func(now placement.Millis, l *List) { l.Stale(now, false) })
 	case "list-wrong":
-		d.onList(at, func(now choice.Millis, l *List) { l.Tell(now, f.Size, false) })
-		d.onList(until, func(now choice.Millis, l *List) { l.Tell(now, 1, false) })
+		d.onList(at, func(now placement.Millis, l *List) { l.Tell(now, f.Size, false) })
+		d.onList(until, func(now placement.Millis, l *List) { l.Tell(now, 1, false) })
 	case "list-empty":
-		d.onList(at, func(now choice.Millis, l *List) { l.Tell(now, 1, true) })
-		d.onList(until, func(now choice.Millis, l *List) { l.Tell(now, 1, false) })
+		d.onList(at, func(now placement.Millis, l *List) { l.Tell(now, 1, true) })
+		d.onList(until, func(now placement.Millis, l *List) { l.Tell(now, 1, false) })
 	default:
 		d.planNetwork(f, at, until)
 	}
 }
 
 // planNetwork plans what happens between the parties, and to their clocks.
-func (d *Day) planNetwork(f Fault, at, until choice.Millis) {
+func (d *Day) planNetwork(f Fault, at, until placement.Millis) {
 	everyone := slices.Concat(d.nodes, d.allocs, d.owners, []*Gate{d.list})
 	switch f.Kind {
 	case "one-way":
 		for i, g := range d.some(d.nodes, f.Part) {
 			out := i%2 == 0
-			d.host.Do(g, at, func(choice.Millis) { g.CutOne(out) })
+			d.host.Do(g, at, func(placement.Millis) { g.CutOne(out) })
 			d.host.Do(g, at+cutBreaks, g.BreakCut)
 			d.host.Do(g, until, g.Heal)
 		}
 	case "clock-skew":
 		for _, g := range d.some(everyone, f.Part) {
 			rate := 1 + f.Size/1e6*(2*d.rng.Float64()-1)
-			d.host.Do(g, at, func(now choice.Millis) { g.SetClock(now, rate, 0) })
-			d.host.Do(g, until, func(now choice.Millis) { g.SetClock(now, 1, 0) })
+			d.host.Do(g, at, func(now placement.Millis) { g.SetClock(now, rate, 0) })
+			d.host.Do(g, until, func(now placement.Millis) { g.SetClock(now, 1, 0) })
 		}
 	case "clock-step":
 		for _, g := range d.some(slices.Concat(d.nodes, []*Gate{d.list}), f.Part) {
-			d.host.Do(g, at, func(now choice.Millis) { g.SetClock(now, 1, choice.Millis(f.Size)) })
+			d.host.Do(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
 		}
 	case "doubled": // not at owners: an answer that comes twice is what the first rule is about
 		d.trouble(slices.Concat(d.nodes, d.allocs, []*Gate{d.list}), f, at, until, Trouble{Doubled: true})
 	case "delayed":
-		d.trouble(everyone, f, at, until, Trouble{Delay: choice.Millis(f.Size)})
+		d.trouble(everyone, f, at, until, Trouble{Delay: placement.Millis(f.Size)})
 	case "reordered":
-		d.trouble(everyone, f, at, until, Trouble{Delay: choice.Millis(f.Size), Overtake: true})
+		d.trouble(everyone, f, at, until, Trouble{Delay: placement.Millis(f.Size), Overtake: true})
 	}
 }
 
 // trouble has the network strike part of the frames that reach these.
-func (d *Day) trouble(gates []*Gate, f Fault, at, until choice.Millis, t Trouble) {
+func (d *Day) trouble(gates []*Gate, f Fault, at, until placement.Millis, t Trouble) {
 	for _, g := range gates {
 		t := t
 		t.Part, t.rng = f.Part, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
-		later := func(at choice.Millis, do func(now choice.Millis)) { d.host.Do(g, at, do) }
-		d.host.Do(g, at, func(choice.Millis) { g.SetTrouble(&t, later) })
-		d.host.Do(g, until, func(choice.Millis) { g.SetTrouble(nil, later) })
+		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.Do(g, at, do) }
+		d.host.Do(g, at, func(placement.Millis) { g.SetTrouble(&t, later) })
+		d.host.Do(g, until, func(placement.Millis) { g.SetTrouble(nil, later) })
 	}
 }
 
@@ -642,39 +642,39 @@
 }
 
 // stills has each stand still again and again, not all at once.
-func (d *Day) stills(gates []*Gate, f Fault, at, until choice.Millis) {
+func (d *Day) stills(gates []*Gate, f Fault, at, until placement.Millis) {
 	for _, g := range gates {
-		for t := at + f.Every*choice.Millis(d.rng.Float64()); t < until; t += f.Every {
-			size := choice.Millis(f.Size)
-			d.host.Do(g, t, func(now choice.Millis) { g.Still(now, now+size) })
+		for t := at + f.Every*placement.Millis(d.rng.Float64()); t < until; t += f.Every {
+			size := placement.Millis(f.Size)
+			d.host.Do(g, t, func(now placement.Millis) { g.Still(now, now+size) })
 			d.host.Do(g, t+size, g.Go)
 		}
 	}
 }
 
-func (d *Day) onNode(g *Gate, at choice.Millis, do func(now choice.Millis, n *Node)) {
-	d.host.Do(g, at, func(now choice.Millis) {
+func (d *Day) onNode(g *Gate, at placement.Millis, do func(now placement.Millis, n *Node)) {
+	d.host.Do(g, at, func(now placement.Millis) {
 		if n, ok := g.Inner().(*Node); ok {
 			do(g.clock.local(now), n)
 		}
 	})
 }
 
-func (d *Day) during(f Fault, at, until choice.Millis, begin, end func(*Node)) {
+func (d *Day) during(f Fault, at, until placement.Millis, begin, end func(*Node)) {
 	for _, g := range d.some(d.nodes, f.Part) {
-		d.onNode(g, at, func(_ choice.Millis, n *Node) { begin(n) })
-		d.onNode(g, until, func(_ choice.Millis, n *Node) { end(n) })
+		d.onNode(g, at, func(_ placement.Millis, n *Node) { begin(n) })
+		d.onNode(g, until, func(_ placement.Millis, n *Node) { end(n) })
 	}
 }
 
 // waves takes a part of the fleet away, some nodes at a time, and brings each back cold.
-func (d *Day) waves(f Fault, at, away choice.Millis, drained bool) {
+func (d *Day) waves(f Fault, at, away placement.Millis, drained bool) {
 	nodes := d.some(d.nodes, f.Part)
 	batch := max(1, int(f.Size*float64(len(d.nodes))))
 	for i, g := range nodes {
-		t := at + choice.Millis(i/batch)*f.Every
+		t := at + placement.Millis(i/batch)*f.Every
 		if drained {
-			d.onNode(g, t, func(now choice.Millis, n *Node) { n.Drain(now, true) })
+			d.onNode(g, t, func(now placement.Millis, n *Node) { n.Drain(now, true) })
 			d.drains[g] = append(d.drains[g], oracle.Span{From: t, Until: t + away})
 			d.host.Do(g, t+away, g.Kill)
 			d.host.Do(g, t+away+300, g.Restart)
@@ -686,8 +686,8 @@
 }
 
 // onList changes how the machine list behaves.
-func (d *Day) onList(at choice.Millis, do func(now choice.Millis, l *List)) {
-	d.host.Do(d.list, at, func(now choice.Millis) {
+func (d *Day) onList(at placement.Millis, do func(now placement.Millis, l *List)) {
+	d.host.Do(d.list, at, func(now placement.Millis) {
 		if l, ok := d.list.Inner().(*List); ok {
 			do(d.list.clock.local(now), l)
 		}
--- a/internal/lab/gangs.go
+++ b/internal/simulation/gangs.go
@@ -1,31 +1,31 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"grebeglade/choice"
 	"grebeglade/config"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // stopWithin is how long, in ms, an owner that asks for parts by itself waits for all of them before it stops
 // those that it has.
-const stopWithin = choice.Millis(5e3)
+const stopWithin = placement.Millis(5e3)
 
 // GangDemand is what is asked for in groups of one kind.
 type GangDemand struct {
 	Group         string
-	Effect        choice.Effect
+	Effect        placement.Effect
 	Rate          float64 // a second, of this owner
 	Parts, Need   int
 	Shape         [2]float64
-	Life          choice.Millis
-	Pending       choice.Millis
+	Life          placement.Millis
+	Pending       placement.Millis
 	Spread        string
 	Replace       bool
-	ReplaceWithin choice.Millis
+	ReplaceWithin placement.Millis
 }
 
 // GangPolicy is how groups are asked for: as groups, or in one of two ways to compare with.
@@ -42,24 +42,24 @@
 	demand  *GangDemand
 	keys    []uint64
 	service uint64
-	first   choice.Millis // asked for
-	until   choice.Millis // when it is no use any more
+	first   placement.Millis // asked for
+	until   placement.Millis // when it is no use any more
 	tries   int
 	stood   bool
 	placed  map[int]*wanted // parts asked for by themselves
 	over    bool
 }
 
-func (o *Owner) gangGap(i int) choice.Millis {
-	return choice.Millis(min(60e3, o.wants.ExpFloat64()*1000/max(1e-6, o.model.Gangs[i].Rate*o.Burst)))
+func (o *Owner) gangGap(i int) placement.Millis {
+	return placement.Millis(min(60e3, o.wants.ExpFloat64()*1000/max(1e-6, o.model.Gangs[i].Rate*o.Burst)))
 }
 
 // nextGang asks for a new group and comes again.
-func (o *Owner) nextGang(now choice.Millis, i int) {
+func (o *Owner) nextGang(now placement.Millis, i int) {
 	if now >= o.model.Until {
 		return
 	}
-	o.timers.At(now+o.gangGap(i), func(now choice.Millis) { o.nextGang(now, i) })
+	o.timers.At(now+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
 	d := &o.model.Gangs[i]
 	g := &wantedGang{
 		demand: d, first: now, until: min(now+2*d.Pending, o.model.Until), service: serviceID(d.Group+" gang", i),
@@ -100,7 +100,7 @@
 }
 
 // gangAsk asks for a group as a whole. A new try has new keys: what is left of the one before is its own.
-func (o *Owner) gangAsk(now choice.Millis, g *wantedGang) {
+func (o *Owner) gangAsk(now placement.Millis, g *wantedGang) {
 	there := o.there()
 	if len(there) == 0 {
 		o.gangAgain(now, &wanted{gang: g}, false)
@@ -108,7 +108,7 @@
 	}
 	d := g.demand
 	g.tries++
-	if g.keys == nil || d.Effect != choice.RunOnce {
+	if g.keys == nil || d.Effect != placement.RunOnce {
 		g.keys = o.newKeys(d.Parts)
 	}
 	at := there[o.rng.IntN(len(there))]
@@ -125,14 +125,14 @@
 		a.Parts = append(a.Parts, g.part(i))
 	}
 	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: a}})
-	o.timers.At(now+d.Pending+o.model.Slack, func(now choice.Millis) { o.giveUp(now, no, w) })
+	o.timers.At(now+d.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 	if o.rng.Float64() < o.model.Withdraws {
-		o.timers.At(now+choice.Millis(o.rng.Float64())*d.Life/4, func(now choice.Millis) { o.gangWithdraw(now, no, w) })
+		o.timers.At(now+placement.Millis(o.rng.Float64())*d.Life/4, func(now placement.Millis) { o.gangWithdraw(now, no, w) })
 	}
 }
 
 // gangWithdraw takes a group back, in the middle of whatever it is at.
-func (o *Owner) gangWithdraw(_ choice.Millis, no uint64, w *wanted) {
+func (o *Owner) gangWithdraw(_ placement.Millis, no uint64, w *wanted) {
 	if o.asks[no] != w {
 		return
 	}
@@ -143,7 +143,7 @@
 	o.gangGivenUp(w.gang)
 }
 
-func (o *Owner) gangAnswered(now choice.Millis, w *wanted, a *pb.Answer) {
+func (o *Owner) gangAnswered(now placement.Millis, w *wanted, a *pb.Answer) {
 	g := w.gang
 	switch a.Verdict {
 	case pb.Verdict_PLACED:
@@ -166,7 +166,7 @@
 	}
 }
 
-func (o *Owner) gangStood(now choice.Millis, g *wantedGang) {
+func (o *Owner) gangStood(now placement.Millis, g *wantedGang) {
 	if !g.stood {
 		g.stood = true
 		o.Tally.GangsStood++
@@ -175,21 +175,21 @@
 }
 
 // gangAgain asks once more while there is time.
-func (o *Owner) gangAgain(now choice.Millis, w *wanted, mayHaveRun bool) {
+func (o *Owner) gangAgain(now placement.Millis, w *wanted, mayHaveRun bool) {
 	g := w.gang
 	if o.model.Policy == Independent {
 		o.partAgain(now, w, mayHaveRun)
 		return
 	}
-	wait := o.model.Again * choice.Millis(0.75+o.rng.Float64()/2)
+	wait := o.model.Again * placement.Millis(0.75+o.rng.Float64()/2)
 	if o.model.Policy == ForEver {
 		wait = 100
 	}
-	if mayHaveRun && g.demand.Effect == choice.RunOnce || now+wait > g.until {
+	if mayHaveRun && g.demand.Effect == placement.RunOnce || now+wait > g.until {
 		o.gangGivenUp(g)
 		return
 	}
-	o.timers.At(now+wait, func(now choice.Millis) { o.gangAsk(now, g) })
+	o.timers.At(now+wait, func(now placement.Millis) { o.gangAsk(now, g) })
 }
 
 func (o *Owner) gangGivenUp(g *wantedGang) {
@@ -200,21 +200,21 @@
 }
 
 // gangOver takes the end of a group that stood.
-func (o *Owner) gangOver(now choice.Millis, w *wanted, why pb.Why) {
+func (o *Owner) gangOver(now placement.Millis, w *wanted, why pb.Why) {
 	o.Tally.Ended[why]++
 	w.gang.over = true
 }
 
 // gangParts asks for the parts of a group each by itself, and stops what there is if it is not whole in time.
-func (o *Owner) gangParts(now choice.Millis, g *wantedGang) {
+func (o *Owner) gangParts(now placement.Millis, g *wantedGang) {
 	g.keys = o.newKeys(g.demand.Parts)
 	for i := range g.demand.Parts {
 		o.partAsk(now, g, i)
 	}
-	o.timers.At(now+stopWithin, func(now choice.Millis) { o.gangLate(now, g) })
+	o.timers.At(now+stopWithin, func(now placement.Millis) { o.gangLate(now, g) })
 }
 
-func (o *Owner) partAsk(now choice.Millis, g *wantedGang, i int) {
+func (o *Owner) partAsk(now placement.Millis, g *wantedGang, i int) {
 	there := o.there()
 	if g.over || len(there) == 0 {
 		return
@@ -228,18 +228,18 @@
 	a := g.part(i)
 	a.Ask, a.LeftMs = no, float64(g.demand.Pending)
 	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: a}})
-	o.timers.At(now+g.demand.Pending+o.model.Slack, func(now choice.Millis) { o.giveUp(now, no, w) })
+	o.timers.At(now+g.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 }
 
-func (o *Owner) partAgain(now choice.Millis, w *wanted, mayHaveRun bool) {
+func (o *Owner) partAgain(now placement.Millis, w *wanted, mayHaveRun bool) {
 	g := w.gang
-	if g.over || mayHaveRun && g.demand.Effect == choice.RunOnce {
+	if g.over || mayHaveRun && g.demand.Effect == placement.RunOnce {
 		return
 	}
-	o.timers.At(now+o.model.Again, func(now choice.Millis) { o.partAsk(now, g, w.part) })
+	o.timers.At(now+o.model.Again, func(now placement.Millis) { o.partAsk(now, g, w.part) })
 }
 
-func (o *Owner) gangWhole(now choice.Millis, g *wantedGang) {
+func (o *Owner) gangWhole(now placement.Millis, g *wantedGang) {
 	if len(g.placed) >= g.demand.Need && !g.stood {
 		o.Tally.Used += float64(g.demand.Life) / 1000 * g.demand.Shape[0] * float64(len(g.placed))
 		o.gangStood(now, g)
@@ -247,7 +247,7 @@
 }
 
 // gangLate stops the parts of a group that is not whole, and begins it anew while there is time.
-func (o *Owner) gangLate(now choice.Millis, g *wantedGang) {
+func (o *Owner) gangLate(now placement.Millis, g *wantedGang) {
 	if g.stood || g.over {
 		return
 	}
@@ -261,7 +261,7 @@
 			o.drop(no, w)
 		}
 	}
-	if g.placed = map[int]*wanted{}; now+stopWithin > g.until || g.demand.Effect == choice.RunOnce {
+	if g.placed = map[int]*wanted{}; now+stopWithin > g.until || g.demand.Effect == placement.RunOnce {
 		o.gangGivenUp(g)
 		return
 	}
--- a/internal/lab/gate.go
+++ b/internal/simulation/gate.go
@@ -1,29 +1,29 @@
-package lab
+package simulation
 
 import (
 	"maps"
 	"math"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
 	"grebeglade/internal/oracle"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // cutBreaks is how long, in ms, a connection outlives a cut: about as long as keep-alives let one stand.
-const cutBreaks = choice.Millis(3e3)
+const cutBreaks = placement.Millis(3e3)
 
 // Witness sees what passes between a party and its connections, and nothing of what goes on inside it.
 type Witness interface {
 	// Frame is called when a party sends a frame (out), or is handed one, which may have waited since it arrived.
-	Frame(now, arrived choice.Millis, g *Gate, c link.ConnID, out bool, f *pb.Frame)
+	Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame)
 	// Conn is called when a connection opens or closes.
-	Conn(now choice.Millis, g *Gate, c link.ConnID, open bool)
+	Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool)
 	// Life is called when a party's process starts or dies.
-	Life(now choice.Millis, g *Gate, alive bool)
+	Life(now placement.Millis, g *Gate, alive bool)
 	// Still is called when a party's process stands still until then.
-	Still(now choice.Millis, g *Gate, until choice.Millis)
+	Still(now placement.Millis, g *Gate, until placement.Millis)
 }
 
 // Gate stands between a party and its net. It is where a party's process dies, stands still or is cut off,
@@ -31,66 +31,66 @@
 type Gate struct {
 	Name string
 	Role pb.Role
-	ID   int                    // number within its role
-	Dies func(inner link.Party) // called before the process ends, or nil
+	ID   int                         // number within its role
+	Dies func(inner transport.Party) // called before the process ends, or nil
 
-	make    func(incarnation uint64) link.Party
+	make    func(incarnation uint64) transport.Party
 	witness Witness
 	lives   []oracle.Span // of its process
 
-	net         link.Net
-	inner       link.Party // nil while dead
+	net         transport.Net
+	inner       transport.Party // nil while dead
 	incarnation uint64
-	conns       map[link.ConnID]bool
+	conns       map[transport.ConnID]bool
 	still       bool
-	arrived     choice.Millis // when the frame that is being handed over reached the machine
-	cutOut      bool          // what the party sends does not arrive, and
-	cutIn       bool          // what is sent to it
+	arrived     placement.Millis // when the frame that is being handed over reached the machine
+	cutOut      bool             // what the party sends does not arrive, and
+	cutIn       bool             // what is sent to it
 	cutNo       int
 	clock       clock
 	trouble     *Trouble
-	held        map[link.ConnID]choice.Millis // until when frames wait that the network holds up
-	later       func(at choice.Millis, do func(now choice.Millis))
-	waiting     []func(now choice.Millis) // what a party that stands still has not been handed
-	heldOut     []heldFrame               // what has not left a party that is cut off
+	held        map[transport.ConnID]placement.Millis // until when frames wait that the network holds up
+	later       func(at placement.Millis, do func(now placement.Millis))
+	waiting     []func(now placement.Millis) // what a party that stands still has not been handed
+	heldOut     []heldFrame                  // what has not left a party that is cut off
 	heldIn      []heldFrame
 }
 
 type heldFrame struct {
-	c link.ConnID
+	c transport.ConnID
 	f *pb.Frame
 }
 
 // NewGate makes a gate in front of what make returns; make is called again at each start of the process.
-func NewGate(name string, role pb.Role, id int, w Witness, make func(uint64) link.Party) *Gate {
-	return &Gate{Name: name, Role: role, ID: id, make: make, witness: w, conns: map[link.ConnID]bool{}, held: map[link.ConnID]choice.Millis{}}
+func NewGate(name string, role pb.Role, id int, w Witness, make func(uint64) transport.Party) *Gate {
+	return &Gate{Name: name, Role: role, ID: id, make: make, witness: w, conns: map[transport.ConnID]bool{}, held: map[transport.ConnID]placement.Millis{}}
 }
 
 // Inner is the party as it lives now, nil while it is dead.
-func (g *Gate) Inner() link.Party { return g.inner }
+func (g *Gate) Inner() transport.Party { return g.inner }
 
 // Alive tells whether the process runs.
 func (g *Gate) Alive() bool { return g.inner != nil }
 
-func (g *Gate) Start(now choice.Millis, net link.Net) {
+func (g *Gate) Start(now placement.Millis, net transport.Net) {
 	g.net = net
 	g.Restart(now)
 }
 
 // Restart starts the process anew, unless it runs.
-func (g *Gate) Restart(now choice.Millis) {
+func (g *Gate) Restart(now placement.Millis) {
 	if g.inner != nil {
 		return
 	}
 	g.incarnation++
-	g.lives = append(g.lives, oracle.Span{From: now, Until: choice.Millis(math.Inf(1))})
+	g.lives = append(g.lives, oracle.Span{From: now, Until: placement.Millis(math.Inf(1))})
 	g.inner = g.make(g.incarnation)
 	g.witness.Life(now, g, true)
 	g.inner.Start(g.clock.local(now), g)
 }
 
 // Kill ends the process outright: its connections break and all that it knew is gone.
-func (g *Gate) Kill(now choice.Millis) {
+func (g *Gate) Kill(now placement.Millis) {
 	if g.inner == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // breakAll closes every connection towards the peers.
-func (g *Gate) breakAll(now choice.Millis) []link.ConnID {
+func (g *Gate) breakAll(now placement.Millis) []transport.ConnID {
 	all := slices.Sorted(maps.Keys(g.conns))
 	for _, c := range all {
 		g.net.Close(c)
@@ -115,7 +115,7 @@
 }
 
 // Still has the process stand still: what comes waits until Go is called.
-func (g *Gate) Still(now, until choice.Millis) {
+func (g *Gate) Still(now, until placement.Millis) {
 	if g.inner != nil {
 		g.still = true
 		g.witness.Still(now, g, until)
@@ -123,7 +123,7 @@
 }
 
 // Go lets a process that stands still run on.
-func (g *Gate) Go(now choice.Millis) {
+func (g *Gate) Go(now placement.Millis) {
 	g.still = false
 	waiting := g.waiting
 	g.waiting = nil
@@ -135,21 +135,21 @@
 }
 
 // Cut cuts the party off from everyone: frames wait on both sides, and connections break if it lasts.
-func (g *Gate) Cut(choice.Millis) { g.cutOut, g.cutIn, g.cutNo = true, true, g.cutNo+1 }
+func (g *Gate) Cut(placement.Millis) { g.cutOut, g.cutIn, g.cutNo = true, true, g.cutNo+1 }
 
 // BreakCut ends the connections that have been cut off for too long. It is due cutBreaks after Cut.
-func (g *Gate) BreakCut(now choice.Millis) {
+func (g *Gate) BreakCut(now placement.Millis) {
 	if !g.cutOut && !g.cutIn {
 		return
 	}
 	g.heldOut, g.heldIn = nil, nil
 	for _, c := range g.breakAll(now) {
-		g.run(now, func(now choice.Millis) { g.inner.Closed(g.clock.local(now), c, "timed out") })
+		g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, "timed out") })
 	}
 }
 
 // Heal ends the cut.
-func (g *Gate) Heal(now choice.Millis) {
+func (g *Gate) Heal(now placement.Millis) {
 	g.cutOut, g.cutIn = false, false
 	out, in := g.heldOut, g.heldIn
 	g.heldOut, g.heldIn = nil, nil
@@ -162,7 +162,7 @@
 }
 
 // run hands something to the party, now or when it runs again.
-func (g *Gate) run(now choice.Millis, call func(now choice.Millis)) {
+func (g *Gate) run(now placement.Millis, call func(now placement.Millis)) {
 	if g.still {
 		g.waiting = append(g.waiting, call)
 	} else if g.inner != nil {
@@ -170,21 +170,21 @@
 	}
 }
 
-func (g *Gate) Opened(now choice.Millis, c link.ConnID) {
+func (g *Gate) Opened(now placement.Millis, c transport.ConnID) {
 	if g.inner == nil || g.cutOut || g.cutIn {
 		g.net.Close(c)
 		if g.conns[c] { // dialled by us: the party must hear that it came to nothing
 			delete(g.conns, c)
-			g.run(now, func(now choice.Millis) { g.inner.Closed(g.clock.local(now), c, "cut off") })
+			g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, "cut off") })
 		}
 		return
 	}
 	g.conns[c] = true
 	g.witness.Conn(now, g, c, true)
-	g.run(now, func(now choice.Millis) { g.inner.Opened(g.clock.local(now), c) })
+	g.run(now, func(now placement.Millis) { g.inner.Opened(g.clock.local(now), c) })
 }
 
-func (g *Gate) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (g *Gate) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	switch {
 	case !g.conns[c]:
 	case g.cutIn:
@@ -196,7 +196,7 @@
 }
 
 // handOver gives the party a frame, now or when it runs again.
-func (g *Gate) handOver(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (g *Gate) handOver(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	if g.inner != nil && !g.still { // the way of nearly all, and without a closure
 		g.arrived = now
 		g.witness.Frame(now, now, g, c, false, f)
@@ -204,41 +204,41 @@
 		return
 	}
 	arrived := now
-	g.run(now, func(now choice.Millis) {
+	g.run(now, func(now placement.Millis) {
 		g.arrived = arrived
 		g.witness.Frame(now, arrived, g, c, false, f)
 		g.inner.Received(g.clock.local(now), c, f)
 	})
 }
 
-func (g *Gate) Closed(now choice.Millis, c link.ConnID, why string) {
+func (g *Gate) Closed(now placement.Millis, c transport.ConnID, why string) {
 	if !g.conns[c] {
 		return
 	}
 	delete(g.conns, c)
 	delete(g.held, c)
-	g.run(now, func(now choice.Millis) {
+	g.run(now, func(now placement.Millis) {
 		g.witness.Conn(now, g, c, false)
 		g.inner.Closed(g.clock.local(now), c, why)
 	})
 }
 
-func (g *Gate) Wake(now choice.Millis) {
+func (g *Gate) Wake(now placement.Millis) {
 	if g.inner != nil && !g.still {
 		g.inner.Wake(g.clock.local(now))
 		return
 	}
-	g.run(now, func(now choice.Millis) { g.inner.Wake(g.clock.local(now)) })
+	g.run(now, func(now placement.Millis) { g.inner.Wake(g.clock.local(now)) })
 }
 
 // Dial is the party's: so are Send, Close and WakeAt.
-func (g *Gate) Dial(addr string) link.ConnID {
+func (g *Gate) Dial(addr string) transport.ConnID {
 	c := g.net.Dial(addr)
 	g.conns[c] = true
 	return c
 }
 
-func (g *Gate) Send(c link.ConnID, f *pb.Frame) {
+func (g *Gate) Send(c transport.ConnID, f *pb.Frame) {
 	if !g.conns[c] {
 		return
 	}
@@ -250,7 +250,7 @@
 	g.witness.Frame(g.net.Now(), g.net.Now(), g, c, true, f)
 }
 
-func (g *Gate) Close(c link.ConnID) {
+func (g *Gate) Close(c transport.ConnID) {
 	if g.conns[c] {
 		delete(g.conns, c)
 		g.witness.Conn(g.net.Now(), g, c, false)
@@ -260,9 +260,9 @@
 
 // Arrived is when the frame that is being handed over reached the machine: a process that stood still is handed
 // all at once what came by and by.
-func (g *Gate) Arrived() choice.Millis { return g.clock.local(g.arrived) }
+func (g *Gate) Arrived() placement.Millis { return g.clock.local(g.arrived) }
 
-func (g *Gate) WakeAt(t choice.Millis) { g.net.WakeAt(g.clock.back(t)) }
+func (g *Gate) WakeAt(t placement.Millis) { g.net.WakeAt(g.clock.back(t)) }
 
 // Now is the party's own time.
-func (g *Gate) Now() choice.Millis { return g.clock.local(g.net.Now()) }
+func (g *Gate) Now() placement.Millis { return g.clock.local(g.net.Now()) }
--- a/internal/lab/harden_test.go
+++ b/internal/simulation/harden_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"fmt"
--- a/internal/lab/history.go
+++ b/internal/simulation/history.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -25,7 +25,7 @@
 // that was cut off, put out of order or garbled is an error with its line, and never passes.
 type History struct {
 	terms  Terms
-	ended  choice.Millis
+	ended  placement.Millis
 	mu     sync.Mutex // parties on sockets have goroutines of their own
 	sights []sight
 }
@@ -38,10 +38,10 @@
 // sight is one thing that was seen.
 type sight struct {
 	what    string
-	at      choice.Millis
-	arrived choice.Millis // when a frame reached the machine; until when a process stands still
+	at      placement.Millis
+	arrived placement.Millis // when a frame reached the machine; until when a process stands still
 	gate    *Gate
-	conn    link.ConnID
+	conn    transport.ConnID
 	frame   *pb.Frame
 }
 
@@ -65,7 +65,7 @@
 	h.mu.Unlock()
 }
 
-func (h *History) Frame(now, arrived choice.Millis, g *Gate, c link.ConnID, out bool, f *pb.Frame) {
+func (h *History) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
 	what := gets
 	if out {
 		what = sends
@@ -73,7 +73,7 @@
 	h.add(sight{what, now, arrived, g, c, f})
 }
 
-func (h *History) Conn(now choice.Millis, g *Gate, c link.ConnID, open bool) {
+func (h *History) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
 	what := closes
 	if open {
 		what = opens
@@ -81,7 +81,7 @@
 	h.add(sight{what, now, 0, g, c, nil})
 }
 
-func (h *History) Life(now choice.Millis, g *Gate, alive bool) {
+func (h *History) Life(now placement.Millis, g *Gate, alive bool) {
 	what := dies
 	if alive {
 		what = starts
@@ -89,12 +89,12 @@
 	h.add(sight{what, now, 0, g, 0, nil})
 }
 
-func (h *History) Still(now choice.Millis, g *Gate, until choice.Millis) {
+func (h *History) Still(now placement.Millis, g *Gate, until placement.Millis) {
 	h.add(sight{stands, now, until, g, 0, nil})
 }
 
 // End ends the history. One party's sights keep their order: its clock never steps back.
-func (h *History) End(now choice.Millis) {
+func (h *History) End(now placement.Millis) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ended = now
@@ -127,16 +127,16 @@
 		Terms   *Terms `json:"terms"`
 	}
 	historyLine struct {
-		At      choice.Millis   `json:"at"`
-		Who     string          `json:"who,omitempty"`
-		Role    string          `json:"role,omitempty"` // at a party's first start only
-		ID      int             `json:"id,omitempty"`   // likewise
-		What    string          `json:"what,omitempty"`
-		Conn    link.ConnID     `json:"conn,omitempty"`
-		Arrived choice.Millis   `json:"arrived,omitempty"` // where it is another time
-		Until   choice.Millis   `json:"until,omitempty"`
-		Frame   json.RawMessage `json:"frame,omitempty"`
-		End     *int            `json:"end,omitempty"` // how many lines stand between the first and this, the last
+		At      placement.Millis `json:"at"`
+		Who     string           `json:"who,omitempty"`
+		Role    string           `json:"role,omitempty"` // at a party's first start only
+		ID      int              `json:"id,omitempty"`   // likewise
+		What    string           `json:"what,omitempty"`
+		Conn    transport.ConnID `json:"conn,omitempty"`
+		Arrived placement.Millis `json:"arrived,omitempty"` // where it is another time
+		Until   placement.Millis `json:"until,omitempty"`
+		Frame   json.RawMessage  `json:"frame,omitempty"`
+		End     *int             `json:"end,omitempty"` // how many lines stand between the first and this, the last
 	}
 )
 
@@ -233,7 +233,7 @@
 	h := &History{terms: *head.Terms}
 	parties := map[string]*Gate{}
 	lives := map[string]bool{}
-	for last := choice.Millis(0); ; {
+	for last := placement.Millis(0); ; {
 		var l historyLine
 		if err := next(&l); err != nil {
 			return nil, err
@@ -309,22 +309,22 @@
 // both tells two witnesses.
 type both [2]Witness
 
-func (b both) Frame(now, arrived choice.Millis, g *Gate, c link.ConnID, out bool, f *pb.Frame) {
+func (b both) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
 	b[0].Frame(now, arrived, g, c, out, f)
 	b[1].Frame(now, arrived, g, c, out, f)
 }
 
-func (b both) Conn(now choice.Millis, g *Gate, c link.ConnID, open bool) {
+func (b both) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
 	b[0].Conn(now, g, c, open)
 	b[1].Conn(now, g, c, open)
 }
 
-func (b both) Life(now choice.Millis, g *Gate, alive bool) {
+func (b both) Life(now placement.Millis, g *Gate, alive bool) {
 	b[0].Life(now, g, alive)
 	b[1].Life(now, g, alive)
 }
 
-func (b both) Still(now choice.Millis, g *Gate, until choice.Millis) {
+func (b both) Still(now placement.Millis, g *Gate, until placement.Millis) {
 	b[0].Still(now, g, until)
 	b[1].Still(now, g, until)
 }
--- a/internal/lab/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -46,7 +46,7 @@
 	keys, answers := map[uint64]uint64{}, map[uint64]int{}
 	type offer struct {
 		ask uint64
-		at  choice.Millis
+		at  placement.Millis
 	}
 	offers, lives, services := map[offer]int{}, map[*Gate]int{}, map[[2]uint64]map[uint64]bool{}
 	for _, s := range h.sights {
--- a/internal/lab/hunt.go
+++ b/internal/simulation/hunt.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Hunt is a search for days that break a rule, or on which most is lost.
@@ -66,7 +66,7 @@
 	allocators   int
 	small, large int
 	load         float64
-	length       choice.Millis
+	length       placement.Millis
 	ask, running bool // how the list is read, and what a node's yes means
 	away         string
 	bears        int
@@ -92,7 +92,7 @@
 	nodes := 3 + few(max(1, h.Nodes-3))
 	d := &drawn{
 		seed: uint64(rng.Uint32()) + 1, allocators: few(h.Allocators), small: nodes - nodes/3, large: nodes / 3,
-		load: between(0.2, 1.3), length: choice.Millis(between(12e3, 24e3)), ask: rng.IntN(2) == 0, running: rng.IntN(3) == 0,
+		load: between(0.2, 1.3), length: placement.Millis(between(12e3, 24e3)), ask: rng.IntN(2) == 0, running: rng.IntN(3) == 0,
 		away: []string{"keeps", "paced", "at-once"}[rng.IntN(3)], bears: 6 + rng.IntN(30), gangs: rng.IntN(4) == 0,
 		state: rng.IntN(4) == 0,
 	}
@@ -100,7 +100,7 @@
 		d.running = true
 		for range 2 {
 			d.faults = append(d.faults, Fault{
-				Kind: "allocator-death", At: choice.Millis(between(0, float64(d.length)*0.6)), For: choice.Millis(between(100, 2e3)), Part: 1,
+				Kind: "allocator-death", At: placement.Millis(between(0, float64(d.length)*0.6)), For: placement.Millis(between(100, 2e3)), Part: 1,
 			})
 		}
 	}
@@ -108,8 +108,8 @@
 	for range 1 + rng.IntN(4) {
 		kind := kinds[rng.IntN(len(kinds))]
 		f := Fault{
-			Kind: kind, At: choice.Millis(between(0, float64(d.length)*0.8)), For: choice.Millis(between(300, 9e3)),
-			Every: choice.Millis(between(500, 4e3)), Part: between(0.05, 1), Wait: choice.Millis(between(300, 4e3)),
+			Kind: kind, At: placement.Millis(between(0, float64(d.length)*0.8)), For: placement.Millis(between(300, 9e3)),
+			Every: placement.Millis(between(500, 4e3)), Part: between(0.05, 1), Wait: placement.Millis(between(300, 4e3)),
 		}
 		if r, ok := ranges[kind]; ok {
 			f.Size = between(r[0], r[1])
@@ -128,7 +128,7 @@
 // text is the day as a script.
 func (d *drawn) text() string {
 	var b strings.Builder
-	ms := func(t choice.Millis) string { return fmt.Sprintf("%q", fmt.Sprintf("%.0fms", float64(t))) }
+	ms := func(t placement.Millis) string { return fmt.Sprintf("%q", fmt.Sprintf("%.0fms", float64(t))) }
 	list, confirms := "push", "accepted"
 	if d.ask {
 		list = "ask"
--- a/internal/lab/journal.go
+++ b/internal/simulation/journal.go
@@ -1,30 +1,30 @@
-package lab
+package simulation
 
 import (
-	"grebeglade/choice"
-	"grebeglade/internal/port"
+	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/recovery"
-	"grebeglade/internal/state"
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage"
+	"grebeglade/internal/storage/statepb"
+	"grebeglade/placement"
 )
 
 // StateModel is how the allocators of a day keep what they must know after a crash.
 type StateModel struct {
-	Disk choice.Millis // that it takes to have something last; 0 for no disk
+	Disk placement.Millis // that it takes to have something last; 0 for no disk
 }
 
 // keepState is how long days keep run-once keys: longer than any of them lasts.
-const keepState = choice.Millis(3600e3)
+const keepState = placement.Millis(3600e3)
 
 // journal is an allocator's state directory on a disk that takes its time, and that loses what was not synced when the
 // allocator dies: its machine dies with it. What comes while the disk is busy is written together.
 type journal struct {
-	disk   *state.Memory
-	log    *state.Log
-	takes  choice.Millis
+	disk   *storage.Memory
+	log    *storage.Log
+	takes  placement.Millis
 	honest bool // it waits for the disk
-	now    func() choice.Millis
-	later  func(at choice.Millis, do func(now choice.Millis))
+	now    func() placement.Millis
+	later  func(at placement.Millis, do func(now placement.Millis))
 	queue  []write
 	busy   bool
 	life   int
@@ -32,19 +32,19 @@
 
 type write struct {
 	entry *statepb.Entry
-	lasts func(now choice.Millis, err error)
+	lasts func(now placement.Millis, err error)
 }
 
 // begin starts a life: it reads what the last one left.
-func (j *journal) begin(c *port.Config) error {
+func (j *journal) begin(c *native.Config) error {
 	j.disk.Recover()
 	j.queue, j.busy = nil, false
 	j.life++
-	log, found, err := state.Open(j.disk, &statepb.Life{Incarnation: c.Incarnation}, 1<<14, func() float64 { return float64(j.now()) })
+	log, found, err := storage.Open(j.disk, &statepb.Life{Incarnation: c.Incarnation}, 1<<14, func() float64 { return float64(j.now()) })
 	if err != nil {
 		return err
 	}
-	j.log, c.Journal, c.KeepOnce, c.Left = log, j, keepState, state.Left(found)
+	j.log, c.Journal, c.KeepOnce, c.Left = log, j, keepState, storage.Left(found)
 	return nil
 }
 
@@ -54,13 +54,13 @@
 	j.disk.Crash()
 }
 
-func (j *journal) Bound(b recovery.Bind, lasts func(now choice.Millis, err error)) {
-	j.queue = append(j.queue, write{state.Bound(b), lasts})
+func (j *journal) Bound(b recovery.Bind, lasts func(now placement.Millis, err error)) {
+	j.queue = append(j.queue, write{storage.Bound(b), lasts})
 	j.next()
 }
 
 func (j *journal) Never(key, incarnation uint64, number uint32) {
-	j.queue = append(j.queue, write{entry: state.Never(key, incarnation, number)})
+	j.queue = append(j.queue, write{entry: storage.Never(key, incarnation, number)})
 	j.next()
 }
 
@@ -76,7 +76,7 @@
 	if !j.honest {
 		takes = 0
 	}
-	j.later(j.now()+takes, func(now choice.Millis) {
+	j.later(j.now()+takes, func(now placement.Millis) {
 		if j.life != life {
 			return
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -314,17 +314,17 @@
 
 // nodeWire is the net of one node under test.
 type nodeWire struct {
-	now  choice.Millis
-	wake choice.Millis
+	now  placement.Millis
+	wake placement.Millis
 	sent []*pb.Frame
 }
 
-func (w *nodeWire) Dial(string) link.ConnID         { return 1 }
-func (w *nodeWire) Send(c link.ConnID, f *pb.Frame) { w.sent = append(w.sent, f) }
-func (w *nodeWire) Close(link.ConnID)               {}
-func (w *nodeWire) WakeAt(t choice.Millis)          { w.wake = t }
-func (w *nodeWire) Now() choice.Millis              { return w.now }
-func (w *nodeWire) run(n *Node, until choice.Millis) {
+func (w *nodeWire) Dial(string) transport.ConnID         { return 1 }
+func (w *nodeWire) Send(c transport.ConnID, f *pb.Frame) { w.sent = append(w.sent, f) }
+func (w *nodeWire) Close(transport.ConnID)               {}
+func (w *nodeWire) WakeAt(t placement.Millis)            { w.wake = t }
+func (w *nodeWire) Now() placement.Millis                { return w.now }
+func (w *nodeWire) run(n *Node, until placement.Millis) {
 	for w.wake <= until {
 		w.now = w.wake
 		n.Wake(w.now)
@@ -351,7 +351,7 @@
 	}, 1)
 	n.Start(0, w)
 	n.Opened(0, 2)
-	n.Received(0, 2, link.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
+	n.Received(0, 2, transport.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
 	offer := func(id uint64, change ...func(*pb.Offer)) {
 		o := &pb.Offer{
 			Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: id}, AcceptWithinMs: 100,
@@ -422,7 +422,7 @@
 	for seed := range uint64(20) {
 		s := open(t, "state-death")
 		for i := range s.Faults {
-			s.Faults[i].At += choice.Millis(seed) * 37 // another moment each
+			s.Faults[i].At += placement.Millis(seed) * 37 // another moment each
 		}
 		r := play(t, s, Options{Seed: seed + 1})
 		kept(t, r)
--- a/internal/lab/list.go
+++ b/internal/simulation/list.go
@@ -1,12 +1,12 @@
-package lab
+package simulation
 
 import (
 	"maps"
 	"math"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -15,29 +15,29 @@
 
 // ListModel is how the machine list of a day behaves.
 type ListModel struct {
-	Ask         bool          // it answers only when asked; else it pushes changes to all
-	Lag         choice.Millis // news is so old when the list knows it
-	Every       choice.Millis // between pushes
-	Notice      choice.Millis // until a node that is not heard of counts as gone
-	LinesPerSec float64       // that it can send, where it is asked; 0 for no limit
-	CallTimeout choice.Millis // a call that waits longer fails
+	Ask         bool             // it answers only when asked; else it pushes changes to all
+	Lag         placement.Millis // news is so old when the list knows it
+	Every       placement.Millis // between pushes
+	Notice      placement.Millis // until a node that is not heard of counts as gone
+	LinesPerSec float64          // that it can send, where it is asked; 0 for no limit
+	CallTimeout placement.Millis // a call that waits longer fails
 }
 
 // List is a stand-in for the machine list: nodes tell it of themselves, allocators read it.
 type List struct {
 	model  *ListModel
 	epoch  uint64
-	net    link.Net
-	timers link.Timers
+	net    transport.Net
+	timers transport.Timers
 
 	entries  map[uint32]*listed
 	revision uint64
-	readers  map[link.ConnID]*reader
-	nodes    map[link.ConnID]uint32
+	readers  map[transport.ConnID]*reader
+	nodes    map[transport.ConnID]uint32
 	calls    []call
 	busy     bool
 	Slower   float64 // times fewer lines a second, while a fault lasts
-	Later    choice.Millis
+	Later    placement.Millis
 	stale    bool     // it takes no news
 	missed   []func() // in what it did not take
 	wrong    float64  // times the room that nodes told of, 0 for 1
@@ -46,9 +46,9 @@
 
 type listed struct {
 	pb.NodeEntry
-	since    choice.Millis // when up_for_ms was told
+	since    placement.Millis // when up_for_ms was told
 	revision uint64
-	conn     link.ConnID
+	conn     transport.ConnID
 }
 
 type reader struct {
@@ -58,20 +58,20 @@
 }
 
 type call struct {
-	from link.ConnID
+	from transport.ConnID
 	c    *pb.ListCall
-	at   choice.Millis
+	at   placement.Millis
 }
 
 // NewList makes a list that knows no node yet.
 func NewList(m *ListModel, epoch uint64) *List {
 	return &List{
-		model: m, epoch: epoch, entries: map[uint32]*listed{}, readers: map[link.ConnID]*reader{},
-		nodes: map[link.ConnID]uint32{}, Slower: 1,
+		model: m, epoch: epoch, entries: map[uint32]*listed{}, readers: map[transport.ConnID]*reader{},
+		nodes: map[transport.ConnID]uint32{}, Slower: 1,
 	}
 }
 
-func (l *List) Start(now choice.Millis, net link.Net) {
+func (l *List) Start(now placement.Millis, net transport.Net) {
 	l.net = net
 	l.timers.At(now+l.model.Every, l.push)
 	l.wake()
@@ -83,18 +83,18 @@
 	}
 }
 
-func (l *List) Wake(now choice.Millis) {
+func (l *List) Wake(now placement.Millis) {
 	l.timers.Run(now)
 	l.wake()
 }
 
-func (l *List) Opened(now choice.Millis, c link.ConnID) { l.readers[c] = &reader{} }
+func (l *List) Opened(now placement.Millis, c transport.ConnID) { l.readers[c] = &reader{} }
 
-func (l *List) Closed(now choice.Millis, c link.ConnID, _ string) {
+func (l *List) Closed(now placement.Millis, c transport.ConnID, _ string) {
 	delete(l.readers, c)
 	if id, ok := l.nodes[c]; ok {
 		delete(l.nodes, c)
-		l.timers.At(now+l.model.Notice, func(now choice.Millis) {
+		l.timers.At(now+l.model.Notice, func(now placement.Millis) {
 			l.hear(func() {
 				if e := l.entries[id]; e != nil && e.conn == c {
 					l.change(e, func() { e.State = pb.NodeEntry_GONE })
@@ -105,7 +105,7 @@
 	l.wake()
 }
 
-func (l *List) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (l *List) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	r := l.readers[c]
 	switch {
 	case r == nil:
@@ -113,7 +113,7 @@
 		l.greet(now, c, r, f)
 	case f.GetRegister() != nil:
 		e := f.GetRegister()
-		l.timers.At(now+l.model.Lag+l.Later, func(choice.Millis) {
+		l.timers.At(now+l.model.Lag+l.Later, func(placement.Millis) {
 			l.hear(func() { l.register(now, c, e) })
 		})
 	case f.GetListCall() != nil:
@@ -123,11 +123,11 @@
 	l.wake()
 }
 
-func (l *List) greet(now choice.Millis, c link.ConnID, r *reader, f *pb.Frame) {
-	h, refusal := link.CheckHello(f)
+func (l *List) greet(now placement.Millis, c transport.ConnID, r *reader, f *pb.Frame) {
+	h, refusal := transport.CheckHello(f)
 	switch {
 	case refusal != "":
-		l.net.Send(c, link.Refuse(refusal))
+		l.net.Send(c, transport.Refuse(refusal))
 		l.net.Close(c)
 		delete(l.readers, c)
 	case h.Role == pb.Role_NODE:
@@ -135,7 +135,7 @@
 		l.nodes[c] = h.Node
 	default:
 		r.hello = true
-		l.net.Send(c, link.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: l.epoch}))
+		l.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: l.epoch}))
 		if !l.model.Ask {
 			r.watching, r.have = true, l.revision
 			l.net.Send(c, l.update(now, pb.ListUpdate_WHOLE, 0))
@@ -150,7 +150,7 @@
 }
 
 // register takes what a node said of itself at that time.
-func (l *List) register(at choice.Millis, c link.ConnID, said *pb.NodeEntry) {
+func (l *List) register(at placement.Millis, c transport.ConnID, said *pb.NodeEntry) {
 	e := l.entries[said.Id]
 	if e == nil {
 		e = &listed{}
@@ -169,7 +169,7 @@
 }
 
 // update is what changed after a revision, or all that is not gone.
-func (l *List) update(now choice.Millis, k pb.ListUpdate_Kind, after uint64) *pb.Frame {
+func (l *List) update(now placement.Millis, k pb.ListUpdate_Kind, after uint64) *pb.Frame {
 	u := &pb.ListUpdate{Kind: k, Epoch: l.epoch, Revision: l.revision}
 	if l.empty {
 		u.Kind = pb.ListUpdate_WHOLE
@@ -206,7 +206,7 @@
 }
 
 // Stale has the list take no news, and go on telling what it knew; afterwards it takes all of it at once.
-func (l *List) Stale(_ choice.Millis, stale bool) {
+func (l *List) Stale(_ placement.Millis, stale bool) {
 	l.stale = stale
 	for _, news := range l.missed {
 		news()
@@ -216,7 +216,7 @@
 
 // Tell has the list tell other things than it knows: so many times the room there is, or that there is no node at
 // all. Whoever watches is told at the next push.
-func (l *List) Tell(_ choice.Millis, room float64, empty bool) {
+func (l *List) Tell(_ placement.Millis, room float64, empty bool) {
 	l.wrong, l.empty = room, empty
 	l.revision++
 	for _, e := range l.entries {
@@ -225,7 +225,7 @@
 }
 
 // push sends each watcher what it has not been sent; those that hold the same revision get the same frame.
-func (l *List) push(now choice.Millis) {
+func (l *List) push(now placement.Millis) {
 	frames := map[uint64]*pb.Frame{}
 	for _, c := range slices.Sorted(maps.Keys(l.readers)) {
 		r := l.readers[c]
@@ -242,7 +242,7 @@
 }
 
 // serve answers calls in turn, as fast as the list can.
-func (l *List) serve(now choice.Millis) {
+func (l *List) serve(now placement.Millis) {
 	if l.busy || len(l.calls) == 0 {
 		return
 	}
@@ -265,15 +265,15 @@
 		kind, after = pb.ListUpdate_WHOLE, 0
 	}
 	f := l.update(now, kind, after)
-	took := choice.Millis(0)
+	took := placement.Millis(0)
 	if l.model.LinesPerSec > 0 {
-		took = choice.Millis(math.Ceil(float64(callLines+len(f.GetListUpdate().Entries)) / l.model.LinesPerSec * 1000 * l.Slower))
+		took = placement.Millis(math.Ceil(float64(callLines+len(f.GetListUpdate().Entries)) / l.model.LinesPerSec * 1000 * l.Slower))
 	}
 	if c.c.Watch {
 		r.watching, r.have = true, l.revision
 	}
 	l.busy = true
-	l.timers.At(now+took, func(now choice.Millis) {
+	l.timers.At(now+took, func(now placement.Millis) {
 		l.busy = false
 		l.net.Send(c.from, f)
 		l.serve(now)
--- a/internal/lab/mishap.go
+++ b/internal/simulation/mishap.go
@@ -1,8 +1,8 @@
-package lab
+package simulation
 
 import (
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -18,29 +18,29 @@
 var Mishaps = []string{"lose", "double", "delay", "cut", "crash"}
 
 const (
-	mishapDelay = choice.Millis(700)
-	mishapAway  = choice.Millis(900) // that a crashed allocator is away
+	mishapDelay = placement.Millis(700)
+	mishapAway  = placement.Millis(900) // that a crashed allocator is away
 )
 
 // unlucky stands between an allocator and its gate, and lets the mishap happen.
 type unlucky struct {
-	link.Party
+	transport.Party
 	m     *Mishap
-	net   link.Net
+	net   transport.Net
 	seen  *int // frames so far, over all lives of the allocator
-	delay func(at choice.Millis, do func(now choice.Millis))
-	crash func(now choice.Millis)
+	delay func(at placement.Millis, do func(now placement.Millis))
+	crash func(now placement.Millis)
 }
 
-func (u *unlucky) Start(now choice.Millis, net link.Net) {
+func (u *unlucky) Start(now placement.Millis, net transport.Net) {
 	u.net = net
 	u.Party.Start(now, u)
 }
 
-func (u *unlucky) Dial(addr string) link.ConnID { return u.net.Dial(addr) }
-func (u *unlucky) Close(c link.ConnID)          { u.net.Close(c) }
-func (u *unlucky) WakeAt(t choice.Millis)       { u.net.WakeAt(t) }
-func (u *unlucky) Now() choice.Millis           { return u.net.Now() }
+func (u *unlucky) Dial(addr string) transport.ConnID { return u.net.Dial(addr) }
+func (u *unlucky) Close(c transport.ConnID)          { u.net.Close(c) }
+func (u *unlucky) WakeAt(t placement.Millis)         { u.net.WakeAt(t) }
+func (u *unlucky) Now() placement.Millis             { return u.net.Now() }
 
 // struck counts a frame and tells whether it is the one.
 func (u *unlucky) struck(f *pb.Frame) bool {
@@ -52,23 +52,23 @@
 	return false
 }
 
-func (u *unlucky) Send(c link.ConnID, f *pb.Frame) {
+func (u *unlucky) Send(c transport.ConnID, f *pb.Frame) {
 	if !u.struck(f) {
 		u.net.Send(c, f)
 		return
 	}
-	u.strike(u.net.Now(), c, func(choice.Millis) { u.net.Send(c, f) })
+	u.strike(u.net.Now(), c, func(placement.Millis) { u.net.Send(c, f) })
 }
 
-func (u *unlucky) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (u *unlucky) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	if !u.struck(f) {
 		u.Party.Received(now, c, f)
 		return
 	}
-	u.strike(now, c, func(now choice.Millis) { u.Party.Received(now, c, f) })
+	u.strike(now, c, func(now placement.Millis) { u.Party.Received(now, c, f) })
 }
 
-func (u *unlucky) strike(now choice.Millis, c link.ConnID, pass func(now choice.Millis)) {
+func (u *unlucky) strike(now placement.Millis, c transport.ConnID, pass func(now placement.Millis)) {
 	switch u.m.Kind {
 	case "double":
 		pass(now)
@@ -77,7 +77,7 @@
 		u.delay(now+mishapDelay, pass)
 	case "cut":
 		u.net.Close(c)
-		u.delay(now, func(now choice.Millis) { u.Party.Closed(now, c, "cut") })
+		u.delay(now, func(now placement.Millis) { u.Party.Closed(now, c, "cut") })
 	case "crash":
 		u.delay(now, u.crash)
 	}
--- a/internal/lab/network.go
+++ b/internal/simulation/network.go
@@ -1,21 +1,21 @@
-package lab
+package simulation
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // Trouble is what the network does to the frames that reach a party. Each frame is struck by itself, with that
 // likelihood; a frame that is held up holds up those behind it on its connection unless frames may overtake.
 type Trouble struct {
-	Part     float64       // of the frames
-	Doubled  bool          // handed over twice
-	Delay    choice.Millis // held up for up to so long
-	Overtake bool          // frames of one connection may come in another order
+	Part     float64          // of the frames
+	Doubled  bool             // handed over twice
+	Delay    placement.Millis // held up for up to so long
+	Overtake bool             // frames of one connection may come in another order
 
 	rng *rand.Rand
 }
@@ -23,40 +23,40 @@
 // clock is a party's own: it goes at a rate and was stepped ahead by some time.
 type clock struct {
 	rate       float64
-	host, mine choice.Millis // one moment, by both clocks
+	host, mine placement.Millis // one moment, by both clocks
 }
 
 // local is a time of the host by this clock.
-func (k *clock) local(t choice.Millis) choice.Millis {
+func (k *clock) local(t placement.Millis) placement.Millis {
 	if k.rate == 0 {
 		return t
 	}
-	return k.mine + (t-k.host)*choice.Millis(k.rate)
+	return k.mine + (t-k.host)*placement.Millis(k.rate)
 }
 
 // back is the first time on the host's clock at which this one shows t. Rounded down it would have a party woken too
 // early, which then asks to be woken at the same time, for ever.
-func (k *clock) back(t choice.Millis) choice.Millis {
+func (k *clock) back(t placement.Millis) placement.Millis {
 	if k.rate == 0 {
 		return t
 	}
-	at := k.host + (t-k.mine)/choice.Millis(k.rate)
+	at := k.host + (t-k.mine)/placement.Millis(k.rate)
 	for k.local(at) < t && !math.IsInf(float64(at), 0) {
-		at = choice.Millis(math.Nextafter(float64(at), math.Inf(1)))
+		at = placement.Millis(math.Nextafter(float64(at), math.Inf(1)))
 	}
 	return at
 }
 
 // SetClock has the party's clock go at a rate from now on, and steps it ahead. It never goes back: what reads it
 // reads a monotonic clock, as the daemon does.
-func (g *Gate) SetClock(now choice.Millis, rate float64, ahead choice.Millis) {
+func (g *Gate) SetClock(now placement.Millis, rate float64, ahead placement.Millis) {
 	g.clock = clock{rate: rate, host: now, mine: g.clock.local(now) + max(0, ahead)}
-	g.run(now, func(now choice.Millis) { g.inner.Wake(g.clock.local(now)) }) // what is due by the new clock, and the next wake-up
+	g.run(now, func(now placement.Millis) { g.inner.Wake(g.clock.local(now)) }) // what is due by the new clock, and the next wake-up
 }
 
 // SetTrouble sets what happens to the frames that come, nil for nothing. Later calls back on the party's goroutine
 // by the host's clock.
-func (g *Gate) SetTrouble(t *Trouble, later func(at choice.Millis, do func(now choice.Millis))) {
+func (g *Gate) SetTrouble(t *Trouble, later func(at placement.Millis, do func(now placement.Millis))) {
 	g.trouble, g.later = t, later
 }
 
@@ -82,7 +82,7 @@
 }
 
 // struck has the network do its worst to a frame that comes, and tells whether it did.
-func (g *Gate) struck(now choice.Millis, c link.ConnID, f *pb.Frame) bool {
+func (g *Gate) struck(now placement.Millis, c transport.ConnID, f *pb.Frame) bool {
 	t := g.trouble
 	held, holds := g.held[c]
 	if holds && held < now {
@@ -93,12 +93,12 @@
 	overtakes := t != nil && t.Overtake && !ordered(f)
 	at := now
 	if hit && t.Delay > 0 {
-		at += t.Delay * choice.Millis(t.rng.Float64())
+		at += t.Delay * placement.Millis(t.rng.Float64())
 	}
 	if !overtakes {
 		at = max(at, held)
 	}
-	pass := func(now choice.Millis) {
+	pass := func(now placement.Millis) {
 		if g.conns[c] {
 			g.handOver(now, c, f)
 		}
