--- a/internal/lab/network_test.go
+++ b/internal/simulation/network_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"context"
@@ -10,36 +10,36 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // hearer is a party that notes when it heard what.
 type hearer struct {
-	link.Party
+	transport.Party
 	heard []uint64
-	at    []choice.Millis
+	at    []placement.Millis
 }
 
-func (h *hearer) Start(choice.Millis, link.Net)             {}
-func (h *hearer) Opened(choice.Millis, link.ConnID)         {}
-func (h *hearer) Closed(choice.Millis, link.ConnID, string) {}
-func (h *hearer) Wake(now choice.Millis)                    { h.at = append(h.at, now) }
-func (h *hearer) Received(now choice.Millis, _ link.ConnID, f *pb.Frame) {
+func (h *hearer) Start(placement.Millis, transport.Net)             {}
+func (h *hearer) Opened(placement.Millis, transport.ConnID)         {}
+func (h *hearer) Closed(placement.Millis, transport.ConnID, string) {}
+func (h *hearer) Wake(now placement.Millis)                         { h.at = append(h.at, now) }
+func (h *hearer) Received(now placement.Millis, _ transport.ConnID, f *pb.Frame) {
 	h.heard, h.at = append(h.heard, f.GetProbe().GetId()), append(h.at, now)
 }
 
 // troubled is a gate with one connection, and a queue of what the network holds up.
 func troubled(t *Trouble) (*Gate, *hearer, *Virtual) {
 	h, v := &hearer{}, NewVirtual(1)
-	g := NewGate("x", pb.Role_NODE, 1, silent{}, func(uint64) link.Party { return h })
+	g := NewGate("x", pb.Role_NODE, 1, silent{}, func(uint64) transport.Party { return h })
 	g.Start(0, &nodeWire{})
 	g.Opened(0, 1)
 	if t != nil {
 		t.rng = rand.New(rand.NewPCG(1, 1))
 	}
-	g.SetTrouble(t, func(at choice.Millis, do func(now choice.Millis)) { v.Do(nil, at, do) })
+	g.SetTrouble(t, func(at placement.Millis, do func(now placement.Millis)) { v.Do(nil, at, do) })
 	return g, h, v
 }
 
@@ -48,7 +48,7 @@
 // hear brings ten frames, a millisecond apart.
 func hear(g *Gate, v *Virtual) {
 	for i := range uint64(10) {
-		v.Do(nil, choice.Millis(i), func(now choice.Millis) { g.Received(now, 1, probe(i)) })
+		v.Do(nil, placement.Millis(i), func(now placement.Millis) { g.Received(now, 1, probe(i)) })
 	}
 	v.Run(1000, func() bool { return false })
 }
@@ -62,7 +62,7 @@
 	g, h, v = troubled(&Trouble{Part: 0.5, Delay: 50})
 	hear(g, v)
 	assert.Equal(t, inOrder, h.heard, "a stream keeps its order")
-	assert.Greater(t, h.at[9], choice.Millis(9))
+	assert.Greater(t, h.at[9], placement.Millis(9))
 
 	g, h, v = troubled(&Trouble{Part: 0.5, Delay: 50, Overtake: true})
 	hear(g, v)
@@ -71,7 +71,7 @@
 
 	// What is held up when the trouble ends still comes first.
 	g, h, v = troubled(&Trouble{Part: 1, Delay: 50})
-	v.Do(nil, 4.5, func(choice.Millis) { g.SetTrouble(nil, g.later) })
+	v.Do(nil, 4.5, func(placement.Millis) { g.SetTrouble(nil, g.later) })
 	hear(g, v)
 	assert.Equal(t, inOrder, h.heard)
 }
@@ -102,10 +102,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		k := clock{
 			rate: rapid.Float64Range(0.5, 2).Draw(t, "rate"),
-			host: choice.Millis(rapid.Float64Range(0, 1e7).Draw(t, "host")),
+			host: placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "host")),
 		}
-		k.mine = k.host + choice.Millis(rapid.Float64Range(0, 1e7).Draw(t, "ahead"))
-		at := k.mine + choice.Millis(rapid.Float64Range(0, 1e5).Draw(t, "due"))
+		k.mine = k.host + placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "ahead"))
+		at := k.mine + placement.Millis(rapid.Float64Range(0, 1e5).Draw(t, "due"))
 		if k.local(k.back(at)) < at {
 			t.Fatalf("%v is shown too early", at)
 		}
@@ -118,7 +118,7 @@
 	g.Wake(110)
 	g.SetClock(110, 1, -1000)
 	g.Wake(120)
-	assert.Equal(t, []choice.Millis{150, 170, 170, 180}, h.at)
+	assert.Equal(t, []placement.Millis{150, 170, 170, 180}, h.at)
 }
 
 func TestANodeThatLiesReportsLessAndOneThatIsStuckStartsNothing(t *testing.T) {
@@ -209,7 +209,7 @@
 
 	cut := open(t, "quiet")
 	cut.Owner.Rate = 60
-	for at := choice.Millis(500); at < 3500; at += 1000 {
+	for at := placement.Millis(500); at < 3500; at += 1000 {
 		cut.Faults = append(cut.Faults, Fault{Kind: "owner-disconnect", At: at, Part: 1})
 	}
 	assert.NotZero(t, play(t, cut, Options{Seed: 1}).Cut, "what was pending is cut off")
--- a/internal/lab/node.go
+++ b/internal/simulation/node.go
@@ -1,48 +1,48 @@
-package lab
+package simulation
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 const (
-	noteEvery    = choice.Millis(5e3) // ms between notes of what a workload uses
-	firstNote    = choice.Millis(800) // ms after its start
-	pacedAway    = choice.Millis(300) // ms between workloads that a node sends away bit by bit
-	rememberMost = 4096               // binds whose answer a node remembers
-	crowdedSlow  = 4.0                // times slower that starts get while the cores are asked for twice over
+	noteEvery    = placement.Millis(5e3) // ms between notes of what a workload uses
+	firstNote    = placement.Millis(800) // ms after its start
+	pacedAway    = placement.Millis(300) // ms between workloads that a node sends away bit by bit
+	rememberMost = 4096                  // binds whose answer a node remembers
+	crowdedSlow  = 4.0                   // times slower that starts get while the cores are asked for twice over
 )
 
 // NodeModel is how the nodes of a day behave.
 type NodeModel struct {
-	OverCores, OverMemory float64       // asks are accepted up to so many times the node's size
-	Admit                 choice.Millis // looking at one ask
-	Line                  int           // asks that wait to be looked at
-	Starts                int           // at a time
-	Setup                 float64       // times as long where the program is not kept
-	Kept                  int           // programs, after their last workload
-	ReportEvery           choice.Millis
+	OverCores, OverMemory float64          // asks are accepted up to so many times the node's size
+	Admit                 placement.Millis // looking at one ask
+	Line                  int              // asks that wait to be looked at
+	Starts                int              // at a time
+	Setup                 float64          // times as long where the program is not kept
+	Kept                  int              // programs, after their last workload
+	ReportEvery           placement.Millis
 	ConfirmsRunning       bool
 	Away                  string // what a draining node does with its workloads: keeps, paced, at-once
 	TellsDrain            bool   // to allocators itself, besides the list
 	ColdFrom              float64
-	ColdFor               choice.Millis
+	ColdFor               placement.Millis
 	ColdBears             float64
 	Overload              float64 // times what a cold node can start that push it over, for OverloadFor
-	OverloadFor           choice.Millis
+	OverloadFor           placement.Millis
 	Groups                map[string]*GroupModel
 }
 
 // GroupModel is how the workloads of a group behave on a node.
 type GroupModel struct {
-	Work          choice.Millis // start work where the program is kept
-	Cores, Memory float64       // share of the ask that is used, in the mean
-	Rank          int           // lower ones are evicted first
+	Work          placement.Millis // start work where the program is kept
+	Cores, Memory float64          // share of the ask that is used, in the mean
+	Rank          int              // lower ones are evicted first
 }
 
 // Swelling is use far over the asks.
@@ -58,15 +58,15 @@
 	spec  *NodeSpec
 	model *NodeModel
 	boot  uint64
-	born  choice.Millis
+	born  placement.Millis
 
-	net    link.Net
-	timers link.Timers
-	now    choice.Millis
+	net    transport.Net
+	timers transport.Timers
+	now    placement.Millis
 
-	list      link.ConnID
-	peers     map[link.ConnID]string // allocator's name, "" before its hello
-	conns     map[string]link.ConnID
+	list      transport.ConnID
+	peers     map[transport.ConnID]string // allocator's name, "" before its hello
+	conns     map[string]transport.ConnID
 	fence     map[string]uint64 // latest incarnation met of each allocator
 	line      []*waiting
 	looking   bool
@@ -78,8 +78,8 @@
 	starting  int
 	programs  []uint64 // kept, latest last
 	load      *pb.Load
-	loadAt    choice.Millis
-	arrivals  []choice.Millis // offers while cold
+	loadAt    placement.Millis
+	arrivals  []placement.Millis // offers while cold
 	draining  bool
 	fallen    bool
 	Slow      float64 // times slower
@@ -119,8 +119,8 @@
 type waiting struct {
 	offer   *pb.Offer
 	probe   uint64
-	from    link.ConnID
-	arrived choice.Millis
+	from    transport.ConnID
+	arrived placement.Millis
 	off     bool // called off meanwhile
 }
 
@@ -131,7 +131,7 @@
 	running bool
 	over    bool
 	kept    bool // its gang stands
-	since   choice.Millis
+	since   placement.Millis
 	cores   float64 // in use when it runs
 	memory  float64
 }
@@ -139,13 +139,13 @@
 // NewNode makes a node; its earlier incarnations left nothing. At its first boot it has been up for long.
 func NewNode(spec *NodeSpec, m *NodeModel, boot uint64) *Node {
 	return &Node{
-		id: spec.ID, spec: spec, model: m, boot: boot, born: choice.LongAgo, peers: map[link.ConnID]string{},
-		conns: map[string]link.ConnID{}, fence: map[string]uint64{}, byBind: map[bindKey]*task{},
+		id: spec.ID, spec: spec, model: m, boot: boot, born: placement.LongAgo, peers: map[transport.ConnID]string{},
+		conns: map[string]transport.ConnID{}, fence: map[string]uint64{}, byBind: map[bindKey]*task{},
 		answered: map[bindKey]*pb.OfferAnswer{}, Slow: 1,
 	}
 }
 
-func (n *Node) Start(now choice.Millis, net link.Net) {
+func (n *Node) Start(now placement.Millis, net transport.Net) {
 	n.net, n.now = net, now
 	if n.boot > 1 {
 		n.born = now
@@ -155,7 +155,7 @@
 	n.wake()
 }
 
-func (n *Node) dialList(choice.Millis) { n.list = n.net.Dial(n.spec.ListAddr) }
+func (n *Node) dialList(placement.Millis) { n.list = n.net.Dial(n.spec.ListAddr) }
 
 func (n *Node) wake() {
 	if at, ok := n.timers.Next(); ok {
@@ -163,16 +163,16 @@
 	}
 }
 
-func (n *Node) Wake(now choice.Millis) {
+func (n *Node) Wake(now placement.Millis) {
 	n.now = now
 	n.timers.Run(now)
 	n.wake()
 }
 
-func (n *Node) Opened(now choice.Millis, c link.ConnID) {
+func (n *Node) Opened(now placement.Millis, c transport.ConnID) {
 	n.now = now
 	if c == n.list {
-		n.net.Send(c, link.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.boot}))
+		n.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.boot}))
 		n.register(now)
 	} else {
 		n.peers[c] = ""
@@ -180,7 +180,7 @@
 	n.wake()
 }
 
-func (n *Node) Closed(now choice.Millis, c link.ConnID, _ string) {
+func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ string) {
 	n.now = now
 	if c == n.list {
 		n.timers.At(now+500, n.dialList)
@@ -193,7 +193,7 @@
 	n.wake()
 }
 
-func (n *Node) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (n *Node) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	n.now = now
 	name, known := n.peers[c]
 	switch {
@@ -218,13 +218,13 @@
 }
 
 // greet tells an allocator what of its workloads stands here.
-func (n *Node) greet(c link.ConnID, f *pb.Frame) {
-	h, refusal := link.CheckHello(f)
+func (n *Node) greet(c transport.ConnID, f *pb.Frame) {
+	h, refusal := transport.CheckHello(f)
 	if refusal == "" && h.Role != pb.Role_ALLOCATOR {
 		refusal = "a node serves allocators"
 	}
 	if refusal != "" {
-		n.net.Send(c, link.Refuse(refusal))
+		n.net.Send(c, transport.Refuse(refusal))
 		n.net.Close(c)
 		delete(n.peers, c)
 		return
@@ -240,11 +240,11 @@
 			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.offer, Running: t.running, Kept: t.kept})
 		}
 	}
-	n.net.Send(c, link.Hello(hello))
+	n.net.Send(c, transport.Hello(hello))
 }
 
 // cold tells whether the node is, and at which share of its pace it then starts workloads.
-func (n *Node) cold(now choice.Millis) (pace float64, cold bool) {
+func (n *Node) cold(now placement.Millis) (pace float64, cold bool) {
 	up := now - n.born
 	if up >= n.model.ColdFor {
 		return 1, false
@@ -253,7 +253,7 @@
 }
 
 // offered puts an offer in line. Too many at a cold node push it over.
-func (n *Node) offered(now choice.Millis, c link.ConnID, o *pb.Offer) {
+func (n *Node) offered(now placement.Millis, c transport.ConnID, o *pb.Offer) {
 	if n.fallen {
 		return
 	}
@@ -268,14 +268,14 @@
 	}
 	if pace, cold := n.cold(now); cold {
 		arrived := now
-		if g, ok := n.net.(interface{ Arrived() choice.Millis }); ok {
+		if g, ok := n.net.(interface{ Arrived() placement.Millis }); ok {
 			arrived = g.Arrived()
 		}
 		n.arrivals = append(n.arrivals, arrived)
-		n.arrivals = slices.DeleteFunc(n.arrivals, func(at choice.Millis) bool { return at < now-n.model.OverloadFor })
+		n.arrivals = slices.DeleteFunc(n.arrivals, func(at placement.Millis) bool { return at < now-n.model.OverloadFor })
 		if float64(len(n.arrivals)) > n.model.bears(pace) {
 			n.fallen = true
-			n.timers.At(now, func(choice.Millis) { n.Fell() })
+			n.timers.At(now, func(placement.Millis) { n.Fell() })
 			return
 		}
 	}
@@ -291,7 +291,7 @@
 	return max(m.ColdBears, m.Overload*pace*float64(m.Starts)/work*float64(m.OverloadFor))
 }
 
-func (n *Node) enter(now choice.Millis, w *waiting) {
+func (n *Node) enter(now placement.Millis, w *waiting) {
 	if len(n.line) >= n.model.Line {
 		n.decline(now, w, pb.Why_TOO_MANY_WAITING, "too many offers wait")
 		return
@@ -301,13 +301,13 @@
 }
 
 // look takes the first of the line, if nothing is looked at.
-func (n *Node) look(now choice.Millis) {
+func (n *Node) look(now placement.Millis) {
 	if n.looking || len(n.line) == 0 {
 		return
 	}
 	n.looking = true
 	w := n.line[0]
-	n.timers.At(now+n.model.Admit*choice.Millis(n.Slow), func(now choice.Millis) {
+	n.timers.At(now+n.model.Admit*placement.Millis(n.Slow), func(now placement.Millis) {
 		n.looking = false
 		n.line = n.line[1:]
 		n.decide(now, w)
@@ -315,7 +315,7 @@
 	})
 }
 
-func (n *Node) decide(now choice.Millis, w *waiting) {
+func (n *Node) decide(now placement.Millis, w *waiting) {
 	if w.offer == nil {
 		n.net.Send(w.from, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: w.probe, Load: n.loadNow(now)}}})
 		return
@@ -325,7 +325,7 @@
 	switch {
 	case w.off:
 		n.decline(now, w, pb.Why_NOT_HERE, "called off")
-	case now-w.arrived > choice.Millis(o.AcceptWithinMs):
+	case now-w.arrived > placement.Millis(o.AcceptWithinMs):
 		n.decline(now, w, pb.Why_NOT_HERE, "too late")
 	case o.Bind.Incarnation < n.fence[o.Bind.Allocator]:
 		n.decline(now, w, pb.Why_NOT_HERE, "from an earlier incarnation of the allocator")
@@ -357,7 +357,7 @@
 	return cores, memory
 }
 
-func (n *Node) accept(now choice.Millis, o *pb.Offer) {
+func (n *Node) accept(now placement.Millis, o *pb.Offer) {
 	t := &task{offer: o, group: n.model.Groups[o.Ask.Group]}
 	n.tasks = append(n.tasks, t)
 	n.byBind[keyOf(o.Bind)] = t
@@ -368,7 +368,7 @@
 	n.startNext(now)
 	// A part that nobody declared standing ends by itself, by this node's own clock: its allocator may be no more.
 	if g := o.Gang; g != nil {
-		n.timers.At(now+choice.Millis(g.LeaseMs), func(now choice.Millis) {
+		n.timers.At(now+placement.Millis(g.LeaseMs), func(now placement.Millis) {
 			if !t.kept {
 				n.end(now, t, pb.Why_LEASE_OVER)
 			}
@@ -376,7 +376,7 @@
 	}
 }
 
-func (n *Node) decline(now choice.Millis, w *waiting, why pb.Why, text string) {
+func (n *Node) decline(now placement.Millis, w *waiting, why pb.Why, text string) {
 	if w.offer == nil {
 		return // a probe that finds no place is not answered
 	}
@@ -384,7 +384,7 @@
 }
 
 // answer gives a bind its one answer, and remembers it in case the offer comes again.
-func (n *Node) answer(_ choice.Millis, b *pb.BindID, a *pb.OfferAnswer) {
+func (n *Node) answer(_ placement.Millis, b *pb.BindID, a *pb.OfferAnswer) {
 	k := keyOf(b)
 	n.answered[k] = a
 	if n.order = append(n.order, k); len(n.order) > rememberMost {
@@ -401,7 +401,7 @@
 	}
 }
 
-func (n *Node) startNext(now choice.Millis) {
+func (n *Node) startNext(now placement.Millis) {
 	for n.starting < n.model.Starts && len(n.toStart) > 0 && !n.Stuck {
 		t := n.toStart[0]
 		n.toStart = n.toStart[1:]
@@ -409,7 +409,7 @@
 			continue
 		}
 		n.starting++
-		n.timers.At(now+n.startTime(now, t), func(now choice.Millis) {
+		n.timers.At(now+n.startTime(now, t), func(now placement.Millis) {
 			n.starting--
 			if !t.over {
 				n.started(now, t)
@@ -419,7 +419,7 @@
 	}
 }
 
-func (n *Node) startTime(now choice.Millis, t *task) choice.Millis {
+func (n *Node) startTime(now placement.Millis, t *task) placement.Millis {
 	work := float64(t.group.Work) * n.Slow
 	s := t.offer.Ask.Service
 	if !slices.Contains(n.programs, s) &&
@@ -428,10 +428,10 @@
 	}
 	pace, _ := n.cold(now)
 	work *= 1 + crowdedSlow*max(0, n.busy()-1)
-	return choice.Millis(work / pace)
+	return placement.Millis(work / pace)
 }
 
-func (n *Node) started(now choice.Millis, t *task) {
+func (n *Node) started(now placement.Millis, t *task) {
 	t.running = true
 	if n.Runs != nil {
 		n.Runs(t, true)
@@ -444,8 +444,8 @@
 	} else {
 		n.note(t, pb.Note_RUNNING, 1)
 	}
-	n.timers.At(now+choice.Millis(t.offer.Ask.RunsForMs), func(now choice.Millis) { n.end(now, t, pb.Why_FINISHED) })
-	n.timers.At(now+firstNote, func(now choice.Millis) { n.noteUse(now, t) })
+	n.timers.At(now+placement.Millis(t.offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
+	n.timers.At(now+firstNote, func(now placement.Millis) { n.noteUse(now, t) })
 }
 
 // spread is a factor between a half and one and a half that belongs to a service.
@@ -457,12 +457,12 @@
 	n.tell(t.offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.offer.Bind, Kind: k, Value: value}}})
 }
 
-func (n *Node) noteUse(now choice.Millis, t *task) {
+func (n *Node) noteUse(now placement.Millis, t *task) {
 	if t.over {
 		return
 	}
 	n.note(t, pb.Note_CORES_USED, t.cores*n.excess(t))
-	n.timers.At(now+noteEvery, func(now choice.Millis) { n.noteUse(now, t) })
+	n.timers.At(now+noteEvery, func(now placement.Millis) { n.noteUse(now, t) })
 }
 
 // excess is how many times its usual use a workload now has.
@@ -475,7 +475,7 @@
 }
 
 // end takes a workload off the node.
-func (n *Node) end(now choice.Millis, t *task, why pb.Why) {
+func (n *Node) end(now placement.Millis, t *task, why pb.Why) {
 	if t.over {
 		return
 	}
@@ -500,7 +500,7 @@
 }
 
 // stopped takes a bind back, from the line or, unless only that was wanted, from the node.
-func (n *Node) stopped(now choice.Millis, s *pb.Stop) {
+func (n *Node) stopped(now placement.Millis, s *pb.Stop) {
 	k := keyOf(s.Bind)
 	for _, w := range n.line {
 		if w.offer != nil && keyOf(w.offer.Bind) == k {
@@ -517,7 +517,7 @@
 }
 
 // report measures the load every ReportEvery, evicts where memory has run out, and tells the list.
-func (n *Node) report(now choice.Millis) {
+func (n *Node) report(now placement.Millis) {
 	for used := n.memoryUsed(); used > n.spec.Memory && len(n.tasks) > 0; used = n.memoryUsed() {
 		n.end(now, n.victim(), pb.Why_EVICTED)
 	}
@@ -567,7 +567,7 @@
 }
 
 // loadNow is the last report with its age.
-func (n *Node) loadNow(now choice.Millis) *pb.Load {
+func (n *Node) loadNow(now placement.Millis) *pb.Load {
 	if n.load == nil {
 		return nil
 	}
@@ -578,7 +578,7 @@
 }
 
 // register tells the list who this is and how much room nobody has asked for, where that changed.
-func (n *Node) register(now choice.Millis) {
+func (n *Node) register(now placement.Millis) {
 	cores, memory := n.asked()
 	state := pb.NodeEntry_READY
 	switch {
@@ -594,7 +594,7 @@
 }
 
 // upFor is the time since the node's start, below nought where nobody remembers it.
-func (n *Node) upFor(now choice.Millis) float64 {
+func (n *Node) upFor(now placement.Millis) float64 {
 	if math.IsInf(float64(n.born), -1) {
 		return -1
 	}
@@ -602,7 +602,7 @@
 }
 
 // Drain has the node take nothing new, or take again.
-func (n *Node) Drain(now choice.Millis, draining bool) {
+func (n *Node) Drain(now placement.Millis, draining bool) {
 	n.now = now
 	n.draining = draining
 	n.register(now)
@@ -618,7 +618,7 @@
 }
 
 // allocators are the connections to allocators that have said who they are, oldest first.
-func (n *Node) allocators() (conns []link.ConnID) {
+func (n *Node) allocators() (conns []transport.ConnID) {
 	for c, name := range n.peers {
 		if name != "" {
 			conns = append(conns, c)
@@ -628,7 +628,7 @@
 	return conns
 }
 
-func (n *Node) sendAway(now choice.Millis) {
+func (n *Node) sendAway(now placement.Millis) {
 	for n.draining && len(n.tasks) > 0 {
 		n.end(now, n.tasks[0], pb.Why_SENT_AWAY)
 		if n.model.Away == "paced" {
@@ -639,7 +639,7 @@
 }
 
 // Unstick has it start what it has accepted meanwhile.
-func (n *Node) Unstick(now choice.Millis) {
+func (n *Node) Unstick(now placement.Millis) {
 	n.now, n.Stuck = now, false
 	n.startNext(now)
 	n.wake()
--- a/internal/lab/owner.go
+++ b/internal/simulation/owner.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"maps"
@@ -6,29 +6,29 @@
 	"math/rand/v2"
 	"slices"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 const (
-	settleAfter = choice.Millis(3e3) // ms that an owner waits where its workload may have run
-	hastily     = choice.Millis(40)  // ms within which an owner may think again at once
-	leastLeft   = choice.Millis(500) // ms of life that are not worth asking for again
+	settleAfter = placement.Millis(3e3) // ms that an owner waits where its workload may have run
+	hastily     = placement.Millis(40)  // ms within which an owner may think again at once
+	leastLeft   = placement.Millis(500) // ms of life that are not worth asking for again
 )
 
 // OwnerModel is what the owners of a day want and how they behave.
 type OwnerModel struct {
 	Groups     []Demand
-	Rate       float64       // first asks a second, of this owner
-	From       choice.Millis // when it begins to ask
-	Until      choice.Millis // when it stops
-	Again      choice.Millis // wait after an answer that places nothing, in the mean
-	Tries      int           // asks for one workload at most
-	Slack      choice.Millis // beyond the pending timeout that it waits for an answer
-	Withdraws  float64       // share of workloads that it withdraws at some time
-	Insists    bool          // asks for what was cut off again also where it must not run twice, at the same allocator
-	Allocators []string      // addresses
+	Rate       float64          // first asks a second, of this owner
+	From       placement.Millis // when it begins to ask
+	Until      placement.Millis // when it stops
+	Again      placement.Millis // wait after an answer that places nothing, in the mean
+	Tries      int              // asks for one workload at most
+	Slack      placement.Millis // beyond the pending timeout that it waits for an answer
+	Withdraws  float64          // share of workloads that it withdraws at some time
+	Insists    bool             // asks for what was cut off again also where it must not run twice, at the same allocator
+	Allocators []string         // addresses
 	Gangs      []GangDemand
 	Policy     GangPolicy
 }
@@ -38,10 +38,10 @@
 	Name     string
 	Share    float64
 	Shapes   [][2]float64 // cores and memory
-	Life     choice.Millis
+	Life     placement.Millis
 	Services int
-	Pending  choice.Millis
-	Effect   choice.Effect
+	Pending  placement.Millis
+	Effect   placement.Effect
 }
 
 // Tally is what an owner saw of its asks.
@@ -66,12 +66,12 @@
 	model  *OwnerModel
 	rng    *rand.Rand // of what it does as things turn out
 	wants  *rand.Rand // of what it wants, which is the same however things turn out
-	net    link.Net
-	timers link.Timers
-	now    choice.Millis
+	net    transport.Net
+	timers transport.Timers
+	now    placement.Millis
 
-	conns   []link.ConnID // by allocator; 0 while there is none
-	ready   map[link.ConnID]int
+	conns   []transport.ConnID // by allocator; 0 while there is none
+	ready   map[transport.ConnID]int
 	asks    map[uint64]*wanted // asked and not over, by ask
 	lastAsk uint64
 
@@ -89,10 +89,10 @@
 	service uint64
 	demand  *Demand
 	shape   [2]float64
-	ends    choice.Millis // of its life
+	ends    placement.Millis // of its life
 	tries   int
-	asked   choice.Millis
-	conn    link.ConnID
+	asked   placement.Millis
+	conn    transport.ConnID
 	at      int // allocator
 	placed  bool
 	gone    bool
@@ -104,14 +104,14 @@
 
 // Want is a single workload as its owner wanted it.
 type Want struct {
-	From, Until   choice.Millis
+	From, Until   placement.Millis
 	Service       uint64
 	Group         string
 	Cores, Memory float64
 }
 
 // wantIt notes a workload that is wanted for the first time.
-func (o *Owner) wantIt(now choice.Millis, w *wanted) {
+func (o *Owner) wantIt(now placement.Millis, w *wanted) {
 	w.want = &Want{now, w.ends, w.service, w.demand.Name, w.shape[0], w.shape[1]}
 	o.Tally.Wants = append(o.Tally.Wants, w.want)
 }
@@ -121,19 +121,19 @@
 	return &Owner{
 		name: name, no: no, model: m, rng: rand.New(rand.NewPCG(seed, uint64(no)+1)),
 		wants: rand.New(rand.NewPCG(seed, uint64(no)<<32+2)),
-		conns: make([]link.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)), ready: map[link.ConnID]int{}, asks: map[uint64]*wanted{},
+		conns: make([]transport.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)), ready: map[transport.ConnID]int{}, asks: map[uint64]*wanted{},
 		Burst: 1, Tally: Tally{Ended: map[pb.Why]int{}},
 	}
 }
 
-func (o *Owner) Start(now choice.Millis, net link.Net) {
+func (o *Owner) Start(now placement.Millis, net transport.Net) {
 	o.now, o.net = now, net
 	for i := range o.conns {
 		o.dial(i)
 	}
 	o.timers.At(max(now, o.model.From)+o.gap(), o.next)
 	for i := range o.model.Gangs {
-		o.timers.At(max(now, o.model.From)+o.gangGap(i), func(now choice.Millis) { o.nextGang(now, i) })
+		o.timers.At(max(now, o.model.From)+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
 	}
 	o.wake()
 }
@@ -148,19 +148,19 @@
 	}
 }
 
-func (o *Owner) Wake(now choice.Millis) {
+func (o *Owner) Wake(now placement.Millis) {
 	o.now = now
 	o.timers.Run(now)
 	o.wake()
 }
 
-func (o *Owner) Opened(now choice.Millis, c link.ConnID) {
+func (o *Owner) Opened(now placement.Millis, c transport.ConnID) {
 	o.now = now
-	o.net.Send(c, link.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
+	o.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
 	o.wake()
 }
 
-func (o *Owner) Closed(now choice.Millis, c link.ConnID, _ string) {
+func (o *Owner) Closed(now placement.Millis, c transport.ConnID, _ string) {
 	o.now = now
 	delete(o.ready, c)
 	i := slices.Index(o.conns, c)
@@ -177,7 +177,7 @@
 		switch {
 		case w.gang != nil:
 			o.gangAgain(now, w, true)
-		case o.model.Insists && w.demand.Effect == choice.RunOnce:
+		case o.model.Insists && w.demand.Effect == placement.RunOnce:
 			w.only = w.at + 1 // it knows whether the workload may have run
 			o.again(now, w, false)
 		default:
@@ -185,12 +185,12 @@
 		}
 	}
 	o.conns[i] = 0
-	o.timers.At(now+choice.Millis(200+o.rng.Float64()*600), func(choice.Millis) { o.dial(i) })
+	o.timers.At(now+placement.Millis(200+o.rng.Float64()*600), func(placement.Millis) { o.dial(i) })
 	o.wake()
 }
 
 // on returns the asks that went over a connection and are not over, oldest first.
-func (o *Owner) on(c link.ConnID) (asks []uint64) {
+func (o *Owner) on(c transport.ConnID) (asks []uint64) {
 	for no, w := range o.asks {
 		if w.conn == c {
 			asks = append(asks, no)
@@ -200,7 +200,7 @@
 	return asks
 }
 
-func (o *Owner) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (o *Owner) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	o.now = now
 	switch b := f.Body.(type) {
 	case *pb.Frame_Hello:
@@ -224,7 +224,7 @@
 
 // back takes an allocator's hello: what it does not name of what it placed is lost. One that has started anew
 // may not have found all of it yet, so nothing is concluded then.
-func (o *Owner) back(now choice.Millis, c link.ConnID, h *pb.Hello) {
+func (o *Owner) back(now placement.Millis, c transport.ConnID, h *pb.Hello) {
 	i := slices.Index(o.conns, c)
 	o.ready[c] = i
 	same := o.incarnations[i] == h.Incarnation
@@ -254,7 +254,7 @@
 	}
 }
 
-func (o *Owner) answered(now choice.Millis, a *pb.Answer) {
+func (o *Owner) answered(now placement.Millis, a *pb.Answer) {
 	w := o.asks[a.Ask]
 	if w == nil || w.placed {
 		return
@@ -283,12 +283,12 @@
 }
 
 // gap is the time until the next first ask.
-func (o *Owner) gap() choice.Millis {
-	return choice.Millis(min(60e3, o.wants.ExpFloat64()*1000/max(1e-6, o.model.Rate*o.Burst)))
+func (o *Owner) gap() placement.Millis {
+	return placement.Millis(min(60e3, o.wants.ExpFloat64()*1000/max(1e-6, o.model.Rate*o.Burst)))
 }
 
 // next asks for a new workload and comes again.
-func (o *Owner) next(now choice.Millis) {
+func (o *Owner) next(now placement.Millis) {
 	if now >= o.model.Until {
 		return
 	}
@@ -310,7 +310,7 @@
 		if o.wants.IntN(2) == 0 {
 			within = d.Life
 		}
-		o.timers.At(now+within*choice.Millis(o.wants.Float64()), func(now choice.Millis) { o.withdraw(now, w) })
+		o.timers.At(now+within*placement.Millis(o.wants.Float64()), func(now placement.Millis) { o.withdraw(now, w) })
 	}
 }
 
@@ -325,8 +325,8 @@
 }
 
 // life is log-normal, long for a few.
-func (o *Owner) life(d *Demand) choice.Millis {
-	return max(leastLeft, d.Life*choice.Millis(math.Exp(o.wants.NormFloat64()*0.8-0.32)))
+func (o *Owner) life(d *Demand) placement.Millis {
+	return max(leastLeft, d.Life*placement.Millis(math.Exp(o.wants.NormFloat64()*0.8-0.32)))
 }
 
 // serviceID names a service alike at all owners.
@@ -339,18 +339,18 @@
 }
 
 // ask asks an allocator that is there; with none, later.
-func (o *Owner) ask(now choice.Millis, w *wanted) {
+func (o *Owner) ask(now placement.Millis, w *wanted) {
 	if w.gone {
 		return
 	}
-	var there []link.ConnID
+	var there []transport.ConnID
 	for i, c := range o.conns {
 		if _, ok := o.ready[c]; ok && (w.only == 0 || w.only == i+1) {
 			there = append(there, c)
 		}
 	}
 	if len(there) == 0 {
-		o.timers.At(now+200, func(now choice.Millis) {
+		o.timers.At(now+200, func(now placement.Millis) {
 			if now < min(w.ends, o.model.Until) {
 				o.ask(now, w)
 			}
@@ -372,10 +372,10 @@
 		LeftMs: float64(w.demand.Pending), RunsForMs: float64(w.ends - now), Again: w.tries > 1,
 		SentMs: float64(now),
 	}}})
-	o.timers.At(now+w.demand.Pending+o.model.Slack, func(now choice.Millis) { o.giveUp(now, no, w) })
+	o.timers.At(now+w.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 }
 
-func (o *Owner) giveUp(now choice.Millis, no uint64, w *wanted) {
+func (o *Owner) giveUp(now placement.Millis, no uint64, w *wanted) {
 	if o.asks[no] != w || w.placed {
 		return
 	}
@@ -395,7 +395,7 @@
 }
 
 // withdraw ends what the owner no longer wants, wherever it stands.
-func (o *Owner) withdraw(now choice.Millis, w *wanted) {
+func (o *Owner) withdraw(now placement.Millis, w *wanted) {
 	w.gone = true
 	if w.want != nil {
 		w.want.Until = min(w.want.Until, now)
@@ -412,22 +412,22 @@
 
 // again asks once more while there is life left to run. What may have run is asked for again only where that
 // is harmless, and once it has settled.
-func (o *Owner) again(now choice.Millis, w *wanted, mayHaveRun bool) {
-	wait := o.model.Again * choice.Millis(0.75+o.rng.Float64()/2)
-	if mayHaveRun && w.demand.Effect == choice.RunOnce {
+func (o *Owner) again(now placement.Millis, w *wanted, mayHaveRun bool) {
+	wait := o.model.Again * placement.Millis(0.75+o.rng.Float64()/2)
+	if mayHaveRun && w.demand.Effect == placement.RunOnce {
 		return
 	}
-	if mayHaveRun && w.demand.Effect == choice.Deduplicated {
+	if mayHaveRun && w.demand.Effect == placement.Deduplicated {
 		wait = max(wait, settleAfter)
 	}
 	if w.tries >= o.model.Tries || now+wait+leastLeft > min(w.ends, o.model.Until) {
 		return
 	}
-	o.timers.At(now+wait, func(now choice.Millis) { o.ask(now, w) })
+	o.timers.At(now+wait, func(now placement.Millis) { o.ask(now, w) })
 }
 
 // Restart has the owner stop a share of its services and ask for all their workloads again, within a time.
-func (o *Owner) Restart(now choice.Millis, share float64, within choice.Millis) {
+func (o *Owner) Restart(now placement.Millis, share float64, within placement.Millis) {
 	o.now = now
 	done := map[*wanted]bool{}
 	for _, no := range slices.Sorted(maps.Keys(o.asks)) {
@@ -441,7 +441,7 @@
 		fresh := &wanted{
 			key: uint64(o.no)<<40 | o.keys, service: w.service, demand: w.demand, shape: w.shape, ends: w.ends,
 		}
-		o.timers.At(now+within*choice.Millis(o.rng.Float64()), func(now choice.Millis) {
+		o.timers.At(now+within*placement.Millis(o.rng.Float64()), func(now placement.Millis) {
 			if now+leastLeft < min(fresh.ends, o.model.Until) {
 				o.Tally.Firsts++
 				o.Tally.SinglesFirst++
--- a/internal/lab/play.go
+++ b/internal/simulation/play.go
@@ -1,17 +1,17 @@
-package lab
+package simulation
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 )
 
 // socketSlack is how long beyond the pending timeout owners wait on sockets, where other programs take turns
 // with ours on the same cores.
-const socketSlack = choice.Millis(500)
+const socketSlack = placement.Millis(500)
 
 // PlayVirtual plays a day in virtual time. The result depends on the script and the options alone.
 func PlayVirtual(s *Script, o Options) (*Result, error) {
@@ -72,7 +72,7 @@
 
 // Progress is how far a day on sockets is.
 type Progress struct {
-	At, Of                                       choice.Millis
+	At, Of                                       placement.Millis
 	Asks, Placed, Rejected, Unschedulable, Waits int
 }
 
@@ -81,7 +81,7 @@
 func PlaySockets(ctx context.Context, s *Script, o Options, told func(Progress)) (*Result, error) {
 	began := time.Now()
 	s.Owner.Slack = max(s.Owner.Slack, socketSlack)
-	loop := link.NewLoop(o.Log)
+	loop := transport.NewLoop(o.Log)
 	defer loop.Close()
 	seen := NewHistory(s.Terms())
 	d, err := NewDay(s, o, loop, seen, loop.Now())
@@ -123,10 +123,10 @@
 }
 
 // progress asks the owners, each on its own goroutine.
-func (d *Day) progress(loop *link.Loop) Progress {
+func (d *Day) progress(loop *transport.Loop) Progress {
 	p := Progress{At: max(0, loop.Now()-d.begins), Of: d.script.Length}
 	for _, g := range d.owners {
-		loop.Ask(g, func(choice.Millis) {
+		loop.Ask(g, func(placement.Millis) {
 			o := g.Inner().(*Owner)
 			p.Asks += o.Tally.Asks
 			p.Placed += o.Tally.Placed
--- a/internal/lab/sabotage.go
+++ b/internal/simulation/sabotage.go
@@ -1,8 +1,8 @@
-package lab
+package simulation
 
 import (
-	"grebeglade/choice"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -38,40 +38,40 @@
 
 // saboteur stands between an allocator and its gate.
 type saboteur struct {
-	link.Party
-	net   link.Net
+	transport.Party
+	net   transport.Net
 	how   Sabotage
 	count int
-	nodes []link.ConnID // connections that stand to nodes
-	first *pb.Frame     // an offer that has been answered
+	nodes []transport.ConnID // connections that stand to nodes
+	first *pb.Frame          // an offer that has been answered
 	later []lateFrame
 }
 
 type lateFrame struct {
-	at choice.Millis
-	c  link.ConnID
+	at placement.Millis
+	c  transport.ConnID
 	f  *pb.Frame
 }
 
-func (s Sabotage) around(p link.Party) link.Party {
+func (s Sabotage) around(p transport.Party) transport.Party {
 	if s == Honest || s == SpreadBlind || s == ForgetsState || s == SyncsNever || s == BindsMore {
 		return p
 	}
 	return &saboteur{Party: p, how: s}
 }
 
-func (s *saboteur) Start(now choice.Millis, net link.Net) {
+func (s *saboteur) Start(now placement.Millis, net transport.Net) {
 	s.net = net
 	s.Party.Start(now, s)
 }
 
-func (s *saboteur) Dial(addr string) link.ConnID { return s.net.Dial(addr) }
-func (s *saboteur) Close(c link.ConnID)          { s.net.Close(c) }
-func (s *saboteur) WakeAt(t choice.Millis)       { s.net.WakeAt(t) }
-func (s *saboteur) Now() choice.Millis           { return s.net.Now() }
-func (s *saboteur) Wake(now choice.Millis)       { s.sendLate(now); s.Party.Wake(now) }
-func (s *saboteur) tamper() bool                 { s.count++; return s.count%every == 0 }
-func (s *saboteur) Closed(now choice.Millis, c link.ConnID, why string) {
+func (s *saboteur) Dial(addr string) transport.ConnID { return s.net.Dial(addr) }
+func (s *saboteur) Close(c transport.ConnID)          { s.net.Close(c) }
+func (s *saboteur) WakeAt(t placement.Millis)         { s.net.WakeAt(t) }
+func (s *saboteur) Now() placement.Millis             { return s.net.Now() }
+func (s *saboteur) Wake(now placement.Millis)         { s.sendLate(now); s.Party.Wake(now) }
+func (s *saboteur) tamper() bool                      { s.count++; return s.count%every == 0 }
+func (s *saboteur) Closed(now placement.Millis, c transport.ConnID, why string) {
 	for i, n := range s.nodes {
 		if n == c {
 			s.nodes = append(s.nodes[:i], s.nodes[i+1:]...)
@@ -81,14 +81,14 @@
 	s.Party.Closed(now, c, why)
 }
 
-func (s *saboteur) sendLate(now choice.Millis) {
+func (s *saboteur) sendLate(now placement.Millis) {
 	for len(s.later) > 0 && s.later[0].at <= now {
 		s.net.Send(s.later[0].c, s.later[0].f)
 		s.later = s.later[1:]
 	}
 }
 
-func (s *saboteur) Received(now choice.Millis, c link.ConnID, f *pb.Frame) {
+func (s *saboteur) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Hello:
 		if b.Hello.Role == pb.Role_NODE {
@@ -101,7 +101,7 @@
 				if s.how == ColdBlind {
 					told.UpForMs = -1
 				}
-				f = link.Hello(told)
+				f = transport.Hello(told)
 			}
 		}
 	case *pb.Frame_Drain:
@@ -137,7 +137,7 @@
 	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: told}}
 }
 
-func (s *saboteur) Send(c link.ConnID, f *pb.Frame) {
+func (s *saboteur) Send(c transport.ConnID, f *pb.Frame) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Answer:
 		s.answer(c, f, b.Answer)
@@ -166,7 +166,7 @@
 	s.net.Send(c, f)
 }
 
-func (s *saboteur) answer(c link.ConnID, f *pb.Frame, a *pb.Answer) {
+func (s *saboteur) answer(c transport.ConnID, f *pb.Frame, a *pb.Answer) {
 	switch {
 	case s.how == NoAnswer && s.tamper():
 		return
--- a/internal/lab/script.go
+++ b/internal/simulation/script.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"embed"
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
-	"grebeglade/choice"
 	"grebeglade/config"
+	"grebeglade/placement"
 )
 
 //go:embed scripts/*.hcl
@@ -19,12 +19,12 @@
 type Script struct {
 	Name       string
 	About      string
-	Settle     choice.Millis // before owners ask and faults count: nodes and allocators get to know each other
-	Length     choice.Millis // owners ask until then
+	Settle     placement.Millis // before owners ask and faults count: nodes and allocators get to know each other
+	Length     placement.Millis // owners ask until then
 	Allocators int
 	Owners     int
 	Zones      []string
-	Settings   choice.Settings
+	Settings   placement.Settings
 	Groups     []string
 	Kinds      []string
 	Counts     []int // nodes of each kind
@@ -32,7 +32,7 @@
 	Node       NodeModel
 	List       ListModel
 	Owner      OwnerModel
-	Drain      choice.Millis // grace of the third rule
+	Drain      placement.Millis // grace of the third rule
 	Faults     []Fault
 	Limits     config.Limits
 	State      StateModel
@@ -41,21 +41,21 @@
 // Fault is one thing that goes wrong.
 type Fault struct {
 	Kind  string
-	At    choice.Millis
-	For   choice.Millis
-	Every choice.Millis
+	At    placement.Millis
+	For   placement.Millis
+	Every placement.Millis
 	Part  float64 // of those that it may hit
 	Size  float64
 	Group string
 	Zone  string
-	Wait  choice.Millis // between a drain and the end
+	Wait  placement.Millis // between a drain and the end
 }
 
 // faultKinds are the faults with what they take besides at, for and part: their sizes by default, in the
 // unit that the word in front says.
 var faultKinds = map[string]struct {
 	size, least, most float64
-	every             choice.Millis
+	every             placement.Millis
 }{
 	"crash":            {},
 	"slow":             {size: 5, least: 1, most: 1000},
@@ -327,7 +327,7 @@
 }
 
 // Stretch has the day last for another time; its faults come and go in proportion.
-func (s *Script) Stretch(length choice.Millis) {
+func (s *Script) Stretch(length placement.Millis) {
 	by := length / s.Length
 	s.Length = length
 	for i := range s.Faults {
--- a/internal/lab/size_test.go
+++ b/internal/simulation/size_test.go
@@ -1,10 +1,10 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // BenchmarkDay is what a simulated workload costs, by size; load follows the nodes.
@@ -18,7 +18,7 @@
 					b.Fatal(err)
 				}
 				s.Resize(size[1], size[0])
-				s.Stretch(choice.Millis(5000))
+				s.Stretch(placement.Millis(5000))
 				r, err := PlayVirtual(s, Options{Seed: uint64(i) + 1})
 				if err != nil {
 					b.Fatal(err)
--- a/internal/lab/virtual.go
+++ b/internal/simulation/virtual.go
@@ -1,37 +1,37 @@
-package lab
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"grebeglade/choice"
-	"grebeglade/internal/link"
-	"grebeglade/internal/schedule"
+	"grebeglade/internal/timerqueue"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // Lengths of a frame's way in virtual time, in ms one way: within a hall, between halls, and how much longer
 // by chance.
 const (
-	nearWay = choice.Millis(0.2)
-	farWay  = choice.Millis(0.9)
+	nearWay = placement.Millis(0.2)
+	farWay  = placement.Millis(0.9)
 	wayMore = 0.3
 )
 
 // Host is where parties live: Virtual, or sockets.
 type Host interface {
 	// Add brings a party in and returns the address at which others reach it.
-	Add(p link.Party, zone string) (addr string, err error)
+	Add(p transport.Party, zone string) (addr string, err error)
 	// Do calls do on the party's goroutine once that time has come.
-	Do(p link.Party, at choice.Millis, do func(now choice.Millis))
+	Do(p transport.Party, at placement.Millis, do func(now placement.Millis))
 }
 
 // Virtual is a network and a clock of its own making. What happens depends on the seed and on nothing else.
 type Virtual struct {
-	now     choice.Millis
-	events  schedule.Queue[event]
+	now     placement.Millis
+	events  timerqueue.Queue[event]
 	parties []*resident
-	byParty map[link.Party]*resident
+	byParty map[transport.Party]*resident
 	rng     *rand.Rand
 }
 
@@ -48,9 +48,9 @@
 type event struct {
 	kind eventKind
 	at   *resident
-	c    link.ConnID
+	c    transport.ConnID
 	f    *pb.Frame
-	do   func(now choice.Millis)
+	do   func(now placement.Millis)
 	wake uint64
 	why  string
 }
@@ -59,46 +59,46 @@
 type resident struct {
 	v     *Virtual
 	no    int
-	party link.Party
+	party transport.Party
 	zone  string
 	ends  []*end // by ConnID-1
 	// The wake-up that counts, if there is one.
 	wake   uint64
-	wakeAt choice.Millis
+	wakeAt placement.Millis
 	wakes  bool
 }
 
 // end is one side of a connection.
 type end struct {
 	at   *resident
-	id   link.ConnID
+	id   transport.ConnID
 	peer *end
-	open bool          // as far as this side is concerned
-	last choice.Millis // arrival of the last frame that was sent from here
+	open bool             // as far as this side is concerned
+	last placement.Millis // arrival of the last frame that was sent from here
 }
 
 // NewVirtual makes an empty network.
 func NewVirtual(seed uint64) *Virtual {
-	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byParty: map[link.Party]*resident{}}
+	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byParty: map[transport.Party]*resident{}}
 }
 
 // Now is the virtual time.
-func (v *Virtual) Now() choice.Millis { return v.now }
+func (v *Virtual) Now() placement.Millis { return v.now }
 
-func (v *Virtual) Add(p link.Party, zone string) (string, error) {
+func (v *Virtual) Add(p transport.Party, zone string) (string, error) {
 	r := &resident{v: v, no: len(v.parties), party: p, zone: zone}
 	v.parties = append(v.parties, r)
 	v.byParty[p] = r
-	v.events.Add(v.now, event{kind: evDo, do: func(now choice.Millis) { p.Start(now, r) }})
+	v.events.Add(v.now, event{kind: evDo, do: func(now placement.Millis) { p.Start(now, r) }})
 	return fmt.Sprintf("virtual:%d", r.no), nil
 }
 
-func (v *Virtual) Do(_ link.Party, at choice.Millis, do func(now choice.Millis)) {
+func (v *Virtual) Do(_ transport.Party, at placement.Millis, do func(now placement.Millis)) {
 	v.events.Add(max(at, v.now), event{kind: evDo, do: do})
 }
 
 // Run handles what comes due until that time, or until done says so.
-func (v *Virtual) Run(until choice.Millis, done func() bool) {
+func (v *Virtual) Run(until placement.Millis, done func() bool) {
 	for at, ok := v.events.Next(); ok && at <= until && !done(); at, ok = v.events.Next() {
 		_, _, e := v.events.Take()
 		v.now = max(v.now, at)
@@ -137,12 +137,12 @@
 }
 
 // way is how long something takes from one party to another.
-func (v *Virtual) way(from, to *resident) choice.Millis {
+func (v *Virtual) way(from, to *resident) placement.Millis {
 	base := nearWay
 	if from.zone != to.zone {
 		base = farWay
 	}
-	return base * choice.Millis(1+wayMore*v.rng.Float64())
+	return base * placement.Millis(1+wayMore*v.rng.Float64())
 }
 
 // send has something arrive at the other end, after all that was sent before it.
@@ -154,14 +154,14 @@
 }
 
 func (r *resident) newEnd() *end {
-	e := &end{at: r, id: link.ConnID(len(r.ends) + 1), open: true}
+	e := &end{at: r, id: transport.ConnID(len(r.ends) + 1), open: true}
 	r.ends = append(r.ends, e)
 	return e
 }
 
-func (r *resident) Now() choice.Millis { return r.v.now }
+func (r *resident) Now() placement.Millis { return r.v.now }
 
-func (r *resident) Dial(addr string) link.ConnID {
+func (r *resident) Dial(addr string) transport.ConnID {
 	a := r.newEnd()
 	var no int
 	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.v.parties) {
@@ -177,13 +177,13 @@
 	return a.id
 }
 
-func (r *resident) Send(c link.ConnID, f *pb.Frame) {
+func (r *resident) Send(c transport.ConnID, f *pb.Frame) {
 	if e := r.ends[c-1]; e.open && e.peer != nil {
 		r.v.send(e, event{kind: evFrame, f: f})
 	}
 }
 
-func (r *resident) Close(c link.ConnID) {
+func (r *resident) Close(c transport.ConnID) {
 	e := r.ends[c-1]
 	if !e.open {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-func (r *resident) WakeAt(t choice.Millis) {
+func (r *resident) WakeAt(t placement.Millis) {
 	if t = max(t, r.v.now); r.wakes && t == r.wakeAt {
 		return
 	}
--- a/internal/state/format.go
+++ b/internal/storage/format.go
@@ -1,4 +1,4 @@
-// Package state keeps what an allocator must know after a crash: the binds that are out, or may have run, of workloads
+// Package storage keeps what an allocator must know after a crash: the binds that are out, or may have run, of workloads
 // whose effect must not come about twice.
 //
 // A directory holds snapshots and logs, numbered in one row. A log is a header and records, each with its length and a
@@ -6,7 +6,7 @@
 // say, so that what is read at a start follows from what is live and not from history. Every life, and every log that
 // grew too long, begins a log of the next number; nothing is ever appended to a file of an earlier life, whose end may be
 // torn. Times are Unix milliseconds, as they must mean something to the next life. docs/state.md tells operators of it.
-package state
+package storage
 
 import (
 	"encoding/binary"
@@ -16,10 +16,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
 )
 
-//go:generate protoc --proto_path=../.. --go_out=../.. --go_opt=module=grebeglade internal/state/statepb/state.proto
+//go:generate protoc --proto_path=../.. --go_out=../.. --go_opt=module=grebeglade internal/storage/statepb/state.proto
 
 const (
 	magic    = "gbstate\n"
--- a/internal/state/log.go
+++ b/internal/storage/log.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
 )
 
 const (
--- a/internal/state/log_test.go
+++ b/internal/storage/log_test.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
 )
 
 const day = 86400e3
--- a/internal/state/memory.go
+++ b/internal/storage/memory.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"errors"
--- a/internal/state/stores_test.go
+++ b/internal/storage/stores_test.go
@@ -1,4 +1,4 @@
-package state
+package storage
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"go.etcd.io/bbolt"
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
 )
 
 // BenchmarkCommit is one group that lasts, in the own log and in a well-kept store, on the same disk. Only the ratio within
--- a/internal/state/writer.go
+++ b/internal/storage/writer.go
@@ -1,11 +1,11 @@
-package state
+package storage
 
 import (
 	"errors"
 	"sync"
 
 	"grebeglade/internal/recovery"
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
 )
 
 // Sync says when what is written must last.
--- a/internal/schedule/schedule.go
+++ b/internal/timerqueue/schedule.go
@@ -1,22 +1,22 @@
-// Package schedule holds things that come due: earliest first, equal times in the order in which they were
+// Package timerqueue holds things that come due: earliest first, equal times in the order in which they were
 // added. Times are milliseconds.
-package schedule
+package timerqueue
 
 import (
 	"encoding/binary"
 	"hash/fnv"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 // Jitter is a quarter more or less than d, by the chance of that draw.
-func Jitter(d choice.Millis, seed, draw uint64) choice.Millis {
+func Jitter(d placement.Millis, seed, draw uint64) placement.Millis {
 	h := fnv.New64a()
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], seed)
 	binary.BigEndian.PutUint64(b[8:], draw)
 	h.Write(b[:])
-	return d * choice.Millis(0.75+float64(h.Sum64()>>11%1000)/2000)
+	return d * placement.Millis(0.75+float64(h.Sum64()>>11%1000)/2000)
 }
 
 // Queue is empty at first.
@@ -26,7 +26,7 @@
 }
 
 type item[T any] struct {
-	at choice.Millis
+	at placement.Millis
 	no uint64
 	v  T
 }
@@ -35,7 +35,7 @@
 func (q *Queue[T]) Len() int { return len(q.items) }
 
 // Add keeps v until that time and returns its number; numbers start at 1 and grow.
-func (q *Queue[T]) Add(at choice.Millis, v T) uint64 {
+func (q *Queue[T]) Add(at placement.Millis, v T) uint64 {
 	q.no++
 	q.items = append(q.items, item[T]{at, q.no, v})
 	for i := len(q.items) - 1; i > 0; {
@@ -50,7 +50,7 @@
 }
 
 // Next is the time of the first, if there is one.
-func (q *Queue[T]) Next() (choice.Millis, bool) {
+func (q *Queue[T]) Next() (placement.Millis, bool) {
 	if len(q.items) == 0 {
 		return 0, false
 	}
@@ -58,7 +58,7 @@
 }
 
 // Take takes the first out and returns it with its time and number. The queue must not be empty.
-func (q *Queue[T]) Take() (at choice.Millis, no uint64, v T) {
+func (q *Queue[T]) Take() (at placement.Millis, no uint64, v T) {
 	first, last := q.items[0], len(q.items)-1
 	q.items[0] = q.items[last]
 	q.items[last] = item[T]{}
--- a/internal/schedule/schedule_test.go
+++ b/internal/timerqueue/schedule_test.go
@@ -1,4 +1,4 @@
-package schedule
+package timerqueue
 
 import (
 	"cmp"
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 )
 
 func TestThingsComeDueByTimeThenInTheOrderOfAdding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[uint64]
 		var want []struct {
-			at choice.Millis
+			at placement.Millis
 			no uint64
 		}
 		take := func() {
@@ -30,15 +30,15 @@
 				take()
 				continue
 			}
-			at := choice.Millis(rapid.IntRange(0, 8).Draw(t, "at"))
+			at := placement.Millis(rapid.IntRange(0, 8).Draw(t, "at"))
 			no := q.Add(at, 0)
 			q.items[slices.IndexFunc(q.items, func(x item[uint64]) bool { return x.no == no })].v = no
 			want = append(want, struct {
-				at choice.Millis
+				at placement.Millis
 				no uint64
 			}{at, no})
 			slices.SortStableFunc(want, func(x, y struct {
-				at choice.Millis
+				at placement.Millis
 				no uint64
 			}) int {
 				return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.no, y.no))
--- a/internal/link/form.go
+++ b/internal/transport/form.go
@@ -1,11 +1,11 @@
-package link
+package transport
 
 import (
 	"errors"
 	"fmt"
 	"syscall"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -28,25 +28,25 @@
 
 // Handler is a Party for messages of any form.
 type Handler interface {
-	Start(now choice.Millis, w Wire)
-	Opened(now choice.Millis, c ConnID)
-	Received(now choice.Millis, c ConnID, m any)
-	Closed(now choice.Millis, c ConnID, why string)
-	Wake(now choice.Millis)
+	Start(now placement.Millis, w Wire)
+	Opened(now placement.Millis, c ConnID)
+	Received(now placement.Millis, c ConnID, m any)
+	Closed(now placement.Millis, c ConnID, why string)
+	Wake(now placement.Millis)
 }
 
 // Wire is the Net of a Handler.
 type Wire interface {
 	// DialAs dials for messages of a form; a connection that does not stand in time has failed.
-	DialAs(addr string, f Form, within choice.Millis) ConnID
+	DialAs(addr string, f Form, within placement.Millis) ConnID
 	Send(c ConnID, m any)
 	Close(c ConnID)
 	// Ended tells whether a connection is no more, also where the party is yet to be told.
 	Ended(c ConnID) bool
-	WakeAt(t choice.Millis)
-	Now() choice.Millis
+	WakeAt(t placement.Millis)
+	Now() placement.Millis
 	// Came is when the message that is being handled was read; a busy party handles it later.
-	Came() choice.Millis
+	Came() placement.Millis
 }
 
 // frames is the form of the project's own wire.
@@ -75,11 +75,11 @@
 // framed is a Party as a Handler.
 type framed struct{ Party }
 
-func (p framed) Start(now choice.Millis, w Wire) {
+func (p framed) Start(now placement.Millis, w Wire) {
 	p.Party.Start(now, frameNet{w, w.(*actor).limits.Frame})
 }
 
-func (p framed) Received(now choice.Millis, c ConnID, m any) {
+func (p framed) Received(now placement.Millis, c ConnID, m any) {
 	if f, ok := m.(*pb.Frame); ok {
 		p.Party.Received(now, c, f)
 	}
--- a/internal/link/link.go
+++ b/internal/transport/link.go
@@ -1,9 +1,9 @@
-// Package link carries frames between the parties of a cluster: allocators, nodes, owners, the machine list.
+// Package transport carries frames between the parties of a cluster: allocators, nodes, owners, the machine list.
 //
 // A Party is a state machine behind any number of connections, and Net is all that it can do to the world.
-// Both are the same on real sockets (Loop, on gnet's event loops) and in virtual time (package lab). A party
+// Both are the same on real sockets (Loop, on gnet's event loops) and in virtual time (package simulation). A party
 // is called from one goroutine at a time. Times are milliseconds on a clock that never steps back.
-package link
+package transport
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -22,15 +22,15 @@
 // Party is one side of its connections.
 type Party interface {
 	// Start is called once, first, with the net that the party acts on.
-	Start(now choice.Millis, net Net)
+	Start(now placement.Millis, net Net)
 	// Opened tells that a connection stands: one that was dialled, or one that came in.
-	Opened(now choice.Millis, c ConnID)
+	Opened(now placement.Millis, c ConnID)
 	// Received hands over a frame, in the order in which the peer sent them.
-	Received(now choice.Millis, c ConnID, f *pb.Frame)
+	Received(now placement.Millis, c ConnID, f *pb.Frame)
 	// Closed tells that a connection is no more, or that dialling failed. It does not follow the party's Close.
-	Closed(now choice.Millis, c ConnID, why string)
+	Closed(now placement.Millis, c ConnID, why string)
 	// Wake is called once a time given to WakeAt has come.
-	Wake(now choice.Millis)
+	Wake(now placement.Millis)
 }
 
 // Net is what a party can do. None of its methods calls the party back before it returns.
@@ -41,9 +41,9 @@
 	// Close ends a connection once what was sent is on its way.
 	Close(c ConnID)
 	// WakeAt sets the party's one wake-up; another call replaces it.
-	WakeAt(t choice.Millis)
+	WakeAt(t placement.Millis)
 	// Now is the time of what is being handled.
-	Now() choice.Millis
+	Now() placement.Millis
 }
 
 // headSize is the length in front of each frame: four bytes, big-endian.
--- a/internal/link/link_test.go
+++ b/internal/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"grebeglade/choice"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -93,24 +93,24 @@
 	dial   string
 }
 
-func (e *echo) Start(_ choice.Millis, n Net) {
+func (e *echo) Start(_ placement.Millis, n Net) {
 	e.net = n
 	if e.dial != "" {
 		e.dialed = n.Dial(e.dial)
 	}
 }
-func (e *echo) Wake(choice.Millis) {}
-func (e *echo) Opened(choice.Millis, ConnID) {
+func (e *echo) Wake(placement.Millis) {}
+func (e *echo) Opened(placement.Millis, ConnID) {
 	e.mu.Lock()
 	e.opened++
 	e.mu.Unlock()
 }
-func (e *echo) Closed(_ choice.Millis, _ ConnID, why string) {
+func (e *echo) Closed(_ placement.Millis, _ ConnID, why string) {
 	e.mu.Lock()
 	e.closed = append(e.closed, why)
 	e.mu.Unlock()
 }
-func (e *echo) Received(_ choice.Millis, c ConnID, f *pb.Frame) {
+func (e *echo) Received(_ placement.Millis, c ConnID, f *pb.Frame) {
 	e.mu.Lock()
 	e.asks++
 	e.mu.Unlock()
@@ -319,7 +319,7 @@
 	gone       []bool
 }
 
-func (h *heldParty) Received(now choice.Millis, c ConnID, f *pb.Frame) {
+func (h *heldParty) Received(now placement.Millis, c ConnID, f *pb.Frame) {
 	h.once.Do(func() { close(h.busy); <-h.goOn })
 	h.mu.Lock()
 	h.gone = append(h.gone, h.net.(frameNet).Ended(c))
@@ -425,12 +425,12 @@
 	keys []uint64
 }
 
-func (o *order) Start(now choice.Millis, n Net) {
+func (o *order) Start(now placement.Millis, n Net) {
 	o.heldParty.Start(now, n)
 	n.(frameNet).DialAs(o.peer, urgentFrames{frames{1000}}, 20000)
 }
 
-func (o *order) Received(now choice.Millis, c ConnID, f *pb.Frame) {
+func (o *order) Received(now placement.Millis, c ConnID, f *pb.Frame) {
 	o.mu.Lock()
 	o.keys = append(o.keys, f.GetAsk().Key)
 	o.mu.Unlock()
@@ -523,7 +523,7 @@
 	goOn chan struct{}
 }
 
-func (b *busyParty) Received(now choice.Millis, c ConnID, f *pb.Frame) {
+func (b *busyParty) Received(now placement.Millis, c ConnID, f *pb.Frame) {
 	b.echo.Received(now, c, f)
 	b.seen <- f.GetAsk().Ask
 	<-b.goOn
--- a/internal/link/loop.go
+++ b/internal/transport/loop.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -12,17 +12,17 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"grebeglade/choice"
-	"grebeglade/internal/schedule"
+	"grebeglade/internal/timerqueue"
+	"grebeglade/placement"
 )
 
 const (
-	dialWithin  = choice.Millis(2000)
+	dialWithin  = placement.Millis(2000)
 	inboxMost   = 1 << 16         // messages that wait for a party; beyond that nothing more is read for it
 	flushWithin = 2 * time.Second // for what is on its way when a loop closes
 	flushLook   = 2 * time.Millisecond
 	acceptPause = 10 * time.Millisecond // before accepting again, after it failed: mostly for want of a descriptor
-	turnFor     = choice.Millis(1)      // that a party may be busy until what it sent leaves
+	turnFor     = placement.Millis(1)   // that a party may be busy until what it sent leaves
 	enrolMost   = 4                     // connections handed to the event loop at once: each holds two descriptors meanwhile
 )
 
@@ -37,7 +37,7 @@
 
 	// Whole is how long a message may take from its first bytes to its last; 0 is for ever. It guards against peers that
 	// stop in the middle and stay, and could hurt one behind a very slow network.
-	Whole choice.Millis
+	Whole placement.Millis
 }
 
 // DefaultLimits are those of a party that says nothing else.
@@ -79,7 +79,7 @@
 }
 
 // Now is the time on the loop's clock, which all its parties share.
-func (l *Loop) Now() choice.Millis { return choice.Millis(float64(time.Since(l.began)) / 1e6) }
+func (l *Loop) Now() placement.Millis { return placement.Millis(float64(time.Since(l.began)) / 1e6) }
 
 // Listen brings a party in and listens for it; port 0 has the system choose one. The party is called from
 // Run on.
@@ -158,7 +158,7 @@
 }
 
 // Do calls do on the party's goroutine once that time has come.
-func (l *Loop) Do(p Party, at choice.Millis, do func(now choice.Millis)) {
+func (l *Loop) Do(p Party, at placement.Millis, do func(now placement.Millis)) {
 	l.mu.Lock()
 	a := l.actors[p]
 	l.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // Ask calls do on the party's goroutine and waits until it is done, or the loop is closed.
-func (l *Loop) Ask(p any, do func(now choice.Millis)) {
+func (l *Loop) Ask(p any, do func(now placement.Millis)) {
 	l.mu.Lock()
 	a := l.actors[p]
 	l.mu.Unlock()
@@ -176,7 +176,7 @@
 		return
 	}
 	called := make(chan struct{})
-	a.post(item{kind: itemDo, do: func(now choice.Millis) { do(now); close(called) }})
+	a.post(item{kind: itemDo, do: func(now placement.Millis) { do(now); close(called) }})
 	select {
 	case <-called:
 	case <-a.stop:
@@ -265,8 +265,8 @@
 	sock *sock
 	m    any
 	why  string
-	at   choice.Millis // when it was read, or is due
-	do   func(now choice.Millis)
+	at   placement.Millis // when it was read, or is due
+	do   func(now placement.Millis)
 }
 
 // actor is a party with its goroutine; it is the net that the party sees.
@@ -292,14 +292,14 @@
 	inCount atomic.Int64  // connections that came in
 
 	// The rest belongs to the goroutine.
-	now    choice.Millis
-	came   choice.Millis // when what is being handled was read
+	now    placement.Millis
+	came   placement.Millis // when what is being handled was read
 	socks  map[ConnID]*sock
 	lastID ConnID
 	dirty  []*sock
-	wake   choice.Millis
+	wake   placement.Millis
 	wakes  bool
-	dos    schedule.Queue[func(choice.Millis)]
+	dos    timerqueue.Queue[func(placement.Millis)]
 }
 
 // sock is one connection. gc is set before the actor hears of it.
@@ -534,14 +534,14 @@
 	}
 }
 
-func (a *actor) Now() choice.Millis { return a.now }
+func (a *actor) Now() placement.Millis { return a.now }
 
-func (a *actor) Came() choice.Millis { return a.came }
+func (a *actor) Came() placement.Millis { return a.came }
 
-func (a *actor) WakeAt(t choice.Millis) { a.wake, a.wakes = t, true }
+func (a *actor) WakeAt(t placement.Millis) { a.wake, a.wakes = t, true }
 
 // DialAs is the party's: so are Send and Close.
-func (a *actor) DialAs(addr string, f Form, within choice.Millis) ConnID {
+func (a *actor) DialAs(addr string, f Form, within placement.Millis) ConnID {
 	a.lastID++
 	ctx, give := context.WithTimeout(context.Background(), time.Duration(float64(within)*1e6))
 	s := &sock{actor: a, id: a.lastID, lane: dialled, form: f, give: give}
@@ -786,7 +786,7 @@
 	}
 	no := s.parts.Add(1)
 	limit := s.actor.limits.Whole
-	s.actor.post(item{kind: itemDo, at: s.actor.loop.Now() + limit, do: func(choice.Millis) {
+	s.actor.post(item{kind: itemDo, at: s.actor.loop.Now() + limit, do: func(placement.Millis) {
 		if s.parts.Load() == no && !s.closing {
 			s.fail(fmt.Sprintf("a message was not whole after %v ms", limit))
 		}
--- a/choice/choice.go
+++ b/placement/choice.go
@@ -5,7 +5,7 @@
 // Next. Adopt does the same for a workload found running. List, Report, Probed and Note tell the allocator
 // what is heard meanwhile; Upkeep, called when it last asked to be, returns moves, probes and list calls.
 // Each call is told the time. The same calls return the same results, and allocators share nothing.
-package choice
+package placement
 
 import (
 	"cmp"
--- a/choice/choice_test.go
+++ b/placement/choice_test.go
@@ -1,4 +1,4 @@
-package choice
+package placement
 
 import (
 	"math"
--- a/choice/types.go
+++ b/placement/types.go
@@ -1,6 +1,6 @@
-// Package choice decides where workloads are placed. This file is its interface: ids, settings, inputs
-// and results. The decisions stand in choice.go.
-package choice
+// Package placement decides where workloads are placed. This file is its interface: ids, settings, inputs
+// and results. The decisions are in the other files.
+package placement
 
 import "math"
 
