--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -42,8 +42,8 @@
 	Moved // so that it is placed anew
 )
 
-// World is what the engine acts on.
-type World interface {
+// Actions carries out what the engine decides. None of its methods may call the engine back before it returns.
+type Actions interface {
 	// Bind offers the workload to the node, which may accept it within the time-out.
 	Bind(id choice.WorkloadID, bind int, node choice.NodeID, timeout choice.Millis)
 	// Stop calls a bind off. With onlyWaiting, a node that has accepted it keeps it.
@@ -57,6 +57,11 @@
 	Ended(id choice.WorkloadID, node choice.NodeID, moved bool, why choice.Reason)
 	// Dropped tells that the engine has let go of the workload; its id will not be named again.
 	Dropped(id choice.WorkloadID)
+}
+
+// World is what an engine runs in: it carries out the engine's actions and calls Tick at the times asked for.
+type World interface {
+	Actions
 	// Wake asks for a call of Tick at that time; an earlier one stands besides.
 	Wake(at choice.Millis)
 }
--- /dev/null
+++ b/internal/frontend/counters.go
@@ -0,0 +1,31 @@
+package frontend
+
+import "grebeglade/internal/allocator"
+
+// Counters are what every frontend counts since its start. A frontend embeds them in its own.
+//
+// The Host counts binds, migrations and health checks as the engine asks for them. The frontend counts requests and
+// withdrawals where it decodes them, and final answers with CountAnswer where it sends them: what one answer to a client
+// is differs between protocols, since a gang's parts have no answers of their own.
+type Counters struct {
+	Requests      uint64 // scheduling requests of clients
+	Placed        uint64 // requests answered with a node
+	Rejected      uint64 // requests answered that nothing ran and a retry does no harm
+	Unschedulable uint64 // requests answered that the workload may have run
+	Withdrawn     uint64 // requests that their client cancelled
+	Binds         uint64 // offers to nodes, retries among them
+	Migrations    uint64 // running workloads that were stopped to be placed anew
+	HealthChecks  uint64
+}
+
+// CountAnswer counts one final answer to a client.
+func (c *Counters) CountAnswer(v allocator.Verdict) {
+	switch v {
+	case allocator.Placed:
+		c.Placed++
+	case allocator.Rejected:
+		c.Rejected++
+	case allocator.Unschedulable:
+		c.Unschedulable++
+	}
+}
--- /dev/null
+++ b/internal/frontend/healthchecks.go
@@ -0,0 +1,62 @@
+package frontend
+
+import "grebeglade/choice"
+
+// HealthChecks are the health checks of nodes that have been begun and have no result yet. Each has a number of its own,
+// which the node's reply carries back. Exactly one result of each check reaches the engine.
+type HealthChecks struct {
+	host    *Host
+	timeout choice.Millis
+	pending map[uint64]choice.NodeID
+	last    uint64
+}
+
+// NewHealthChecks returns an empty set of checks that fail when no reply comes within the timeout, in ms.
+func NewHealthChecks(h *Host, timeout choice.Millis) *HealthChecks {
+	return &HealthChecks{host: h, timeout: timeout, pending: map[uint64]choice.NodeID{}}
+}
+
+// Begin returns the number of a new check of the node, and sets its timeout. It may be called while the engine is at work.
+func (c *HealthChecks) Begin(node choice.NodeID) uint64 {
+	c.last++
+	check := c.last
+	c.pending[check] = node
+	c.host.Schedule(c.host.Now()+c.timeout, func(now choice.Millis) { c.fail(now, check) })
+	return check
+}
+
+// Pending tells whether the check has no result yet.
+func (c *HealthChecks) Pending(check uint64) bool {
+	_, pending := c.pending[check]
+	return pending
+}
+
+// Complete hands the engine the reply to a check, with the load report that came along or nil. It returns false, and does
+// nothing, where the node has no such check pending.
+func (c *HealthChecks) Complete(now choice.Millis, check uint64, node choice.NodeID, load *choice.Load) bool {
+	if asked, pending := c.pending[check]; !pending || asked != node {
+		return false
+	}
+	delete(c.pending, check)
+	c.host.Engine().Probed(now, node, true, load)
+	return true
+}
+
+// Fail ends a check that could not be sent. The engine hears of it at the next Flush.
+func (c *HealthChecks) Fail(check uint64) {
+	c.host.Defer(func(now choice.Millis) { c.fail(now, check) })
+}
+
+// FailUnsent is Fail for a node that is known beforehand to be out of reach, without a check of its own.
+func (c *HealthChecks) FailUnsent(node choice.NodeID) {
+	c.host.Defer(func(now choice.Millis) { c.host.Engine().Probed(now, node, false, nil) })
+}
+
+func (c *HealthChecks) fail(now choice.Millis, check uint64) {
+	node, pending := c.pending[check]
+	if !pending {
+		return
+	}
+	delete(c.pending, check)
+	c.host.Engine().Probed(now, node, false, nil)
+}
--- /dev/null
+++ b/internal/frontend/host.go
@@ -0,0 +1,193 @@
+package frontend
+
+import (
+	"grebeglade/choice"
+	"grebeglade/internal/allocator"
+	"grebeglade/internal/link"
+)
+
+const (
+	lateWakeup    = choice.Millis(10) // ms; a wake-up that comes later than this means that the process did not run
+	stallRelevant = choice.Millis(50) // ms after a stall for which events may have waited through it
+)
+
+// Waker sets the one wake-up of a frontend. A further call replaces the time; link.Net and link.Wire are Wakers.
+type Waker interface {
+	WakeAt(at choice.Millis)
+}
+
+// Config says how a Host is made.
+type Config struct {
+	Settings choice.Settings
+	Seed     uint64 // of the placement module and of the jitter
+	Engine   allocator.Options
+	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not call
+	// the engine back, but hand over what it is to hear with Host.Defer.
+	Actions allocator.Actions
+	// MaxWakeInterval is the longest time between two wake-ups, in ms, also where no timer is due.
+	MaxWakeInterval choice.Millis
+	// Periodic, where not nil, is called from Wake, after the timers and before the engine's tick, once at least
+	// MaxWakeInterval has passed since its last call.
+	Periodic func(now choice.Millis)
+	// Counters, where not nil, are the frontend's; the Host counts binds, migrations and health checks there.
+	Counters *Counters
+}
+
+// Host runs an allocator's engine for a frontend. It keeps the time of the event being handled, the calls deferred until
+// the engine is idle, the frontend's timers, and the one wake-up that covers both those timers and the engine's.
+//
+// Each event is handled between Begin and Flush. The two may be nested, as when handling an event closes a connection
+// and that is handled like a close by the peer; the inner Flush then runs all calls deferred so far.
+type Host struct {
+	engine   *allocator.Engine
+	waker    Waker
+	jitter   *Jitter
+	counters *Counters
+	periodic func(now choice.Millis)
+
+	now      choice.Millis // of the event being handled
+	timers   link.Timers
+	deferred []func(now choice.Millis)
+
+	maxInterval  choice.Millis
+	lastPeriodic choice.Millis
+	wakeup       choice.Millis // time of the wake-up that was set, or of the event being handled if that is later
+	tick         wakeRequest
+
+	stall      choice.Millis // how long the process may have been stopped the last time
+	stallEnded choice.Millis
+}
+
+// wakeRequest is the earliest time at which the engine wants a tick.
+type wakeRequest struct {
+	at  choice.Millis
+	set bool
+}
+
+// NewHost makes a host and its engine. Attach must be called before anything else.
+func NewHost(c Config) *Host {
+	h := &Host{
+		jitter: NewJitter(c.Seed), counters: c.Counters, periodic: c.Periodic, maxInterval: c.MaxWakeInterval,
+	}
+	if h.counters == nil {
+		h.counters = &Counters{}
+	}
+	h.engine = allocator.New(c.Settings, c.Seed, &engineHost{Actions: c.Actions, host: h}, c.Engine)
+	return h
+}
+
+// Attach gives the host the current time and what sets its wake-up. The frontend then starts the engine, in its place
+// among what it does itself at a start, and calls Flush.
+func (h *Host) Attach(now choice.Millis, w Waker) { h.now, h.waker = now, w }
+
+// Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
+func (h *Host) Engine() *allocator.Engine { return h.engine }
+
+// Now is the time of the event that is being handled, or of the last one.
+func (h *Host) Now() choice.Millis { return h.now }
+
+// Begin marks the start of an event's handling at the given time.
+func (h *Host) Begin(now choice.Millis) {
+	if now-h.wakeup > lateWakeup && h.wakeup > 0 {
+		h.stall, h.stallEnded = now-h.now, now
+	}
+	h.now, h.wakeup = now, max(h.wakeup, now)
+}
+
+// Flush marks the end of an event's handling: it runs the deferred calls, and those that they defer, in the order in which
+// they were deferred, and then sets the wake-up.
+func (h *Host) Flush(now choice.Millis) {
+	for len(h.deferred) > 0 {
+		calls := h.deferred
+		h.deferred = nil
+		for _, call := range calls {
+			call(now)
+		}
+	}
+	h.setWakeup(now)
+}
+
+// setWakeup sets the wake-up for the first of the timers, the engine's request and the longest interval, unless one that is
+// early enough is set already.
+func (h *Host) setWakeup(now choice.Millis) {
+	next := now + h.maxInterval
+	if at, ok := h.timers.Next(); ok {
+		next = min(next, max(at, now))
+	}
+	if h.tick.set {
+		next = min(next, max(h.tick.at, now))
+	}
+	if h.wakeup > now && h.wakeup <= next {
+		return
+	}
+	h.wakeup = next
+	h.waker.WakeAt(next)
+}
+
+// Wake handles the wake-up: it runs the timers that are due, Config.Periodic, and the engine's tick, and then flushes.
+func (h *Host) Wake(now choice.Millis) {
+	h.Begin(now)
+	h.wakeup = now // the wake-up is used up, and Flush sets the next
+	h.timers.Run(now)
+	if h.periodic != nil && now-h.lastPeriodic >= h.maxInterval {
+		h.lastPeriodic = now
+		h.periodic(now)
+	}
+	if h.tick.set && h.tick.at <= now {
+		h.tick.set = false
+		h.engine.Tick(now)
+	}
+	h.Flush(now)
+}
+
+// Defer has call run by the next Flush, when the engine is idle. Calls run in the order in which they were deferred. What
+// the call is about may have ended by then, so it must check that first.
+func (h *Host) Defer(call func(now choice.Millis)) { h.deferred = append(h.deferred, call) }
+
+// Schedule has call run at the given time, from Wake. Timers for the same time run in the order in which they were
+// scheduled. A timer cannot be cancelled: the call checks whether it still applies.
+func (h *Host) Schedule(at choice.Millis, call func(now choice.Millis)) { h.timers.At(at, call) }
+
+// RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
+// Each call takes one draw of the jitter.
+func (h *Host) RetryDelay(b Backoff, failures int) choice.Millis {
+	return h.jitter.Apply(b.Delay(failures))
+}
+
+// RecentStall returns for how long, at most, the process was stopped before the event being handled, in ms, if that was
+// just now, and else 0. Events that are handled after a stall may have waited for all of it.
+func (h *Host) RecentStall() choice.Millis {
+	if h.now-h.stallEnded < stallRelevant {
+		return h.stall
+	}
+	return 0
+}
+
+// engineHost is the Host as the engine sees it: the frontend's actions, counted, and the Host's own wake-ups.
+type engineHost struct {
+	allocator.Actions
+	host *Host
+}
+
+func (e *engineHost) Bind(id choice.WorkloadID, bind int, node choice.NodeID, timeout choice.Millis) {
+	e.host.counters.Binds++
+	e.Actions.Bind(id, bind, node, timeout)
+}
+
+func (e *engineHost) Stop(id choice.WorkloadID, bind int, node choice.NodeID, why allocator.Why, onlyWaiting bool) {
+	if why == allocator.Moved {
+		e.host.counters.Migrations++
+	}
+	e.Actions.Stop(id, bind, node, why, onlyWaiting)
+}
+
+func (e *engineHost) Probe(node choice.NodeID) {
+	e.host.counters.HealthChecks++
+	e.Actions.Probe(node)
+}
+
+func (e *engineHost) Wake(at choice.Millis) {
+	if t := &e.host.tick; !t.set || at < t.at {
+		t.at, t.set = at, true
+	}
+}
--- /dev/null
+++ b/internal/frontend/host_test.go
@@ -0,0 +1,243 @@
+package frontend
+
+import (
+	"grebeglade/choice"
+	"grebeglade/internal/allocator"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// fakeWaker keeps the times that a host asked to be woken at.
+type fakeWaker struct{ set []choice.Millis }
+
+func (w *fakeWaker) WakeAt(at choice.Millis) { w.set = append(w.set, at) }
+
+// take returns the times since the last call.
+func (w *fakeWaker) take() []choice.Millis {
+	set := w.set
+	w.set = nil
+	return set
+}
+
+// fakeActions keeps what the engine wanted.
+type fakeActions struct {
+	binds, stops, checks []choice.NodeID
+	answers              []allocator.Verdict
+}
+
+func (a *fakeActions) Bind(_ choice.WorkloadID, _ int, node choice.NodeID, _ choice.Millis) {
+	a.binds = append(a.binds, node)
+}
+
+func (a *fakeActions) Stop(_ choice.WorkloadID, _ int, node choice.NodeID, _ allocator.Why, _ bool) {
+	a.stops = append(a.stops, node)
+}
+func (a *fakeActions) Probe(node choice.NodeID) { a.checks = append(a.checks, node) }
+func (a *fakeActions) Watch()                   {}
+func (a *fakeActions) Answer(_ choice.WorkloadID, v allocator.Verdict, _ choice.NodeID) {
+	a.answers = append(a.answers, v)
+}
+func (a *fakeActions) Ended(choice.WorkloadID, choice.NodeID, bool, choice.Reason) {}
+func (a *fakeActions) Dropped(choice.WorkloadID)                                   {}
+
+const maxInterval = choice.Millis(1000)
+
+// newTestHost returns an attached host whose engine is not started, so that no timer is set yet.
+func newTestHost(t *testing.T, change func(*Config)) (*Host, *fakeActions, *fakeWaker) {
+	t.Helper()
+	actions, waker := &fakeActions{}, &fakeWaker{}
+	c := Config{
+		Settings: choice.Settings{
+			Allocators: 1, Groups: []choice.Group{{Target: 1000, Utility: 1, Kind: -1}},
+			Kinds: []choice.Kind{{Cores: 10, Memory: 20}}, MaxBinds: 3, RoomInList: true,
+		},
+		Seed: 7, Engine: allocator.Options{TimesOut: true}, Actions: actions, MaxWakeInterval: maxInterval,
+	}
+	if change != nil {
+		change(&c)
+	}
+	h := NewHost(c)
+	h.Attach(100, waker)
+	return h, actions, waker
+}
+
+func TestHost_FlushRunsDeferredCallsInOrderAlsoThoseDeferredMeanwhile(t *testing.T) {
+	h, _, _ := newTestHost(t, nil)
+	var ran []string
+	var at []choice.Millis
+	h.Begin(200)
+	h.Defer(func(now choice.Millis) {
+		ran, at = append(ran, "first"), append(at, now)
+		h.Defer(func(choice.Millis) { ran = append(ran, "third") })
+	})
+	h.Defer(func(choice.Millis) { ran = append(ran, "second") })
+	assert.Empty(t, ran, "nothing runs before Flush")
+	h.Flush(200)
+	assert.Equal(t, []string{"first", "second", "third"}, ran)
+	assert.Equal(t, []choice.Millis{200}, at, "the time of the event")
+	h.Flush(200)
+	assert.Len(t, ran, 3, "each call runs once")
+}
+
+func TestHost_NestedFlushRunsWhatIsDeferredSoFar(t *testing.T) {
+	h, _, _ := newTestHost(t, nil)
+	var ran []string
+	h.Begin(200)
+	h.Defer(func(now choice.Millis) {
+		ran = append(ran, "outer begins")
+		h.Defer(func(choice.Millis) { ran = append(ran, "inner") })
+		h.Begin(now)
+		h.Flush(now)
+		ran = append(ran, "outer ends")
+	})
+	h.Defer(func(choice.Millis) { ran = append(ran, "last") })
+	h.Flush(200)
+	assert.Equal(t, []string{"outer begins", "inner", "outer ends", "last"}, ran)
+}
+
+func TestHost_BeginSetsNow(t *testing.T) {
+	h, _, _ := newTestHost(t, nil)
+	times := []choice.Millis{h.Now()}
+	h.Begin(150)
+	assert.Equal(t, []choice.Millis{100, 150}, append(times, h.Now()))
+}
+
+func TestHost_Wakeup(t *testing.T) {
+	t.Run("without timers it comes after the longest interval", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		assert.Equal(t, []choice.Millis{1100}, waker.take())
+	})
+	t.Run("one that is early enough is not set again", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		waker.take()
+		h.Begin(300)
+		h.Schedule(1500, func(choice.Millis) {})
+		h.Flush(300)
+		assert.Empty(t, waker.take())
+	})
+	t.Run("an earlier timer moves it forward", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		h.Begin(300)
+		h.Schedule(400, func(choice.Millis) {})
+		h.Flush(300)
+		assert.Equal(t, []choice.Millis{1100, 400}, waker.take())
+	})
+	t.Run("an earlier request of the engine moves it forward", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		e := &engineHost{host: h}
+		e.Wake(500)
+		e.Wake(700) // the earlier request stands
+		h.Flush(100)
+		assert.Equal(t, []choice.Millis{1100, 500}, waker.take())
+	})
+	t.Run("an overdue timer asks for now and no earlier time", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Schedule(50, func(choice.Millis) {})
+		h.Flush(100)
+		assert.Equal(t, []choice.Millis{100}, waker.take())
+	})
+	t.Run("it is set anew after it came", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		h.Wake(1100)
+		assert.Equal(t, []choice.Millis{1100, 2100}, waker.take())
+	})
+}
+
+func TestHost_WakeRunsDueTimersInOrderThenPeriodicThenDeferred(t *testing.T) {
+	var ran []string
+	h, _, _ := newTestHost(t, func(c *Config) {
+		c.Periodic = func(choice.Millis) { ran = append(ran, "periodic") }
+	})
+	note := func(what string) func(choice.Millis) {
+		return func(choice.Millis) { ran = append(ran, what) }
+	}
+	h.Schedule(1200, note("second"))
+	h.Schedule(1150, note("first"))
+	h.Schedule(1200, func(now choice.Millis) {
+		ran = append(ran, "third")
+		h.Defer(note("deferred"))
+		h.Schedule(now, note("fourth"))
+	})
+	h.Schedule(1201, note("not due"))
+	h.Wake(1200)
+	assert.Equal(t, []string{"first", "second", "third", "fourth", "periodic", "deferred"}, ran)
+}
+
+func TestHost_PeriodicRunsOnceAnInterval(t *testing.T) {
+	var ran []choice.Millis
+	h, _, _ := newTestHost(t, func(c *Config) {
+		c.Periodic = func(now choice.Millis) { ran = append(ran, now) }
+	})
+	for now := choice.Millis(100); now <= 3200; now += 100 {
+		h.Wake(now)
+	}
+	assert.Equal(t, []choice.Millis{1000, 2000, 3000}, ran)
+}
+
+func TestHost_WakeTicksTheEngineOnceItsRequestIsDue(t *testing.T) {
+	h, actions, waker := newTestHost(t, nil)
+	e := h.Engine()
+	h.Begin(100)
+	e.Start(100)
+	e.List(100, choice.Whole, []choice.Node{{ID: 1, Born: choice.LongAgo, FreeCores: 10, FreeMemory: 20}})
+	e.Ask(100, choice.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, Left: 300})
+	h.Flush(100)
+	assert.Equal(t, []choice.NodeID{1}, actions.binds)
+	for len(actions.answers) == 0 {
+		set := waker.take()
+		if !assert.NotEmpty(t, set, "the engine waits for a tick that nothing asks for") {
+			return
+		}
+		h.Wake(set[len(set)-1])
+	}
+	assert.LessOrEqual(t, h.Now(), choice.Millis(400), "the answer comes within the client's time")
+	assert.Equal(t, []choice.NodeID{1}, actions.stops)
+}
+
+func TestHost_RecentStall(t *testing.T) {
+	h, _, _ := newTestHost(t, nil)
+	h.Flush(100) // sets a wake-up at 1100
+	for _, event := range []struct {
+		at, stall choice.Millis
+		why       string
+	}{
+		{600, 0, "an event before the wake-up shows no stall"},
+		{1110, 0, "a wake-up may be a little late"},
+		{2500, 1390, "since the last event, as the wake-up was set for 2110"},
+		{2549, 1390, "events that waited through it are still being handled"},
+		{2550, 0, "what is handled now came after it"},
+	} {
+		h.Begin(event.at)
+		assert.Equal(t, []choice.Millis{event.stall}, []choice.Millis{h.RecentStall()}, event.why)
+		h.Flush(event.at)
+	}
+}
+
+func TestHost_CountsWhatTheEngineAsksFor(t *testing.T) {
+	var counters Counters
+	h, actions, _ := newTestHost(t, func(c *Config) { c.Counters = &counters })
+	e := &engineHost{Actions: actions, host: h}
+	e.Bind(1, 0, 5, 100)
+	e.Bind(1, 1, 6, 100)
+	e.Stop(1, 1, 6, allocator.TimedOut, false)
+	e.Stop(1, 1, 6, allocator.Moved, false)
+	e.Probe(9)
+	assert.Equal(t, Counters{Binds: 2, Migrations: 1, HealthChecks: 1}, counters)
+	assert.Equal(t, []choice.NodeID{5, 6}, actions.binds)
+	assert.Equal(t, []choice.NodeID{6, 6}, actions.stops)
+	assert.Equal(t, []choice.NodeID{9}, actions.checks)
+}
+
+func TestCounters_CountAnswer(t *testing.T) {
+	var c Counters
+	for _, v := range []allocator.Verdict{allocator.Placed, allocator.Rejected, allocator.Placed, allocator.Unschedulable} {
+		c.CountAnswer(v)
+	}
+	assert.Equal(t, Counters{Placed: 2, Rejected: 1, Unschedulable: 1}, c)
+}
