--- /dev/null
+++ b/internal/compatibility/golden_test.go
@@ -0,0 +1,53 @@
+package compatibility_test
+
+import (
+	"bytes"
+	"flag"
+	"grebeglade/internal/command"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "rewrite the text files in testdata with what the code produces now")
+
+// compareWithStored checks that got is what the named file of testdata holds.
+func compareWithStored(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), got, "%s differs", path)
+}
+
+// runCommand runs a command line in this process.
+func runCommand(args ...string) (code int, stdout, stderr string) {
+	var out, errs bytes.Buffer
+	code = command.Run(args, &out, &errs)
+	return code, out.String(), errs.String()
+}
+
+// mustRun runs a command line that has to succeed, and returns its standard output.
+func mustRun(t *testing.T, args ...string) string {
+	t.Helper()
+	code, stdout, stderr := runCommand(args...)
+	require.Zero(t, code, "%v: %s", args, stderr)
+	return stdout
+}
+
+// storedLines are the lines of a text file of testdata.
+func storedLines(t *testing.T, name string) []string {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+}
