--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/hex"
 	"fmt"
-	"grebeglade/internal/link"
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage/statepb"
+	"grebeglade/internal/transport"
 	"grebeglade/trace/tracepb"
 	"strings"
 	"testing"
@@ -168,7 +168,7 @@
 func TestFrames_EncodeAsStored(t *testing.T) {
 	var text strings.Builder
 	for _, frame := range frames() {
-		b, err := link.Append(nil, frame)
+		b, err := transport.Append(nil, frame)
 		require.NoError(t, err)
 		fmt.Fprintf(&text, "%x\n", b)
 	}
@@ -182,10 +182,10 @@
 	for i, line := range lines {
 		b, err := hex.DecodeString(line)
 		require.NoError(t, err)
-		body, rest, err := link.Split(append(b, 0, 0), len(b))
+		body, rest, err := transport.Split(append(b, 0, 0), len(b))
 		require.NoError(t, err)
 		assert.Equal(t, []byte{0, 0}, rest)
-		got, err := link.Decode(body)
+		got, err := transport.Decode(body)
 		require.NoError(t, err)
 		assert.True(t, proto.Equal(want[i], got), "line %d: want %v, got %v", i+1, want[i], got)
 	}
