--- a/config/config.go
+++ b/config/config.go
@@ -12,33 +12,33 @@
 
 // Allocator is what a running allocator is told.
 type Allocator struct {
-	Name     string
-	Listen   string
-	List     string
-	Zone     string
-	Settings placement.Settings
-	Groups   []string // names, in the order of Settings.Groups
-	Kinds    []string // names, in the order of Settings.Kinds
-	Limits   Limits
-	Log      Log
-	State    State `json:"state"`
-	Trace    Trace
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	Zone             string
+	Settings         placement.Settings
+	GroupNames       []string // names, in the order of Settings.Groups
+	KindNames        []string // names, in the order of Settings.Kinds
+	Limits           Limits
+	Log              Log
+	State            State `json:"state"`
+	Trace            Trace
 }
 
 // Limits bound what peers can make an allocator hold.
 type Limits struct {
-	Workloads   int   // pending and placed
-	Connections int   // that came in
-	Frame       int64 // bytes
-	Waiting     int64 // bytes that wait to be written to one peer
+	MaxWorkloads   int   // pending and placed
+	MaxConnections int   // that came in
+	MaxFrameBytes  int64 // bytes
+	MaxWriteBuffer int64 // bytes that wait to be written to one peer
 }
 
 // State says where binds are written down that must be known after a crash.
 type State struct {
-	Dir  string           `json:"dir"`
-	Keep placement.Millis `json:"keep_ms"`
-	Most int              `json:"most"`
-	Sync string           `json:"sync"`
+	Dir        string           `json:"dir"`
+	Retention  placement.Millis `json:"keep_ms"`
+	MaxEntries int              `json:"most"`
+	Sync       string           `json:"sync"`
 }
 
 // Trace says where calls and decisions are recorded, and how much of them is kept.
@@ -71,52 +71,52 @@
 	}
 	own := b.Block("allocator")
 	a := &Allocator{
-		Name: own.Text("name", "allocator"), Listen: own.Text("listen", "127.0.0.1:7070"),
-		List: own.Text("list", "127.0.0.1:7071"), Zone: own.Text("zone", ""),
+		Name: own.String("name", "allocator"), ListenAddress: own.String("listen", "127.0.0.1:7070"),
+		DiscoveryAddress: own.String("list", "127.0.0.1:7071"), Zone: own.String("zone", ""),
 	}
-	a.Settings.Allocators = own.Count("allocators", 1, 1, 100000)
-	a.Settings.Ordinal = own.Count("number", 0, 0, 99999)
+	a.Settings.Allocators = own.Int("allocators", 1, 1, 100000)
+	a.Settings.Ordinal = own.Int("number", 0, 0, 99999)
 	if a.Settings.Ordinal >= a.Settings.Allocators {
-		own.Problem("number", fmt.Sprintf("number is %d of %d allocators", a.Settings.Ordinal, a.Settings.Allocators),
+		own.AddProblem("number", fmt.Sprintf("number is %d of %d allocators", a.Settings.Ordinal, a.Settings.Allocators),
 			fmt.Sprintf("write one from 0 to %d, each allocator another", a.Settings.Allocators-1))
 	}
 	if a.Name == "" {
-		own.Problem("name", "name is empty", "give each allocator a name of its own")
+		own.AddProblem("name", "name is empty", "give each allocator a name of its own")
 	}
-	checkAddress(own, "listen", a.Listen)
-	checkAddress(own, "list", a.List)
+	checkAddress(own, "listen", a.ListenAddress)
+	checkAddress(own, "list", a.DiscoveryAddress)
 	a.Limits = ReadLimits(b.Block("limits"))
 	log := b.Block("log")
 	a.Log = Log{
-		Level:  log.Word("level", "info", "debug", "info", "warn", "error"),
-		Format: log.Word("format", "text", "text", "json"),
+		Level:  log.OneOf("level", "info", "debug", "info", "warn", "error"),
+		Format: log.OneOf("format", "text", "text", "json"),
 	}
 	st := b.Block("state")
 	a.State = State{
-		Dir: st.Text("dir", ""), Keep: st.Time("keep", 24*3600e3), Most: st.Count("most", 1e6, 1, 1e8),
-		Sync: st.Word("sync", "group", "group", "each", "none"),
+		Dir: st.String("dir", ""), Retention: st.Duration("keep", 24*3600e3), MaxEntries: st.Int("most", 1e6, 1, 1e8),
+		Sync: st.OneOf("sync", "group", "group", "each", "none"),
 	}
-	if a.State.Keep <= 0 {
-		st.Problem("keep", "keep is no time", `write one such as "24h", longer than any owner may ask again after`)
+	if a.State.Retention <= 0 {
+		st.AddProblem("keep", "keep is no time", `write one such as "24h", longer than any owner may ask again after`)
 	}
 	tr := b.Block("trace")
 	a.Trace = Trace{
-		Dir: tr.Text("dir", ""), File: tr.Size("file", 64<<20), Age: tr.Time("age", 3600e3), Total: tr.Size("total", 1<<30),
+		Dir: tr.String("dir", ""), File: tr.ByteSize("file", 64<<20), Age: tr.Duration("age", 3600e3), Total: tr.ByteSize("total", 1<<30),
 	}
 	if a.Trace.Total < a.Trace.File {
-		tr.Problem("total", "total is less than one file may be", "write a larger total, or a smaller file")
+		tr.AddProblem("total", "total is less than one file may be", "write a larger total, or a smaller file")
 	}
-	ReadShared(b, &a.Settings, &a.Kinds, &a.Groups)
-	return a, b.Done()
+	ReadPlacement(b, &a.Settings, &a.KindNames, &a.GroupNames)
+	return a, b.Finish()
 }
 
 // ReadLimits reads a limits block.
 func ReadLimits(b *Block) Limits {
 	return Limits{
-		Workloads:   b.Count("workloads", 200000, 1, math.MaxInt32),
-		Connections: b.Count("connections", 4096, 1, 1<<20),
-		Frame:       b.Size("frame", 1<<20),
-		Waiting:     b.Size("waiting", 4<<20),
+		MaxWorkloads:   b.Int("workloads", 200000, 1, math.MaxInt32),
+		MaxConnections: b.Int("connections", 4096, 1, 1<<20),
+		MaxFrameBytes:  b.ByteSize("frame", 1<<20),
+		MaxWriteBuffer: b.ByteSize("waiting", 4<<20),
 	}
 }
 
@@ -126,50 +126,50 @@
 	ip := net.ParseIP(host)
 	switch {
 	case err != nil:
-		b.Problem(name, fmt.Sprintf("%s is %q, no address with a port", name, addr), `write one such as "127.0.0.1:7070"`)
+		b.AddProblem(name, fmt.Sprintf("%s is %q, no address with a port", name, addr), `write one such as "127.0.0.1:7070"`)
 	case host != "localhost" && (ip == nil || !ip.IsLoopback()):
-		b.Problem(name, fmt.Sprintf("%s is %q, beyond this machine", name, addr),
+		b.AddProblem(name, fmt.Sprintf("%s is %q, beyond this machine", name, addr),
 			`write a loopback address such as "127.0.0.1:7070": connections are not encrypted yet`)
 	}
 }
 
-// ReadShared reads the blocks that allocators and day scripts have in common: kinds, groups, rules, reports.
-func ReadShared(b *Block, s *placement.Settings, kinds, groups *[]string) {
+// ReadPlacement reads the blocks that allocators and day scripts have in common: kinds, groups, rules, reports.
+func ReadPlacement(b *Block, s *placement.Settings, kinds, groups *[]string) {
 	rules := b.Block("rules")
-	s.ColdFor = rules.Time("cold_for", 15e3)
-	s.ColdFrom = rules.Number("cold_from", 0.25, 0, 1)
-	s.ColdBears = rules.Number("cold_bears", 24, 0, 1e6)
-	s.OverloadFor = rules.Time("overload_for", 2e3)
-	s.MaxBinds = rules.Count("binds", 3, 1, 100)
-	s.MayProbe = rules.Flag("probes", true)
-	s.MustAsk = rules.Word("list", "push", "push", "ask") == "ask"
-	s.AskWithin = rules.Time("ask_within", 10e3)
-	s.ConfirmsRunning = rules.Word("confirms", "accepted", "accepted", "running") == "running"
-	s.ReportsUse = rules.Word("reports", "used", "used", "asked") == "used"
-	s.RoomInList = rules.Flag("room_in_list", true)
+	s.WarmUpDuration = rules.Duration("cold_for", 15e3)
+	s.InitialRate = rules.Float("cold_from", 0.25, 0, 1)
+	s.WarmUpBudget = rules.Float("cold_bears", 24, 0, 1e6)
+	s.OverloadWindow = rules.Duration("overload_for", 2e3)
+	s.MaxBinds = rules.Int("binds", 3, 1, 100)
+	s.HealthChecksAllowed = rules.Bool("probes", true)
+	s.PolledDiscovery = rules.OneOf("list", "push", "push", "ask") == "ask"
+	s.PollInterval = rules.Duration("ask_within", 10e3)
+	s.ConfirmsRunning = rules.OneOf("confirms", "accepted", "accepted", "running") == "running"
+	s.ReportsUsage = rules.OneOf("reports", "used", "used", "asked") == "used"
+	s.EntriesCarryCapacity = rules.Bool("room_in_list", true)
 	for _, k := range b.Named("kind") {
 		*kinds = append(*kinds, k.Name)
-		s.Kinds = append(s.Kinds, placement.Kind{
-			Cores: k.Number("cores", 16, 0.001, 1e6), Memory: k.Number("memory", 32, 0.001, 1e9),
+		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{
+			Cores: k.Float("cores", 16, 0.001, 1e6), Memory: k.Float("memory", 32, 0.001, 1e9),
 		})
 	}
-	if len(s.Kinds) == 0 {
-		b.Problem("", "no kind of node", `write at least one: kind "NAME" { cores = 16  memory = 32 }`)
+	if len(s.NodeKinds) == 0 {
+		b.AddProblem("", "no kind of node", `write at least one: kind "NAME" { cores = 16  memory = 32 }`)
 	}
-	if len(s.Kinds) > 200 {
-		b.Problem("", fmt.Sprintf("%d kinds of nodes", len(s.Kinds)), "leave 200 at most")
+	if len(s.NodeKinds) > 200 {
+		b.AddProblem("", fmt.Sprintf("%d kinds of nodes", len(s.NodeKinds)), "leave 200 at most")
 	}
 	for _, g := range b.Named("group") {
 		*groups = append(*groups, g.Name)
 		s.Groups = append(s.Groups, readGroup(g, *kinds))
 	}
 	if len(s.Groups) == 0 {
-		b.Problem("", "no priority group", `write at least one: group "NAME" { effect = "restartable" }`)
+		b.AddProblem("", "no priority group", `write at least one: group "NAME" { effect = "restartable" }`)
 	}
 }
 
-var effects = map[string]placement.Effect{
-	"restartable": placement.Restartable, "deduplicated": placement.Deduplicated, "run-once": placement.RunOnce,
+var effects = map[string]placement.Idempotency{
+	"restartable": placement.Idempotent, "deduplicated": placement.IdempotentByKey, "run-once": placement.AtMostOnce,
 }
 
 var scopes = map[string]placement.Scope{
@@ -179,31 +179,31 @@
 
 func readGroup(b *Block, kinds []string) placement.Group {
 	g := placement.Group{
-		Target:      b.Time("target", defaultTarget),
-		Utility:     b.Number("utility", 1, 0, 1e9),
-		Effect:      effects[b.Word("effect", "restartable", "restartable", "deduplicated", "run-once")],
-		DedupScope:  scopes[b.Word("dedup_scope", "none", "none", "node", "cell", "zone", "all")],
-		DedupWindow: b.Time("dedup_window", 0),
-		Spread:      scopes[b.Word("spread", "none", "none", "node", "cell", "zone")],
-		SpreadMost:  b.Count("spread_most", 1, 1, 1e6),
-		Calm:        b.Number("calm", 0, 0, 1),
-		Fade:        b.Number("fade", 0.2, 0, 1),
-		Kind:        -1,
-	}
-	if g.Effect == placement.Deduplicated && (g.DedupScope == placement.ScopeNone || g.DedupWindow <= 0) {
-		b.Problem("effect", fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name),
+		LatencyObjective:       b.Duration("target", defaultTarget),
+		PriorityWeight:         b.Float("utility", 1, 0, 1e9),
+		Idempotency:            effects[b.OneOf("effect", "restartable", "restartable", "deduplicated", "run-once")],
+		KeyScope:               scopes[b.OneOf("dedup_scope", "none", "none", "node", "cell", "zone", "all")],
+		KeyWindow:              b.Duration("dedup_window", 0),
+		SpreadScope:            scopes[b.OneOf("spread", "none", "none", "node", "cell", "zone")],
+		MaxPerScope:            b.Int("spread_most", 1, 1, 1e6),
+		FullServiceUtilization: b.Float("calm", 0, 0, 1),
+		DegradationRange:       b.Float("fade", 0.2, 0, 1),
+		RequiredKind:           -1,
+	}
+	if g.Idempotency == placement.IdempotentByKey && (g.KeyScope == placement.ScopeNone || g.KeyWindow <= 0) {
+		b.AddProblem("effect", fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name),
 			`add dedup_scope = "cell" and dedup_window = "5s"`)
 	}
-	if g.Effect != placement.Deduplicated && (b.Has("dedup_scope") || b.Has("dedup_window")) {
-		b.Problem("dedup_scope", fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name),
+	if g.Idempotency != placement.IdempotentByKey && (b.Has("dedup_scope") || b.Has("dedup_window")) {
+		b.AddProblem("dedup_scope", fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name),
 			`write effect = "deduplicated", or leave them out`)
 	}
-	if g.Spread == placement.ScopeNone && b.Has("spread_most") {
-		b.Problem("spread_most", "spread_most stands without spread", `add spread = "node", "cell" or "zone"`)
+	if g.SpreadScope == placement.ScopeNone && b.Has("spread_most") {
+		b.AddProblem("spread_most", "spread_most stands without spread", `add spread = "node", "cell" or "zone"`)
 	}
-	if name := b.Text("kind", ""); name != "" {
-		if g.Kind = slices.Index(kinds, name); g.Kind < 0 {
-			b.Problem("kind", fmt.Sprintf("kind %q is not known", name), fmt.Sprintf("write one of %q", kinds))
+	if name := b.String("kind", ""); name != "" {
+		if g.RequiredKind = slices.Index(kinds, name); g.RequiredKind < 0 {
+			b.AddProblem("kind", fmt.Sprintf("kind %q is not known", name), fmt.Sprintf("write one of %q", kinds))
 		}
 	}
 	return g
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -42,12 +42,12 @@
 	a, err := Decode("a.hcl", []byte(good))
 	require.NoError(t, err)
 	assert.Equal(t, 2, a.Settings.Ordinal)
-	assert.Equal(t, int64(2<<20), a.Limits.Waiting)
-	assert.Equal(t, placement.Millis(12000), a.Settings.ColdFor)
-	assert.Equal(t, []string{"serve", "check"}, a.Groups)
-	assert.Equal(t, placement.Millis(700), a.Settings.Groups[0].Target)
-	assert.Equal(t, 0, a.Settings.Groups[0].Kind)
-	assert.Equal(t, placement.ScopeCell, a.Settings.Groups[1].DedupScope)
+	assert.Equal(t, int64(2<<20), a.Limits.MaxWriteBuffer)
+	assert.Equal(t, placement.Millis(12000), a.Settings.WarmUpDuration)
+	assert.Equal(t, []string{"serve", "check"}, a.GroupNames)
+	assert.Equal(t, placement.Millis(700), a.Settings.Groups[0].LatencyObjective)
+	assert.Equal(t, 0, a.Settings.Groups[0].RequiredKind)
+	assert.Equal(t, placement.ScopeCell, a.Settings.Groups[1].KeyScope)
 }
 
 func TestWhatIsWrongIsNamedWithItsLineAndTheFix(t *testing.T) {
@@ -96,7 +96,7 @@
 	f.Add(`kind "x" { cores = "a" }`)
 	f.Fuzz(func(t *testing.T, src string) {
 		a, err := Decode("f.hcl", []byte(src))
-		if err == nil && (len(a.Groups) == 0 || len(a.Kinds) != len(a.Settings.Kinds)) {
+		if err == nil && (len(a.GroupNames) == 0 || len(a.KindNames) != len(a.Settings.NodeKinds)) {
 			t.Error("a file was taken that says too little")
 		}
 	})
--- a/config/json.go
+++ b/config/json.go
@@ -64,11 +64,11 @@
 // MarshalJSON returns the allocator's settings under the names that "grebeglade config check --json" prints.
 func (a Allocator) MarshalJSON() ([]byte, error) {
 	return json.Marshal(allocatorJSON{
-		Name: a.Name, Listen: a.Listen, List: a.List, Zone: a.Zone,
-		Settings: newSettingsJSON(&a.Settings), Groups: a.Groups, Kinds: a.Kinds,
+		Name: a.Name, Listen: a.ListenAddress, List: a.DiscoveryAddress, Zone: a.Zone,
+		Settings: newSettingsJSON(&a.Settings), Groups: a.GroupNames, Kinds: a.KindNames,
 		Limits: limitsJSON{
-			Workloads: a.Limits.Workloads, Connections: a.Limits.Connections,
-			Frame: a.Limits.Frame, Waiting: a.Limits.Waiting,
+			Workloads: a.Limits.MaxWorkloads, Connections: a.Limits.MaxConnections,
+			Frame: a.Limits.MaxFrameBytes, Waiting: a.Limits.MaxWriteBuffer,
 		},
 		Log: a.Log, State: a.State,
 		Trace: traceJSON{Dir: a.Trace.Dir, File: a.Trace.File, Age: float64(a.Trace.Age), Total: a.Trace.Total},
@@ -77,19 +77,19 @@
 
 func newSettingsJSON(s *placement.Settings) settingsJSON {
 	out := settingsJSON{
-		Allocators: s.Allocators, Ordinal: s.Ordinal, ColdFor: float64(s.ColdFor), ColdFrom: s.ColdFrom,
-		ColdBears: s.ColdBears, OverloadFor: float64(s.OverloadFor), MustAsk: s.MustAsk,
-		AskWithin: float64(s.AskWithin), ConfirmsRunning: s.ConfirmsRunning, ReportsUse: s.ReportsUse,
-		RoomInList: s.RoomInList, MaxBinds: s.MaxBinds, MayProbe: s.MayProbe,
+		Allocators: s.Allocators, Ordinal: s.Ordinal, ColdFor: float64(s.WarmUpDuration), ColdFrom: s.InitialRate,
+		ColdBears: s.WarmUpBudget, OverloadFor: float64(s.OverloadWindow), MustAsk: s.PolledDiscovery,
+		AskWithin: float64(s.PollInterval), ConfirmsRunning: s.ConfirmsRunning, ReportsUse: s.ReportsUsage,
+		RoomInList: s.EntriesCarryCapacity, MaxBinds: s.MaxBinds, MayProbe: s.HealthChecksAllowed,
 	}
 	for _, g := range s.Groups {
 		out.Groups = append(out.Groups, groupJSON{
-			Target: float64(g.Target), Utility: g.Utility, Effect: uint8(g.Effect), DedupScope: uint8(g.DedupScope),
-			DedupWindow: float64(g.DedupWindow), Spread: uint8(g.Spread), SpreadMost: g.SpreadMost,
-			Calm: g.Calm, Fade: g.Fade, Kind: g.Kind,
+			Target: float64(g.LatencyObjective), Utility: g.PriorityWeight, Effect: uint8(g.Idempotency), DedupScope: uint8(g.KeyScope),
+			DedupWindow: float64(g.KeyWindow), Spread: uint8(g.SpreadScope), SpreadMost: g.MaxPerScope,
+			Calm: g.FullServiceUtilization, Fade: g.DegradationRange, Kind: g.RequiredKind,
 		})
 	}
-	for _, k := range s.Kinds {
+	for _, k := range s.NodeKinds {
 		out.Kinds = append(out.Kinds, kindJSON{Cores: k.Cores, Memory: k.Memory})
 	}
 	return out
--- a/config/reader.go
+++ b/config/reader.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Problem notes that something is wrong with an argument, or with the block where it has no such argument.
-func (b *Block) Problem(name, what, fix string) {
+// AddProblem notes that something is wrong with an argument, or with the block where it has no such argument.
+func (b *Block) AddProblem(name, what, fix string) {
 	file, line := b.file, b.line
 	if a := b.body.Attributes[name]; a != nil {
 		file, line = a.SrcRange.Filename, a.SrcRange.Start.Line
@@ -150,19 +150,19 @@
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() {
-		b.Problem(name, name+" cannot be worked out: "+lower(diags[0].Summary), "write "+wanted)
+		b.AddProblem(name, name+" cannot be worked out: "+lower(diags[0].Summary), "write "+wanted)
 		return cty.NilVal, false
 	}
 	got, err := convert.Convert(v, as)
 	if err != nil || got.IsNull() || !got.IsWhollyKnown() {
-		b.Problem(name, fmt.Sprintf("%s is not %s", name, wanted), "write "+wanted)
+		b.AddProblem(name, fmt.Sprintf("%s is not %s", name, wanted), "write "+wanted)
 		return cty.NilVal, false
 	}
 	return got, true
 }
 
-// Text reads a string.
-func (b *Block) Text(name, otherwise string) string {
+// String reads a string.
+func (b *Block) String(name, otherwise string) string {
 	v, ok := b.value(name, cty.String, `a text in quotes`)
 	if !ok {
 		return otherwise
@@ -170,42 +170,42 @@
 	return v.AsString()
 }
 
-// Word reads one of a few words.
-func (b *Block) Word(name, otherwise string, words ...string) string {
-	w := b.Text(name, otherwise)
+// OneOf reads one of a few words.
+func (b *Block) OneOf(name, otherwise string, words ...string) string {
+	w := b.String(name, otherwise)
 	if !slices.Contains(words, w) {
-		b.Problem(name, fmt.Sprintf("%s is %q", name, w), fmt.Sprintf("write one of %q", words))
+		b.AddProblem(name, fmt.Sprintf("%s is %q", name, w), fmt.Sprintf("write one of %q", words))
 		return otherwise
 	}
 	return w
 }
 
-// Number reads a number from least to most.
-func (b *Block) Number(name string, otherwise, least, most float64) float64 {
+// Float reads a number from least to most.
+func (b *Block) Float(name string, otherwise, least, most float64) float64 {
 	v, ok := b.value(name, cty.Number, "a number")
 	if !ok {
 		return otherwise
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
-		b.Problem(name, fmt.Sprintf("%s is %v", name, n), fmt.Sprintf("write a number from %v to %v", least, most))
+		b.AddProblem(name, fmt.Sprintf("%s is %v", name, n), fmt.Sprintf("write a number from %v to %v", least, most))
 		return otherwise
 	}
 	return n
 }
 
-// Count reads a whole number from least to most.
-func (b *Block) Count(name string, otherwise, least, most int) int {
-	n := b.Number(name, float64(otherwise), float64(least), float64(most))
+// Int reads a whole number from least to most.
+func (b *Block) Int(name string, otherwise, least, most int) int {
+	n := b.Float(name, float64(otherwise), float64(least), float64(most))
 	if n != float64(int(n)) {
-		b.Problem(name, fmt.Sprintf("%s is %v", name, n), "write a whole number")
+		b.AddProblem(name, fmt.Sprintf("%s is %v", name, n), "write a whole number")
 		return otherwise
 	}
 	return int(n)
 }
 
-// Flag reads true or false.
-func (b *Block) Flag(name string, otherwise bool) bool {
+// Bool reads true or false.
+func (b *Block) Bool(name string, otherwise bool) bool {
 	v, ok := b.value(name, cty.Bool, "true or false")
 	if !ok {
 		return otherwise
@@ -213,19 +213,19 @@
 	return v.True()
 }
 
-// Time reads a length of time with its unit, such as "250ms".
-func (b *Block) Time(name string, otherwise placement.Millis) placement.Millis {
+// Duration reads a length of time with its unit, such as "250ms".
+func (b *Block) Duration(name string, otherwise placement.Millis) placement.Millis {
 	v, ok := b.value(name, cty.DynamicPseudoType, `a time with its unit, such as "250ms"`)
 	if !ok {
 		return otherwise
 	}
 	if v.Type() != cty.String {
-		b.Problem(name, name+" has no unit", fmt.Sprintf(`write it in quotes with one, such as "%sms" or "%ss"`, show(v), show(v)))
+		b.AddProblem(name, name+" has no unit", fmt.Sprintf(`write it in quotes with one, such as "%sms" or "%ss"`, show(v), show(v)))
 		return otherwise
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil || d < 0 {
-		b.Problem(name, fmt.Sprintf("%s is %q", name, v.AsString()), `write a time with its unit, such as "250ms" or "1.5s"`)
+		b.AddProblem(name, fmt.Sprintf("%s is %q", name, v.AsString()), `write a time with its unit, such as "250ms" or "1.5s"`)
 		return otherwise
 	}
 	return placement.Millis(float64(d) / 1e6)
@@ -243,9 +243,9 @@
 	bytes  float64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// Size reads an amount of bytes with its unit, such as "4MiB".
-func (b *Block) Size(name string, otherwise int64) int64 {
-	text := b.Text(name, "")
+// ByteSize reads an amount of bytes with its unit, such as "4MiB".
+func (b *Block) ByteSize(name string, otherwise int64) int64 {
+	text := b.String(name, "")
 	if text == "" {
 		return otherwise
 	}
@@ -256,12 +256,12 @@
 			}
 		}
 	}
-	b.Problem(name, fmt.Sprintf("%s is %q", name, text), `write a size with its unit, such as "512KiB" or "4MiB"`)
+	b.AddProblem(name, fmt.Sprintf("%s is %q", name, text), `write a size with its unit, such as "512KiB" or "4MiB"`)
 	return otherwise
 }
 
-// Texts reads a list of strings.
-func (b *Block) Texts(name string, otherwise []string) []string {
+// Strings reads a list of strings.
+func (b *Block) Strings(name string, otherwise []string) []string {
 	v, ok := b.value(name, cty.List(cty.String), `a list such as ["a", "b"]`)
 	if !ok {
 		return otherwise
@@ -273,8 +273,8 @@
 	return texts
 }
 
-// Pairs reads a list of pairs of numbers above 0.
-func (b *Block) Pairs(name string, otherwise [][2]float64) [][2]float64 {
+// FloatPairs reads a list of pairs of numbers above 0.
+func (b *Block) FloatPairs(name string, otherwise [][2]float64) [][2]float64 {
 	v, ok := b.value(name, cty.List(cty.List(cty.Number)), "a list of pairs such as [[0.5, 1], [1, 2]]")
 	if !ok {
 		return otherwise
@@ -288,7 +288,7 @@
 			}
 		}
 		if e.LengthInt() != 2 || !(pair[0] > 0 && pair[1] > 0) {
-			b.Problem(name, name+" holds what is no pair of numbers above 0", "write pairs such as [[0.5, 1], [1, 2]]")
+			b.AddProblem(name, name+" holds what is no pair of numbers above 0", "write pairs such as [[0.5, 1], [1, 2]]")
 			return otherwise
 		}
 		pairs = append(pairs, pair)
@@ -314,7 +314,7 @@
 			c.Name = n.Labels[0]
 		}
 		if len(n.Labels) > 1 {
-			c.Problem("", kind+" has more than one name", "leave one")
+			c.AddProblem("", kind+" has more than one name", "leave one")
 		}
 		found = append(found, c)
 	}
@@ -329,7 +329,7 @@
 func (b *Block) Block(kind string) *Block {
 	all := b.Blocks(kind)
 	if len(all) > 1 {
-		all[1].Problem("", "a second "+kind+" block", "leave one")
+		all[1].AddProblem("", "a second "+kind+" block", "leave one")
 	}
 	if len(all) > 0 {
 		return all[0]
@@ -346,9 +346,9 @@
 	for _, c := range all {
 		switch line, twice := seen[c.Name]; {
 		case c.Name == "":
-			c.Problem("", "a "+kind+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, kind))
+			c.AddProblem("", "a "+kind+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, kind))
 		case twice:
-			c.Problem("", fmt.Sprintf("%s %q stands already in line %d", kind, c.Name, line), "give it another name")
+			c.AddProblem("", fmt.Sprintf("%s %q stands already in line %d", kind, c.Name, line), "give it another name")
 		default:
 			seen[c.Name] = c.line
 		}
@@ -356,8 +356,8 @@
 	return all
 }
 
-// Done returns all that is wrong in the file, also arguments and blocks that nobody reads.
-func (b *Block) Done() error {
+// Finish returns all that is wrong in the file, also arguments and blocks that nobody reads.
+func (b *Block) Finish() error {
 	b.strangers()
 	all := *b.all
 	slices.SortStableFunc(all, func(x, y Problem) int { return x.Line - y.Line })
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -18,9 +18,9 @@
 // nanoseconds, and a time that was rounded down must not miss its timer.
 const clockGrain = placement.Millis(1e-6)
 
-// LongestTimer is for how long a timer is set at most, in ms; what is due later is set again. A timer that no longer counts
+// MaxTimerDelay is for how long a timer is set at most, in ms; what is due later is set again. A timer that no longer counts
 // stays until it comes, and owners may wait for weeks: so the timers are bounded by what came within this time.
-const LongestTimer = placement.Millis(60e3)
+const MaxTimerDelay = placement.Millis(60e3)
 
 // Verdict is the one final answer to an ask.
 type Verdict uint8
@@ -33,13 +33,13 @@
 
 func (v Verdict) String() string { return [...]string{"", "placed", "rejected", "unschedulable"}[v] }
 
-// Why says why a bind is called off.
-type Why uint8
+// StopReason says why a bind is called off.
+type StopReason uint8
 
 const (
-	TimedOut Why = iota + 1 // no answer in time: nobody waits for it any more
+	TimedOut StopReason = iota + 1 // no answer in time: nobody waits for it any more
 	Withdrawn
-	Moved // so that it is placed anew
+	Migrating // so that it is placed anew
 )
 
 // Actions carries out what the engine decides. None of its methods may call the engine back before it returns.
@@ -47,16 +47,16 @@
 	// Bind offers the workload to the node, which may accept it within the time-out.
 	Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis)
 	// Stop calls a bind off. With onlyWaiting, a node that has accepted it keeps it.
-	Stop(id placement.WorkloadID, bind int, node placement.NodeID, why Why, onlyWaiting bool)
-	Probe(node placement.NodeID)
-	// Watch asks the machine list for its changes.
-	Watch()
+	Stop(id placement.WorkloadID, bind int, node placement.NodeID, why StopReason, onlyWaiting bool)
+	CheckHealth(node placement.NodeID)
+	// SubscribeNodes asks the machine list for its changes.
+	SubscribeNodes()
 	// Answer gives the owner the final answer; nothing is sent for the workload after Rejected or Unschedulable.
 	Answer(id placement.WorkloadID, v Verdict, node placement.NodeID)
-	// Ended tells that a placed workload stands no more.
-	Ended(id placement.WorkloadID, node placement.NodeID, moved bool, why placement.Reason)
-	// Dropped tells that the engine has let go of the workload; its id will not be named again.
-	Dropped(id placement.WorkloadID)
+	// NotifyEnded tells that a placed workload stands no more.
+	NotifyEnded(id placement.WorkloadID, node placement.NodeID, moved bool, why placement.Reason)
+	// Forget tells that the engine has let go of the workload; its id will not be named again.
+	Forget(id placement.WorkloadID)
 }
 
 // World is what an engine runs in: it carries out the engine's actions and calls Tick at the times asked for.
@@ -68,13 +68,13 @@
 
 // Module is where workloads go: placement.Allocator, or one that writes down its calls.
 type Module interface {
-	Place(placement.Millis, placement.Workload) placement.Step
+	Schedule(placement.Millis, placement.Workload) placement.Step
 	Adopt(placement.Millis, placement.Workload, placement.NodeID) placement.Step
-	List(placement.Millis, placement.ListKind, []placement.Node)
-	Report(placement.Millis, placement.NodeID, placement.Load)
-	Probed(placement.Millis, placement.NodeID, bool, *placement.Load)
-	Note(placement.Millis, placement.WorkloadID, placement.NoteKind, float64)
-	Upkeep(placement.Millis) placement.Chores
+	UpdateNodes(placement.Millis, placement.NodeUpdateKind, []placement.Node)
+	ReportLoad(placement.Millis, placement.NodeID, placement.LoadReport)
+	HealthChecked(placement.Millis, placement.NodeID, bool, *placement.LoadReport)
+	ReportUsage(placement.Millis, placement.WorkloadID, placement.UsageKind, float64)
+	Maintain(placement.Millis) placement.Maintenance
 }
 
 // held is one workload that the module has not let go of.
@@ -109,9 +109,9 @@
 
 // Options say what an engine does itself.
 type Options struct {
-	TimesOut bool          // binds time out here; else the world reports their time-outs
-	Log      *eventlog.Log // may be nil
-	Module   Module        // nil for a module made from the settings and the seed
+	EnforceTimeouts bool          // binds time out here; else the world reports their time-outs
+	Log             *eventlog.Log // may be nil
+	Module          Module        // nil for a module made from the settings and the seed
 }
 
 // New makes an engine. Start must be called first.
@@ -120,7 +120,7 @@
 		o.Module = placement.New(s, seed)
 	}
 	return &Engine{
-		module: o.Module, groups: s.Groups, world: w, log: o.Log, timesOut: o.TimesOut,
+		module: o.Module, groups: s.Groups, world: w, log: o.Log, timesOut: o.EnforceTimeouts,
 		held: map[placement.WorkloadID]*held{},
 	}
 }
@@ -131,26 +131,26 @@
 	e.ask(now)
 }
 
-// Held is the number of workloads that are pending or placed.
-func (e *Engine) Held() int { return len(e.held) }
+// WorkloadCount is the number of workloads that are pending or placed.
+func (e *Engine) WorkloadCount() int { return len(e.held) }
 
-// Ask takes a workload under an id that was never used before.
-func (e *Engine) Ask(now placement.Millis, w placement.Workload) {
+// Schedule takes a workload under an id that was never used before.
+func (e *Engine) Schedule(now placement.Millis, w placement.Workload) {
 	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Asked, Workload: w.ID, Group: w.Group})
 	h := &held{id: w.ID, group: w.Group}
 	e.held[w.ID] = h
-	e.carryOut(now, h, e.module.Place(now, w))
+	e.carryOut(now, h, e.module.Schedule(now, w))
 	e.ask(now)
 }
 
-// AskTogether takes workloads that are wanted together: it asks the module for all of them, and offers those that
+// ScheduleGang takes workloads that are wanted together: it asks the module for all of them, and offers those that
 // have a place if they are at least so many. Otherwise nothing is sent, and the module takes its binds back. It
 // returns which are offered; the others are let go of without an answer.
-func (e *Engine) AskTogether(now placement.Millis, ws []placement.Workload, need int) []bool {
+func (e *Engine) ScheduleGang(now placement.Millis, ws []placement.Workload, need int) []bool {
 	steps, offered, n := make([]placement.Step, len(ws)), make([]bool, len(ws)), 0
 	for i, w := range ws {
 		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Asked, Workload: w.ID, Group: w.Group})
-		if steps[i] = e.module.Place(now, w); steps[i].Kind == placement.Bind {
+		if steps[i] = e.module.Schedule(now, w); steps[i].Kind == placement.Bind {
 			n++
 		}
 	}
@@ -163,12 +163,12 @@
 			e.carryOut(now, h, s)
 			continue
 		case s.Kind == placement.Bind:
-			s.Next(now, placement.Result{Kind: placement.NotSent, Over: true})
+			s.NextStep(now, placement.Result{Kind: placement.NotAttempted, Final: true})
 		case s.Kind == placement.Wait:
-			s.Next(now, placement.Result{Kind: placement.Withdrawn, Over: true})
+			s.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true})
 		}
-		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Turned, Workload: w.ID, Group: w.Group})
-		e.world.Dropped(w.ID)
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted, Workload: w.ID, Group: w.Group})
+		e.world.Forget(w.ID)
 	}
 	e.ask(now)
 	return offered
@@ -182,8 +182,8 @@
 	}
 }
 
-// Confirmed takes a node's yes. One for a bind that has ended is passed over: its end was said to the node.
-func (e *Engine) Confirmed(now placement.Millis, id placement.WorkloadID, bind int, l *placement.Load) {
+// BindConfirmed takes a node's yes. One for a bind that has ended is passed over: its end was said to the node.
+func (e *Engine) BindConfirmed(now placement.Millis, id placement.WorkloadID, bind int, l *placement.LoadReport) {
 	h := e.held[id]
 	if h == nil || h.placed || !h.latest(bind) {
 		e.report(now, h, l)
@@ -195,25 +195,25 @@
 		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Answered, Detail: uint8(Placed), Workload: id, Node: h.node})
 		e.world.Answer(id, Placed, h.node)
 	}
-	e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Confirmed, Load: l}))
+	e.carryOut(now, h, h.step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: l}))
 }
 
 // report hands on the load that came with an answer that itself comes too late.
-func (e *Engine) report(now placement.Millis, h *held, l *placement.Load) {
+func (e *Engine) report(now placement.Millis, h *held, l *placement.LoadReport) {
 	if l != nil && h != nil {
-		e.module.Report(now, h.node, *l)
+		e.module.ReportLoad(now, h.node, *l)
 	}
 }
 
-// Settled takes the end of a bind: of one that is out r.Kind says how, a placed one has then ended. Of a
+// BindEnded takes the end of a bind: of one that is out r.Kind says how, a placed one has then ended. Of a
 // bind that ended before, only the load counts.
-func (e *Engine) Settled(
+func (e *Engine) BindEnded(
 	now placement.Millis, id placement.WorkloadID, bind int, node placement.NodeID, r placement.Result,
 ) {
 	h := e.held[id]
 	if h == nil || !h.latest(bind) {
 		if r.Load != nil {
-			e.module.Report(now, node, *r.Load)
+			e.module.ReportLoad(now, node, *r.Load)
 		}
 		return
 	}
@@ -226,13 +226,13 @@
 		r.Kind = placement.Ended
 		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Ended, Workload: h.id, Node: h.node, Reason: r.Reason})
 		if !h.withdrawn {
-			e.world.Ended(h.id, h.node, h.moving, r.Reason)
+			e.world.NotifyEnded(h.id, h.node, h.moving, r.Reason)
 		}
 	} else {
 		e.note(now, h, r)
 	}
 	h.timer = 0
-	e.carryOut(now, h, h.step.Next(now, r))
+	e.carryOut(now, h, h.step.NextStep(now, r))
 }
 
 func (e *Engine) note(now placement.Millis, h *held, r placement.Result) {
@@ -253,34 +253,34 @@
 	if h.step.Kind != placement.Wait {
 		e.world.Stop(id, h.binds-1, h.node, Withdrawn, false)
 	}
-	e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Withdrawn, Over: true}))
+	e.carryOut(now, h, h.step.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true}))
 }
 
-// Cut takes the loss of the connection to a node: what was out there may have run. What stands there does
+// ConnectionLost takes the loss of the connection to a node: what was out there may have run. What stands there does
 // so still, as far as anyone knows.
-func (e *Engine) Cut(now placement.Millis, node placement.NodeID) {
+func (e *Engine) ConnectionLost(now placement.Millis, node placement.NodeID) {
 	for _, h := range e.on(node) {
 		if !h.placed {
-			e.settle(now, h, placement.Result{Kind: placement.Unclear, Over: h.withdrawn})
+			e.settle(now, h, placement.Result{Kind: placement.OutcomeUnknown, Final: h.withdrawn})
 		}
 	}
 	e.ask(now)
 }
 
-// Stands takes a node's own account of our workloads there: those that it does not name have ended.
-func (e *Engine) Stands(now placement.Millis, node placement.NodeID, named func(placement.WorkloadID, int) bool) {
+// ReconcileNode takes a node's own account of our workloads there: those that it does not name have ended.
+func (e *Engine) ReconcileNode(now placement.Millis, node placement.NodeID, named func(placement.WorkloadID, int) bool) {
 	for _, h := range e.on(node) {
 		if h.placed && !named(h.id, h.binds-1) {
-			e.settle(now, h, placement.Result{Kind: placement.Ended, Over: true})
+			e.settle(now, h, placement.Result{Kind: placement.Ended, Final: true})
 		}
 	}
 	e.ask(now)
 }
 
-// Lost takes the loss of a node with all that stood there or was under way to it.
-func (e *Engine) Lost(now placement.Millis, node placement.NodeID) {
-	e.Cut(now, node)
-	e.Stands(now, node, func(placement.WorkloadID, int) bool { return false })
+// NodeLost takes the loss of a node with all that stood there or was under way to it.
+func (e *Engine) NodeLost(now placement.Millis, node placement.NodeID) {
+	e.ConnectionLost(now, node)
+	e.ReconcileNode(now, node, func(placement.WorkloadID, int) bool { return false })
 }
 
 // on returns the workloads whose last bind went to the node, in the order of their ids.
@@ -295,39 +295,39 @@
 	return there
 }
 
-// Holds tells whether that bind is the workload's last and placed.
-func (e *Engine) Holds(id placement.WorkloadID, bind int) bool {
+// IsPlaced tells whether that bind is the workload's last and placed.
+func (e *Engine) IsPlaced(id placement.WorkloadID, bind int) bool {
 	h := e.held[id]
 	return h != nil && h.placed && h.latest(bind)
 }
 
-// Surplus tells what to do with a copy that nobody waits for any more: whether to stop it. A run-once
+// StopsDuplicates tells what to do with a copy that nobody waits for any more: whether to stop it. A run-once
 // workload that was started stays, since its owner was told that it may run.
-func (e *Engine) Surplus(g placement.GroupID) bool {
-	return int(g) >= len(e.groups) || e.groups[g].Effect != placement.RunOnce
+func (e *Engine) StopsDuplicates(g placement.GroupID) bool {
+	return int(g) >= len(e.groups) || e.groups[g].Idempotency != placement.AtMostOnce
 }
 
-// Note takes what is told of a workload; of a bind that is not the last it tells nothing.
-func (e *Engine) Note(now placement.Millis, id placement.WorkloadID, bind int, k placement.NoteKind, value float64) {
+// ReportUsage takes what is told of a workload; of a bind that is not the last it tells nothing.
+func (e *Engine) ReportUsage(now placement.Millis, id placement.WorkloadID, bind int, k placement.UsageKind, value float64) {
 	if h := e.held[id]; h != nil && h.latest(bind) {
-		e.module.Note(now, id, k, value)
+		e.module.ReportUsage(now, id, k, value)
 	}
 }
 
-// Report takes a load report that came by itself.
-func (e *Engine) Report(now placement.Millis, node placement.NodeID, l placement.Load) {
-	e.module.Report(now, node, l)
+// ReportLoad takes a load report that came by itself.
+func (e *Engine) ReportLoad(now placement.Millis, node placement.NodeID, l placement.LoadReport) {
+	e.module.ReportLoad(now, node, l)
 }
 
-// Probed takes the answer to a probe, or that none came.
-func (e *Engine) Probed(now placement.Millis, node placement.NodeID, answered bool, l *placement.Load) {
-	e.module.Probed(now, node, answered, l)
+// HealthChecked takes the answer to a probe, or that none came.
+func (e *Engine) HealthChecked(now placement.Millis, node placement.NodeID, answered bool, l *placement.LoadReport) {
+	e.module.HealthChecked(now, node, answered, l)
 }
 
-// List takes a message of the machine list. Those who send it see to its order.
-func (e *Engine) List(now placement.Millis, k placement.ListKind, nodes []placement.Node) {
+// UpdateNodes takes a message of the machine list. Those who send it see to its order.
+func (e *Engine) UpdateNodes(now placement.Millis, k placement.NodeUpdateKind, nodes []placement.Node) {
 	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Listed, Detail: uint8(k), Bind: int32(len(nodes))})
-	e.module.List(now, k, nodes)
+	e.module.UpdateNodes(now, k, nodes)
 }
 
 // Tick does what has come due. It may be called at any time.
@@ -335,8 +335,8 @@
 	if e.woken && e.wake <= now+clockGrain {
 		e.woken = false
 	}
-	for at, ok := e.timers.Next(); ok && at <= now+clockGrain; at, ok = e.timers.Next() {
-		_, no, t := e.timers.Take()
+	for at, ok := e.timers.NextTime(); ok && at <= now+clockGrain; at, ok = e.timers.NextTime() {
+		_, no, t := e.timers.Pop()
 		if t.chores {
 			e.chores(now)
 			continue
@@ -352,9 +352,9 @@
 		h.timer = 0
 		switch h.step.Kind {
 		case placement.Wait:
-			e.carryOut(now, h, h.step.Next(now, placement.Result{Kind: placement.Due}))
+			e.carryOut(now, h, h.step.NextStep(now, placement.Result{Kind: placement.TimerFired}))
 		default:
-			runOnce := int(h.group) < len(e.groups) && e.groups[h.group].Effect == placement.RunOnce
+			runOnce := int(h.group) < len(e.groups) && e.groups[h.group].Idempotency == placement.AtMostOnce
 			if !h.withdrawn {
 				e.world.Stop(h.id, h.binds-1, h.node, TimedOut, runOnce)
 			}
@@ -379,15 +379,15 @@
 		}
 		e.world.Bind(h.id, h.binds-1, s.Node, s.Timeout)
 	case placement.Wait:
-		e.set(now, h, max(s.Until, now))
+		e.set(now, h, max(s.WakeAt, now))
 	case placement.Rejected:
 		e.answer(now, h, Rejected)
 	case placement.Unschedulable:
 		e.answer(now, h, Unschedulable)
 	}
-	if s.Next == nil {
+	if s.NextStep == nil {
 		delete(e.held, h.id)
-		e.world.Dropped(h.id)
+		e.world.Forget(h.id)
 	}
 }
 
@@ -400,34 +400,34 @@
 }
 
 func (e *Engine) chores(now placement.Millis) {
-	c := e.module.Upkeep(now)
-	if c.Watch {
-		e.world.Watch()
+	c := e.module.Maintain(now)
+	if c.Subscribe {
+		e.world.SubscribeNodes()
 	}
-	for _, n := range c.Probes {
+	for _, n := range c.HealthChecks {
 		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Probed, Node: n})
-		e.world.Probe(n)
+		e.world.CheckHealth(n)
 	}
-	for _, id := range c.Moves {
+	for _, id := range c.Migrations {
 		h := e.held[id]
 		if h == nil || h.withdrawn {
 			continue
 		}
 		h.moving = true
-		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Stopped, Detail: uint8(Moved), Workload: id, Node: h.node})
-		e.world.Stop(id, h.binds-1, h.node, Moved, false)
+		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Stopped, Detail: uint8(Migrating), Workload: id, Node: h.node})
+		e.world.Stop(id, h.binds-1, h.node, Migrating, false)
 	}
-	e.timers.Add(c.Again, timer{chores: true})
+	e.timers.Push(c.NextAt, timer{chores: true})
 }
 
 // set sets the timer of a workload's step.
 func (e *Engine) set(now placement.Millis, h *held, due placement.Millis) {
-	h.due, h.timer = due, e.timers.Add(min(due, now+LongestTimer), timer{id: h.id})
+	h.due, h.timer = due, e.timers.Push(min(due, now+MaxTimerDelay), timer{id: h.id})
 }
 
 // ask sees to it that a wake-up comes by the time of the first timer.
 func (e *Engine) ask(now placement.Millis) {
-	at, ok := e.timers.Next()
+	at, ok := e.timers.NextTime()
 	if !ok || e.woken && e.wake <= at {
 		return
 	}
--- a/internal/allocator/engine_test.go
+++ b/internal/allocator/engine_test.go
@@ -18,19 +18,19 @@
 func (s *script) Bind(id placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
 	s.say("bind %d.%d to %d", id, bind, n)
 }
-func (s *script) Stop(id placement.WorkloadID, bind int, _ placement.NodeID, w Why, onlyWaiting bool) {
+func (s *script) Stop(id placement.WorkloadID, bind int, _ placement.NodeID, w StopReason, onlyWaiting bool) {
 	s.say("stop %d.%d %d %v", id, bind, w, onlyWaiting)
 }
-func (s *script) Probe(n placement.NodeID) { s.say("probe %d", n) }
-func (s *script) Watch()                   { s.say("watch") }
+func (s *script) CheckHealth(n placement.NodeID) { s.say("probe %d", n) }
+func (s *script) SubscribeNodes()                { s.say("watch") }
 func (s *script) Answer(id placement.WorkloadID, v Verdict, _ placement.NodeID) {
 	s.say("answer %d %s", id, v)
 }
-func (s *script) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
+func (s *script) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
 	s.say("ended %d %v %d", id, moved, why)
 }
-func (s *script) Dropped(placement.WorkloadID) {}
-func (s *script) Wake(placement.Millis)        {}
+func (s *script) Forget(placement.WorkloadID) {}
+func (s *script) Wake(placement.Millis)       {}
 
 // take returns what was wanted since the last time.
 func (s *script) take() []string {
@@ -46,27 +46,27 @@
 
 // begin is an engine that knows that many empty machines of 10 cores.
 func begin(nodes int) (*Engine, *script) {
-	group := placement.Group{Target: 1000, Utility: 1, Kind: -1}
+	group := placement.Group{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}
 	once := group
-	once.Effect = placement.RunOnce
+	once.Idempotency = placement.AtMostOnce
 	w := &script{}
 	e := New(placement.Settings{
-		Allocators: 1, Groups: []placement.Group{group, once}, Kinds: []placement.Kind{{Cores: 10, Memory: 20}}, MaxBinds: 3,
-		RoomInList: true, ReportsUse: true,
-	}, 1, w, Options{TimesOut: true, Log: eventlog.NewLog(100)})
+		Allocators: 1, Groups: []placement.Group{group, once}, NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}}, MaxBinds: 3,
+		EntriesCarryCapacity: true, ReportsUsage: true,
+	}, 1, w, Options{EnforceTimeouts: true, Log: eventlog.New(100)})
 	e.Start(0)
 	var entries []placement.Node
 	for i := range nodes {
 		entries = append(entries, placement.Node{
-			ID: placement.NodeID(i + 1), Cell: placement.CellID(i), Born: placement.LongAgo, FreeCores: 10, FreeMemory: 20,
+			ID: placement.NodeID(i + 1), Cell: placement.CellID(i), StartedAt: placement.DistantPast, FreeCores: 10, FreeMemory: 20,
 		})
 	}
-	e.List(0, placement.Whole, entries)
+	e.UpdateNodes(0, placement.Snapshot, entries)
 	return e, w
 }
 
 func ask(e *Engine, now placement.Millis, id placement.WorkloadID, g placement.GroupID) {
-	e.Ask(now, placement.Workload{ID: id, Service: 1, Group: g, Cores: 1, Memory: 1, Left: 6000})
+	e.Schedule(now, placement.Workload{ID: id, Service: 1, Group: g, Cores: 1, Memory: 1, PendingTimeout: 6000})
 }
 
 func settled(k placement.ResultKind) placement.Result { return placement.Result{Kind: k} }
@@ -74,20 +74,20 @@
 func TestAPlacedWorkloadIsAnsweredOnceAndEndsOnce(t *testing.T) {
 	e, w := begin(1)
 	ask(e, 10, 7, restartable)
-	e.Confirmed(20, 7, 0, nil)
-	e.Confirmed(21, 7, 0, nil)
-	e.Settled(30, 7, 0, 1, placement.Result{Kind: placement.Unclear, Reason: placement.Evicted})
-	e.Settled(31, 7, 0, 1, settled(placement.Ended))
+	e.BindConfirmed(20, 7, 0, nil)
+	e.BindConfirmed(21, 7, 0, nil)
+	e.BindEnded(30, 7, 0, 1, placement.Result{Kind: placement.OutcomeUnknown, Reason: placement.Evicted})
+	e.BindEnded(31, 7, 0, 1, settled(placement.Ended))
 	assert.Equal(t, []string{"bind 7.0 to 1", "answer 7 placed", "ended 7 false 5"}, w.take())
-	assert.Zero(t, e.Held())
+	assert.Zero(t, e.WorkloadCount())
 }
 
 func TestARefusalIsFollowedByAnotherNodeAndThenByARejection(t *testing.T) {
 	e, w := begin(2)
 	ask(e, 10, 7, restartable)
 	first := w.take()[0]
-	e.Settled(20, 7, 0, 1, placement.Result{Kind: placement.Declined, Reason: placement.NoCores})
-	e.Settled(30, 7, 1, 2, placement.Result{Kind: placement.Declined, Reason: placement.NoCores})
+	e.BindEnded(20, 7, 0, 1, placement.Result{Kind: placement.RejectedByNode, Reason: placement.InsufficientCores})
+	e.BindEnded(30, 7, 1, 2, placement.Result{Kind: placement.RejectedByNode, Reason: placement.InsufficientCores})
 	did := w.take()
 	assert.NotEqual(t, first, did[0])
 	assert.Equal(t, "answer 7 rejected", did[len(did)-1])
@@ -102,7 +102,7 @@
 	assert.Contains(t, did, "stop 7.0 1 false")
 	assert.Contains(t, fmt.Sprint(did), "bind 7.1")
 	// An offer that is accepted after we gave it up says nothing about the bind that is out now.
-	e.Confirmed(3001, 7, 0, nil)
+	e.BindConfirmed(3001, 7, 0, nil)
 	assert.Empty(t, w.take())
 }
 
@@ -110,14 +110,14 @@
 	e, w := begin(3)
 	ask(e, 0, 7, runOnce)
 	w.take()
-	e.Cut(50, e.held[7].node)
+	e.ConnectionLost(50, e.held[7].node)
 	assert.Equal(t, []string{"answer 7 unschedulable"}, w.take())
 	ask(e, 100, 8, runOnce)
 	w.take()
 	e.Tick(6099)
 	assert.Contains(t, w.take(), "stop 8.0 1 true", "only what waits may be called off")
-	assert.False(t, e.Surplus(runOnce))
-	assert.True(t, e.Surplus(restartable))
+	assert.False(t, e.StopsDuplicates(runOnce))
+	assert.True(t, e.StopsDuplicates(restartable))
 }
 
 func TestAWithdrawnWorkloadIsCalledOffAndNeverAnswered(t *testing.T) {
@@ -129,15 +129,15 @@
 	e.Withdraw(6, 7)
 	assert.Equal(t, []string{"stop 7.0 2 false"}, w.take())
 	// The node's yes was on its way.
-	e.Confirmed(7, 7, 0, nil)
-	e.Settled(9, 7, 0, 1, settled(placement.Ended))
+	e.BindConfirmed(7, 7, 0, nil)
+	e.BindEnded(9, 7, 0, 1, settled(placement.Ended))
 	assert.Empty(t, w.take())
 	// One that was withdrawn and never answered is let go of when its time is up.
 	e.Withdraw(10, 8)
 	w.take()
 	e.Tick(7000)
 	assert.NotContains(t, fmt.Sprint(w.take()), "answer")
-	assert.Zero(t, e.Held())
+	assert.Zero(t, e.WorkloadCount())
 }
 
 func TestWithoutAnyNodeAWorkloadWaitsAndIsRejectedInTime(t *testing.T) {
@@ -156,12 +156,12 @@
 func TestALostNodeEndsWhatStoodThereAndFreesWhatWasOut(t *testing.T) {
 	e, w := begin(1)
 	ask(e, 0, 7, restartable)
-	e.Confirmed(5, 7, 0, nil)
+	e.BindConfirmed(5, 7, 0, nil)
 	ask(e, 6, 8, restartable)
 	e.Adopt(7, placement.Workload{ID: 9, Service: 2, Cores: 1, Memory: 1}, 1)
 	w.take()
-	e.List(10, placement.Changes, []placement.Node{{ID: 1, State: placement.Gone}})
-	e.Lost(10, 1)
+	e.UpdateNodes(10, placement.Delta, []placement.Node{{ID: 1, State: placement.Removed}})
+	e.NodeLost(10, 1)
 	did := w.take()
 	assert.Contains(t, did, "ended 7 false 0")
 	assert.Contains(t, did, "ended 9 false 0")
@@ -172,12 +172,12 @@
 	e, w := begin(1)
 	for id := placement.WorkloadID(1); id <= 3; id++ {
 		ask(e, 0, id, restartable)
-		e.Confirmed(5, id, 0, nil)
+		e.BindConfirmed(5, id, 0, nil)
 	}
 	w.take()
-	e.Stands(10, 1, func(id placement.WorkloadID, bind int) bool { return id == 2 && bind == 0 })
+	e.ReconcileNode(10, 1, func(id placement.WorkloadID, bind int) bool { return id == 2 && bind == 0 })
 	assert.Equal(t, []string{"ended 1 false 0", "ended 3 false 0"}, w.take())
-	assert.True(t, e.Holds(2, 0))
+	assert.True(t, e.IsPlaced(2, 0))
 }
 
 // The clock of a process that stood still jumps; everything that came due meanwhile is done once, in order.
@@ -197,8 +197,8 @@
 func TestTheRecordHoldsEveryDecisionInOrder(t *testing.T) {
 	e, _ := begin(1)
 	ask(e, 10, 7, restartable)
-	e.Confirmed(20, 7, 0, nil)
-	e.Settled(30, 7, 0, 1, settled(placement.Ended))
+	e.BindConfirmed(20, 7, 0, nil)
+	e.BindEnded(30, 7, 0, 1, settled(placement.Ended))
 	events, whole := e.log.Since(1)
 	assert.True(t, whole)
 	var kinds []eventlog.Kind
@@ -218,17 +218,17 @@
 	for id := placement.WorkloadID(1); id <= last; id++ {
 		now := begins + placement.Millis(id)*1000
 		e.Tick(now)
-		e.Ask(now, placement.Workload{ID: id, Service: 1, Cores: 1, Memory: 1, Left: month})
-		e.Confirmed(now+20, id, 0, nil)
-		e.Settled(now+900, id, 0, 1, settled(placement.Ended))
+		e.Schedule(now, placement.Workload{ID: id, Service: 1, Cores: 1, Memory: 1, PendingTimeout: month})
+		e.BindConfirmed(now+20, id, 0, nil)
+		e.BindEnded(now+900, id, 0, 1, settled(placement.Ended))
 		most = max(most, e.timers.Len())
 		w.take()
 	}
 	assert.LessOrEqual(t, most, 62, "a minute of asks, and the chores")
-	assert.Zero(t, e.Held())
+	assert.Zero(t, e.WorkloadCount())
 	// One that waits is timed out when its time comes, to the thousandth.
 	at := begins + placement.Millis(last)*1000 + 5000.25
-	e.Ask(at, placement.Workload{ID: last + 1, Service: 1, Group: runOnce, Cores: 1, Memory: 1, Left: 200e3})
+	e.Schedule(at, placement.Workload{ID: last + 1, Service: 1, Group: runOnce, Cores: 1, Memory: 1, PendingTimeout: 200e3})
 	for now := at; now < at+200e3-20.001; now += 500 {
 		e.Tick(now)
 	}
--- a/internal/benchmark/bench.go
+++ b/internal/benchmark/bench.go
@@ -47,9 +47,9 @@
 
 func settings(allocators int) placement.Settings {
 	return placement.Settings{
-		Allocators: allocators, Kinds: []placement.Kind{{Cores: cores, Memory: memory}}, MaxBinds: 3, RoomInList: true,
-		ReportsUse: true, ColdFor: 15e3, ColdBears: 24, OverloadFor: 2e3,
-		Groups: []placement.Group{{Target: 1e3, Utility: 1, Calm: 0.8, Fade: 0.2, Kind: -1}},
+		Allocators: allocators, NodeKinds: []placement.NodeKind{{Cores: cores, Memory: memory}}, MaxBinds: 3, EntriesCarryCapacity: true,
+		ReportsUsage: true, WarmUpDuration: 15e3, WarmUpBudget: 24, OverloadWindow: 2e3,
+		Groups: []placement.Group{{LatencyObjective: 1e3, PriorityWeight: 1, FullServiceUtilization: 0.8, DegradationRange: 0.2, RequiredKind: -1}},
 	}
 }
 
@@ -57,7 +57,7 @@
 	nodes := make([]placement.Node, f.Nodes)
 	for i := range nodes {
 		nodes[i] = placement.Node{
-			ID: placement.NodeID(i + 1), Cell: placement.CellID(i / 8), Born: placement.LongAgo,
+			ID: placement.NodeID(i + 1), Cell: placement.CellID(i / 8), StartedAt: placement.DistantPast,
 			FreeCores: cores / 2, FreeMemory: memory / 2,
 		}
 	}
@@ -65,15 +65,15 @@
 }
 
 func workload(id placement.WorkloadID) placement.Workload {
-	return placement.Workload{ID: id, Service: placement.ServiceID(id % services), Cores: 0.5, Memory: 1, Left: 6000}
+	return placement.Workload{ID: id, Service: placement.ServiceID(id % services), Cores: 0.5, Memory: 1, PendingTimeout: 6000}
 }
 
-var load = placement.Load{SpareCores: cores * 0.6, SpareMemory: memory * 0.6, Backlog: 0, Utilization: 0.4}
+var load = placement.LoadReport{SpareCores: cores * 0.6, SpareMemory: memory * 0.6, Backlog: 0, Utilization: 0.4}
 
 // module carries workloads from ask to end with the module alone, and returns how many a second.
 func (f Fleet) module(long time.Duration) float64 {
 	a := placement.New(settings(1), 1)
-	a.List(0, placement.Whole, f.entries())
+	a.UpdateNodes(0, placement.Snapshot, f.entries())
 	id := placement.WorkloadID(0)
 	for n := range f.Nodes {
 		for range f.Residents {
@@ -82,13 +82,13 @@
 		}
 	}
 	return f.rate(long, func(now placement.Millis, id placement.WorkloadID) {
-		s := a.Place(now, workload(id))
+		s := a.Schedule(now, workload(id))
 		l := load
 		if s.Kind == placement.Bind {
-			s = s.Next(now, placement.Result{Kind: placement.Confirmed, Load: &l})
-			s.Next(now, placement.Result{Kind: placement.Ended})
+			s = s.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: &l})
+			s.NextStep(now, placement.Result{Kind: placement.Ended})
 		}
-	}, func(now placement.Millis) { a.Upkeep(now) }, id)
+	}, func(now placement.Millis) { a.Maintain(now) }, id)
 }
 
 // rate calls one for workload after workload, a millisecond of the module's time apart.
@@ -118,20 +118,20 @@
 func (w *nowhere) Bind(_ placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
 	w.bind, w.node = bind, n
 }
-func (*nowhere) Stop(placement.WorkloadID, int, placement.NodeID, allocator.Why, bool) {}
-func (*nowhere) Probe(placement.NodeID)                                                {}
-func (*nowhere) Watch()                                                                {}
-func (*nowhere) Answer(placement.WorkloadID, allocator.Verdict, placement.NodeID)      {}
-func (*nowhere) Ended(placement.WorkloadID, placement.NodeID, bool, placement.Reason)  {}
-func (*nowhere) Dropped(placement.WorkloadID)                                          {}
-func (*nowhere) Wake(placement.Millis)                                                 {}
+func (*nowhere) Stop(placement.WorkloadID, int, placement.NodeID, allocator.StopReason, bool) {}
+func (*nowhere) CheckHealth(placement.NodeID)                                                 {}
+func (*nowhere) SubscribeNodes()                                                              {}
+func (*nowhere) Answer(placement.WorkloadID, allocator.Verdict, placement.NodeID)             {}
+func (*nowhere) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason)   {}
+func (*nowhere) Forget(placement.WorkloadID)                                                  {}
+func (*nowhere) Wake(placement.Millis)                                                        {}
 
 // engine does the same through the engine, with its record and its timers.
 func (f Fleet) engine(long time.Duration) float64 {
 	w := &nowhere{}
-	e := allocator.New(settings(1), 1, w, allocator.Options{TimesOut: true, Log: eventlog.NewLog(1 << 14)})
+	e := allocator.New(settings(1), 1, w, allocator.Options{EnforceTimeouts: true, Log: eventlog.New(1 << 14)})
 	e.Start(0)
-	e.List(0, placement.Whole, f.entries())
+	e.UpdateNodes(0, placement.Snapshot, f.entries())
 	id := placement.WorkloadID(0)
 	for n := range f.Nodes {
 		for range f.Residents {
@@ -141,9 +141,9 @@
 	}
 	return f.rate(long, func(now placement.Millis, id placement.WorkloadID) {
 		l := load
-		e.Ask(now, workload(id))
-		e.Confirmed(now, id, w.bind, &l)
-		e.Settled(now, id, w.bind, w.node, placement.Result{Kind: placement.Ended})
+		e.Schedule(now, workload(id))
+		e.BindConfirmed(now, id, w.bind, &l)
+		e.BindEnded(now, id, w.bind, w.node, placement.Result{Kind: placement.Ended})
 	}, e.Tick, id)
 }
 
@@ -195,8 +195,8 @@
 		return Memory{}, err
 	}
 	after := live()
-	if p.Held() != residents {
-		return Memory{}, fmt.Errorf("%d of %d workloads are held", p.Held(), residents)
+	if p.WorkloadCount() != residents {
+		return Memory{}, fmt.Errorf("%d of %d workloads are held", p.WorkloadCount(), residents)
 	}
 	runtime.KeepAlive(p)
 	m := Memory{Residents: residents, Bytes: after - min(before, after)}
--- a/internal/benchmark/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -27,12 +27,12 @@
 // cluster is an allocator on sockets among nodes that accept at once, and an owner's connection to it.
 type cluster struct {
 	loop    *transport.Loop
-	port    *native.Port
+	port    *native.Frontend
 	closers []io.Closer
 	owner   net.Conn
 	in      *bufio.Reader
-	offered func(ask uint64) // called at the node when an offer arrives
-	journal *daemon.Journal  // nil without state
+	offered func(ask uint64)  // called at the node when an offer arrives
+	journal *daemon.BindStore // nil without state
 }
 
 func (c *cluster) Close() {
@@ -48,7 +48,7 @@
 func config(list string, most int) native.Config {
 	return native.Config{
 		Name: "bench", Incarnation: 2, Seed: 1, Settings: settings(1), Groups: []string{"g"}, Kinds: []string{"k"},
-		List: list, RecordSize: 1 << 14, MostHeld: most,
+		DiscoveryAddress: list, EventLogSize: 1 << 14, MaxWorkloads: most,
 	}
 }
 
@@ -77,28 +77,28 @@
 	c.closers = append(c.closers, l)
 	go c.accept(l, func(conn net.Conn) {
 		w := &writer{w: conn}
-		w.send(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+		w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
 		w.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}})
 		io.Copy(io.Discard, conn)
 	})
 	pc := config(l.Addr().String(), 0)
 	pc.Trace = f.trace
 	if f.state.Dir != "" {
-		pc.Settings.Groups[0].Effect = placement.RunOnce
-		j, err := daemon.OpenJournal(f.state, &pc, c.loop, slog.New(slog.DiscardHandler))
+		pc.Settings.Groups[0].Idempotency = placement.AtMostOnce
+		j, err := daemon.OpenBindStore(f.state, &pc, c.loop, slog.New(slog.DiscardHandler))
 		if err != nil {
 			c.Close()
 			return nil, err
 		}
 		c.journal = j
 	} else if f.once {
-		pc.Settings.Groups[0].Effect = placement.RunOnce
+		pc.Settings.Groups[0].Idempotency = placement.AtMostOnce
 	}
 	c.port = native.New(pc)
 	if c.journal != nil {
-		c.journal.Serve(c.port)
+		c.journal.Attach(c.port)
 	}
-	addr, err := c.loop.Listen(c.port, "127.0.0.1:0", transport.DefaultLimits)
+	addr, err := c.loop.ListenFrames(c.port, "127.0.0.1:0", transport.DefaultLimits)
 	if err != nil {
 		c.Close()
 		return nil, err
@@ -106,7 +106,7 @@
 	c.loop.Run()
 	for deadline := time.Now().Add(warmUp); ; time.Sleep(5 * time.Millisecond) {
 		held := 0
-		c.loop.Ask(c.port, func(placement.Millis) { held = c.port.Held() })
+		c.loop.Call(c.port, func(placement.Millis) { held = c.port.WorkloadCount() })
 		if held == f.Nodes*f.Residents {
 			break
 		}
@@ -122,7 +122,7 @@
 	c.closers = append(c.closers, c.owner)
 	c.in = bufio.NewReaderSize(c.owner, 1<<16)
 	w := &writer{w: c.owner}
-	w.send(transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
+	w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
 	if _, err := receive(c.in); err != nil {
 		c.Close()
 		return nil, err
@@ -157,7 +157,7 @@
 			Ask: &pb.Ask{Ask: id, Key: id, Service: id % services, Group: "g", Cores: 0.5, Memory: 1},
 		}})
 	}
-	out.send(transport.Hello(hello))
+	out.send(transport.HelloFrame(hello))
 	spareCores, spareMemory, util := load.SpareCores, load.SpareMemory, load.Utilization
 	l := &pb.Load{SpareCores: &spareCores, SpareMemory: &spareMemory, Utilization: &util}
 	for {
@@ -188,7 +188,7 @@
 }
 
 func (w *writer) keep(f *pb.Frame) {
-	if b, err := transport.Append(w.b, f); err == nil {
+	if b, err := transport.AppendFrame(w.b, f); err == nil {
 		w.b = b
 	}
 }
@@ -206,7 +206,7 @@
 }
 
 func receive(r *bufio.Reader) (*pb.Frame, error) {
-	return transport.Read(r, transport.DefaultLimits.Frame)
+	return transport.ReadFrame(r, transport.DefaultLimits.MaxFrameSize)
 }
 
 func askFrame(no uint64) *pb.Frame {
@@ -315,13 +315,13 @@
 
 // filled is an allocator that holds so many placed workloads on 1,000 nodes, each asked for and confirmed over
 // the wire.
-func filled(residents int) (*native.Port, error) {
+func filled(residents int) (*native.Frontend, error) {
 	s := &still{}
 	p := native.New(config("list", 0))
 	p.Start(0, s)
 	list := s.last
 	p.Opened(0, list)
-	p.Received(0, list, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
+	p.Received(0, list, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
 	const nodes = 1000
 	u := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
 	for i := range nodes {
@@ -344,7 +344,7 @@
 			}})
 		}
 		p.Opened(0, c)
-		p.Received(0, c, transport.Hello(h))
+		p.Received(0, c, transport.HelloFrame(h))
 	}
 	return p, nil
 }
--- a/internal/benchmark/state.go
+++ b/internal/benchmark/state.go
@@ -50,7 +50,7 @@
 		var rates []float64
 		for i := range rounds {
 			if sync != "off" {
-				f.state = conf.State{Dir: filepath.Join(dir, fmt.Sprint(sync, i)), Keep: 3600e3, Most: 1e7, Sync: sync}
+				f.state = conf.State{Dir: filepath.Join(dir, fmt.Sprint(sync, i)), Retention: 3600e3, MaxEntries: 1e7, Sync: sync}
 			}
 			rate, err := f.sockets(long)
 			if err != nil {
@@ -86,20 +86,20 @@
 
 // stateRead fills a directory behind a history ten times as long, and measures the next start.
 func stateRead(path string, keys int) (r StateRead, err error) {
-	d, err := storage.Dir(path)
+	d, err := storage.OpenDir(path)
 	if err != nil {
 		return r, err
 	}
 	now := func() float64 { return 1 }
-	l, _, err := storage.Open(d, &statepb.Life{Incarnation: 1}, storage.DefaultLogMost, now)
+	l, _, err := storage.Open(d, &statepb.Life{Incarnation: 1}, storage.DefaultMaxLogSize, now)
 	if err != nil {
 		return r, err
 	}
 	for i := range 10 * keys {
-		b := recovery.Bind{Key: uint64(i), Group: "g", Node: 1, Incarnation: 1, Workload: uint64(i), Until: 1e15}
-		entries := []*statepb.Entry{storage.Bound(b)}
+		b := recovery.Bind{Key: uint64(i), Group: "g", Node: 1, Incarnation: 1, Workload: uint64(i), ExpiresAt: 1e15}
+		entries := []*statepb.Entry{storage.BindEntry(b)}
 		if i >= keys {
-			entries = append(entries, storage.Never(b.Key, 1, 0))
+			entries = append(entries, storage.ForgetEntry(b.Key, 1, 0))
 		}
 		if err := l.Commit(entries, false); err != nil {
 			return r, err
@@ -118,11 +118,11 @@
 		}
 	}
 	began := time.Now()
-	l, found, err := storage.Open(d, &statepb.Life{Incarnation: 2}, storage.DefaultLogMost, now)
+	l, found, err := storage.Open(d, &statepb.Life{Incarnation: 2}, storage.DefaultMaxLogSize, now)
 	if err != nil {
 		return r, err
 	}
-	book := recovery.New(recovery.Settings{}, storage.Left(found), 1)
+	book := recovery.New(recovery.Settings{}, storage.RecoveredBinds(found), 1)
 	r.Keys, r.Ms = book.Len(), float64(time.Since(began))/1e6
 	return r, l.Close()
 }
--- a/internal/benchmark/trace.go
+++ b/internal/benchmark/trace.go
@@ -69,7 +69,7 @@
 	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir}); err != nil {
 		return nil, nil, err
 	}
-	names, _, _ := trace.Files(filepath.Join(dir, "allocator-1"))
+	names, _, _ := trace.ListFiles(filepath.Join(dir, "allocator-1"))
 	var records []*trace.Record
 	var sources []*tracepb.Source
 	for _, name := range names {
@@ -180,7 +180,7 @@
 			return err
 		}
 		on, off, ratios = append(on, x), append(off, y), append(ratios, x/y)
-		files, _, _ := trace.Files(filepath.Join(dir, fmt.Sprint("on", i)))
+		files, _, _ := trace.ListFiles(filepath.Join(dir, fmt.Sprint("on", i)))
 		var readers []*trace.Reader
 		for _, name := range files {
 			r, err := trace.Open(name)
@@ -228,7 +228,7 @@
 	if fileBytes <= 0 {
 		return nil
 	}
-	name := filepath.Join(dir, "large"+trace.Ext)
+	name := filepath.Join(dir, "large"+trace.FileExtension)
 	out, err := os.Create(name)
 	if err != nil {
 		return err
@@ -259,7 +259,7 @@
 			if err != nil {
 				return 0, 0, err
 			}
-			if w := r.Wall(rec); w >= middle && w <= middle+60e3 {
+			if w := r.UnixMillis(rec); w >= middle && w <= middle+60e3 {
 				n++
 			}
 		}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -28,7 +28,7 @@
 		return nil, failure{fmt.Errorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to", addr, err)}
 	}
 	c := &client{conn: conn, in: bufio.NewReader(conn), made: time.Now()}
-	if err := c.send(transport.Hello(&pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()})); err != nil {
+	if err := c.send(transport.HelloFrame(&pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()})); err != nil {
 		return nil, err
 	}
 	f, err := c.receive(talkWithin)
@@ -45,7 +45,7 @@
 func (c *client) clock() float64 { return float64(time.Since(c.made)) / float64(time.Millisecond) }
 
 func (c *client) send(f *pb.Frame) error {
-	b, err := transport.Append(nil, f)
+	b, err := transport.AppendFrame(nil, f)
 	if err == nil {
 		_, err = c.conn.Write(b)
 	}
@@ -59,7 +59,7 @@
 	if err := c.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return nil, failure{err}
 	}
-	f, err := transport.Read(c.in, 64<<20)
+	f, err := transport.ReadFrame(c.in, 64<<20)
 	if err != nil {
 		return nil, failure{fmt.Errorf("no answer: %w", err)}
 	}
--- a/internal/command/gangs.go
+++ b/internal/command/gangs.go
@@ -27,30 +27,30 @@
 	}
 	const day = 24 * 3600e3
 	a := &pb.GangAsk{
-		Ask: rand.Uint64(), LeftMs: float64(b.Time("pending", 10e3)), Spread: b.Word("spread", "", "", "node", "cell", "zone"),
-		Replace: b.Word("on_loss", "undo", "undo", "replace") == "replace", ReplaceWithinMs: float64(b.Time("replace_within", 3e3)),
+		Ask: rand.Uint64(), LeftMs: float64(b.Duration("pending", 10e3)), Spread: b.OneOf("spread", "", "", "node", "cell", "zone"),
+		Replace: b.OneOf("on_loss", "undo", "undo", "replace") == "replace", ReplaceWithinMs: float64(b.Duration("replace_within", 3e3)),
 	}
 	for _, p := range b.Blocks("part") {
-		count := p.Count("count", 1, 1, 1000)
+		count := p.Int("count", 1, 1, 1000)
 		for range count {
 			a.Parts = append(a.Parts, &pb.Ask{
-				Key: rand.Uint64(), Group: p.Text("group", ""), Service: uint64(p.Count("service", 1, 1, 1<<50)),
-				Cores: p.Number("cores", 1, 0.0001, 1e6), Memory: p.Number("memory", 1, 0.0001, 1e9),
-				RunsForMs: float64(p.Time("runs_for", 10e3)),
+				Key: rand.Uint64(), Group: p.String("group", ""), Service: uint64(p.Int("service", 1, 1, 1<<50)),
+				Cores: p.Float("cores", 1, 0.0001, 1e6), Memory: p.Float("memory", 1, 0.0001, 1e9),
+				RunsForMs: float64(p.Duration("runs_for", 10e3)),
 			})
 		}
-		if p.Text("group", "") == "" {
-			p.Problem("group", "a part without a priority group", `write group = "NAME"`)
+		if p.String("group", "") == "" {
+			p.AddProblem("group", "a part without a priority group", `write group = "NAME"`)
 		}
 	}
 	if len(a.Parts) == 0 {
-		b.Problem("part", "no part", `write at least one: part { group = "NAME"  cores = 1  memory = 2  count = 3 }`)
+		b.AddProblem("part", "no part", `write at least one: part { group = "NAME"  cores = 1  memory = 2  count = 3 }`)
 	}
-	a.Need = uint32(b.Count("need", len(a.Parts), 1, max(1, len(a.Parts))))
+	a.Need = uint32(b.Int("need", len(a.Parts), 1, max(1, len(a.Parts))))
 	if a.LeftMs <= 0 || a.LeftMs > day {
-		b.Problem("pending", "pending is no time to wait", `write one such as "10s"`)
+		b.AddProblem("pending", "pending is no time to wait", `write one such as "10s"`)
 	}
-	return a, b.Done()
+	return a, b.Finish()
 }
 
 // submitGang asks for a group and prints its one answer.
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -65,12 +65,12 @@
 func servePlatform(c *cobra.Command, conf *platform.Config, file string, reload <-chan os.Signal, log *slog.Logger) error {
 	p := platform.New(conf, log)
 	loop := transport.NewLoop(nil)
-	if _, err := loop.Serve(p, func() transport.Form { return codec.Lines{} }, conf.Listen, p.Limits()); err != nil {
+	if _, err := loop.Listen(p, func() transport.Codec { return codec.ClientCodec{} }, conf.Listen, p.Limits()); err != nil {
 		return failure{err}
 	}
 	loop.Run()
 	defer loop.Close()
-	log.Info("serving", "allocator", conf.Name, "listen", conf.Listen, "journal", conf.Journal)
+	log.Info("serving", "allocator", conf.Name, "listen", conf.Listen, "journal", conf.DiscoveryAddress)
 	stop := c.Context().Done()
 	var look, again <-chan time.Time // while it waits for the last answers; when the configuration is to be read once more
 	tries := 0
@@ -82,7 +82,7 @@
 			// The file may be in the middle of being written, so it is read a few times.
 			if conf, err := platform.ReadConfig(file, conf.Listen); err == nil {
 				again = nil
-				loop.Ask(p, func(now placement.Millis) { p.Reload(now, conf.Journal) })
+				loop.Call(p, func(now placement.Millis) { p.Reload(now, conf.DiscoveryAddress) })
 			} else if tries++; tries < readMost {
 				again = time.After(readEvery)
 			} else {
@@ -91,15 +91,15 @@
 			}
 		case <-stop:
 			stop = nil
-			loop.Ask(p, p.Stop)
+			loop.Call(p, p.Drain)
 			ticker := time.NewTicker(lookEvery)
 			defer ticker.Stop()
 			look = ticker.C
 		case <-look:
 			stopped := false
-			loop.Ask(p, func(now placement.Millis) { stopped = p.Stopped(now) })
+			loop.Call(p, func(now placement.Millis) { stopped = p.Drained(now) })
 			if stopped {
-				log.Info("stopped", "counts", fmt.Sprintf("%+v", p.Counts))
+				log.Info("stopped", "counts", fmt.Sprintf("%+v", p.Counters))
 				return nil
 			}
 		case err := <-loop.Failed():
--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -83,7 +83,7 @@
 		n, err := c.Read(part)
 		b = append(b, part[:n]...)
 		for {
-			m, used, err := codec.Binary{}.Cut(b)
+			m, used, err := codec.NodeCodec{}.Decode(b)
 			if err != nil || used == 0 {
 				break
 			}
@@ -99,7 +99,7 @@
 				<-may
 			}
 			text := "taken by a node"
-			out, err := codec.Binary{}.Append(nil, &codec.Message{Verb: codec.Started, Tag: m1.Tag, Description: &text})
+			out, err := codec.NodeCodec{}.Append(nil, &codec.Message{Verb: codec.Started, Tag: m1.Tag, Description: &text})
 			if err != nil {
 				return
 			}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -72,7 +72,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s is good: allocator %s, number %d of %d, listens on %s, list at %s, "+
 				"%d groups, %d kinds of nodes\n", args[0], conf.Name, conf.Settings.Ordinal, conf.Settings.Allocators,
-				conf.Listen, conf.List, len(conf.Groups), len(conf.Kinds))
+				conf.ListenAddress, conf.DiscoveryAddress, len(conf.GroupNames), len(conf.KindNames))
 			return nil
 		},
 	}
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -22,16 +22,16 @@
 	if info, err := os.Stat(path); err != nil || !info.IsDir() {
 		return nil, fmt.Errorf("%s is no directory; the setting state.dir names the one of an allocator", path)
 	}
-	return storage.Dir(path)
+	return storage.OpenDir(path)
 }
 
 // readState reads a directory; a damaged one is something wrong, not bad input.
-func readState(path string) (*storage.Found, error) {
+func readState(path string) (*storage.Contents, error) {
 	d, err := stateDir(path)
 	if err != nil {
 		return nil, err
 	}
-	f, err := storage.Look(d)
+	f, err := storage.Inspect(d)
 	if err != nil {
 		return nil, failure{err}
 	}
@@ -49,7 +49,7 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s is good: %d files, %d keys known, %d bytes at the end that a crash cut off.\n",
-				args[0], len(f.Files), len(f.Kept), f.Torn)
+				args[0], len(f.Files), len(f.LiveBinds), f.TruncatedBytes)
 			return nil
 		},
 	}
@@ -77,7 +77,7 @@
 				return err
 			}
 			keys, rows := []keptKey{}, [][]string{{"KEY", "GROUP", "LAST NODE", "BIND", "KNOWN UNTIL"}}
-			for _, k := range f.Kept {
+			for _, k := range f.LiveBinds {
 				key := keptKey{
 					k.Key, k.Group, k.Node, k.Incarnation, k.Number,
 					time.UnixMilli(int64(k.UntilMs)).UTC(),
@@ -112,7 +112,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := storage.FindDamage(d)
+			r, err := storage.PlanRepair(d)
 			if err != nil {
 				return failure{err}
 			}
@@ -120,12 +120,12 @@
 				fmt.Fprintf(c.OutOrStdout(), "%s is whole; there is nothing to repair.\n", args[0])
 				return nil
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is damaged at byte %d; %d good records stand behind, and these files: %v.\n", r.File, r.At, r.Lost, r.Dropped)
+			fmt.Fprintf(c.OutOrStdout(), "%s is damaged at byte %d; %d good records stand behind, and these files: %v.\n", r.File, r.Offset, r.LostEntries, r.DroppedFiles)
 			if !really {
 				fmt.Fprintln(c.OutOrStdout(), "Nothing is changed. Give --drop to have all of that put aside.")
 				return errWrong
 			}
-			if err := r.Do(d); err != nil {
+			if err := r.Apply(d); err != nil {
 				return failure{errors.Join(errors.New("the repair stopped half way"), err)}
 			}
 			fmt.Fprintln(c.OutOrStdout(), "It is put aside, under names that end in .damaged.")
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -45,7 +45,7 @@
 		}
 		found := filesBelow(a)
 		if len(found) == 0 {
-			return nil, nil, fmt.Errorf("%s: no files *%s are in it", a, trace.Ext)
+			return nil, nil, fmt.Errorf("%s: no files *%s are in it", a, trace.FileExtension)
 		}
 		names = append(names, found...)
 	}
@@ -87,7 +87,7 @@
 
 // filesBelow are the trace files of a directory and of those in it, which hold one allocator each.
 func filesBelow(dir string) []string {
-	names, _, _ := trace.Files(dir)
+	names, _, _ := trace.ListFiles(dir)
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return names
@@ -244,7 +244,7 @@
 				return err
 			}
 			return output(out, func(f *os.File) error {
-				w, err := trace.NewWriter(f, trace.Copy(files[0].Header))
+				w, err := trace.NewWriter(f, trace.CopyHeader(files[0].Header))
 				if err != nil {
 					return err
 				}
@@ -426,7 +426,7 @@
 					if shown++; shown > most {
 						continue
 					}
-					line := fmt.Sprintf("%s %s", clock(f.Wall(r)), replay.Describe(r))
+					line := fmt.Sprintf("%s %s", clock(f.UnixMillis(r)), replay.Describe(r))
 					if len(f.Header.Sources) > 1 && int(r.Source) < len(f.Header.Sources) {
 						line = f.Header.Sources[r.Source].Allocator + " " + line
 					}
@@ -474,10 +474,10 @@
 					return err
 				}
 				o.Settings = func(was placement.Settings) (placement.Settings, error) {
-					s := native.WithSpreads(conf.Settings)
-					if len(s.Groups) != len(was.Groups) || len(s.Kinds) != len(was.Kinds) {
+					s := native.WithSpreadVariants(conf.Settings)
+					if len(s.Groups) != len(was.Groups) || len(s.NodeKinds) != len(was.NodeKinds) {
 						return was, fmt.Errorf("the settings have %d groups and %d kinds, the trace has %d and %d; they must be as many",
-							len(conf.Groups), len(s.Kinds), len(was.Groups)*len(conf.Groups)/len(s.Groups), len(was.Kinds))
+							len(conf.GroupNames), len(s.NodeKinds), len(was.Groups)*len(conf.GroupNames)/len(s.Groups), len(was.NodeKinds))
 					}
 					s.Allocators, s.Ordinal = was.Allocators, was.Ordinal
 					return s, nil
--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -168,7 +168,7 @@
 func TestFrames_EncodeAsStored(t *testing.T) {
 	var text strings.Builder
 	for _, frame := range frames() {
-		b, err := transport.Append(nil, frame)
+		b, err := transport.AppendFrame(nil, frame)
 		require.NoError(t, err)
 		fmt.Fprintf(&text, "%x\n", b)
 	}
@@ -182,10 +182,10 @@
 	for i, line := range lines {
 		b, err := hex.DecodeString(line)
 		require.NoError(t, err)
-		body, rest, err := transport.Split(append(b, 0, 0), len(b))
+		body, rest, err := transport.SplitFrame(append(b, 0, 0), len(b))
 		require.NoError(t, err)
 		assert.Equal(t, []byte{0, 0}, rest)
-		got, err := transport.Decode(body)
+		got, err := transport.DecodeFrame(body)
 		require.NoError(t, err)
 		assert.True(t, proto.Equal(want[i], got), "line %d: want %v, got %v", i+1, want[i], got)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,11 +25,11 @@
 type Daemon struct {
 	Addr string // where it listens
 	loop *transport.Loop
-	port *native.Port
+	port *native.Frontend
 	log  *slog.Logger
 
 	recorder *trace.Recorder // nil without a trace
-	journal  *Journal        // nil without state
+	journal  *BindStore      // nil without state
 }
 
 // Logger makes the logger that the configuration asks for.
@@ -55,11 +55,11 @@
 	d := &Daemon{loop: transport.NewLoop(log), log: log}
 	pc := native.Config{
 		Name: c.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: binary.LittleEndian.Uint64(seed[:]),
-		Settings: c.Settings, Groups: c.Groups, Kinds: c.Kinds, Zone: c.Zone, List: c.List,
-		MostHeld: c.Limits.Workloads, Log: log, Wall: float64(time.Now().UnixNano())/1e6 - float64(d.loop.Now()),
+		Settings: c.Settings, Groups: c.GroupNames, Kinds: c.KindNames, Zone: c.Zone, DiscoveryAddress: c.DiscoveryAddress,
+		MaxWorkloads: c.Limits.MaxWorkloads, Log: log, WallClockOffset: float64(time.Now().UnixNano())/1e6 - float64(d.loop.Now()),
 	}
 	if c.State.Dir != "" {
-		j, err := OpenJournal(c.State, &pc, d.loop, log)
+		j, err := OpenBindStore(c.State, &pc, d.loop, log)
 		if err != nil {
 			d.loop.Close()
 			return nil, err
@@ -67,7 +67,7 @@
 		d.journal = j
 	}
 	if c.Trace.Dir != "" {
-		source := &tracepb.Source{Allocator: pc.Name, Incarnation: pc.Incarnation, WallMs: pc.Wall}
+		source := &tracepb.Source{Allocator: pc.Name, Incarnation: pc.Incarnation, WallMs: pc.WallClockOffset}
 		r, err := trace.NewRecorder(c.Trace.Dir, source, trace.Limits{
 			FileBytes: c.Trace.File, FileAge: time.Duration(float64(c.Trace.Age) * 1e6), TotalBytes: c.Trace.Total,
 		}, log)
@@ -80,12 +80,12 @@
 	}
 	d.port = native.New(pc)
 	if d.journal != nil {
-		d.journal.Serve(d.port)
+		d.journal.Attach(d.port)
 	}
 	limits := transport.Limits{
-		Frame: int(c.Limits.Frame), Waiting: int(c.Limits.Waiting), Connections: c.Limits.Connections,
+		MaxFrameSize: int(c.Limits.MaxFrameBytes), MaxWriteBuffer: int(c.Limits.MaxWriteBuffer), MaxConnections: c.Limits.MaxConnections,
 	}
-	addr, err := d.loop.Listen(d.port, c.Listen, limits)
+	addr, err := d.loop.ListenFrames(d.port, c.ListenAddress, limits)
 	if err != nil {
 		d.loop.Close()
 		d.endTrace()
@@ -94,14 +94,14 @@
 	}
 	d.Addr = addr
 	d.loop.Run()
-	log.Info("serving", "listen", addr, "list", c.List, "pid", os.Getpid())
+	log.Info("serving", "listen", addr, "list", c.DiscoveryAddress, "pid", os.Getpid())
 	return d, nil
 }
 
 // Stop turns every further ask away, waits until what is held has its answer or ctx ends, and leaves. What is
 // placed runs on. It returns the number of workloads that were left without an answer.
 func (d *Daemon) Stop(ctx context.Context) int {
-	d.loop.Ask(d.port, func(placement.Millis) { d.port.Shut() })
+	d.loop.Call(d.port, func(placement.Millis) { d.port.Drain() })
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	left := d.pending()
@@ -116,9 +116,9 @@
 	d.loop.Close()
 	d.endTrace()
 	d.closeJournal()
-	c := d.port.Counts
-	d.log.Info("stopped", "unanswered", left, "asks", c.Asks, "placed", c.Placed, "rejected", c.Rejected,
-		"turned", c.Turned, "unschedulable", c.Unschedulable, "withdrawn", c.Withdrawn)
+	c := d.port.Counters
+	d.log.Info("stopped", "unanswered", left, "asks", c.Requests, "placed", c.Placed, "rejected", c.Rejected,
+		"turned", c.NotAdmitted, "unschedulable", c.Unschedulable, "withdrawn", c.Withdrawn)
 	return left
 }
 
@@ -140,6 +140,6 @@
 }
 
 func (d *Daemon) pending() (n int) {
-	d.loop.Ask(d.port, func(placement.Millis) { n = d.port.Pending() })
+	d.loop.Call(d.port, func(placement.Millis) { n = d.port.Pending() })
 	return n
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -41,7 +41,7 @@
 }
 
 func send(c net.Conn, f *pb.Frame) error {
-	b, err := transport.Append(nil, f)
+	b, err := transport.AppendFrame(nil, f)
 	if err == nil {
 		_, err = c.Write(b)
 	}
@@ -60,7 +60,7 @@
 	if _, err := io.ReadFull(c, body); err != nil {
 		return nil, err
 	}
-	return transport.Decode(body)
+	return transport.DecodeFrame(body)
 }
 
 // asks has an owner ask once, and returns its one answer.
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	for _, f := range []*pb.Frame{
-		transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: owner, Incarnation: 1}), {Body: &pb.Frame_Ask{Ask: ask}},
+		transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: owner, Incarnation: 1}), {Body: &pb.Frame_Ask{Ask: ask}},
 	} {
 		if err := send(c, f); err != nil {
 			return nil, err
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -52,7 +52,7 @@
 func (c *peerConn) send(f *pb.Frame) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if b, err := transport.Append(nil, f); err == nil {
+	if b, err := transport.AppendFrame(nil, f); err == nil {
 		c.Write(b)
 	}
 }
@@ -66,7 +66,7 @@
 	if _, err := io.ReadFull(c.in, body); err != nil {
 		return nil, err
 	}
-	return transport.Decode(body)
+	return transport.DecodeFrame(body)
 }
 
 // cluster is a machine list and nodes that start what they are offered at once, say so or not, and count starts by key.
@@ -112,7 +112,7 @@
 		addr := c.serve(func(p *peerConn) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			p.send(transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.stands[id]}))
+			p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.stands[id]}))
 		}, func(p *peerConn, f *pb.Frame) {
 			if o := f.GetOffer(); o != nil {
 				c.offered(p, id, o)
@@ -123,7 +123,7 @@
 		})
 	}
 	c.list = c.serve(func(p *peerConn) {
-		p.send(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
+		p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
 		p.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}})
 	}, func(*peerConn, *pb.Frame) {})
 	return c
@@ -200,7 +200,7 @@
 		conn, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
 		p := &peerConn{Conn: conn, in: bufio.NewReader(conn)}
-		p.send(transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: uint64(kill + 1)}))
+		p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: uint64(kill + 1)}))
 		_, err = p.receive()
 		require.NoError(t, err)
 		ask := map[uint64]uint64{}
@@ -267,8 +267,8 @@
 
 func TestTwoAllocatorsDoNotShareAStateDirectory(t *testing.T) {
 	dir := t.TempDir()
-	c := &config.Allocator{Name: "a", Listen: "127.0.0.1:0", Limits: config.Limits{Frame: 1 << 20, Waiting: 1 << 20, Connections: 10}}
-	c.State = config.State{Dir: dir, Keep: 1000, Most: 10, Sync: "group"}
+	c := &config.Allocator{Name: "a", ListenAddress: "127.0.0.1:0", Limits: config.Limits{MaxFrameBytes: 1 << 20, MaxWriteBuffer: 1 << 20, MaxConnections: 10}}
+	c.State = config.State{Dir: dir, Retention: 1000, MaxEntries: 10, Sync: "group"}
 	d, err := Start(c, Logger(c.Log, io.Discard))
 	require.NoError(t, err)
 	_, err = Start(c, Logger(c.Log, io.Discard))
--- a/internal/eventlog/record.go
+++ b/internal/eventlog/record.go
@@ -18,18 +18,18 @@
 type Kind uint8
 
 const (
-	Asked     Kind = iota + 1 // an owner asked for a workload
-	Turned                    // an ask was rejected before it reached the module
-	Adopted                   // a workload was found running
-	Bound                     // it was offered to a node
-	Outcome                   // the bind ended, or was confirmed; Detail is the result's kind
-	Answered                  // the owner got its final answer; Detail is the verdict
-	Ended                     // a placed workload stands no more
-	Withdrawn                 // its owner wants it no more
-	Stopped                   // a bind was called off; Detail says why
-	Probed                    // a node was probed
-	Listed                    // the list spoke; Detail is its kind
-	NodeSeen                  // a node's connection opened, or closed; Detail is 1 or 0
+	Asked          Kind = iota + 1 // an owner asked for a workload
+	NotAdmitted                    // an ask was rejected before it reached the module
+	Adopted                        // a workload was found running
+	Bound                          // it was offered to a node
+	Outcome                        // the bind ended, or was confirmed; Detail is the result's kind
+	Answered                       // the owner got its final answer; Detail is the verdict
+	Ended                          // a placed workload stands no more
+	Withdrawn                      // its owner wants it no more
+	Stopped                        // a bind was called off; Detail says why
+	Probed                         // a node was probed
+	Listed                         // the list spoke; Detail is its kind
+	NodeConnection                 // a node's connection opened, or closed; Detail is 1 or 0
 )
 
 var names = [...]string{"", "asked", "turned", "adopted", "bound", "outcome", "answered", "ended", "withdrawn",
@@ -57,8 +57,8 @@
 	digest *xxhash.Digest
 }
 
-// NewLog makes a log that holds that many events.
-func NewLog(size int) *Log { return &Log{ring: make([]Event, 0, max(1, size)), digest: xxhash.New()} }
+// New makes a log that holds that many events.
+func New(size int) *Log { return &Log{ring: make([]Event, 0, max(1, size)), digest: xxhash.New()} }
 
 // Add gives the event the next revision and keeps it. A nil log keeps nothing.
 func (l *Log) Add(e Event) {
--- a/internal/eventlog/record_test.go
+++ b/internal/eventlog/record_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTheLogKeepsTheLatestAndSaysWhatIsGone(t *testing.T) {
-	l := NewLog(3)
+	l := New(3)
 	for i := range 5 {
 		l.Add(Event{At: placement.Millis(i), Kind: Asked})
 	}
@@ -25,7 +25,7 @@
 
 func TestTheDigestTellsRunsApart(t *testing.T) {
 	run := func(size int, last Event) uint64 {
-		l := NewLog(size)
+		l := New(size)
 		l.Add(Event{At: 1, Kind: Asked, Workload: 1})
 		l.Add(last)
 		return l.Digest()
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -87,11 +87,11 @@
 		return nil, err
 	}
 	p := &Plan{
-		Name: strings.TrimSuffix(filepath.Base(file), ".hcl"), About: b.Text("about", ""), Script: b.Text("script", "quiet"),
-		Repeats: b.Count("repeats", 10, 1, 10000), Seed: uint64(b.Count("seed", 1, 1, 1<<30)),
-		Workers: b.Count("workers", runtime.GOMAXPROCS(0), 1, 1024),
-		Each:    toDuration(b.Time("each", 120e3)), Budget: toDuration(b.Time("budget", 3600e3)),
-		Oracle: b.Flag("oracle", false), file: file, src: src,
+		Name: strings.TrimSuffix(filepath.Base(file), ".hcl"), About: b.String("about", ""), Script: b.String("script", "quiet"),
+		Repeats: b.Int("repeats", 10, 1, 10000), Seed: uint64(b.Int("seed", 1, 1, 1<<30)),
+		Workers: b.Int("workers", runtime.GOMAXPROCS(0), 1, 1024),
+		Each:    toDuration(b.Duration("each", 120e3)), Budget: toDuration(b.Duration("budget", 3600e3)),
+		Oracle: b.Bool("oracle", false), file: file, src: src,
 	}
 	var dayed *config.Block
 	built := false
@@ -99,9 +99,9 @@
 		factor := Factor{Name: f.Name}
 		for _, l := range f.Named("level") {
 			factor.Levels = append(factor.Levels, Level{
-				Name: l.Name, Build: l.Text("build", ""), Nodes: l.Count("nodes", 0, 0, 1e6),
-				Allocators: l.Count("allocators", 0, 0, 5000), Load: l.Number("load", 0, 0, 100), Rate: l.Number("rate", 0, 0, 1e6),
-				Length: l.Time("length", 0), Script: l.Text("script", ""),
+				Name: l.Name, Build: l.String("build", ""), Nodes: l.Int("nodes", 0, 0, 1e6),
+				Allocators: l.Int("allocators", 0, 0, 5000), Load: l.Float("load", 0, 0, 100), Rate: l.Float("rate", 0, 0, 1e6),
+				Length: l.Duration("length", 0), Script: l.String("script", ""),
 			})
 			if days := l.Blocks("day"); len(days) > 0 {
 				l.Block("day").Skip() // read with its cell
@@ -112,18 +112,18 @@
 			}
 		}
 		if len(factor.Levels) == 0 {
-			f.Problem("", fmt.Sprintf("factor %q has no level", f.Name), `write level "NAME" { … }`)
+			f.AddProblem("", fmt.Sprintf("factor %q has no level", f.Name), `write level "NAME" { … }`)
 		}
 		p.Factors = append(p.Factors, factor)
 	}
 	if built && dayed != nil {
-		dayed.Problem("", "a day block beside a level with a build", "another build plays scripts as they are; "+
+		dayed.AddProblem("", "a day block beside a level with a build", "another build plays scripts as they are; "+
 			"put what the day block says into a script file and name that with script =")
 	}
 	if p.Each <= 0 || p.Budget <= 0 {
-		b.Problem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
+		b.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
 	}
-	if err := b.Done(); err != nil {
+	if err := b.Finish(); err != nil {
 		return nil, err
 	}
 	if cells := len(p.Cells()); cells > 10000 {
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -33,12 +33,12 @@
 
 // Complete hands the engine the reply to a check, with the load report that came along or nil. It returns false, and does
 // nothing, where the node has no such check pending.
-func (c *HealthChecks) Complete(now placement.Millis, check uint64, node placement.NodeID, load *placement.Load) bool {
+func (c *HealthChecks) Complete(now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport) bool {
 	if asked, pending := c.pending[check]; !pending || asked != node {
 		return false
 	}
 	delete(c.pending, check)
-	c.host.Engine().Probed(now, node, true, load)
+	c.host.Engine().HealthChecked(now, node, true, load)
 	return true
 }
 
@@ -49,7 +49,7 @@
 
 // FailUnsent is Fail for a node that is known beforehand to be out of reach, without a check of its own.
 func (c *HealthChecks) FailUnsent(node placement.NodeID) {
-	c.host.Defer(func(now placement.Millis) { c.host.Engine().Probed(now, node, false, nil) })
+	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
 
 func (c *HealthChecks) fail(now placement.Millis, check uint64) {
@@ -58,5 +58,5 @@
 		return
 	}
 	delete(c.pending, check)
-	c.host.Engine().Probed(now, node, false, nil)
+	c.host.Engine().HealthChecked(now, node, false, nil)
 }
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -20,7 +20,7 @@
 	results []result
 }
 
-func (m *fakeModule) Probed(_ placement.Millis, node placement.NodeID, answered bool, _ *placement.Load) {
+func (m *fakeModule) HealthChecked(_ placement.Millis, node placement.NodeID, answered bool, _ *placement.LoadReport) {
 	m.results = append(m.results, result{node, answered})
 }
 
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -128,7 +128,7 @@
 func (h *Host) Wake(now placement.Millis) {
 	h.Begin(now)
 	h.wakeup = now // the wake-up is used up, and Flush sets the next
-	h.timers.Run(now)
+	h.timers.RunDue(now)
 	if h.periodic != nil && now-h.lastPeriodic >= h.maxInterval {
 		h.lastPeriodic = now
 		h.periodic(now)
@@ -146,7 +146,9 @@
 
 // Schedule has call run at the given time, from Wake. Timers for the same time run in the order in which they were
 // scheduled. A timer cannot be cancelled: the call checks whether it still applies.
-func (h *Host) Schedule(at placement.Millis, call func(now placement.Millis)) { h.timers.At(at, call) }
+func (h *Host) Schedule(at placement.Millis, call func(now placement.Millis)) {
+	h.timers.Schedule(at, call)
+}
 
 // RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
 // Each call takes one draw of the jitter.
@@ -174,16 +176,16 @@
 	e.Actions.Bind(id, bind, node, timeout)
 }
 
-func (e *engineHost) Stop(id placement.WorkloadID, bind int, node placement.NodeID, why allocator.Why, onlyWaiting bool) {
-	if why == allocator.Moved {
+func (e *engineHost) Stop(id placement.WorkloadID, bind int, node placement.NodeID, why allocator.StopReason, onlyWaiting bool) {
+	if why == allocator.Migrating {
 		e.host.counters.Migrations++
 	}
 	e.Actions.Stop(id, bind, node, why, onlyWaiting)
 }
 
-func (e *engineHost) Probe(node placement.NodeID) {
+func (e *engineHost) CheckHealth(node placement.NodeID) {
 	e.host.counters.HealthChecks++
-	e.Actions.Probe(node)
+	e.Actions.CheckHealth(node)
 }
 
 func (e *engineHost) Wake(at placement.Millis) {
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -30,16 +30,16 @@
 	a.binds = append(a.binds, node)
 }
 
-func (a *fakeActions) Stop(_ placement.WorkloadID, _ int, node placement.NodeID, _ allocator.Why, _ bool) {
+func (a *fakeActions) Stop(_ placement.WorkloadID, _ int, node placement.NodeID, _ allocator.StopReason, _ bool) {
 	a.stops = append(a.stops, node)
 }
-func (a *fakeActions) Probe(node placement.NodeID) { a.checks = append(a.checks, node) }
-func (a *fakeActions) Watch()                      {}
+func (a *fakeActions) CheckHealth(node placement.NodeID) { a.checks = append(a.checks, node) }
+func (a *fakeActions) SubscribeNodes()                   {}
 func (a *fakeActions) Answer(_ placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
 	a.answers = append(a.answers, v)
 }
-func (a *fakeActions) Ended(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
-func (a *fakeActions) Dropped(placement.WorkloadID)                                         {}
+func (a *fakeActions) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
+func (a *fakeActions) Forget(placement.WorkloadID)                                                {}
 
 const maxInterval = placement.Millis(1000)
 
@@ -49,10 +49,10 @@
 	actions, waker := &fakeActions{}, &fakeWaker{}
 	c := Config{
 		Settings: placement.Settings{
-			Allocators: 1, Groups: []placement.Group{{Target: 1000, Utility: 1, Kind: -1}},
-			Kinds: []placement.Kind{{Cores: 10, Memory: 20}}, MaxBinds: 3, RoomInList: true,
+			Allocators: 1, Groups: []placement.Group{{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}},
+			NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}}, MaxBinds: 3, EntriesCarryCapacity: true,
 		},
-		Seed: 7, Engine: allocator.Options{TimesOut: true}, Actions: actions, MaxWakeInterval: maxInterval,
+		Seed: 7, Engine: allocator.Options{EnforceTimeouts: true}, Actions: actions, MaxWakeInterval: maxInterval,
 	}
 	if change != nil {
 		change(&c)
@@ -185,8 +185,8 @@
 	e := h.Engine()
 	h.Begin(100)
 	e.Start(100)
-	e.List(100, placement.Whole, []placement.Node{{ID: 1, Born: placement.LongAgo, FreeCores: 10, FreeMemory: 20}})
-	e.Ask(100, placement.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, Left: 300})
+	e.UpdateNodes(100, placement.Snapshot, []placement.Node{{ID: 1, StartedAt: placement.DistantPast, FreeCores: 10, FreeMemory: 20}})
+	e.Schedule(100, placement.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, PendingTimeout: 300})
 	h.Flush(100)
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
@@ -226,8 +226,8 @@
 	e.Bind(1, 0, 5, 100)
 	e.Bind(1, 1, 6, 100)
 	e.Stop(1, 1, 6, allocator.TimedOut, false)
-	e.Stop(1, 1, 6, allocator.Moved, false)
-	e.Probe(9)
+	e.Stop(1, 1, 6, allocator.Migrating, false)
+	e.CheckHealth(9)
 	assert.Equal(t, Counters{Binds: 2, Migrations: 1, HealthChecks: 1}, counters)
 	assert.Equal(t, []placement.NodeID{5, 6}, actions.binds)
 	assert.Equal(t, []placement.NodeID{6, 6}, actions.stops)
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -103,14 +103,14 @@
 	cold := nodeEntry(1, "z", "c")
 	cold.UpForMs = 100
 	r.update(pb.ListUpdate_WHOLE, cold)
-	born := r.p.nodes[0].entry.Born
+	born := r.p.nodes[0].entry.StartedAt
 	r.p.Closed(r.now, r.p.nodes[0].conn, "refused")
 	r.update(pb.ListUpdate_WHOLE)
 	require.Empty(t, r.p.nodes)
 	r.at(500)
 	cold.UpForMs = 601.5
 	r.update(pb.ListUpdate_WHOLE, cold)
-	assert.Equal(t, born, r.p.nodes[0].entry.Born)
+	assert.Equal(t, born, r.p.nodes[0].entry.StartedAt)
 	assert.Empty(t, r.p.starts)
 	r.p.Closed(r.now, r.p.nodes[0].conn, "refused")
 	r.update(pb.ListUpdate_WHOLE)
@@ -137,7 +137,7 @@
 // Three days, a minute at a time: nodes are replaced in new cells, owners come under new names, ask with weeks to wait and
 // leave, groups begin and end, connections break. Everything that is kept levels off.
 func TestWhatThePortKeepsLevelsOffOverDays(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.RecordSize = 100 })
+	r := newRig(t, func(c *Config) { c.EventLogSize = 100 })
 	most := 0
 	for minute := range uint32(3 * 24 * 60) {
 		id, owner := minute+1, transport.ConnID(1e6+minute)
@@ -147,10 +147,10 @@
 		n := r.w.dialed[e.Address]
 		require.NotZero(t, n)
 		r.p.Opened(r.now, n)
-		r.from(n, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
+		r.from(n, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
 		r.wake(r.now + 25e3) // cold budgets wait for a window after our start
 		r.p.Opened(r.now, owner)
-		r.from(owner, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: fmt.Sprint("owner-", minute), Incarnation: 1, SentMs: 1}))
+		r.from(owner, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: fmt.Sprint("owner-", minute), Incarnation: 1, SentMs: 1}))
 		part := func(k uint64) *pb.Ask {
 			return &pb.Ask{Key: uint64(minute)*10 + k, Service: uint64(minute), Group: "serve", Cores: 1, Memory: 1, RunsForMs: 1}
 		}
@@ -178,15 +178,15 @@
 		sizes := []int{
 			len(p.peers), len(p.owners), len(p.nodes), len(p.wls), len(p.asks), len(p.keys), len(p.old), len(p.gangs), len(p.later),
 			len(p.zones.of), len(p.zones.used), len(p.cells.of), len(p.cells.used), len(p.starts), len(p.probes), p.timers.Len(),
-			p.engine.Held(), p.Pending(),
+			p.engine.WorkloadCount(), p.Pending(),
 		}
 		for _, n := range sizes {
 			most = max(most, n)
 		}
 		require.LessOrEqual(t, most, 16, "minute %d: %v", minute, sizes)
 	}
-	assert.EqualValues(t, 2*3*24*60, r.p.Counts.Asks)
-	assert.EqualValues(t, 3*24*60, r.p.Counts.GangsStood)
+	assert.EqualValues(t, 2*3*24*60, r.p.Counters.Requests)
+	assert.EqualValues(t, 3*24*60, r.p.Counters.GangsPlaced)
 }
 
 func TestTheLastNumbersAreKeptForWhatStands(t *testing.T) {
@@ -208,19 +208,19 @@
 	r.p.Closed(r.now, n, "reset")
 	r.again(1, 1, -1, standing(1), standing(2))
 	assert.EqualValues(t, uint32(math.MaxUint32), r.p.lastID, "the number 0 is never given out")
-	assert.Equal(t, 1, r.p.Held())
+	assert.Equal(t, 1, r.p.WorkloadCount())
 }
 
 // A group that waits to be begun again has no workload on the books, and took no place under the limit.
 func TestGroupsThatWaitHoldTheirPlaces(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.MostHeld = 3 })
+	r := newRig(t, func(c *Config) { c.MaxWorkloads = 3 })
 	n := r.node(1, 1)
 	r.gang(1)
 	for _, o := range r.offers(n) {
 		r.answers(n, o.Bind, false, pb.Why_TOO_MANY_WAITING)
 	}
 	require.Len(t, r.p.gangs, 1)
-	require.Equal(t, 0, r.p.Held())
+	require.Equal(t, 0, r.p.WorkloadCount())
 	r.gang(2)
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, r.verdicts())
 }
--- a/internal/frontend/native/delay.go
+++ b/internal/frontend/native/delay.go
@@ -45,7 +45,7 @@
 
 // underWay is how much of an ask's time was over when it came: what its connection shows, or what it may have waited
 // while this process stood still.
-func (p *Port) underWay(now placement.Millis, from *peer, sent float64) placement.Millis {
+func (p *Frontend) underWay(now placement.Millis, from *peer, sent float64) placement.Millis {
 	late := from.ways.late(now, sent)
 	if now-p.stoodTo < stoodAfter {
 		late = max(late, p.stood)
--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -26,13 +26,13 @@
 	scope placement.Scope
 }{{"node", placement.ScopeNode}, {"cell", placement.ScopeCell}, {"zone", placement.ScopeZone}}
 
-// WithSpreads adds to settings the variants of each group.
-func WithSpreads(s placement.Settings) placement.Settings {
+// WithSpreadVariants adds to settings the variants of each group.
+func WithSpreadVariants(s placement.Settings) placement.Settings {
 	base := s.Groups
 	s.Groups = slices.Clone(base)
 	for _, spread := range spreads {
 		for _, g := range base {
-			g.Spread, g.SpreadMost = spread.scope, 1
+			g.SpreadScope, g.MaxPerScope = spread.scope, 1
 			s.Groups = append(s.Groups, g)
 		}
 	}
@@ -76,23 +76,23 @@
 }
 
 // gangAsk takes a group to its module, or turns it away at once with the reason.
-func (p *Port) gangAsk(now placement.Millis, c transport.ConnID, owner string, a *pb.GangAsk) {
-	p.Counts.Asks++
+func (p *Frontend) gangAsk(now placement.Millis, c transport.ConnID, owner string, a *pb.GangAsk) {
+	p.Counters.Requests++
 	id, late := askID{owner, a.Ask}, p.underWay(now, p.peers[c], a.SentMs)
 	if p.gangs[id] != nil || p.passed(c, a.Ask) {
-		p.Counts.Duplicates++
+		p.Counters.DuplicateRequests++
 		return
 	}
 	if a.Need == 0 {
 		a.Need = uint32(len(a.Parts))
 	}
 	if reason := p.gangUnfit(a); reason != "" {
-		p.Counts.Turned++
+		p.Counters.NotAdmitted++
 		p.answer(c, a.Ask, pb.Verdict_REJECTED, 0, reason)
 		return
 	}
-	if p.book != nil && slices.ContainsFunc(a.Parts, func(part *pb.Ask) bool { return p.book.Before(p.unix(now), part.Key) }) {
-		p.Counts.Known++
+	if p.book != nil && slices.ContainsFunc(a.Parts, func(part *pb.Ask) bool { return p.book.KnownBeforeRestart(p.unix(now), part.Key) }) {
+		p.Counters.AnsweredFromJournal++
 		p.answer(c, a.Ask, pb.Verdict_UNSCHEDULABLE, 0, "a bind of one of its parts went out before; it may have run")
 		return
 	}
@@ -103,15 +103,15 @@
 	g.state = gang.New(now, p.wish(a, left), p.c.Seed^a.Ask)
 	p.gangs[id] = g
 	p.pending++
-	p.Counts.Gangs++
+	p.Counters.Gangs++
 	if p.tap != nil {
-		p.tap.GangAsked(now, owner, a.Ask, len(a.Parts), int(a.Need), left)
+		p.tap.RecordGangRequest(now, owner, a.Ask, len(a.Parts), int(a.Need), left)
 	}
 	p.act(now, g, g.state.Begin(now))
 }
 
 // gangUnfit says why a group cannot be taken, or "".
-func (p *Port) gangUnfit(a *pb.GangAsk) string {
+func (p *Frontend) gangUnfit(a *pb.GangAsk) string {
 	keys := map[uint64]bool{}
 	known := a.Spread == "" || slices.ContainsFunc(spreads, func(s struct {
 		word  string
@@ -128,8 +128,8 @@
 		return fmt.Sprintf(`spread is %q; it must be "node", "cell", "zone" or nothing`, a.Spread)
 	case a.Replace && a.ReplaceWithinMs <= 0:
 		return "replace_within_ms must be above 0 where parts are to be replaced"
-	case p.c.MostHeld > 0 && len(p.wls)+p.idleParts()+len(a.Parts) > p.c.MostHeld:
-		return fmt.Sprintf("the allocator holds %d workloads and may hold %d", len(p.wls)+p.idleParts(), p.c.MostHeld)
+	case p.c.MaxWorkloads > 0 && len(p.wls)+p.idleParts()+len(a.Parts) > p.c.MaxWorkloads:
+		return fmt.Sprintf("the allocator holds %d workloads and may hold %d", len(p.wls)+p.idleParts(), p.c.MaxWorkloads)
 	}
 	for i, part := range a.Parts {
 		part.Ask, part.LeftMs = a.Ask, a.LeftMs
@@ -145,7 +145,7 @@
 }
 
 // idleParts counts the parts of groups that are not asked for now: a group that waits to be begun again holds its place.
-func (p *Port) idleParts() (n int) {
+func (p *Frontend) idleParts() (n int) {
 	for _, g := range p.gangs {
 		for _, id := range g.parts {
 			if id == 0 {
@@ -156,7 +156,7 @@
 	return n
 }
 
-func (p *Port) wish(a *pb.GangAsk, left placement.Millis) gang.Wish {
+func (p *Frontend) wish(a *pb.GangAsk, left placement.Millis) gang.Wish {
 	w := gang.Wish{Need: int(a.Need), Left: left, ReplaceWithin: placement.Millis(a.ReplaceWithinMs)}
 	if a.Replace {
 		w.OnLoss = gang.Replace
@@ -168,19 +168,19 @@
 }
 
 // gangPart is what a decision needs of a part: what a second start does, and its share of the largest kind.
-func (p *Port) gangPart(a *pb.Ask) gang.Part {
+func (p *Frontend) gangPart(a *pb.Ask) gang.Part {
 	part := gang.Part{}
 	if g, ok := p.groups[a.Group]; ok {
-		part.Effect = p.c.Settings.Groups[g].Effect
+		part.Effect = p.c.Settings.Groups[g].Idempotency
 	}
-	for _, k := range p.c.Settings.Kinds {
+	for _, k := range p.c.Settings.NodeKinds {
 		part.Size = max(part.Size, min(1, a.Cores/k.Cores), min(1, a.Memory/k.Memory))
 	}
 	return part
 }
 
 // part makes the workload of a part that is asked for.
-func (p *Port) part(now placement.Millis, g *group, i int, left placement.Millis) placement.Workload {
+func (p *Frontend) part(now placement.Millis, g *group, i int, left placement.Millis) placement.Workload {
 	a := g.ask.Parts[i]
 	p.lastID++
 	id := p.lastID
@@ -188,11 +188,11 @@
 	p.keys[a.Key] = id
 	g.parts[i] = id
 	if p.tap != nil {
-		p.tap.Asked(now, id, g.id.owner, a.Ask, a.Key)
+		p.tap.RecordRequest(now, id, g.id.owner, a.Ask, a.Key)
 	}
 	w := p.workload(id, a)
-	w.Left = left
-	w.Again = w.Again || g.state.Tries() > 1
+	w.PendingTimeout = left
+	w.Retried = w.Retried || g.state.Tries() > 1
 	for k, s := range spreads {
 		if s.word == g.ask.Spread {
 			w.Group += placement.GroupID((k + 1) * len(p.c.Groups))
@@ -202,23 +202,23 @@
 }
 
 // act does what a group's module wants done.
-func (p *Port) act(now placement.Millis, g *group, acts []gang.Act) {
+func (p *Frontend) act(now placement.Millis, g *group, acts []gang.Act) {
 	for _, a := range acts {
 		switch a.Kind {
 		case gang.Try:
 			p.try(now, g, a)
 		case gang.Ask:
-			p.engine.Ask(now, p.part(now, g, a.Part, a.Left))
+			p.engine.Schedule(now, p.part(now, g, a.Part, a.Left))
 		case gang.Stop:
 			p.stopPart(now, g, a.Part)
 		case gang.Place:
-			p.Counts.GangsStood++
+			p.Counters.GangsPlaced++
 			p.gangAnswer(now, g, pb.Verdict_PLACED, "")
 		case gang.Reject:
-			p.Counts.GangsGivenUp++
+			p.Counters.GangsAbandoned++
 			p.gangAnswer(now, g, pb.Verdict_REJECTED, p.gangWhy(g))
 		case gang.GiveUp:
-			p.Counts.GangsGivenUp++
+			p.Counters.GangsAbandoned++
 			p.gangAnswer(now, g, pb.Verdict_UNSCHEDULABLE, "a part that must not run twice may have run")
 		case gang.Keep:
 			p.keep(g)
@@ -237,15 +237,15 @@
 		}
 	}
 	if g.told != g.state.State && p.tap != nil {
-		p.tap.GangState(now, g.id.owner, g.id.ask, g.state.State.String(), g.parts)
+		p.tap.RecordGangState(now, g.id.owner, g.id.ask, g.state.State.String(), g.parts)
 	}
 	g.told = g.state.State
 }
 
 // wakeGang has a group's module called once that time has come, if the group is still there. A timer stands for a minute at
 // most, as in the engine.
-func (p *Port) wakeGang(now placement.Millis, g *group, at placement.Millis) {
-	p.timers.At(max(now, min(at, now+allocator.LongestTimer)), func(now placement.Millis) {
+func (p *Frontend) wakeGang(now placement.Millis, g *group, at placement.Millis) {
+	p.timers.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
 		switch {
 		case p.gangs[g.id] != g:
 		case now < at:
@@ -256,12 +256,12 @@
 	})
 }
 
-func (p *Port) try(now placement.Millis, g *group, a gang.Act) {
+func (p *Frontend) try(now placement.Millis, g *group, a gang.Act) {
 	ws := make([]placement.Workload, len(a.Parts))
 	for k, i := range a.Parts {
 		ws[k] = p.part(now, g, i, g.expires-now)
 	}
-	sent := p.engine.AskTogether(now, ws, a.Need)
+	sent := p.engine.ScheduleGang(now, ws, a.Need)
 	offered := make([]bool, len(g.parts))
 	for k, i := range a.Parts {
 		offered[i] = sent[k]
@@ -272,7 +272,7 @@
 	p.act(now, g, g.state.Tried(now, offered))
 }
 
-func (p *Port) stopPart(now placement.Millis, g *group, part int) {
+func (p *Frontend) stopPart(now placement.Millis, g *group, part int) {
 	id := g.parts[part]
 	wl := p.wls[id]
 	switch {
@@ -288,13 +288,13 @@
 		}
 	default:
 		wl.stopped = true
-		p.Counts.GangStops++
+		p.Counters.GangPartStops++
 		p.engine.Withdraw(now, id)
 	}
 }
 
 // keep tells the nodes of the parts that run that their gang stands.
-func (p *Port) keep(g *group) {
+func (p *Frontend) keep(g *group) {
 	for i, id := range g.parts {
 		wl := p.wls[id]
 		if wl == nil || g.state.Parts[i] != gang.Running {
@@ -307,14 +307,14 @@
 }
 
 // keepAgain repeats a Keep that was lost with its connection.
-func (p *Port) keepAgain(n *node, id placement.WorkloadID, s *pb.Standing) {
+func (p *Frontend) keepAgain(n *node, id placement.WorkloadID, s *pb.Standing) {
 	wl := p.wls[id]
 	if wl != nil && wl.gang != nil && !s.Kept && wl.gang.state != nil && wl.gang.state.State == gang.Standing {
 		p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: s.Offer.Bind}}})
 	}
 }
 
-func (p *Port) gangAnswer(now placement.Millis, g *group, v pb.Verdict, reason string) {
+func (p *Frontend) gangAnswer(now placement.Millis, g *group, v pb.Verdict, reason string) {
 	if g.pending {
 		g.pending = false
 		p.pending--
@@ -333,14 +333,14 @@
 	}
 }
 
-func (p *Port) gangWhy(g *group) string {
+func (p *Frontend) gangWhy(g *group) string {
 	if g.state.Tries() <= 1 && !slices.ContainsFunc(g.parts, func(id placement.WorkloadID) bool { return id != 0 }) {
 		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known", g.ask.Need, len(g.parts), len(p.nodes))
 	}
 	return fmt.Sprintf("it fell apart, %d times begun", g.state.Tries())
 }
 
-func (p *Port) overWhy(g *group) pb.Why {
+func (p *Frontend) overWhy(g *group) pb.Why {
 	if !slices.ContainsFunc(g.state.Parts, func(s gang.PartState) bool { return s != gang.Finished }) {
 		return pb.Why_FINISHED
 	}
@@ -349,7 +349,7 @@
 
 // partEvent takes something that happened to a part to its module, once the engine is done with what it does.
 // What concerns a workload that is no more the part's is passed over.
-func (p *Port) partEvent(id placement.WorkloadID, wl *workload, event func(now placement.Millis) []gang.Act) {
+func (p *Frontend) partEvent(id placement.WorkloadID, wl *workload, event func(now placement.Millis) []gang.Act) {
 	g := wl.gang
 	p.later = append(p.later, func(now placement.Millis) {
 		if g.state != nil && p.gangs[g.id] == g && g.parts[wl.part] == id {
@@ -358,9 +358,9 @@
 	})
 }
 
-func (p *Port) partAnswered(id placement.WorkloadID, wl *workload, v allocator.Verdict) {
+func (p *Frontend) partAnswered(id placement.WorkloadID, wl *workload, v allocator.Verdict) {
 	if p.tap != nil {
-		p.tap.Answered(p.now, id, uint8(v), wl.last(), "a part of a gang")
+		p.tap.RecordAnswer(p.now, id, uint8(v), wl.last(), "a part of a gang")
 	}
 	switch v {
 	case allocator.Placed:
@@ -383,27 +383,27 @@
 }
 
 // keeps tells whether a node that accepted the workload keeps it when its bind times out.
-func (p *Port) keeps(wl *workload) bool {
-	return p.gangPart(wl.ask).Effect == placement.RunOnce
+func (p *Frontend) keeps(wl *workload) bool {
+	return p.gangPart(wl.ask).Effect == placement.AtMostOnce
 }
 
 // partRuns takes that a workload runs, if it is a part.
-func (p *Port) partRuns(id placement.WorkloadID) {
+func (p *Frontend) partRuns(id placement.WorkloadID) {
 	if wl := p.wls[id]; wl != nil && wl.gang != nil {
 		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Up(now, wl.part) })
 	}
 }
 
-func (p *Port) gangWithdraw(now placement.Millis, g *group) {
+func (p *Frontend) gangWithdraw(now placement.Millis, g *group) {
 	if g.state == nil {
 		return // parts are still being found; they are decided about together
 	}
-	p.Counts.Withdrawn++
+	p.Counters.Withdrawn++
 	p.act(now, g, g.state.Withdraw(now))
 }
 
 // gangOwnerGone withdraws an owner's groups that have no answer yet: it can be told none.
-func (p *Port) gangOwnerGone(now placement.Millis, owner string) {
+func (p *Frontend) gangOwnerGone(now placement.Millis, owner string) {
 	for _, id := range p.gangIDs() {
 		if g := p.gangs[id]; g != nil && id.owner == owner && g.pending {
 			p.gangWithdraw(now, g)
@@ -411,7 +411,7 @@
 	}
 }
 
-func (p *Port) gangIDs() []askID {
+func (p *Frontend) gangIDs() []askID {
 	return slices.SortedFunc(maps.Keys(p.gangs), func(x, y askID) int {
 		return cmp.Or(cmp.Compare(x.owner, y.owner), cmp.Compare(x.ask, y.ask))
 	})
@@ -419,7 +419,7 @@
 
 // found takes a part that an earlier incarnation started. When all nodes have had time to tell, the group goes
 // on as it was declared, or nothing of it is left.
-func (p *Port) found(now placement.Millis, id placement.WorkloadID, wl *workload, s *pb.Standing) {
+func (p *Frontend) found(now placement.Millis, id placement.WorkloadID, wl *workload, s *pb.Standing) {
 	of := s.Offer.Gang
 	key := askID{wl.owner, wl.ask.Ask}
 	g := p.gangs[key]
@@ -432,7 +432,7 @@
 			},
 		}
 		p.gangs[key] = g
-		p.timers.At(now+adoptSettle, func(now placement.Millis) { p.recover(now, g) })
+		p.timers.Schedule(now+adoptSettle, func(now placement.Millis) { p.recover(now, g) })
 	}
 	if g.state != nil || int(of.Part) >= len(g.parts) || g.parts[of.Part] != 0 {
 		// It comes after its group was decided about, or stands twice.
@@ -445,7 +445,7 @@
 	g.kept = g.kept || s.Kept
 }
 
-func (p *Port) recover(now placement.Millis, g *group) {
+func (p *Frontend) recover(now placement.Millis, g *group) {
 	if p.gangs[g.id] != g {
 		return
 	}
@@ -462,7 +462,7 @@
 }
 
 // gangStates answers an operator's question.
-func (p *Port) gangStates(now placement.Millis, most int) (states []*pb.GangStatus, leftOut uint32) {
+func (p *Frontend) gangStates(now placement.Millis, most int) (states []*pb.GangStatus, leftOut uint32) {
 	ids := p.gangIDs()
 	for _, id := range ids[:min(len(ids), most)] {
 		g := p.gangs[id]
--- a/internal/frontend/native/journal.go
+++ b/internal/frontend/native/journal.go
@@ -9,20 +9,20 @@
 )
 
 // unix is a time of the clock's as one that the next life knows too.
-func (p *Port) unix(now placement.Millis) float64 { return p.c.Wall + float64(now) }
+func (p *Frontend) unix(now placement.Millis) float64 { return p.c.WallClockOffset + float64(now) }
 
 // knew answers an ask by what was written down, and tells whether it did. The answer is right at once: nobody waits for
 // what nobody can find out.
-func (p *Port) knew(now placement.Millis, c transport.ConnID, a *pb.Ask) bool {
+func (p *Frontend) knew(now placement.Millis, c transport.ConnID, a *pb.Ask) bool {
 	verdict, reason := pb.Verdict_UNSCHEDULABLE, "a bind of this key went out before; it may have run"
-	switch p.book.Asked(p.unix(now), a.Key, a.Group) {
-	case recovery.Place:
+	switch p.book.CheckAdmission(p.unix(now), a.Key, a.Group) {
+	case recovery.Admit:
 		return false
-	case recovery.Full:
+	case recovery.RegistryFull:
 		verdict, reason = pb.Verdict_REJECTED, "the state directory knows as many keys as it may; raise state.most, or ask another"
 	}
-	p.Counts.Known++
-	p.record.Add(eventlog.Event{At: now, Kind: eventlog.Turned})
+	p.Counters.AnsweredFromJournal++
+	p.record.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted})
 	p.answer(c, a.Ask, verdict, 0, reason)
 	return true
 }
@@ -30,18 +30,18 @@
 // write has a bind last before its offer leaves. What was called off, timed out or ended meanwhile does not leave any more,
 // nor does it where what it was decided by has changed: the node drains, is gone or started anew, or more of the service was
 // found standing. What could not be written was never sent.
-func (p *Port) write(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
+func (p *Frontend) write(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
 	since, boot := p.now, uint64(0)
 	if n := p.node(to); n != nil {
 		boot = n.boot
 	}
 	p.writing[id] = wl
 	wl.outdated = false
-	b := p.book.Offer(p.unix(since), recovery.Bind{
+	b := p.book.RecordBind(p.unix(since), recovery.Bind{
 		Key: wl.ask.Key, Group: wl.ask.Group, Node: uint32(to), Incarnation: o.Bind.Incarnation, Workload: o.Bind.Workload,
 		Number: o.Bind.Number,
 	})
-	p.c.Journal.Bound(b, func(now placement.Millis, err error) {
+	p.c.Journal.PersistBind(b, func(now placement.Millis, err error) {
 		p.begin(now)
 		stands := p.wls[id] == wl && len(wl.nodes)-1 == bind && wl.called != len(wl.nodes)
 		if p.writing[id] == wl && len(wl.nodes)-1 == bind {
@@ -51,7 +51,7 @@
 		}
 		switch {
 		case err != nil:
-			p.Counts.NotWritten++
+			p.Counters.BindsNotPersisted++
 			p.log.Error("a bind could not be written down and was not sent", "workload", id, "err", err)
 			p.never(wl, o.Bind)
 			p.unreachable(id, bind, to)
@@ -59,7 +59,7 @@
 			p.never(wl, o.Bind)
 			p.unreachable(id, bind, to)
 		default:
-			p.Counts.Written++
+			p.Counters.BindsPersisted++
 			o.AcceptWithinMs -= float64(now - since)
 			p.send(id, wl, bind, to, o)
 		}
@@ -68,8 +68,8 @@
 }
 
 // never takes note that a bind was not taken up.
-func (p *Port) never(wl *workload, b *pb.BindID) {
-	if p.book != nil && p.book.Never(wl.ask.Key, b.Incarnation, b.Number) {
-		p.c.Journal.Never(wl.ask.Key, b.Incarnation, b.Number)
+func (p *Frontend) never(wl *workload, b *pb.BindID) {
+	if p.book != nil && p.book.Forget(wl.ask.Key, b.Incarnation, b.Number) {
+		p.c.Journal.ForgetBind(wl.ask.Key, b.Incarnation, b.Number)
 	}
 }
--- a/internal/frontend/native/list.go
+++ b/internal/frontend/native/list.go
@@ -21,45 +21,45 @@
 	refused string
 }
 
-func (p *Port) dialList(now placement.Millis) {
-	if p.c.List == "" {
+func (p *Frontend) dialList(now placement.Millis) {
+	if p.c.DiscoveryAddress == "" {
 		return
 	}
-	p.list.conn = p.net.Dial(p.c.List)
+	p.list.conn = p.net.Dial(p.c.DiscoveryAddress)
 	c := p.list.conn
-	p.timers.At(now+helloWithin, func(placement.Millis) {
+	p.timers.Schedule(now+helloWithin, func(placement.Millis) {
 		if p.list.conn == c && !p.list.ready {
 			p.drop(c, "no hello came in time")
 		}
 	})
 }
 
-func (p *Port) listClosed(now placement.Millis, why string) {
-	p.log.Warn("no connection to the machine list", "address", p.c.List, "why", why)
+func (p *Frontend) listClosed(now placement.Millis, why string) {
+	p.log.Warn("no connection to the machine list", "address", p.c.DiscoveryAddress, "why", why)
 	failed := p.list.out || p.list.wanted
 	p.list.conn, p.list.ready, p.list.out, p.list.wanted = 0, false, false, false
 	if failed {
-		p.engine.List(now, placement.Failed, nil)
+		p.engine.UpdateNodes(now, placement.PollFailed, nil)
 	}
 	pause := min(redialMost, redialFirst*placement.Millis(int(1)<<min(p.list.fails, 10)))
 	p.list.fails++
-	p.timers.At(now+p.jitter(pause), p.dialList)
+	p.timers.Schedule(now+p.jitter(pause), p.dialList)
 }
 
 // watchList asks for what changed since the last news, and to be told from then on.
-func (p *Port) watchList() {
+func (p *Frontend) watchList() {
 	if !p.list.ready {
 		p.list.wanted = true
 		return
 	}
-	p.Counts.ListCalls++
+	p.Counters.DiscoveryCalls++
 	p.list.wanted, p.list.out = false, true
 	p.net.Send(p.list.conn, &pb.Frame{Body: &pb.Frame_ListCall{ListCall: &pb.ListCall{
 		Watch: true, Epoch: p.list.epoch, Have: p.list.have,
 	}}})
 }
 
-func (p *Port) fromList(now placement.Millis, f *pb.Frame) {
+func (p *Frontend) fromList(now placement.Millis, f *pb.Frame) {
 	if !p.list.ready {
 		h, refusal := transport.CheckHello(f)
 		if refusal == "" && h.Role != pb.Role_LIST {
@@ -82,7 +82,7 @@
 	}
 	if u.Kind == pb.ListUpdate_FAILED {
 		p.list.out = false
-		p.engine.List(now, placement.Failed, nil)
+		p.engine.UpdateNodes(now, placement.PollFailed, nil)
 		return
 	}
 	p.list.out = false
@@ -95,29 +95,29 @@
 	case u.Epoch == p.list.epoch && u.Revision < p.list.have:
 		return // an answer older than one already seen
 	case u.Epoch == p.list.epoch && u.Revision == p.list.have && !whole:
-		p.engine.List(now, placement.Changes, nil) // no news is news too: the watch stands
+		p.engine.UpdateNodes(now, placement.Delta, nil) // no news is news too: the watch stands
 		return
 	}
 	p.list.epoch, p.list.have = u.Epoch, u.Revision
 	if p.tap != nil {
-		p.tap.Heard(now, u.Epoch, u.Revision)
+		p.tap.RecordListRevision(now, u.Epoch, u.Revision)
 	}
 	p.listed(now, u)
 }
 
 // listed takes entries into our own book of nodes, then to the engine, then to the connections.
-func (p *Port) listed(now placement.Millis, u *pb.ListUpdate) {
-	p.Counts.ListEntries += uint64(len(u.Entries))
-	kind := placement.Changes
+func (p *Frontend) listed(now placement.Millis, u *pb.ListUpdate) {
+	p.Counters.DiscoveryEntries += uint64(len(u.Entries))
+	kind := placement.Delta
 	if u.Kind == pb.ListUpdate_WHOLE {
-		kind = placement.Whole
+		kind = placement.Snapshot
 		named := make(map[placement.NodeID]bool, len(u.Entries))
 		for _, e := range u.Entries {
 			named[placement.NodeID(e.Id)] = true
 		}
 		for _, n := range p.nodes {
 			if !named[n.id] {
-				n.entry.State = placement.Gone
+				n.entry.State = placement.Removed
 			}
 		}
 	}
@@ -136,22 +136,22 @@
 	if over > 0 {
 		p.log.Warn("the list names more nodes than are kept; the others stay unused", "kept", len(p.nodes), "passed over", over)
 	}
-	p.engine.List(now, kind, nodes)
+	p.engine.UpdateNodes(now, kind, nodes)
 	for _, n := range touched {
 		p.dial(now, n)
 	}
 	before := len(p.nodes)
 	p.nodes = slices.DeleteFunc(p.nodes, func(n *node) bool {
-		if n.entry.State != placement.Gone || n.ready || n.dialling {
+		if n.entry.State != placement.Removed || n.ready || n.dialling {
 			return false
 		}
 		p.lost(now, n)
-		if now-n.entry.Born < p.c.Settings.ColdFor {
-			p.starts[n.id] = start{n.boot, n.entry.Born}
+		if now-n.entry.StartedAt < p.c.Settings.WarmUpDuration {
+			p.starts[n.id] = start{n.boot, n.entry.StartedAt}
 		}
 		return true
 	})
-	maps.DeleteFunc(p.starts, func(_ placement.NodeID, s start) bool { return now-s.born >= p.c.Settings.ColdFor })
+	maps.DeleteFunc(p.starts, func(_ placement.NodeID, s start) bool { return now-s.born >= p.c.Settings.WarmUpDuration })
 	if len(p.nodes) < before {
 		zones, cells := map[string]bool{p.c.Zone: true}, map[string]bool{}
 		for _, n := range p.nodes {
@@ -163,7 +163,7 @@
 }
 
 // enter writes a list entry into the book. It returns nil where the book is full.
-func (p *Port) enter(now placement.Millis, e *pb.NodeEntry) *node {
+func (p *Frontend) enter(now placement.Millis, e *pb.NodeEntry) *node {
 	id := placement.NodeID(e.Id)
 	i, known := p.find(id)
 	if !known && len(p.nodes) >= mostNodes {
@@ -174,7 +174,7 @@
 		// One that the list named before, and named again: its start is the one that was worked out then, or the module
 		// would take it for another life and its cold budget for untouched.
 		if s, ok := p.starts[id]; ok && s.boot == e.Boot {
-			n.boot, n.entry.Born = s.boot, s.born
+			n.boot, n.entry.StartedAt = s.boot, s.born
 		}
 		delete(p.starts, id)
 		p.nodes = slices.Insert(p.nodes, i, n)
@@ -202,7 +202,7 @@
 	}
 	n.entry = placement.Node{
 		ID: id, State: stateOf(e.State), Kind: placement.KindID(kind), Zone: p.zones.number(e.Zone),
-		Cell: p.cells.number(n.cell), Born: n.entry.Born, FreeCores: e.FreeCores, FreeMemory: e.FreeMemory,
+		Cell: p.cells.number(n.cell), StartedAt: n.entry.StartedAt, FreeCores: e.FreeCores, FreeMemory: e.FreeMemory,
 	}
 	return n
 }
@@ -213,9 +213,9 @@
 	if n.boot == boot {
 		return
 	}
-	n.boot, n.entry.Born, n.draining = boot, placement.LongAgo, false
+	n.boot, n.entry.StartedAt, n.draining = boot, placement.DistantPast, false
 	if upFor >= 0 {
-		n.entry.Born = now - placement.Millis(upFor)
+		n.entry.StartedAt = now - placement.Millis(upFor)
 	}
 }
 
@@ -226,7 +226,7 @@
 	case pb.NodeEntry_DRAINING:
 		return placement.Draining
 	}
-	return placement.Gone
+	return placement.Removed
 }
 
 // numbers give each name a number of its own, in the order in which they are met. There are never more names than
--- a/internal/frontend/native/nodes.go
+++ b/internal/frontend/native/nodes.go
@@ -11,13 +11,13 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func (p *Port) find(id placement.NodeID) (int, bool) {
+func (p *Frontend) find(id placement.NodeID) (int, bool) {
 	return slices.BinarySearchFunc(p.nodes, id, func(n *node, id placement.NodeID) int {
 		return int(int64(n.id) - int64(id))
 	})
 }
 
-func (p *Port) node(id placement.NodeID) *node {
+func (p *Frontend) node(id placement.NodeID) *node {
 	if i, ok := p.find(id); ok {
 		return p.nodes[i]
 	}
@@ -25,8 +25,8 @@
 }
 
 // dial opens the connection to a node, unless there is one or nothing to dial.
-func (p *Port) dial(now placement.Millis, n *node) {
-	if n.dialling || n.ready || n.addr == "" || n.entry.State == placement.Gone {
+func (p *Frontend) dial(now placement.Millis, n *node) {
+	if n.dialling || n.ready || n.addr == "" || n.entry.State == placement.Removed {
 		return
 	}
 	n.dialling = true
@@ -34,7 +34,7 @@
 	n.conn = p.net.Dial(n.addr)
 	c := n.conn
 	p.peers[c] = &peer{role: pb.Role_NODE, node: n}
-	p.timers.At(now+connectWithin, func(placement.Millis) {
+	p.timers.Schedule(now+connectWithin, func(placement.Millis) {
 		if n.conn == c && n.dialling {
 			p.drop(c, "no connection in time")
 		}
@@ -42,19 +42,19 @@
 }
 
 // nodeClosed takes the end of a node's connection, or that there will be none.
-func (p *Port) nodeClosed(now placement.Millis, c transport.ConnID, n *node, why string) {
+func (p *Frontend) nodeClosed(now placement.Millis, c transport.ConnID, n *node, why string) {
 	if n.conn != c {
 		return
 	}
 	stood := n.ready
 	n.conn, n.dialling, n.ready = 0, false, false
 	if stood {
-		p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeSeen, Node: n.id})
+		p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeConnection, Node: n.id})
 		p.log.Info("connection to node lost", "node", n.id, "why", why)
-		p.engine.Cut(now, n.id)
+		p.engine.ConnectionLost(now, n.id)
 		n.fails = 0
 	}
-	if n.entry.State == placement.Gone {
+	if n.entry.State == placement.Removed {
 		p.lost(now, n)
 		return
 	}
@@ -62,7 +62,7 @@
 	n.fails++
 	// If news of it has had it dialled meanwhile, that dial has a successor of its own: else each would begin another row.
 	dials := n.dials
-	p.timers.At(now+p.jitter(pause), func(now placement.Millis) {
+	p.timers.Schedule(now+p.jitter(pause), func(now placement.Millis) {
 		if p.node(n.id) == n && n.dials == dials {
 			p.dial(now, n)
 		}
@@ -70,13 +70,13 @@
 }
 
 // lost ends what stood on a node that is gone for good.
-func (p *Port) lost(now placement.Millis, n *node) {
+func (p *Frontend) lost(now placement.Millis, n *node) {
 	p.lostNow = true
-	p.engine.Lost(now, n.id)
+	p.engine.NodeLost(now, n.id)
 	p.lostNow = false
 }
 
-func (p *Port) fromNode(now placement.Millis, c transport.ConnID, n *node, f *pb.Frame) {
+func (p *Frontend) fromNode(now placement.Millis, c transport.ConnID, n *node, f *pb.Frame) {
 	if n.conn != c {
 		return
 	}
@@ -99,20 +99,20 @@
 		p.offerAnswered(now, n, b.OfferAnswer)
 	case *pb.Frame_End:
 		if id, bind, ok := p.bound(n, b.End.Bind); ok {
-			r := placement.Result{Kind: placement.Unclear, Reason: reasonOf(b.End.Why), Over: true, Load: load(b.End.Load)}
-			if !p.engine.Holds(id, bind) {
-				r.Over = p.wls[id].stopped
+			r := placement.Result{Kind: placement.OutcomeUnknown, Reason: reasonOf(b.End.Why), Final: true, Load: load(b.End.Load)}
+			if !p.engine.IsPlaced(id, bind) {
+				r.Final = p.wls[id].stopped
 			}
 			// What its node stopped, or whose lease it ended, has not come to its own end either.
 			p.lostNow = slices.Contains([]pb.Why{pb.Why_LOST, pb.Why_STOPPED, pb.Why_LEASE_OVER}, b.End.Why)
-			p.engine.Settled(now, id, bind, n.id, r)
+			p.engine.BindEnded(now, id, bind, n.id, r)
 			p.lostNow = false
 		}
 	case *pb.Frame_Note:
 		if id, bind, ok := p.bound(n, b.Note.Bind); ok {
 			if kind, ok := noteKinds[b.Note.Kind]; ok {
-				p.engine.Note(now, id, bind, kind, b.Note.Value)
-				if kind == placement.Running && p.engine.Holds(id, bind) {
+				p.engine.ReportUsage(now, id, bind, kind, b.Note.Value)
+				if kind == placement.Running && p.engine.IsPlaced(id, bind) {
 					p.partRuns(id)
 				}
 			}
@@ -120,7 +120,7 @@
 	case *pb.Frame_ProbeAnswer:
 		if p.probes[b.ProbeAnswer.Id] == n.id {
 			delete(p.probes, b.ProbeAnswer.Id)
-			p.engine.Probed(now, n.id, true, load(b.ProbeAnswer.Load))
+			p.engine.HealthChecked(now, n.id, true, load(b.ProbeAnswer.Load))
 		}
 	case *pb.Frame_Drain:
 		p.nodeDrains(now, n, b.Drain.Draining)
@@ -128,14 +128,14 @@
 }
 
 // nodeStands takes a node's hello: who it is since when, and what of ours stands there.
-func (p *Port) nodeStands(now placement.Millis, n *node, h *pb.Hello) {
+func (p *Frontend) nodeStands(now placement.Millis, n *node, h *pb.Hello) {
 	n.ready, n.dialling, n.fails, n.refusal = true, false, 0, ""
-	p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeSeen, Detail: 1, Node: n.id})
+	p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeConnection, Detail: 1, Node: n.id})
 	// A node that is back says so itself, long before the list does: offers would reach it cold meanwhile that
 	// nobody counts.
 	if h.Incarnation > n.boot {
 		n.starts(now, h.Incarnation, h.UpForMs)
-		p.engine.List(now, placement.Changes, []placement.Node{n.told()})
+		p.engine.UpdateNodes(now, placement.Delta, []placement.Node{n.told()})
 	}
 	p.nodeDrains(now, n, h.Draining)
 	type ref struct {
@@ -145,7 +145,7 @@
 	named := map[ref]bool{}
 	var strays []*pb.Standing
 	for _, s := range h.Standing {
-		if id, bind, ok := p.known(n, s.GetOffer().GetBind()); ok && p.engine.Holds(id, bind) {
+		if id, bind, ok := p.known(n, s.GetOffer().GetBind()); ok && p.engine.IsPlaced(id, bind) {
 			named[ref{id, bind}] = true
 			if p.wls[id].called > bind {
 				p.stop(n, s.Offer.Bind, false) // the first stop may have been lost with the connection
@@ -158,7 +158,7 @@
 		}
 	}
 	p.lostNow = true
-	p.engine.Stands(now, n.id, func(id placement.WorkloadID, bind int) bool { return named[ref{id, bind}] })
+	p.engine.ReconcileNode(now, n.id, func(id placement.WorkloadID, bind int) bool { return named[ref{id, bind}] })
 	p.lostNow = false
 	for _, s := range strays {
 		p.stray(now, n, s)
@@ -167,7 +167,7 @@
 
 // stray takes a workload that stands on a node and is not on our books: of an earlier incarnation it is
 // adopted; a copy that we gave up is stopped, or kept where stopping it could not undo its effect.
-func (p *Port) stray(now placement.Millis, n *node, s *pb.Standing) {
+func (p *Frontend) stray(now placement.Millis, n *node, s *pb.Standing) {
 	o := s.Offer
 	w := p.workload(0, o.Ask)
 	_, held := p.keys[o.Ask.Key]
@@ -177,7 +177,7 @@
 		return
 	}
 	// A part of a gang that is not on our books is of one that was undone: nothing of it may be left.
-	if (o.Bind.Incarnation == p.c.Incarnation || held) && (o.Gang != nil || p.engine.Surplus(w.Group)) {
+	if (o.Bind.Incarnation == p.c.Incarnation || held) && (o.Gang != nil || p.engine.StopsDuplicates(w.Group)) {
 		p.stop(n, o.Bind, false)
 		return
 	}
@@ -195,14 +195,14 @@
 		p.keys[wl.ask.Key] = w.ID
 	}
 	if p.tap != nil {
-		p.tap.Asked(now, w.ID, wl.owner, wl.ask.Ask, wl.ask.Key)
+		p.tap.RecordRequest(now, w.ID, wl.owner, wl.ask.Ask, wl.ask.Key)
 	}
 	for _, other := range p.writing {
 		other.outdated = other.outdated || other.ask.Service == wl.ask.Service
 	}
 	p.engine.Adopt(now, w, n.id)
 	if s.Running {
-		p.engine.Note(now, w.ID, 0, placement.Running, 1)
+		p.engine.ReportUsage(now, w.ID, 0, placement.Running, 1)
 	}
 	if o.Gang != nil {
 		p.found(now, w.ID, wl, s)
@@ -210,7 +210,7 @@
 }
 
 // known finds the workload and the bind that a node speaks of: one of ours that went to that node.
-func (p *Port) known(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
+func (p *Frontend) known(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
 	if b == nil || b.Allocator != p.c.Name {
 		return 0, 0, false
 	}
@@ -227,10 +227,10 @@
 }
 
 // bound is known for what a node says by itself: counted and logged where it speaks of no bind of ours.
-func (p *Port) bound(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
+func (p *Frontend) bound(n *node, b *pb.BindID) (placement.WorkloadID, int, bool) {
 	id, bind, ok := p.known(n, b)
 	if !ok {
-		p.Counts.Stray++
+		p.Counters.UnmatchedReplies++
 		p.log.Debug("a node speaks of no bind of ours", "node", n.id, "incarnation", b.GetIncarnation(),
 			"workload", b.GetWorkload())
 	}
@@ -241,26 +241,26 @@
 	return oldBind{n, b.Incarnation, b.Workload, b.Number}
 }
 
-func (p *Port) offerAnswered(now placement.Millis, n *node, a *pb.OfferAnswer) {
+func (p *Frontend) offerAnswered(now placement.Millis, n *node, a *pb.OfferAnswer) {
 	id, bind, ok := p.bound(n, a.Bind)
 	switch {
 	case !ok:
 		if l := load(a.Load); l != nil {
-			p.engine.Report(now, n.id, *l)
+			p.engine.ReportLoad(now, n.id, *l)
 		}
 	case a.Accepted:
-		p.engine.Confirmed(now, id, bind, load(a.Load))
-	case p.engine.Holds(id, bind):
+		p.engine.BindConfirmed(now, id, bind, load(a.Load))
+	case p.engine.IsPlaced(id, bind):
 		// A no after a yes is no answer that a node may give; the workload's own end will come.
-		p.Counts.Stray++
+		p.Counters.UnmatchedReplies++
 	default:
 		n.refusal = a.Text
 		p.never(p.wls[id], a.Bind)
 		if p.tap != nil && a.Text != "" {
-			p.tap.Refused(now, id, n.id, a.Text)
+			p.tap.RecordRejection(now, id, n.id, a.Text)
 		}
-		p.engine.Settled(now, id, bind, n.id, placement.Result{
-			Kind: placement.Declined, Reason: reasonOf(a.Why), Over: p.wls[id].stopped, Load: load(a.Load),
+		p.engine.BindEnded(now, id, bind, n.id, placement.Result{
+			Kind: placement.RejectedByNode, Reason: reasonOf(a.Why), Final: p.wls[id].stopped, Load: load(a.Load),
 		})
 	}
 }
@@ -268,12 +268,12 @@
 // nodeDrains takes a node's own word that it drains, or no longer does. It counts over the list's, which is later, until
 // the node says otherwise or starts anew. It was forgotten with its connection: an offer that then waited for the next one
 // reached a node long after it had said that it drains.
-func (p *Port) nodeDrains(now placement.Millis, n *node, draining bool) {
+func (p *Frontend) nodeDrains(now placement.Millis, n *node, draining bool) {
 	if n.draining == draining {
 		return
 	}
 	n.draining = draining
-	p.engine.List(now, placement.Changes, []placement.Node{n.told()})
+	p.engine.UpdateNodes(now, placement.Delta, []placement.Node{n.told()})
 }
 
 // told is the list's entry under the node's own word.
@@ -288,29 +288,29 @@
 func reasonOf(w pb.Why) placement.Reason {
 	switch w {
 	case pb.Why_NO_CORES:
-		return placement.NoCores
+		return placement.InsufficientCores
 	case pb.Why_NO_MEMORY:
-		return placement.NoMemory
+		return placement.InsufficientMemory
 	case pb.Why_TOO_MANY_WAITING:
-		return placement.TooManyWaiting
+		return placement.QueueFull
 	case pb.Why_NOT_HERE:
-		return placement.NotHere
+		return placement.WrongNode
 	case pb.Why_EVICTED:
 		return placement.Evicted
 	case pb.Why_PUSHED_OUT:
-		return placement.PushedOut
+		return placement.Preempted
 	case pb.Why_SENT_AWAY:
-		return placement.SentAway
+		return placement.Drained
 	}
-	return placement.NoReason
+	return placement.ReasonUnspecified
 }
 
-var noteKinds = map[pb.Note_Kind]placement.NoteKind{
+var noteKinds = map[pb.Note_Kind]placement.UsageKind{
 	pb.Note_RUNNING: placement.Running, pb.Note_CORES_USED: placement.CoresUsed,
 }
 
 // load reads a report, or returns nil where none came along, or one too old to tell anything.
-func load(l *pb.Load) *placement.Load {
+func load(l *pb.Load) *placement.LoadReport {
 	if l == nil || !(placement.Millis(l.AgeMs) < noReport) {
 		return nil
 	}
@@ -320,7 +320,7 @@
 		}
 		return *v
 	}
-	return &placement.Load{
+	return &placement.LoadReport{
 		SpareCores: value(l.SpareCores), SpareMemory: value(l.SpareMemory), Backlog: value(l.Backlog),
 		Utilization: value(l.Utilization),
 	}
--- a/internal/frontend/native/port.go
+++ b/internal/frontend/native/port.go
@@ -43,44 +43,44 @@
 
 // Config is what an allocator is told at its start.
 type Config struct {
-	Name        string // its own, kept over restarts
-	Incarnation uint64 // grows with each start
-	Seed        uint64
-	Settings    placement.Settings
-	Groups      []string // names, in the order of Settings.Groups
-	Kinds       []string // names, in the order of Settings.Kinds
-	Zone        string
-	List        string // address of the machine list; "" for none
-	MostHeld    int    // workloads pending and placed; 0 for no limit
-	RecordSize  int
-	Log         *slog.Logger
-	Trace       replay.Sink // takes every call of the module; nil for none
-	Wall        float64     // Unix time, in ms, at which the clock stood at 0; traces and the journal need it
-
-	Journal  Journal // where binds are written down that must be known after a crash; nil for nowhere
-	Left     []recovery.Bind
-	KeepOnce placement.Millis // that a run-once workload is known after its last bind
-	MostKept int              // keys known at a time, 0 for any number
-}
-
-// Journal writes down what must be known after a crash.
-type Journal interface {
-	// Bound writes a bind down. Lasts is called on the port's goroutine once it lasts, or with the reason why it was not kept.
-	Bound(b recovery.Bind, lasts func(now placement.Millis, err error))
-	// Never takes a bind back that was not taken up. Nobody waits for it.
-	Never(key, incarnation uint64, number uint32)
-}
-
-// Counts are what an allocator did since its start.
-type Counts struct {
-	Asks, Placed, Rejected, Unschedulable, Turned, Withdrawn uint64
-	Binds, Moves, Probes, ListCalls                          uint64
-	Gangs, GangsStood, GangsGivenUp, GangStops               uint64
-	ListEntries                                              uint64 // that the list told of
-	Duplicates                                               uint64 // asks that came twice
-	Stray                                                    uint64 // answers for no bind of ours
-	Written, NotWritten                                      uint64 // binds that lasted before their offer left, or could not be made to
-	Known                                                    uint64 // asks answered by what was written down before
+	Name             string // its own, kept over restarts
+	Incarnation      uint64 // grows with each start
+	Seed             uint64
+	Settings         placement.Settings
+	Groups           []string // names, in the order of Settings.Groups
+	Kinds            []string // names, in the order of Settings.Kinds
+	Zone             string
+	DiscoveryAddress string // address of the machine list; "" for none
+	MaxWorkloads     int    // workloads pending and placed; 0 for no limit
+	EventLogSize     int
+	Log              *slog.Logger
+	Trace            replay.Sink // takes every call of the module; nil for none
+	WallClockOffset  float64     // Unix time, in ms, at which the clock stood at 0; traces and the journal need it
+
+	Journal             BindJournal // where binds are written down that must be known after a crash; nil for nowhere
+	RecoveredBinds      []recovery.Bind
+	AtMostOnceRetention placement.Millis // that a run-once workload is known after its last bind
+	MaxDurableKeys      int              // keys known at a time, 0 for any number
+}
+
+// BindJournal writes down what must be known after a crash.
+type BindJournal interface {
+	// PersistBind writes a bind down. Lasts is called on the port's goroutine once it lasts, or with the reason why it was not kept.
+	PersistBind(b recovery.Bind, lasts func(now placement.Millis, err error))
+	// ForgetBind takes a bind back that was not taken up. Nobody waits for it.
+	ForgetBind(key, incarnation uint64, number uint32)
+}
+
+// Counters are what an allocator did since its start.
+type Counters struct {
+	Requests, Placed, Rejected, Unschedulable, NotAdmitted, Withdrawn uint64
+	Binds, Migrations, HealthChecks, DiscoveryCalls                   uint64
+	Gangs, GangsPlaced, GangsAbandoned, GangPartStops                 uint64
+	DiscoveryEntries                                                  uint64 // that the list told of
+	DuplicateRequests                                                 uint64 // asks that came twice
+	UnmatchedReplies                                                  uint64 // answers for no bind of ours
+	BindsPersisted, BindsNotPersisted                                 uint64 // binds that lasted before their offer left, or could not be made to
+	AnsweredFromJournal                                               uint64 // asks answered by what was written down before
 }
 
 // workload is what the wire must remember of an ask.
@@ -184,20 +184,20 @@
 }
 
 // over notes that an ask of an owner that is connected is over; on another connection it may come anew.
-func (p *Port) over(owner string, ask uint64, withdrawn bool) {
+func (p *Frontend) over(owner string, ask uint64, withdrawn bool) {
 	if from := p.peers[p.owners[owner]]; from != nil && from.role == pb.Role_OWNER {
 		from.past.add(ask, withdrawn)
 	}
 }
 
 // withdrew tells whether an owner has withdrawn an ask, on the connection that stands.
-func (p *Port) withdrew(owner string, ask uint64) bool {
+func (p *Frontend) withdrew(owner string, ask uint64) bool {
 	from := p.peers[p.owners[owner]]
 	return from != nil && from.past.asks[ask]
 }
 
 // passed tells whether an ask is over.
-func (p *Port) passed(c transport.ConnID, ask uint64) bool {
+func (p *Frontend) passed(c transport.ConnID, ask uint64) bool {
 	from := p.peers[c]
 	if from == nil {
 		return false
@@ -206,51 +206,51 @@
 	return over
 }
 
-// Port is an allocator on the wire.
-type Port struct {
-	c       Config
-	log     *slog.Logger
-	net     transport.Net
-	engine  *allocator.Engine
-	record  *eventlog.Log
-	timers  transport.Timers
-	wake    placement.Millis // the engine's, if wakes
-	wakes   bool
-	now     placement.Millis
-	later   []func(now placement.Millis) // results that came up while the engine was at work
-	peers   map[transport.ConnID]*peer
-	owners  map[string]transport.ConnID
-	nodes   []*node // by id
-	wls     map[placement.WorkloadID]*workload
-	writing map[placement.WorkloadID]*workload // whose last bind is being written down
-	asks    map[askID]placement.WorkloadID
-	keys    map[uint64]placement.WorkloadID
-	old     map[oldBind]placement.WorkloadID
-	gangs   map[askID]*group
-	lastID  placement.WorkloadID
-	groups  map[string]int
-	zones   numbers[placement.ZoneID]
-	cells   numbers[placement.CellID]
-	starts  map[placement.NodeID]start // of cold nodes that the list lacks
-	probes  map[uint64]placement.NodeID
-	probeNo uint64
-	draws   uint64
-	due     placement.Millis // wake-up that was set
-	stood   placement.Millis // how long the process stood still, at most
-	stoodTo placement.Millis
-	list    listLink
-	tap     *replay.Tap // nil without a trace
-	book    *recovery.Book
-	closing bool
-	lostNow bool // the engine is told of losses, not of ends
-	pending int  // workloads without a final answer
-	Counts  Counts
+// Frontend is an allocator on the wire.
+type Frontend struct {
+	c        Config
+	log      *slog.Logger
+	net      transport.FrameNetwork
+	engine   *allocator.Engine
+	record   *eventlog.Log
+	timers   transport.Timers
+	wake     placement.Millis // the engine's, if wakes
+	wakes    bool
+	now      placement.Millis
+	later    []func(now placement.Millis) // results that came up while the engine was at work
+	peers    map[transport.ConnID]*peer
+	owners   map[string]transport.ConnID
+	nodes    []*node // by id
+	wls      map[placement.WorkloadID]*workload
+	writing  map[placement.WorkloadID]*workload // whose last bind is being written down
+	asks     map[askID]placement.WorkloadID
+	keys     map[uint64]placement.WorkloadID
+	old      map[oldBind]placement.WorkloadID
+	gangs    map[askID]*group
+	lastID   placement.WorkloadID
+	groups   map[string]int
+	zones    numbers[placement.ZoneID]
+	cells    numbers[placement.CellID]
+	starts   map[placement.NodeID]start // of cold nodes that the list lacks
+	probes   map[uint64]placement.NodeID
+	probeNo  uint64
+	draws    uint64
+	due      placement.Millis // wake-up that was set
+	stood    placement.Millis // how long the process stood still, at most
+	stoodTo  placement.Millis
+	list     listLink
+	tap      *replay.Recorder // nil without a trace
+	book     *recovery.Registry
+	closing  bool
+	lostNow  bool // the engine is told of losses, not of ends
+	pending  int  // workloads without a final answer
+	Counters Counters
 }
 
 // New makes an allocator; link or lab starts it.
-func New(c Config) *Port {
-	p := &Port{
-		c: c, log: c.Log, record: eventlog.NewLog(cmp.Or(c.RecordSize, recordSize)),
+func New(c Config) *Frontend {
+	p := &Frontend{
+		c: c, log: c.Log, record: eventlog.New(cmp.Or(c.EventLogSize, recordSize)),
 		peers: map[transport.ConnID]*peer{}, owners: map[string]transport.ConnID{},
 		wls: map[placement.WorkloadID]*workload{}, writing: map[placement.WorkloadID]*workload{}, asks: map[askID]placement.WorkloadID{},
 		keys: map[uint64]placement.WorkloadID{}, old: map[oldBind]placement.WorkloadID{},
@@ -264,46 +264,46 @@
 	for i, g := range c.Groups {
 		p.groups[g] = i
 	}
-	c.Settings = WithSpreads(c.Settings)
-	o := allocator.Options{TimesOut: true, Log: p.record}
+	c.Settings = WithSpreadVariants(c.Settings)
+	o := allocator.Options{EnforceTimeouts: true, Log: p.record}
 	if c.Trace != nil {
-		p.tap = replay.NewTap(replay.Began{
-			Source:   &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.Wall},
-			Settings: c.Settings, Seed: c.Seed, Groups: groupNames(c.Groups), Kinds: c.Kinds, Zones: []string{c.Zone},
+		p.tap = replay.NewRecorder(replay.RecorderConfig{
+			Source:   &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset},
+			Settings: c.Settings, Seed: c.Seed, GroupNames: groupNames(c.Groups), KindNames: c.Kinds, ZoneNames: []string{c.Zone},
 		}, c.Trace)
 		o.Module = p.tap
 	}
 	p.engine = allocator.New(c.Settings, c.Seed, (*world)(p), o)
 	if c.Journal != nil {
-		rules := map[string]recovery.Rule{}
+		rules := map[string]recovery.GroupPolicy{}
 		for i, name := range c.Groups {
-			rules[name] = recovery.Rule{Effect: c.Settings.Groups[i].Effect, Window: c.Settings.Groups[i].DedupWindow}
+			rules[name] = recovery.GroupPolicy{Idempotency: c.Settings.Groups[i].Idempotency, KeyWindow: c.Settings.Groups[i].KeyWindow}
 		}
-		p.book = recovery.New(recovery.Settings{Groups: rules, Keep: c.KeepOnce, Most: c.MostKept}, c.Left, c.Wall)
+		p.book = recovery.New(recovery.Settings{Groups: rules, Retention: c.AtMostOnceRetention, MaxEntries: c.MaxDurableKeys}, c.RecoveredBinds, c.WallClockOffset)
 	}
 	return p
 }
 
 // FlushTrace hands over what the trace has not been handed yet.
-func (p *Port) FlushTrace() {
+func (p *Frontend) FlushTrace() {
 	if p.tap != nil {
 		p.tap.Flush()
 	}
 }
 
-// Record is what happened, by revision.
-func (p *Port) Record() *eventlog.Log { return p.record }
+// EventLog is what happened, by revision.
+func (p *Frontend) EventLog() *eventlog.Log { return p.record }
 
 // Pending is the number of workloads that have no final answer yet.
-func (p *Port) Pending() int { return p.pending }
+func (p *Frontend) Pending() int { return p.pending }
 
-// Held is the number of workloads pending or placed.
-func (p *Port) Held() int { return len(p.wls) }
+// WorkloadCount is the number of workloads pending or placed.
+func (p *Frontend) WorkloadCount() int { return len(p.wls) }
 
-// Shut has every further ask rejected. What is held is still answered; Pending tells when all is.
-func (p *Port) Shut() { p.closing = true }
+// Drain has every further ask rejected. What is held is still answered; Pending tells when all is.
+func (p *Frontend) Drain() { p.closing = true }
 
-func (p *Port) Start(now placement.Millis, net transport.Net) {
+func (p *Frontend) Start(now placement.Millis, net transport.FrameNetwork) {
 	p.now, p.net = now, net
 	p.engine.Start(now)
 	p.dialList(now)
@@ -312,17 +312,17 @@
 
 // begin takes the time of what is handled next. A process that stood still finds frames that have waited, and
 // cannot know for how long: at most since it last did anything.
-func (p *Port) begin(now placement.Millis) {
+func (p *Frontend) begin(now placement.Millis) {
 	if now-p.due > lateAfter && p.due > 0 {
 		p.stood, p.stoodTo = now-p.now, now
 	}
 	p.now, p.due = now, max(p.due, now)
 }
 
-func (p *Port) Wake(now placement.Millis) {
+func (p *Frontend) Wake(now placement.Millis) {
 	p.begin(now)
 	p.due = now // the wake-up is used up, and settle sets the next
-	p.timers.Run(now)
+	p.timers.RunDue(now)
 	if p.wakes && p.wake <= now {
 		p.wakes = false
 		p.engine.Tick(now)
@@ -331,7 +331,7 @@
 }
 
 // settle hands the engine what came up while it was at work, then sets the wake-up.
-func (p *Port) settle(now placement.Millis) {
+func (p *Frontend) settle(now placement.Millis) {
 	for len(p.later) > 0 {
 		calls := p.later
 		p.later = nil
@@ -354,14 +354,14 @@
 	p.net.WakeAt(next)
 }
 
-func (p *Port) Opened(now placement.Millis, c transport.ConnID) {
+func (p *Frontend) Opened(now placement.Millis, c transport.ConnID) {
 	p.begin(now)
 	switch from := p.peers[c]; {
 	case c == p.list.conn:
 		p.net.Send(c, p.hello(pb.Role_ALLOCATOR))
 	case from == nil:
 		p.peers[c] = &peer{}
-		p.timers.At(now+helloWithin, func(placement.Millis) {
+		p.timers.Schedule(now+helloWithin, func(placement.Millis) {
 			if from := p.peers[c]; from != nil && from.role == pb.Role_ROLE_UNSPECIFIED {
 				p.refuse(c, "no hello came in time")
 			}
@@ -372,24 +372,24 @@
 	p.settle(now)
 }
 
-func (p *Port) hello(r pb.Role, standing ...*pb.Standing) *pb.Frame {
-	return transport.Hello(&pb.Hello{Role: r, Name: p.c.Name, Incarnation: p.c.Incarnation, Standing: standing})
+func (p *Frontend) hello(r pb.Role, standing ...*pb.Standing) *pb.Frame {
+	return transport.HelloFrame(&pb.Hello{Role: r, Name: p.c.Name, Incarnation: p.c.Incarnation, Standing: standing})
 }
 
 // refuse ends a connection with a reason that the peer can act on.
-func (p *Port) refuse(c transport.ConnID, reason string) {
+func (p *Frontend) refuse(c transport.ConnID, reason string) {
 	p.log.Warn("connection refused", "reason", reason)
-	p.net.Send(c, transport.Refuse(reason))
+	p.net.Send(c, transport.RefusalFrame(reason))
 	p.drop(c, reason)
 }
 
 // drop ends a connection from our side.
-func (p *Port) drop(c transport.ConnID, why string) {
+func (p *Frontend) drop(c transport.ConnID, why string) {
 	p.net.Close(c)
 	p.Closed(p.now, c, why)
 }
 
-func (p *Port) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
+func (p *Frontend) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	p.begin(now)
 	from := p.peers[c]
 	switch {
@@ -409,7 +409,7 @@
 }
 
 // greet takes the first frame of a connection that came in.
-func (p *Port) greet(now placement.Millis, c transport.ConnID, from *peer, f *pb.Frame) {
+func (p *Frontend) greet(now placement.Millis, c transport.ConnID, from *peer, f *pb.Frame) {
 	h, refusal := transport.CheckHello(f)
 	switch {
 	case refusal != "":
@@ -431,7 +431,7 @@
 }
 
 // standingOf is what of an owner's is placed, in the order of its coming.
-func (p *Port) standingOf(owner string) (standing []*pb.Standing) {
+func (p *Frontend) standingOf(owner string) (standing []*pb.Standing) {
 	for id, wl := range p.wls {
 		if wl.owner == owner && wl.answer == allocator.Placed && !wl.stopped {
 			standing = append(standing, &pb.Standing{Offer: p.offer(id, wl)})
@@ -443,7 +443,7 @@
 	return standing
 }
 
-func (p *Port) Closed(now placement.Millis, c transport.ConnID, why string) {
+func (p *Frontend) Closed(now placement.Millis, c transport.ConnID, why string) {
 	p.begin(now)
 	from := p.peers[c]
 	delete(p.peers, c)
@@ -461,7 +461,7 @@
 }
 
 // ownerGone withdraws what an owner had pending: it can be told no answer. What is placed runs on.
-func (p *Port) ownerGone(now placement.Millis, owner string) {
+func (p *Frontend) ownerGone(now placement.Millis, owner string) {
 	var ids []placement.WorkloadID
 	for id, wl := range p.wls {
 		if wl.owner == owner && wl.answer == 0 && wl.gang == nil {
@@ -475,7 +475,7 @@
 	p.gangOwnerGone(now, owner)
 }
 
-func (p *Port) fromOwner(now placement.Millis, c transport.ConnID, owner string, f *pb.Frame) {
+func (p *Frontend) fromOwner(now placement.Millis, c transport.ConnID, owner string, f *pb.Frame) {
 	switch {
 	case f.GetAsk() != nil:
 		p.ask(now, c, owner, f.GetAsk())
@@ -493,9 +493,9 @@
 	}
 }
 
-func (p *Port) withdraw(now placement.Millis, id placement.WorkloadID) {
+func (p *Frontend) withdraw(now placement.Millis, id placement.WorkloadID) {
 	if wl := p.wls[id]; wl != nil && !wl.stopped {
-		p.Counts.Withdrawn++
+		p.Counters.Withdrawn++
 		wl.stopped = true
 		if wl.answer == 0 {
 			p.pending--
@@ -505,16 +505,16 @@
 }
 
 // ask takes an ask to the engine, or turns it away at once with the reason.
-func (p *Port) ask(now placement.Millis, c transport.ConnID, owner string, a *pb.Ask) {
-	p.Counts.Asks++
+func (p *Frontend) ask(now placement.Millis, c transport.ConnID, owner string, a *pb.Ask) {
+	p.Counters.Requests++
 	late := p.underWay(now, p.peers[c], a.SentMs)
 	if _, ok := p.asks[askID{owner, a.Ask}]; ok || p.passed(c, a.Ask) {
-		p.Counts.Duplicates++ // its one answer goes out, or went out, for the first
+		p.Counters.DuplicateRequests++ // its one answer goes out, or went out, for the first
 		return
 	}
 	if reason := p.unfit(a); reason != "" {
-		p.Counts.Turned++
-		p.record.Add(eventlog.Event{At: now, Kind: eventlog.Turned})
+		p.Counters.NotAdmitted++
+		p.record.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted})
 		p.answer(c, a.Ask, pb.Verdict_REJECTED, 0, reason)
 		return
 	}
@@ -528,26 +528,26 @@
 	p.keys[a.Key] = id
 	p.pending++
 	if p.tap != nil {
-		p.tap.Asked(now, id, owner, a.Ask, a.Key)
+		p.tap.RecordRequest(now, id, owner, a.Ask, a.Key)
 	}
 	w := p.workload(id, a)
-	w.Left -= late
-	p.engine.Ask(now, w)
+	w.PendingTimeout -= late
+	p.engine.Schedule(now, w)
 }
 
-func (p *Port) workload(id placement.WorkloadID, a *pb.Ask) placement.Workload {
+func (p *Frontend) workload(id placement.WorkloadID, a *pb.Ask) placement.Workload {
 	group, ok := p.groups[a.Group]
 	if !ok {
 		group = len(p.c.Groups)
 	}
 	return placement.Workload{
 		ID: id, Service: placement.ServiceID(a.Service), Group: placement.GroupID(group),
-		Cores: a.Cores, Memory: a.Memory, Left: placement.Millis(a.LeftMs), Again: a.Again,
+		Cores: a.Cores, Memory: a.Memory, PendingTimeout: placement.Millis(a.LeftMs), Retried: a.Again,
 	}
 }
 
 // unfit says why an ask cannot be taken, or "".
-func (p *Port) unfit(a *pb.Ask) string {
+func (p *Frontend) unfit(a *pb.Ask) string {
 	amount := func(v float64) bool { return v > 0 && v <= math.MaxFloat32 }
 	_, known := p.groups[a.Group]
 	_, held := p.keys[a.Key]
@@ -564,7 +564,7 @@
 		return fmt.Sprintf("left_ms is %v; it must be above 0", a.LeftMs)
 	case held:
 		return "a workload of that key is held here already"
-	case p.c.MostHeld > 0 && len(p.wls) >= p.c.MostHeld:
+	case p.c.MaxWorkloads > 0 && len(p.wls) >= p.c.MaxWorkloads:
 		return fmt.Sprintf("the allocator holds %d workloads, the most it may", len(p.wls))
 	case p.lastID >= lastAsked:
 		return "the allocator has named all its workloads; restart it"
@@ -572,7 +572,7 @@
 	return ""
 }
 
-func (p *Port) answer(c transport.ConnID, ask uint64, v pb.Verdict, node placement.NodeID, reason string) {
+func (p *Frontend) answer(c transport.ConnID, ask uint64, v pb.Verdict, node placement.NodeID, reason string) {
 	if from := p.peers[c]; from != nil {
 		from.past.add(ask, false)
 	}
@@ -582,7 +582,7 @@
 }
 
 // offer is a workload's bind as it goes over the wire.
-func (p *Port) offer(id placement.WorkloadID, wl *workload) *pb.Offer {
+func (p *Frontend) offer(id placement.WorkloadID, wl *workload) *pb.Offer {
 	o := &pb.Offer{Bind: p.bindID(id, wl), Owner: wl.owner, Ask: wl.ask}
 	if wl.gang != nil {
 		o.Gang = wl.gang.partOf(p.now, wl.part)
@@ -590,7 +590,7 @@
 	return o
 }
 
-func (p *Port) bindID(id placement.WorkloadID, wl *workload) *pb.BindID {
+func (p *Frontend) bindID(id placement.WorkloadID, wl *workload) *pb.BindID {
 	if wl.bind != nil {
 		return wl.bind
 	}
@@ -600,22 +600,22 @@
 }
 
 // jitter is a quarter more or less than d, by chance.
-func (p *Port) jitter(d placement.Millis) placement.Millis {
+func (p *Frontend) jitter(d placement.Millis) placement.Millis {
 	p.draws++
 	return timerqueue.Jitter(d, p.c.Seed, p.draws)
 }
 
 // world is the port as the engine sees it.
-type world Port
+type world Frontend
 
 func (w *world) Bind(id placement.WorkloadID, bind int, to placement.NodeID, timeout placement.Millis) {
-	p := (*Port)(w)
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	wl.nodes = append(wl.nodes, to)
-	p.Counts.Binds++
+	p.Counters.Binds++
 	o := p.offer(id, wl)
 	o.AcceptWithinMs = float64(timeout)
-	if p.book != nil && p.book.Needs(wl.ask.Group) {
+	if p.book != nil && p.book.RequiresDurability(wl.ask.Group) {
 		p.write(id, wl, bind, to, o)
 		return
 	}
@@ -624,7 +624,7 @@
 
 // send lets an offer leave, if its node is connected. None waits for a connection: it would reach a node that drains or
 // starts anew meanwhile, and what waited brought nothing (docs/review-findings.md).
-func (p *Port) send(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
+func (p *Frontend) send(id placement.WorkloadID, wl *workload, bind int, to placement.NodeID, o *pb.Offer) {
 	if n := p.node(to); n != nil && n.ready {
 		p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
 		return
@@ -634,19 +634,19 @@
 }
 
 // unreachable has the engine hear, once it is done with what it does, that a bind never left.
-func (p *Port) unreachable(id placement.WorkloadID, bind int, node placement.NodeID) {
+func (p *Frontend) unreachable(id placement.WorkloadID, bind int, node placement.NodeID) {
 	p.later = append(p.later, func(now placement.Millis) {
-		p.engine.Settled(now, id, bind, node, placement.Result{Kind: placement.Unreachable})
+		p.engine.BindEnded(now, id, bind, node, placement.Result{Kind: placement.NotDelivered})
 	})
 }
 
 func (w *world) Stop(
-	id placement.WorkloadID, _ int, at placement.NodeID, why allocator.Why, onlyWaiting bool,
+	id placement.WorkloadID, _ int, at placement.NodeID, why allocator.StopReason, onlyWaiting bool,
 ) {
-	p := (*Port)(w)
+	p := (*Frontend)(w)
 	wl := p.wls[id]
-	if why == allocator.Moved {
-		p.Counts.Moves++
+	if why == allocator.Migrating {
+		p.Counters.Migrations++
 	}
 	wl.called = len(wl.nodes)
 	if n := p.node(at); n != nil && n.ready {
@@ -654,34 +654,34 @@
 	}
 }
 
-func (p *Port) stop(n *node, b *pb.BindID, onlyWaiting bool) {
+func (p *Frontend) stop(n *node, b *pb.BindID, onlyWaiting bool) {
 	p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: b, OnlyWaiting: onlyWaiting}}})
 }
 
-func (w *world) Probe(id placement.NodeID) {
-	p := (*Port)(w)
-	p.Counts.Probes++
+func (w *world) CheckHealth(id placement.NodeID) {
+	p := (*Frontend)(w)
+	p.Counters.HealthChecks++
 	n := p.node(id)
 	if n == nil || !n.ready {
-		p.later = append(p.later, func(now placement.Millis) { p.engine.Probed(now, id, false, nil) })
+		p.later = append(p.later, func(now placement.Millis) { p.engine.HealthChecked(now, id, false, nil) })
 		return
 	}
 	p.probeNo++
 	no := p.probeNo
 	p.probes[no] = id
 	p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{Id: no}}})
-	p.timers.At(p.now+probeWithin, func(now placement.Millis) {
+	p.timers.Schedule(p.now+probeWithin, func(now placement.Millis) {
 		if _, out := p.probes[no]; out {
 			delete(p.probes, no)
-			p.engine.Probed(now, id, false, nil)
+			p.engine.HealthChecked(now, id, false, nil)
 		}
 	})
 }
 
-func (w *world) Watch() { (*Port)(w).watchList() }
+func (w *world) SubscribeNodes() { (*Frontend)(w).watchList() }
 
 func (w *world) Answer(id placement.WorkloadID, v allocator.Verdict, node placement.NodeID) {
-	p := (*Port)(w)
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	wl.answer = v
 	if wl.gang != nil {
@@ -692,16 +692,16 @@
 	verdict, reason := pb.Verdict_PLACED, ""
 	switch v {
 	case allocator.Placed:
-		p.Counts.Placed++
+		p.Counters.Placed++
 	case allocator.Rejected:
-		p.Counts.Rejected++
+		p.Counters.Rejected++
 		verdict, reason = pb.Verdict_REJECTED, p.why(wl)
 	default:
-		p.Counts.Unschedulable++
+		p.Counters.Unschedulable++
 		verdict, reason = pb.Verdict_UNSCHEDULABLE, "a bind was not answered; it may have run"
 	}
 	if p.tap != nil {
-		p.tap.Answered(p.now, id, uint8(v), node, reason)
+		p.tap.RecordAnswer(p.now, id, uint8(v), node, reason)
 	}
 	if c, ok := p.owners[wl.owner]; ok {
 		p.answer(c, wl.ask.Ask, verdict, node, reason)
@@ -709,8 +709,8 @@
 }
 
 // why says in words what a rejected workload met.
-func (p *Port) why(wl *workload) string {
-	fits := slices.ContainsFunc(p.c.Settings.Kinds, func(k placement.Kind) bool {
+func (p *Frontend) why(wl *workload) string {
+	fits := slices.ContainsFunc(p.c.Settings.NodeKinds, func(k placement.NodeKind) bool {
 		return wl.ask.Cores <= k.Cores && wl.ask.Memory <= k.Memory
 	})
 	switch {
@@ -724,11 +724,11 @@
 	return fmt.Sprintf("none of %d nodes is feasible", len(p.nodes))
 }
 
-func (w *world) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
-	p := (*Port)(w)
+func (w *world) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	if wl.gang != nil {
-		finished := !moved && !p.lostNow && why == placement.NoReason
+		finished := !moved && !p.lostNow && why == placement.ReasonUnspecified
 		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, finished) })
 		return
 	}
@@ -742,18 +742,18 @@
 		over.Why = pb.Why_MOVED
 	case why == placement.Evicted:
 		over.Why = pb.Why_EVICTED
-	case why == placement.PushedOut:
+	case why == placement.Preempted:
 		over.Why = pb.Why_PUSHED_OUT
-	case why == placement.SentAway:
+	case why == placement.Drained:
 		over.Why = pb.Why_SENT_AWAY
-	case why == placement.NoReason && p.lostNow:
+	case why == placement.ReasonUnspecified && p.lostNow:
 		over.Why = pb.Why_LOST
 	}
 	p.net.Send(c, &pb.Frame{Body: &pb.Frame_Over{Over: over}})
 }
 
-func (w *world) Dropped(id placement.WorkloadID) {
-	p := (*Port)(w)
+func (w *world) Forget(id placement.WorkloadID) {
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	if wl.gang != nil && wl.stopped {
 		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Ended(now, wl.part, false) })
@@ -771,7 +771,7 @@
 }
 
 func (w *world) Wake(at placement.Millis) {
-	if p := (*Port)(w); !p.wakes || at < p.wake {
+	if p := (*Frontend)(w); !p.wakes || at < p.wake {
 		p.wake, p.wakes = at, true
 	}
 }
--- a/internal/frontend/native/port_test.go
+++ b/internal/frontend/native/port_test.go
@@ -48,7 +48,7 @@
 // rig is a port with a list and an owner on its wire.
 type rig struct {
 	*testing.T
-	p    *Port
+	p    *Frontend
 	w    *wire
 	now  placement.Millis
 	list transport.ConnID
@@ -57,15 +57,15 @@
 
 func newRig(t *testing.T, change ...func(*Config)) *rig {
 	w := &wire{dialed: map[string]transport.ConnID{}, sent: map[transport.ConnID][]*pb.Frame{}, closed: map[transport.ConnID]bool{}}
-	group := placement.Group{Target: 1000, Utility: 1, Kind: -1}
+	group := placement.Group{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}
 	once, dedup := group, group
-	once.Effect = placement.RunOnce
-	dedup.Effect, dedup.DedupScope, dedup.DedupWindow = placement.Deduplicated, placement.ScopeCell, 5000
+	once.Idempotency = placement.AtMostOnce
+	dedup.Idempotency, dedup.KeyScope, dedup.KeyWindow = placement.IdempotentByKey, placement.ScopeCell, 5000
 	c := Config{
-		Name: "a", Incarnation: 5, Seed: 1, Groups: []string{"serve", "once", "check"}, Kinds: []string{"k"}, List: "list",
+		Name: "a", Incarnation: 5, Seed: 1, Groups: []string{"serve", "once", "check"}, Kinds: []string{"k"}, DiscoveryAddress: "list",
 		Settings: placement.Settings{
-			Allocators: 1, Groups: []placement.Group{group, once, dedup}, Kinds: []placement.Kind{{Cores: 10, Memory: 20}},
-			MaxBinds: 3, RoomInList: true, ReportsUse: true, ColdFor: 10000, ColdBears: 10, OverloadFor: 2000,
+			Allocators: 1, Groups: []placement.Group{group, once, dedup}, NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}},
+			MaxBinds: 3, EntriesCarryCapacity: true, ReportsUsage: true, WarmUpDuration: 10000, WarmUpBudget: 10, OverloadWindow: 2000,
 		},
 	}
 	for _, f := range change {
@@ -75,7 +75,7 @@
 	r.p.Start(0, w)
 	r.list = w.dialed["list"]
 	r.p.Opened(0, r.list)
-	r.from(r.list, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+	r.from(r.list, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
 	r.owner(ownerConn, "o")
 	return r
 }
@@ -86,7 +86,7 @@
 
 func (r *rig) owner(c transport.ConnID, name string) {
 	r.p.Opened(r.now, c)
-	r.from(c, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: 1}))
+	r.from(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: 1}))
 	r.w.take(c)
 }
 
@@ -131,7 +131,7 @@
 	c := r.w.dialed[addr(id)]
 	require.NotZero(r, c, "not dialled")
 	r.p.Opened(r.now, c)
-	r.from(c, transport.Hello(&pb.Hello{
+	r.from(c, transport.HelloFrame(&pb.Hello{
 		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: boot, UpForMs: up, Standing: standing,
 	}))
 	return c
@@ -197,7 +197,7 @@
 	for _, f := range r.w.take(n) {
 		assert.Nil(t, f.GetStop())
 	}
-	assert.Equal(t, 1, r.p.Held())
+	assert.Equal(t, 1, r.p.WorkloadCount())
 	// A restartable copy that nobody waits for is stopped.
 	r.ask(2, "serve")
 	o = r.offer(n)
@@ -221,11 +221,11 @@
 	r.answers(to, nil, true, 0)
 	r.answers(to, &pb.BindID{Allocator: "b", Incarnation: 5, Workload: o.Bind.Workload}, true, 0)
 	assert.Empty(t, r.verdicts())
-	assert.Equal(t, uint64(4), r.p.Counts.Stray)
+	assert.Equal(t, uint64(4), r.p.Counters.UnmatchedReplies)
 	r.answers(to, o.Bind, true, 0)
 	r.answers(to, o.Bind, false, pb.Why_NO_CORES) // a no after the yes
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, r.verdicts())
-	assert.Equal(t, 1, r.p.Held())
+	assert.Equal(t, 1, r.p.WorkloadCount())
 }
 
 func TestTheSameWorkloadSubmittedTwiceIsPlacedOnce(t *testing.T) {
@@ -234,13 +234,13 @@
 	r.ask(1, "serve")
 	r.ask(1, "serve")
 	r.offer(n)
-	assert.Equal(t, uint64(1), r.p.Counts.Duplicates)
+	assert.Equal(t, uint64(1), r.p.Counters.DuplicateRequests)
 	r.ask(2, "serve", func(a *pb.Ask) { a.Key = 101 })
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, r.verdicts())
 }
 
 func TestAnAskThatCannotBeTakenIsTurnedAwayAtOnceWithTheReason(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.MostHeld = 1 })
+	r := newRig(t, func(c *Config) { c.MaxWorkloads = 1 })
 	reasons := func() (all []string) {
 		for _, f := range r.w.take(ownerConn) {
 			assert.Equal(t, pb.Verdict_REJECTED, f.GetAnswer().GetVerdict())
@@ -265,7 +265,7 @@
 	r.offer(n)
 	r.ask(8, "serve")
 	assert.Equal(t, []string{"the allocator holds 1 workloads, the most it may"}, reasons())
-	r.p.Shut()
+	r.p.Drain()
 	r.ask(9, "serve")
 	assert.Equal(t, []string{"the allocator is stopping; ask another"}, reasons())
 	assert.Equal(t, 1, r.p.Pending())
@@ -315,7 +315,7 @@
 	r.from(r.list, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
 		Epoch: 2, Revision: 1, Kind: pb.ListUpdate_WHOLE,
 	}}})
-	assert.Equal(t, placement.Gone, r.p.nodes[0].entry.State, "kept while its connection stands")
+	assert.Equal(t, placement.Removed, r.p.nodes[0].entry.State, "kept while its connection stands")
 }
 
 // A node that is back tells so in its hello, before the list does; an offer to one that is not connected never leaves.
@@ -328,11 +328,11 @@
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, r.verdicts())
 	n = r.connect(1, 2, 0)
 	assert.Empty(t, r.w.take(n)[1:])
-	assert.Equal(t, r.now, r.p.nodes[0].entry.Born)
+	assert.Equal(t, r.now, r.p.nodes[0].entry.StartedAt)
 	// The list's news of the life before does not undo it.
 	r.listed(1, pb.NodeEntry_DRAINING, 1, -1)
 	assert.Equal(t, placement.Ready, r.p.nodes[0].entry.State)
-	assert.Equal(t, r.now, r.p.nodes[0].entry.Born)
+	assert.Equal(t, r.now, r.p.nodes[0].entry.StartedAt)
 	// Nor does it when the connection is gone again: found by a hunt, where a list that was late undid a drain.
 	r.listed(1, pb.NodeEntry_DRAINING, 2, -1)
 	r.p.Closed(r.now, n, "reset")
@@ -347,17 +347,17 @@
 		Ask: 77, Key: 5, Service: 1, Group: "once", Cores: 1, Memory: 1,
 	}}}
 	n := r.node(1, 1, old)
-	assert.Equal(t, 1, r.p.Held())
+	assert.Equal(t, 1, r.p.WorkloadCount())
 	r.ask(78, "once", func(a *pb.Ask) { a.Key = 5 })
 	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, r.verdicts(), "it stands already")
 	// Told again at the next connection, it is the same one; withdrawn, it is stopped by its own name.
 	r.p.Closed(r.now, n, "reset")
 	n = r.again(1, 1, -1, old)
-	assert.Equal(t, 1, r.p.Held())
+	assert.Equal(t, 1, r.p.WorkloadCount())
 	r.from(ownerConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: 77}}})
 	assert.Equal(t, bind, r.w.take(n)[1].GetStop().GetBind())
 	r.from(n, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Why: pb.Why_STOPPED}}})
-	assert.Zero(t, r.p.Held())
+	assert.Zero(t, r.p.WorkloadCount())
 }
 
 // A part whose lease its node ended had not come to its own end: taken for one that had, its group was declared standing with
@@ -396,9 +396,9 @@
 	r.ask(2, "serve")
 	r.offer(n)
 	r.p.Closed(r.now, ownerConn, "reset")
-	assert.Equal(t, uint64(1), r.p.Counts.Withdrawn, "what was pending can be told no answer")
+	assert.Equal(t, uint64(1), r.p.Counters.Withdrawn, "what was pending can be told no answer")
 	r.p.Opened(r.now, secondOwner)
-	r.from(secondOwner, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
+	r.from(secondOwner, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
 	standing := r.w.take(secondOwner)[0].GetHello().Standing
 	require.Len(t, standing, 1)
 	assert.Equal(t, uint64(1), standing[0].Offer.Ask.Ask)
@@ -415,19 +415,19 @@
 		assert.True(t, r.w.closed[secondOwner])
 		return r.w.take(secondOwner)[0].GetRefusal().GetReason()
 	}
-	later := transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: "x"})
+	later := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "x"})
 	later.GetHello().Major = 2
 	assert.Equal(t, "version 2.1 is not spoken here; this side speaks 1.x", refusal(later))
-	assert.Equal(t, "the hello names no name", refusal(transport.Hello(&pb.Hello{Role: pb.Role_OWNER})))
+	assert.Equal(t, "the hello names no name", refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER})))
 	assert.Equal(t, "the first frame must be a hello", refusal(&pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}))
-	assert.Contains(t, refusal(transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "l"})), "not the role LIST")
+	assert.Contains(t, refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l"})), "not the role LIST")
 	// A second connection under one name takes over; another node's answer at a node's address is not used.
 	r.owner(secondOwner, "o")
 	assert.True(t, r.w.closed[ownerConn])
 	r.listed(1, pb.NodeEntry_READY, 1, -1)
 	c := r.w.dialed[addr(1)]
 	r.p.Opened(r.now, c)
-	r.from(c, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: 2, Incarnation: 1}))
+	r.from(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: 2, Incarnation: 1}))
 	assert.True(t, r.w.closed[c])
 }
 
@@ -463,7 +463,7 @@
 	r.answers(n, r.offer(n).Bind, false, pb.Why_NO_CORES)
 	r.ask(3, "serve", func(a *pb.Ask) { a.Cores = 0.5 })
 	r.p.Opened(r.now, operatorConn)
-	r.from(operatorConn, transport.Hello(&pb.Hello{Role: pb.Role_OPERATOR}))
+	r.from(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
 	state := func(w pb.Query_What) *pb.State {
 		r.w.take(operatorConn)
 		r.from(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: w}}})
@@ -534,7 +534,7 @@
 	for _, f := range r.w.take(n) {
 		r.from(n, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: f.GetStop().Bind, Why: pb.Why_STOPPED}}})
 	}
-	assert.Zero(t, r.p.Held())
+	assert.Zero(t, r.p.WorkloadCount())
 	assert.Empty(t, r.p.gangs)
 }
 
@@ -561,7 +561,7 @@
 		"2 of 2 parts do not fit together on the 1 nodes known", "2 of 2 parts do not fit together on the 1 nodes known",
 	}, reasons)
 	assert.Empty(t, r.offers(n), "nothing of them was sent")
-	assert.Zero(t, r.p.Held())
+	assert.Zero(t, r.p.WorkloadCount())
 	assert.Zero(t, r.p.Pending())
 }
 
@@ -586,7 +586,7 @@
 			}
 		}
 		assert.Equal(t, map[bool]int{true: 0, false: 2}[declared], stops)
-		assert.Equal(t, 2, r.p.Held())
+		assert.Equal(t, 2, r.p.WorkloadCount())
 	}
 }
 
@@ -601,7 +601,7 @@
 	r.from(ownerConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: 2}}})
 	r.ask(2, "once")
 	assert.Empty(t, r.verdicts())
-	assert.EqualValues(t, 2, r.p.Counts.Duplicates)
+	assert.EqualValues(t, 2, r.p.Counters.DuplicateRequests)
 	// Another connection is another conversation: an owner that starts anew may count from 1 again.
 	r.p.Closed(r.now, ownerConn, "gone")
 	r.owner(ownerConn, "o")
@@ -655,7 +655,7 @@
 		r.p.Closed(r.now, n, "reset")
 		n = r.again(1, 1, -1, &pb.Standing{Offer: o, Running: true})
 		assert.Equal(t, o.Bind, r.w.take(n)[1].GetStop().GetBind(), group)
-		assert.Zero(t, r.p.Held())
+		assert.Zero(t, r.p.WorkloadCount())
 	}
 }
 
@@ -664,10 +664,10 @@
 	lasts []func(placement.Millis, error)
 }
 
-func (d *disk) Bound(_ recovery.Bind, lasts func(placement.Millis, error)) {
+func (d *disk) PersistBind(_ recovery.Bind, lasts func(placement.Millis, error)) {
 	d.lasts = append(d.lasts, lasts)
 }
-func (d *disk) Never(uint64, uint64, uint32) {}
+func (d *disk) ForgetBind(uint64, uint64, uint32) {}
 
 // Between the decision and the offer lies a disk that may take its time. A node that drains or starts anew meanwhile, or that
 // says what stands there of an earlier life, was offered what had been decided before: rules 3 to 5. Found by a hunt for the
--- a/internal/frontend/native/state.go
+++ b/internal/frontend/native/state.go
@@ -11,7 +11,7 @@
 )
 
 // state answers an operator's question from what the allocator itself goes by.
-func (p *Port) state(now placement.Millis, q *pb.Query) *pb.State {
+func (p *Frontend) state(now placement.Millis, q *pb.Query) *pb.State {
 	s := &pb.State{Revision: p.record.Revision()}
 	most := int(cmp.Or(q.Most, 1000))
 	switch q.What {
@@ -42,7 +42,7 @@
 	return s
 }
 
-func (p *Port) workloadState(now placement.Millis, id placement.WorkloadID) *pb.WorkloadState {
+func (p *Frontend) workloadState(now placement.Millis, id placement.WorkloadID) *pb.WorkloadState {
 	wl := p.wls[id]
 	w := &pb.WorkloadState{
 		Workload: uint64(id), Owner: wl.owner, Ask: wl.ask.Ask, Key: wl.ask.Key, Service: wl.ask.Service,
@@ -59,7 +59,7 @@
 	return w
 }
 
-func (p *Port) nodeStatus(now placement.Millis, n *node) *pb.NodeStatus {
+func (p *Frontend) nodeStatus(now placement.Millis, n *node) *pb.NodeStatus {
 	s := &pb.NodeStatus{
 		Id: uint32(n.id), Kind: n.kind, Zone: n.zone, Address: n.addr, FreeCores: n.entry.FreeCores,
 		FreeMemory: n.entry.FreeMemory, ListedMs: float64(now - n.listed), LastRefusal: n.refusal,
--- a/internal/frontend/platform/codec/fuzz_test.go
+++ b/internal/frontend/platform/codec/fuzz_test.go
@@ -7,11 +7,11 @@
 )
 
 func FuzzMessages(f *testing.F) {
-	b, err := Binary{}.Append(nil, sample())
+	b, err := NodeCodec{}.Append(nil, sample())
 	if err != nil {
 		f.Fatal(err)
 	}
-	l, err := Lines{}.Append(nil, sample())
+	l, err := ClientCodec{}.Append(nil, sample())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -23,10 +23,10 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, form := range []interface {
-			Cut([]byte) (any, int, error)
-		}{Binary{}, Lines{}, &Stream{}} {
+			Decode([]byte) (any, int, error)
+		}{NodeCodec{}, ClientCodec{}, &Stream{}} {
 			for rest := b; len(rest) > 0; {
-				m, n, err := form.Cut(rest)
+				m, n, err := form.Decode(rest)
 				if err != nil || n == 0 {
 					assert.Nil(t, m)
 					break
--- a/internal/frontend/platform/codec/journal.go
+++ b/internal/frontend/platform/codec/journal.go
@@ -45,7 +45,7 @@
 		f.Host, f.After), nil
 }
 
-func (s *Stream) Cut(b []byte) (any, int, error) {
+func (s *Stream) Decode(b []byte) (any, int, error) {
 	if !s.headed {
 		return s.head(b)
 	}
--- a/internal/frontend/platform/codec/nodes.go
+++ b/internal/frontend/platform/codec/nodes.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Binary is the form that nodes speak: a length of two bytes, a type, a tag, and parameters.
-type Binary struct{}
+// NodeCodec is the form that nodes speak: a length of two bytes, a type, a tag, and parameters.
+type NodeCodec struct{}
 
 const (
 	lengthSize    = 2
@@ -18,7 +18,7 @@
 	parameterSize = 1 + 2 // code and length
 )
 
-func (Binary) Cut(b []byte) (any, int, error) {
+func (NodeCodec) Decode(b []byte) (any, int, error) {
 	if len(b) < lengthSize {
 		return nil, 0, nil
 	}
@@ -70,7 +70,7 @@
 	return m, nil
 }
 
-func (Binary) Append(b []byte, m any) ([]byte, error) {
+func (NodeCodec) Append(b []byte, m any) ([]byte, error) {
 	msg, ok := m.(*Message)
 	if !ok {
 		return b, fmt.Errorf("%T is no message to a node", m)
--- a/internal/frontend/platform/codec/owners.go
+++ b/internal/frontend/platform/codec/owners.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Lines is the form that owners speak: an object of JSON on each line.
-type Lines struct{}
+// ClientCodec is the form that owners speak: an object of JSON on each line.
+type ClientCodec struct{}
 
 // line is the object; values of opts are strings or numbers.
 type line struct {
@@ -19,7 +19,7 @@
 	Blob *string                    `json:"blob,omitempty"`
 }
 
-func (Lines) Cut(b []byte) (any, int, error) {
+func (ClientCodec) Decode(b []byte) (any, int, error) {
 	end := bytes.IndexByte(b[:min(len(b), MostBytes)], '\n')
 	if end < 0 && len(b) >= MostBytes {
 		return nil, 0, fmt.Errorf("no line ends within %d bytes", MostBytes)
@@ -71,7 +71,7 @@
 	return m, nil
 }
 
-func (Lines) Append(b []byte, m any) ([]byte, error) {
+func (ClientCodec) Append(b []byte, m any) ([]byte, error) {
 	msg, ok := m.(*Message)
 	if !ok {
 		return b, fmt.Errorf("%T is no message to an owner", m)
--- a/internal/frontend/platform/codec/wire_test.go
+++ b/internal/frontend/platform/codec/wire_test.go
@@ -18,15 +18,15 @@
 }
 
 func TestAMessageIsReadAsItWasWrittenAndNeverInPart(t *testing.T) {
-	b, err := Binary{}.Append(nil, sample())
+	b, err := NodeCodec{}.Append(nil, sample())
 	require.NoError(t, err)
 	for n := range b {
-		m, used, err := Binary{}.Cut(b[:n])
+		m, used, err := NodeCodec{}.Decode(b[:n])
 		assert.NoError(t, err)
 		assert.Nil(t, m)
 		assert.Zero(t, used)
 	}
-	m, n, err := Binary{}.Cut(append(b, 9))
+	m, n, err := NodeCodec{}.Decode(append(b, 9))
 	require.NoError(t, err)
 	assert.Equal(t, len(b), n)
 	assert.Equal(t, sample(), m)
@@ -35,11 +35,11 @@
 func TestALineIsReadWithStringsAndNumbers(t *testing.T) {
 	l := `{"verb":"START","tag":"9b1f03aa5c7e2d41","opts":{"class":"tiles","left":1500,"key":"7f3a9c21e0b4d655","new":1},` +
 		`"rc":34,"blob":"v=0\r\nm=audio 31000 <RTP>\r\n"}` + "\n"
-	m, n, err := Lines{}.Cut([]byte(l + "{"))
+	m, n, err := ClientCodec{}.Decode([]byte(l + "{"))
 	require.NoError(t, err)
 	assert.Equal(t, len(l), n)
 	assert.Equal(t, sample(), m)
-	b, err := Lines{}.Append(nil, Message{Verb: Finish, Tag: 10}.With(Well))
+	b, err := ClientCodec{}.Append(nil, Message{Verb: Finish, Tag: 10}.With(Well))
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"verb":"FINISH","tag":"000000000000000a","opts":{},"rc":16}`, string(b))
 }
@@ -51,17 +51,17 @@
 		`{"verb":"ECHO","tag":"9b1f03aa5c7e2d41","rc":-1}` + "\n", `{"verb":"ECHO","tag":"9b1f03aa5c7e2d4g"}` + "\n",
 		`{"verb":"ECHO","tag":"9b1f03aa5c7e2d41","opts":{"left":[1]}}` + "\n",
 	} {
-		_, _, err := Lines{}.Cut([]byte(l))
+		_, _, err := ClientCodec{}.Decode([]byte(l))
 		assert.Error(t, err, "%.60s", l)
 	}
-	whole, err := Binary{}.Append(nil, sample())
+	whole, err := NodeCodec{}.Append(nil, sample())
 	require.NoError(t, err)
 	short, huge, strange, cut, noise := []byte{0, 3}, []byte{0xff, 0xff}, []byte{0, 9, 200}, whole[:len(whole)-1], append([]byte{}, whole...)
 	cut = append([]byte{}, cut...)
 	binary.BigEndian.PutUint16(cut, uint16(len(cut)-2))
 	noise[len(noise)-3] = 0xfe
 	for _, b := range [][]byte{short, huge, strange, cut, noise} {
-		_, _, err := Binary{}.Cut(b)
+		_, _, err := NodeCodec{}.Decode(b)
 		assert.Error(t, err, "% x", b)
 	}
 }
@@ -72,7 +72,7 @@
 	for at := 0; at < len(text); at += size {
 		b = append(b, text[at:min(len(text), at+size)]...)
 		for len(b) > 0 {
-			m, n, err := s.Cut(b)
+			m, n, err := s.Decode(b)
 			if err != nil {
 				return events, err
 			}
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -12,14 +12,14 @@
 
 // Config is what the platform tells an allocator at its start.
 type Config struct {
-	Name    string
-	Listen  string
-	Journal string // address of the journal service
-	Seed    uint64
-	Limits  Limits
-	Told    *settings.Told
-	Known   []json.RawMessage // the journal's events up to Pos
-	Pos     uint64
+	Name             string
+	Listen           string
+	DiscoveryAddress string // address of the journal service
+	Seed             uint64
+	Limits           Limits
+	Told             *settings.Received
+	Known            []json.RawMessage // the journal's events up to Pos
+	Pos              uint64
 }
 
 // Limits are those of the process.
@@ -51,7 +51,7 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	c := &Config{
-		Name: raw.Name, Listen: raw.Listen, Journal: raw.Journal, Limits: raw.Limits, Known: raw.Known.Entries,
+		Name: raw.Name, Listen: raw.Listen, DiscoveryAddress: raw.Journal, Limits: raw.Limits, Known: raw.Known.Entries,
 		Pos: raw.Known.Pos,
 	}
 	if listen != "" {
@@ -68,7 +68,7 @@
 	switch {
 	case c.Listen == "":
 		return nil, fmt.Errorf("%s: listen is missing; give the address that clients connect to", file)
-	case c.Journal == "":
+	case c.DiscoveryAddress == "":
 		return nil, fmt.Errorf("%s: journal is missing; give the journal service's address", file)
 	case c.Limits.Sockets < leastSockets:
 		return nil, fmt.Errorf("%s: limits.sockets is %d; an allocator needs %d or more", file, c.Limits.Sockets, leastSockets)
--- a/internal/frontend/platform/helpers_test.go
+++ b/internal/frontend/platform/helpers_test.go
@@ -24,17 +24,17 @@
 	ended  map[transport.ConnID]bool // their peers have closed them, and the party is yet to be told
 }
 
-func (w *wires) DialAs(addr string, _ transport.Form, _ placement.Millis) transport.ConnID {
+func (w *wires) DialCodec(addr string, _ transport.Codec, _ placement.Millis) transport.ConnID {
 	w.last++
 	w.dialed[w.last] = addr
 	return w.last
 }
-func (w *wires) Send(c transport.ConnID, m any) { w.sent[c] = append(w.sent[c], m) }
-func (w *wires) Close(c transport.ConnID)       { w.closed[c] = true }
-func (w *wires) Came() placement.Millis         { return w.now - w.late }
-func (w *wires) Ended(c transport.ConnID) bool  { return w.closed[c] || w.ended[c] }
-func (w *wires) WakeAt(placement.Millis)        {}
-func (w *wires) Now() placement.Millis          { return w.now }
+func (w *wires) Send(c transport.ConnID, m any)   { w.sent[c] = append(w.sent[c], m) }
+func (w *wires) Close(c transport.ConnID)         { w.closed[c] = true }
+func (w *wires) ReceivedAt() placement.Millis     { return w.now - w.late }
+func (w *wires) IsClosed(c transport.ConnID) bool { return w.closed[c] || w.ended[c] }
+func (w *wires) WakeAt(placement.Millis)          {}
+func (w *wires) Now() placement.Millis            { return w.now }
 func (w *wires) to(addr string) (c transport.ConnID) { // the last connection dialled there
 	for id, a := range w.dialed {
 		if a == addr {
@@ -46,7 +46,7 @@
 
 // rig is a platform with one node, a journal service and one owner, all connected.
 type rig struct {
-	*Platform
+	*Frontend
 	w     *wires
 	owner transport.ConnID
 	node  transport.ConnID
@@ -58,24 +58,24 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	c := &Config{
-		Name: "one", Listen: "127.0.0.1:5080", Journal: journalAddr, Seed: 5, Pos: 1,
+		Name: "one", Listen: "127.0.0.1:5080", DiscoveryAddress: journalAddr, Seed: 5, Pos: 1,
 		Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
-		Told: &settings.Told{
+		Told: &settings.Received{
 			Settings: placement.Settings{
-				Allocators: 1, MaxBinds: 4, MayProbe: true, ConfirmsRunning: true, ReportsUse: true, RoomInList: true,
-				Kinds: []placement.Kind{{Cores: 20, Memory: 40}},
+				Allocators: 1, MaxBinds: 4, HealthChecksAllowed: true, ConfirmsRunning: true, ReportsUsage: true, EntriesCarryCapacity: true,
+				NodeKinds: []placement.NodeKind{{Cores: 20, Memory: 40}},
 				Groups: []placement.Group{
-					{Target: 350, Utility: 1, Calm: 0.8, Fade: 0.1, Kind: -1},
-					{Target: 2000, Utility: 5, Effect: placement.RunOnce, Calm: 0.8, Fade: 0.1, Kind: -1},
+					{LatencyObjective: 350, PriorityWeight: 1, FullServiceUtilization: 0.8, DegradationRange: 0.1, RequiredKind: -1},
+					{LatencyObjective: 2000, PriorityWeight: 5, Idempotency: placement.AtMostOnce, FullServiceUtilization: 0.8, DegradationRange: 0.1, RequiredKind: -1},
 				},
 			},
-			Groups: []string{"tiles", "trace"}, Kinds: []string{"small"}, Zones: []string{"z"}, Reports: []string{"x0"},
+			GroupNames: []string{"tiles", "trace"}, KindNames: []string{"small"}, ZoneNames: []string{"z"}, ReportFields: []string{"x0"},
 		},
 		Known: []json.RawMessage{listOf(1, "Ready", 0)},
 	}
 	w := &wires{dialed: map[transport.ConnID]string{}, sent: map[transport.ConnID][]any{}, closed: map[transport.ConnID]bool{},
 		ended: map[transport.ConnID]bool{}}
-	r := &rig{Platform: New(c, nil), w: w, owner: 1000}
+	r := &rig{Frontend: New(c, nil), w: w, owner: 1000}
 	r.wall = func() placement.Millis { return 1e9 + r.at }
 	r.Start(0, w)
 	r.through(r.byName["s-01"], func(*conn) {}) // a node is dialled on need
--- a/internal/frontend/platform/journal.go
+++ b/internal/frontend/platform/journal.go
@@ -32,15 +32,15 @@
 	spoilt int
 }
 
-func (p *Platform) dialJournal(now placement.Millis) {
+func (p *Frontend) dialJournal(now placement.Millis) {
 	j := &p.journal
 	if j.conn != 0 {
 		return
 	}
-	j.conn, j.heard = p.net.DialAs(j.addr, &codec.Stream{}, followWithin), now
+	j.conn, j.heard = p.net.DialCodec(j.addr, &codec.Stream{}, followWithin), now
 }
 
-func (p *Platform) journalOpened(now placement.Millis) {
+func (p *Frontend) journalOpened(now placement.Millis) {
 	j := &p.journal
 	p.net.Send(j.conn, codec.Follow{Host: j.addr, After: j.pos})
 	j.heard = now
@@ -48,8 +48,8 @@
 }
 
 // mindJournal dials anew once the journal service has been silent for too long.
-func (p *Platform) mindJournal(now placement.Millis, c transport.ConnID) {
-	p.timers.At(p.journal.heard+newsWithin, func(now placement.Millis) {
+func (p *Frontend) mindJournal(now placement.Millis, c transport.ConnID) {
+	p.timers.Schedule(p.journal.heard+newsWithin, func(now placement.Millis) {
 		switch {
 		case p.journal.conn != c:
 		case now-p.journal.heard < newsWithin:
@@ -60,7 +60,7 @@
 	})
 }
 
-func (p *Platform) redialJournal(now placement.Millis, why string) {
+func (p *Frontend) redialJournal(now placement.Millis, why string) {
 	p.log.Info("asking the journal service anew", "why", why)
 	if p.journal.conn != 0 {
 		p.net.Close(p.journal.conn)
@@ -69,20 +69,20 @@
 	p.dialJournal(now)
 }
 
-func (p *Platform) journalClosed(now placement.Millis, why string) {
+func (p *Frontend) journalClosed(now placement.Millis, why string) {
 	j := &p.journal
 	j.conn = 0
 	pause := p.backoff(followFirst, followMost, j.fails)
 	j.fails++
 	p.log.Info("the journal service has broken off", "why", why)
-	p.timers.At(now+pause, p.dialJournal)
+	p.timers.Schedule(now+pause, p.dialJournal)
 }
 
-func (p *Platform) heardNews(now placement.Millis, news *codec.News) {
+func (p *Frontend) heardNews(now placement.Millis, news *codec.News) {
 	j := &p.journal
 	j.heard = now
 	if len(news.Events) == 0 {
-		p.timers.At(now+readyAfter, p.getReady)
+		p.timers.Schedule(now+readyAfter, p.getReady)
 	} else {
 		defer p.getReady(now)
 	}
@@ -109,10 +109,10 @@
 	Room                              []float64
 }
 
-var states = map[string]placement.NodeState{"Ready": placement.Ready, "Terminating": placement.Draining, "Gone": placement.Gone}
+var states = map[string]placement.NodeState{"Ready": placement.Ready, "Terminating": placement.Draining, "Gone": placement.Removed}
 
 // news takes an event: changes of the list of nodes, or the whole. What was known at the start counts as cached.
-func (p *Platform) news(now placement.Millis, data []byte, cached bool) error {
+func (p *Frontend) news(now placement.Millis, data []byte, cached bool) error {
 	var e struct {
 		Hosts *struct {
 			Snapshot  bool
@@ -133,36 +133,36 @@
 		}
 		nodes = append(nodes, n)
 	}
-	kind := placement.Changes
+	kind := placement.Delta
 	if e.Hosts.Snapshot {
-		kind = placement.Whole
+		kind = placement.Snapshot
 	}
 	if cached {
-		kind = placement.Cached
+		kind = placement.CachedSnapshot
 	}
 	if p.log.Enabled(context.Background(), slog.LevelDebug) { // writing a list of hundreds takes longer than reading it
 		p.log.Debug("list", "kind", kind, "nodes", fmt.Sprint(e.Hosts.Endpoints))
 	}
-	p.engine.List(now, kind, nodes)
-	p.follow(now, e.Hosts.Endpoints, nodes, kind != placement.Changes)
+	p.engine.UpdateNodes(now, kind, nodes)
+	p.follow(now, e.Hosts.Endpoints, nodes, kind != placement.Delta)
 	return nil
 }
 
-func (p *Platform) entry(now placement.Millis, at endpoint) (placement.Node, error) {
+func (p *Frontend) entry(now placement.Millis, at endpoint) (placement.Node, error) {
 	state, known := states[at.Status]
 	if !known || at.Name == "" {
 		return placement.Node{}, fmt.Errorf("node %.40q has the state %.40q", at.Name, at.Status)
 	}
 	n := placement.Node{
-		ID: p.intern(at.Name).id, State: state, Cell: placement.CellID(at.Group), Born: placement.LongAgo,
-		Kind: placement.KindID(slices.Index(p.c.Told.Kinds, at.Type)),
-		Zone: placement.ZoneID(slices.Index(p.c.Told.Zones, at.Zone)),
+		ID: p.intern(at.Name).id, State: state, Cell: placement.CellID(at.Group), StartedAt: placement.DistantPast,
+		Kind: placement.KindID(slices.Index(p.c.Told.KindNames, at.Type)),
+		Zone: placement.ZoneID(slices.Index(p.c.Told.ZoneNames, at.Zone)),
 	}
 	if at.SinceMs > 0 {
-		n.Born = now + placement.Millis(at.SinceMs) - p.wall()
+		n.StartedAt = now + placement.Millis(at.SinceMs) - p.wall()
 		// The same start must not look like another because clocks are read anew each time.
-		if old := p.nodes[n.ID].entry.Born; max(old-n.Born, n.Born-old) < 20 {
-			n.Born = old
+		if old := p.nodes[n.ID].entry.StartedAt; max(old-n.StartedAt, n.StartedAt-old) < 20 {
+			n.StartedAt = old
 		}
 	}
 	if len(at.Room) == 2 {
@@ -172,23 +172,23 @@
 }
 
 // follow brings connections in line with the list, and ends what stood on processes that are no more.
-func (p *Platform) follow(now placement.Millis, ends []endpoint, nodes []placement.Node, whole bool) {
+func (p *Frontend) follow(now placement.Millis, ends []endpoint, nodes []placement.Node, whole bool) {
 	listed := map[placement.NodeID]bool{}
 	for i, entry := range nodes {
 		n := p.nodes[entry.ID]
 		listed[entry.ID] = true
 		moved := n.addr != "" && n.addr != ends[i].Address
-		restarted := n.listed && n.entry.Born != entry.Born
+		restarted := n.listed && n.entry.StartedAt != entry.StartedAt
 		n.entry, n.listed = entry, true
 		p.settleAt(now, n, ends[i].Address)
 		if moved {
 			p.hangUp(now, n, "the node's address has changed")
 		}
 		switch {
-		case entry.State == placement.Gone:
+		case entry.State == placement.Removed:
 			p.dead(now, n)
 		case restarted:
-			p.lostBefore(now, n, entry.Born)
+			p.lostBefore(now, n, entry.StartedAt)
 		}
 		if !n.resting {
 			p.connect(now, n)
@@ -199,7 +199,7 @@
 	}
 	for _, n := range inOrder(p.nodes) {
 		if n.listed && !listed[n.id] {
-			n.entry.State = placement.Gone
+			n.entry.State = placement.Removed
 			p.dead(now, n)
 		}
 	}
@@ -207,8 +207,8 @@
 
 // settleAt gives a node its address. Whoever had it before is no more, also where the list is yet to say so: a bind for it
 // must not reach the one that is there now.
-func (p *Platform) settleAt(now placement.Millis, n *node, addr string) {
-	if n.entry.State == placement.Gone {
+func (p *Frontend) settleAt(now placement.Millis, n *node, addr string) {
+	if n.entry.State == placement.Removed {
 		return
 	}
 	if p.addrs[n.addr] == n {
@@ -225,7 +225,7 @@
 
 // getReady answers the tests that came before the journal service was heard: what it told between the configuration and the
 // start counts as told, so nothing may be asked of us, and placed by a list that is behind, before that.
-func (p *Platform) getReady(now placement.Millis) {
+func (p *Frontend) getReady(now placement.Millis) {
 	p.ready = true
 	tests := p.tests
 	p.tests = nil
