--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -33,7 +33,7 @@
 }
 
 // intern names a node by a number that depends on its name alone, so that all allocators know it by the same.
-func (p *Platform) intern(name string) *node {
+func (p *Frontend) intern(name string) *node {
 	if n := p.byName[name]; n != nil {
 		return n
 	}
@@ -44,14 +44,14 @@
 		id++
 	}
 	n := &node{id: id, name: name, holds: map[placement.WorkloadID]*workload{}}
-	n.entry = placement.Node{ID: id, State: placement.Gone, Born: placement.LongAgo}
+	n.entry = placement.Node{ID: id, State: placement.Removed, StartedAt: placement.DistantPast}
 	p.nodes[id], p.byName[name] = n, n
 	return n
 }
 
 // forget lets go of a node that is gone and holds nothing.
-func (p *Platform) forget(now placement.Millis, n *node) {
-	if n.entry.State != placement.Gone || len(n.holds) > 0 || p.nodes[n.id] != n {
+func (p *Frontend) forget(now placement.Millis, n *node) {
+	if n.entry.State != placement.Removed || len(n.holds) > 0 || p.nodes[n.id] != n {
 		return
 	}
 	delete(p.nodes, n.id)
@@ -63,7 +63,7 @@
 	n.answerWaiting(nil)
 }
 
-func (p *Platform) nodeOpened(now placement.Millis, c *conn) {
+func (p *Frontend) nodeOpened(now placement.Millis, c *conn) {
 	n := c.node
 	c.opened, c.heard = true, now
 	if n.dialling != c {
@@ -80,7 +80,7 @@
 }
 
 // nodeClosed takes the end of a connection to a node, or that there will be none. What was out there may have run.
-func (p *Platform) nodeClosed(now placement.Millis, c *conn, why string) {
+func (p *Frontend) nodeClosed(now placement.Millis, c *conn, why string) {
 	n := c.node
 	p.log.Debug("connection to a node ended", "node", n.name, "stood", c.opened, "out", len(c.open), "holds", len(n.holds), "why", why)
 	if n.conn == c {
@@ -88,7 +88,7 @@
 	}
 	for _, wl := range inOrder(c.open) {
 		p.unbind(wl)
-		p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.Unclear, Over: false})
+		p.engine.BindEnded(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.OutcomeUnknown, Final: false})
 	}
 	if n.dialling == c {
 		n.dialling = nil
@@ -107,22 +107,22 @@
 }
 
 // dead ends what stood on a node whose process is no more.
-func (p *Platform) dead(now placement.Millis, n *node) { p.lostBefore(now, n, now+1) }
+func (p *Frontend) dead(now placement.Millis, n *node) { p.lostBefore(now, n, now+1) }
 
 // lostBefore ends what was confirmed before that time: the process that held it is no more.
-func (p *Platform) lostBefore(now placement.Millis, n *node, born placement.Millis) {
+func (p *Frontend) lostBefore(now placement.Millis, n *node, born placement.Millis) {
 	for _, wl := range inOrder(n.holds) {
 		if wl.placed && wl.stands < born {
-			p.Counts.Lost++
+			p.Counters.Lost++
 			wl.cause = codec.Broken
-			p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.Ended, Over: true})
+			p.engine.BindEnded(now, wl.id, wl.bind, n.id, placement.Result{Kind: placement.Ended, Final: true})
 		}
 	}
 	p.forget(now, n)
 }
 
 // offer sends a bind, over a connection that is there or comes up in time.
-func (p *Platform) offer(wl *workload, until placement.Millis) {
+func (p *Frontend) offer(wl *workload, until placement.Millis) {
 	n, bind := wl.node, wl.bind
 	if n == nil {
 		p.never(wl)
@@ -143,7 +143,7 @@
 }
 
 // never has the engine hear, once it is done with what it does, that a bind did not leave.
-func (p *Platform) never(wl *workload) {
+func (p *Frontend) never(wl *workload) {
 	bind := wl.bind
 	p.later = append(p.later, func(now placement.Millis) {
 		if p.wls[wl.id] == wl && wl.bind == bind {
@@ -152,12 +152,12 @@
 			if wl.node != nil {
 				node = wl.node.id
 			}
-			p.engine.Settled(now, wl.id, bind, node, placement.Result{Kind: placement.Unreachable})
+			p.engine.BindEnded(now, wl.id, bind, node, placement.Result{Kind: placement.NotDelivered})
 		}
 	})
 }
 
-func (p *Platform) send(wl *workload, c *conn, until placement.Millis) {
+func (p *Frontend) send(wl *workload, c *conn, until placement.Millis) {
 	wl.on, wl.out, wl.sentAt, c.used = c, true, p.now, p.now
 	c.open[wl.id] = wl
 	p.net.Send(c.id, &codec.Message{
@@ -168,7 +168,7 @@
 }
 
 // unbind takes the last bind of a workload off its connection. It is out no more.
-func (p *Platform) unbind(wl *workload) {
+func (p *Frontend) unbind(wl *workload) {
 	wl.out = false
 	if wl.on != nil {
 		delete(wl.on.open, wl.id)
@@ -179,7 +179,7 @@
 }
 
 // giveUp tells a node that nobody waits for a bind any more. Where it was withdrawn, that is the bind's end.
-func (p *Platform) giveUp(wl *workload, timedOut bool) {
+func (p *Frontend) giveUp(wl *workload, timedOut bool) {
 	c, out := wl.on, wl.out
 	p.unbind(wl)
 	if out {
@@ -195,19 +195,19 @@
 		p.retire(c)
 		return
 	}
-	bind, kind := wl.bind, placement.Unclear
+	bind, kind := wl.bind, placement.OutcomeUnknown
 	if !out {
-		kind = placement.Unreachable
+		kind = placement.NotDelivered
 	}
 	p.later = append(p.later, func(now placement.Millis) {
 		if p.wls[wl.id] == wl && wl.node != nil {
-			p.engine.Settled(now, wl.id, bind, wl.node.id, placement.Result{Kind: kind, Over: true})
+			p.engine.BindEnded(now, wl.id, bind, wl.node.id, placement.Result{Kind: kind, Final: true})
 		}
 	})
 }
 
 // retire ends a connection that new binds do not take, once nothing is out on it.
-func (p *Platform) retire(c *conn) {
+func (p *Frontend) retire(c *conn) {
 	if c == nil || c.node.conn == c || len(c.open) > 0 || p.conns[c.id] != c || c.node.conn == nil {
 		return
 	}
@@ -219,7 +219,7 @@
 }
 
 // release ends a workload at its node.
-func (p *Platform) release(wl *workload) {
+func (p *Frontend) release(wl *workload) {
 	c := wl.on
 	if c == nil || p.conns[c.id] != c || p.idle(p.now, c) {
 		c = wl.node.conn
@@ -235,14 +235,14 @@
 	p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: wl.tag}.With(codec.Well))
 }
 
-var noteKinds = map[string]placement.NoteKind{"up": placement.Running, "cpu": placement.CoresUsed}
+var noteKinds = map[string]placement.UsageKind{"up": placement.Running, "cpu": placement.CoresUsed}
 
 var reasons = map[string]placement.Reason{
-	"cpu_full": placement.NoCores, "mem_full": placement.NoMemory, "busy": placement.TooManyWaiting, "wrong_host": placement.NotHere,
-	"oom": placement.Evicted, "preempted": placement.PushedOut, "drained": placement.SentAway,
+	"cpu_full": placement.InsufficientCores, "mem_full": placement.InsufficientMemory, "busy": placement.QueueFull, "wrong_host": placement.WrongNode,
+	"oom": placement.Evicted, "preempted": placement.Preempted, "drained": placement.Drained,
 }
 
-func (p *Platform) fromNode(now placement.Millis, c *conn, m *codec.Message) {
+func (p *Frontend) fromNode(now placement.Millis, c *conn, m *codec.Message) {
 	n := c.node
 	load, err := p.load(m)
 	if err != nil {
@@ -257,7 +257,7 @@
 	case m.Verb == codec.Echoed:
 		if p.probes[m.Tag] == n.id {
 			delete(p.probes, m.Tag)
-			p.engine.Probed(now, n.id, true, load)
+			p.engine.HealthChecked(now, n.id, true, load)
 			load = nil
 		}
 	case wl == nil: // its end was said before, or it is nobody's
@@ -268,23 +268,23 @@
 		}
 		wl.answer, wl.placed, wl.stands = m.Description, true, now
 		p.unbind(wl) // it stays on the node's books, as it stands there now
-		p.engine.Confirmed(now, wl.id, wl.bind, load)
+		p.engine.BindConfirmed(now, wl.id, wl.bind, load)
 		load = nil
 	case m.Verb == codec.Finish && (wl.out || wl.placed):
 		p.unbind(wl)
 		wl.cause = m.Cause
-		p.engine.Settled(now, wl.id, wl.bind, n.id, placement.Result{
-			Kind: resultOf(m.Cause), Reason: reasons[m.Fields[codec.Note]], Over: wl.placed, Load: load,
+		p.engine.BindEnded(now, wl.id, wl.bind, n.id, placement.Result{
+			Kind: resultOf(m.Cause), Reason: reasons[m.Fields[codec.Note]], Final: wl.placed, Load: load,
 		})
 		load = nil
 	case m.Verb == codec.Notice && wl.placed:
 		kind, known := noteKinds[m.Fields[codec.Note]]
 		if v, err := strconv.ParseFloat(m.Fields[codec.Figure], 64); known && (err == nil || kind == placement.Running) {
-			p.engine.Note(now, wl.id, wl.bind, kind, v)
+			p.engine.ReportUsage(now, wl.id, wl.bind, kind, v)
 		}
 	}
 	if load != nil {
-		p.engine.Report(now, n.id, *load)
+		p.engine.ReportLoad(now, n.id, *load)
 	}
 	p.retire(c)
 }
@@ -292,7 +292,7 @@
 // tellsOf tells whether what comes on a connection is about the last bind of a workload. A node speaks of it on the connection
 // of its set-up, or on another one if that is no more to it, which we may not know. Where an earlier bind to the same
 // node was given up, what comes is about that one: its answer, or the end that our give-up made.
-func (p *Platform) tellsOf(wl *workload, c *conn) bool {
+func (p *Frontend) tellsOf(wl *workload, c *conn) bool {
 	return wl.node == c.node && (wl.on == c || !slices.Contains(wl.gaveUp, c.id))
 }
 
@@ -300,24 +300,24 @@
 func resultOf(c codec.Cause) placement.ResultKind {
 	switch c {
 	case codec.Full:
-		return placement.Declined
+		return placement.RejectedByNode
 	case codec.Moot:
-		return placement.NotSent
+		return placement.NotAttempted
 	}
-	return placement.Unclear
+	return placement.OutcomeUnknown
 }
 
 // load reads the report that a message brings, or returns nil.
-func (p *Platform) load(m *codec.Message) (*placement.Load, error) {
+func (p *Frontend) load(m *codec.Message) (*placement.LoadReport, error) {
 	text, ok := m.Fields[codec.Report]
 	if !ok {
 		return nil, nil
 	}
-	l := settings.NoLoad()
+	l := settings.UnknownLoad()
 	err := codec.Figures(text, func(name, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
 		if err == nil && codec.Finite(n) {
-			settings.SetLoad(l, name, n)
+			settings.SetLoadField(l, name, n)
 		}
 		return err
 	})
@@ -325,18 +325,18 @@
 }
 
 // test asks a node for its report.
-func (p *Platform) test(id placement.NodeID) {
-	p.Counts.Probes++
+func (p *Frontend) test(id placement.NodeID) {
+	p.Counters.Probes++
 	p.probe++
 	t := p.probe
 	p.probes[t] = id
 	fail := func(now placement.Millis) {
 		if _, out := p.probes[t]; out {
 			delete(p.probes, t)
-			p.engine.Probed(now, id, false, nil)
+			p.engine.HealthChecked(now, id, false, nil)
 		}
 	}
-	p.timers.At(p.now+endGrace, fail)
+	p.timers.Schedule(p.now+endGrace, fail)
 	p.through(p.nodes[id], func(c *conn) {
 		if _, out := p.probes[t]; !out {
 			return
--- a/internal/frontend/platform/owners.go
+++ b/internal/frontend/platform/owners.go
@@ -13,15 +13,15 @@
 // mostLeft bounds how long an owner may say that it waits: a day.
 const mostLeft = 86400e3
 
-func (p *Platform) ownerOpened(now placement.Millis, id transport.ConnID) {
+func (p *Frontend) ownerOpened(now placement.Millis, id transport.ConnID) {
 	c := &conn{id: id, opened: true, heard: now, open: map[placement.WorkloadID]*workload{}}
 	p.conns[id] = c
 	if p.owners++; p.owners > p.mostOwners() {
 		p.makeRoom(now, c)
 	}
-	p.timers.At(now+muteFor, func(now placement.Millis) {
+	p.timers.Schedule(now+muteFor, func(now placement.Millis) {
 		if p.conns[id] == c && !c.spoke {
-			p.Counts.Bad++
+			p.Counters.Bad++
 			p.drop(now, c, "nothing came")
 		}
 	})
@@ -30,7 +30,7 @@
 // makeRoom ends the owner's connection that is least missed, of those with no set-up open: one that never spoke before one
 // of which nothing was placed, that before one of which something was, and of these the one longest silent. It guards
 // against owners that open connections and keep them, by the thousand. Where all carry set-ups, the new one goes.
-func (p *Platform) makeRoom(now placement.Millis, latest *conn) {
+func (p *Frontend) makeRoom(now placement.Millis, latest *conn) {
 	var least *conn
 	for _, c := range p.conns {
 		if c.node == nil && c != latest && len(c.open) == 0 && (least == nil || lessMissed(c, least)) {
@@ -56,20 +56,20 @@
 }
 
 // ownerClosed withdraws what an owner's connection had open: no answer can reach it any more.
-func (p *Platform) ownerClosed(now placement.Millis, c *conn) {
+func (p *Frontend) ownerClosed(now placement.Millis, c *conn) {
 	p.owners--
 	for _, wl := range inOrder(c.open) {
 		p.withdraw(now, wl)
 	}
 }
 
-func (p *Platform) withdraw(now placement.Millis, wl *workload) {
-	p.Counts.Withdrawn++
+func (p *Frontend) withdraw(now placement.Millis, wl *workload) {
+	p.Counters.Withdrawn++
 	p.answered(wl)
 	p.engine.Withdraw(now, wl.id)
 }
 
-func (p *Platform) fromOwner(now placement.Millis, c *conn, m *codec.Message) {
+func (p *Frontend) fromOwner(now placement.Millis, c *conn, m *codec.Message) {
 	c.spoke = true
 	switch m.Verb {
 	case codec.Start:
@@ -103,25 +103,25 @@
 }
 
 // bad answers what cannot be used, and ends the connection that it came on.
-func (p *Platform) bad(now placement.Millis, c *conn, t codec.Tag, err error) {
-	p.Counts.Bad++
+func (p *Frontend) bad(now placement.Millis, c *conn, t codec.Tag, err error) {
+	p.Counters.Bad++
 	p.log.Debug("not taken", "tag", t, "err", err)
 	p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: t}.With(codec.Incompatible))
 	p.drop(now, c, err.Error())
 }
 
 // start takes a set-up: one more workload, or one that stands already.
-func (p *Platform) start(now placement.Millis, c *conn, m *codec.Message) {
+func (p *Frontend) start(now placement.Millis, c *conn, m *codec.Message) {
 	w, at, err := p.read(m)
 	known := p.tags[m.Tag]
 	switch {
 	case err != nil:
 		p.bad(now, c, m.Tag, err)
 		return
-	case at == "" && p.net.Ended(c.id):
+	case at == "" && p.net.IsClosed(c.id):
 		// Its owner has gone: the end of the connection is read already and waits behind this line. A bind for it would
 		// take the room of one that somebody waits for, and then be given up.
-		p.Counts.Withdrawn++
+		p.Counters.Withdrawn++
 		return
 	case known != nil && at != "":
 		return // it is on the books
@@ -137,7 +137,7 @@
 		return
 	}
 	// Its owner's time runs from when it was sent: what it waited for us is gone.
-	w.Left -= max(0, now-p.net.Came())
+	w.PendingTimeout -= max(0, now-p.net.ReceivedAt())
 	p.lastID++
 	w.ID = p.lastID
 	wl := &workload{
@@ -150,15 +150,15 @@
 		p.adopt(now, wl, w, at)
 		return
 	}
-	p.Counts.Asks++
+	p.Counters.Asks++
 	p.pending++
 	c.open[w.ID] = wl
-	p.engine.Ask(now, w)
+	p.engine.Schedule(now, w)
 }
 
 // adopt takes a workload that stands on a node.
-func (p *Platform) adopt(now placement.Millis, wl *workload, w placement.Workload, at string) {
-	p.Counts.Adopted++
+func (p *Frontend) adopt(now placement.Millis, wl *workload, w placement.Workload, at string) {
+	p.Counters.Adopted++
 	n := p.intern(at)
 	wl.done, wl.placed, wl.node, wl.stands = true, true, n, now
 	n.holds[wl.id] = wl
@@ -168,7 +168,7 @@
 
 // read checks a set-up. What no owner would send must not reach the decisions: a figure out of range would stay in
 // what they reckon with.
-func (p *Platform) read(m *codec.Message) (w placement.Workload, at string, err error) {
+func (p *Frontend) read(m *codec.Message) (w placement.Workload, at string, err error) {
 	var known bool
 	if w.Group, known = p.groups[m.Fields[codec.Group]]; !known {
 		return w, "", fmt.Errorf("class %.40q is not known", m.Fields[codec.Group])
@@ -207,14 +207,14 @@
 		if left, err = amount("left", m.Fields[codec.Left]); err != nil {
 			return w, "", err
 		}
-		w.Left = placement.Millis(left)
+		w.PendingTimeout = placement.Millis(left)
 	}
-	w.Again = m.Fields[codec.Retry] != "" && m.Fields[codec.Retry] != "0"
+	w.Retried = m.Fields[codec.Retry] != "" && m.Fields[codec.Retry] != "0"
 	return w, at, nil
 }
 
-func (p *Platform) fitsAny(w placement.Workload) bool {
-	for _, k := range p.c.Told.Settings.Kinds {
+func (p *Frontend) fitsAny(w placement.Workload) bool {
+	for _, k := range p.c.Told.Settings.NodeKinds {
 		if w.Cores > 0 && w.Memory > 0 && w.Cores <= k.Cores && w.Memory <= k.Memory {
 			return true
 		}
@@ -232,7 +232,7 @@
 
 // tellOwner sends on the connection that a workload came on, else on the one of which most was placed, as that is an owner's
 // who stays, and not one's who asked once; without any it waits for one.
-func (p *Platform) tellOwner(wl *workload, m *codec.Message) {
+func (p *Frontend) tellOwner(wl *workload, m *codec.Message) {
 	if p.conns[wl.from] != nil {
 		p.net.Send(wl.from, m)
 		return
@@ -254,7 +254,7 @@
 }
 
 // payOwed sends what has waited for an owner.
-func (p *Platform) payOwed(now placement.Millis, c *conn) {
+func (p *Frontend) payOwed(now placement.Millis, c *conn) {
 	if len(p.over) == 0 || p.conns[c.id] != c {
 		return
 	}
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -71,12 +71,12 @@
 	open   map[placement.WorkloadID]*workload // set-ups that have no answer here
 }
 
-// Platform is the party. It belongs to one goroutine.
-type Platform struct {
+// Frontend is the party. It belongs to one goroutine.
+type Frontend struct {
 	c      *Config
 	log    *slog.Logger
 	wall   func() placement.Millis // Unix time
-	net    transport.Wire
+	net    transport.Network
 	now    placement.Millis
 	engine *allocator.Engine
 	timers transport.Timers
@@ -109,11 +109,11 @@
 	stopAt   placement.Millis
 	draws    uint64
 
-	Counts Counts
+	Counters Counters
 }
 
-// Counts are of what passed.
-type Counts struct {
+// Counters are of what passed.
+type Counters struct {
 	Asks, Placed, Rejected, Unschedulable, Withdrawn, Adopted, Binds, Moves, Probes, Bad, Lost, Released uint64
 }
 
@@ -124,34 +124,34 @@
 }
 
 // New makes the party. Its log may be nil.
-func New(c *Config, log *slog.Logger) *Platform {
+func New(c *Config, log *slog.Logger) *Frontend {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	p := &Platform{
+	p := &Frontend{
 		c: c, log: log, conns: map[transport.ConnID]*conn{}, wls: map[placement.WorkloadID]*workload{},
 		tags: map[codec.Tag]*workload{}, groups: map[string]placement.GroupID{}, nodes: map[placement.NodeID]*node{},
 		byName: map[string]*node{}, addrs: map[string]*node{}, probes: map[codec.Tag]placement.NodeID{},
 		wall: func() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) },
 	}
-	for i, name := range c.Told.Groups {
+	for i, name := range c.Told.GroupNames {
 		p.groups[name] = placement.GroupID(i)
 	}
-	p.journal.addr, p.journal.pos = c.Journal, c.Pos
-	p.engine = allocator.New(c.Told.Settings, c.Seed, (*world)(p), allocator.Options{TimesOut: true})
+	p.journal.addr, p.journal.pos = c.DiscoveryAddress, c.Pos
+	p.engine = allocator.New(c.Told.Settings, c.Seed, (*world)(p), allocator.Options{EnforceTimeouts: true})
 	return p
 }
 
 // Limits are those of the party's connections.
-func (p *Platform) Limits() transport.Limits {
+func (p *Frontend) Limits() transport.Limits {
 	return transport.Limits{
-		Frame: codec.MostBytes, Waiting: 256 << 10, Connections: p.mostOwners() + overOwners, Wait: true, Inbox: 512, Whole: wholeWithin,
+		MaxFrameSize: codec.MostBytes, MaxWriteBuffer: 256 << 10, MaxConnections: p.mostOwners() + overOwners, PauseAcceptAtLimit: true, MaxQueuedEvents: 512, MessageTimeout: wholeWithin,
 	}
 }
 
-func (p *Platform) mostOwners() int { return int(float64(p.c.Limits.Sockets) * ownersShare) }
+func (p *Frontend) mostOwners() int { return int(float64(p.c.Limits.Sockets) * ownersShare) }
 
-func (p *Platform) Start(now placement.Millis, w transport.Wire) {
+func (p *Frontend) Start(now placement.Millis, w transport.Network) {
 	p.now, p.net = now, w
 	for i, raw := range p.c.Known {
 		if err := p.news(now, raw, i == 0); err != nil {
@@ -161,20 +161,20 @@
 	p.c.Known = nil
 	p.engine.Start(now)
 	p.dialJournal(now)
-	p.timers.At(now+readyMost, p.getReady)
+	p.timers.Schedule(now+readyMost, p.getReady)
 	p.settle(now)
 }
 
-// Stop has tests fail from now on; asks are served a little longer, then rejected.
-func (p *Platform) Stop(now placement.Millis) {
+// Drain has tests fail from now on; asks are served a little longer, then rejected.
+func (p *Frontend) Drain(now placement.Millis) {
 	if !p.stopping {
 		p.stopping, p.stopAt = true, now
 	}
 }
 
-// Stopped tells whether all that is owed has been said since Stop. Releases that wait for a connection to their node are
+// Drained tells whether all that is owed has been said since Stop. Releases that wait for a connection to their node are
 // given a while; what is owed to owners that have no connection here is told by whoever adopts it next.
-func (p *Platform) Stopped(now placement.Millis) bool {
+func (p *Frontend) Drained(now placement.Millis) bool {
 	if !p.stopping || now-p.stopAt <= drainFor || p.pending > 0 {
 		return false
 	}
@@ -183,15 +183,15 @@
 }
 
 // Reload takes a new address of the journal service.
-func (p *Platform) Reload(now placement.Millis, journal string) {
+func (p *Frontend) Reload(now placement.Millis, journal string) {
 	p.journal.addr, p.journal.fails = journal, 0
 	p.redialJournal(now, "the address has changed")
 	p.settle(now)
 }
 
-func (p *Platform) Wake(now placement.Millis) {
+func (p *Frontend) Wake(now placement.Millis) {
 	p.now, p.due = now, now
-	p.timers.Run(now)
+	p.timers.RunDue(now)
 	if now-p.tidied >= pulse {
 		p.tidied = now
 		p.tidy(now)
@@ -204,7 +204,7 @@
 }
 
 // settle hands the engine what came up while it was at work, then sets the wake-up.
-func (p *Platform) settle(now placement.Millis) {
+func (p *Frontend) settle(now placement.Millis) {
 	for len(p.later) > 0 {
 		calls := p.later
 		p.later = nil
@@ -226,7 +226,7 @@
 	p.net.WakeAt(next)
 }
 
-func (p *Platform) Opened(now placement.Millis, id transport.ConnID) {
+func (p *Frontend) Opened(now placement.Millis, id transport.ConnID) {
 	p.now = now
 	c := p.conns[id]
 	switch {
@@ -240,7 +240,7 @@
 	p.settle(now)
 }
 
-func (p *Platform) Received(now placement.Millis, id transport.ConnID, m any) {
+func (p *Frontend) Received(now placement.Millis, id transport.ConnID, m any) {
 	p.now = now
 	c := p.conns[id]
 	switch m := m.(type) {
@@ -262,13 +262,13 @@
 	p.settle(now)
 }
 
-func (p *Platform) Closed(now placement.Millis, id transport.ConnID, why string) {
+func (p *Frontend) Closed(now placement.Millis, id transport.ConnID, why string) {
 	p.now = now
 	p.closed(now, id, why)
 	p.settle(now)
 }
 
-func (p *Platform) closed(now placement.Millis, id transport.ConnID, why string) {
+func (p *Frontend) closed(now placement.Millis, id transport.ConnID, why string) {
 	c := p.conns[id]
 	delete(p.conns, id)
 	switch {
@@ -284,7 +284,7 @@
 }
 
 // drop ends a connection from our side.
-func (p *Platform) drop(now placement.Millis, c *conn, why string) {
+func (p *Frontend) drop(now placement.Millis, c *conn, why string) {
 	p.net.Close(c.id)
 	p.closed(now, c.id, why)
 }
@@ -299,31 +299,31 @@
 }
 
 // world is the platform as the engine sees it.
-type world Platform
+type world Frontend
 
 func (w *world) Bind(id placement.WorkloadID, bind int, to placement.NodeID, timeout placement.Millis) {
-	p := (*Platform)(w)
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	wl.bind, wl.node, wl.on, wl.out = bind, p.nodes[to], nil, false
-	p.Counts.Binds++
+	p.Counters.Binds++
 	p.offer(wl, p.now+timeout)
 }
 
-func (w *world) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.Why, _ bool) {
-	p := (*Platform)(w)
+func (w *world) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.StopReason, _ bool) {
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	switch {
-	case why == allocator.Moved:
+	case why == allocator.Migrating:
 		// The platform ends it at its node too, which then says so.
-		p.Counts.Moves++
+		p.Counters.Moves++
 		wl.moved = true
 		p.tellOwner(wl, &codec.Message{Verb: codec.Move, Tag: wl.tag})
 	case wl.placed:
 		p.release(wl)
 		bind := wl.bind
-		p.timers.At(p.now+endGrace, func(now placement.Millis) {
+		p.timers.Schedule(p.now+endGrace, func(now placement.Millis) {
 			if p.wls[id] == wl {
-				p.engine.Settled(now, id, bind, wl.node.id, placement.Result{Kind: placement.Ended, Over: true})
+				p.engine.BindEnded(now, id, bind, wl.node.id, placement.Result{Kind: placement.Ended, Final: true})
 			}
 		})
 	default:
@@ -331,34 +331,34 @@
 	}
 }
 
-func (w *world) Probe(id placement.NodeID) { (*Platform)(w).test(id) }
+func (w *world) CheckHealth(id placement.NodeID) { (*Frontend)(w).test(id) }
 
-// Watch has nothing to ask: the journal service is followed at all times.
-func (w *world) Watch() {}
+// SubscribeNodes has nothing to ask: the journal service is followed at all times.
+func (w *world) SubscribeNodes() {}
 
 func (w *world) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
-	p := (*Platform)(w)
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	c := p.answered(wl)
 	m := codec.Message{Verb: codec.Finish, Tag: wl.tag}
 	switch v {
 	case allocator.Placed:
-		p.Counts.Placed++
+		p.Counters.Placed++
 		if c != nil {
 			c.placed++
 		}
 		p.net.Send(wl.from, &codec.Message{Verb: codec.Started, Tag: wl.tag, Description: wl.answer})
 	case allocator.Rejected:
-		p.Counts.Rejected++
+		p.Counters.Rejected++
 		p.net.Send(wl.from, m.With(codec.Full))
 	default:
-		p.Counts.Unschedulable++
+		p.Counters.Unschedulable++
 		p.net.Send(wl.from, m.With(codec.Broken))
 	}
 }
 
 // answered takes a workload off what is owed, and returns the connection that it came on, if it stands.
-func (p *Platform) answered(wl *workload) *conn {
+func (p *Frontend) answered(wl *workload) *conn {
 	c := p.conns[wl.from]
 	if c != nil {
 		delete(c.open, wl.id)
@@ -370,8 +370,8 @@
 	return c
 }
 
-func (w *world) Ended(id placement.WorkloadID, _ placement.NodeID, moved bool, _ placement.Reason) {
-	p := (*Platform)(w)
+func (w *world) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, moved bool, _ placement.Reason) {
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	cause := wl.cause
 	if !wl.placed || cause == 0 {
@@ -380,13 +380,13 @@
 	if moved || wl.moved || cause == codec.Cancelled {
 		return // its owner has been told, or was the one to end it
 	}
-	p.Counts.Released++
+	p.Counters.Released++
 	p.log.Debug("over", "tag", wl.tag, "cause", uint8(cause), "by_its_connection", p.conns[wl.from] != nil)
 	p.tellOwner(wl, codec.Message{Verb: codec.Finish, Tag: wl.tag}.With(cause))
 }
 
-func (w *world) Dropped(id placement.WorkloadID) {
-	p := (*Platform)(w)
+func (w *world) Forget(id placement.WorkloadID) {
+	p := (*Frontend)(w)
 	wl := p.wls[id]
 	p.answered(wl)
 	p.unbind(wl)
@@ -400,18 +400,18 @@
 }
 
 func (w *world) Wake(at placement.Millis) {
-	if p := (*Platform)(w); !p.wakes || at < p.wake {
+	if p := (*Frontend)(w); !p.wakes || at < p.wake {
 		p.wake, p.wakes = at, true
 	}
 }
 
 // jitter is a quarter more or less than d, by chance.
-func (p *Platform) jitter(d placement.Millis) placement.Millis {
+func (p *Frontend) jitter(d placement.Millis) placement.Millis {
 	p.draws++
 	return timerqueue.Jitter(d, p.c.Seed, p.draws)
 }
 
 // backoff is a pause that doubles with each failure in a row.
-func (p *Platform) backoff(first, most placement.Millis, fails int) placement.Millis {
+func (p *Frontend) backoff(first, most placement.Millis, fails int) placement.Millis {
 	return p.jitter(min(most, first*placement.Millis(math.Exp2(float64(min(fails, 16))))))
 }
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -149,17 +149,17 @@
 func TestStoppingFailsTestsAndAnswersWhatIsPending(t *testing.T) {
 	r := newRig(t)
 	r.says(r.owner, ask(7))
-	r.Stop(r.at)
+	r.Drain(r.at)
 	r.says(r.owner, codec.Message{Verb: codec.Echo, Tag: 1}.With(codec.Failed))
 	last := r.w.sent[r.owner][0].(*codec.Message)
 	assert.Equal(t, codec.Echoed, last.Verb)
 	assert.Equal(t, codec.Failed, last.Cause)
 	r.pass(drainFor + 50)
-	assert.False(t, r.Stopped(r.at))
+	assert.False(t, r.Drained(r.at))
 	r.says(r.owner, ask(8))
 	assert.Equal(t, []string{"FINISH 34"}, r.heard(r.owner, 8))
 	r.says(r.node, started(7))
-	assert.True(t, r.Stopped(r.at))
+	assert.True(t, r.Drained(r.at))
 }
 
 func TestTheJournalIsFollowedOverBreaksSilenceAndNewAddresses(t *testing.T) {
@@ -369,7 +369,7 @@
 			r.Closed(r.at, c, transport.Refused)
 		}
 	}
-	assert.Equal(t, 2, dials-int(r.Counts.Probes), "one that finds nobody, and one that shows that it stays so")
+	assert.Equal(t, 2, dials-int(r.Counters.Probes), "one that finds nobody, and one that shows that it stays so")
 	assert.Equal(t, []string{"STARTED", "FINISH 41"}, r.heard(r.owner, 7))
 }
 
@@ -492,18 +492,18 @@
 		r := newRig(t)
 		r.says(r.owner, ask(7))
 		r.says(r.node, started(7))
-		r.Stop(r.at)
+		r.Drain(r.at)
 		r.Closed(r.at, r.node, "reset")
 		r.says(r.owner, finish(7, codec.Well))
 		r.pass(drainFor + 50)
-		assert.False(t, r.Stopped(r.at))
+		assert.False(t, r.Drained(r.at))
 		if comesUp {
 			r.Opened(r.at, r.w.to(nodeAddr))
 			assert.Equal(t, []string{"FINISH 16"}, r.heard(r.w.to(nodeAddr), 7))
 		} else {
 			r.pass(leaveWithin)
 		}
-		assert.True(t, r.Stopped(r.at))
+		assert.True(t, r.Drained(r.at))
 	}
 }
 
--- a/internal/frontend/platform/pool.go
+++ b/internal/frontend/platform/pool.go
@@ -23,12 +23,12 @@
 const keptDescriptors = 18
 
 // mostToNodes bounds connections to nodes, those being dialled among them.
-func (p *Platform) mostToNodes() int {
+func (p *Frontend) mostToNodes() int {
 	return max(1, p.c.Limits.Sockets-p.mostOwners()-overOwners-keptDescriptors)
 }
 
 // through calls with the connection to a node, at once or when it has come up, or with nil where there is none.
-func (p *Platform) through(n *node, call func(c *conn)) {
+func (p *Frontend) through(n *node, call func(c *conn)) {
 	if n != nil && n.conn != nil && !p.idle(p.now, n.conn) {
 		call(n.conn)
 		return
@@ -41,7 +41,7 @@
 	p.connect(p.now, n)
 }
 
-func (n *node) reachable() bool { return n.addr != "" && n.entry.State != placement.Gone }
+func (n *node) reachable() bool { return n.addr != "" && n.entry.State != placement.Removed }
 
 // wanted tells whether there is something to say to a node or to hear from it.
 func (n *node) wanted() bool { return len(n.holds) > 0 || len(n.unsent) > 0 || len(n.waiting) > 0 }
@@ -55,14 +55,14 @@
 }
 
 // connect dials a node if there is something to say to it or to hear.
-func (p *Platform) connect(now placement.Millis, n *node) {
+func (p *Frontend) connect(now placement.Millis, n *node) {
 	if n.wanted() {
 		p.dial(now, n)
 	}
 }
 
 // dial dials a node, unless it is connected or there is nothing to dial.
-func (p *Platform) dial(now placement.Millis, n *node) {
+func (p *Frontend) dial(now placement.Millis, n *node) {
 	if n.conn != nil && p.idle(now, n.conn) {
 		n.conn = nil // the node may be closing it now
 	}
@@ -77,14 +77,14 @@
 	if within <= 0 {
 		within = connectWithin
 	}
-	id := p.net.DialAs(n.addr, codec.Binary{}, within)
+	id := p.net.DialCodec(n.addr, codec.NodeCodec{}, within)
 	n.dialling = &conn{id: id, node: n, used: now, open: map[placement.WorkloadID]*workload{}}
 	p.conns[id] = n.dialling
 	p.toNodes++
 }
 
 // redial dials a node again after a pause, if it is still wanted then.
-func (p *Platform) redial(now placement.Millis, n *node) {
+func (p *Frontend) redial(now placement.Millis, n *node) {
 	if n.redialing || n.resting || !n.reachable() || !n.wanted() {
 		return
 	}
@@ -95,7 +95,7 @@
 		// that a part of a core can do, and answers were late by half a second.
 		at = max(at, n.refused+deadAfter)
 	}
-	p.timers.At(at, func(now placement.Millis) {
+	p.timers.Schedule(at, func(now placement.Millis) {
 		n.redialing = false
 		if p.nodes[n.id] == n {
 			p.connect(now, n)
@@ -106,7 +106,7 @@
 // giveWay ends the connection to another node that is least missed: one to a node on which nothing of ours stands before
 // one that may have an end to tell, and of these the one longest unused. One with a set-up open never does. A node tells
 // the ends of what stood there on the next connection, so one that gave way is visited again.
-func (p *Platform) giveWay(now placement.Millis, to *node) bool {
+func (p *Frontend) giveWay(now placement.Millis, to *node) bool {
 	var least *conn
 	before := func(x, y *conn) bool {
 		if none := len(x.node.holds) == 0; none != (len(y.node.holds) == 0) {
@@ -128,7 +128,7 @@
 		return true
 	}
 	n.resting = true
-	p.timers.At(now+revisitAfter, func(now placement.Millis) {
+	p.timers.Schedule(now+revisitAfter, func(now placement.Millis) {
 		if n.resting = false; p.nodes[n.id] == n {
 			p.connect(now, n)
 		}
@@ -138,7 +138,7 @@
 }
 
 // hangUp ends all that is connected or being dialled to a node.
-func (p *Platform) hangUp(now placement.Millis, n *node, why string) {
+func (p *Frontend) hangUp(now placement.Millis, n *node, why string) {
 	for _, c := range []*conn{n.conn, n.dialling} {
 		if c != nil {
 			p.drop(now, c, why)
@@ -147,13 +147,13 @@
 }
 
 // idle tells whether a connection to a node has carried nothing for so long that the node is about to close it.
-func (p *Platform) idle(now placement.Millis, c *conn) bool {
+func (p *Frontend) idle(now placement.Millis, c *conn) bool {
 	after := p.c.Told.IdleTimeout
 	return after > 0 && now-max(c.used, c.heard) > after*idleShare
 }
 
 // tidy ends idle connections to nodes before the nodes do.
-func (p *Platform) tidy(now placement.Millis) {
+func (p *Frontend) tidy(now placement.Millis) {
 	for _, c := range inOrder(p.conns) {
 		if c.node != nil && c.opened && len(c.open) == 0 && p.idle(now, c) {
 			p.drop(now, c, "it was idle")
--- a/internal/frontend/simulator/adapter.go
+++ b/internal/frontend/simulator/adapter.go
@@ -29,15 +29,15 @@
 }
 
 // Stop takes a placed task off. What timed out or was withdrawn, the bench sees to itself.
-func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.Why, _ bool) {
-	if why == allocator.Moved {
+func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.StopReason, _ bool) {
+	if why == allocator.Migrating {
 		in.out.record(outTakeOff, in.id, uint32(id))
 	}
 }
 
-func (in *instance) Probe(n placement.NodeID) { in.out.record(outTest, in.id, uint32(n)) }
+func (in *instance) CheckHealth(n placement.NodeID) { in.out.record(outTest, in.id, uint32(n)) }
 
-func (in *instance) Watch() { in.out.record(outObserve, in.id, uint8(1)) }
+func (in *instance) SubscribeNodes() { in.out.record(outObserve, in.id, uint8(1)) }
 
 // Answer says what the bench does not know by itself.
 func (in *instance) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
@@ -49,9 +49,9 @@
 	}
 }
 
-func (in *instance) Ended(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
+func (in *instance) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
 
-func (in *instance) Dropped(placement.WorkloadID) {}
+func (in *instance) Forget(placement.WorkloadID) {}
 
 func (in *instance) Wake(at placement.Millis) { in.out.record(outAlarm, in.id, nanos(at), uint32(0)) }
 
@@ -113,7 +113,7 @@
 		req, attempt := f.u32(), f.u8()
 		f.skip(4 + 8)
 		if f.err == nil {
-			in.engine.Confirmed(now, placement.WorkloadID(req), int(attempt), nil)
+			in.engine.BindConfirmed(now, placement.WorkloadID(req), int(attempt), nil)
 		}
 	case inHint:
 		in.hint(now, f)
@@ -147,12 +147,12 @@
 		case 2:
 			n.State = placement.Draining
 		default:
-			n.State = placement.Gone
+			n.State = placement.Removed
 		}
 		f.skip(4)
-		n.Born = placement.LongAgo
+		n.StartedAt = placement.DistantPast
 		if born := f.u64(); born > 0 {
-			n.Born = millis(born)
+			n.StartedAt = millis(born)
 		}
 		nodes[i] = n
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{id: id, reports: told.Reports, out: &h.out}
+	in := &instance{id: id, reports: told.ReportFields, out: &h.out}
 	in.engine = allocator.New(told.Settings, seed, in, allocator.Options{})
 	h.instances[id] = in
 	in.engine.Start(now)
@@ -184,18 +184,18 @@
 	if f.err != nil {
 		return f.err
 	}
-	kinds := map[uint8]placement.ListKind{0: placement.Changes, 4: placement.Whole, 3: placement.Cached, 2: placement.Failed}
+	kinds := map[uint8]placement.NodeUpdateKind{0: placement.Delta, 4: placement.Snapshot, 3: placement.CachedSnapshot, 2: placement.PollFailed}
 	as, ok := kinds[kind]
 	if !ok {
 		return nil
 	}
 	var nodes []placement.Node
-	if as != placement.Failed {
+	if as != placement.PollFailed {
 		if nodes, ok = h.lists[slot]; !ok {
 			return fmt.Errorf("names list %d, which was never sent", slot)
 		}
 	}
-	in.engine.List(now, as, nodes)
+	in.engine.UpdateNodes(now, as, nodes)
 	return nil
 }
 
@@ -203,13 +203,13 @@
 	req := f.u32()
 	w := placement.Workload{ID: placement.WorkloadID(req), Group: placement.GroupID(f.u16())}
 	f.skip(2 + 8)
-	w.Left = millis(f.u64())
+	w.PendingTimeout = millis(f.u64())
 	f.skip(8)
 	w.Service = placement.ServiceID(f.u64())
 	w.Cores, w.Memory = f.f32(), f.f32()
-	w.Again = f.u8()&cameAgain != 0
+	w.Retried = f.u8()&cameAgain != 0
 	if f.err == nil {
-		in.engine.Ask(now, w)
+		in.engine.Schedule(now, w)
 	}
 }
 
@@ -230,10 +230,10 @@
 	req, attempt, what := f.u32(), f.u8(), f.u8()
 	f.skip(4)
 	level := f.f32()
-	notes := map[uint8]placement.NoteKind{1: placement.Running, 2: placement.CoresUsed}
+	notes := map[uint8]placement.UsageKind{1: placement.Running, 2: placement.CoresUsed}
 	kind, known := notes[what]
 	if f.err == nil && known {
-		in.engine.Note(now, placement.WorkloadID(req), int(attempt), kind, level)
+		in.engine.ReportUsage(now, placement.WorkloadID(req), int(attempt), kind, level)
 	}
 }
 
@@ -241,15 +241,15 @@
 func resultOf(code uint8) placement.ResultKind {
 	switch code {
 	case 2:
-		return placement.Declined
+		return placement.RejectedByNode
 	case 3:
 		return placement.TimedOut
 	case 4:
-		return placement.Unreachable
+		return placement.NotDelivered
 	case 7:
-		return placement.NotSent
+		return placement.NotAttempted
 	}
-	return placement.Unclear
+	return placement.OutcomeUnknown
 }
 
 func (in *instance) settled(now placement.Millis, f *fields) {
@@ -261,23 +261,23 @@
 	if f.err != nil {
 		return
 	}
-	r := placement.Result{Kind: resultOf(code), Over: final != 0, Load: load}
-	if remark <= uint32(placement.SentAway) {
+	r := placement.Result{Kind: resultOf(code), Final: final != 0, Load: load}
+	if remark <= uint32(placement.Drained) {
 		r.Reason = placement.Reason(remark)
 	}
-	in.engine.Settled(now, placement.WorkloadID(req), int(attempt), node, r)
+	in.engine.BindEnded(now, placement.WorkloadID(req), int(attempt), node, r)
 }
 
 // load reads a report, or returns nil where none came along.
-func (in *instance) load(f *fields) *placement.Load {
+func (in *instance) load(f *fields) *placement.LoadReport {
 	n := f.count(int(f.u8()), 4)
 	if n == 0 {
 		return nil
 	}
-	l := settings.NoLoad()
+	l := settings.UnknownLoad()
 	for i := range n {
 		if v := f.f32(); i < len(in.reports) {
-			settings.SetLoad(l, in.reports[i], v)
+			settings.SetLoadField(l, in.reports[i], v)
 		}
 	}
 	return l
@@ -288,6 +288,6 @@
 	code, node := f.u8(), placement.NodeID(f.u32())
 	load := in.load(f)
 	if f.err == nil {
-		in.engine.Probed(now, node, code == 0, load)
+		in.engine.HealthChecked(now, node, code == 0, load)
 	}
 }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -64,7 +64,7 @@
 
 // Part is what a decision needs of a part.
 type Part struct {
-	Effect placement.Effect
+	Effect placement.Idempotency
 	Size   float64 // its share of a machine: larger ones are asked for first
 }
 
@@ -251,7 +251,7 @@
 
 // Failed takes that a part will not be placed, and whether it may run all the same.
 func (g *Gang) Failed(now placement.Millis, part int, mayRun bool) []Act {
-	if mayRun && g.wish.Parts[part].Effect != placement.Restartable {
+	if mayRun && g.wish.Parts[part].Effect != placement.Idempotent {
 		g.harmed = true
 	}
 	was := g.Parts[part]
@@ -269,7 +269,7 @@
 	case was == Running && finished:
 		g.Parts[part] = Finished
 	case was == Running || was == Stopping || was == Asked:
-		if g.wish.Parts[part].Effect == placement.RunOnce {
+		if g.wish.Parts[part].Effect == placement.AtMostOnce {
 			g.harmed = true
 		}
 		g.Parts[part] = Lost
@@ -301,7 +301,7 @@
 		return g.done() // its work is coming to its end, or enough of it is left
 	}
 	lost := slices.Index(g.Parts, Lost)
-	if g.wish.OnLoss == Replace && was == Running && lost >= 0 && g.wish.Parts[lost].Effect != placement.RunOnce {
+	if g.wish.OnLoss == Replace && was == Running && lost >= 0 && g.wish.Parts[lost].Effect != placement.AtMostOnce {
 		g.Parts[lost] = Asked
 		return []Act{{Kind: Ask, Part: lost, Left: g.wish.ReplaceWithin}, {Kind: Wake, At: now + g.wish.ReplaceWithin}}
 	}
@@ -316,13 +316,13 @@
 	for i, s := range g.Parts {
 		// One that ran to its own end has had its effect. Begun again, a deduplicated one had it twice where its mark does
 		// not reach: a lost answer had kept the group from standing for longer than that part ran.
-		if s == Finished && g.wish.Parts[i].Effect != placement.Restartable {
+		if s == Finished && g.wish.Parts[i].Effect != placement.Idempotent {
 			g.harmed = true
 		}
 		if s != Asked && s != Running {
 			continue
 		}
-		if g.wish.Parts[i].Effect == placement.RunOnce {
+		if g.wish.Parts[i].Effect == placement.AtMostOnce {
 			g.harmed = true
 		}
 		stop = append(stop, i)
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -12,7 +12,7 @@
 )
 
 // started is a group of parts of one effect that has been begun, all of it offered.
-func started(need int, w Wish, effects ...placement.Effect) *Gang {
+func started(need int, w Wish, effects ...placement.Idempotency) *Gang {
 	for i, e := range effects {
 		w.Parts = append(w.Parts, Part{Effect: e, Size: float64(i)})
 	}
@@ -46,7 +46,7 @@
 	return words
 }
 
-const safe = placement.Restartable
+const safe = placement.Idempotent
 
 func TestAGroupStandsOnceAllOfItRuns(t *testing.T) {
 	g := New(0, Wish{Parts: []Part{{Size: 0.1}, {Size: 0.9}}, Left: 5e3}, 1)
@@ -99,18 +99,18 @@
 }
 
 func TestAPartThatMayHaveRunAndMustNotTwiceEndsTheGroup(t *testing.T) {
-	for _, effect := range []placement.Effect{placement.RunOnce, placement.Deduplicated} {
+	for _, effect := range []placement.Idempotency{placement.AtMostOnce, placement.IdempotentByKey} {
 		g := started(2, Wish{}, effect, safe)
 		assert.Equal(t, []string{"give up", "stop 1", "wake"}, kinds(g.Failed(20, 0, true)))
 	}
 	// It was started and stopped: it has run.
-	g := started(2, Wish{}, placement.RunOnce, safe)
+	g := started(2, Wish{}, placement.AtMostOnce, safe)
 	up(g, 0)
 	assert.Equal(t, []string{"give up", "stop 0", "wake"}, kinds(g.Failed(20, 1, false)))
 	// A restartable one may run twice; it never ran, so it may be tried again.
 	g = started(2, Wish{}, safe, safe)
 	assert.Equal(t, []string{"stop 1", "wake"}, kinds(g.Failed(20, 0, true)))
-	g = started(2, Wish{}, placement.RunOnce, safe)
+	g = started(2, Wish{}, placement.AtMostOnce, safe)
 	assert.Equal(t, []string{"stop 1", "wake"}, kinds(g.Failed(20, 0, false)), "it never ran")
 }
 
@@ -130,7 +130,7 @@
 	assert.Equal(t, []string{"keep"}, kinds(g.Up(900, 0)))
 	g.Ended(1000, 1, false)
 	assert.Equal(t, []string{"over", "stop 0", "wake"}, kinds(g.Failed(1200, 1, false)))
-	g = started(2, Wish{OnLoss: Replace, ReplaceWithin: 3e3}, placement.RunOnce, safe)
+	g = started(2, Wish{OnLoss: Replace, ReplaceWithin: 3e3}, placement.AtMostOnce, safe)
 	up(g, 0, 1)
 	assert.Equal(t, []string{"over", "stop 1", "wake"}, kinds(g.Ended(20, 0, false)), "it must not start twice")
 	// More parts than needed: one may go.
@@ -320,7 +320,7 @@
 
 // Every order of everything that can happen to two groups of two parts on two nodes, with one fault.
 func TestNoOrderOfEventsLeavesAPartOfAGroup(t *testing.T) {
-	for _, effect := range []placement.Effect{placement.Restartable, placement.RunOnce} {
+	for _, effect := range []placement.Idempotency{placement.Idempotent, placement.AtMostOnce} {
 		var first world
 		for g := range 2 {
 			first.gangs[g] = *New(0, Wish{Parts: []Part{{Effect: effect}, {Effect: effect}}, Need: 2, Left: 1500}, uint64(g))
@@ -381,7 +381,7 @@
 }
 
 func TestAGroupOneOfWhosePartsRanToItsEndIsNotBegunAgain(t *testing.T) {
-	for effect, again := range map[placement.Effect]bool{placement.Restartable: true, placement.Deduplicated: false} {
+	for effect, again := range map[placement.Idempotency]bool{placement.Idempotent: true, placement.IdempotentByKey: false} {
 		g := New(0, Wish{Left: 8000, Need: 2, Parts: []Part{{Size: 1, Effect: effect}, {Size: 1, Effect: effect}}}, 1)
 		g.Begin(0)
 		g.Tried(0, []bool{true, true})
--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -162,7 +162,7 @@
 		return nil, nil, fmt.Errorf("no allocator at %s: %w", target, err)
 	}
 	w, in := &owner{conn: conn, out: bufio.NewWriterSize(conn, 1<<16), asks: map[uint64]*asked{}}, bufio.NewReaderSize(conn, 1<<16)
-	hello, err := transport.Append(nil, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: uint64(time.Now().UnixNano()), SentMs: clock()}))
+	hello, err := transport.AppendFrame(nil, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: uint64(time.Now().UnixNano()), SentMs: clock()}))
 	if err == nil {
 		_, err = conn.Write(hello)
 	}
@@ -188,7 +188,7 @@
 	return w, in, nil
 }
 
-func receive(in *bufio.Reader) (*pb.Frame, error) { return transport.Read(in, mostFrame) }
+func receive(in *bufio.Reader) (*pb.Frame, error) { return transport.ReadFrame(in, mostFrame) }
 
 // send sends each ask when it is due, or as soon after as it can, and returns when the last was sent and when the last
 // owner gives up. What is due together goes out in one write.
@@ -252,7 +252,7 @@
 	r.open++
 	r.r.Sent++
 	r.mu.Unlock()
-	b, err := transport.Append(nil, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+	b, err := transport.AppendFrame(nil, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
 		Ask: no, Key: keyOf(w.conn, no), Service: a.Service, Group: a.Group, Cores: a.Cores, Memory: a.Memory,
 		LeftMs: float64(left) / float64(time.Millisecond), RunsForMs: float64(a.Life) / float64(time.Millisecond), Again: a.Again,
 		SentMs: clock(),
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -69,7 +69,7 @@
 	s.Stretch(4000)
 	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
 	require.NoError(t, err)
-	names, _, _ := trace.Files(dir + "/allocator-1")
+	names, _, _ := trace.ListFiles(dir + "/allocator-1")
 	require.NotEmpty(t, names)
 	f, err := trace.Open(names[0])
 	require.NoError(t, err)
@@ -103,12 +103,12 @@
 			go func() {
 				in := bufio.NewReader(conn)
 				send := func(f *pb.Frame) {
-					if b, err := transport.Append(nil, f); err == nil {
+					if b, err := transport.AppendFrame(nil, f); err == nil {
 						conn.Write(b)
 					}
 				}
 				if _, err := receive(in); err == nil {
-					send(transport.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 1}))
+					send(transport.HelloFrame(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 1}))
 					serve(in, send, conn)
 				}
 			}()
@@ -223,10 +223,10 @@
 	p := native.New(native.Config{
 		Name: "a", Incarnation: 1, Groups: []string{"g"}, Kinds: []string{"k"},
 		Settings: placement.Settings{
-			Allocators: 1, Groups: []placement.Group{{Target: 1000, Utility: 1, Kind: -1}}, Kinds: []placement.Kind{{Cores: 2, Memory: 2}}, MaxBinds: 3,
+			Allocators: 1, Groups: []placement.Group{{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}}, NodeKinds: []placement.NodeKind{{Cores: 2, Memory: 2}}, MaxBinds: 3,
 		},
 	})
-	addr, err := loop.Listen(p, "127.0.0.1:0", transport.DefaultLimits)
+	addr, err := loop.ListenFrames(p, "127.0.0.1:0", transport.DefaultLimits)
 	require.NoError(t, err)
 	loop.Run()
 	r := run(t, addr, 2, ask(0), ask(0), ask(0))
--- a/internal/loadgen/schedule.go
+++ b/internal/loadgen/schedule.go
@@ -169,7 +169,7 @@
 					Service: w.Service, Group: names[w.Group], Cores: w.Cores, Memory: w.Memory,
 					Pending: time.Duration(w.Left * float64(time.Millisecond)), Life: life, Again: w.Again,
 				})
-				walls = append(walls, f.Wall(r))
+				walls = append(walls, f.UnixMillis(r))
 			}
 		}
 	}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -17,17 +17,17 @@
 
 import "grebeglade/placement"
 
-// Rule is what a group's workloads need.
-type Rule struct {
-	Effect placement.Effect
-	Window placement.Millis // that a deduplicated one's mark counts
+// GroupPolicy is what a group's workloads need.
+type GroupPolicy struct {
+	Idempotency placement.Idempotency
+	KeyWindow   placement.Millis // that a deduplicated one's mark counts
 }
 
 // Settings are what a book goes by.
 type Settings struct {
-	Groups map[string]Rule
-	Keep   placement.Millis // that a run-once key is known after its last bind
-	Most   int              // keys that may be known, 0 for any number
+	Groups     map[string]GroupPolicy
+	Retention  placement.Millis // that a run-once key is known after its last bind
+	MaxEntries int              // keys that may be known, 0 for any number
 }
 
 // Bind is the last offer of a key.
@@ -38,20 +38,20 @@
 	Incarnation uint64
 	Workload    uint64
 	Number      uint32
-	Until       float64 // when it need not be known any more
+	ExpiresAt   float64 // when it need not be known any more
 }
 
-// Ruling is what an ask may lead to.
-type Ruling uint8
+// Admission is what an ask may lead to.
+type Admission uint8
 
 const (
-	Place      Ruling = iota // as any other
-	MayHaveRun               // it is answered so, at once
-	Full                     // it must be known until it is settled, and no more may be
+	Admit        Admission = iota // as any other
+	MayHaveRun                    // it is answered so, at once
+	RegistryFull                  // it must be known until it is settled, and no more may be
 )
 
-// Book is what is known of keys. It belongs to one goroutine.
-type Book struct {
+// Registry is what is known of keys. It belongs to one goroutine.
+type Registry struct {
 	s       Settings
 	keys    map[uint64]known
 	pruneAt float64
@@ -65,64 +65,66 @@
 
 // New opens a book with what an earlier life left. A group that is no more counts as run-once: nobody can say any more what a
 // second effect would do.
-func New(s Settings, left []Bind, now float64) *Book {
-	b := &Book{s: s, keys: make(map[uint64]known, len(left))}
+func New(s Settings, left []Bind, now float64) *Registry {
+	b := &Registry{s: s, keys: make(map[uint64]known, len(left))}
 	for _, l := range left {
-		if l.Until > now {
+		if l.ExpiresAt > now {
 			b.keys[l.Key] = known{bind: l, before: true}
 		}
 	}
 	return b
 }
 
-func (b *Book) rule(group string) Rule {
+func (b *Registry) rule(group string) GroupPolicy {
 	if r, ok := b.s.Groups[group]; ok {
 		return r
 	}
-	return Rule{Effect: placement.RunOnce}
+	return GroupPolicy{Idempotency: placement.AtMostOnce}
 }
 
-// Needs tells whether an offer of that group must be written down, and last, before it leaves.
-func (b *Book) Needs(group string) bool { return b.rule(group).Effect != placement.Restartable }
+// RequiresDurability tells whether an offer of that group must be written down, and last, before it leaves.
+func (b *Registry) RequiresDurability(group string) bool {
+	return b.rule(group).Idempotency != placement.Idempotent
+}
 
-// Asked rules on an ask. Whether the key stands somewhere its caller knows better.
-func (b *Book) Asked(now float64, key uint64, group string) Ruling {
+// CheckAdmission rules on an ask. Whether the key stands somewhere its caller knows better.
+func (b *Registry) CheckAdmission(now float64, key uint64, group string) Admission {
 	k, ok := b.keys[key]
-	if ok && k.bind.Until <= now {
+	if ok && k.bind.ExpiresAt <= now {
 		delete(b.keys, key)
 		ok = false
 	}
-	if ok && (k.before || b.rule(k.bind.Group).Effect == placement.RunOnce) {
+	if ok && (k.before || b.rule(k.bind.Group).Idempotency == placement.AtMostOnce) {
 		return MayHaveRun
 	}
-	if !ok && b.Needs(group) && b.s.Most > 0 && len(b.keys) >= b.s.Most && !b.prune(now) {
-		return Full
+	if !ok && b.RequiresDurability(group) && b.s.MaxEntries > 0 && len(b.keys) >= b.s.MaxEntries && !b.prune(now) {
+		return RegistryFull
 	}
-	return Place
+	return Admit
 }
 
-// Before tells whether an earlier life left word of a key.
-func (b *Book) Before(now float64, key uint64) bool {
+// KnownBeforeRestart tells whether an earlier life left word of a key.
+func (b *Registry) KnownBeforeRestart(now float64, key uint64) bool {
 	k, ok := b.keys[key]
-	return ok && k.before && k.bind.Until > now
+	return ok && k.before && k.bind.ExpiresAt > now
 }
 
-// Offer takes a bind that is about to leave, and returns it with the time until which it must be known.
-func (b *Book) Offer(now float64, bind Bind) Bind {
-	keep := b.s.Keep
-	if r := b.rule(bind.Group); r.Effect == placement.Deduplicated {
-		keep = r.Window
+// RecordBind takes a bind that is about to leave, and returns it with the time until which it must be known.
+func (b *Registry) RecordBind(now float64, bind Bind) Bind {
+	keep := b.s.Retention
+	if r := b.rule(bind.Group); r.Idempotency == placement.IdempotentByKey {
+		keep = r.KeyWindow
 	}
-	bind.Until = now + float64(keep)
+	bind.ExpiresAt = now + float64(keep)
 	b.prune(now)
 	_, earlier := b.keys[bind.Key]
 	b.keys[bind.Key] = known{bind: bind, unclear: earlier}
 	return bind
 }
 
-// Never takes word that a bind was not taken up, or never left. It tells whether that settles the key: of a key that has
+// Forget takes word that a bind was not taken up, or never left. It tells whether that settles the key: of a key that has
 // been bound again since, or of which another bind may have run, it does not.
-func (b *Book) Never(key, incarnation uint64, number uint32) bool {
+func (b *Registry) Forget(key, incarnation uint64, number uint32) bool {
 	k, ok := b.keys[key]
 	if !ok || k.unclear || k.before || k.bind.Incarnation != incarnation || k.bind.Number != number {
 		return false
@@ -132,18 +134,18 @@
 }
 
 // prune forgets what is over, the less often the more there is to look at, and tells whether there is room.
-func (b *Book) prune(now float64) bool {
+func (b *Registry) prune(now float64) bool {
 	const often, each = 1000, 0.1 // ms between two rounds, and more for each key
 	if now >= b.pruneAt {
 		b.pruneAt = now + often + each*float64(len(b.keys))
 		for key, k := range b.keys {
-			if k.bind.Until <= now {
+			if k.bind.ExpiresAt <= now {
 				delete(b.keys, key)
 			}
 		}
 	}
-	return b.s.Most == 0 || len(b.keys) < b.s.Most
+	return b.s.MaxEntries == 0 || len(b.keys) < b.s.MaxEntries
 }
 
 // Len is the number of keys that are known.
-func (b *Book) Len() int { return len(b.keys) }
+func (b *Registry) Len() int { return len(b.keys) }
--- a/internal/replay/encode.go
+++ b/internal/replay/encode.go
@@ -11,19 +11,19 @@
 
 func encodeSettings(s placement.Settings) *tracepb.Settings {
 	e := &tracepb.Settings{
-		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), ColdFor: float64(s.ColdFor),
-		ColdFrom: s.ColdFrom, ColdBears: s.ColdBears, OverloadFor: float64(s.OverloadFor), MustAsk: s.MustAsk,
-		AskWithin: float64(s.AskWithin), ConfirmsRunning: s.ConfirmsRunning, ReportsUse: s.ReportsUse,
-		RoomInList: s.RoomInList, MaxBinds: int64(s.MaxBinds), MayProbe: s.MayProbe,
+		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), ColdFor: float64(s.WarmUpDuration),
+		ColdFrom: s.InitialRate, ColdBears: s.WarmUpBudget, OverloadFor: float64(s.OverloadWindow), MustAsk: s.PolledDiscovery,
+		AskWithin: float64(s.PollInterval), ConfirmsRunning: s.ConfirmsRunning, ReportsUse: s.ReportsUsage,
+		RoomInList: s.EntriesCarryCapacity, MaxBinds: int64(s.MaxBinds), MayProbe: s.HealthChecksAllowed,
 	}
-	for _, k := range s.Kinds {
+	for _, k := range s.NodeKinds {
 		e.Kinds = append(e.Kinds, &tracepb.Size{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range s.Groups {
 		e.Groups = append(e.Groups, &tracepb.Group{
-			Target: float64(g.Target), Utility: g.Utility, Effect: uint32(g.Effect), DedupScope: uint32(g.DedupScope),
-			DedupWindow: float64(g.DedupWindow), Spread: uint32(g.Spread), SpreadMost: int64(g.SpreadMost), Calm: g.Calm,
-			Fade: g.Fade, Kind: int64(g.Kind),
+			Target: float64(g.LatencyObjective), Utility: g.PriorityWeight, Effect: uint32(g.Idempotency), DedupScope: uint32(g.KeyScope),
+			DedupWindow: float64(g.KeyWindow), Spread: uint32(g.SpreadScope), SpreadMost: int64(g.MaxPerScope), Calm: g.FullServiceUtilization,
+			Fade: g.DegradationRange, Kind: int64(g.RequiredKind),
 		})
 	}
 	return e
@@ -32,19 +32,19 @@
 func decodeSettings(e *tracepb.Settings) placement.Settings {
 	s := placement.Settings{
 		Allocators: int(e.GetAllocators()), Ordinal: int(e.GetOrdinal()),
-		ColdFor: placement.Millis(e.GetColdFor()), ColdFrom: e.GetColdFrom(), ColdBears: e.GetColdBears(),
-		OverloadFor: placement.Millis(e.GetOverloadFor()), MustAsk: e.GetMustAsk(), AskWithin: placement.Millis(e.GetAskWithin()),
-		ConfirmsRunning: e.GetConfirmsRunning(), ReportsUse: e.GetReportsUse(), RoomInList: e.GetRoomInList(),
-		MaxBinds: int(e.GetMaxBinds()), MayProbe: e.GetMayProbe(),
+		WarmUpDuration: placement.Millis(e.GetColdFor()), InitialRate: e.GetColdFrom(), WarmUpBudget: e.GetColdBears(),
+		OverloadWindow: placement.Millis(e.GetOverloadFor()), PolledDiscovery: e.GetMustAsk(), PollInterval: placement.Millis(e.GetAskWithin()),
+		ConfirmsRunning: e.GetConfirmsRunning(), ReportsUsage: e.GetReportsUse(), EntriesCarryCapacity: e.GetRoomInList(),
+		MaxBinds: int(e.GetMaxBinds()), HealthChecksAllowed: e.GetMayProbe(),
 	}
 	for _, k := range e.GetKinds() {
-		s.Kinds = append(s.Kinds, placement.Kind{Cores: k.Cores, Memory: k.Memory})
+		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range e.GetGroups() {
 		s.Groups = append(s.Groups, placement.Group{
-			Target: placement.Millis(g.Target), Utility: g.Utility, Effect: placement.Effect(g.Effect),
-			DedupScope: placement.Scope(g.DedupScope), DedupWindow: placement.Millis(g.DedupWindow), Spread: placement.Scope(g.Spread),
-			SpreadMost: int(g.SpreadMost), Calm: g.Calm, Fade: g.Fade, Kind: int(g.Kind),
+			LatencyObjective: placement.Millis(g.Target), PriorityWeight: g.Utility, Idempotency: placement.Idempotency(g.Effect),
+			KeyScope: placement.Scope(g.DedupScope), KeyWindow: placement.Millis(g.DedupWindow), SpreadScope: placement.Scope(g.Spread),
+			MaxPerScope: int(g.SpreadMost), FullServiceUtilization: g.Calm, DegradationRange: g.Fade, RequiredKind: int(g.Kind),
 		})
 	}
 	return s
@@ -53,18 +53,18 @@
 func encodeWorkload(w placement.Workload) *tracepb.Workload {
 	return &tracepb.Workload{
 		Id: uint32(w.ID), Service: uint64(w.Service), Group: uint32(w.Group), Cores: w.Cores, Memory: w.Memory,
-		Left: float64(w.Left), Again: w.Again,
+		Left: float64(w.PendingTimeout), Again: w.Retried,
 	}
 }
 
 func decodeWorkload(e *tracepb.Workload) placement.Workload {
 	return placement.Workload{
 		ID: placement.WorkloadID(e.GetId()), Service: placement.ServiceID(e.GetService()), Group: placement.GroupID(e.GetGroup()),
-		Cores: e.GetCores(), Memory: e.GetMemory(), Left: placement.Millis(e.GetLeft()), Again: e.GetAgain(),
+		Cores: e.GetCores(), Memory: e.GetMemory(), PendingTimeout: placement.Millis(e.GetLeft()), Retried: e.GetAgain(),
 	}
 }
 
-func encodeLoad(l *placement.Load) *tracepb.Load {
+func encodeLoad(l *placement.LoadReport) *tracepb.Load {
 	if l == nil {
 		return nil
 	}
@@ -73,11 +73,11 @@
 	}
 }
 
-func decodeLoad(e *tracepb.Load) *placement.Load {
+func decodeLoad(e *tracepb.Load) *placement.LoadReport {
 	if e == nil {
 		return nil
 	}
-	return &placement.Load{
+	return &placement.LoadReport{
 		SpareCores: e.SpareCores, SpareMemory: e.SpareMemory, Backlog: e.Backlog, Utilization: e.Utilization,
 	}
 }
@@ -87,7 +87,7 @@
 	for i, n := range nodes {
 		all[i] = &tracepb.Node{
 			Id: uint32(n.ID), State: uint32(n.State), Kind: uint32(n.Kind), Zone: uint32(n.Zone), Cell: uint32(n.Cell),
-			Born: float64(n.Born), FreeCores: n.FreeCores, FreeMemory: n.FreeMemory,
+			Born: float64(n.StartedAt), FreeCores: n.FreeCores, FreeMemory: n.FreeMemory,
 		}
 	}
 	return all
@@ -98,7 +98,7 @@
 	for i, n := range all {
 		nodes[i] = placement.Node{
 			ID: placement.NodeID(n.Id), State: placement.NodeState(n.State), Kind: placement.KindID(n.Kind),
-			Zone: placement.ZoneID(n.Zone), Cell: placement.CellID(n.Cell), Born: placement.Millis(n.Born), FreeCores: n.FreeCores,
+			Zone: placement.ZoneID(n.Zone), Cell: placement.CellID(n.Cell), StartedAt: placement.Millis(n.Born), FreeCores: n.FreeCores,
 			FreeMemory: n.FreeMemory,
 		}
 	}
@@ -107,16 +107,16 @@
 
 func encodeStep(s placement.Step) *tracepb.Step {
 	return &tracepb.Step{
-		Kind: uint32(s.Kind), Node: uint32(s.Node), Timeout: float64(s.Timeout), Until: float64(s.Until),
+		Kind: uint32(s.Kind), Node: uint32(s.Node), Timeout: float64(s.Timeout), Until: float64(s.WakeAt),
 	}
 }
 
-func encodeChores(c placement.Chores) *tracepb.Chores {
-	e := &tracepb.Chores{Watch: c.Watch, Again: float64(c.Again)}
-	for _, id := range c.Moves {
+func encodeChores(c placement.Maintenance) *tracepb.Chores {
+	e := &tracepb.Chores{Watch: c.Subscribe, Again: float64(c.NextAt)}
+	for _, id := range c.Migrations {
 		e.Moves = append(e.Moves, uint32(id))
 	}
-	for _, id := range c.Probes {
+	for _, id := range c.HealthChecks {
 		e.Probes = append(e.Probes, uint32(id))
 	}
 	return e
--- a/internal/replay/extract.go
+++ b/internal/replay/extract.go
@@ -93,13 +93,13 @@
 	for _, rec := range before {
 		r.replayed(rec)
 	}
-	return encodeStep(r.module.Place(placement.Millis(last.AtMs), decodeWorkload(last.GetPlace().Workload)))
+	return encodeStep(r.module.Schedule(placement.Millis(last.AtMs), decodeWorkload(last.GetPlace().Workload)))
 }
 
 // replayed makes a call without comparing; a result for a workload whose ask was left out is left out too.
 func (r *run) replayed(rec *trace.Record) {
 	if n := rec.GetNext(); n != nil {
-		if s, ok := r.steps[n.Workload]; !ok || s.Next == nil {
+		if s, ok := r.steps[n.Workload]; !ok || s.NextStep == nil {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 	fmt.Fprintf(&b, "\tassert.Equal(t, placement.StepKind(%d), s.Kind) // %s\n", x.Decision.Kind, stepText(x.Decision))
 	fmt.Fprintf(&b, "\tassert.Equal(t, placement.NodeID(%d), s.Node)\n}\n", x.Decision.Node)
 	text := strings.NewReplacer(
-		"Born:-Inf", "Born:placement.LongAgo", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
+		"StartedAt:-Inf", "StartedAt:placement.DistantPast", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
 		"}, placement.Node{", "},\nplacement.Node{", "}, placement.Group{", "},\nplacement.Group{",
 	).Replace(b.String())
 	formatted, err := format.Source([]byte(text))
@@ -142,31 +142,31 @@
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Place:
 		w := decodeWorkload(b.Place.Workload)
-		return fmt.Sprintf("steps[%d] = a.Place(%s, %#v)", w.ID, at, w)
+		return fmt.Sprintf("steps[%d] = a.Schedule(%s, %#v)", w.ID, at, w)
 	case *tracepb.Record_Adopt:
 		w := decodeWorkload(b.Adopt.Workload)
 		return fmt.Sprintf("steps[%d] = a.Adopt(%s, %#v, %d)", w.ID, at, w, b.Adopt.Node)
 	case *tracepb.Record_Next:
-		result := placement.Result{Kind: placement.ResultKind(b.Next.Kind), Reason: placement.Reason(b.Next.Reason), Over: b.Next.Over}
-		text := fmt.Sprintf("placement.Result{Kind: %d, Reason: %d, Over: %v}", result.Kind, result.Reason, result.Over)
+		result := placement.Result{Kind: placement.ResultKind(b.Next.Kind), Reason: placement.Reason(b.Next.Reason), Final: b.Next.Over}
+		text := fmt.Sprintf("placement.Result{Kind: %d, Reason: %d, Final: %v}", result.Kind, result.Reason, result.Final)
 		if l := decodeLoad(b.Next.Load); l != nil {
 			text = strings.TrimSuffix(text, "}") + fmt.Sprintf(", Load: &%#v}", *l)
 		}
-		return fmt.Sprintf("steps[%d] = steps[%d].Next(%s, %s)", b.Next.Workload, b.Next.Workload, at, text)
+		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%s, %s)", b.Next.Workload, b.Next.Workload, at, text)
 	case *tracepb.Record_List:
-		return fmt.Sprintf("a.List(%s, %d, %#v)", at, b.List.Kind, decodeNodes(b.List.Nodes))
+		return fmt.Sprintf("a.UpdateNodes(%s, %d, %#v)", at, b.List.Kind, decodeNodes(b.List.Nodes))
 	case *tracepb.Record_Report:
-		return fmt.Sprintf("a.Report(%s, %d, %#v)", at, b.Report.Node, *decodeLoad(b.Report.Load))
+		return fmt.Sprintf("a.ReportLoad(%s, %d, %#v)", at, b.Report.Node, *decodeLoad(b.Report.Load))
 	case *tracepb.Record_Probed:
 		l := "nil"
 		if got := decodeLoad(b.Probed.Load); got != nil {
 			l = fmt.Sprintf("&%#v", *got)
 		}
-		return fmt.Sprintf("a.Probed(%s, %d, %v, %s)", at, b.Probed.Node, b.Probed.Answered, l)
+		return fmt.Sprintf("a.HealthChecked(%s, %d, %v, %s)", at, b.Probed.Node, b.Probed.Answered, l)
 	case *tracepb.Record_Note:
-		return fmt.Sprintf("a.Note(%s, %d, %d, %v)", at, b.Note.Workload, b.Note.Kind, b.Note.Value)
+		return fmt.Sprintf("a.ReportUsage(%s, %d, %d, %v)", at, b.Note.Workload, b.Note.Kind, b.Note.Value)
 	case *tracepb.Record_Upkeep:
-		return fmt.Sprintf("a.Upkeep(%s)", at)
+		return fmt.Sprintf("a.Maintain(%s)", at)
 	}
 	return ""
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	all := map[string][]*trace.Reader{}
 	for _, e := range entries {
-		names, _, _ := trace.Files(filepath.Join(dir, e.Name()))
+		names, _, _ := trace.ListFiles(filepath.Join(dir, e.Name()))
 		for _, n := range names {
 			r, err := trace.Open(n)
 			require.NoError(t, err)
@@ -98,7 +98,7 @@
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = append([]placement.Group(nil), s.Groups...)
 		for i := range s.Groups {
-			s.Groups[i].Calm = 0.35 // a lower cap on ρ
+			s.Groups[i].FullServiceUtilization = 0.35 // a lower cap on ρ
 		}
 		return placement.New(s, seed)
 	}
@@ -126,9 +126,9 @@
 	w := reports[0].WhatIf
 	assert.Equal(t, w.Asks, w.SameNode+w.StillRejected, "the same settings decide alike")
 	reports, err = replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
-		s.Kinds = append([]placement.Kind(nil), s.Kinds...)
-		for i := range s.Kinds {
-			s.Kinds[i].Cores /= 4
+		s.NodeKinds = append([]placement.NodeKind(nil), s.NodeKinds...)
+		for i := range s.NodeKinds {
+			s.NodeKinds[i].Cores /= 4
 		}
 		return s, nil
 	}})
@@ -141,7 +141,7 @@
 func TestATraceWithoutItsBeginningIsNotDecidedAgain(t *testing.T) {
 	files := traced(t, "quiet")["allocator-1"]
 	var cut bytes.Buffer
-	header := trace.Copy(files[0].Header)
+	header := trace.CopyHeader(files[0].Header)
 	w, err := trace.NewWriter(&cut, header)
 	require.NoError(t, err)
 	for r, err := range files[0].Records(trace.Span{}) {
@@ -178,7 +178,7 @@
 	assert.Less(t, len(x.Calls), x.All/5)
 	var b strings.Builder
 	require.NoError(t, x.Print(&b))
-	assert.Contains(t, b.String(), "s := a.Place(")
+	assert.Contains(t, b.String(), "s := a.Schedule(")
 	assert.NotContains(t, b.String(), "NaN)")
 	_, err = replay.ExtractFiles(files, 999999)
 	assert.ErrorContains(t, err, "no ask of workload 999999")
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -155,24 +155,24 @@
 	switch b := rec.Body.(type) {
 	case *tracepb.Record_Place:
 		w := decodeWorkload(b.Place.Workload)
-		r.step(rec, b.Place.Workload.GetId(), r.module.Place(now, w))
+		r.step(rec, b.Place.Workload.GetId(), r.module.Schedule(now, w))
 	case *tracepb.Record_Adopt:
 		w := decodeWorkload(b.Adopt.Workload)
 		r.step(rec, b.Adopt.Workload.GetId(), r.module.Adopt(now, w, placement.NodeID(b.Adopt.Node)))
 	case *tracepb.Record_Next:
 		r.advance(now, rec, b.Next)
 	case *tracepb.Record_List:
-		r.module.List(now, placement.ListKind(b.List.Kind), decodeNodes(b.List.Nodes))
+		r.module.UpdateNodes(now, placement.NodeUpdateKind(b.List.Kind), decodeNodes(b.List.Nodes))
 	case *tracepb.Record_Report:
 		if l := decodeLoad(b.Report.Load); l != nil {
-			r.module.Report(now, placement.NodeID(b.Report.Node), *l)
+			r.module.ReportLoad(now, placement.NodeID(b.Report.Node), *l)
 		}
 	case *tracepb.Record_Probed:
-		r.module.Probed(now, placement.NodeID(b.Probed.Node), b.Probed.Answered, decodeLoad(b.Probed.Load))
+		r.module.HealthChecked(now, placement.NodeID(b.Probed.Node), b.Probed.Answered, decodeLoad(b.Probed.Load))
 	case *tracepb.Record_Note:
-		r.module.Note(now, placement.WorkloadID(b.Note.Workload), placement.NoteKind(b.Note.Kind), b.Note.Value)
+		r.module.ReportUsage(now, placement.WorkloadID(b.Note.Workload), placement.UsageKind(b.Note.Kind), b.Note.Value)
 	case *tracepb.Record_Upkeep:
-		got := encodeChores(r.module.Upkeep(now))
+		got := encodeChores(r.module.Maintain(now))
 		r.compare(rec, proto.Equal(got, rec.Chores), choresText(rec.Chores), choresText(got))
 	default:
 		return false
@@ -184,14 +184,14 @@
 // step would have come to is unknown, so its bind is taken back and the workload left.
 func (r *run) advance(now placement.Millis, rec *trace.Record, n *tracepb.Next) {
 	s, ok := r.steps[n.Workload]
-	if !ok || s.Next == nil {
+	if !ok || s.NextStep == nil {
 		if r.opts.Settings == nil {
 			r.compare(rec, false, stepText(rec.Step), "nothing: the workload was let go of before")
 		}
 		return
 	}
-	r.step(rec, n.Workload, s.Next(now, placement.Result{
-		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Over: n.Over, Load: decodeLoad(n.Load),
+	r.step(rec, n.Workload, s.NextStep(now, placement.Result{
+		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Final: n.Over, Load: decodeLoad(n.Load),
 	}))
 }
 
@@ -201,7 +201,7 @@
 		r.whatIf(rec, id, s, got)
 		return
 	}
-	if s.Next == nil {
+	if s.NextStep == nil {
 		delete(r.steps, id)
 	} else {
 		r.steps[id] = s
@@ -235,11 +235,11 @@
 	}
 	delete(r.steps, id)
 	switch {
-	case s.Next == nil:
+	case s.NextStep == nil:
 	case was == is:
 		r.steps[id] = s
-	case s.Kind == placement.Bind || s.Kind == placement.Resident:
-		s.Next(placement.Millis(rec.AtMs), placement.Result{Kind: placement.NotSent, Over: true})
+	case s.Kind == placement.Bind || s.Kind == placement.AwaitEnd:
+		s.NextStep(placement.Millis(rec.AtMs), placement.Result{Kind: placement.NotAttempted, Final: true})
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,19 +14,19 @@
 	"grebeglade/placement"
 )
 
-// Told is what was told. Names are in the order of the numbers that decisions know them by.
-type Told struct {
+// Received is what was told. Names are in the order of the numbers that decisions know them by.
+type Received struct {
 	placement.Settings
-	Reports        []string // values in a load report
-	Groups         []string
-	Kinds          []string
-	Zones          []string
+	ReportFields   []string // values in a load report
+	GroupNames     []string
+	KindNames      []string
+	ZoneNames      []string
 	ConnectTimeout placement.Millis // a connection that is not up by then has failed; 0 where it is not told
 	IdleTimeout    placement.Millis // a connection that carries nothing for so long is closed; 0 where it is not told
 }
 
-// SetLoad sets the value of that name in a load report; other names are passed over.
-func SetLoad(l *placement.Load, name string, v float64) {
+// SetLoadField sets the value of that name in a load report; other names are passed over.
+func SetLoadField(l *placement.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
 		l.SpareCores = v
@@ -39,14 +39,14 @@
 	}
 }
 
-// NoLoad is a report that lacks all values.
-func NoLoad() *placement.Load {
+// UnknownLoad is a report that lacks all values.
+func UnknownLoad() *placement.LoadReport {
 	none := math.NaN()
-	return &placement.Load{SpareCores: none, SpareMemory: none, Backlog: none, Utilization: none}
+	return &placement.LoadReport{SpareCores: none, SpareMemory: none, Backlog: none, Utilization: none}
 }
 
 // FromJSON reads the nested form.
-func FromJSON(raw []byte) (*Told, error) {
+func FromJSON(raw []byte) (*Received, error) {
 	var root map[string]any
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -167,8 +167,8 @@
 	return w
 }
 
-var effects = map[string]placement.Effect{
-	"read_like": placement.Restartable, "idempotency_key": placement.Deduplicated, "non_idempotent": placement.RunOnce,
+var effects = map[string]placement.Idempotency{
+	"read_like": placement.Idempotent, "idempotency_key": placement.IdempotentByKey, "non_idempotent": placement.AtMostOnce,
 }
 
 var scopes = map[string]placement.Scope{
@@ -183,28 +183,28 @@
 var mustAsk = map[string]bool{"subscribe": true, "automatic": false}
 
 // FromPairs reads lines of path=value. Keys that decisions do not need are passed over.
-func FromPairs(text string) (*Told, error) { return newConfig(text).read() }
+func FromPairs(text string) (*Received, error) { return newConfig(text).read() }
 
-func (c *config) read() (*Told, error) {
+func (c *config) read() (*Received, error) {
 	s := placement.Settings{
-		Allocators:      int(c.number("balancers")),
-		Ordinal:         int(c.number("ordinal")),
-		ColdFor:         c.millis("contract.cold_ns"),
-		ColdFrom:        c.number("contract.cold_from"),
-		ColdBears:       c.number("family_info.cold_bears"),
-		OverloadFor:     c.millis("contract.overload_for_ns"),
-		MustAsk:         word(c, "discovery", c.text("discovery"), mustAsk),
-		ConfirmsRunning: word(c, "family_info.confirms", c.text("family_info.confirms"), confirmsRunning),
-		ReportsUse:      word(c, "family_info.report_counts", c.text("family_info.report_counts"), reportsUse),
-		RoomInList:      c.flag("family_info.free_in_list"),
-		MaxBinds:        int(c.number("permissions.most_tries")),
-		MayProbe:        c.flag("permissions.probes"),
-	}
-	if s.MustAsk {
-		s.AskWithin = c.millis("contract.ask_within_ns")
+		Allocators:           int(c.number("balancers")),
+		Ordinal:              int(c.number("ordinal")),
+		WarmUpDuration:       c.millis("contract.cold_ns"),
+		InitialRate:          c.number("contract.cold_from"),
+		WarmUpBudget:         c.number("family_info.cold_bears"),
+		OverloadWindow:       c.millis("contract.overload_for_ns"),
+		PolledDiscovery:      word(c, "discovery", c.text("discovery"), mustAsk),
+		ConfirmsRunning:      word(c, "family_info.confirms", c.text("family_info.confirms"), confirmsRunning),
+		ReportsUsage:         word(c, "family_info.report_counts", c.text("family_info.report_counts"), reportsUse),
+		EntriesCarryCapacity: c.flag("family_info.free_in_list"),
+		MaxBinds:             int(c.number("permissions.most_tries")),
+		HealthChecksAllowed:  c.flag("permissions.probes"),
+	}
+	if s.PolledDiscovery {
+		s.PollInterval = c.millis("contract.ask_within_ns")
 	}
 	for i := range c.list("family_info.kind_cores") {
-		s.Kinds = append(s.Kinds, placement.Kind{
+		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{
 			Cores:  c.element("family_info.kind_cores", i),
 			Memory: c.element("family_info.memory_by_kind", i),
 		})
@@ -212,29 +212,29 @@
 	for i := 0; i < int(c.number("request_classes.count")) && c.err == nil; i++ {
 		at := fmt.Sprintf("request_classes.%d.", i)
 		g := placement.Group{
-			Target:     c.millis(at + "aim_ns"),
-			Utility:    c.number(at + "value"),
-			Effect:     word(c, at+"effect", c.text(at+"effect"), effects),
-			SpreadMost: int(c.element("family_info.spread_most", i)),
-			Calm:       c.element("family_info.calm_level", i),
-			Fade:       c.element("family_info.lost_after", i),
-			Kind:       int(c.element("family_info.kind_by_class", i)),
+			LatencyObjective:       c.millis(at + "aim_ns"),
+			PriorityWeight:         c.number(at + "value"),
+			Idempotency:            word(c, at+"effect", c.text(at+"effect"), effects),
+			MaxPerScope:            int(c.element("family_info.spread_most", i)),
+			FullServiceUtilization: c.element("family_info.calm_level", i),
+			DegradationRange:       c.element("family_info.lost_after", i),
+			RequiredKind:           int(c.element("family_info.kind_by_class", i)),
 		}
 		if apart := c.list("family_info.apart_by"); i < len(apart) {
-			g.Spread = word(c, "family_info.apart_by", apart[i], scopes)
+			g.SpreadScope = word(c, "family_info.apart_by", apart[i], scopes)
 		} else {
 			c.fail("family_info.apart_by", "has no value for every class")
 		}
-		if g.Effect == placement.Deduplicated {
-			g.DedupScope = word(c, at+"dedup_scope", c.text(at+"dedup_scope"), scopes)
-			g.DedupWindow = c.millis(at + "window_ns")
+		if g.Idempotency == placement.IdempotentByKey {
+			g.KeyScope = word(c, at+"dedup_scope", c.text(at+"dedup_scope"), scopes)
+			g.KeyWindow = c.millis(at + "window_ns")
 		}
 		s.Groups = append(s.Groups, g)
 	}
-	t := &Told{Settings: s, Reports: c.list("report.fields")}
-	t.Kinds, t.Zones = c.optional("kinds"), c.optional("zones")
+	t := &Received{Settings: s, ReportFields: c.list("report.fields")}
+	t.KindNames, t.ZoneNames = c.optional("kinds"), c.optional("zones")
 	for i := range s.Groups {
-		t.Groups = append(t.Groups, c.pairs[fmt.Sprintf("request_classes.%d.name", i)])
+		t.GroupNames = append(t.GroupNames, c.pairs[fmt.Sprintf("request_classes.%d.name", i)])
 	}
 	if _, told := c.pairs["permissions.connect_timeout_ns"]; told {
 		t.ConnectTimeout = c.millis("permissions.connect_timeout_ns")
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -181,7 +181,7 @@
 func (a *Auditor) node(id uint32) *nodeSeen {
 	n := a.nodes[id]
 	if n == nil {
-		n = &nodeSeen{born: placement.LongAgo}
+		n = &nodeSeen{born: placement.DistantPast}
 		a.nodes[id] = n
 	}
 	return n
@@ -497,8 +497,8 @@
 		a.gangAnswers(now, w, v)
 		return
 	}
-	if v.Verdict != pb.Verdict_REJECTED || g.Effect == placement.Restartable ||
-		g.Effect == placement.Deduplicated && g.DedupScope == placement.ScopeAll {
+	if v.Verdict != pb.Verdict_REJECTED || g.Idempotency == placement.Idempotent ||
+		g.Idempotency == placement.IdempotentByKey && g.KeyScope == placement.ScopeAll {
 		return
 	}
 	for _, b := range w.binds {
@@ -537,9 +537,9 @@
 			a.breaks(2, now, node, w, "the same bind sent twice")
 		case b.out(now):
 			a.breaks(2, now, node, w, "two binds out at once")
-		case g.Effect == placement.RunOnce:
+		case g.Idempotency == placement.AtMostOnce:
 			a.breaks(2, now, node, w, "a run-once workload sent again that may have run")
-		case g.Effect == placement.Deduplicated && (now-b.sent >= g.DedupWindow || !a.same(g.DedupScope, b.node, node)):
+		case g.Idempotency == placement.IdempotentByKey && (now-b.sent >= g.KeyWindow || !a.same(g.KeyScope, b.node, node)):
 			a.breaks(2, now, node, w, "a deduplicated workload sent beyond its scope or window")
 		}
 	}
@@ -554,7 +554,7 @@
 		}
 	}
 	b := &bindSeen{key: keyOf(o.Bind), node: node, sent: now, within: placement.Millis(o.AcceptWithinMs), wl: w}
-	if g.Effect == placement.RunOnce {
+	if g.Idempotency == placement.AtMostOnce {
 		// Whatever ask it is for, and whatever life sends it.
 		for _, other := range a.once[w.ask.Key] {
 			if !other.never && other.wl != w {
@@ -565,18 +565,18 @@
 	}
 	w.binds = append(w.binds, b)
 	s.open[b.key] = b
-	if g.Spread == placement.ScopeNone {
+	if g.SpreadScope == placement.ScopeNone {
 		return
 	}
 	held := 0
 	for _, other := range s.open {
-		if (other.stands || other.out(now)) && other.wl.ask.Service == w.ask.Service && a.same(g.Spread, other.node, node) {
+		if (other.stands || other.out(now)) && other.wl.ask.Service == w.ask.Service && a.same(g.SpreadScope, other.node, node) {
 			held++
 		}
 	}
-	a.Nearest.Spread = max(a.Nearest.Spread, float64(held)/float64(max(1, g.SpreadMost)))
-	if held > g.SpreadMost {
-		a.breaks(5, now, node, w, fmt.Sprintf("%d of the service in one %s where %d are allowed", held, place[g.Spread], g.SpreadMost))
+	a.Nearest.Spread = max(a.Nearest.Spread, float64(held)/float64(max(1, g.MaxPerScope)))
+	if held > g.MaxPerScope {
+		a.breaks(5, now, node, w, fmt.Sprintf("%d of the service in one %s where %d are allowed", held, place[g.SpreadScope], g.MaxPerScope))
 	}
 }
 
@@ -603,7 +603,7 @@
 		r := b.Register
 		n.zone, n.cell = r.Zone, r.Cell
 		if r.Boot != n.boot {
-			n.boot, n.born, n.arrivals = r.Boot, placement.LongAgo, nil
+			n.boot, n.born, n.arrivals = r.Boot, placement.DistantPast, nil
 			if r.UpForMs >= 0 {
 				n.born = now - placement.Millis(r.UpForMs)
 			}
@@ -660,7 +660,7 @@
 // runs checks that a run-once workload starts once.
 func (a *Auditor) runs(now placement.Millis, node uint32, b *pb.BindID) {
 	o := a.allocator(b.Allocator).open[keyOf(b)]
-	if o == nil || a.terms.Groups[o.wl.ask.Group].Effect != placement.RunOnce {
+	if o == nil || a.terms.Groups[o.wl.ask.Group].Idempotency != placement.AtMostOnce {
 		return
 	}
 	started := a.starts[o.wl.ask.Key]
--- a/internal/simulation/auditgangs.go
+++ b/internal/simulation/auditgangs.go
@@ -89,7 +89,7 @@
 		return
 	}
 	for _, p := range g.parts {
-		if a.terms.Groups[p.ask.Group].Effect != placement.RunOnce {
+		if a.terms.Groups[p.ask.Group].Idempotency != placement.AtMostOnce {
 			continue
 		}
 		for _, b := range p.binds {
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -61,11 +61,11 @@
 }
 
 // again is how long an owner waits, in the mean, before it asks again for what was lost.
-func (d *Day) again(e placement.Effect) placement.Millis {
+func (d *Day) again(e placement.Idempotency) placement.Millis {
 	switch e {
-	case placement.RunOnce:
+	case placement.AtMostOnce:
 		return -1
-	case placement.Deduplicated:
+	case placement.IdempotentByKey:
 		return max(d.script.Owner.Again, settleAfter)
 	}
 	return d.script.Owner.Again
@@ -92,7 +92,7 @@
 		all = append(all, oracle.Want{
 			From: w.From, Until: w.Until, Service: w.Service, Cores: w.Cores, Memory: w.Memory,
 			UsesCores: w.Cores * use.Cores * spread(w.Service), UsesMemory: w.Memory * use.Memory * spread(w.Service+1),
-			Spread: g.Spread, SpreadMost: g.SpreadMost, Again: d.again(g.Effect),
+			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.again(g.Idempotency),
 		})
 	}
 	return all
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -102,9 +102,9 @@
 	specs  []*NodeSpec
 	allocs []*Gate
 	owners []*Gate
-	ports  [][]*native.Port // by allocator, one for each life
-	begins placement.Millis // when owners begin: nodes and allocators know of each other by then
-	fell   chan struct{}    // one for each node that fell over
+	ports  [][]*native.Frontend // by allocator, one for each life
+	begins placement.Millis     // when owners begin: nodes and allocators know of each other by then
+	fell   chan struct{}        // one for each node that fell over
 	drains map[*Gate][]oracle.Span
 
 	wall      float64    // Unix time, in ms, at which the host's clock stood at 0
@@ -154,7 +154,7 @@
 func (d *Day) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
 func (d *Day) newList() *Gate {
-	return NewGate("list", pb.Role_LIST, 0, d.w, func(inc uint64) transport.Party { return NewList(&d.script.List, inc) })
+	return NewGate("list", pb.Role_LIST, 0, d.w, func(inc uint64) transport.FrameHandler { return NewList(&d.script.List, inc) })
 }
 
 // addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
@@ -165,7 +165,7 @@
 			i := len(d.specs)
 			d.specs = append(d.specs, &NodeSpec{
 				ID: uint32(hashOf(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.Kinds[k],
-				Cores: s.Settings.Kinds[k].Cores, Memory: s.Settings.Kinds[k].Memory, ListAddr: list,
+				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, ListAddr: list,
 			})
 		}
 	}
@@ -183,7 +183,7 @@
 func (d *Day) populate() error {
 	s := d.script
 	d.list = d.newList()
-	list, err := d.host.Add(d.list, d.zone(0))
+	list, err := d.host.AddHandler(d.list, d.zone(0))
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	for i := range s.Allocators {
 		g := d.allocator(i, list)
 		d.allocs = append(d.allocs, g)
-		addr, err := d.host.Add(g, d.zone(i))
+		addr, err := d.host.AddHandler(g, d.zone(i))
 		if err != nil {
 			return err
 		}
@@ -208,11 +208,11 @@
 	}
 	for i := range s.Owners {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := NewGate(name, pb.Role_OWNER, i, d.w, func(uint64) transport.Party {
+		g := NewGate(name, pb.Role_OWNER, i, d.w, func(uint64) transport.FrameHandler {
 			return NewOwner(name, i, &owner, d.opts.Seed)
 		})
 		d.owners = append(d.owners, g)
-		if _, err := d.host.Add(g, d.zone(i)); err != nil {
+		if _, err := d.host.AddHandler(g, d.zone(i)); err != nil {
 			return err
 		}
 	}
@@ -221,7 +221,7 @@
 
 func (d *Day) addNode(spec *NodeSpec) error {
 	var g *Gate
-	g = NewGate(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.w, func(boot uint64) transport.Party {
+	g = NewGate(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.w, func(boot uint64) transport.FrameHandler {
 		n := NewNode(spec, &d.script.Node, boot)
 		n.Fell = func() {
 			d.fell <- struct{}{}
@@ -238,9 +238,9 @@
 		}
 		return n
 	})
-	g.Dies = func(inner transport.Party) { inner.(*Node).Died() }
+	g.Dies = func(inner transport.FrameHandler) { inner.(*Node).Died() }
 	d.nodes = append(d.nodes, g)
-	addr, err := d.host.Add(g, spec.Zone)
+	addr, err := d.host.AddHandler(g, spec.Zone)
 	spec.Addr = addr
 	return err
 }
@@ -255,7 +255,7 @@
 	if d.opts.Sabotage == SpreadBlind {
 		settings.Groups = slices.Clone(settings.Groups)
 		for g := range settings.Groups {
-			settings.Groups[g].Spread = placement.ScopeNone
+			settings.Groups[g].SpreadScope = placement.ScopeNone
 		}
 	}
 	name := fmt.Sprintf("allocator-%d", i+1)
@@ -263,16 +263,16 @@
 	var recorder *trace.Recorder
 	var gate *Gate
 	journal := &journal{
-		disk: storage.NewMemory(hashOf(d.opts.Seed, uint64(i))), takes: s.State.Disk, honest: d.opts.Sabotage != SyncsNever,
+		disk: storage.NewMemoryDisk(hashOf(d.opts.Seed, uint64(i))), takes: s.State.Disk, honest: d.opts.Sabotage != SyncsNever,
 		now:   func() placement.Millis { return gate.net.Now() },
-		later: func(at placement.Millis, do func(now placement.Millis)) { d.host.Do(gate, at, do) },
+		later: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(gate, at, do) },
 	}
 	frames := 0
-	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) transport.Party {
+	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) transport.FrameHandler {
 		c := native.Config{
 			Name: name, Incarnation: inc, Seed: hashOf(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
-			Groups: s.Groups, Kinds: s.Kinds, Zone: d.zone(i), List: list, MostHeld: s.Limits.Workloads,
-			Log: d.opts.Log.With("allocator", name), Wall: d.wall,
+			Groups: s.Groups, Kinds: s.Kinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
+			Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wall,
 		}
 		if d.opts.Trace != "" {
 			if lives := d.ports[i]; len(lives) > 0 {
@@ -287,16 +287,16 @@
 				panic(err) // the disk is ours, and fails only when it is told to
 			}
 			if d.opts.Sabotage == ForgetsState {
-				c.Left = nil
+				c.RecoveredBinds = nil
 			}
 		}
 		p := native.New(c)
 		d.ports[i] = append(d.ports[i], p)
 		if m := d.opts.Mishap; m != nil && i == 0 {
 			return &unlucky{
-				Party: p, m: m, seen: &frames,
+				FrameHandler: p, m: m, seen: &frames,
 				delay: func(at placement.Millis, do func(now placement.Millis)) {
-					d.host.Do(gate, at, func(now placement.Millis) {
+					d.host.RunAt(gate, at, func(now placement.Millis) {
 						if gate.Alive() {
 							do(now)
 						}
@@ -305,14 +305,14 @@
 				crash: func(now placement.Millis) {
 					gate.Kill(now)
 					if m.Back {
-						d.host.Do(gate, now+mishapAway, gate.Restart)
+						d.host.RunAt(gate, now+mishapAway, gate.Restart)
 					}
 				},
 			}
 		}
 		return d.opts.Sabotage.around(p)
 	})
-	gate.Dies = func(transport.Party) { journal.crash() }
+	gate.Dies = func(transport.FrameHandler) { journal.crash() }
 	return gate
 }
 
@@ -324,13 +324,13 @@
 		before.Close()
 		d.recorders = slices.DeleteFunc(d.recorders, func(r *trace.Recorder) bool { return r == before })
 	}
-	source := &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.Wall}
+	source := &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset}
 	r, err := trace.NewRecorder(filepath.Join(d.opts.Trace, c.Name), source, trace.DefaultLimits, c.Log)
 	if err != nil {
 		d.traceErr = err
 		return nil
 	}
-	_, r.Waits = d.host.(*Virtual)
+	_, r.BlockWhenFull = d.host.(*Virtual)
 	d.recorders = append(d.recorders, r)
 	return r
 }
@@ -442,16 +442,16 @@
 	for _, lives := range d.ports {
 		r.Lives += len(lives)
 		for _, p := range lives {
-			r.Binds += p.Counts.Binds
-			r.Moves += p.Counts.Moves
-			r.Probes += p.Counts.Probes
-			r.ListCalls += p.Counts.ListCalls
-			r.ListEntries += p.Counts.ListEntries
-			r.GangStops += p.Counts.GangStops
-			r.Duplicates += p.Counts.Duplicates
-			r.Stray += p.Counts.Stray
-			r.Known += p.Counts.Known
-			digest.Write(binary.LittleEndian.AppendUint64(nil, p.Record().Digest()))
+			r.Binds += p.Counters.Binds
+			r.Moves += p.Counters.Migrations
+			r.Probes += p.Counters.HealthChecks
+			r.ListCalls += p.Counters.DiscoveryCalls
+			r.ListEntries += p.Counters.DiscoveryEntries
+			r.GangStops += p.Counters.GangPartStops
+			r.Duplicates += p.Counters.DuplicateRequests
+			r.Stray += p.Counters.UnmatchedReplies
+			r.Known += p.Counters.AnsweredFromJournal
+			digest.Write(binary.LittleEndian.AppendUint64(nil, p.EventLog().Digest()))
 		}
 	}
 	r.Digest = fmt.Sprintf("%016x", digest.Sum64())
@@ -487,13 +487,13 @@
 	switch f.Kind {
 	case "crash":
 		for _, g := range d.some(d.nodes, f.Part) {
-			d.host.Do(g, at, g.Kill)
-			d.host.Do(g, until, g.Restart)
+			d.host.RunAt(g, at, g.Kill)
+			d.host.RunAt(g, until, g.Restart)
 		}
 	case "allocator-death":
 		for _, g := range d.some(d.allocs, f.Part) {
-			d.host.Do(g, at, g.Kill)
-			d.host.Do(g, until, g.Restart)
+			d.host.RunAt(g, at, g.Kill)
+			d.host.RunAt(g, until, g.Restart)
 		}
 	case "stall":
 		d.stills(d.some(d.nodes, f.Part), f, at, until)
@@ -537,9 +537,9 @@
 	case "hall-cut":
 		for i, g := range d.nodes {
 			if d.specs[i].Zone == f.Zone {
-				d.host.Do(g, at, g.Cut)
-				d.host.Do(g, at+cutBreaks, g.BreakCut)
-				d.host.Do(g, until, g.Heal)
+				d.host.RunAt(g, at, g.Cut)
+				d.host.RunAt(g, at+cutBreaks, g.BreakCut)
+				d.host.RunAt(g, until, g.Heal)
 			}
 		}
 	default:
@@ -551,7 +551,7 @@
 func (d *Day) planOutside(f Fault, at, until placement.Millis) {
 	owners := func(at placement.Millis, do func(now placement.Millis, o *Owner)) {
 		for _, g := range d.owners {
-			d.host.Do(g, at, func(now placement.Millis) {
+			d.host.RunAt(g, at, func(now placement.Millis) {
 				if o, ok := g.Inner().(*Owner); ok {
 					do(g.clock.local(now), o)
 				}
@@ -569,9 +569,9 @@
 		owners(at, func(now placement.Millis, o *Owner) { o.Restart(now, f.Size, f.For) })
 	case "owner-disconnect":
 		for _, g := range d.some(d.owners, f.Part) {
-			d.host.Do(g, at, g.Cut)
-			d.host.Do(g, at+1, g.BreakCut)
-			d.host.Do(g, at+2, g.Heal)
+			d.host.RunAt(g, at, g.Cut)
+			d.host.RunAt(g, at+1, g.BreakCut)
+			d.host.RunAt(g, at+2, g.Heal)
 		}
 	case "list-overrun":
 		d.onList(at, func(_ placement.Millis, l *List) { l.Slower, l.Later = f.Size, placement.Millis(f.Size)*50 })
@@ -600,19 +600,19 @@
 	case "one-way":
 		for i, g := range d.some(d.nodes, f.Part) {
 			out := i%2 == 0
-			d.host.Do(g, at, func(placement.Millis) { g.CutOne(out) })
-			d.host.Do(g, at+cutBreaks, g.BreakCut)
-			d.host.Do(g, until, g.Heal)
+			d.host.RunAt(g, at, func(placement.Millis) { g.CutOne(out) })
+			d.host.RunAt(g, at+cutBreaks, g.BreakCut)
+			d.host.RunAt(g, until, g.Heal)
 		}
 	case "clock-skew":
 		for _, g := range d.some(everyone, f.Part) {
 			rate := 1 + f.Size/1e6*(2*d.rng.Float64()-1)
-			d.host.Do(g, at, func(now placement.Millis) { g.SetClock(now, rate, 0) })
-			d.host.Do(g, until, func(now placement.Millis) { g.SetClock(now, 1, 0) })
+			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, rate, 0) })
+			d.host.RunAt(g, until, func(now placement.Millis) { g.SetClock(now, 1, 0) })
 		}
 	case "clock-step":
 		for _, g := range d.some(slices.Concat(d.nodes, []*Gate{d.list}), f.Part) {
-			d.host.Do(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
+			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
 		}
 	case "doubled": // not at owners: an answer that comes twice is what the first rule is about
 		d.trouble(slices.Concat(d.nodes, d.allocs, []*Gate{d.list}), f, at, until, Trouble{Doubled: true})
@@ -628,9 +628,9 @@
 	for _, g := range gates {
 		t := t
 		t.Part, t.rng = f.Part, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
-		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.Do(g, at, do) }
-		d.host.Do(g, at, func(placement.Millis) { g.SetTrouble(&t, later) })
-		d.host.Do(g, until, func(placement.Millis) { g.SetTrouble(nil, later) })
+		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(g, at, do) }
+		d.host.RunAt(g, at, func(placement.Millis) { g.SetTrouble(&t, later) })
+		d.host.RunAt(g, until, func(placement.Millis) { g.SetTrouble(nil, later) })
 	}
 }
 
@@ -646,14 +646,14 @@
 	for _, g := range gates {
 		for t := at + f.Every*placement.Millis(d.rng.Float64()); t < until; t += f.Every {
 			size := placement.Millis(f.Size)
-			d.host.Do(g, t, func(now placement.Millis) { g.Still(now, now+size) })
-			d.host.Do(g, t+size, g.Go)
+			d.host.RunAt(g, t, func(now placement.Millis) { g.Still(now, now+size) })
+			d.host.RunAt(g, t+size, g.Go)
 		}
 	}
 }
 
 func (d *Day) onNode(g *Gate, at placement.Millis, do func(now placement.Millis, n *Node)) {
-	d.host.Do(g, at, func(now placement.Millis) {
+	d.host.RunAt(g, at, func(now placement.Millis) {
 		if n, ok := g.Inner().(*Node); ok {
 			do(g.clock.local(now), n)
 		}
@@ -676,18 +676,18 @@
 		if drained {
 			d.onNode(g, t, func(now placement.Millis, n *Node) { n.Drain(now, true) })
 			d.drains[g] = append(d.drains[g], oracle.Span{From: t, Until: t + away})
-			d.host.Do(g, t+away, g.Kill)
-			d.host.Do(g, t+away+300, g.Restart)
+			d.host.RunAt(g, t+away, g.Kill)
+			d.host.RunAt(g, t+away+300, g.Restart)
 		} else {
-			d.host.Do(g, t, g.Kill)
-			d.host.Do(g, t+away, g.Restart)
+			d.host.RunAt(g, t, g.Kill)
+			d.host.RunAt(g, t+away, g.Restart)
 		}
 	}
 }
 
 // onList changes how the machine list behaves.
 func (d *Day) onList(at placement.Millis, do func(now placement.Millis, l *List)) {
-	d.host.Do(d.list, at, func(now placement.Millis) {
+	d.host.RunAt(d.list, at, func(now placement.Millis) {
 		if l, ok := d.list.Inner().(*List); ok {
 			do(d.list.clock.local(now), l)
 		}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -22,7 +22,7 @@
 	loop := transport.NewLoop(log)
 	d := newDay(s, Options{Seed: seed}, loop, silent{}, 0)
 	d.list = d.newList()
-	addr, err := loop.Listen(d.list, listAddr, transport.DefaultLimits)
+	addr, err := loop.ListenFrames(d.list, listAddr, transport.DefaultLimits)
 	if err == nil {
 		err = d.addNodes(addr)
 	}
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -17,7 +17,7 @@
 // GangDemand is what is asked for in groups of one kind.
 type GangDemand struct {
 	Group         string
-	Effect        placement.Effect
+	Effect        placement.Idempotency
 	Rate          float64 // a second, of this owner
 	Parts, Need   int
 	Shape         [2]float64
@@ -59,7 +59,7 @@
 	if now >= o.model.Until {
 		return
 	}
-	o.timers.At(now+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
+	o.timers.Schedule(now+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
 	d := &o.model.Gangs[i]
 	g := &wantedGang{
 		demand: d, first: now, until: min(now+2*d.Pending, o.model.Until), service: serviceID(d.Group+" gang", i),
@@ -108,7 +108,7 @@
 	}
 	d := g.demand
 	g.tries++
-	if g.keys == nil || d.Effect != placement.RunOnce {
+	if g.keys == nil || d.Effect != placement.AtMostOnce {
 		g.keys = o.newKeys(d.Parts)
 	}
 	at := there[o.rng.IntN(len(there))]
@@ -125,9 +125,9 @@
 		a.Parts = append(a.Parts, g.part(i))
 	}
 	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: a}})
-	o.timers.At(now+d.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
+	o.timers.Schedule(now+d.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 	if o.rng.Float64() < o.model.Withdraws {
-		o.timers.At(now+placement.Millis(o.rng.Float64())*d.Life/4, func(now placement.Millis) { o.gangWithdraw(now, no, w) })
+		o.timers.Schedule(now+placement.Millis(o.rng.Float64())*d.Life/4, func(now placement.Millis) { o.gangWithdraw(now, no, w) })
 	}
 }
 
@@ -185,11 +185,11 @@
 	if o.model.Policy == ForEver {
 		wait = 100
 	}
-	if mayHaveRun && g.demand.Effect == placement.RunOnce || now+wait > g.until {
+	if mayHaveRun && g.demand.Effect == placement.AtMostOnce || now+wait > g.until {
 		o.gangGivenUp(g)
 		return
 	}
-	o.timers.At(now+wait, func(now placement.Millis) { o.gangAsk(now, g) })
+	o.timers.Schedule(now+wait, func(now placement.Millis) { o.gangAsk(now, g) })
 }
 
 func (o *Owner) gangGivenUp(g *wantedGang) {
@@ -211,7 +211,7 @@
 	for i := range g.demand.Parts {
 		o.partAsk(now, g, i)
 	}
-	o.timers.At(now+stopWithin, func(now placement.Millis) { o.gangLate(now, g) })
+	o.timers.Schedule(now+stopWithin, func(now placement.Millis) { o.gangLate(now, g) })
 }
 
 func (o *Owner) partAsk(now placement.Millis, g *wantedGang, i int) {
@@ -228,15 +228,15 @@
 	a := g.part(i)
 	a.Ask, a.LeftMs = no, float64(g.demand.Pending)
 	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: a}})
-	o.timers.At(now+g.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
+	o.timers.Schedule(now+g.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 }
 
 func (o *Owner) partAgain(now placement.Millis, w *wanted, mayHaveRun bool) {
 	g := w.gang
-	if g.over || mayHaveRun && g.demand.Effect == placement.RunOnce {
+	if g.over || mayHaveRun && g.demand.Effect == placement.AtMostOnce {
 		return
 	}
-	o.timers.At(now+o.model.Again, func(now placement.Millis) { o.partAsk(now, g, w.part) })
+	o.timers.Schedule(now+o.model.Again, func(now placement.Millis) { o.partAsk(now, g, w.part) })
 }
 
 func (o *Owner) gangWhole(now placement.Millis, g *wantedGang) {
@@ -261,7 +261,7 @@
 			o.drop(no, w)
 		}
 	}
-	if g.placed = map[int]*wanted{}; now+stopWithin > g.until || g.demand.Effect == placement.RunOnce {
+	if g.placed = map[int]*wanted{}; now+stopWithin > g.until || g.demand.Effect == placement.AtMostOnce {
 		o.gangGivenUp(g)
 		return
 	}
@@ -272,18 +272,18 @@
 func (s *Script) readGangs(b *config.Block) {
 	for _, g := range b.Named("gang") {
 		d := GangDemand{
-			Group: g.Text("group", firstOf(s.Groups)), Rate: g.Number("rate", 0.3, 0, 1e4), Parts: g.Count("parts", 4, 1, 1000),
-			Life: g.Time("life", 8e3), Pending: g.Time("pending", 8e3), Spread: g.Word("spread", "", "", "node", "cell", "zone"),
-			Replace: g.Flag("replace", false), ReplaceWithin: g.Time("replace_within", 3e3),
-			Shape: [2]float64{g.Number("cores", 2, 0.001, 1e6), g.Number("memory", 4, 0.001, 1e9)},
+			Group: g.String("group", firstOf(s.Groups)), Rate: g.Float("rate", 0.3, 0, 1e4), Parts: g.Int("parts", 4, 1, 1000),
+			Life: g.Duration("life", 8e3), Pending: g.Duration("pending", 8e3), Spread: g.OneOf("spread", "", "", "node", "cell", "zone"),
+			Replace: g.Bool("replace", false), ReplaceWithin: g.Duration("replace_within", 3e3),
+			Shape: [2]float64{g.Float("cores", 2, 0.001, 1e6), g.Float("memory", 4, 0.001, 1e9)},
 		}
-		d.Need = g.Count("need", d.Parts, 1, d.Parts)
+		d.Need = g.Int("need", d.Parts, 1, d.Parts)
 		at := slices.Index(s.Groups, d.Group)
 		if at < 0 {
-			g.Problem("group", fmt.Sprintf("group %q is not known", d.Group), fmt.Sprintf("write one of %q", s.Groups))
+			g.AddProblem("group", fmt.Sprintf("group %q is not known", d.Group), fmt.Sprintf("write one of %q", s.Groups))
 			continue
 		}
-		d.Effect = s.Settings.Groups[at].Effect
+		d.Effect = s.Settings.Groups[at].Idempotency
 		s.Owner.Gangs = append(s.Owner.Gangs, d)
 	}
 	s.Owner.Policy = Together
--- a/internal/simulation/gate.go
+++ b/internal/simulation/gate.go
@@ -31,15 +31,15 @@
 type Gate struct {
 	Name string
 	Role pb.Role
-	ID   int                         // number within its role
-	Dies func(inner transport.Party) // called before the process ends, or nil
+	ID   int                                // number within its role
+	Dies func(inner transport.FrameHandler) // called before the process ends, or nil
 
-	make    func(incarnation uint64) transport.Party
+	make    func(incarnation uint64) transport.FrameHandler
 	witness Witness
 	lives   []oracle.Span // of its process
 
-	net         transport.Net
-	inner       transport.Party // nil while dead
+	net         transport.FrameNetwork
+	inner       transport.FrameHandler // nil while dead
 	incarnation uint64
 	conns       map[transport.ConnID]bool
 	still       bool
@@ -62,17 +62,17 @@
 }
 
 // NewGate makes a gate in front of what make returns; make is called again at each start of the process.
-func NewGate(name string, role pb.Role, id int, w Witness, make func(uint64) transport.Party) *Gate {
+func NewGate(name string, role pb.Role, id int, w Witness, make func(uint64) transport.FrameHandler) *Gate {
 	return &Gate{Name: name, Role: role, ID: id, make: make, witness: w, conns: map[transport.ConnID]bool{}, held: map[transport.ConnID]placement.Millis{}}
 }
 
 // Inner is the party as it lives now, nil while it is dead.
-func (g *Gate) Inner() transport.Party { return g.inner }
+func (g *Gate) Inner() transport.FrameHandler { return g.inner }
 
 // Alive tells whether the process runs.
 func (g *Gate) Alive() bool { return g.inner != nil }
 
-func (g *Gate) Start(now placement.Millis, net transport.Net) {
+func (g *Gate) Start(now placement.Millis, net transport.FrameNetwork) {
 	g.net = net
 	g.Restart(now)
 }
--- a/internal/simulation/journal.go
+++ b/internal/simulation/journal.go
@@ -19,7 +19,7 @@
 // journal is an allocator's state directory on a disk that takes its time, and that loses what was not synced when the
 // allocator dies: its machine dies with it. What comes while the disk is busy is written together.
 type journal struct {
-	disk   *storage.Memory
+	disk   *storage.MemoryDisk
 	log    *storage.Log
 	takes  placement.Millis
 	honest bool // it waits for the disk
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	j.log, c.Journal, c.KeepOnce, c.Left = log, j, keepState, storage.Left(found)
+	j.log, c.Journal, c.AtMostOnceRetention, c.RecoveredBinds = log, j, keepState, storage.RecoveredBinds(found)
 	return nil
 }
 
@@ -54,13 +54,13 @@
 	j.disk.Crash()
 }
 
-func (j *journal) Bound(b recovery.Bind, lasts func(now placement.Millis, err error)) {
-	j.queue = append(j.queue, write{storage.Bound(b), lasts})
+func (j *journal) PersistBind(b recovery.Bind, lasts func(now placement.Millis, err error)) {
+	j.queue = append(j.queue, write{storage.BindEntry(b), lasts})
 	j.next()
 }
 
-func (j *journal) Never(key, incarnation uint64, number uint32) {
-	j.queue = append(j.queue, write{entry: storage.Never(key, incarnation, number)})
+func (j *journal) ForgetBind(key, incarnation uint64, number uint32) {
+	j.queue = append(j.queue, write{entry: storage.ForgetEntry(key, incarnation, number)})
 	j.next()
 }
 
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -115,7 +115,7 @@
 	s.Resize(1, 4)
 	s.Owners, s.Length, s.Owner.Rate, s.Owner.Withdraws = 1, 3000, 0, 0
 	s.Owner.Gangs = []GangDemand{{
-		Group: group, Effect: s.Settings.Groups[slices.Index(s.Groups, group)].Effect, Rate: 0.6, Parts: 3, Need: 3,
+		Group: group, Effect: s.Settings.Groups[slices.Index(s.Groups, group)].Idempotency, Rate: 0.6, Parts: 3, Need: 3,
 		Shape: [2]float64{10, 10}, Life: 2500, Pending: 4000, Replace: replace, ReplaceWithin: 1500,
 	}}
 	return s
@@ -351,7 +351,7 @@
 	}, 1)
 	n.Start(0, w)
 	n.Opened(0, 2)
-	n.Received(0, 2, transport.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
+	n.Received(0, 2, transport.HelloFrame(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
 	offer := func(id uint64, change ...func(*pb.Offer)) {
 		o := &pb.Offer{
 			Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: id}, AcceptWithinMs: 100,
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -27,7 +27,7 @@
 type List struct {
 	model  *ListModel
 	epoch  uint64
-	net    transport.Net
+	net    transport.FrameNetwork
 	timers transport.Timers
 
 	entries  map[uint32]*listed
@@ -71,9 +71,9 @@
 	}
 }
 
-func (l *List) Start(now placement.Millis, net transport.Net) {
+func (l *List) Start(now placement.Millis, net transport.FrameNetwork) {
 	l.net = net
-	l.timers.At(now+l.model.Every, l.push)
+	l.timers.Schedule(now+l.model.Every, l.push)
 	l.wake()
 }
 
@@ -84,7 +84,7 @@
 }
 
 func (l *List) Wake(now placement.Millis) {
-	l.timers.Run(now)
+	l.timers.RunDue(now)
 	l.wake()
 }
 
@@ -94,7 +94,7 @@
 	delete(l.readers, c)
 	if id, ok := l.nodes[c]; ok {
 		delete(l.nodes, c)
-		l.timers.At(now+l.model.Notice, func(now placement.Millis) {
+		l.timers.Schedule(now+l.model.Notice, func(now placement.Millis) {
 			l.hear(func() {
 				if e := l.entries[id]; e != nil && e.conn == c {
 					l.change(e, func() { e.State = pb.NodeEntry_GONE })
@@ -113,7 +113,7 @@
 		l.greet(now, c, r, f)
 	case f.GetRegister() != nil:
 		e := f.GetRegister()
-		l.timers.At(now+l.model.Lag+l.Later, func(placement.Millis) {
+		l.timers.Schedule(now+l.model.Lag+l.Later, func(placement.Millis) {
 			l.hear(func() { l.register(now, c, e) })
 		})
 	case f.GetListCall() != nil:
@@ -127,7 +127,7 @@
 	h, refusal := transport.CheckHello(f)
 	switch {
 	case refusal != "":
-		l.net.Send(c, transport.Refuse(refusal))
+		l.net.Send(c, transport.RefusalFrame(refusal))
 		l.net.Close(c)
 		delete(l.readers, c)
 	case h.Role == pb.Role_NODE:
@@ -135,7 +135,7 @@
 		l.nodes[c] = h.Node
 	default:
 		r.hello = true
-		l.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: l.epoch}))
+		l.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: l.epoch}))
 		if !l.model.Ask {
 			r.watching, r.have = true, l.revision
 			l.net.Send(c, l.update(now, pb.ListUpdate_WHOLE, 0))
@@ -238,7 +238,7 @@
 		l.net.Send(c, frames[r.have])
 		r.have = l.revision
 	}
-	l.timers.At(now+l.model.Every, l.push)
+	l.timers.Schedule(now+l.model.Every, l.push)
 }
 
 // serve answers calls in turn, as fast as the list can.
@@ -273,7 +273,7 @@
 		r.watching, r.have = true, l.revision
 	}
 	l.busy = true
-	l.timers.At(now+took, func(now placement.Millis) {
+	l.timers.Schedule(now+took, func(now placement.Millis) {
 		l.busy = false
 		l.net.Send(c.from, f)
 		l.serve(now)
--- a/internal/simulation/mishap.go
+++ b/internal/simulation/mishap.go
@@ -24,17 +24,17 @@
 
 // unlucky stands between an allocator and its gate, and lets the mishap happen.
 type unlucky struct {
-	transport.Party
+	transport.FrameHandler
 	m     *Mishap
-	net   transport.Net
+	net   transport.FrameNetwork
 	seen  *int // frames so far, over all lives of the allocator
 	delay func(at placement.Millis, do func(now placement.Millis))
 	crash func(now placement.Millis)
 }
 
-func (u *unlucky) Start(now placement.Millis, net transport.Net) {
+func (u *unlucky) Start(now placement.Millis, net transport.FrameNetwork) {
 	u.net = net
-	u.Party.Start(now, u)
+	u.FrameHandler.Start(now, u)
 }
 
 func (u *unlucky) Dial(addr string) transport.ConnID { return u.net.Dial(addr) }
@@ -62,10 +62,10 @@
 
 func (u *unlucky) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	if !u.struck(f) {
-		u.Party.Received(now, c, f)
+		u.FrameHandler.Received(now, c, f)
 		return
 	}
-	u.strike(now, c, func(now placement.Millis) { u.Party.Received(now, c, f) })
+	u.strike(now, c, func(now placement.Millis) { u.FrameHandler.Received(now, c, f) })
 }
 
 func (u *unlucky) strike(now placement.Millis, c transport.ConnID, pass func(now placement.Millis)) {
@@ -77,7 +77,7 @@
 		u.delay(now+mishapDelay, pass)
 	case "cut":
 		u.net.Close(c)
-		u.delay(now, func(now placement.Millis) { u.Party.Closed(now, c, "cut") })
+		u.delay(now, func(now placement.Millis) { u.FrameHandler.Closed(now, c, "cut") })
 	case "crash":
 		u.delay(now, u.crash)
 	}
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -17,12 +17,12 @@
 
 // hearer is a party that notes when it heard what.
 type hearer struct {
-	transport.Party
+	transport.FrameHandler
 	heard []uint64
 	at    []placement.Millis
 }
 
-func (h *hearer) Start(placement.Millis, transport.Net)             {}
+func (h *hearer) Start(placement.Millis, transport.FrameNetwork)    {}
 func (h *hearer) Opened(placement.Millis, transport.ConnID)         {}
 func (h *hearer) Closed(placement.Millis, transport.ConnID, string) {}
 func (h *hearer) Wake(now placement.Millis)                         { h.at = append(h.at, now) }
@@ -33,13 +33,13 @@
 // troubled is a gate with one connection, and a queue of what the network holds up.
 func troubled(t *Trouble) (*Gate, *hearer, *Virtual) {
 	h, v := &hearer{}, NewVirtual(1)
-	g := NewGate("x", pb.Role_NODE, 1, silent{}, func(uint64) transport.Party { return h })
+	g := NewGate("x", pb.Role_NODE, 1, silent{}, func(uint64) transport.FrameHandler { return h })
 	g.Start(0, &nodeWire{})
 	g.Opened(0, 1)
 	if t != nil {
 		t.rng = rand.New(rand.NewPCG(1, 1))
 	}
-	g.SetTrouble(t, func(at placement.Millis, do func(now placement.Millis)) { v.Do(nil, at, do) })
+	g.SetTrouble(t, func(at placement.Millis, do func(now placement.Millis)) { v.RunAt(nil, at, do) })
 	return g, h, v
 }
 
@@ -48,7 +48,7 @@
 // hear brings ten frames, a millisecond apart.
 func hear(g *Gate, v *Virtual) {
 	for i := range uint64(10) {
-		v.Do(nil, placement.Millis(i), func(now placement.Millis) { g.Received(now, 1, probe(i)) })
+		v.RunAt(nil, placement.Millis(i), func(now placement.Millis) { g.Received(now, 1, probe(i)) })
 	}
 	v.Run(1000, func() bool { return false })
 }
@@ -71,7 +71,7 @@
 
 	// What is held up when the trouble ends still comes first.
 	g, h, v = troubled(&Trouble{Part: 1, Delay: 50})
-	v.Do(nil, 4.5, func(placement.Millis) { g.SetTrouble(nil, g.later) })
+	v.RunAt(nil, 4.5, func(placement.Millis) { g.SetTrouble(nil, g.later) })
 	hear(g, v)
 	assert.Equal(t, inOrder, h.heard)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -60,7 +60,7 @@
 	boot  uint64
 	born  placement.Millis
 
-	net    transport.Net
+	net    transport.FrameNetwork
 	timers transport.Timers
 	now    placement.Millis
 
@@ -139,13 +139,13 @@
 // NewNode makes a node; its earlier incarnations left nothing. At its first boot it has been up for long.
 func NewNode(spec *NodeSpec, m *NodeModel, boot uint64) *Node {
 	return &Node{
-		id: spec.ID, spec: spec, model: m, boot: boot, born: placement.LongAgo, peers: map[transport.ConnID]string{},
+		id: spec.ID, spec: spec, model: m, boot: boot, born: placement.DistantPast, peers: map[transport.ConnID]string{},
 		conns: map[string]transport.ConnID{}, fence: map[string]uint64{}, byBind: map[bindKey]*task{},
 		answered: map[bindKey]*pb.OfferAnswer{}, Slow: 1,
 	}
 }
 
-func (n *Node) Start(now placement.Millis, net transport.Net) {
+func (n *Node) Start(now placement.Millis, net transport.FrameNetwork) {
 	n.net, n.now = net, now
 	if n.boot > 1 {
 		n.born = now
@@ -165,14 +165,14 @@
 
 func (n *Node) Wake(now placement.Millis) {
 	n.now = now
-	n.timers.Run(now)
+	n.timers.RunDue(now)
 	n.wake()
 }
 
 func (n *Node) Opened(now placement.Millis, c transport.ConnID) {
 	n.now = now
 	if c == n.list {
-		n.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.boot}))
+		n.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.boot}))
 		n.register(now)
 	} else {
 		n.peers[c] = ""
@@ -183,7 +183,7 @@
 func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ string) {
 	n.now = now
 	if c == n.list {
-		n.timers.At(now+500, n.dialList)
+		n.timers.Schedule(now+500, n.dialList)
 	} else {
 		if name := n.peers[c]; n.conns[name] == c {
 			delete(n.conns, name)
@@ -224,7 +224,7 @@
 		refusal = "a node serves allocators"
 	}
 	if refusal != "" {
-		n.net.Send(c, transport.Refuse(refusal))
+		n.net.Send(c, transport.RefusalFrame(refusal))
 		n.net.Close(c)
 		delete(n.peers, c)
 		return
@@ -240,7 +240,7 @@
 			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.offer, Running: t.running, Kept: t.kept})
 		}
 	}
-	n.net.Send(c, transport.Hello(hello))
+	n.net.Send(c, transport.HelloFrame(hello))
 }
 
 // cold tells whether the node is, and at which share of its pace it then starts workloads.
@@ -275,7 +275,7 @@
 		n.arrivals = slices.DeleteFunc(n.arrivals, func(at placement.Millis) bool { return at < now-n.model.OverloadFor })
 		if float64(len(n.arrivals)) > n.model.bears(pace) {
 			n.fallen = true
-			n.timers.At(now, func(placement.Millis) { n.Fell() })
+			n.timers.Schedule(now, func(placement.Millis) { n.Fell() })
 			return
 		}
 	}
@@ -307,7 +307,7 @@
 	}
 	n.looking = true
 	w := n.line[0]
-	n.timers.At(now+n.model.Admit*placement.Millis(n.Slow), func(now placement.Millis) {
+	n.timers.Schedule(now+n.model.Admit*placement.Millis(n.Slow), func(now placement.Millis) {
 		n.looking = false
 		n.line = n.line[1:]
 		n.decide(now, w)
@@ -368,7 +368,7 @@
 	n.startNext(now)
 	// A part that nobody declared standing ends by itself, by this node's own clock: its allocator may be no more.
 	if g := o.Gang; g != nil {
-		n.timers.At(now+placement.Millis(g.LeaseMs), func(now placement.Millis) {
+		n.timers.Schedule(now+placement.Millis(g.LeaseMs), func(now placement.Millis) {
 			if !t.kept {
 				n.end(now, t, pb.Why_LEASE_OVER)
 			}
@@ -409,7 +409,7 @@
 			continue
 		}
 		n.starting++
-		n.timers.At(now+n.startTime(now, t), func(now placement.Millis) {
+		n.timers.Schedule(now+n.startTime(now, t), func(now placement.Millis) {
 			n.starting--
 			if !t.over {
 				n.started(now, t)
@@ -444,8 +444,8 @@
 	} else {
 		n.note(t, pb.Note_RUNNING, 1)
 	}
-	n.timers.At(now+placement.Millis(t.offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
-	n.timers.At(now+firstNote, func(now placement.Millis) { n.noteUse(now, t) })
+	n.timers.Schedule(now+placement.Millis(t.offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
+	n.timers.Schedule(now+firstNote, func(now placement.Millis) { n.noteUse(now, t) })
 }
 
 // spread is a factor between a half and one and a half that belongs to a service.
@@ -462,7 +462,7 @@
 		return
 	}
 	n.note(t, pb.Note_CORES_USED, t.cores*n.excess(t))
-	n.timers.At(now+noteEvery, func(now placement.Millis) { n.noteUse(now, t) })
+	n.timers.Schedule(now+noteEvery, func(now placement.Millis) { n.noteUse(now, t) })
 }
 
 // excess is how many times its usual use a workload now has.
@@ -531,7 +531,7 @@
 	n.load = &pb.Load{SpareCores: &spare, SpareMemory: &memory, Backlog: &backlog, Utilization: &util}
 	n.loadAt = now
 	n.register(now)
-	n.timers.At(now+n.model.ReportEvery, n.report)
+	n.timers.Schedule(now+n.model.ReportEvery, n.report)
 }
 
 func (n *Node) victim() *task {
@@ -632,7 +632,7 @@
 	for n.draining && len(n.tasks) > 0 {
 		n.end(now, n.tasks[0], pb.Why_SENT_AWAY)
 		if n.model.Away == "paced" {
-			n.timers.At(now+pacedAway, n.sendAway)
+			n.timers.Schedule(now+pacedAway, n.sendAway)
 			return
 		}
 	}
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -41,7 +41,7 @@
 	Life     placement.Millis
 	Services int
 	Pending  placement.Millis
-	Effect   placement.Effect
+	Effect   placement.Idempotency
 }
 
 // Tally is what an owner saw of its asks.
@@ -66,7 +66,7 @@
 	model  *OwnerModel
 	rng    *rand.Rand // of what it does as things turn out
 	wants  *rand.Rand // of what it wants, which is the same however things turn out
-	net    transport.Net
+	net    transport.FrameNetwork
 	timers transport.Timers
 	now    placement.Millis
 
@@ -126,14 +126,14 @@
 	}
 }
 
-func (o *Owner) Start(now placement.Millis, net transport.Net) {
+func (o *Owner) Start(now placement.Millis, net transport.FrameNetwork) {
 	o.now, o.net = now, net
 	for i := range o.conns {
 		o.dial(i)
 	}
-	o.timers.At(max(now, o.model.From)+o.gap(), o.next)
+	o.timers.Schedule(max(now, o.model.From)+o.gap(), o.next)
 	for i := range o.model.Gangs {
-		o.timers.At(max(now, o.model.From)+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
+		o.timers.Schedule(max(now, o.model.From)+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
 	}
 	o.wake()
 }
@@ -150,13 +150,13 @@
 
 func (o *Owner) Wake(now placement.Millis) {
 	o.now = now
-	o.timers.Run(now)
+	o.timers.RunDue(now)
 	o.wake()
 }
 
 func (o *Owner) Opened(now placement.Millis, c transport.ConnID) {
 	o.now = now
-	o.net.Send(c, transport.Hello(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
+	o.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
 	o.wake()
 }
 
@@ -177,7 +177,7 @@
 		switch {
 		case w.gang != nil:
 			o.gangAgain(now, w, true)
-		case o.model.Insists && w.demand.Effect == placement.RunOnce:
+		case o.model.Insists && w.demand.Effect == placement.AtMostOnce:
 			w.only = w.at + 1 // it knows whether the workload may have run
 			o.again(now, w, false)
 		default:
@@ -185,7 +185,7 @@
 		}
 	}
 	o.conns[i] = 0
-	o.timers.At(now+placement.Millis(200+o.rng.Float64()*600), func(placement.Millis) { o.dial(i) })
+	o.timers.Schedule(now+placement.Millis(200+o.rng.Float64()*600), func(placement.Millis) { o.dial(i) })
 	o.wake()
 }
 
@@ -292,7 +292,7 @@
 	if now >= o.model.Until {
 		return
 	}
-	o.timers.At(now+o.gap(), o.next)
+	o.timers.Schedule(now+o.gap(), o.next)
 	d := o.demand()
 	service := o.wants.IntN(d.Services)
 	o.keys++
@@ -310,7 +310,7 @@
 		if o.wants.IntN(2) == 0 {
 			within = d.Life
 		}
-		o.timers.At(now+within*placement.Millis(o.wants.Float64()), func(now placement.Millis) { o.withdraw(now, w) })
+		o.timers.Schedule(now+within*placement.Millis(o.wants.Float64()), func(now placement.Millis) { o.withdraw(now, w) })
 	}
 }
 
@@ -350,7 +350,7 @@
 		}
 	}
 	if len(there) == 0 {
-		o.timers.At(now+200, func(now placement.Millis) {
+		o.timers.Schedule(now+200, func(now placement.Millis) {
 			if now < min(w.ends, o.model.Until) {
 				o.ask(now, w)
 			}
@@ -372,7 +372,7 @@
 		LeftMs: float64(w.demand.Pending), RunsForMs: float64(w.ends - now), Again: w.tries > 1,
 		SentMs: float64(now),
 	}}})
-	o.timers.At(now+w.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
+	o.timers.Schedule(now+w.demand.Pending+o.model.Slack, func(now placement.Millis) { o.giveUp(now, no, w) })
 }
 
 func (o *Owner) giveUp(now placement.Millis, no uint64, w *wanted) {
@@ -414,16 +414,16 @@
 // is harmless, and once it has settled.
 func (o *Owner) again(now placement.Millis, w *wanted, mayHaveRun bool) {
 	wait := o.model.Again * placement.Millis(0.75+o.rng.Float64()/2)
-	if mayHaveRun && w.demand.Effect == placement.RunOnce {
+	if mayHaveRun && w.demand.Effect == placement.AtMostOnce {
 		return
 	}
-	if mayHaveRun && w.demand.Effect == placement.Deduplicated {
+	if mayHaveRun && w.demand.Effect == placement.IdempotentByKey {
 		wait = max(wait, settleAfter)
 	}
 	if w.tries >= o.model.Tries || now+wait+leastLeft > min(w.ends, o.model.Until) {
 		return
 	}
-	o.timers.At(now+wait, func(now placement.Millis) { o.ask(now, w) })
+	o.timers.Schedule(now+wait, func(now placement.Millis) { o.ask(now, w) })
 }
 
 // Restart has the owner stop a share of its services and ask for all their workloads again, within a time.
@@ -441,7 +441,7 @@
 		fresh := &wanted{
 			key: uint64(o.no)<<40 | o.keys, service: w.service, demand: w.demand, shape: w.shape, ends: w.ends,
 		}
-		o.timers.At(now+within*placement.Millis(o.rng.Float64()), func(now placement.Millis) {
+		o.timers.Schedule(now+within*placement.Millis(o.rng.Float64()), func(now placement.Millis) {
 			if now+leastLeft < min(fresh.ends, o.model.Until) {
 				o.Tally.Firsts++
 				o.Tally.SinglesFirst++
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -126,7 +126,7 @@
 func (d *Day) progress(loop *transport.Loop) Progress {
 	p := Progress{At: max(0, loop.Now()-d.begins), Of: d.script.Length}
 	for _, g := range d.owners {
-		loop.Ask(g, func(placement.Millis) {
+		loop.Call(g, func(placement.Millis) {
 			o := g.Inner().(*Owner)
 			p.Asks += o.Tally.Asks
 			p.Placed += o.Tally.Placed
--- a/internal/simulation/sabotage.go
+++ b/internal/simulation/sabotage.go
@@ -38,8 +38,8 @@
 
 // saboteur stands between an allocator and its gate.
 type saboteur struct {
-	transport.Party
-	net   transport.Net
+	transport.FrameHandler
+	net   transport.FrameNetwork
 	how   Sabotage
 	count int
 	nodes []transport.ConnID // connections that stand to nodes
@@ -53,23 +53,23 @@
 	f  *pb.Frame
 }
 
-func (s Sabotage) around(p transport.Party) transport.Party {
+func (s Sabotage) around(p transport.FrameHandler) transport.FrameHandler {
 	if s == Honest || s == SpreadBlind || s == ForgetsState || s == SyncsNever || s == BindsMore {
 		return p
 	}
-	return &saboteur{Party: p, how: s}
+	return &saboteur{FrameHandler: p, how: s}
 }
 
-func (s *saboteur) Start(now placement.Millis, net transport.Net) {
+func (s *saboteur) Start(now placement.Millis, net transport.FrameNetwork) {
 	s.net = net
-	s.Party.Start(now, s)
+	s.FrameHandler.Start(now, s)
 }
 
 func (s *saboteur) Dial(addr string) transport.ConnID { return s.net.Dial(addr) }
 func (s *saboteur) Close(c transport.ConnID)          { s.net.Close(c) }
 func (s *saboteur) WakeAt(t placement.Millis)         { s.net.WakeAt(t) }
 func (s *saboteur) Now() placement.Millis             { return s.net.Now() }
-func (s *saboteur) Wake(now placement.Millis)         { s.sendLate(now); s.Party.Wake(now) }
+func (s *saboteur) Wake(now placement.Millis)         { s.sendLate(now); s.FrameHandler.Wake(now) }
 func (s *saboteur) tamper() bool                      { s.count++; return s.count%every == 0 }
 func (s *saboteur) Closed(now placement.Millis, c transport.ConnID, why string) {
 	for i, n := range s.nodes {
@@ -78,7 +78,7 @@
 			break
 		}
 	}
-	s.Party.Closed(now, c, why)
+	s.FrameHandler.Closed(now, c, why)
 }
 
 func (s *saboteur) sendLate(now placement.Millis) {
@@ -101,7 +101,7 @@
 				if s.how == ColdBlind {
 					told.UpForMs = -1
 				}
-				f = transport.Hello(told)
+				f = transport.HelloFrame(told)
 			}
 		}
 	case *pb.Frame_Drain:
@@ -115,7 +115,7 @@
 	case *pb.Frame_ListUpdate:
 		f = s.mislead(b.ListUpdate)
 	}
-	s.Party.Received(now, c, f)
+	s.FrameHandler.Received(now, c, f)
 }
 
 // mislead has the allocator hear something else of the list than it said.
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -142,50 +142,50 @@
 // Decode says what a script that was parsed means.
 func Decode(b *config.Block) (*Script, error) {
 	file := b.File()
-	if like := b.Text("like", ""); like != "" {
+	if like := b.String("like", ""); like != "" {
 		if err := inherit(b, like); err != nil {
 			return nil, err
 		}
 	}
 	s := &Script{
 		Name:       strings.TrimSuffix(path.Base(file), ".hcl"),
-		About:      b.Text("about", ""),
-		Settle:     b.Time("settle", 1500),
-		Length:     b.Time("length", 20e3),
-		Allocators: b.Count("allocators", 2, 1, 5000),
-		Owners:     b.Count("owners", 2, 1, 1000),
-		Zones:      b.Texts("zones", []string{"hall-a", "hall-b"}),
+		About:      b.String("about", ""),
+		Settle:     b.Duration("settle", 1500),
+		Length:     b.Duration("length", 20e3),
+		Allocators: b.Int("allocators", 2, 1, 5000),
+		Owners:     b.Int("owners", 2, 1, 1000),
+		Zones:      b.Strings("zones", []string{"hall-a", "hall-b"}),
 		Limits:     config.ReadLimits(b.Block("limits")),
 	}
 	if s.Length <= 0 {
-		b.Problem("length", "the day has no length", `write one such as length = "20s"`)
+		b.AddProblem("length", "the day has no length", `write one such as length = "20s"`)
 	}
 	if len(s.Zones) == 0 {
-		b.Problem("zones", "zones is empty", `write at least one, such as ["hall-a"]`)
+		b.AddProblem("zones", "zones is empty", `write at least one, such as ["hall-a"]`)
 	}
-	config.ReadShared(b, &s.Settings, &s.Kinds, &s.Groups)
+	config.ReadPlacement(b, &s.Settings, &s.Kinds, &s.Groups)
 	for _, k := range b.Blocks("kind") {
-		s.Counts = append(s.Counts, k.Count("count", 4, 0, 100000))
+		s.Counts = append(s.Counts, k.Int("count", 4, 0, 100000))
 	}
-	s.State.Disk = b.Block("state").Time("disk", 0)
+	s.State.Disk = b.Block("state").Duration("disk", 0)
 	s.readLoad(b)
 	s.readModels(b)
 	s.readGangs(b)
 	for _, f := range b.Named("fault") {
 		s.readFault(f)
 	}
-	return s, b.Done()
+	return s, b.Finish()
 }
 
 func (s *Script) readLoad(b *config.Block) {
 	load := b.Block("load")
 	s.Owner = OwnerModel{
-		Rate:      load.Number("rate", 14, 0, 1e5),
-		Again:     load.Time("again", 1500),
-		Tries:     load.Count("tries", 6, 1, 100),
-		Slack:     load.Time("slack", 8),
-		Insists:   load.Flag("insists", false),
-		Withdraws: load.Number("withdraws", 0.02, 0, 1),
+		Rate:      load.Float("rate", 14, 0, 1e5),
+		Again:     load.Duration("again", 1500),
+		Tries:     load.Int("tries", 6, 1, 100),
+		Slack:     load.Duration("slack", 8),
+		Insists:   load.Bool("insists", false),
+		Withdraws: load.Float("withdraws", 0.02, 0, 1),
 	}
 	s.Node.Groups = map[string]*GroupModel{}
 	total := 0.0
@@ -195,19 +195,19 @@
 			break
 		}
 		d := Demand{
-			Name: g.Name, Share: g.Number("share", 1, 0, 1e6), Life: g.Time("life", 10e3),
-			Shapes:  g.Pairs("shapes", [][2]float64{{0.5, 1}, {1, 2}}),
-			Pending: g.Time("pending", 6e3), Services: g.Count("services", 12, 1, 100000),
-			Effect: s.Settings.Groups[i].Effect,
+			Name: g.Name, Share: g.Float("share", 1, 0, 1e6), Life: g.Duration("life", 10e3),
+			Shapes:  g.FloatPairs("shapes", [][2]float64{{0.5, 1}, {1, 2}}),
+			Pending: g.Duration("pending", 6e3), Services: g.Int("services", 12, 1, 100000),
+			Effect: s.Settings.Groups[i].Idempotency,
 		}
 		if len(d.Shapes) == 0 {
-			g.Problem("shapes", "shapes is empty", "write pairs of cores and memory such as [[0.5, 1]]")
+			g.AddProblem("shapes", "shapes is empty", "write pairs of cores and memory such as [[0.5, 1]]")
 		}
 		total += d.Share
 		s.Demand = append(s.Demand, d)
 		s.Node.Groups[g.Name] = &GroupModel{
-			Work: g.Time("work", 60), Cores: g.Number("cores_used", 0.5, 0, 10),
-			Memory: g.Number("memory_used", 0.7, 0, 10), Rank: g.Count("rank", 0, 0, 100),
+			Work: g.Duration("work", 60), Cores: g.Float("cores_used", 0.5, 0, 10),
+			Memory: g.Float("memory_used", 0.7, 0, 10), Rank: g.Int("rank", 0, 0, 100),
 		}
 	}
 	for i := range s.Demand {
@@ -217,40 +217,40 @@
 
 func (s *Script) readModels(b *config.Block) {
 	rules := b.Block("rules")
-	s.Drain = rules.Time("drain_grace", 1e3)
+	s.Drain = rules.Duration("drain_grace", 1e3)
 	n := b.Block("node")
 	m := &s.Node
-	m.OverCores = n.Number("over_cores", 2.5, 0.1, 100)
-	m.OverMemory = n.Number("over_memory", 1.5, 0.1, 100)
-	m.Admit = n.Time("admit", 15)
-	m.Line = n.Count("line", 16, 1, 1e6)
-	m.Starts = n.Count("starts", 3, 1, 1e6)
-	m.Setup = n.Number("setup", 8, 1, 1000)
-	m.Kept = n.Count("kept", 8, 0, 1e6)
-	m.ReportEvery = n.Time("report_every", 250)
-	m.Away = n.Word("drained", "keeps", "keeps", "paced", "at-once")
-	m.TellsDrain = n.Flag("tells_drain", true)
-	m.Overload = rules.Number("overload", 3, 1, 100)
+	m.OverCores = n.Float("over_cores", 2.5, 0.1, 100)
+	m.OverMemory = n.Float("over_memory", 1.5, 0.1, 100)
+	m.Admit = n.Duration("admit", 15)
+	m.Line = n.Int("line", 16, 1, 1e6)
+	m.Starts = n.Int("starts", 3, 1, 1e6)
+	m.Setup = n.Float("setup", 8, 1, 1000)
+	m.Kept = n.Int("kept", 8, 0, 1e6)
+	m.ReportEvery = n.Duration("report_every", 250)
+	m.Away = n.OneOf("drained", "keeps", "keeps", "paced", "at-once")
+	m.TellsDrain = n.Bool("tells_drain", true)
+	m.Overload = rules.Float("overload", 3, 1, 100)
 	m.ConfirmsRunning = s.Settings.ConfirmsRunning
-	m.ColdFrom, m.ColdFor = s.Settings.ColdFrom, s.Settings.ColdFor
-	m.ColdBears, m.OverloadFor = s.Settings.ColdBears, s.Settings.OverloadFor
+	m.ColdFrom, m.ColdFor = s.Settings.InitialRate, s.Settings.WarmUpDuration
+	m.ColdBears, m.OverloadFor = s.Settings.WarmUpBudget, s.Settings.OverloadWindow
 	if m.ReportEvery < 10 {
-		n.Problem("report_every", "report_every is under 10ms", `write a longer one, such as "250ms"`)
+		n.AddProblem("report_every", "report_every is under 10ms", `write a longer one, such as "250ms"`)
 	}
 	l := b.Block("list")
 	s.List = ListModel{
-		Ask: s.Settings.MustAsk, Lag: l.Time("lag", 500), Every: l.Time("every", 250),
-		Notice: l.Time("notice", 2e3), LinesPerSec: l.Number("lines_per_second", 0, 0, 1e9),
-		CallTimeout: l.Time("call_timeout", 2e3),
+		Ask: s.Settings.PolledDiscovery, Lag: l.Duration("lag", 500), Every: l.Duration("every", 250),
+		Notice: l.Duration("notice", 2e3), LinesPerSec: l.Float("lines_per_second", 0, 0, 1e9),
+		CallTimeout: l.Duration("call_timeout", 2e3),
 	}
 	if s.List.Every < 10 {
-		l.Problem("every", "every is under 10ms", `write a longer one, such as "250ms"`)
+		l.AddProblem("every", "every is under 10ms", `write a longer one, such as "250ms"`)
 	}
 }
 
 func (s *Script) readFault(b *config.Block) {
 	kind := b.Name
-	if k := b.Text("kind", ""); k != "" {
+	if k := b.String("kind", ""); k != "" {
 		kind = k
 	}
 	known, ok := faultKinds[kind]
@@ -260,25 +260,25 @@
 			names = append(names, k)
 		}
 		slices.Sort(names)
-		b.Problem("kind", fmt.Sprintf("a fault of kind %q is not known", kind),
+		b.AddProblem("kind", fmt.Sprintf("a fault of kind %q is not known", kind),
 			"give it the name of a kind, or a kind = of "+strings.Join(names, ", "))
 	}
 	f := Fault{
-		Kind: kind, At: b.Time("at", s.Length/3), For: b.Time("for", 5e3), Every: b.Time("every", known.every),
-		Part: b.Number("part", 0.25, 0, 1), Size: b.Number("size", known.size, known.least, max(known.most, known.size)),
-		Group: b.Text("group", ""), Zone: b.Text("zone", ""), Wait: b.Time("drain", 3e3),
+		Kind: kind, At: b.Duration("at", s.Length/3), For: b.Duration("for", 5e3), Every: b.Duration("every", known.every),
+		Part: b.Float("part", 0.25, 0, 1), Size: b.Float("size", known.size, known.least, max(known.most, known.size)),
+		Group: b.String("group", ""), Zone: b.String("zone", ""), Wait: b.Duration("drain", 3e3),
 	}
 	if known.every > 0 && f.Every <= 0 {
-		b.Problem("every", "every is no time", `write one such as "2s"`)
+		b.AddProblem("every", "every is no time", `write one such as "2s"`)
 	}
 	if f.Group != "" && !slices.Contains(s.Groups, f.Group) {
-		b.Problem("group", fmt.Sprintf("group %q is not known", f.Group), fmt.Sprintf("write one of %q", s.Groups))
+		b.AddProblem("group", fmt.Sprintf("group %q is not known", f.Group), fmt.Sprintf("write one of %q", s.Groups))
 	}
 	if kind == "throttle" && f.Group == "" {
 		f.Group = firstOf(s.Groups)
 	}
 	if f.Zone != "" && !slices.Contains(s.Zones, f.Zone) {
-		b.Problem("zone", fmt.Sprintf("zone %q is not known", f.Zone), fmt.Sprintf("write one of %q", s.Zones))
+		b.AddProblem("zone", fmt.Sprintf("zone %q is not known", f.Zone), fmt.Sprintf("write one of %q", s.Zones))
 	}
 	if kind == "hall-cut" && f.Zone == "" && len(s.Zones) > 0 {
 		f.Zone = s.Zones[len(s.Zones)-1]
@@ -342,7 +342,7 @@
 func (s *Script) Load(share float64) {
 	cores, wanted := 0.0, 0.0
 	for i, n := range s.Counts {
-		cores += float64(n) * s.Settings.Kinds[i].Cores
+		cores += float64(n) * s.Settings.NodeKinds[i].Cores
 	}
 	for _, d := range s.Demand {
 		mean := 0.0
@@ -366,8 +366,8 @@
 // inherit has a script take what it does not say from one that comes with the program.
 func inherit(b *config.Block, like string) error {
 	if !slices.Contains(Names(), like) {
-		b.Problem("like", fmt.Sprintf("no script is named %q", like), "write one of "+strings.Join(Names(), ", "))
-		return b.Done()
+		b.AddProblem("like", fmt.Sprintf("no script is named %q", like), "write one of "+strings.Join(Names(), ", "))
+		return b.Finish()
 	}
 	src, err := scripts.ReadFile("scripts/" + like + ".hcl")
 	if err != nil {
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -20,10 +20,10 @@
 
 // Host is where parties live: Virtual, or sockets.
 type Host interface {
-	// Add brings a party in and returns the address at which others reach it.
-	Add(p transport.Party, zone string) (addr string, err error)
-	// Do calls do on the party's goroutine once that time has come.
-	Do(p transport.Party, at placement.Millis, do func(now placement.Millis))
+	// AddHandler brings a party in and returns the address at which others reach it.
+	AddHandler(p transport.FrameHandler, zone string) (addr string, err error)
+	// RunAt calls do on the party's goroutine once that time has come.
+	RunAt(p transport.FrameHandler, at placement.Millis, do func(now placement.Millis))
 }
 
 // Virtual is a network and a clock of its own making. What happens depends on the seed and on nothing else.
@@ -31,7 +31,7 @@
 	now     placement.Millis
 	events  timerqueue.Queue[event]
 	parties []*resident
-	byParty map[transport.Party]*resident
+	byParty map[transport.FrameHandler]*resident
 	rng     *rand.Rand
 }
 
@@ -59,7 +59,7 @@
 type resident struct {
 	v     *Virtual
 	no    int
-	party transport.Party
+	party transport.FrameHandler
 	zone  string
 	ends  []*end // by ConnID-1
 	// The wake-up that counts, if there is one.
@@ -79,28 +79,28 @@
 
 // NewVirtual makes an empty network.
 func NewVirtual(seed uint64) *Virtual {
-	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byParty: map[transport.Party]*resident{}}
+	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byParty: map[transport.FrameHandler]*resident{}}
 }
 
 // Now is the virtual time.
 func (v *Virtual) Now() placement.Millis { return v.now }
 
-func (v *Virtual) Add(p transport.Party, zone string) (string, error) {
+func (v *Virtual) AddHandler(p transport.FrameHandler, zone string) (string, error) {
 	r := &resident{v: v, no: len(v.parties), party: p, zone: zone}
 	v.parties = append(v.parties, r)
 	v.byParty[p] = r
-	v.events.Add(v.now, event{kind: evDo, do: func(now placement.Millis) { p.Start(now, r) }})
+	v.events.Push(v.now, event{kind: evDo, do: func(now placement.Millis) { p.Start(now, r) }})
 	return fmt.Sprintf("virtual:%d", r.no), nil
 }
 
-func (v *Virtual) Do(_ transport.Party, at placement.Millis, do func(now placement.Millis)) {
-	v.events.Add(max(at, v.now), event{kind: evDo, do: do})
+func (v *Virtual) RunAt(_ transport.FrameHandler, at placement.Millis, do func(now placement.Millis)) {
+	v.events.Push(max(at, v.now), event{kind: evDo, do: do})
 }
 
 // Run handles what comes due until that time, or until done says so.
 func (v *Virtual) Run(until placement.Millis, done func() bool) {
-	for at, ok := v.events.Next(); ok && at <= until && !done(); at, ok = v.events.Next() {
-		_, _, e := v.events.Take()
+	for at, ok := v.events.NextTime(); ok && at <= until && !done(); at, ok = v.events.NextTime() {
+		_, _, e := v.events.Pop()
 		v.now = max(v.now, at)
 		v.handle(e)
 	}
@@ -150,7 +150,7 @@
 	to := from.peer
 	from.last = max(from.last, v.now+v.way(from.at, to.at))
 	e.at, e.c = to.at, to.id
-	v.events.Add(from.last, e)
+	v.events.Push(from.last, e)
 }
 
 func (r *resident) newEnd() *end {
@@ -165,7 +165,7 @@
 	a := r.newEnd()
 	var no int
 	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.v.parties) {
-		r.v.events.Add(r.v.now, event{kind: evClosed, at: r, c: a.id, why: "no party at " + addr})
+		r.v.events.Push(r.v.now, event{kind: evClosed, at: r, c: a.id, why: "no party at " + addr})
 		return a.id
 	}
 	b := r.v.parties[no].newEnd()
@@ -173,7 +173,7 @@
 	r.v.send(a, event{kind: evOpened})
 	b.last = a.last
 	b.last = max(b.last, a.last) + r.v.way(b.at, a.at)
-	r.v.events.Add(b.last, event{kind: evOpened, at: a.at, c: a.id})
+	r.v.events.Push(b.last, event{kind: evOpened, at: a.at, c: a.id})
 	return a.id
 }
 
@@ -200,5 +200,5 @@
 	}
 	r.wake++
 	r.wakeAt, r.wakes = t, true
-	r.v.events.Add(t, event{kind: evWake, at: r, wake: r.wake})
+	r.v.events.Push(t, event{kind: evWake, at: r, wake: r.wake})
 }
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -41,8 +41,8 @@
 	lock *os.File
 }
 
-// Dir is a directory of the machine, which is made if there is none.
-func Dir(path string) (Disk, error) {
+// OpenDir is a directory of the machine, which is made if there is none.
+func OpenDir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
 	}
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -18,15 +18,15 @@
 	newEnd      = ".new" // a snapshot that is being written
 )
 
-// DefaultLogMost is the length in bytes at which a log is followed by a snapshot, unless what is live is longer.
-const DefaultLogMost = 8 << 20
+// DefaultMaxLogSize is the length in bytes at which a log is followed by a snapshot, unless what is live is longer.
+const DefaultMaxLogSize = 8 << 20
 
-// Found is what a directory held.
-type Found struct {
-	Life  *statepb.Life    // the latest, nil in a new directory
-	Kept  []*statepb.Bound // the last bind of each key that is known
-	Files []string         // in the order in which they were read
-	Torn  int              // bytes that a crash cut off
+// Contents is what a directory held.
+type Contents struct {
+	Incarnation    *statepb.Life    // the latest, nil in a new directory
+	LiveBinds      []*statepb.Bound // the last bind of each key that is known
+	Files          []string         // in the order in which they were read
+	TruncatedBytes int              // bytes that a crash cut off
 }
 
 // Log is a state directory that is open. It belongs to one goroutine.
@@ -70,19 +70,19 @@
 
 func fileName(number uint64, end string) string { return fmt.Sprintf("%012d%s", number, end) }
 
-// Look reads a directory without changing it.
-func Look(d Disk) (*Found, error) {
+// Inspect reads a directory without changing it.
+func Inspect(d Disk) (*Contents, error) {
 	f, _, _, err := look(d)
 	return f, err
 }
 
 // look also returns what is live, and the number after the last.
-func look(d Disk) (*Found, map[uint64]*statepb.Bound, uint64, error) {
+func look(d Disk) (*Contents, map[uint64]*statepb.Bound, uint64, error) {
 	logs, snapshots, _, err := files(d)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	found, kept := &Found{}, map[uint64]*statepb.Bound{}
+	found, kept := &Contents{}, map[uint64]*statepb.Bound{}
 	from, next := uint64(0), uint64(1)
 	if len(snapshots) > 0 {
 		from = snapshots[len(snapshots)-1]
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		found.Life, found.Files = s.Life, append(found.Files, name)
+		found.Incarnation, found.Files = s.Life, append(found.Files, name)
 		for _, k := range s.Kept {
 			if k.GetBound() != nil {
 				kept[k.Bound.Key] = k.Bound
@@ -119,20 +119,20 @@
 		}
 		torn, err := readLog(name, b, n, func(e *statepb.Entry) {
 			if e.GetLife() != nil {
-				found.Life = e.GetLife()
+				found.Incarnation = e.GetLife()
 			}
 			apply(kept, e)
 		})
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		found.Torn += torn
+		found.TruncatedBytes += torn
 		found.Files = append(found.Files, name)
 	}
 	for _, k := range kept {
-		found.Kept = append(found.Kept, k)
+		found.LiveBinds = append(found.LiveBinds, k)
 	}
-	slices.SortFunc(found.Kept, func(x, y *statepb.Bound) int { return cmp.Compare(x.Key, y.Key) })
+	slices.SortFunc(found.LiveBinds, func(x, y *statepb.Bound) int { return cmp.Compare(x.Key, y.Key) })
 	return found, kept, next, nil
 }
 
@@ -150,7 +150,7 @@
 
 // Open locks a directory, reads it, and begins a life in it. What was read is what the life must go by. A torn end is
 // dropped; damage is an error and changes nothing.
-func Open(d Disk, life *statepb.Life, most int, now func() float64) (*Log, *Found, error) {
+func Open(d Disk, life *statepb.Life, most int, now func() float64) (*Log, *Contents, error) {
 	if err := d.Lock(); err != nil {
 		return nil, nil, err
 	}
@@ -158,9 +158,9 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, d.Unlock())
 	}
-	if found.Life != nil && life.Incarnation <= found.Life.Incarnation {
+	if found.Incarnation != nil && life.Incarnation <= found.Incarnation.Incarnation {
 		// The clock was set back, or two lives began at once. Nodes refuse what comes from an earlier incarnation.
-		life.Incarnation = found.Life.Incarnation + 1
+		life.Incarnation = found.Incarnation.Incarnation + 1
 	}
 	l := &Log{disk: d, most: most, now: now, number: next - 1, lived: life, kept: kept}
 	if err := l.begin(); err != nil {
@@ -337,25 +337,25 @@
 	return errors.Join(err, l.file.Close(), l.disk.Unlock())
 }
 
-// Repair is what would be dropped from a damaged directory, and with Do is: everything in the file from where it cannot be
+// RepairPlan is what would be dropped from a damaged directory, and with Do is: everything in the file from where it cannot be
 // read, and every later file. The dropped parts are kept under another name.
-type Repair struct {
-	File    string
-	At      int
-	Dropped []string // files that go as a whole
-	Lost    int      // good records behind the damage
+type RepairPlan struct {
+	File         string
+	Offset       int
+	DroppedFiles []string // files that go as a whole
+	LostEntries  int      // good records behind the damage
 }
 
 const asideEnd = ".damaged"
 
-// FindDamage tells what a repair would do; nil where there is nothing to repair.
-func FindDamage(d Disk) (*Repair, error) {
-	_, err := Look(d)
+// PlanRepair tells what a repair would do; nil where there is nothing to repair.
+func PlanRepair(d Disk) (*RepairPlan, error) {
+	_, err := Inspect(d)
 	var damage *DamageError
 	if !errors.As(err, &damage) {
 		return nil, err
 	}
-	r := &Repair{File: damage.File, At: damage.At}
+	r := &RepairPlan{File: damage.File, Offset: damage.At}
 	b, err := d.Read(damage.File)
 	if err != nil {
 		return nil, err
@@ -370,7 +370,7 @@
 			if err != nil || len(body) == 0 {
 				break
 			}
-			r.Lost++
+			r.LostEntries++
 			rest = next
 		}
 	}
@@ -380,14 +380,14 @@
 	}
 	for _, n := range logs {
 		if name := fileName(n, logEnd); name > damage.File && strings.HasSuffix(damage.File, logEnd) {
-			r.Dropped = append(r.Dropped, name)
+			r.DroppedFiles = append(r.DroppedFiles, name)
 		}
 	}
 	return r, nil
 }
 
-// Do repairs: the file is cut at the damage, with its whole text kept beside it, and later files are put aside.
-func (r *Repair) Do(d Disk) error {
+// Apply repairs: the file is cut at the damage, with its whole text kept beside it, and later files are put aside.
+func (r *RepairPlan) Apply(d Disk) error {
 	if err := d.Lock(); err != nil {
 		return err
 	}
@@ -395,10 +395,10 @@
 	if err == nil {
 		err = d.Rename(r.File, r.File+asideEnd)
 	}
-	if err == nil && r.At >= headSize && strings.HasSuffix(r.File, logEnd) {
-		err = (&Log{disk: d}).whole(r.File, b[:r.At])
+	if err == nil && r.Offset >= headSize && strings.HasSuffix(r.File, logEnd) {
+		err = (&Log{disk: d}).whole(r.File, b[:r.Offset])
 	}
-	for _, name := range r.Dropped {
+	for _, name := range r.DroppedFiles {
 		if err == nil || errors.Is(err, fs.ErrNotExist) {
 			err = d.Rename(name, name+asideEnd)
 		}
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -30,7 +30,7 @@
 	return &statepb.Entry{Body: &statepb.Entry_Settled{Settled: &statepb.Settled{Key: key, Number: number, Incarnation: 5}}}
 }
 
-func open(t require.TestingT, d Disk, most int) (*Log, *Found) {
+func open(t require.TestingT, d Disk, most int) (*Log, *Contents) {
 	l, f, err := Open(d, &statepb.Life{Incarnation: 5, UnixMs: now()}, most, now)
 	require.NoError(t, err)
 	return l, f
@@ -52,27 +52,27 @@
 	}
 	l := &Log{kept: m, now: now}
 	l.prune()
-	f := &Found{}
+	f := &Contents{}
 	for key := range uint64(1000) {
 		if k := l.kept[key]; k != nil {
-			f.Kept = append(f.Kept, k)
+			f.LiveBinds = append(f.LiveBinds, k)
 		}
 	}
-	return text(f.Kept)
+	return text(f.LiveBinds)
 }
 
 func TestWhatIsLiveIsFoundAgainAndWhatIsSettledIsNot(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, f := open(t, d, 1<<20)
-	assert.Nil(t, f.Life)
+	assert.Nil(t, f.Incarnation)
 	require.NoError(t, l.Commit([]*statepb.Entry{bound(1, 0), bound(2, 0), bound(3, 0), bound(4, 0)}, true))
 	require.NoError(t, l.Commit([]*statepb.Entry{
 		bound(2, 1), settled(2, 0), settled(1, 0), settled(4, 0),
 	}, true))
 	require.NoError(t, l.Close())
 	l, f = open(t, d, 1<<20)
-	assert.Equal(t, "2 1 1.0000864e+12\n3 0 1.0000864e+12\n", text(f.Kept))
-	assert.EqualValues(t, 5, f.Life.Incarnation)
+	assert.Equal(t, "2 1 1.0000864e+12\n3 0 1.0000864e+12\n", text(f.LiveBinds))
+	assert.EqualValues(t, 5, f.Incarnation.Incarnation)
 	assert.EqualValues(t, 6, l.lived.Incarnation, "a later life has a later number, whatever the clock says")
 }
 
@@ -112,12 +112,12 @@
 // A machine that crashes at any operation, in the middle of it, finds all that was promised to last, and nothing that was
 // not written. Then it works on.
 func TestACrashAtEveryPointLosesNothingThatWasPromised(t *testing.T) {
-	whole := NewMemory(1)
+	whole := NewMemoryDisk(1)
 	require.NoError(t, history(t, whole, func([]*statepb.Entry, bool) {}))
 	crashes := 0
 	for op := 1; op <= whole.Ops(); op++ {
 		for seed := range uint64(8) {
-			d := NewMemory(seed)
+			d := NewMemoryDisk(seed)
 			d.Fault = func(n int, _, _ string) error {
 				if n == op {
 					return ErrCrashed
@@ -143,11 +143,11 @@
 			d.Crash()
 			d.Recover()
 			d.Fault = nil
-			f, err := Look(d)
+			f, err := Inspect(d)
 			require.NoError(t, err, "operation %d, seed %d", op, seed)
-			require.Contains(t, may, text(f.Kept), "operation %d, seed %d", op, seed)
+			require.Contains(t, may, text(f.LiveBinds), "operation %d, seed %d", op, seed)
 			l, again := open(t, d, 300)
-			require.Equal(t, text(f.Kept), text(again.Kept))
+			require.Equal(t, text(f.LiveBinds), text(again.LiveBinds))
 			require.NoError(t, l.Commit([]*statepb.Entry{bound(999, 0)}, true))
 			require.NoError(t, l.Close())
 		}
@@ -160,7 +160,7 @@
 func TestAnOperationThatFailsOnceLosesNothingThatWasReportedKept(t *testing.T) {
 	failed := errors.New("no space left on device")
 	for op := 1; op < 60; op++ {
-		d := NewMemory(uint64(op))
+		d := NewMemoryDisk(uint64(op))
 		l, _ := open(t, d, 300)
 		first := d.Ops()
 		struck := ""
@@ -186,16 +186,16 @@
 		d.Crash()
 		d.Recover()
 		d.Fault = nil
-		f, err := Look(d)
+		f, err := Inspect(d)
 		require.NoError(t, err, "%s, operation %d", struck, op)
-		require.Equal(t, modelText(kept), text(f.Kept), "%s, operation %d", struck, op)
+		require.Equal(t, modelText(kept), text(f.LiveBinds), "%s, operation %d", struck, op)
 	}
 }
 
 // A sync that failed may have lost what was written before it, and a later one of the same file that succeeds says nothing
 // about that. So nothing goes to that file any more.
 func TestAFileWhoseSyncFailedIsNeverTrustedAgain(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, _ := open(t, d, 1<<20)
 	before := fileName(l.number, logEnd)
 	once := true
@@ -214,14 +214,14 @@
 	assert.False(t, once)
 	d.Crash()
 	d.Recover()
-	f, err := Look(d)
+	f, err := Inspect(d)
 	require.NoError(t, err)
-	assert.Len(t, f.Kept, 2)
+	assert.Len(t, f.LiveBinds, 2)
 }
 
 // While a disk takes nothing, commits fail and say so; when it takes something again, they work.
 func TestADiskThatTakesNothingIsReportedAndTriedAgain(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, _ := open(t, d, 1<<20)
 	d.Fault = func(_ int, what, _ string) error {
 		if what == "write" || what == "create" {
@@ -235,13 +235,13 @@
 	assert.Zero(t, l.Live(), "what was reported as not kept is not")
 	d.Fault = nil
 	require.NoError(t, l.Commit([]*statepb.Entry{bound(2, 0)}, true))
-	f, err := Look(d)
+	f, err := Inspect(d)
 	require.NoError(t, err)
-	assert.Equal(t, text(f.Kept), text([]*statepb.Bound{bound(2, 0).GetBound()}))
+	assert.Equal(t, text(f.LiveBinds), text([]*statepb.Bound{bound(2, 0).GetBound()}))
 }
 
 func TestADirectoryStaysAsSmallAsWhatIsLive(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, _ := open(t, d, 2000)
 	for i := range uint64(5000) {
 		require.NoError(t, l.Commit([]*statepb.Entry{bound(i, 0), settled(i, 0)}, true))
@@ -258,10 +258,10 @@
 
 func TestADirectoryInUseIsLeftAlone(t *testing.T) {
 	path := t.TempDir()
-	d, err := Dir(path)
+	d, err := OpenDir(path)
 	require.NoError(t, err)
 	l, _ := open(t, d, 1<<20)
-	other, err := Dir(path)
+	other, err := OpenDir(path)
 	require.NoError(t, err)
 	_, _, err = Open(other, &statepb.Life{Incarnation: 9}, 1<<20, now)
 	assert.ErrorIs(t, err, ErrInUse)
@@ -269,19 +269,19 @@
 	require.NoError(t, l.Commit([]*statepb.Entry{bound(1, 0)}, true))
 	require.NoError(t, l.Close())
 	_, f := open(t, other, 1<<20)
-	assert.Len(t, f.Kept, 1)
+	assert.Len(t, f.LiveBinds, 1)
 }
 
 func TestDamageIsNamedAndARepairKeepsWhatItDrops(t *testing.T) {
 	path := t.TempDir()
-	d, err := Dir(path)
+	d, err := OpenDir(path)
 	require.NoError(t, err)
 	l, _ := open(t, d, 1<<20)
 	for i := range uint64(10) {
 		require.NoError(t, l.Commit([]*statepb.Entry{bound(i, 0)}, true))
 	}
 	require.NoError(t, l.Close())
-	none, err := FindDamage(d)
+	none, err := PlanRepair(d)
 	require.NoError(t, err)
 	assert.Nil(t, none)
 
@@ -295,20 +295,20 @@
 	require.ErrorAs(t, err, &damage)
 	assert.ErrorContains(t, err, fileName(l.number, logEnd)+" is damaged at byte ")
 	assert.ErrorContains(t, err, "grebeglade state repair")
-	r, err := FindDamage(d)
+	r, err := PlanRepair(d)
 	require.NoError(t, err)
-	assert.Greater(t, r.Lost, 3)
-	require.NoError(t, r.Do(d))
-	f, err := Look(d)
+	assert.Greater(t, r.LostEntries, 3)
+	require.NoError(t, r.Apply(d))
+	f, err := Inspect(d)
 	require.NoError(t, err)
-	assert.Equal(t, 10, len(f.Kept)+r.Lost+1, "what stood before the damage, the damaged one, what was behind")
+	assert.Equal(t, 10, len(f.LiveBinds)+r.LostEntries+1, "what stood before the damage, the damaged one, what was behind")
 	aside, err := os.ReadFile(log + asideEnd)
 	require.NoError(t, err)
 	assert.Equal(t, b, aside)
 }
 
 func TestALaterVersionIsRefusedAndLeftAsItIs(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, _ := open(t, d, 1<<20)
 	require.NoError(t, l.Close())
 	name := fileName(l.number, snapshotEnd)
@@ -323,8 +323,8 @@
 }
 
 func TestAWriterCallsBackOnceTheEntryLasts(t *testing.T) {
-	for _, policy := range []Sync{Grouped, Each, Unsynced} {
-		d := NewMemory(1)
+	for _, policy := range []SyncPolicy{GroupCommit, SyncPerEntry, NoSync} {
+		d := NewMemoryDisk(1)
 		l, _ := open(t, d, 1<<20)
 		w := NewWriter(l, policy)
 		var wg sync.WaitGroup
@@ -334,25 +334,25 @@
 			w.Write(settled(i, 1), nil)
 		}
 		wg.Wait()
-		if policy != Unsynced {
+		if policy != NoSync {
 			d.Crash()
 			d.Recover()
-			f, err := Look(d)
+			f, err := Inspect(d)
 			require.NoError(t, err)
-			assert.Len(t, f.Kept, 200)
+			assert.Len(t, f.LiveBinds, 200)
 			w.Close()
 			continue
 		}
 		require.NoError(t, w.Close())
-		f, err := Look(d)
+		f, err := Inspect(d)
 		require.NoError(t, err)
-		assert.Len(t, f.Kept, 200)
+		assert.Len(t, f.LiveBinds, 200)
 	}
 }
 
 // A disk that hangs: what waited for it grew with every bind.
 func TestAWriterWhoseDiskHangsTurnsEntriesAway(t *testing.T) {
-	d := NewMemory(1)
+	d := NewMemoryDisk(1)
 	l, _ := open(t, d, 1<<30)
 	hangs, hung := make(chan struct{}), make(chan struct{}, 1)
 	d.Fault = func(int, string, string) error {
@@ -363,7 +363,7 @@
 		<-hangs
 		return nil
 	}
-	w := NewWriter(l, Grouped)
+	w := NewWriter(l, GroupCommit)
 	w.Write(bound(0, 0), nil)
 	<-hung // the first is under way
 	var kept sync.WaitGroup
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -12,9 +12,9 @@
 // ErrCrashed is what every operation on a disk returns whose machine has crashed.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// Memory is a disk for tests and for the laboratory: a crash loses what was not synced, or some of it, and any operation can
+// MemoryDisk is a disk for tests and for the laboratory: a crash loses what was not synced, or some of it, and any operation can
 // be made to fail. Until Recover is called nothing works after a crash.
-type Memory struct {
+type MemoryDisk struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	names   map[string]*inode // as the running machine sees them
@@ -38,13 +38,13 @@
 	node *inode // nil for a name that goes
 }
 
-// NewMemory makes an empty disk; what a crash leaves depends on the seed.
-func NewMemory(seed uint64) *Memory {
-	return &Memory{rng: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, lasting: map[string]*inode{}}
+// NewMemoryDisk makes an empty disk; what a crash leaves depends on the seed.
+func NewMemoryDisk(seed uint64) *MemoryDisk {
+	return &MemoryDisk{rng: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, lasting: map[string]*inode{}}
 }
 
 // Ops is the number of operations so far.
-func (m *Memory) Ops() int {
+func (m *MemoryDisk) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ops
@@ -52,13 +52,13 @@
 
 // Crash loses what was not synced: of each file any length of what was appended, perhaps with its last bytes never written,
 // and of the names that were made, changed or removed any.
-func (m *Memory) Crash() {
+func (m *MemoryDisk) Crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crash()
 }
 
-func (m *Memory) crash() {
+func (m *MemoryDisk) crash() {
 	if m.crashed {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // Recover starts the machine again.
-func (m *Memory) Recover() {
+func (m *MemoryDisk) Recover() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed, m.names = false, map[string]*inode{}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (m *Memory) set(names map[string]*inode, c change) {
+func (m *MemoryDisk) set(names map[string]*inode, c change) {
 	if c.node == nil {
 		delete(names, c.name)
 	} else {
@@ -114,7 +114,7 @@
 }
 
 // op begins an operation. Half is called if the machine crashes in it, to leave it half done.
-func (m *Memory) op(what, name string, half func()) error {
+func (m *MemoryDisk) op(what, name string, half func()) error {
 	if m.crashed {
 		return ErrCrashed
 	}
@@ -132,7 +132,7 @@
 	return err
 }
 
-func (m *Memory) List() ([]string, error) {
+func (m *MemoryDisk) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.op("list", "", nil); err != nil {
@@ -141,7 +141,7 @@
 	return sortedNames(m.names), nil
 }
 
-func (m *Memory) Read(name string) ([]byte, error) {
+func (m *MemoryDisk) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.op("read", name, nil); err != nil {
@@ -154,12 +154,12 @@
 	return slices.Clone(n.data), nil
 }
 
-func (m *Memory) change(c change) {
+func (m *MemoryDisk) change(c change) {
 	m.set(m.names, c)
 	m.pending = append(m.pending, c)
 }
 
-func (m *Memory) Create(name string) (File, error) {
+func (m *MemoryDisk) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := &inode{}
@@ -171,7 +171,7 @@
 	return &memoryFile{m, n, name}, nil
 }
 
-func (m *Memory) Rename(from, to string) error {
+func (m *MemoryDisk) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.names[from]
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (m *Memory) Remove(name string) error {
+func (m *MemoryDisk) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	do := func() { m.change(change{name, nil}) }
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (m *Memory) Sync() error {
+func (m *MemoryDisk) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.op("sync names", "", nil); err != nil {
@@ -213,7 +213,7 @@
 	return nil
 }
 
-func (m *Memory) Lock() error {
+func (m *MemoryDisk) Lock() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.crashed {
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func (m *Memory) Unlock() error {
+func (m *MemoryDisk) Unlock() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.locked = false
@@ -234,7 +234,7 @@
 }
 
 type memoryFile struct {
-	m    *Memory
+	m    *MemoryDisk
 	n    *inode
 	name string
 }
--- a/internal/storage/stores_test.go
+++ b/internal/storage/stores_test.go
@@ -25,9 +25,9 @@
 			return all
 		}
 		b.Run(fmt.Sprintf("log/%d", group), func(b *testing.B) {
-			d, err := Dir(b.TempDir())
+			d, err := OpenDir(b.TempDir())
 			require.NoError(b, err)
-			l, _ := open(b, d, DefaultLogMost)
+			l, _ := open(b, d, DefaultMaxLogSize)
 			for i := 0; b.Loop(); i++ {
 				if err := l.Commit(entries(i), true); err != nil {
 					b.Fatal(err)
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -8,13 +8,13 @@
 	"grebeglade/internal/storage/statepb"
 )
 
-// Sync says when what is written must last.
-type Sync uint8
+// SyncPolicy says when what is written must last.
+type SyncPolicy uint8
 
 const (
-	Grouped  Sync = iota // one sync for all that came while the one before was under way
-	Each                 // a sync for each entry that is waited for
-	Unsynced             // the machine's own pace: a crash of the process loses nothing, one of the machine may
+	GroupCommit  SyncPolicy = iota // one sync for all that came while the one before was under way
+	SyncPerEntry                   // a sync for each entry that is waited for
+	NoSync                         // the machine's own pace: a crash of the process loses nothing, one of the machine may
 )
 
 // mostQueued is how many entries may wait for the disk: more than a disk that works ever leaves waiting.
@@ -27,7 +27,7 @@
 // called from any goroutine.
 type Writer struct {
 	log    *Log
-	policy Sync
+	policy SyncPolicy
 	mu     sync.Mutex
 	queue  []waiting
 	signal chan struct{}
@@ -45,7 +45,7 @@
 }
 
 // NewWriter begins to write to a log, which is the writer's from then on.
-func NewWriter(l *Log, policy Sync) *Writer {
+func NewWriter(l *Log, policy SyncPolicy) *Writer {
 	w := &Writer{log: l, policy: policy, signal: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
@@ -97,7 +97,7 @@
 func (w *Writer) commit(batch []waiting) {
 	for len(batch) > 0 {
 		group := batch
-		if w.policy == Each {
+		if w.policy == SyncPerEntry {
 			group = batch[:1]
 		}
 		batch = batch[len(group):]
@@ -106,7 +106,7 @@
 			entries[i] = g.entry
 			waits = waits || g.then != nil
 		}
-		err := w.log.Commit(entries, waits && w.policy != Unsynced)
+		err := w.log.Commit(entries, waits && w.policy != NoSync)
 		w.mu.Lock()
 		w.Stats.Entries += uint64(len(group))
 		w.Stats.Commits++
@@ -129,24 +129,24 @@
 	return w.log.Close()
 }
 
-// Bound is the entry of a bind that is about to leave.
-func Bound(b recovery.Bind) *statepb.Entry {
+// BindEntry is the entry of a bind that is about to leave.
+func BindEntry(b recovery.Bind) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bound{Bound: &statepb.Bound{
-		Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number, UntilMs: b.Until,
+		Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number, UntilMs: b.ExpiresAt,
 	}}}
 }
 
-// Never is the entry of a bind that was not taken up.
-func Never(key, incarnation uint64, number uint32) *statepb.Entry {
+// ForgetEntry is the entry of a bind that was not taken up.
+func ForgetEntry(key, incarnation uint64, number uint32) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Settled{Settled: &statepb.Settled{Key: key, Incarnation: incarnation, Number: number}}}
 }
 
-// Left is what an earlier life left, as a book is opened with it.
-func Left(f *Found) []recovery.Bind {
-	left := make([]recovery.Bind, len(f.Kept))
-	for i, b := range f.Kept {
+// RecoveredBinds is what an earlier life left, as a book is opened with it.
+func RecoveredBinds(f *Contents) []recovery.Bind {
+	left := make([]recovery.Bind, len(f.LiveBinds))
+	for i, b := range f.LiveBinds {
 		left[i] = recovery.Bind{
-			Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number, Until: b.UntilMs,
+			Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number, ExpiresAt: b.UntilMs,
 		}
 	}
 	return left
--- a/internal/timerqueue/schedule.go
+++ b/internal/timerqueue/schedule.go
@@ -34,8 +34,8 @@
 // Len is the number of things that are not taken yet.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Add keeps v until that time and returns its number; numbers start at 1 and grow.
-func (q *Queue[T]) Add(at placement.Millis, v T) uint64 {
+// Push keeps v until that time and returns its number; numbers start at 1 and grow.
+func (q *Queue[T]) Push(at placement.Millis, v T) uint64 {
 	q.no++
 	q.items = append(q.items, item[T]{at, q.no, v})
 	for i := len(q.items) - 1; i > 0; {
@@ -49,16 +49,16 @@
 	return q.no
 }
 
-// Next is the time of the first, if there is one.
-func (q *Queue[T]) Next() (placement.Millis, bool) {
+// NextTime is the time of the first, if there is one.
+func (q *Queue[T]) NextTime() (placement.Millis, bool) {
 	if len(q.items) == 0 {
 		return 0, false
 	}
 	return q.items[0].at, true
 }
 
-// Take takes the first out and returns it with its time and number. The queue must not be empty.
-func (q *Queue[T]) Take() (at placement.Millis, no uint64, v T) {
+// Pop takes the first out and returns it with its time and number. The queue must not be empty.
+func (q *Queue[T]) Pop() (at placement.Millis, no uint64, v T) {
 	first, last := q.items[0], len(q.items)-1
 	q.items[0] = q.items[last]
 	q.items[last] = item[T]{}
--- a/internal/timerqueue/schedule_test.go
+++ b/internal/timerqueue/schedule_test.go
@@ -19,7 +19,7 @@
 			no uint64
 		}
 		take := func() {
-			at, no, v := q.Take()
+			at, no, v := q.Pop()
 			assert.Equal(t, want[0].no, no)
 			assert.Equal(t, want[0].at, at)
 			assert.Equal(t, no, v)
@@ -31,7 +31,7 @@
 				continue
 			}
 			at := placement.Millis(rapid.IntRange(0, 8).Draw(t, "at"))
-			no := q.Add(at, 0)
+			no := q.Push(at, 0)
 			q.items[slices.IndexFunc(q.items, func(x item[uint64]) bool { return x.no == no })].v = no
 			want = append(want, struct {
 				at placement.Millis
--- a/internal/transport/form.go
+++ b/internal/transport/form.go
@@ -12,12 +12,12 @@
 // Refused is why a dialled connection has ended where nobody listens at the address.
 const Refused = "connection refused"
 
-// Form is how messages stand in the bytes of one connection. Cut is called by the event loop and Append by the
+// Codec is how messages stand in the bytes of one connection. Cut is called by the event loop and Append by the
 // party, so the two must share nothing that changes.
-type Form interface {
-	// Cut reads the first message of b and says how many bytes it took, or 0 while it is not whole. Bytes may be
+type Codec interface {
+	// Decode reads the first message of b and says how many bytes it took, or 0 while it is not whole. Bytes may be
 	// taken without a message. After an error the connection ends.
-	Cut(b []byte) (m any, n int, err error)
+	Decode(b []byte) (m any, n int, err error)
 	// Append adds a message to b.
 	Append(b []byte, m any) ([]byte, error)
 }
@@ -28,36 +28,36 @@
 
 // Handler is a Party for messages of any form.
 type Handler interface {
-	Start(now placement.Millis, w Wire)
+	Start(now placement.Millis, w Network)
 	Opened(now placement.Millis, c ConnID)
 	Received(now placement.Millis, c ConnID, m any)
 	Closed(now placement.Millis, c ConnID, why string)
 	Wake(now placement.Millis)
 }
 
-// Wire is the Net of a Handler.
-type Wire interface {
-	// DialAs dials for messages of a form; a connection that does not stand in time has failed.
-	DialAs(addr string, f Form, within placement.Millis) ConnID
+// Network is the Net of a Handler.
+type Network interface {
+	// DialCodec dials for messages of a form; a connection that does not stand in time has failed.
+	DialCodec(addr string, f Codec, within placement.Millis) ConnID
 	Send(c ConnID, m any)
 	Close(c ConnID)
-	// Ended tells whether a connection is no more, also where the party is yet to be told.
-	Ended(c ConnID) bool
+	// IsClosed tells whether a connection is no more, also where the party is yet to be told.
+	IsClosed(c ConnID) bool
 	WakeAt(t placement.Millis)
 	Now() placement.Millis
-	// Came is when the message that is being handled was read; a busy party handles it later.
-	Came() placement.Millis
+	// ReceivedAt is when the message that is being handled was read; a busy party handles it later.
+	ReceivedAt() placement.Millis
 }
 
 // frames is the form of the project's own wire.
 type frames struct{ most int }
 
-func (f frames) Cut(b []byte) (any, int, error) {
-	body, _, err := Split(b, f.most)
+func (f frames) Decode(b []byte) (any, int, error) {
+	body, _, err := SplitFrame(b, f.most)
 	if err != nil || body == nil {
 		return nil, 0, err
 	}
-	frame, err := Decode(body)
+	frame, err := DecodeFrame(body)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -69,31 +69,31 @@
 	if !ok {
 		return b, fmt.Errorf("%T is no frame", m)
 	}
-	return Append(b, frame)
+	return AppendFrame(b, frame)
 }
 
 // framed is a Party as a Handler.
-type framed struct{ Party }
+type framed struct{ FrameHandler }
 
-func (p framed) Start(now placement.Millis, w Wire) {
-	p.Party.Start(now, frameNet{w, w.(*actor).limits.Frame})
+func (p framed) Start(now placement.Millis, w Network) {
+	p.FrameHandler.Start(now, frameNet{w, w.(*actor).limits.MaxFrameSize})
 }
 
 func (p framed) Received(now placement.Millis, c ConnID, m any) {
 	if f, ok := m.(*pb.Frame); ok {
-		p.Party.Received(now, c, f)
+		p.FrameHandler.Received(now, c, f)
 	}
 }
 
 // frameNet is a Wire as a Net.
 type frameNet struct {
-	Wire
+	Network
 	most int
 }
 
-func (n frameNet) Dial(addr string) ConnID { return n.DialAs(addr, frames{n.most}, dialWithin) }
+func (n frameNet) Dial(addr string) ConnID { return n.DialCodec(addr, frames{n.most}, dialWithin) }
 
-func (n frameNet) Send(c ConnID, f *pb.Frame) { n.Wire.Send(c, f) }
+func (n frameNet) Send(c ConnID, f *pb.Frame) { n.Network.Send(c, f) }
 
 // dialError is why dialling failed, in a word where nobody listens.
 func dialError(err error) string {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -19,10 +19,10 @@
 // ConnID names a connection of one party; it is never used again.
 type ConnID uint64
 
-// Party is one side of its connections.
-type Party interface {
+// FrameHandler is one side of its connections.
+type FrameHandler interface {
 	// Start is called once, first, with the net that the party acts on.
-	Start(now placement.Millis, net Net)
+	Start(now placement.Millis, net FrameNetwork)
 	// Opened tells that a connection stands: one that was dialled, or one that came in.
 	Opened(now placement.Millis, c ConnID)
 	// Received hands over a frame, in the order in which the peer sent them.
@@ -33,8 +33,8 @@
 	Wake(now placement.Millis)
 }
 
-// Net is what a party can do. None of its methods calls the party back before it returns.
-type Net interface {
+// FrameNetwork is what a party can do. None of its methods calls the party back before it returns.
+type FrameNetwork interface {
 	Dial(addr string) ConnID
 	// Send hands over a frame, which must not be changed any more. On a connection that is no more it is lost.
 	Send(c ConnID, f *pb.Frame)
@@ -49,8 +49,8 @@
 // headSize is the length in front of each frame: four bytes, big-endian.
 const headSize = 4
 
-// Append adds a frame with its length to b.
-func Append(b []byte, f *pb.Frame) ([]byte, error) {
+// AppendFrame adds a frame with its length to b.
+func AppendFrame(b []byte, f *pb.Frame) ([]byte, error) {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, f)
@@ -61,9 +61,9 @@
 	return b, nil
 }
 
-// Split returns the first frame's bytes and what follows them, or nil and b while the frame is not complete.
+// SplitFrame returns the first frame's bytes and what follows them, or nil and b while the frame is not complete.
 // A length over most is an error: nothing that follows it can be trusted.
-func Split(b []byte, most int) (body, rest []byte, err error) {
+func SplitFrame(b []byte, most int) (body, rest []byte, err error) {
 	if len(b) < headSize {
 		return nil, b, nil
 	}
@@ -77,8 +77,8 @@
 	return b[headSize : headSize+int(n)], b[headSize+int(n):], nil
 }
 
-// Read takes the next frame from a stream, and waits for it. A length over most is an error.
-func Read(r io.Reader, most int) (*pb.Frame, error) {
+// ReadFrame takes the next frame from a stream, and waits for it. A length over most is an error.
+func ReadFrame(r io.Reader, most int) (*pb.Frame, error) {
 	var head [headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
@@ -91,12 +91,12 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, fmt.Errorf("frame cut short: %w", err)
 	}
-	return Decode(body)
+	return DecodeFrame(body)
 }
 
-// Decode reads a frame's body. A frame without any known content is an error: it is of a later version than
+// DecodeFrame reads a frame's body. A frame without any known content is an error: it is of a later version than
 // was agreed on, or no frame at all.
-func Decode(body []byte) (*pb.Frame, error) {
+func DecodeFrame(body []byte) (*pb.Frame, error) {
 	f := &pb.Frame{}
 	if err := proto.Unmarshal(body, f); err != nil {
 		return nil, fmt.Errorf("malformed frame: %w", err)
@@ -126,13 +126,13 @@
 	return h, ""
 }
 
-// Hello is this build's first frame.
-func Hello(h *pb.Hello) *pb.Frame {
+// HelloFrame is this build's first frame.
+func HelloFrame(h *pb.Hello) *pb.Frame {
 	h.Major, h.Minor = pb.Major, pb.Minor
 	return &pb.Frame{Body: &pb.Frame_Hello{Hello: h}}
 }
 
-// Refuse answers a hello that is not accepted.
-func Refuse(reason string) *pb.Frame {
+// RefusalFrame answers a hello that is not accepted.
+func RefusalFrame(reason string) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_Refusal{Refusal: &pb.Refusal{Reason: reason}}}
 }
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -24,22 +24,22 @@
 }
 
 func TestAFrameCutAnywhereIsIncompleteAndNeverRead(t *testing.T) {
-	whole, err := Append(nil, sample())
+	whole, err := AppendFrame(nil, sample())
 	require.NoError(t, err)
 	for n := range whole {
-		body, rest, err := Split(whole[:n], 1000)
+		body, rest, err := SplitFrame(whole[:n], 1000)
 		assert.NoError(t, err)
 		assert.Nil(t, body)
 		assert.Len(t, rest, n)
 	}
-	body, rest, err := Split(append(whole, 1, 2), 1000)
+	body, rest, err := SplitFrame(append(whole, 1, 2), 1000)
 	require.NoError(t, err)
 	assert.Equal(t, []byte{1, 2}, rest)
-	f, err := Decode(body)
+	f, err := DecodeFrame(body)
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(sample(), f))
 	for n := range body {
-		_, err := Decode(body[:n]) // cut inside the length: malformed, or another frame; never a panic
+		_, err := DecodeFrame(body[:n]) // cut inside the length: malformed, or another frame; never a panic
 		if n == 0 {
 			assert.Error(t, err)
 		}
@@ -50,15 +50,15 @@
 	body, err := proto.Marshal(sample())
 	require.NoError(t, err)
 	later := append(body, 0xba, 0x3e, 1, 0) // field 999, as a later minor version might add
-	f, err := Decode(later)
+	f, err := DecodeFrame(later)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(7), f.GetAsk().Ask)
-	_, err = Decode(later[len(body):])
+	_, err = DecodeFrame(later[len(body):])
 	assert.ErrorContains(t, err, "holds nothing that version 1.1 knows")
 }
 
 func FuzzFrames(f *testing.F) {
-	whole, err := Append(nil, sample())
+	whole, err := AppendFrame(nil, sample())
 	require.NoError(f, err)
 	f.Add(whole)
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
@@ -66,14 +66,14 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		const most = 1 << 12
 		for {
-			body, rest, err := Split(b, most)
+			body, rest, err := SplitFrame(b, most)
 			if err != nil || body == nil {
 				return
 			}
 			assert.LessOrEqual(t, len(body), most)
 			assert.Equal(t, len(b), headSize+len(body)+len(rest))
-			if frame, err := Decode(body); err == nil {
-				again, err := Append(nil, frame)
+			if frame, err := DecodeFrame(body); err == nil {
+				again, err := AppendFrame(nil, frame)
 				require.NoError(t, err)
 				assert.NotEmpty(t, again)
 			}
@@ -85,7 +85,7 @@
 // echo answers each ask with as many answers as its key says, and counts what it sees.
 type echo struct {
 	mu     sync.Mutex
-	net    Net
+	net    FrameNetwork
 	opened int
 	asks   int
 	closed []string
@@ -93,7 +93,7 @@
 	dial   string
 }
 
-func (e *echo) Start(_ placement.Millis, n Net) {
+func (e *echo) Start(_ placement.Millis, n FrameNetwork) {
 	e.net = n
 	if e.dial != "" {
 		e.dialed = n.Dial(e.dial)
@@ -142,7 +142,7 @@
 func listen(t *testing.T, limits Limits) (*Loop, *echo, string) {
 	t.Helper()
 	l, e := NewLoop(nil), &echo{}
-	addr, err := l.Listen(e, "127.0.0.1:0", limits)
+	addr, err := l.ListenFrames(e, "127.0.0.1:0", limits)
 	require.NoError(t, err)
 	l.Run()
 	t.Cleanup(l.Close)
@@ -159,7 +159,7 @@
 
 func write(t *testing.T, c net.Conn, f *pb.Frame) {
 	t.Helper()
-	b, err := Append(nil, f)
+	b, err := AppendFrame(nil, f)
 	require.NoError(t, err)
 	_, err = c.Write(b)
 	require.NoError(t, err)
@@ -175,11 +175,11 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	return Decode(body)
+	return DecodeFrame(body)
 }
 
 func TestABadFrameEndsItsConnectionOnly(t *testing.T) {
-	l, e, addr := listen(t, Limits{Frame: 1000, Waiting: 1 << 20, Connections: 10})
+	l, e, addr := listen(t, Limits{MaxFrameSize: 1000, MaxWriteBuffer: 1 << 20, MaxConnections: 10})
 	good := dial(t, addr)
 	for _, bad := range [][]byte{{0, 0, 4, 0, 1}, {0xff, 0xff, 0xff, 0xff}, {0, 0, 0, 2, 0xff, 0xff}, {0, 0, 0, 0}} {
 		c := dial(t, addr)
@@ -201,7 +201,7 @@
 func TestAFrameInPiecesIsOneFrame(t *testing.T) {
 	_, _, addr := listen(t, DefaultLimits)
 	c := dial(t, addr)
-	b, err := Append(nil, sample())
+	b, err := AppendFrame(nil, sample())
 	require.NoError(t, err)
 	for i := range b {
 		_, err := c.Write(b[i : i+1])
@@ -212,7 +212,7 @@
 }
 
 func TestAPeerThatDoesNotReadIsCutOffAndNobodyWaits(t *testing.T) {
-	l, e, addr := listen(t, Limits{Frame: 1 << 20, Waiting: 256 << 10, Connections: 10})
+	l, e, addr := listen(t, Limits{MaxFrameSize: 1 << 20, MaxWriteBuffer: 256 << 10, MaxConnections: 10})
 	slow, quick := dial(t, addr), dial(t, addr)
 	flood := sample()
 	flood.GetAsk().Key, flood.GetAsk().Group = 300, string(make([]byte, 60000))
@@ -226,7 +226,7 @@
 }
 
 func TestOneConnectionTooManyIsRefusedWithTheReason(t *testing.T) {
-	l, e, addr := listen(t, Limits{Frame: 1000, Waiting: 1 << 20, Connections: 2})
+	l, e, addr := listen(t, Limits{MaxFrameSize: 1000, MaxWriteBuffer: 1 << 20, MaxConnections: 2})
 	first := dial(t, addr)
 	dial(t, addr)
 	e.sees(t, func() bool { return e.opened == 2 })
@@ -275,14 +275,14 @@
 
 func TestDiallingNobodyIsToldAsAnEnd(t *testing.T) {
 	l, e := NewLoop(nil), &echo{dial: "127.0.0.1:1"}
-	_, err := l.Listen(e, "", DefaultLimits)
+	_, err := l.ListenFrames(e, "", DefaultLimits)
 	require.NoError(t, err)
 	l.Run()
 	defer l.Close()
 	e.sees(t, func() bool { return len(e.closed) == 1 })
 	assert.Contains(t, e.ends()[0], "refused")
 	var other echo
-	_, err = l.Listen(&other, "127.0.0.1:99999", DefaultLimits)
+	_, err = l.ListenFrames(&other, "127.0.0.1:99999", DefaultLimits)
 	assert.Error(t, err)
 }
 
@@ -322,7 +322,7 @@
 func (h *heldParty) Received(now placement.Millis, c ConnID, f *pb.Frame) {
 	h.once.Do(func() { close(h.busy); <-h.goOn })
 	h.mu.Lock()
-	h.gone = append(h.gone, h.net.(frameNet).Ended(c))
+	h.gone = append(h.gone, h.net.(frameNet).IsClosed(c))
 	h.mu.Unlock()
 	h.echo.Received(now, c, f)
 }
@@ -330,7 +330,7 @@
 func held(t *testing.T) (*Loop, *heldParty, string) {
 	t.Helper()
 	l, h := NewLoop(nil), &heldParty{busy: make(chan struct{}), goOn: make(chan struct{})}
-	addr, err := l.Listen(h, "127.0.0.1:0", DefaultLimits)
+	addr, err := l.ListenFrames(h, "127.0.0.1:0", DefaultLimits)
 	require.NoError(t, err)
 	l.Run()
 	t.Cleanup(l.Close)
@@ -338,7 +338,7 @@
 }
 
 // waits until so many items are there for the party.
-func (l *Loop) waitFor(t *testing.T, p Party, items int) {
+func (l *Loop) waitFor(t *testing.T, p FrameHandler, items int) {
 	t.Helper()
 	a := l.actors[p]
 	require.Eventually(t, func() bool {
@@ -372,7 +372,7 @@
 
 // An answer of which the peer has read only the beginning when the loop closes still comes whole.
 func TestAnAnswerInTheBufferLeavesBeforeTheEnd(t *testing.T) {
-	l, e, addr := listen(t, Limits{Frame: 1 << 20, Waiting: 64 << 20, Connections: 10})
+	l, e, addr := listen(t, Limits{MaxFrameSize: 1 << 20, MaxWriteBuffer: 64 << 20, MaxConnections: 10})
 	c := dial(t, addr)
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(64<<10))
 	long := sample()
@@ -425,9 +425,9 @@
 	keys []uint64
 }
 
-func (o *order) Start(now placement.Millis, n Net) {
+func (o *order) Start(now placement.Millis, n FrameNetwork) {
 	o.heldParty.Start(now, n)
-	n.(frameNet).DialAs(o.peer, urgentFrames{frames{1000}}, 20000)
+	n.(frameNet).DialCodec(o.peer, urgentFrames{frames{1000}}, 20000)
 }
 
 func (o *order) Received(now placement.Millis, c ConnID, f *pb.Frame) {
@@ -445,7 +445,7 @@
 	t.Cleanup(func() { l.Close() })
 	o := &order{peer: l.Addr().String(), heldParty: heldParty{busy: make(chan struct{}), goOn: make(chan struct{})}}
 	loop := NewLoop(nil)
-	addr, err := loop.Listen(o, "127.0.0.1:0", Limits{Frame: 1000, Waiting: 1 << 20, Connections: 10, Inbox: 2})
+	addr, err := loop.ListenFrames(o, "127.0.0.1:0", Limits{MaxFrameSize: 1000, MaxWriteBuffer: 1 << 20, MaxConnections: 10, MaxQueuedEvents: 2})
 	require.NoError(t, err)
 	loop.Run()
 	t.Cleanup(loop.Close)
@@ -475,7 +475,7 @@
 
 // Where later connections are to wait, they are neither refused nor ended, and come in once there is a place.
 func TestAConnectionTooManyWaitsForItsPlace(t *testing.T) {
-	_, e, addr := listen(t, Limits{Frame: 1000, Waiting: 1 << 20, Connections: 2, Wait: true})
+	_, e, addr := listen(t, Limits{MaxFrameSize: 1000, MaxWriteBuffer: 1 << 20, MaxConnections: 2, PauseAcceptAtLimit: true})
 	first := dial(t, addr)
 	dial(t, addr)
 	e.sees(t, func() bool { return e.opened == 2 })
@@ -491,7 +491,7 @@
 func TestABusyPartyAnswersAsItGoes(t *testing.T) {
 	busy := &busyParty{seen: make(chan uint64), goOn: make(chan struct{})}
 	l := NewLoop(nil)
-	addr, err := l.Listen(busy, "127.0.0.1:0", DefaultLimits)
+	addr, err := l.ListenFrames(busy, "127.0.0.1:0", DefaultLimits)
 	require.NoError(t, err)
 	l.Run()
 	t.Cleanup(l.Close)
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -28,20 +28,20 @@
 
 // Limits bound what a peer can make a party hold.
 type Limits struct {
-	Frame       int  // bytes of one frame
-	Waiting     int  // bytes that wait to be written to one peer
-	Connections int  // that came in, for one party
-	Wait        bool // later ones wait until one of those has ended, for parties that see to that; else they are refused
+	MaxFrameSize       int  // bytes of one frame
+	MaxWriteBuffer     int  // bytes that wait to be written to one peer
+	MaxConnections     int  // that came in, for one party
+	PauseAcceptAtLimit bool // later ones wait until one of those has ended, for parties that see to that; else they are refused
 
-	Inbox int // messages that wait for a party, about; beyond that nothing more is read for it; 0 for inboxMost
+	MaxQueuedEvents int // messages that wait for a party, about; beyond that nothing more is read for it; 0 for inboxMost
 
-	// Whole is how long a message may take from its first bytes to its last; 0 is for ever. It guards against peers that
+	// MessageTimeout is how long a message may take from its first bytes to its last; 0 is for ever. It guards against peers that
 	// stop in the middle and stay, and could hurt one behind a very slow network.
-	Whole placement.Millis
+	MessageTimeout placement.Millis
 }
 
 // DefaultLimits are those of a party that says nothing else.
-var DefaultLimits = Limits{Frame: 1 << 20, Waiting: 4 << 20, Connections: 4096}
+var DefaultLimits = Limits{MaxFrameSize: 1 << 20, MaxWriteBuffer: 4 << 20, MaxConnections: 4096}
 
 // Stats count what went over a loop's sockets.
 type Stats struct{ Frames, BadFrames, TooSlow, TooMany atomic.Uint64 }
@@ -81,28 +81,28 @@
 // Now is the time on the loop's clock, which all its parties share.
 func (l *Loop) Now() placement.Millis { return placement.Millis(float64(time.Since(l.began)) / 1e6) }
 
-// Listen brings a party in and listens for it; port 0 has the system choose one. The party is called from
+// ListenFrames brings a party in and listens for it; port 0 has the system choose one. The party is called from
 // Run on.
-func (l *Loop) Listen(p Party, addr string, limits Limits) (string, error) {
-	return l.listen(p, framed{p}, func() Form { return frames{limits.Frame} }, addr, limits)
+func (l *Loop) ListenFrames(p FrameHandler, addr string, limits Limits) (string, error) {
+	return l.listen(p, framed{p}, func() Codec { return frames{limits.MaxFrameSize} }, addr, limits)
 }
 
-// Serve is Listen for a party whose incoming connections are of the form that is made for each.
-func (l *Loop) Serve(h Handler, form func() Form, addr string, limits Limits) (string, error) {
+// Listen is Listen for a party whose incoming connections are of the form that is made for each.
+func (l *Loop) Listen(h Handler, form func() Codec, addr string, limits Limits) (string, error) {
 	return l.listen(h, h, form, addr, limits)
 }
 
-func (l *Loop) listen(key any, h Handler, form func() Form, addr string, limits Limits) (string, error) {
-	if limits.Inbox == 0 {
-		limits.Inbox = inboxMost
+func (l *Loop) listen(key any, h Handler, form func() Codec, addr string, limits Limits) (string, error) {
+	if limits.MaxQueuedEvents == 0 {
+		limits.MaxQueuedEvents = inboxMost
 	}
 	a := &actor{
 		loop: l, party: h, form: form, limits: limits, signal: make(chan struct{}, 1), socks: map[ConnID]*sock{},
 		stop: make(chan struct{}), enrols: make(chan struct{}, enrolMost),
 	}
 	a.room = sync.NewCond(&a.mu)
-	if limits.Wait {
-		a.places = make(chan struct{}, limits.Connections)
+	if limits.PauseAcceptAtLimit {
+		a.places = make(chan struct{}, limits.MaxConnections)
 	}
 	if addr != "" {
 		// What keeps a connection alive is the party's to say.
@@ -128,9 +128,9 @@
 	return addr, nil
 }
 
-// Add brings a party in on a port of loopback that the system chooses.
-func (l *Loop) Add(p Party, _ string) (string, error) {
-	return l.Listen(p, "127.0.0.1:0", DefaultLimits)
+// AddHandler brings a party in on a port of loopback that the system chooses.
+func (l *Loop) AddHandler(p FrameHandler, _ string) (string, error) {
+	return l.ListenFrames(p, "127.0.0.1:0", DefaultLimits)
 }
 
 func (l *Loop) options() []gnet.Option {
@@ -157,8 +157,8 @@
 	}()
 }
 
-// Do calls do on the party's goroutine once that time has come.
-func (l *Loop) Do(p Party, at placement.Millis, do func(now placement.Millis)) {
+// RunAt calls do on the party's goroutine once that time has come.
+func (l *Loop) RunAt(p FrameHandler, at placement.Millis, do func(now placement.Millis)) {
 	l.mu.Lock()
 	a := l.actors[p]
 	l.mu.Unlock()
@@ -167,8 +167,8 @@
 	}
 }
 
-// Ask calls do on the party's goroutine and waits until it is done, or the loop is closed.
-func (l *Loop) Ask(p any, do func(now placement.Millis)) {
+// Call calls do on the party's goroutine and waits until it is done, or the loop is closed.
+func (l *Loop) Call(p any, do func(now placement.Millis)) {
 	l.mu.Lock()
 	a := l.actors[p]
 	l.mu.Unlock()
@@ -273,7 +273,7 @@
 type actor struct {
 	loop   *Loop
 	party  Handler
-	form   func() Form // of connections that come in
+	form   func() Codec // of connections that come in
 	limits Limits
 	signal chan struct{}
 	stop   chan struct{}
@@ -308,7 +308,7 @@
 	id      ConnID // the actor's, given when it first hears of it
 	gc      gnet.Conn
 	lane    lane
-	form    Form
+	form    Codec
 	parts   atomic.Uint64 // odd while a message is there in part; it grows with each change
 	failed  atomic.Pointer[string]
 	ended   atomic.Bool        // the event loop knows its end; the party may not have been told yet
@@ -344,7 +344,7 @@
 // postFrames hands frames over, and waits while the party has too much to do: then its peers wait too.
 func (a *actor) postFrames(items []item) {
 	a.mu.Lock()
-	for !items[0].goesAhead() && len(a.inbox) > a.limits.Inbox && !a.stopped() {
+	for !items[0].goesAhead() && len(a.inbox) > a.limits.MaxQueuedEvents && !a.stopped() {
 		a.room.Wait()
 	}
 	a.put(items...)
@@ -451,10 +451,10 @@
 // take hands a connection that came in to the event loop, or refuses it.
 func (a *actor) take(c net.Conn) {
 	s := &sock{actor: a, lane: came, form: a.form()}
-	if n := a.inCount.Add(1); a.places == nil && n > int64(a.limits.Connections) {
+	if n := a.inCount.Add(1); a.places == nil && n > int64(a.limits.MaxConnections) {
 		a.loop.Stats.TooMany.Add(1)
-		why := fmt.Sprintf("%d connections stand, the most there may be; come again later", a.limits.Connections)
-		if out, err := s.form.Append(nil, Refuse(why)); err == nil { // other forms have no such message, and just end
+		why := fmt.Sprintf("%d connections stand, the most there may be; come again later", a.limits.MaxConnections)
+		if out, err := s.form.Append(nil, RefusalFrame(why)); err == nil { // other forms have no such message, and just end
 			c.Write(out)
 		}
 		c.Close()
@@ -478,7 +478,7 @@
 
 // pause is how long nothing comes due.
 func (a *actor) pause() time.Duration {
-	at, ok := a.dos.Next()
+	at, ok := a.dos.NextTime()
 	if a.wakes && (!ok || a.wake < at) {
 		at, ok = a.wake, true
 	}
@@ -489,8 +489,8 @@
 }
 
 func (a *actor) due() {
-	for at, ok := a.dos.Next(); ok && at <= a.now; at, ok = a.dos.Next() {
-		_, _, do := a.dos.Take()
+	for at, ok := a.dos.NextTime(); ok && at <= a.now; at, ok = a.dos.NextTime() {
+		_, _, do := a.dos.Pop()
 		do(a.now)
 	}
 	if a.wakes && a.wake <= a.now {
@@ -504,7 +504,7 @@
 	switch i.kind {
 	case itemDo:
 		if i.at > a.now {
-			a.dos.Add(i.at, i.do)
+			a.dos.Push(i.at, i.do)
 		} else {
 			i.do(a.now)
 		}
@@ -536,12 +536,12 @@
 
 func (a *actor) Now() placement.Millis { return a.now }
 
-func (a *actor) Came() placement.Millis { return a.came }
+func (a *actor) ReceivedAt() placement.Millis { return a.came }
 
 func (a *actor) WakeAt(t placement.Millis) { a.wake, a.wakes = t, true }
 
-// DialAs is the party's: so are Send and Close.
-func (a *actor) DialAs(addr string, f Form, within placement.Millis) ConnID {
+// DialCodec is the party's: so are Send and Close.
+func (a *actor) DialCodec(addr string, f Codec, within placement.Millis) ConnID {
 	a.lastID++
 	ctx, give := context.WithTimeout(context.Background(), time.Duration(float64(within)*1e6))
 	s := &sock{actor: a, id: a.lastID, lane: dialled, form: f, give: give}
@@ -580,8 +580,8 @@
 	return err
 }
 
-// Ended is the party's: the event loop may know of an end that the party is told of only after what came before it.
-func (a *actor) Ended(c ConnID) bool {
+// IsClosed is the party's: the event loop may know of an end that the party is told of only after what came before it.
+func (a *actor) IsClosed(c ConnID) bool {
 	s := a.socks[c]
 	return s == nil || s.closing || s.ended.Load()
 }
@@ -667,7 +667,7 @@
 	}
 	out := s.out
 	s.out = nil
-	if s.onWay.Add(int64(len(out))) > int64(a.limits.Waiting) {
+	if s.onWay.Add(int64(len(out))) > int64(a.limits.MaxWriteBuffer) {
 		a.tooSlow(s)
 		return
 	}
@@ -675,7 +675,7 @@
 	err := s.gc.AsyncWrite(out, func(c gnet.Conn, err error) error {
 		s.onWay.Add(-int64(len(out)))
 		// What the peer has not read by now waits here; past the limit it is cut off, and nobody else waits.
-		if err == nil && c != nil && c.OutboundBuffered() > a.limits.Waiting {
+		if err == nil && c != nil && c.OutboundBuffered() > a.limits.MaxWriteBuffer {
 			a.tooSlow(s)
 		}
 		return nil
@@ -687,7 +687,7 @@
 
 func (a *actor) tooSlow(s *sock) {
 	a.loop.Stats.TooSlow.Add(1)
-	s.fail(fmt.Sprintf("the peer does not read: over %d bytes wait for it", a.limits.Waiting))
+	s.fail(fmt.Sprintf("the peer does not read: over %d bytes wait for it", a.limits.MaxWriteBuffer))
 }
 
 // fail ends a connection with a reason that the party is told.
@@ -746,7 +746,7 @@
 	for len(rest) > 0 {
 		var m any
 		var n int
-		if m, n, err = s.form.Cut(rest); err != nil || n == 0 {
+		if m, n, err = s.form.Decode(rest); err != nil || n == 0 {
 			break
 		}
 		rest = rest[n:]
@@ -770,7 +770,7 @@
 		s.failed.CompareAndSwap(nil, &why)
 		return gnet.Close
 	}
-	if e.actor.limits.Whole > 0 {
+	if e.actor.limits.MessageTimeout > 0 {
 		s.minded(len(rest) < len(b), len(rest) > 0)
 	}
 	return gnet.None
@@ -785,7 +785,7 @@
 		return
 	}
 	no := s.parts.Add(1)
-	limit := s.actor.limits.Whole
+	limit := s.actor.limits.MessageTimeout
 	s.actor.post(item{kind: itemDo, at: s.actor.loop.Now() + limit, do: func(placement.Millis) {
 		if s.parts.Load() == no && !s.closing {
 			s.fail(fmt.Sprintf("a message was not whole after %v ms", limit))
--- a/internal/transport/timers.go
+++ b/internal/transport/timers.go
@@ -10,19 +10,21 @@
 	queue timerqueue.Queue[func(placement.Millis)]
 }
 
-// At has call run once that time has come.
-func (t *Timers) At(at placement.Millis, call func(now placement.Millis)) { t.queue.Add(at, call) }
+// Schedule has call run once that time has come.
+func (t *Timers) Schedule(at placement.Millis, call func(now placement.Millis)) {
+	t.queue.Push(at, call)
+}
 
-// Run runs what is due.
-func (t *Timers) Run(now placement.Millis) {
-	for at, ok := t.queue.Next(); ok && at <= now; at, ok = t.queue.Next() {
-		_, _, call := t.queue.Take()
+// RunDue runs what is due.
+func (t *Timers) RunDue(now placement.Millis) {
+	for at, ok := t.queue.NextTime(); ok && at <= now; at, ok = t.queue.NextTime() {
+		_, _, call := t.queue.Pop()
 		call(now)
 	}
 }
 
 // Next is the time of the first timer, if there is one.
-func (t *Timers) Next() (placement.Millis, bool) { return t.queue.Next() }
+func (t *Timers) Next() (placement.Millis, bool) { return t.queue.NextTime() }
 
 // Len is the number of timers that have not come.
 func (t *Timers) Len() int { return t.queue.Len() }
