--- a/placement/choice.go
+++ b/placement/choice.go
@@ -75,14 +75,14 @@
 type decline struct {
 	at    Millis
 	group *group
-	size  Kind
+	size  NodeKind
 	why   Reason
 }
 
 // node is a machine as this allocator sees it.
 type node struct {
 	Node
-	size     Kind
+	size     NodeKind
 	ours     []*bind // out or running, oldest first
 	changes  []change
 	reports  []report
@@ -119,7 +119,7 @@
 // ask is what a workload asked for, and when.
 type ask struct {
 	at    Millis
-	size  Kind
+	size  NodeKind
 	again bool
 }
 
@@ -130,7 +130,7 @@
 	calm       float64 // ρ up to which it is served in full
 	asks       []ask   // last ones, rejected or not
 	target     Millis
-	effect     Effect
+	effect     Idempotency
 	scope      Scope
 	window     Millis
 	spread     Scope
@@ -138,10 +138,10 @@
 	kind       int
 }
 
-// Allocator places workloads by what it alone has seen.
-type Allocator struct {
+// Scheduler places workloads by what it alone has seen.
+type Scheduler struct {
 	groups       []group
-	kinds        []Kind
+	kinds        []NodeKind
 	reserveFor   Millis  // over which our own asks stand for
 	reserveTimes float64 // so many times as many of all allocators within reserveFor
 	coldFor      Millis
@@ -174,46 +174,46 @@
 }
 
 // New makes an allocator that knows its settings and nothing else.
-func New(s Settings, seed uint64) *Allocator {
+func New(s Settings, seed uint64) *Scheduler {
 	n := max(1, s.Allocators, s.Ordinal+1)
-	a := &Allocator{
-		kinds: s.Kinds, coldFor: s.ColdFor, coldFrom: s.ColdFrom, coldShare: math.Floor(s.ColdBears / float64(n)),
-		coldTurn: math.Floor(s.ColdBears / 2), ordinal: float64(max(0, s.Ordinal)), since: Millis(math.Inf(1)),
-		coldWindow: s.OverloadFor * budgetSpare, mustAsk: s.MustAsk,
-		watchQuiet: min(watchQuiet, s.AskWithin/2), byRunning: s.ConfirmsRunning,
-		reportsUse: s.ReportsUse, roomInList: s.RoomInList, allocators: float64(n), maxBinds: s.MaxBinds,
-		mayProbe: s.MayProbe, seed: seed, known: map[NodeID]*node{}, placed: map[WorkloadID]*bind{},
-		meanAt: LongAgo, useShare: useGuess,
+	a := &Scheduler{
+		kinds: s.NodeKinds, coldFor: s.WarmUpDuration, coldFrom: s.InitialRate, coldShare: math.Floor(s.WarmUpBudget / float64(n)),
+		coldTurn: math.Floor(s.WarmUpBudget / 2), ordinal: float64(max(0, s.Ordinal)), since: Millis(math.Inf(1)),
+		coldWindow: s.OverloadWindow * budgetSpare, mustAsk: s.PolledDiscovery,
+		watchQuiet: min(watchQuiet, s.PollInterval/2), byRunning: s.ConfirmsRunning,
+		reportsUse: s.ReportsUsage, roomInList: s.EntriesCarryCapacity, allocators: float64(n), maxBinds: s.MaxBinds,
+		mayProbe: s.HealthChecksAllowed, seed: seed, known: map[NodeID]*node{}, placed: map[WorkloadID]*bind{},
+		meanAt: DistantPast, useShare: useGuess,
 	}
 	over := min(a.allocators, reserveMost)
 	a.reserveFor, a.reserveTimes = reserveFor*Millis(over), a.allocators/over
 	for _, g := range s.Groups {
 		limit, calm := loadCap, loadCap
-		if g.Calm > 0 {
-			limit, calm = min(1, g.Calm+capFade*g.Fade), g.Calm
+		if g.FullServiceUtilization > 0 {
+			limit, calm = min(1, g.FullServiceUtilization+capFade*g.DegradationRange), g.FullServiceUtilization
 		}
 		a.groups = append(a.groups, group{
-			utility: g.Utility, cap: limit, calm: calm, target: g.Target, effect: g.Effect, scope: g.DedupScope,
-			window: g.DedupWindow, spread: g.Spread, spreadMost: g.SpreadMost, kind: g.Kind,
+			utility: g.PriorityWeight, cap: limit, calm: calm, target: g.LatencyObjective, effect: g.Idempotency, scope: g.KeyScope,
+			window: g.KeyWindow, spread: g.SpreadScope, spreadMost: g.MaxPerScope, kind: g.RequiredKind,
 		})
 	}
 	return a
 }
 
-// Place takes a workload and returns its first step.
-func (a *Allocator) Place(now Millis, w Workload) Step {
+// Schedule takes a workload and returns its first step.
+func (a *Scheduler) Schedule(now Millis, w Workload) Step {
 	if int(w.Group) >= len(a.groups) {
 		return Step{Kind: Rejected}
 	}
 	g := &a.groups[w.Group]
 	a.probes = min(a.probes+probesPerAsk, float64(len(a.nodes)))
-	g.asks = keep(g.asks, ask{now, Kind{w.Cores, w.Memory}, w.Again}, keepAsks)
-	wl := &workload{Workload: w, group: g, due: now + g.target, expires: now + w.Left}
+	g.asks = keep(g.asks, ask{now, NodeKind{w.Cores, w.Memory}, w.Retried}, keepAsks)
+	wl := &workload{Workload: w, group: g, due: now + g.target, expires: now + w.PendingTimeout}
 	return a.choose(now, wl)
 }
 
 // Adopt takes over a workload that runs already. The list's room and the reports count it: no change there.
-func (a *Allocator) Adopt(now Millis, w Workload, id NodeID) Step {
+func (a *Scheduler) Adopt(now Millis, w Workload, id NodeID) Step {
 	g := &group{kind: -1}
 	if int(w.Group) < len(a.groups) {
 		g = &a.groups[w.Group]
@@ -222,13 +222,13 @@
 	b := a.hold(now, wl, a.node(id))
 	b.confirmed, b.running = true, true
 	a.placed[w.ID] = b
-	return Step{Kind: Resident, Next: a.after(b)}
+	return Step{Kind: AwaitEnd, NextStep: a.after(b)}
 }
 
 // choose offers wl to the best machine, or gives it up at once.
-func (a *Allocator) choose(now Millis, wl *workload) Step {
+func (a *Scheduler) choose(now Millis, wl *workload) Step {
 	if len(a.nodes) == 0 && now+listWait < wl.due {
-		return Step{Kind: Wait, Until: now + listWait, Next: func(now Millis, r Result) Step {
+		return Step{Kind: Wait, WakeAt: now + listWait, NextStep: func(now Millis, r Result) Step {
 			if r.Kind == Withdrawn {
 				return Step{Kind: Done}
 			}
@@ -244,7 +244,7 @@
 		return giveUp(wl)
 	}
 	timeout := left
-	if wl.group.effect != RunOnce && wl.binds+1 < a.maxBinds {
+	if wl.group.effect != AtMostOnce && wl.binds+1 < a.maxBinds {
 		timeout = min(timeout, max(timeoutFloor, left/2, slowTimes*median(a.confirms)))
 	}
 	wl.binds++
@@ -253,28 +253,28 @@
 	if a.cold(now, n) {
 		n.sends = append(n.sends, now)
 	}
-	return Step{Kind: Bind, Node: n.ID, Timeout: timeout, Next: a.after(b)}
+	return Step{Kind: Bind, Node: n.ID, Timeout: timeout, NextStep: a.after(b)}
 }
 
 // giveUp answers a workload that gets no further bind. Rejecting promises that asking again is harmless,
 // so a workload that may run is rejected only where every machine knows a repeat.
 func giveUp(wl *workload) Step {
 	g := wl.group
-	if wl.maybe != nil && (g.effect == RunOnce || g.effect == Deduplicated && g.scope != ScopeAll) {
+	if wl.maybe != nil && (g.effect == AtMostOnce || g.effect == IdempotentByKey && g.scope != ScopeAll) {
 		return Step{Kind: Unschedulable}
 	}
 	return Step{Kind: Rejected}
 }
 
 // hold books a bind to its machine.
-func (a *Allocator) hold(now Millis, wl *workload, n *node) *bind {
+func (a *Scheduler) hold(now Millis, wl *workload, n *node) *bind {
 	b := &bind{wl: wl, node: n, at: now, used: math.NaN()}
 	n.ours = append(n.ours, b)
 	return b
 }
 
 // release takes a bind that has ended off its machine's books.
-func (a *Allocator) release(now Millis, b *bind) {
+func (a *Scheduler) release(now Millis, b *bind) {
 	n := b.node
 	n.ours = slices.DeleteFunc(n.ours, func(o *bind) bool { return o == b })
 	n.change(now, -b.wl.Cores, -b.wl.Memory)
@@ -285,11 +285,11 @@
 
 // after continues a workload with what came of its bind. Every kind of result that proves nothing counts as
 // one that may have run: time-outs, broken answers and kinds that nobody has thought of.
-func (a *Allocator) after(b *bind) func(Millis, Result) Step {
+func (a *Scheduler) after(b *bind) func(Millis, Result) Step {
 	return func(now Millis, r Result) Step {
 		wl, n := b.wl, b.node
 		if r.Load != nil {
-			a.Report(now, n.ID, *r.Load)
+			a.ReportLoad(now, n.ID, *r.Load)
 		}
 		a.arrived(now, b, r.Kind)
 		switch r.Kind {
@@ -300,24 +300,24 @@
 			n.declines = slices.DeleteFunc(n.declines, func(d decline) bool { return d.group == wl.group })
 			b.running = b.running || a.byRunning
 			a.placed[wl.ID] = b
-			return Step{Kind: Resident, Next: a.after(b)}
+			return Step{Kind: AwaitEnd, NextStep: a.after(b)}
 		case Withdrawn:
 			wl.over = true
-			return Step{Kind: Resident, Next: a.after(b)}
+			return Step{Kind: AwaitEnd, NextStep: a.after(b)}
 		}
 		a.release(now, b)
 		switch r.Kind {
 		case Ended:
 			return Step{Kind: Done}
-		case Declined:
+		case RejectedByNode:
 			n.misses = 0
-			d := decline{now, wl.group, Kind{wl.Cores, wl.Memory}, r.Reason}
+			d := decline{now, wl.group, NodeKind{wl.Cores, wl.Memory}, r.Reason}
 			n.declines = keep(n.declines, d, keepDeclines)
 			wl.declined = append(wl.declined, n)
-		case Unreachable:
+		case NotDelivered:
 			n.miss(now)
 			wl.declined = append(wl.declined, n)
-		case NotSent:
+		case NotAttempted:
 			wl.binds = a.maxBinds
 		default:
 			// What its owner took back says nothing of the machine: owners that take back hundreds at once had
@@ -330,10 +330,10 @@
 				wl.maybe = b
 			}
 		}
-		if wl.over || r.Over {
+		if wl.over || r.Final {
 			return Step{Kind: Done}
 		}
-		if wl.maybe != nil && wl.group.effect == RunOnce {
+		if wl.maybe != nil && wl.group.effect == AtMostOnce {
 			return giveUp(wl)
 		}
 		return a.choose(now, wl)
@@ -344,9 +344,9 @@
 // more: it came there by then, and how long it was under way nobody knows. A yes that waits for the start
 // tells of the arrival only where it is very late; a refusal or a time-out always does. It leaves machines
 // idle for as long as answers are slow.
-func (a *Allocator) arrived(now Millis, b *bind, k ResultKind) {
+func (a *Scheduler) arrived(now Millis, b *bind, k ResultKind) {
 	n := b.node
-	if b.confirmed || k == Unreachable || k == NotSent || k == Withdrawn || !a.cold(now, n) ||
+	if b.confirmed || k == NotDelivered || k == NotAttempted || k == Withdrawn || !a.cold(now, n) ||
 		a.byRunning && k == Confirmed && now-b.at <= a.coldWindow {
 		return
 	}
@@ -357,8 +357,8 @@
 	}
 }
 
-// Note takes what is told of a placed workload.
-func (a *Allocator) Note(now Millis, id WorkloadID, kind NoteKind, value float64) {
+// ReportUsage takes what is told of a placed workload.
+func (a *Scheduler) ReportUsage(now Millis, id WorkloadID, kind UsageKind, value float64) {
 	b := a.placed[id]
 	if b == nil || math.IsNaN(value) {
 		return
@@ -379,8 +379,8 @@
 	}
 }
 
-// Report takes a load report that came with an answer.
-func (a *Allocator) Report(now Millis, id NodeID, l Load) {
+// ReportLoad takes a load report that came with an answer.
+func (a *Scheduler) ReportLoad(now Millis, id NodeID, l LoadReport) {
 	n := a.known[id]
 	if n == nil {
 		return
@@ -402,40 +402,40 @@
 	n.reports = keep(n.reports, r, keepSamples)
 }
 
-// Probed takes the result of a probe.
-func (a *Allocator) Probed(now Millis, id NodeID, answered bool, l *Load) {
+// HealthChecked takes the result of a probe.
+func (a *Scheduler) HealthChecked(now Millis, id NodeID, answered bool, l *LoadReport) {
 	if n := a.known[id]; n != nil && !answered {
 		n.miss(now)
 	} else if n != nil {
 		n.misses = 0
 		if l != nil {
-			a.Report(now, id, *l)
+			a.ReportLoad(now, id, *l)
 		}
 	}
 }
 
-// List takes a message of the machine list.
-func (a *Allocator) List(now Millis, kind ListKind, nodes []Node) {
-	if kind == Failed {
+// UpdateNodes takes a message of the machine list.
+func (a *Scheduler) UpdateNodes(now Millis, kind NodeUpdateKind, nodes []Node) {
+	if kind == PollFailed {
 		a.watchDue = now + a.jitter(watchRetry*Millis(int(1)<<min(a.watchFails, watchMost)))
 		a.watchFails++
 		return
 	}
-	if kind != Cached {
+	if kind != CachedSnapshot {
 		a.watchDue, a.watchFails = now+a.jitter(a.watchQuiet), 0
 	}
-	if kind != Changes {
+	if kind != Delta {
 		for _, n := range a.nodes {
-			n.State = Gone
+			n.State = Removed
 		}
 	}
 	for _, entry := range nodes {
 		n := a.node(entry.ID)
-		if entry.Born != n.Born {
+		if entry.StartedAt != n.StartedAt {
 			n.reports, n.sends, n.declines, n.misses = nil, nil, nil, 0
 		}
 		n.Node, n.listedAt = entry, now
-		n.size = Kind{}
+		n.size = NodeKind{}
 		if int(entry.Kind) < len(a.kinds) {
 			n.size = a.kinds[entry.Kind]
 		}
@@ -443,11 +443,11 @@
 }
 
 // node returns the machine of that name; one that no list named counts as gone.
-func (a *Allocator) node(id NodeID) *node {
+func (a *Scheduler) node(id NodeID) *node {
 	n := a.known[id]
 	if n == nil {
-		n = &node{Node: Node{ID: id, State: Gone, Born: LongAgo}}
-		n.missedAt, n.probedAt, n.movedAt = LongAgo, LongAgo, LongAgo
+		n = &node{Node: Node{ID: id, State: Removed, StartedAt: DistantPast}}
+		n.missedAt, n.probedAt, n.movedAt = DistantPast, DistantPast, DistantPast
 		a.known[id] = n
 	}
 	if i, found := slices.BinarySearchFunc(a.nodes, id, byID); !found {
@@ -466,20 +466,20 @@
 	return 0
 }
 
-// Upkeep returns what is to be done beside the steps of workloads.
-func (a *Allocator) Upkeep(now Millis) Chores {
+// Maintain returns what is to be done beside the steps of workloads.
+func (a *Scheduler) Maintain(now Millis) Maintenance {
 	if now < a.since {
 		a.since = now
 		a.watchDue = now + min(watchSpace*Millis(a.ordinal), a.watchQuiet*Millis(a.ordinal/a.allocators))
 	}
-	c := Chores{Again: now + upkeepEvery}
+	c := Maintenance{NextAt: now + upkeepEvery}
 	for _, n := range a.nodes {
 		n.changes = slices.DeleteFunc(n.changes, func(c change) bool { return c.at < now-staleAfter-reportLag })
 		n.sends = slices.DeleteFunc(n.sends, func(at Millis) bool { return at < now-a.coldWindow })
 	}
 	a.nodes = slices.DeleteFunc(a.nodes, func(n *node) bool {
 		// A list that lacks a machine for a moment must not free its cold budget anew.
-		gone := n.State == Gone && len(n.ours) == 0 && len(n.sends) == 0
+		gone := n.State == Removed && len(n.ours) == 0 && len(n.sends) == 0
 		if gone {
 			delete(a.known, n.ID)
 		}
@@ -490,13 +490,13 @@
 	// spaced by number, later ones by chance and ever longer after failures. It should also cover a list that
 	// is slow for any other reason. It could hurt where a few allocators wait for an idle list.
 	if a.mustAsk && now >= a.watchDue {
-		c.Watch, a.watchDue = true, now+a.jitter(a.watchQuiet)
+		c.Subscribe, a.watchDue = true, now+a.jitter(a.watchQuiet)
 	}
-	c.Probes = a.probe(now)
+	c.HealthChecks = a.probe(now)
 	for _, n := range a.nodes {
 		if b := a.victim(now, n); b != nil {
 			n.movedAt = now
-			c.Moves = append(c.Moves, b.wl.ID)
+			c.Migrations = append(c.Migrations, b.wl.ID)
 		}
 	}
 	return c
@@ -506,7 +506,7 @@
 // Where each allocator has few of the asks, probing all that is unheard would fill the machines' lines
 // with probes alone. It also keeps a fleet that stands still from being probed on. It could hurt an allocator
 // with few asks, which then knows most machines by the list alone; they take the mean load.
-func (a *Allocator) probe(now Millis) (ids []NodeID) {
+func (a *Scheduler) probe(now Millis) (ids []NodeID) {
 	if !a.mayProbe || a.probes < 1 {
 		return nil
 	}
@@ -533,7 +533,7 @@
 
 // victim returns the workload to move off a machine that has been above the cap for the whole window and
 // still is by a fresh report: ours that is furthest over its ask, if another machine can take it.
-func (a *Allocator) victim(now Millis, n *node) *bind {
+func (a *Scheduler) victim(now Millis, n *node) *bind {
 	if now-n.movedAt < movePause || len(n.reports) == 0 || now-n.heard() > 2*probeAfter {
 		return nil
 	}
@@ -549,7 +549,7 @@
 	}
 	var worst *bind
 	for _, b := range n.ours {
-		if b.running && b.wl.group.effect != RunOnce && b.used > b.wl.Cores &&
+		if b.running && b.wl.group.effect != AtMostOnce && b.used > b.wl.Cores &&
 			(worst == nil || b.used-b.wl.Cores > worst.used-worst.wl.Cores) {
 			worst = b
 		}
@@ -564,7 +564,7 @@
 
 // pick returns the machine for wl, or nil where none is feasible: those that run the service first, then the
 // least loaded, a random one where loads tie.
-func (a *Allocator) pick(now Millis, wl *workload) *node {
+func (a *Scheduler) pick(now Millis, wl *workload) *node {
 	barred, kept := a.barred(now), a.reserve(now, wl)
 	type option struct {
 		n    *node
@@ -628,12 +628,12 @@
 // workload's utility, and one that comes again has lost or had it.
 // It should also help when any trouble takes room away. It could hurt where little of high utility follows,
 // and it makes those that come again wait longer on a fleet that stays full.
-func (a *Allocator) reserve(now Millis, wl *workload) func(*node) bool {
-	var largest Kind
-	var recent, dear []Kind
+func (a *Scheduler) reserve(now Millis, wl *workload) func(*node) bool {
+	var largest NodeKind
+	var recent, dear []NodeKind
 	for i := range a.groups {
 		g := &a.groups[i]
-		if g.utility < wl.group.utility || g.utility == wl.group.utility && !wl.Again {
+		if g.utility < wl.group.utility || g.utility == wl.group.utility && !wl.Retried {
 			continue
 		}
 		for _, o := range g.asks {
@@ -653,14 +653,14 @@
 	if largest.Cores <= 0 || largest.Memory <= 0 {
 		return func(*node) bool { return false }
 	}
-	sum := func(sizes []Kind) (places float64) {
+	sum := func(sizes []NodeKind) (places float64) {
 		for _, size := range sizes {
 			places += a.reserveTimes * max(size.Cores/largest.Cores, size.Memory/largest.Memory)
 		}
 		return math.Ceil(places)
 	}
 	wanted := max(1, min(sum(dear), float64(len(a.nodes))*dearShare)+sum(recent))
-	places := func(n *node, room Kind) float64 {
+	places := func(n *node, room NodeKind) float64 {
 		used, _ := a.used(now, n)
 		return min(room.Cores/largest.Cores, room.Memory/largest.Memory,
 			(loadCap*n.size.Cores-used)/largest.Cores, (memoryCap*n.size.Memory-a.usedMemory(now, n))/largest.Memory)
@@ -678,7 +678,7 @@
 	}
 	return func(n *node) bool {
 		room := a.room(now, n)
-		after := places(n, Kind{room.Cores - wl.Cores, room.Memory - wl.Memory})
+		after := places(n, NodeKind{room.Cores - wl.Cores, room.Memory - wl.Memory})
 		lost := max(0, math.Floor(places(n, room))) - max(0, math.Floor(after))
 		return total-lost < wanted
 	}
@@ -717,7 +717,7 @@
 }
 
 // feasible tells whether wl may go to n: by the rules, the room seen less our recent binds, and the cap.
-func (a *Allocator) feasible(now Millis, wl *workload, n *node) bool {
+func (a *Scheduler) feasible(now Millis, wl *workload, n *node) bool {
 	g := wl.group
 	switch {
 	case n.State != Ready, g.kind >= 0 && int(n.Kind) != g.kind, slices.Contains(wl.declined, n),
@@ -741,9 +741,9 @@
 func repeatable(now Millis, wl *workload, n *node) bool {
 	g, first := wl.group, wl.maybe
 	switch {
-	case g.effect == Restartable:
+	case g.effect == Idempotent:
 		return true
-	case g.effect == RunOnce || now-first.at >= g.window-answerMargin:
+	case g.effect == AtMostOnce || now-first.at >= g.window-answerMargin:
 		return false
 	}
 	return within(g.scope, first.node, n)
@@ -765,7 +765,7 @@
 }
 
 // spreadAllows keeps a service's workloads, as placed by us, within the most that one place may hold.
-func (a *Allocator) spreadAllows(wl *workload, n *node) bool {
+func (a *Scheduler) spreadAllows(wl *workload, n *node) bool {
 	if wl.group.spread == ScopeNone {
 		return true
 	}
@@ -782,22 +782,22 @@
 	return held < wl.group.spreadMost
 }
 
-func (a *Allocator) cold(now Millis, n *node) bool { return now-n.Born < a.coldFor }
+func (a *Scheduler) cold(now Millis, n *node) bool { return now-n.StartedAt < a.coldFor }
 
 // coldAllows keeps our binds to a machine just up within our share of what it bears, and ramps them up. Where
 // allocators outnumber what it bears, each has a turn of one bind, which all work out alike from the machine,
 // its start and their numbers. A window touches two turns at most, also with binds under way: each turn has
 // half of what is borne. After our own start we wait for a window or a whole turn, since what we sent before
 // is forgotten. It holds for any number; it leaves machines idle where those whose turn it is have no asks.
-func (a *Allocator) coldAllows(now Millis, n *node) bool {
+func (a *Scheduler) coldAllows(now Millis, n *node) bool {
 	if !a.cold(now, n) {
 		return true
 	}
-	ramp := min(1, a.coldFrom+float64((now-n.Born)/rampFor))
+	ramp := min(1, a.coldFrom+float64((now-n.StartedAt)/rampFor))
 	from := now - a.coldWindow
 	if a.coldShare < 1 {
-		turn := math.Floor(float64((now - n.Born) / a.coldWindow))
-		from = n.Born + Millis(turn)*a.coldWindow
+		turn := math.Floor(float64((now - n.StartedAt) / a.coldWindow))
+		from = n.StartedAt + Millis(turn)*a.coldWindow
 		first := float64(hash(uint64(n.ID), 0)%(1<<20)) + turn*a.coldTurn
 		place := math.Mod(first+a.ordinal, a.allocators)
 		return a.since <= from && !slices.ContainsFunc(n.sends, func(at Millis) bool { return at >= from }) &&
@@ -822,27 +822,27 @@
 
 // room is what nobody has asked for on n. The list shows it late, so what our own workloads have begun and
 // ceased to ask for since then is added; they alone can never leave more than the machine's size.
-func (a *Allocator) room(now Millis, n *node) Kind {
-	var ours Kind
+func (a *Scheduler) room(now Millis, n *node) NodeKind {
+	var ours NodeKind
 	for _, b := range n.ours {
 		ours.Cores += b.wl.Cores
 		ours.Memory += b.wl.Memory
 	}
-	left := Kind{n.size.Cores - ours.Cores, n.size.Memory - ours.Memory}
+	left := NodeKind{n.size.Cores - ours.Cores, n.size.Memory - ours.Memory}
 	if a.roomInList {
 		since := n.changed(max(n.listedAt-listLag, now-listSpan))
-		return Kind{min(left.Cores, n.FreeCores-since.cores), min(left.Memory, n.FreeMemory-since.memory)}
+		return NodeKind{min(left.Cores, n.FreeCores-since.cores), min(left.Memory, n.FreeMemory-since.memory)}
 	}
 	if r, ok := n.latest(now); ok && !a.reportsUse {
 		since := n.changed(r.at - reportLag)
-		return Kind{min(left.Cores, r.spare-since.cores), min(left.Memory, r.spareMemory-since.memory)}
+		return NodeKind{min(left.Cores, r.spare-since.cores), min(left.Memory, r.spareMemory-since.memory)}
 	}
-	return Kind{n.size.Cores - ours.Cores*a.allocators, n.size.Memory - ours.Memory*a.allocators}
+	return NodeKind{n.size.Cores - ours.Cores*a.allocators, n.size.Memory - ours.Memory*a.allocators}
 }
 
 // load is ρ: reported used cores and the ask over the machine's cores. What our own workloads began and
 // ceased to ask since the report counts at the share that is used of asks.
-func (a *Allocator) load(now Millis, wl *workload, n *node) float64 {
+func (a *Scheduler) load(now Millis, wl *workload, n *node) float64 {
 	if n.size.Cores <= 0 {
 		return math.Inf(1)
 	}
@@ -854,7 +854,7 @@
 }
 
 // meanLoad is the load of the machines heard of lately, as worked out once for each time.
-func (a *Allocator) meanLoad(now Millis) float64 {
+func (a *Scheduler) meanLoad(now Millis) float64 {
 	if a.meanAt == now {
 		return a.mean
 	}
@@ -869,7 +869,7 @@
 }
 
 // used is the cores in use on a machine heard of lately.
-func (a *Allocator) used(now Millis, n *node) (float64, bool) {
+func (a *Scheduler) used(now Millis, n *node) (float64, bool) {
 	r, ok := n.latest(now)
 	if !ok || math.IsNaN(r.used) {
 		return 0, false
@@ -878,7 +878,7 @@
 }
 
 // usedMemory is the memory in use on a machine heard of lately, or 0.
-func (a *Allocator) usedMemory(now Millis, n *node) float64 {
+func (a *Scheduler) usedMemory(now Millis, n *node) float64 {
 	r, ok := n.latest(now)
 	if !ok || math.IsNaN(r.memory) {
 		return 0
@@ -888,7 +888,7 @@
 
 // barred returns the machines that symptoms speak against, worst first and never more than a part of the
 // fleet: failed contacts, or a bind that is unanswered for too long.
-func (a *Allocator) barred(now Millis) []*node {
+func (a *Scheduler) barred(now Millis) []*node {
 	var grades [2][]*node
 	ready, late := 0, hangAfter+a.usual()
 	for _, n := range a.nodes {
@@ -908,7 +908,7 @@
 }
 
 // usual is the longest that any confirmation lately took; a bind unanswered for much longer is overdue.
-func (a *Allocator) usual() Millis {
+func (a *Scheduler) usual() Millis {
 	if len(a.confirms) > 0 {
 		return slices.Max(a.confirms)
 	}
@@ -916,10 +916,10 @@
 }
 
 // jitter is a quarter more or less than d, by chance.
-func (a *Allocator) jitter(d Millis) Millis { return d * Millis(0.75+float64(a.chance(1000))/2000) }
+func (a *Scheduler) jitter(d Millis) Millis { return d * Millis(0.75+float64(a.chance(1000))/2000) }
 
 // chance draws a number from 0 to n-1.
-func (a *Allocator) chance(n int) int {
+func (a *Scheduler) chance(n int) int {
 	a.draws++
 	return int(hash(a.seed, a.draws) % uint64(n))
 }
@@ -949,7 +949,7 @@
 // heard is when the last report came.
 func (n *node) heard() Millis {
 	if len(n.reports) == 0 {
-		return LongAgo
+		return DistantPast
 	}
 	return n.reports[len(n.reports)-1].at
 }
@@ -984,11 +984,11 @@
 func (n *node) declinesNow(now Millis, wl *workload) bool {
 	return slices.ContainsFunc(n.declines, func(d decline) bool {
 		switch d.why {
-		case NoCores:
+		case InsufficientCores:
 			return now-d.at < fullPause && wl.Cores >= d.size.Cores
-		case NoMemory:
+		case InsufficientMemory:
 			return now-d.at < fullPause && wl.Memory >= d.size.Memory
-		case TooManyWaiting:
+		case QueueFull:
 			return now-d.at < fullPause
 		}
 		return now-d.at < groupPause && d.group == wl.group
--- a/placement/choice_test.go
+++ b/placement/choice_test.go
@@ -69,8 +69,8 @@
 func TestRoomIsLessByOurBindsSinceTheEntry(t *testing.T) {
 	a := fleet(t, 1)
 	a.known[1].change(0, 6, 6)
-	assert.Equal(t, Kind{4, 14}, a.room(0, a.known[1]))
-	assert.Equal(t, Kind{10, 20}, a.room(listSpan+1, a.known[1]), "the list shows it by then")
+	assert.Equal(t, NodeKind{4, 14}, a.room(0, a.known[1]))
+	assert.Equal(t, NodeKind{10, 20}, a.room(listSpan+1, a.known[1]), "the list shows it by then")
 }
 
 func TestAdoptedWorkloadsAreNotSubtractedTwice(t *testing.T) {
@@ -84,15 +84,15 @@
 func TestFullFleetRejectsEarly(t *testing.T) {
 	a := fleet(t, 1)
 	a.known[1].FreeCores = 0
-	assert.Equal(t, Rejected, a.Place(0, Workload{Cores: 1, Memory: 1, Left: 5000}).Kind)
+	assert.Equal(t, Rejected, a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 5000}).Kind)
 }
 
 func TestEmptyListWaitsAndThenRejects(t *testing.T) {
 	a := fleet(t, 0)
-	s := a.Place(0, Workload{Cores: 1, Memory: 1, Left: 5000})
+	s := a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 5000})
 	require.Equal(t, Wait, s.Kind)
-	assert.Equal(t, Rejected, s.Next(999, Result{Kind: Due}).Kind)
-	assert.Equal(t, Done, s.Next(10, Result{Kind: Withdrawn}).Kind)
+	assert.Equal(t, Rejected, s.NextStep(999, Result{Kind: TimerFired}).Kind)
+	assert.Equal(t, Done, s.NextStep(10, Result{Kind: Withdrawn}).Kind)
 }
 
 // Rules 1 and 2: what follows each outcome, by group.
@@ -102,25 +102,25 @@
 		kind  ResultKind
 		want  StepKind
 	}{
-		"restartable declined":               {restartable, Declined, Bind},
+		"restartable declined":               {restartable, RejectedByNode, Bind},
 		"restartable timed out":              {restartable, TimedOut, Bind},
-		"restartable unclear":                {restartable, Unclear, Bind},
-		"run-once declined":                  {runOnce, Declined, Bind},
-		"run-once unreachable":               {runOnce, Unreachable, Bind},
+		"restartable unclear":                {restartable, OutcomeUnknown, Bind},
+		"run-once declined":                  {runOnce, RejectedByNode, Bind},
+		"run-once unreachable":               {runOnce, NotDelivered, Bind},
 		"run-once timed out":                 {runOnce, TimedOut, Unschedulable},
-		"run-once unclear":                   {runOnce, Unclear, Unschedulable},
-		"run-once not sent":                  {runOnce, NotSent, Rejected},
-		"run-once confirmed":                 {runOnce, Confirmed, Resident},
+		"run-once unclear":                   {runOnce, OutcomeUnknown, Unschedulable},
+		"run-once not sent":                  {runOnce, NotAttempted, Rejected},
+		"run-once confirmed":                 {runOnce, Confirmed, AwaitEnd},
 		"deduplicated everywhere, timed out": {dedupAll, TimedOut, Bind},
 		"deduplicated in a cell, timed out":  {dedupCell, TimedOut, Bind},
-		"deduplicated in a cell, declined":   {dedupCell, Declined, Bind},
-		"withdrawn with the bind still out":  {restartable, Withdrawn, Resident},
+		"deduplicated in a cell, declined":   {dedupCell, RejectedByNode, Bind},
+		"withdrawn with the bind still out":  {restartable, Withdrawn, AwaitEnd},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := fleet(t, 2) // each in a cell of its own
-			s := a.Place(0, Workload{Group: c.group, Cores: 1, Memory: 1, Left: 9000})
+			s := a.Schedule(0, Workload{Group: c.group, Cores: 1, Memory: 1, PendingTimeout: 9000})
 			require.Equal(t, Bind, s.Kind)
-			assert.Equal(t, c.want, s.Next(100, Result{Kind: c.kind}).Kind)
+			assert.Equal(t, c.want, s.NextStep(100, Result{Kind: c.kind}).Kind)
 		})
 	}
 }
@@ -129,16 +129,16 @@
 	wants := map[GroupID]StepKind{dedupCell: Unschedulable, dedupAll: Rejected, restartable: Rejected}
 	for g, want := range wants {
 		a := fleet(t, 1)
-		s := a.Place(0, Workload{Group: g, Cores: 1, Memory: 1, Left: 9000})
-		a.List(1, Changes, []Node{entry(1, Draining)})
-		assert.Equal(t, want, s.Next(100, Result{Kind: Unclear}).Kind)
+		s := a.Schedule(0, Workload{Group: g, Cores: 1, Memory: 1, PendingTimeout: 9000})
+		a.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
+		assert.Equal(t, want, s.NextStep(100, Result{Kind: OutcomeUnknown}).Kind)
 	}
 }
 
 func TestNothingFollowsAWithdrawnWorkload(t *testing.T) {
 	a := fleet(t, 2)
-	s := a.Place(0, Workload{Cores: 1, Memory: 1, Left: 9000}).Next(1, Result{Kind: Withdrawn})
-	assert.Equal(t, Done, s.Next(2, Result{Kind: Declined}).Kind)
+	s := a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 9000}).NextStep(1, Result{Kind: Withdrawn})
+	assert.Equal(t, Done, s.NextStep(2, Result{Kind: RejectedByNode}).Kind)
 	assert.Empty(t, a.known[1].ours)
 	assert.Empty(t, a.known[2].ours)
 }
@@ -146,28 +146,28 @@
 func TestWhatOwnersTakeBackBarsNoMachine(t *testing.T) {
 	a := fleet(t, 3)
 	for id := range WorkloadID(50) {
-		s := a.Place(0, Workload{ID: id, Service: ServiceID(id), Cores: 0.1, Memory: 0.1, Left: 6000})
+		s := a.Schedule(0, Workload{ID: id, Service: ServiceID(id), Cores: 0.1, Memory: 0.1, PendingTimeout: 6000})
 		require.Equal(t, Bind, s.Kind)
-		s = s.Next(1, Result{Kind: Withdrawn, Over: true})
-		assert.Equal(t, Done, s.Next(1, Result{Kind: Unclear, Over: true}).Kind)
+		s = s.NextStep(1, Result{Kind: Withdrawn, Final: true})
+		assert.Equal(t, Done, s.NextStep(1, Result{Kind: OutcomeUnknown, Final: true}).Kind)
 	}
 	assert.Empty(t, a.barred(2))
 }
 
 func TestAnswerComesBeforeThePendingTimeout(t *testing.T) {
 	a := fleet(t, 2)
-	s := a.Place(0, Workload{Group: runOnce, Cores: 1, Memory: 1, Left: 3000})
+	s := a.Schedule(0, Workload{Group: runOnce, Cores: 1, Memory: 1, PendingTimeout: 3000})
 	assert.Equal(t, 3000-answerMargin, s.Timeout)
-	s = a.Place(0, Workload{Cores: 1, Memory: 1, Left: 3000})
-	assert.Equal(t, Rejected, s.Next(2990, Result{Kind: TimedOut}).Kind)
+	s = a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 3000})
+	assert.Equal(t, Rejected, s.NextStep(2990, Result{Kind: TimedOut}).Kind)
 }
 
 func TestBindsEndAtTheMost(t *testing.T) {
 	a := fleet(t, 9)
-	s := a.Place(0, Workload{Cores: 1, Memory: 1, Left: 9000})
+	s := a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 9000})
 	for range 3 {
 		require.Equal(t, Bind, s.Kind)
-		s = s.Next(1, Result{Kind: Declined, Reason: TooManyWaiting})
+		s = s.NextStep(1, Result{Kind: RejectedByNode, Reason: QueueFull})
 	}
 	assert.Equal(t, Rejected, s.Kind)
 }
@@ -184,9 +184,9 @@
 // Rule 3: nothing goes to a machine that drains, is gone, or is missing from a whole list.
 func TestDrainedMachinesGetNothing(t *testing.T) {
 	a := fleet(t, 2)
-	a.List(1, Changes, []Node{entry(1, Draining)})
+	a.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
 	assert.False(t, a.feasible(1, newAsk(a, 0, 1, 1), a.known[1]))
-	a.List(2, Whole, []Node{entry(1, Ready)})
+	a.UpdateNodes(2, Snapshot, []Node{entry(1, Ready)})
 	assert.True(t, a.feasible(2, newAsk(a, 0, 1, 1), a.known[1]))
 	assert.False(t, a.feasible(2, newAsk(a, 0, 1, 1), a.known[2]))
 }
@@ -194,29 +194,29 @@
 func TestWatchIsAskedForAndKeptAlive(t *testing.T) {
 	a := fleet(t, 1)
 	a.mustAsk, a.watchQuiet = true, watchQuiet
-	require.True(t, a.Upkeep(100).Watch)
-	assert.False(t, a.Upkeep(200).Watch)
-	a.List(300, Failed, nil)
-	assert.False(t, a.Upkeep(400).Watch, "not at once")
-	assert.True(t, a.Upkeep(300+2*watchRetry).Watch, "after a failure")
-	a.List(4000, Changes, nil)
-	assert.False(t, a.Upkeep(4000+watchQuiet/2).Watch)
-	assert.True(t, a.Upkeep(4000+2*watchQuiet).Watch, "after a long quiet")
+	require.True(t, a.Maintain(100).Subscribe)
+	assert.False(t, a.Maintain(200).Subscribe)
+	a.UpdateNodes(300, PollFailed, nil)
+	assert.False(t, a.Maintain(400).Subscribe, "not at once")
+	assert.True(t, a.Maintain(300+2*watchRetry).Subscribe, "after a failure")
+	a.UpdateNodes(4000, Delta, nil)
+	assert.False(t, a.Maintain(4000+watchQuiet/2).Subscribe)
+	assert.True(t, a.Maintain(4000+2*watchQuiet).Subscribe, "after a long quiet")
 }
 
 func TestListCallsOfManyAllocatorsAreNotInStep(t *testing.T) {
 	due := map[Millis]bool{}
 	for ordinal := range 300 {
-		a := New(Settings{Allocators: 300, Ordinal: ordinal, MustAsk: true, AskWithin: 10e3}, uint64(ordinal))
-		a.Upkeep(0)
+		a := New(Settings{Allocators: 300, Ordinal: ordinal, PolledDiscovery: true, PollInterval: 10e3}, uint64(ordinal))
+		a.Maintain(0)
 		assert.LessOrEqual(t, a.watchDue, 2*a.watchQuiet)
 		due[a.watchDue] = true
 		first := a.watchDue
 		for range 4 {
-			a.List(first, Failed, nil)
+			a.UpdateNodes(first, PollFailed, nil)
 		}
 		assert.Greater(t, a.watchDue, first+3*watchRetry, "longer after each failure")
-		a.List(first, Changes, nil)
+		a.UpdateNodes(first, Delta, nil)
 		assert.Zero(t, a.watchFails, "news says that the watch stands")
 	}
 	assert.Greater(t, len(due), 200)
@@ -227,7 +227,7 @@
 	a := fleet(t, 1)
 	a.coldFor, a.coldFrom, a.coldShare, a.coldWindow = 10e3, 0.25, 8, 3000
 	n := a.known[1]
-	n.Born, a.since = 0, -5000
+	n.StartedAt, a.since = 0, -5000
 	sent := func(now Millis) (most int) {
 		for n.sends = nil; most < 99 && a.coldAllows(now, n); most++ {
 			n.sends = append(n.sends, now)
@@ -247,7 +247,7 @@
 	a := fleet(t, 1)
 	a.coldFor, a.coldFrom, a.coldShare, a.coldWindow, a.since = 60e3, 1, 4, 2000, -5000
 	n := a.known[1]
-	n.Born = 0
+	n.StartedAt = 0
 	for range 4 {
 		n.ours = append(n.ours, &bind{wl: &workload{}, node: n, at: 0})
 	}
@@ -259,22 +259,22 @@
 // A bind that was held up may have arrived just before its answer: from then on it fills the window.
 func TestABindToAColdMachineCountsFromItsAnswerOn(t *testing.T) {
 	for kind, want := range map[ResultKind][]Millis{
-		Confirmed: {2900}, Declined: {2900}, TimedOut: {2900}, Unreachable: {100}, NotSent: {100},
+		Confirmed: {2900}, RejectedByNode: {2900}, TimedOut: {2900}, NotDelivered: {100}, NotAttempted: {100},
 	} {
 		a := fleet(t, 1)
 		a.coldFor, a.coldWindow = 60e3, 2000
 		n := a.known[1]
-		n.Born, n.sends = 0, []Millis{100}
+		n.StartedAt, n.sends = 0, []Millis{100}
 		a.arrived(2900, &bind{node: n, at: 100}, kind)
 		assert.Equal(t, want, n.sends, "%v", kind)
 	}
 	// Where a yes waits for the start, it alone tells nothing of the arrival: a time-out within the window counted from
 	// when its bind was sent, and offers that a cut held up came together with later ones. Found by a hunt (seed 81, day 3835).
-	for kind, want := range map[ResultKind]Millis{Confirmed: 100, Declined: 1600, TimedOut: 1600, Unclear: 1600} {
+	for kind, want := range map[ResultKind]Millis{Confirmed: 100, RejectedByNode: 1600, TimedOut: 1600, OutcomeUnknown: 1600} {
 		a := fleet(t, 1)
 		a.coldFor, a.coldWindow, a.byRunning = 60e3, 2000, true
 		n := a.known[1]
-		n.Born, n.sends = 0, []Millis{100}
+		n.StartedAt, n.sends = 0, []Millis{100}
 		a.arrived(1600, &bind{node: n, at: 100}, kind)
 		assert.Equal(t, []Millis{want}, n.sends, "%v", kind)
 	}
@@ -285,10 +285,10 @@
 	const bears, window = 10, Millis(2000)
 	var sends []Millis
 	for ordinal := range 77 {
-		s := Settings{Allocators: 77, Ordinal: ordinal, ColdBears: bears, ColdFor: 20e3, OverloadFor: window}
+		s := Settings{Allocators: 77, Ordinal: ordinal, WarmUpBudget: bears, WarmUpDuration: 20e3, OverloadWindow: window}
 		a := New(s, 1)
 		a.since = -1
-		n := &node{Node: Node{ID: 5, Born: 0}}
+		n := &node{Node: Node{ID: 5, StartedAt: 0}}
 		for now := Millis(0); now < 20e3; now += 10 {
 			if a.coldAllows(now, n) {
 				n.sends = append(n.sends, now)
@@ -304,11 +304,11 @@
 }
 
 func TestColdShareIsSplitByAllocators(t *testing.T) {
-	assert.InDelta(t, 7, New(Settings{Allocators: 3, ColdBears: 23}, 1).coldShare, 0)
+	assert.InDelta(t, 7, New(Settings{Allocators: 3, WarmUpBudget: 23}, 1).coldShare, 0)
 }
 
 func TestOddOwnNumberCountsAsAnAllocator(t *testing.T) {
-	past := New(Settings{Allocators: 3, Ordinal: 9, ColdBears: 23}, 1)
+	past := New(Settings{Allocators: 3, Ordinal: 9, WarmUpBudget: 23}, 1)
 	assert.InDelta(t, 2, past.coldShare, 0, "a number past the count raises the count")
 	assert.InDelta(t, 0, New(Settings{Allocators: 3, Ordinal: -1}, 1).ordinal, 0)
 }
@@ -365,7 +365,7 @@
 func TestReserveKeepsTheRoomiestMachineForLargeDearAsks(t *testing.T) {
 	a := fleet(t, 2)
 	a.known[1].FreeCores, a.known[2].FreeCores = 6.5, 3
-	a.groups[runOnce].asks = []ask{{size: Kind{6, 6}}}
+	a.groups[runOnce].asks = []ask{{size: NodeKind{6, 6}}}
 	kept := a.reserve(60e3, newAsk(a, 0, 1, 1))
 	assert.True(t, kept(a.known[1]))
 	assert.False(t, kept(a.known[2]))
@@ -377,10 +377,10 @@
 func TestReserveKeepsRoomForFirstAsksFromThoseThatComeAgain(t *testing.T) {
 	a := fleet(t, 1)
 	a.known[1].FreeCores = 2.5
-	a.groups[restartable].asks = []ask{{size: Kind{2, 2}}, {size: Kind{2, 2}, again: true}}
+	a.groups[restartable].asks = []ask{{size: NodeKind{2, 2}}, {size: NodeKind{2, 2}, again: true}}
 	wl := newAsk(a, restartable, 1, 1)
 	assert.False(t, a.reserve(1, wl)(a.known[1]), "a first ask")
-	wl.Again = true
+	wl.Retried = true
 	assert.True(t, a.reserve(1, wl)(a.known[1]))
 	assert.False(t, a.reserve(reserveFor, wl)(a.known[1]), "no first ask came lately")
 }
@@ -388,7 +388,7 @@
 func TestReserveStandsForAllAllocators(t *testing.T) {
 	a := fleet(t, 4)
 	a.reserveTimes = 30
-	a.groups[runOnce].asks = []ask{{size: Kind{1, 1}}}
+	a.groups[runOnce].asks = []ask{{size: NodeKind{1, 1}}}
 	for _, n := range a.nodes {
 		n.FreeCores = 0.6 // no place for the dear ask: half of the machines fill up no further
 	}
@@ -454,7 +454,7 @@
 func TestTurnedDownAskIsNotOfferedAgainForAWhile(t *testing.T) {
 	a := fleet(t, 1)
 	n := a.known[1]
-	n.declines = []decline{{at: 0, size: Kind{2, 2}, why: NoCores}}
+	n.declines = []decline{{at: 0, size: NodeKind{2, 2}, why: InsufficientCores}}
 	assert.True(t, n.declinesNow(1, newAsk(a, 0, 2, 1)))
 	assert.False(t, n.declinesNow(1, newAsk(a, 0, 1, 1)))
 	assert.False(t, n.declinesNow(fullPause+1, newAsk(a, 0, 2, 1)))
@@ -463,47 +463,47 @@
 func TestGroupTurnedDownWithoutReasonStaysAwayAlone(t *testing.T) {
 	a := fleet(t, 1)
 	n := a.known[1]
-	n.declines = []decline{{at: 0, group: &a.groups[runOnce], why: NoReason}}
+	n.declines = []decline{{at: 0, group: &a.groups[runOnce], why: ReasonUnspecified}}
 	assert.True(t, n.declinesNow(groupPause-1, newAsk(a, runOnce, 1, 1)))
 	assert.False(t, n.declinesNow(1, newAsk(a, restartable, 1, 1)), "others go on")
 	assert.False(t, n.declinesNow(groupPause, newAsk(a, runOnce, 1, 1)), "it is tried again")
 }
 
 func TestWatchIsRenewedWithinWhatTheListCountsAsKnown(t *testing.T) {
-	assert.Equal(t, Millis(2000), New(Settings{MustAsk: true, AskWithin: 4000}, 1).watchQuiet)
-	assert.Equal(t, watchQuiet, New(Settings{MustAsk: true, AskWithin: 60e3}, 1).watchQuiet)
+	assert.Equal(t, Millis(2000), New(Settings{PolledDiscovery: true, PollInterval: 4000}, 1).watchQuiet)
+	assert.Equal(t, watchQuiet, New(Settings{PolledDiscovery: true, PollInterval: 60e3}, 1).watchQuiet)
 }
 
 func TestUseIsReadByWhatReportsCount(t *testing.T) {
 	a := fleet(t, 1)
 	a.reportsUse = false
-	a.Report(0, 1, Load{SpareCores: 5, SpareMemory: 9, Utilization: 0.4})
+	a.ReportLoad(0, 1, LoadReport{SpareCores: 5, SpareMemory: 9, Utilization: 0.4})
 	used, _ := a.used(0, a.known[1])
 	assert.InDelta(t, 4, used, 1e-9, "cores busy")
-	a.Report(0, 1, Load{SpareCores: 5, SpareMemory: 9, Utilization: math.NaN()})
+	a.ReportLoad(0, 1, LoadReport{SpareCores: 5, SpareMemory: 9, Utilization: math.NaN()})
 	used, _ = a.used(0, a.known[1])
 	assert.InDelta(t, 5*useGuess, used, 1e-9, "asks, by the share of them that is used")
 }
 
 func TestOddEventsChangeNothing(t *testing.T) {
 	a := fleet(t, 1)
-	a.Note(0, 77, CoresUsed, 3)
-	a.Report(0, 99, Load{SpareCores: 1})
-	a.Report(0, 1, Load{SpareCores: math.NaN(), SpareMemory: math.NaN(), Utilization: math.NaN()})
-	a.Probed(0, 99, false, nil)
+	a.ReportUsage(0, 77, CoresUsed, 3)
+	a.ReportLoad(0, 99, LoadReport{SpareCores: 1})
+	a.ReportLoad(0, 1, LoadReport{SpareCores: math.NaN(), SpareMemory: math.NaN(), Utilization: math.NaN()})
+	a.HealthChecked(0, 99, false, nil)
 	_, ok := a.used(0, a.known[1])
 	assert.False(t, ok, "a report without values tells nothing")
-	a.List(0, Whole, nil)
-	a.Upkeep(0)
+	a.UpdateNodes(0, Snapshot, nil)
+	a.Maintain(0)
 	assert.Empty(t, a.nodes)
-	assert.Equal(t, Rejected, a.Place(0, Workload{Group: 99}).Kind)
+	assert.Equal(t, Rejected, a.Schedule(0, Workload{Group: 99}).Kind)
 }
 
 func TestSameCallsSameResults(t *testing.T) {
 	run := func() (nodes []NodeID) {
 		a := fleet(t, 5)
 		for i := range 40 {
-			nodes = append(nodes, a.Place(Millis(i), Workload{ID: WorkloadID(i), Cores: 0.1, Left: 5000}).Node)
+			nodes = append(nodes, a.Schedule(Millis(i), Workload{ID: WorkloadID(i), Cores: 0.1, PendingTimeout: 5000}).Node)
 		}
 		return nodes
 	}
@@ -527,16 +527,16 @@
 	a := fleet(t, 0)
 	a.coldFor, a.coldFrom, a.coldShare, a.coldWindow, a.since = 10e3, 1, 1, 2000, -9e3
 	cold := entry(1, Ready)
-	cold.Born = -1
-	a.List(0, Whole, []Node{cold})
-	a.Place(0, Workload{Cores: 1, Memory: 1, Left: 5000}).Next(10, Result{Kind: Declined})
-	a.List(20, Whole, nil)
-	a.Upkeep(20)
-	a.List(30, Whole, []Node{cold})
+	cold.StartedAt = -1
+	a.UpdateNodes(0, Snapshot, []Node{cold})
+	a.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 5000}).NextStep(10, Result{Kind: RejectedByNode})
+	a.UpdateNodes(20, Snapshot, nil)
+	a.Maintain(20)
+	a.UpdateNodes(30, Snapshot, []Node{cold})
 	assert.False(t, a.coldAllows(30, a.known[1]))
-	a.List(40, Whole, nil)
-	a.Upkeep(40)
-	a.Upkeep(3000)
+	a.UpdateNodes(40, Snapshot, nil)
+	a.Maintain(40)
+	a.Maintain(3000)
 	assert.Empty(t, a.known, "forgotten once nothing of it counts any more")
 }
 
@@ -557,27 +557,27 @@
 		var list []Node
 		for i := range machines { // each is replaced every ten minutes
 			n := entry(NodeID((second+i*50)/600*machines+i+1), Ready)
-			n.Born = now - Millis((second+i*50)%600*1000)
+			n.StartedAt = now - Millis((second+i*50)%600*1000)
 			list = append(list, n)
 		}
-		a.List(now, Whole, list)
-		a.Upkeep(now)
+		a.UpdateNodes(now, Snapshot, list)
+		a.Maintain(now)
 		for len(out) > 0 && out[0].at <= now {
-			out[0].next(now, Result{Kind: Ended, Over: true})
+			out[0].next(now, Result{Kind: Ended, Final: true})
 			out = out[1:]
 		}
-		s := a.Place(now, Workload{ID: WorkloadID(second + 1), Service: ServiceID(second), Cores: 1, Memory: 1, Left: 6000})
+		s := a.Schedule(now, Workload{ID: WorkloadID(second + 1), Service: ServiceID(second), Cores: 1, Memory: 1, PendingTimeout: 6000})
 		if s.Kind != Bind {
 			continue
 		}
-		l := Load{SpareCores: 9, SpareMemory: 19}
-		if s = s.Next(now+20, Result{Kind: []ResultKind{Confirmed, Declined}[second%2], Load: &l}); s.Kind == Bind {
-			s = s.Next(now+40, Result{Kind: Confirmed, Load: &l})
+		l := LoadReport{SpareCores: 9, SpareMemory: 19}
+		if s = s.NextStep(now+20, Result{Kind: []ResultKind{Confirmed, RejectedByNode}[second%2], Load: &l}); s.Kind == Bind {
+			s = s.NextStep(now+40, Result{Kind: Confirmed, Load: &l})
 		}
-		if s.Kind == Resident {
+		if s.Kind == AwaitEnd {
 			placed[day]++
-			a.Note(now+50, WorkloadID(second+1), CoresUsed, 0.5)
-			out = append(out, running{now + 20e3, s.Next})
+			a.ReportUsage(now+50, WorkloadID(second+1), CoresUsed, 0.5)
+			out = append(out, running{now + 20e3, s.NextStep})
 		}
 		if second%(24*3600) == 24*3600-1 {
 			var m runtime.MemStats
--- a/placement/types.go
+++ b/placement/types.go
@@ -7,8 +7,8 @@
 // Millis is a time or a length of time in milliseconds.
 type Millis float64
 
-// LongAgo is the start time of a machine that has been up for longer than anyone remembers.
-var LongAgo = Millis(math.Inf(-1))
+// DistantPast is the start time of a machine that has been up for longer than anyone remembers.
+var DistantPast = Millis(math.Inf(-1))
 
 type (
 	// WorkloadID names one ask to place a workload.
@@ -27,13 +27,13 @@
 	CellID uint16
 )
 
-// Effect says what a second start of a workload would do.
-type Effect uint8
+// Idempotency says what a second start of a workload would do.
+type Idempotency uint8
 
 const (
-	Restartable  Effect = iota // may run again
-	Deduplicated               // repeats are known by a mark, within a scope and for a time
-	RunOnce                    // must never start twice
+	Idempotent      Idempotency = iota // may run again
+	IdempotentByKey                    // repeats are known by a mark, within a scope and for a time
+	AtMostOnce                         // must never start twice
 )
 
 // Scope names a set of machines around one of them.
@@ -49,38 +49,38 @@
 
 // Group holds the settings of one priority group.
 type Group struct {
-	Target      Millis  // a start within this is in time
-	Utility     float64 // of one second of full service, at mean size
-	Effect      Effect
-	DedupScope  Scope   // machines that drop a repeat
-	DedupWindow Millis  // how long they remember
-	Spread      Scope   // where the tasks of a service are limited, or ScopeNone
-	SpreadMost  int     // how many of them may share one such place
-	Calm        float64 // busy share of the cores up to which it is served in full
-	Fade        float64 // over how much more the service falls to nothing
-	Kind        int     // machine kind that it needs, or -1
+	LatencyObjective       Millis  // a start within this is in time
+	PriorityWeight         float64 // of one second of full service, at mean size
+	Idempotency            Idempotency
+	KeyScope               Scope   // machines that drop a repeat
+	KeyWindow              Millis  // how long they remember
+	SpreadScope            Scope   // where the tasks of a service are limited, or ScopeNone
+	MaxPerScope            int     // how many of them may share one such place
+	FullServiceUtilization float64 // busy share of the cores up to which it is served in full
+	DegradationRange       float64 // over how much more the service falls to nothing
+	RequiredKind           int     // machine kind that it needs, or -1
 }
 
-// Kind is the size of one kind of machine.
-type Kind struct{ Cores, Memory float64 }
+// NodeKind is the size of one kind of machine.
+type NodeKind struct{ Cores, Memory float64 }
 
 // Settings are what an allocator is told when it starts.
 type Settings struct {
-	Allocators      int
-	Ordinal         int // this allocator's number among them, from 0
-	Groups          []Group
-	Kinds           []Kind
-	ColdFor         Millis  // a machine just up is warm after this
-	ColdFrom        float64 // pace that it starts with
-	ColdBears       float64 // offers within OverloadFor that it bears from all allocators together
-	OverloadFor     Millis
-	MustAsk         bool   // the machine list answers only when asked
-	AskWithin       Millis // the list counts as known after this, asked for or not
-	ConfirmsRunning bool   // a confirmation means running, not only accepted
-	ReportsUse      bool   // reported room is what is not in use, not what nobody asked for
-	RoomInList      bool   // list entries carry the room that nobody has asked for
-	MaxBinds        int
-	MayProbe        bool
+	Allocators           int
+	Ordinal              int // this allocator's number among them, from 0
+	Groups               []Group
+	NodeKinds            []NodeKind
+	WarmUpDuration       Millis  // a machine just up is warm after this
+	InitialRate          float64 // pace that it starts with
+	WarmUpBudget         float64 // offers within OverloadFor that it bears from all allocators together
+	OverloadWindow       Millis
+	PolledDiscovery      bool   // the machine list answers only when asked
+	PollInterval         Millis // the list counts as known after this, asked for or not
+	ConfirmsRunning      bool   // a confirmation means running, not only accepted
+	ReportsUsage         bool   // reported room is what is not in use, not what nobody asked for
+	EntriesCarryCapacity bool   // list entries carry the room that nobody has asked for
+	MaxBinds             int
+	HealthChecksAllowed  bool
 }
 
 // NodeState is what the list says of a machine.
@@ -89,7 +89,7 @@
 const (
 	Ready NodeState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Node is one entry of the machine list.
@@ -99,24 +99,24 @@
 	Kind       KindID
 	Zone       ZoneID
 	Cell       CellID
-	Born       Millis
+	StartedAt  Millis
 	FreeCores  float64
 	FreeMemory float64
 }
 
 // Workload is one ask to place a workload.
 type Workload struct {
-	ID      WorkloadID
-	Service ServiceID
-	Group   GroupID
-	Cores   float64
-	Memory  float64
-	Left    Millis // pending timeout: how long until the owner gives up
-	Again   bool   // it came before, so that its first start in time is lost or behind it
+	ID             WorkloadID
+	Service        ServiceID
+	Group          GroupID
+	Cores          float64
+	Memory         float64
+	PendingTimeout Millis // pending timeout: how long until the owner gives up
+	Retried        bool   // it came before, so that its first start in time is lost or behind it
 }
 
-// Load is a machine's report. Values that it lacks are NaN.
-type Load struct {
+// LoadReport is a machine's report. Values that it lacks are NaN.
+type LoadReport struct {
 	SpareCores  float64
 	SpareMemory float64
 	Backlog     float64
@@ -127,37 +127,37 @@
 type ResultKind uint8
 
 const (
-	Confirmed   ResultKind = iota // the machine took it; the bind stays open until it ends
-	Declined                      // the machine turned it down: never ran
-	Unreachable                   // no connection: never ran
-	NotSent                       // the bind was never made
-	Unclear                       // no answer, or a broken one: may have run
-	TimedOut                      // no answer in time: may have run
-	Ended                         // a confirmed bind is over
-	Withdrawn                     // the owner no longer wants it; the bind may still be out
-	Due                           // the time of a wait has come
+	Confirmed      ResultKind = iota // the machine took it; the bind stays open until it ends
+	RejectedByNode                   // the machine turned it down: never ran
+	NotDelivered                     // no connection: never ran
+	NotAttempted                     // the bind was never made
+	OutcomeUnknown                   // no answer, or a broken one: may have run
+	TimedOut                         // no answer in time: may have run
+	Ended                            // a confirmed bind is over
+	Withdrawn                        // the owner no longer wants it; the bind may still be out
+	TimerFired                       // the time of a wait has come
 )
 
 // Reason tells why a machine declined or ended a workload.
 type Reason uint8
 
 const (
-	NoReason Reason = iota
-	NoCores
-	NoMemory
-	TooManyWaiting
-	NotHere
+	ReasonUnspecified Reason = iota
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	WrongNode
 	Evicted
-	PushedOut
-	SentAway
+	Preempted
+	Drained
 )
 
 // Result is what is handed to the continuation of a step.
 type Result struct {
 	Kind   ResultKind
 	Reason Reason
-	Over   bool // the workload needs no answer any more
-	Load   *Load
+	Final  bool // the workload needs no answer any more
+	Load   *LoadReport
 }
 
 // StepKind says what is to be done for a workload.
@@ -166,7 +166,7 @@
 const (
 	Bind          StepKind = iota // offer it to Node, for Timeout at most
 	Wait                          // hand back Due once Until has come
-	Resident                      // placed; nothing to do until its end
+	AwaitEnd                      // placed; nothing to do until its end
 	Rejected                      // final: asking again does no harm
 	Unschedulable                 // final: no promise
 	Done                          // nothing is owed or expected any more
@@ -174,35 +174,35 @@
 
 // Step is the next thing to do for a workload. Next takes its result, unless the step is final.
 type Step struct {
-	Kind    StepKind
-	Node    NodeID
-	Timeout Millis
-	Until   Millis
-	Next    func(now Millis, r Result) Step
+	Kind     StepKind
+	Node     NodeID
+	Timeout  Millis
+	WakeAt   Millis
+	NextStep func(now Millis, r Result) Step
 }
 
-// NoteKind says what a note on a workload measures.
-type NoteKind uint8
+// UsageKind says what a note on a workload measures.
+type UsageKind uint8
 
 const (
-	Running   NoteKind = iota // it runs now
-	CoresUsed                 // cores in use by it
+	Running   UsageKind = iota // it runs now
+	CoresUsed                  // cores in use by it
 )
 
-// ListKind says what a message of the machine list holds.
-type ListKind uint8
+// NodeUpdateKind says what a message of the machine list holds.
+type NodeUpdateKind uint8
 
 const (
-	Changes ListKind = iota
-	Whole
-	Cached
-	Failed
+	Delta NodeUpdateKind = iota
+	Snapshot
+	CachedSnapshot
+	PollFailed
 )
 
-// Chores are what the allocator wants done beside workloads' steps.
-type Chores struct {
-	Moves  []WorkloadID // placed workloads to stop, so that they are placed anew
-	Probes []NodeID
-	Watch  bool   // ask for the list's changes from now on
-	Again  Millis // when to ask for chores next
+// Maintenance are what the allocator wants done beside workloads' steps.
+type Maintenance struct {
+	Migrations   []WorkloadID // placed workloads to stop, so that they are placed anew
+	HealthChecks []NodeID
+	Subscribe    bool   // ask for the list's changes from now on
+	NextAt       Millis // when to ask for chores next
 }
--- a/trace/parquet.go
+++ b/trace/parquet.go
@@ -93,7 +93,7 @@
 		o := row(w.GetId())
 		o.Service, o.Cores, o.Memory, o.Again = w.GetService(), w.GetCores(), w.GetMemory(), w.GetAgain()
 		o.Group, o.Call, o.SinceAskMs = named(groups[l], w.GetGroup()), call, 0
-		o.AtUnixMs = f.Wall(r)
+		o.AtUnixMs = f.UnixMillis(r)
 		return o
 	}
 	var o *Row
@@ -112,8 +112,8 @@
 	case *tracepb.Record_Next:
 		o = row(b.Next.Workload)
 		o.Call, o.Reason = named(resultNames, b.Next.Kind), b.Next.Reason
-		o.SinceAskMs += f.Wall(r) - o.AtUnixMs
-		o.AtUnixMs = f.Wall(r)
+		o.SinceAskMs += f.UnixMillis(r) - o.AtUnixMs
+		o.AtUnixMs = f.UnixMillis(r)
 	default:
 		return nil
 	}
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -258,8 +258,8 @@
 	return (s.FromMs == 0 || last >= s.FromMs) && (s.ToMs == 0 || first <= s.ToMs)
 }
 
-// Wall is a record's time by the wall, as its source's clock had it.
-func (t *Reader) Wall(r *Record) float64 {
+// UnixMillis is a record's time by the wall, as its source's clock had it.
+func (t *Reader) UnixMillis(r *Record) float64 {
 	if int(r.Source) < len(t.Header.Sources) {
 		return r.AtMs + t.Header.Sources[r.Source].WallMs
 	}
@@ -304,7 +304,7 @@
 			return yield(nil, Damage{Offset: at, Lost: 1, What: "a record cannot be read"})
 		}
 		raw = raw[n+int(size):]
-		if w := t.Wall(r); s.holds(w, w) && !yield(r, nil) {
+		if w := t.UnixMillis(r); s.holds(w, w) && !yield(r, nil) {
 			return false
 		}
 	}
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -25,8 +25,8 @@
 var DefaultLimits = Limits{FileBytes: 64 << 20, FileAge: time.Hour, TotalBytes: 1 << 30}
 
 const (
-	// Ext is how the names of trace files end.
-	Ext = ".gbt"
+	// FileExtension is how the names of trace files end.
+	FileExtension = ".gbt"
 
 	queueBatches = 1024            // that wait to be written; more are counted as missing
 	flushEvery   = time.Second     // what a kill can lose
@@ -43,8 +43,8 @@
 // fit into its queue, or cannot be written, is counted, and a Gap says so in its place. Put and Close belong to
 // one goroutine.
 type Recorder struct {
-	// Waits has Put wait where the queue is full: for a virtual clock, which runs ahead of any disk.
-	Waits bool
+	// BlockWhenFull has Put wait where the queue is full: for a virtual clock, which runs ahead of any disk.
+	BlockWhenFull bool
 
 	dir     string
 	source  *tracepb.Source
@@ -98,7 +98,7 @@
 
 // Put hands records over. They must not be changed afterwards.
 func (r *Recorder) Put(records []*Record) {
-	if r.Waits {
+	if r.BlockWhenFull {
 		r.queue <- batch{records: records}
 		return
 	}
@@ -243,7 +243,7 @@
 		}
 		return '_'
 	}, s.Allocator)
-	return fmt.Sprintf("%s-%020d-%06d%s", clean, s.Incarnation, n, Ext)
+	return fmt.Sprintf("%s-%020d-%06d%s", clean, s.Incarnation, n, FileExtension)
 }
 
 func (r *Recorder) finish() {
@@ -266,7 +266,7 @@
 	if r.limits.TotalBytes <= 0 {
 		return
 	}
-	names, sizes, total := Files(r.dir)
+	names, sizes, total := ListFiles(r.dir)
 	for i, name := range names {
 		if total <= r.limits.TotalBytes {
 			return
@@ -279,8 +279,8 @@
 	}
 }
 
-// Files are the trace files of a directory in the order of writing, with their sizes and the sum of these.
-func Files(dir string) (names []string, sizes []int64, total int64) {
+// ListFiles are the trace files of a directory in the order of writing, with their sizes and the sum of these.
+func ListFiles(dir string) (names []string, sizes []int64, total int64) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, nil, 0
@@ -293,7 +293,7 @@
 	var files []file
 	for _, e := range entries {
 		info, err := e.Info()
-		if err != nil || !strings.HasSuffix(e.Name(), Ext) || !info.Mode().IsRegular() {
+		if err != nil || !strings.HasSuffix(e.Name(), FileExtension) || !info.Mode().IsRegular() {
 			continue
 		}
 		files = append(files, file{e.Name(), info.Size()})
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -113,7 +113,7 @@
 }
 
 func (t *tally) take(f *Reader, r *Record) {
-	s, at := t.summary, f.Wall(r)
+	s, at := t.summary, f.UnixMillis(r)
 	if s.Records++; s.Records == 1 {
 		s.FromMs, s.ToMs = at, at
 	}
--- a/trace/tools.go
+++ b/trace/tools.go
@@ -179,7 +179,7 @@
 					heard[p] = map[[2]uint64]float64{}
 				}
 				if k := [2]uint64{h.Epoch, h.Revision}; heard[p][k] == 0 {
-					heard[p][k] = r.Wall(rec)
+					heard[p][k] = r.UnixMillis(rec)
 				}
 			}
 		}
@@ -312,7 +312,7 @@
 	return c
 }
 
-// Copy is a header without what belongs to one file only.
-func Copy(h *tracepb.Header) *tracepb.Header {
+// CopyHeader is a header without what belongs to one file only.
+func CopyHeader(h *tracepb.Header) *tracepb.Header {
 	return &tracepb.Header{Sources: h.Sources, Anonymised: h.Anonymised, Tool: cmp.Or(h.Tool, "grebeglade")}
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -228,7 +228,7 @@
 	got, _ := all(r, Span{FromMs: 1e12 + 355, ToMs: 1e12 + 420})
 	same(t, records[36:43], got)
 	var cut bytes.Buffer
-	w, err := NewWriter(&cut, Copy(r.Header))
+	w, err := NewWriter(&cut, CopyHeader(r.Header))
 	require.NoError(t, err)
 	require.NoError(t, Cut(r, w, Span{FromMs: 1e12 + 990}))
 	got, _ = all(reader(t, cut.Bytes()), Span{})
@@ -283,8 +283,8 @@
 		assert.Equal(t, uint64(total), report.Records)
 		last, revisions := 0.0, map[uint32]uint64{}
 		for _, r := range got {
-			assert.GreaterOrEqual(t, merged.Wall(r), last)
-			last = merged.Wall(r)
+			assert.GreaterOrEqual(t, merged.UnixMillis(r), last)
+			last = merged.UnixMillis(r)
 			assert.Equal(t, revisions[r.Source]+1, r.Revision)
 			revisions[r.Source] = r.Revision
 		}
@@ -464,7 +464,7 @@
 // recorded is all that stands in a directory, in order.
 func recorded(t *testing.T, dir string) (records []*Record, files int) {
 	t.Helper()
-	names, _, _ := Files(dir)
+	names, _, _ := ListFiles(dir)
 	for _, name := range names {
 		r, err := Open(name)
 		if errors.Is(err, ErrEmpty) {
@@ -493,13 +493,13 @@
 	got, files := recorded(t, dir)
 	same(t, records, got)
 	assert.Equal(t, 3, files)
-	_, sizes, total := Files(dir)
+	_, sizes, total := ListFiles(dir)
 	// The next life may keep two files' worth: the oldest go.
 	r, err = NewRecorder(dir, source("a", 2, 1e12), Limits{FileBytes: 1, TotalBytes: total - sizes[0] + sizes[0]/2}, nil)
 	require.NoError(t, err)
 	r.Put(some(10))
 	r.Close()
-	_, _, now := Files(dir)
+	_, _, now := ListFiles(dir)
 	assert.LessOrEqual(t, now, total)
 	got, _ = recorded(t, dir)
 	same(t, some(10), got[len(got)-10:])
