--- /dev/null
+++ b/internal/compatibility/json_keys_test.go
@@ -0,0 +1,86 @@
+package compatibility_test
+
+import (
+	"fmt"
+	"grebeglade/config"
+	"grebeglade/internal/bench"
+	"grebeglade/internal/lab"
+	"grebeglade/internal/load"
+	"grebeglade/internal/replay"
+	"grebeglade/trace"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// listKeys writes a line for each key that a type has in JSON: its path, the kind of its value, and its options.
+func listKeys(text *strings.Builder, path string, typ reflect.Type) {
+	switch typ.Kind() {
+	case reflect.Pointer:
+		listKeys(text, path, typ.Elem())
+	case reflect.Slice, reflect.Array:
+		listKeys(text, path+"[]", typ.Elem())
+	case reflect.Map:
+		listKeys(text, path+"{}", typ.Elem())
+	case reflect.Struct:
+		for f := range typ.NumField() {
+			field := typ.Field(f)
+			name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
+			switch {
+			case name == "-" || !field.IsExported() && !field.Anonymous:
+			case field.Anonymous && name == "":
+				listKeys(text, path, field.Type)
+			default:
+				if name == "" {
+					name = field.Name
+				}
+				if options != "" {
+					fmt.Fprintf(text, "%s.%s %s\n", path, name, options)
+				}
+				listKeys(text, path+"."+name, field.Type)
+			}
+		}
+	default:
+		fmt.Fprintf(text, "%s %s\n", path, typ.Kind())
+	}
+}
+
+// TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are wall time.
+func TestJSONDocuments_KeysAsStored(t *testing.T) {
+	for name, document := range map[string]any{
+		"bench-rates":   bench.Rates{},
+		"bench-memory":  bench.Memory{},
+		"bench-state":   bench.StateResult{},
+		"bench-trace":   bench.TraceCost{},
+		"lab-load":      load.Result{},
+		"lab-play":      lab.Result{},
+		"lab-hunt":      lab.HuntReport{},
+		"config-check":  config.Allocator{},
+		"trace-summary": trace.Summary{},
+		"trace-verify":  trace.Check{},
+		"trace-merge":   trace.MergeReport{},
+		"trace-replay":  replay.Report{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var text strings.Builder
+			listKeys(&text, "", reflect.TypeOf(document))
+			compareWithStored(t, "keys/"+name+".txt", text.String())
+		})
+	}
+}
+
+func TestBenchJSON_HoldsRatesAndMemory(t *testing.T) {
+	out := mustRun(t, "bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
+	document, ok := parseDocument(t, out).(map[string]any)
+	require.True(t, ok)
+	require.Len(t, document, 2)
+	require.Contains(t, document, "rates")
+	require.Contains(t, document, "memory")
+}
+
+func TestLabHuntJSON_AsStored(t *testing.T) {
+	out := mustRun(t, "lab", "hunt", "--days", "2", "--nodes", "6", "--allocators", "2", "--seed", "1", "--json")
+	compareWithStored(t, "json/lab-hunt.json", stableJSON(t, out, "seconds"))
+}
--- /dev/null
+++ b/internal/compatibility/operator_test.go
@@ -0,0 +1,115 @@
+package compatibility_test
+
+import (
+	"fmt"
+	"grebeglade/internal/link"
+	"net"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+const (
+	largestFrame = 1 << 20
+	stubTimeout  = 20 * time.Second
+)
+
+// stubAllocator answers one frame, after the hello, on each connection, and returns its address.
+func stubAllocator(t *testing.T, answer func(request *pb.Frame) []*pb.Frame) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { assert.NoError(t, listener.Close()) })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			if err := answerOne(conn, answer); err != nil {
+				t.Errorf("stub allocator: %v", err)
+			}
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func answerOne(conn net.Conn, answer func(request *pb.Frame) []*pb.Frame) error {
+	defer conn.Close() //nolint:errcheck // the peer may have closed it first
+	if err := conn.SetDeadline(time.Now().Add(stubTimeout)); err != nil {
+		return err
+	}
+	if _, err := link.Read(conn, largestFrame); err != nil {
+		return fmt.Errorf("hello: %w", err)
+	}
+	frames := []*pb.Frame{link.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "allocator-1", Incarnation: 3})}
+	for len(frames) > 0 {
+		for _, f := range frames {
+			b, err := link.Append(nil, f)
+			if err != nil {
+				return err
+			}
+			if _, err := conn.Write(b); err != nil {
+				return err
+			}
+		}
+		request, err := link.Read(conn, largestFrame)
+		if err != nil {
+			return nil // the command has closed the connection, as it is done
+		}
+		frames = answer(request)
+	}
+	return nil
+}
+
+func TestOperatorCommandsJSON_AsStored(t *testing.T) {
+	state := &pb.State{}
+	p := populator{next: 4100}
+	p.message(state.ProtoReflect())
+	addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
+		assert.EqualValues(t, 17, request.GetQuery().GetMost())
+		return []*pb.Frame{{Body: &pb.Frame_State{State: state}}}
+	})
+	for _, name := range []string{"workloads", "nodes", "gangs"} {
+		t.Run(name, func(t *testing.T) {
+			out := mustRun(t, name, "--to", addr, "--most", "17", "--json")
+			compareWithStored(t, "json/"+name+".json", stableJSON(t, out))
+			compareWithStored(t, name+".txt", mustRun(t, name, "--to", addr, "--most", "17"))
+		})
+	}
+}
+
+func TestSubmitJSON_AsStored(t *testing.T) {
+	for name, verdict := range map[string]pb.Verdict{
+		"placed": pb.Verdict_PLACED, "rejected": pb.Verdict_REJECTED, "unschedulable": pb.Verdict_UNSCHEDULABLE,
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
+				id := request.GetAsk().GetAsk()
+				answer := &pb.Answer{Ask: id, Verdict: verdict, Node: 12, Reason: "no node fits"}
+				over := &pb.Over{Ask: id, Why: pb.Why_PUSHED_OUT}
+				return []*pb.Frame{{Body: &pb.Frame_Answer{Answer: answer}}, {Body: &pb.Frame_Over{Over: over}}}
+			})
+			code, out, stderr := runCommand("submit", "--to", addr, "--group", "serve", "--cores", "1", "--memory", "2", "--key", "7",
+				"--wait", "--json")
+			require.Equal(t, verdict != pb.Verdict_PLACED, code == 1, stderr)
+			compareWithStored(t, "json/submit-"+name+".json", stableJSON(t, out, "ask", "took_ms"))
+		})
+	}
+}
+
+func TestSubmitGangJSON_AsStored(t *testing.T) {
+	addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
+		gang := request.GetGangAsk()
+		assert.NotEmpty(t, gang.GetParts())
+		answer := &pb.Answer{Ask: gang.GetAsk(), Verdict: pb.Verdict_PLACED, Nodes: []uint32{4, 0, 9}}
+		return []*pb.Frame{{Body: &pb.Frame_Answer{Answer: answer}}}
+	})
+	out := mustRun(t, "submit", "--to", addr, "--gang", filepath.Join("testdata", "gang.hcl"), "--json")
+	compareWithStored(t, "json/submit-gang.json", stableJSON(t, out, "ask", "took_ms"))
+}
