--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 	"grebeglade/config"
-	"grebeglade/internal/bench"
-	"grebeglade/internal/lab"
-	"grebeglade/internal/load"
+	"grebeglade/internal/benchmark"
+	"grebeglade/internal/loadgen"
 	"grebeglade/internal/replay"
+	"grebeglade/internal/simulation"
 	"grebeglade/trace"
 	"reflect"
 	"strings"
@@ -50,13 +50,13 @@
 // TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are wall time.
 func TestJSONDocuments_KeysAsStored(t *testing.T) {
 	for name, document := range map[string]any{
-		"bench-rates":   bench.Rates{},
-		"bench-memory":  bench.Memory{},
-		"bench-state":   bench.StateResult{},
-		"bench-trace":   bench.TraceCost{},
-		"lab-load":      load.Result{},
-		"lab-play":      lab.Result{},
-		"lab-hunt":      lab.HuntReport{},
+		"bench-rates":   benchmark.Rates{},
+		"bench-memory":  benchmark.Memory{},
+		"bench-state":   benchmark.StateResult{},
+		"bench-trace":   benchmark.TraceCost{},
+		"lab-load":      loadgen.Result{},
+		"lab-play":      simulation.Result{},
+		"lab-hunt":      simulation.HuntReport{},
 		"config-check":  config.Allocator{},
 		"trace-summary": trace.Summary{},
 		"trace-verify":  trace.Check{},
--- a/internal/compatibility/operator_test.go
+++ b/internal/compatibility/operator_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"grebeglade/internal/link"
+	"grebeglade/internal/transport"
 	"net"
 	"path/filepath"
 	"testing"
@@ -44,13 +44,13 @@
 	if err := conn.SetDeadline(time.Now().Add(stubTimeout)); err != nil {
 		return err
 	}
-	if _, err := link.Read(conn, largestFrame); err != nil {
+	if _, err := transport.ReadFrame(conn, largestFrame); err != nil {
 		return fmt.Errorf("hello: %w", err)
 	}
-	frames := []*pb.Frame{link.Hello(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "allocator-1", Incarnation: 3})}
+	frames := []*pb.Frame{transport.HelloFrame(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "allocator-1", Incarnation: 3})}
 	for len(frames) > 0 {
 		for _, f := range frames {
-			b, err := link.Append(nil, f)
+			b, err := transport.AppendFrame(nil, f)
 			if err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 				return err
 			}
 		}
-		request, err := link.Read(conn, largestFrame)
+		request, err := transport.ReadFrame(conn, largestFrame)
 		if err != nil {
 			return nil // the command has closed the connection, as it is done
 		}
--- a/internal/compatibility/simulator_test.go
+++ b/internal/compatibility/simulator_test.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"grebeglade/internal/drill"
+	"grebeglade/internal/frontend/simulator"
 	"strings"
 	"testing"
 
@@ -22,7 +22,7 @@
 		require.NoError(t, err)
 		input.Write(b)
 	}
-	require.NoError(t, drill.Serve(&input, &output))
+	require.NoError(t, simulator.Serve(&input, &output))
 	var text strings.Builder
 	for rest := output.Bytes(); len(rest) > 0; {
 		require.GreaterOrEqual(t, len(rest), replyHeadSize)
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -1,8 +1,8 @@
 package compatibility_test
 
 import (
-	"grebeglade/internal/state"
-	"grebeglade/internal/state/statepb"
+	"grebeglade/internal/storage"
+	"grebeglade/internal/storage/statepb"
 	"os"
 	"path/filepath"
 	"testing"
@@ -32,10 +32,10 @@
 // writeState has two incarnations of an allocator write a directory; the second stops without closing it, as after a kill.
 func writeState(t *testing.T, dir string) {
 	t.Helper()
-	disk, err := state.Dir(dir)
+	disk, err := storage.Dir(dir)
 	require.NoError(t, err)
 	now := func() float64 { return stateNow }
-	first, _, err := state.Open(disk, &statepb.Life{Incarnation: 5, UnixMs: stateNow}, snapshotAfter, now)
+	first, _, err := storage.Open(disk, &statepb.Life{Incarnation: 5, UnixMs: stateNow}, snapshotAfter, now)
 	require.NoError(t, err)
 	for key := range uint64(12) {
 		require.NoError(t, first.Commit([]*statepb.Entry{boundEntry(key, 0)}, true))
@@ -44,7 +44,7 @@
 		}
 	}
 	require.NoError(t, first.Close())
-	second, found, err := state.Open(disk, &statepb.Life{Incarnation: 6, UnixMs: stateNow + 1000}, 1<<20, now)
+	second, found, err := storage.Open(disk, &statepb.Life{Incarnation: 6, UnixMs: stateNow + 1000}, 1<<20, now)
 	require.NoError(t, err)
 	require.NotEmpty(t, found.Kept)
 	require.NoError(t, second.Commit([]*statepb.Entry{boundEntry(1<<63+5, 2), settledEntry(1, 0), boundEntry(2, 3)}, true))
@@ -92,9 +92,9 @@
 			require.NoError(t, os.WriteFile(filepath.Join(dir, name), b, 0o600))
 		}
 		before := mustRun(t, "state", "show", dir)
-		disk, err := state.Dir(dir)
+		disk, err := storage.Dir(dir)
 		require.NoError(t, err)
-		log, found, err := state.Open(disk, &statepb.Life{Incarnation: 1, UnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
+		log, found, err := storage.Open(disk, &statepb.Life{Incarnation: 1, UnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
 		require.NoError(t, err)
 		assert.EqualValues(t, 6, found.Life.GetIncarnation())
 		require.NoError(t, log.Close())
