--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"fmt"
-	"grebeglade/config"
 	"grebeglade/internal/benchmark"
 	"grebeglade/internal/loadgen"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
 	"grebeglade/trace"
+	"os"
 	"reflect"
 	"strings"
 	"testing"
@@ -57,7 +57,6 @@
 		"lab-load":      loadgen.Result{},
 		"lab-play":      simulation.Result{},
 		"lab-hunt":      simulation.HuntReport{},
-		"config-check":  config.Allocator{},
 		"trace-summary": trace.Summary{},
 		"trace-verify":  trace.Check{},
 		"trace-merge":   trace.MergeReport{},
@@ -71,6 +70,46 @@
 	}
 }
 
+// listDocumentKeys writes a line for each key of a JSON document: its path and the JSON kind of its value.
+func listDocumentKeys(keys map[string]bool, path string, value any) {
+	switch v := value.(type) {
+	case map[string]any:
+		for name, member := range v {
+			listDocumentKeys(keys, path+"."+name, member)
+		}
+	case []any:
+		for _, element := range v {
+			listDocumentKeys(keys, path+"[]", element)
+		}
+	case string:
+		keys[path+" string"] = true
+	case bool:
+		keys[path+" bool"] = true
+	case nil:
+		keys[path+" null"] = true
+	default:
+		keys[path+" number"] = true
+	}
+}
+
+// The document of config check has a form of its own in JSON, so its keys are taken from a document that has all of them. The
+// stored file names the Go type of each value; both integers and floats are numbers in JSON.
+func TestConfigCheckJSON_KeysAsStored(t *testing.T) {
+	stored, err := os.ReadFile("testdata/keys/config-check.txt")
+	require.NoError(t, err)
+	want := map[string]bool{}
+	for line := range strings.Lines(string(stored)) {
+		path, kind, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if kind != "string" && kind != "bool" {
+			kind = "number"
+		}
+		want[path+" "+kind] = true
+	}
+	got := map[string]bool{}
+	listDocumentKeys(got, "", parseDocument(t, mustRun(t, "config", "check", "--json", "../../config/testdata/allocator.hcl")))
+	require.Equal(t, want, got)
+}
+
 func TestBenchJSON_HoldsRatesAndMemory(t *testing.T) {
 	out := mustRun(t, "bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
 	document, ok := parseDocument(t, out).(map[string]any)
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -1,6 +1,7 @@
 package compatibility_test
 
 import (
+	"grebeglade/internal/recovery"
 	"grebeglade/internal/storage"
 	"grebeglade/internal/storage/statepb"
 	"os"
@@ -20,19 +21,20 @@
 )
 
 func boundEntry(key uint64, number uint32) *statepb.Entry {
-	return &statepb.Entry{Body: &statepb.Entry_Bound{Bound: &statepb.Bound{
-		Key: key, Group: "trace", Node: 700 + uint32(key), Incarnation: 5, Workload: 9000 + key, Number: number, UntilMs: stateNow + 86400e3,
-	}}}
+	return storage.BindEntry(recovery.Bind{
+		Key: key, Group: "trace", Node: 700 + uint32(key), Incarnation: 5, Workload: 9000 + key, Number: number,
+		ExpiresAt: stateNow + 86400e3,
+	})
 }
 
 func settledEntry(key uint64, number uint32) *statepb.Entry {
-	return &statepb.Entry{Body: &statepb.Entry_Settled{Settled: &statepb.Settled{Key: key, Number: number, Incarnation: 5}}}
+	return storage.ForgetEntry(key, 5, number)
 }
 
 // writeState has two incarnations of an allocator write a directory; the second stops without closing it, as after a kill.
 func writeState(t *testing.T, dir string) {
 	t.Helper()
-	disk, err := storage.Dir(dir)
+	disk, err := storage.OpenDir(dir)
 	require.NoError(t, err)
 	now := func() float64 { return stateNow }
 	first, _, err := storage.Open(disk, &statepb.Life{Incarnation: 5, UnixMs: stateNow}, snapshotAfter, now)
@@ -46,7 +48,7 @@
 	require.NoError(t, first.Close())
 	second, found, err := storage.Open(disk, &statepb.Life{Incarnation: 6, UnixMs: stateNow + 1000}, 1<<20, now)
 	require.NoError(t, err)
-	require.NotEmpty(t, found.Kept)
+	require.NotEmpty(t, found.LiveBinds)
 	require.NoError(t, second.Commit([]*statepb.Entry{boundEntry(1<<63+5, 2), settledEntry(1, 0), boundEntry(2, 3)}, true))
 	require.NoError(t, disk.Unlock())
 }
@@ -92,11 +94,11 @@
 			require.NoError(t, os.WriteFile(filepath.Join(dir, name), b, 0o600))
 		}
 		before := mustRun(t, "state", "show", dir)
-		disk, err := storage.Dir(dir)
+		disk, err := storage.OpenDir(dir)
 		require.NoError(t, err)
 		log, found, err := storage.Open(disk, &statepb.Life{Incarnation: 1, UnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
 		require.NoError(t, err)
-		assert.EqualValues(t, 6, found.Life.GetIncarnation())
+		assert.EqualValues(t, 6, found.Incarnation.GetIncarnation())
 		require.NoError(t, log.Close())
 		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s, after the next incarnation began", stored)
 	}
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -150,6 +150,12 @@
 	h.timers.Schedule(at, call)
 }
 
+// DeferredCalls returns how many calls wait for the next Flush.
+func (h *Host) DeferredCalls() int { return len(h.deferred) }
+
+// PendingTimers returns how many timers set with Schedule have not run.
+func (h *Host) PendingTimers() int { return h.timers.Len() }
+
 // RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
 // Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) placement.Millis {
--- a/placement/types.go
+++ b/placement/types.go
@@ -47,18 +47,18 @@
 	ScopeAll
 )
 
-// Group holds the settings of one priority group.
+// Group holds the settings of one priority group. The names in JSON are those of stored histories and of config check.
 type Group struct {
-	LatencyObjective       Millis  // a start within this is in time
-	PriorityWeight         float64 // of one second of full service, at mean size
-	Idempotency            Idempotency
-	KeyScope               Scope   // machines that drop a repeat
-	KeyWindow              Millis  // how long they remember
-	SpreadScope            Scope   // where the tasks of a service are limited, or ScopeNone
-	MaxPerScope            int     // how many of them may share one such place
-	FullServiceUtilization float64 // busy share of the cores up to which it is served in full
-	DegradationRange       float64 // over how much more the service falls to nothing
-	RequiredKind           int     // machine kind that it needs, or -1
+	LatencyObjective       Millis      `json:"Target"`  // a start within this is in time
+	PriorityWeight         float64     `json:"Utility"` // of one second of full service, at mean size
+	Idempotency            Idempotency `json:"Effect"`
+	KeyScope               Scope       `json:"DedupScope"`  // machines that drop a repeat
+	KeyWindow              Millis      `json:"DedupWindow"` // how long they remember
+	SpreadScope            Scope       `json:"Spread"`      // where the tasks of a service are limited, or ScopeNone
+	MaxPerScope            int         `json:"SpreadMost"`  // how many of them may share one such place
+	FullServiceUtilization float64     `json:"Calm"`        // busy share of the cores up to which it is served in full
+	DegradationRange       float64     `json:"Fade"`        // over how much more the service falls to nothing
+	RequiredKind           int         `json:"Kind"`        // machine kind that it needs, or -1
 }
 
 // NodeKind is the size of one kind of machine.
@@ -69,18 +69,18 @@
 	Allocators           int
 	Ordinal              int // this allocator's number among them, from 0
 	Groups               []Group
-	NodeKinds            []NodeKind
-	WarmUpDuration       Millis  // a machine just up is warm after this
-	InitialRate          float64 // pace that it starts with
-	WarmUpBudget         float64 // offers within OverloadFor that it bears from all allocators together
-	OverloadWindow       Millis
-	PolledDiscovery      bool   // the machine list answers only when asked
-	PollInterval         Millis // the list counts as known after this, asked for or not
-	ConfirmsRunning      bool   // a confirmation means running, not only accepted
-	ReportsUsage         bool   // reported room is what is not in use, not what nobody asked for
-	EntriesCarryCapacity bool   // list entries carry the room that nobody has asked for
+	NodeKinds            []NodeKind `json:"Kinds"`
+	WarmUpDuration       Millis     `json:"ColdFor"`   // a machine just up is warm after this
+	InitialRate          float64    `json:"ColdFrom"`  // pace that it starts with
+	WarmUpBudget         float64    `json:"ColdBears"` // offers within OverloadFor that it bears from all allocators together
+	OverloadWindow       Millis     `json:"OverloadFor"`
+	PolledDiscovery      bool       `json:"MustAsk"`   // the machine list answers only when asked
+	PollInterval         Millis     `json:"AskWithin"` // the list counts as known after this, asked for or not
+	ConfirmsRunning      bool       // a confirmation means running, not only accepted
+	ReportsUsage         bool       `json:"ReportsUse"` // reported room is what is not in use, not what nobody asked for
+	EntriesCarryCapacity bool       `json:"RoomInList"` // list entries carry the room that nobody has asked for
 	MaxBinds             int
-	HealthChecksAllowed  bool
+	HealthChecksAllowed  bool `json:"MayProbe"`
 }
 
 // NodeState is what the list says of a machine.
