--- a/placement/types.go
+++ b/placement/types.go
@@ -1,44 +1,59 @@
-// Package placement decides where workloads are placed. This file is its interface: ids, settings, inputs
-// and results. The decisions are in the other files.
+// Package placement decides where workloads run. It does no I/O and reads no clock or global random source:
+// every call is given the time, the same calls give the same results, and schedulers share nothing.
+//
+// New makes a [Scheduler] from its settings and a seed. Schedule takes a workload and returns a [Step]:
+// execute it and pass the result to its NextStep, which returns the step after that, until a step has no
+// NextStep. Adopt does the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and
+// ReportUsage take what is observed meanwhile. Maintain, called at the time that it last asked for, returns
+// migrations, health checks and whether to subscribe to the node list.
+//
+// A decision filters the nodes (filter.go, capacity.go, slowstart.go, health.go, reservation.go) and selects
+// among those that are feasible (score.go); scheduler.go follows a workload from its request to its end. This
+// file is the interface: identifiers, settings, inputs and results.
 package placement
 
 import "math"
 
-// Millis is a time or a length of time in milliseconds.
+// Millis is a time or a duration in milliseconds.
 type Millis float64
 
-// DistantPast is the start time of a machine that has been up for longer than anyone remembers.
+// DistantPast is the start time of a node whose start nobody recorded, and the time of what never happened.
 var DistantPast = Millis(math.Inf(-1))
 
 type (
-	// WorkloadID names one ask to place a workload.
+	// WorkloadID identifies one request to place a workload.
 	WorkloadID uint32
-	// NodeID names a machine.
+	// NodeID identifies a node.
 	NodeID uint32
-	// ServiceID names the service that a workload belongs to.
+	// ServiceID identifies the service that a workload belongs to.
 	ServiceID uint64
-	// GroupID is a priority group's place in Settings.Groups.
+	// GroupID is a priority group's index in Settings.Groups.
 	GroupID uint16
-	// KindID is a machine kind's place in Settings.Kinds.
+	// KindID is a node kind's index in Settings.NodeKinds.
 	KindID uint8
-	// ZoneID names a location.
+	// ZoneID identifies a zone.
 	ZoneID uint16
-	// CellID names a handful of machines that belong together.
+	// CellID identifies a small set of nodes that belong together.
 	CellID uint16
 )
 
+// AnyKind is the RequiredKind of a group whose workloads run on every kind of node.
+const AnyKind = -1
+
 // Idempotency says what a second start of a workload would do.
 type Idempotency uint8
 
+// Idempotency of a group's workloads.
 const (
 	Idempotent      Idempotency = iota // may run again
-	IdempotentByKey                    // repeats are known by a mark, within a scope and for a time
+	IdempotentByKey                    // nodes recognize a repeat by its key, within KeyScope and KeyWindow
 	AtMostOnce                         // must never start twice
 )
 
-// Scope names a set of machines around one of them.
+// Scope is a set of nodes around one of them.
 type Scope uint8
 
+// Scopes, from none to the whole fleet.
 const (
 	ScopeNone Scope = iota
 	ScopeNode
@@ -50,129 +65,133 @@
 // Group holds the settings of one priority group.
 type Group struct {
 	LatencyObjective       Millis  // a start within this is in time
-	PriorityWeight         float64 // of one second of full service, at mean size
+	PriorityWeight         float64 // value of one second of full service, at mean size
 	Idempotency            Idempotency
-	KeyScope               Scope   // machines that drop a repeat
-	KeyWindow              Millis  // how long they remember
-	SpreadScope            Scope   // where the tasks of a service are limited, or ScopeNone
-	MaxPerScope            int     // how many of them may share one such place
-	FullServiceUtilization float64 // busy share of the cores up to which it is served in full
-	DegradationRange       float64 // over how much more the service falls to nothing
-	RequiredKind           int     // machine kind that it needs, or -1
+	KeyScope               Scope   // nodes that share their idempotency keys
+	KeyWindow              Millis  // how long they keep a key
+	SpreadScope            Scope   // where the workloads of a service are limited, or ScopeNone
+	MaxPerScope            int     // how many of them may share one such scope
+	FullServiceUtilization float64 // share of a node's cores in use up to which workloads are served in full
+	DegradationRange       float64 // share beyond that over which the service falls to nothing
+	RequiredKind           int     // KindID of the nodes that its workloads need, or AnyKind
 }
 
-// NodeKind is the size of one kind of machine.
+// NodeKind is the size of one kind of node.
 type NodeKind struct{ Cores, Memory float64 }
 
-// Settings are what an allocator is told when it starts.
+// Settings are what an allocator knows when it starts.
 type Settings struct {
-	Allocators           int
-	Ordinal              int // this allocator's number among them, from 0
-	Groups               []Group
-	NodeKinds            []NodeKind
-	WarmUpDuration       Millis  // a machine just up is warm after this
-	InitialRate          float64 // pace that it starts with
-	WarmUpBudget         float64 // offers within OverloadFor that it bears from all allocators together
-	OverloadWindow       Millis
-	PolledDiscovery      bool   // the machine list answers only when asked
-	PollInterval         Millis // the list counts as known after this, asked for or not
-	ConfirmsRunning      bool   // a confirmation means running, not only accepted
-	ReportsUsage         bool   // reported room is what is not in use, not what nobody asked for
-	EntriesCarryCapacity bool   // list entries carry the room that nobody has asked for
-	MaxBinds             int
+	Allocators           int        // allocators that place workloads on the same nodes
+	Ordinal              int        // this allocator's number among them, from 0
+	Groups               []Group    // by GroupID
+	NodeKinds            []NodeKind // by KindID
+	WarmUpDuration       Millis     // for which a node that has just started warms up
+	InitialRate          float64    // share of its full rate that a node starts with
+	WarmUpBudget         float64    // binds within OverloadWindow from all allocators that a warming node bears
+	OverloadWindow       Millis     // over which the binds to a node are counted
+	PolledDiscovery      bool       // whether the node list sends changes only to subscribers
+	PollInterval         Millis     // within which an allocator is expected to know a change of the list
+	ConfirmsRunning      bool       // whether a confirmation means running, not only accepted
+	ReportsUsage         bool       // whether reported spare capacity is not in use, or else not requested
+	EntriesCarryCapacity bool       // whether the entries of the node list hold free capacity
+	MaxBinds             int        // binds of one workload
 	HealthChecksAllowed  bool
 }
 
-// NodeState is what the list says of a machine.
+// NodeState is a node's state in the node list.
 type NodeState uint8
 
+// States of a node. Only a ready node gets binds.
 const (
 	Ready NodeState = iota
 	Draining
 	Removed
 )
 
-// Node is one entry of the machine list.
+// Node is one entry of the node list.
 type Node struct {
 	ID         NodeID
 	State      NodeState
 	Kind       KindID
 	Zone       ZoneID
 	Cell       CellID
-	StartedAt  Millis
-	FreeCores  float64
+	StartedAt  Millis  // start of this incarnation
+	FreeCores  float64 // not requested by any workload
 	FreeMemory float64
 }
 
-// Workload is one ask to place a workload.
+// Workload is one request to place a workload.
 type Workload struct {
 	ID             WorkloadID
 	Service        ServiceID
 	Group          GroupID
 	Cores          float64
 	Memory         float64
-	PendingTimeout Millis // pending timeout: how long until the owner gives up
-	Retried        bool   // it came before, so that its first start in time is lost or behind it
+	PendingTimeout Millis // after which the client gives up
+	Retried        bool   // whether the client requested it before, and has lost or had its first start in time
 }
 
-// LoadReport is a machine's report. Values that it lacks are NaN.
+// LoadReport is what a node reports of its load. Values that it lacks are NaN.
 type LoadReport struct {
 	SpareCores  float64
 	SpareMemory float64
-	Backlog     float64
-	Utilization float64
+	Backlog     float64 // workloads that wait on the node
+	Utilization float64 // share of its cores in use
 }
 
-// ResultKind tells how a step of a workload went on.
+// ResultKind says how a step of a workload went.
 type ResultKind uint8
 
+// Results of a step.
 const (
-	Confirmed      ResultKind = iota // the machine took it; the bind stays open until it ends
-	RejectedByNode                   // the machine turned it down: never ran
+	Confirmed      ResultKind = iota // the node accepted it; the bind stays open until it ends
+	RejectedByNode                   // the node rejected it: never ran
 	NotDelivered                     // no connection: never ran
 	NotAttempted                     // the bind was never made
-	OutcomeUnknown                   // no answer, or a broken one: may have run
+	OutcomeUnknown                   // no answer, or a malformed one: may have run
 	TimedOut                         // no answer in time: may have run
-	Ended                            // a confirmed bind is over
-	Withdrawn                        // the owner no longer wants it; the bind may still be out
-	TimerFired                       // the time of a wait has come
+	Ended                            // a confirmed bind has ended
+	Withdrawn                        // the client no longer wants it; the bind may still be in flight
+	TimerFired                       // the time of a Wait has come
 )
 
-// Reason tells why a machine declined or ended a workload.
+// Reason says why a node rejected or ended a workload.
 type Reason uint8
 
+// Reasons of a node.
 const (
 	ReasonUnspecified Reason = iota
 	InsufficientCores
 	InsufficientMemory
 	QueueFull
-	WrongNode
-	Evicted
-	Preempted
-	Drained
+	WrongNode // the node is not the one that was addressed
+	Evicted   // for lack of memory
+	Preempted // by a workload of higher priority
+	Drained   // the node drains
 )
 
-// Result is what is handed to the continuation of a step.
+// Result is passed to the continuation of a step.
 type Result struct {
 	Kind   ResultKind
 	Reason Reason
-	Final  bool // the workload needs no answer any more
-	Load   *LoadReport
+	Final  bool        // the workload needs no further step
+	Load   *LoadReport // nil where none came with the answer
 }
 
 // StepKind says what is to be done for a workload.
 type StepKind uint8
 
+// Kinds of steps. Those without a NextStep are final.
 const (
 	Bind          StepKind = iota // offer it to Node, for Timeout at most
-	Wait                          // hand back Due once Until has come
-	AwaitEnd                      // placed; nothing to do until its end
-	Rejected                      // final: asking again does no harm
-	Unschedulable                 // final: no promise
-	Done                          // nothing is owed or expected any more
+	Wait                          // pass TimerFired once WakeAt has come
+	AwaitEnd                      // nothing until the bind ends
+	Rejected                      // final: a retry by the client is harmless
+	Unschedulable                 // final: it may have run
+	Done                          // final: the client gets no answer
 )
 
-// Step is the next thing to do for a workload. Next takes its result, unless the step is final.
+// Step is the next thing to do for a workload. NextStep takes its result; it is nil for a final step.
 type Step struct {
 	Kind     StepKind
 	Node     NodeID
@@ -181,28 +200,30 @@
 	NextStep func(now Millis, r Result) Step
 }
 
-// UsageKind says what a note on a workload measures.
+// UsageKind says what an observation of a placed workload measures.
 type UsageKind uint8
 
+// Observations of a placed workload.
 const (
 	Running   UsageKind = iota // it runs now
 	CoresUsed                  // cores in use by it
 )
 
-// NodeUpdateKind says what a message of the machine list holds.
+// NodeUpdateKind says what a message of the node list holds.
 type NodeUpdateKind uint8
 
+// Messages of the node list.
 const (
-	Delta NodeUpdateKind = iota
-	Snapshot
-	CachedSnapshot
-	PollFailed
+	Delta          NodeUpdateKind = iota // entries that changed
+	Snapshot                             // all entries
+	CachedSnapshot                       // all entries, as an allocator kept them from an earlier run
+	PollFailed                           // nothing: the list did not answer
 )
 
-// Maintenance are what the allocator wants done beside workloads' steps.
+// Maintenance is what the scheduler wants done beside the steps of workloads.
 type Maintenance struct {
 	Migrations   []WorkloadID // placed workloads to stop, so that they are placed anew
-	HealthChecks []NodeID
-	Subscribe    bool   // ask for the list's changes from now on
-	NextAt       Millis // when to ask for chores next
+	HealthChecks []NodeID     // nodes to check
+	Subscribe    bool         // whether to subscribe to the changes of the node list now
+	NextAt       Millis       // when to call Maintain next
 }
