--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -31,6 +31,9 @@
 	return pending
 }
 
+// Len returns how many checks have no result yet.
+func (c *HealthChecks) Len() int { return len(c.pending) }
+
 // Complete hands the engine the reply to a check, with the load report that came along or nil. It returns false, and does
 // nothing, where the node has no such check pending.
 func (c *HealthChecks) Complete(now choice.Millis, check uint64, node choice.NodeID, load *choice.Load) bool {
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -148,6 +148,12 @@
 // scheduled. A timer cannot be cancelled: the call checks whether it still applies.
 func (h *Host) Schedule(at choice.Millis, call func(now choice.Millis)) { h.timers.At(at, call) }
 
+// DeferredCalls returns how many calls wait for the next Flush.
+func (h *Host) DeferredCalls() int { return len(h.deferred) }
+
+// PendingTimers returns how many timers set with Schedule have not run.
+func (h *Host) PendingTimers() int { return h.timers.Len() }
+
 // RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
 // Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) choice.Millis {
