--- a/internal/frontend/backoff.go
+++ b/internal/frontend/backoff.go
@@ -1,9 +1,10 @@
 package frontend
 
 import (
+	"math"
+
 	"grebeglade/choice"
 	"grebeglade/internal/schedule"
-	"math"
 )
 
 // maxDoublings bounds the exponent of a backoff, far beyond where any Max applies.
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -1,9 +1,10 @@
 package frontend
 
 import (
+	"testing"
+
 	"grebeglade/choice"
 	"grebeglade/internal/allocator"
-	"testing"
 
 	"github.com/stretchr/testify/assert"
 )
