--- a/internal/allocator/engine_test.go
+++ b/internal/allocator/engine_test.go
@@ -18,6 +18,7 @@
 func (s *script) Bind(id placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
 	s.say("bind %d.%d to %d", id, bind, n)
 }
+
 func (s *script) Stop(id placement.WorkloadID, bind int, _ placement.NodeID, w StopReason, onlyWaiting bool) {
 	s.say("stop %d.%d %d %v", id, bind, w, onlyWaiting)
 }
@@ -26,6 +27,7 @@
 func (s *script) Answer(id placement.WorkloadID, v Verdict, _ placement.NodeID) {
 	s.say("answer %d %s", id, v)
 }
+
 func (s *script) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, moved bool, why placement.Reason) {
 	s.say("ended %d %v %d", id, moved, why)
 }
--- a/internal/eventlog/record.go
+++ b/internal/eventlog/record.go
@@ -32,8 +32,10 @@
 	NodeConnection                 // a node's connection opened, or closed; Detail is 1 or 0
 )
 
-var names = [...]string{"", "asked", "turned", "adopted", "bound", "outcome", "answered", "ended", "withdrawn",
-	"stopped", "probed", "listed", "node"}
+var names = [...]string{
+	"", "asked", "turned", "adopted", "bound", "outcome", "answered", "ended", "withdrawn",
+	"stopped", "probed", "listed", "node",
+}
 
 func (k Kind) String() string { return names[k] }
 
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -1,9 +1,10 @@
 package frontend
 
 import (
+	"testing"
+
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
-	"testing"
 
 	"github.com/stretchr/testify/assert"
 )
@@ -69,10 +70,15 @@
 	checks, h, module := newTestChecks(t)
 	first, second := checks.Begin(5), checks.Begin(6)
 	assert.NotEqual(t, first, second)
+	assert.Equal(t, 2, checks.Len())
+	assert.Equal(t, 2, h.PendingTimers())
 	checks.Fail(second)
 	checks.FailUnsent(7)
 	assert.Empty(t, module.results)
+	assert.Equal(t, 2, h.DeferredCalls())
 	h.Flush(100)
+	assert.Zero(t, h.DeferredCalls())
+	assert.Equal(t, 1, checks.Len())
 	assert.Equal(t, []result{{6, false}, {7, false}}, module.results)
 	assert.True(t, checks.Pending(first))
 }
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -1,9 +1,10 @@
 package frontend
 
 import (
+	"testing"
+
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
-	"testing"
 
 	"github.com/stretchr/testify/assert"
 )
--- a/internal/timerqueue/schedule_test.go
+++ b/internal/timerqueue/schedule_test.go
@@ -40,7 +40,8 @@
 			slices.SortStableFunc(want, func(x, y struct {
 				at placement.Millis
 				no uint64
-			}) int {
+			},
+			) int {
 				return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.no, y.no))
 			})
 			_ = i
