--- /dev/null
+++ b/internal/allocator/timers.go
@@ -0,0 +1,64 @@
+package allocator
+
+import (
+	"grebeglade/internal/timerqueue"
+	"grebeglade/placement"
+)
+
+// clockGrain is how far apart two times may be and still count as the same, in ms: clocks outside count nanoseconds, and a
+// time that was rounded down must not miss its timer.
+const clockGrain = placement.Millis(1e-6)
+
+// MaxTimerDelay is the longest time for which a timer is set, in ms; what is due later is set again when it fires. A timer
+// cannot be cancelled, and clients may wait for weeks: so the number of timers is bounded by what came within this time.
+const MaxTimerDelay = placement.Millis(60e3)
+
+// timer is one entry of the queue: maintenance, or the step of a workload.
+type timer struct {
+	maintenance bool
+	workload    placement.WorkloadID // where it is not for maintenance
+}
+
+// timers are the timers of an engine, and the one tick that it has asked its host for. A timer stays in the queue until it
+// fires; that of a workload counts only if the workload still names its number.
+type timers struct {
+	queue  timerqueue.Queue[timer]
+	tickAt placement.Millis // earliest tick that was asked for and has not come
+	asked  bool             // whether there is such a tick
+}
+
+// setMaintenance sets a timer for maintenance.
+func (t *timers) setMaintenance(at placement.Millis) { t.queue.Push(at, timer{maintenance: true}) }
+
+// set sets the timer of a workload's step.
+func (t *timers) set(now placement.Millis, w *workload, due placement.Millis) {
+	w.due = due
+	w.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{workload: w.id})
+}
+
+// ticked notes a tick, which may be the one that was asked for.
+func (t *timers) ticked(now placement.Millis) {
+	if t.asked && t.tickAt <= now+clockGrain {
+		t.asked = false
+	}
+}
+
+// popDue takes out the first timer that is due, if there is one, and returns it with its number.
+func (t *timers) popDue(now placement.Millis) (fired timer, number uint64, ok bool) {
+	if at, pending := t.queue.NextTime(); !pending || at > now+clockGrain {
+		return timer{}, noTimer, false
+	}
+	_, number, fired = t.queue.Pop()
+	return fired, number, true
+}
+
+// nextTick returns the time of the tick that the first timer needs, and notes it as asked for. It returns false where no
+// tick is needed, or one that is early enough was asked for before.
+func (t *timers) nextTick(now placement.Millis) (placement.Millis, bool) {
+	at, ok := t.queue.NextTime()
+	if !ok || t.asked && t.tickAt <= at {
+		return 0, false
+	}
+	t.tickAt, t.asked = max(now, at), true
+	return t.tickAt, true
+}
