--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -6,8 +6,8 @@
 
 // Queue is a queue of values with the times at which they come due. The zero value is empty and ready to use.
 type Queue[T any] struct {
-	heap []entry[T] // a binary heap: the first comes due first
-	last uint64     // number of the value that was added last
+	items []entry[T] // a binary heap: the first one comes due first
+	last  uint64     // number of the value that was added last
 }
 
 type entry[T any] struct {
@@ -17,30 +17,30 @@
 }
 
 // Len returns the number of values in the queue.
-func (q *Queue[T]) Len() int { return len(q.heap) }
+func (q *Queue[T]) Len() int { return len(q.items) }
 
 // Push adds a value that comes due at the given time, and returns its number. Numbers begin at 1 and grow by one.
 func (q *Queue[T]) Push(at placement.Millis, value T) uint64 {
 	q.last++
-	q.heap = append(q.heap, entry[T]{at, q.last, value})
-	q.up(len(q.heap) - 1)
+	q.items = append(q.items, entry[T]{at, q.last, value})
+	q.up(len(q.items) - 1)
 	return q.last
 }
 
 // NextTime returns the time of the first value, and false where the queue is empty.
 func (q *Queue[T]) NextTime() (placement.Millis, bool) {
-	if len(q.heap) == 0 {
+	if len(q.items) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.items[0].at, true
 }
 
 // Pop takes out the first value and returns it with its time and its number. It panics where the queue is empty.
 func (q *Queue[T]) Pop() (at placement.Millis, number uint64, value T) {
-	first, last := q.heap[0], len(q.heap)-1
-	q.heap[0] = q.heap[last]
-	q.heap[last] = entry[T]{} // so that the value may be collected
-	q.heap = q.heap[:last]
+	first, last := q.items[0], len(q.items)-1
+	q.items[0] = q.items[last]
+	q.items[last] = entry[T]{} // so that the value may be collected
+	q.items = q.items[:last]
 	q.down(0)
 	return first.at, first.number, first.value
 }
@@ -52,7 +52,7 @@
 		if !q.before(i, parent) {
 			return
 		}
-		q.heap[i], q.heap[parent] = q.heap[parent], q.heap[i]
+		q.items[i], q.items[parent] = q.items[parent], q.items[i]
 		i = parent
 	}
 }
@@ -62,19 +62,19 @@
 	for {
 		first := i
 		for _, child := range [2]int{2*i + 1, 2*i + 2} {
-			if child < len(q.heap) && q.before(child, first) {
+			if child < len(q.items) && q.before(child, first) {
 				first = child
 			}
 		}
 		if first == i {
 			return
 		}
-		q.heap[i], q.heap[first] = q.heap[first], q.heap[i]
+		q.items[i], q.items[first] = q.items[first], q.items[i]
 		i = first
 	}
 }
 
 func (q *Queue[T]) before(i, j int) bool {
-	x, y := &q.heap[i], &q.heap[j]
+	x, y := &q.items[i], &q.items[j]
 	return x.at < y.at || x.at == y.at && x.number < y.number
 }
