--- /dev/null
+++ b/internal/frontend/enginehost.go
@@ -0,0 +1,33 @@
+package frontend
+
+import (
+	"grebeglade/internal/allocator"
+	"grebeglade/placement"
+)
+
+// engineHost is a Host as its engine sees it: the frontend's actions, some of them counted, and the Host's own wake-up.
+type engineHost struct {
+	allocator.Actions
+	host *Host
+}
+
+func (e *engineHost) Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis) {
+	e.host.counters.Binds++
+	e.Actions.Bind(id, bind, node, timeout)
+}
+
+func (e *engineHost) Stop(
+	id placement.WorkloadID, bind int, node placement.NodeID, reason allocator.StopReason, onlyPending bool,
+) {
+	if reason == allocator.Migrating {
+		e.host.counters.Migrations++
+	}
+	e.Actions.Stop(id, bind, node, reason, onlyPending)
+}
+
+func (e *engineHost) CheckHealth(node placement.NodeID) {
+	e.host.counters.HealthChecks++
+	e.Actions.CheckHealth(node)
+}
+
+func (e *engineHost) Wake(at placement.Millis) { e.host.wakeup.askTick(at) }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,13 +3,13 @@
 //
 // A frontend embeds or holds one Host, implements allocator.Actions, and brackets every event that reaches it:
 //
-//	func (f *Frontend) Start(now placement.Millis, n transport.Net) {
+//	func (f *Frontend) Start(now placement.Millis, n transport.Network) {
 //		f.host.Attach(now, n)
 //		f.host.Engine().Start(now)
 //		f.host.Flush(now)
 //	}
 //
-//	func (f *Frontend) Received(now placement.Millis, c transport.ConnID, m *pb.Frame) {
+//	func (f *Frontend) Received(now placement.Millis, c transport.ConnID, m any) {
 //		f.host.Begin(now)
 //		// ... decode, look up, call f.host.Engine() ...
 //		f.host.Flush(now)
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -6,16 +6,6 @@
 	"grebeglade/placement"
 )
 
-const (
-	lateWakeup    = placement.Millis(10) // ms; a wake-up that comes later than this means that the process did not run
-	stallRelevant = placement.Millis(50) // ms after a stall for which events may have waited through it
-)
-
-// Waker sets the one wake-up of a frontend. A further call replaces the time; transport.Net and transport.Wire are Wakers.
-type Waker interface {
-	WakeAt(at placement.Millis)
-}
-
 // Config says how a Host is made.
 type Config struct {
 	Settings placement.Settings
@@ -40,34 +30,23 @@
 // and that is handled like a close by the peer; the inner Flush then runs all calls deferred so far.
 type Host struct {
 	engine   *allocator.Engine
-	waker    Waker
 	jitter   *Jitter
 	counters *Counters
-	periodic func(now placement.Millis)
-
 	now      placement.Millis // of the event being handled
-	timers   transport.Timers
 	deferred []func(now placement.Millis)
+	timers   transport.Timers
+	wakeup   wakeup
+	stall    stall
 
-	maxInterval  placement.Millis
+	periodic     func(now placement.Millis)
 	lastPeriodic placement.Millis
-	wakeup       placement.Millis // time of the wake-up that was set, or of the event being handled if that is later
-	tick         wakeRequest
-
-	stall      placement.Millis // how long the process may have been stopped the last time
-	stallEnded placement.Millis
-}
-
-// wakeRequest is the earliest time at which the engine wants a tick.
-type wakeRequest struct {
-	at  placement.Millis
-	set bool
 }
 
 // NewHost makes a host and its engine. Attach must be called before anything else.
 func NewHost(c Config) *Host {
 	h := &Host{
-		jitter: NewJitter(c.Seed), counters: c.Counters, periodic: c.Periodic, maxInterval: c.MaxWakeInterval,
+		jitter: NewJitter(c.Seed), counters: c.Counters, periodic: c.Periodic,
+		wakeup: wakeup{maxInterval: c.MaxWakeInterval},
 	}
 	if h.counters == nil {
 		h.counters = &Counters{}
@@ -78,7 +57,7 @@
 
 // Attach gives the host the current time and what sets its wake-up. The frontend then starts the engine, in its place
 // among what it does itself at a start, and calls Flush.
-func (h *Host) Attach(now placement.Millis, w Waker) { h.now, h.waker = now, w }
+func (h *Host) Attach(now placement.Millis, w Waker) { h.now, h.wakeup.waker = now, w }
 
 // Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
 func (h *Host) Engine() *allocator.Engine { return h.engine }
@@ -88,10 +67,11 @@
 
 // Begin marks the start of an event's handling at the given time.
 func (h *Host) Begin(now placement.Millis) {
-	if now-h.wakeup > lateWakeup && h.wakeup > 0 {
-		h.stall, h.stallEnded = now-h.now, now
+	if h.wakeup.isLate(now) {
+		h.stall = stall{length: now - h.now, endedAt: now}
 	}
-	h.now, h.wakeup = now, max(h.wakeup, now)
+	h.wakeup.passed(now)
+	h.now = now
 }
 
 // Flush marks the end of an event's handling: it runs the deferred calls, and those that they defer, in the order in which
@@ -104,37 +84,19 @@
 			call(now)
 		}
 	}
-	h.setWakeup(now)
-}
-
-// setWakeup sets the wake-up for the first of the timers, the engine's request and the longest interval, unless one that is
-// early enough is set already.
-func (h *Host) setWakeup(now placement.Millis) {
-	next := now + h.maxInterval
-	if at, ok := h.timers.Next(); ok {
-		next = min(next, max(at, now))
-	}
-	if h.tick.set {
-		next = min(next, max(h.tick.at, now))
-	}
-	if h.wakeup > now && h.wakeup <= next {
-		return
-	}
-	h.wakeup = next
-	h.waker.WakeAt(next)
+	h.wakeup.set(now, &h.timers)
 }
 
 // Wake handles the wake-up: it runs the timers that are due, Config.Periodic, and the engine's tick, and then flushes.
 func (h *Host) Wake(now placement.Millis) {
 	h.Begin(now)
-	h.wakeup = now // the wake-up is used up, and Flush sets the next
+	h.wakeup.fired(now)
 	h.timers.RunDue(now)
-	if h.periodic != nil && now-h.lastPeriodic >= h.maxInterval {
+	if h.periodic != nil && now-h.lastPeriodic >= h.wakeup.maxInterval {
 		h.lastPeriodic = now
 		h.periodic(now)
 	}
-	if h.tick.set && h.tick.at <= now {
-		h.tick.set = false
+	if h.wakeup.takeTick(now) {
 		h.engine.Tick(now)
 	}
 	h.Flush(now)
@@ -164,38 +126,4 @@
 
 // RecentStall returns for how long, at most, the process was stopped before the event being handled, in ms, if that was
 // just now, and else 0. Events that are handled after a stall may have waited for all of it.
-func (h *Host) RecentStall() placement.Millis {
-	if h.now-h.stallEnded < stallRelevant {
-		return h.stall
-	}
-	return 0
-}
-
-// engineHost is the Host as the engine sees it: the frontend's actions, counted, and the Host's own wake-ups.
-type engineHost struct {
-	allocator.Actions
-	host *Host
-}
-
-func (e *engineHost) Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis) {
-	e.host.counters.Binds++
-	e.Actions.Bind(id, bind, node, timeout)
-}
-
-func (e *engineHost) Stop(id placement.WorkloadID, bind int, node placement.NodeID, why allocator.StopReason, onlyWaiting bool) {
-	if why == allocator.Migrating {
-		e.host.counters.Migrations++
-	}
-	e.Actions.Stop(id, bind, node, why, onlyWaiting)
-}
-
-func (e *engineHost) CheckHealth(node placement.NodeID) {
-	e.host.counters.HealthChecks++
-	e.Actions.CheckHealth(node)
-}
-
-func (e *engineHost) Wake(at placement.Millis) {
-	if t := &e.host.tick; !t.set || at < t.at {
-		t.at, t.set = at, true
-	}
-}
+func (h *Host) RecentStall() placement.Millis { return h.stall.recent(h.now) }
--- /dev/null
+++ b/internal/frontend/wakeup.go
@@ -0,0 +1,82 @@
+package frontend
+
+import (
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// lateWakeup is the longest time, in ms, by which a wake-up of a running process may come after the time it was set for.
+const lateWakeup = placement.Millis(10)
+
+// stallRelevant is for how long, in ms, events that are handled after a stall may have waited through it.
+const stallRelevant = placement.Millis(50)
+
+// Waker sets the one wake-up of a frontend. A further call replaces the time. The networks of package transport are Wakers.
+type Waker interface {
+	WakeAt(at placement.Millis)
+}
+
+// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine asked for, and
+// the longest interval between two wake-ups.
+type wakeup struct {
+	waker       Waker
+	maxInterval placement.Millis
+	at          placement.Millis // that it was set for last, or the time of a later event; 0 until it is set
+	tickAt      placement.Millis // earliest tick that the engine asked for and has not had
+	tickAsked   bool             // whether there is such a tick
+}
+
+// set sets the wake-up anew, unless it is set for a time that is early enough.
+func (w *wakeup) set(now placement.Millis, timers *transport.Timers) {
+	next := now + w.maxInterval
+	if at, ok := timers.Next(); ok {
+		next = min(next, max(at, now))
+	}
+	if w.tickAsked {
+		next = min(next, max(w.tickAt, now))
+	}
+	if w.at > now && w.at <= next {
+		return
+	}
+	w.at = next
+	w.waker.WakeAt(next)
+}
+
+// isLate tells whether the wake-up should have come well before now: the process was stopped meanwhile.
+func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > lateWakeup }
+
+// passed notes the time of an event, so that a wake-up that is due then is not late to the events after it.
+func (w *wakeup) passed(now placement.Millis) { w.at = max(w.at, now) }
+
+// fired notes that the wake-up has come: whatever it was set for, none is set any more.
+func (w *wakeup) fired(now placement.Millis) { w.at = now }
+
+// askTick notes that the engine wants a tick at the given time. An earlier one that it asked for remains.
+func (w *wakeup) askTick(at placement.Millis) {
+	if !w.tickAsked || at < w.tickAt {
+		w.tickAt, w.tickAsked = at, true
+	}
+}
+
+// takeTick tells whether the tick that the engine asked for is due, and if so takes it as done.
+func (w *wakeup) takeTick(now placement.Millis) bool {
+	if !w.tickAsked || w.tickAt > now {
+		return false
+	}
+	w.tickAsked = false
+	return true
+}
+
+// stall is the last time for which the process was stopped.
+type stall struct {
+	length  placement.Millis // at most
+	endedAt placement.Millis
+}
+
+// recent returns the length of the stall if events handled now may have waited through it, and else 0.
+func (s stall) recent(now placement.Millis) placement.Millis {
+	if now-s.endedAt < stallRelevant {
+		return s.length
+	}
+	return 0
+}
