--- /dev/null
+++ b/internal/settings/error.go
@@ -0,0 +1,12 @@
+package settings
+
+import "fmt"
+
+// KeyError reports a setting that is missing or has an unusable value.
+type KeyError struct {
+	Key     string // path of the setting, such as "permissions.most_tries"
+	Problem string // what is wrong with it, such as "is missing"
+	Fix     string // what to do about it
+}
+
+func (e *KeyError) Error() string { return fmt.Sprintf("setting %s %s; %s", e.Key, e.Problem, e.Fix) }
--- /dev/null
+++ b/internal/settings/load.go
@@ -0,0 +1,27 @@
+package settings
+
+import (
+	"math"
+
+	"grebeglade/placement"
+)
+
+// UnknownLoad returns a load report in which every value is NaN, the value for "not reported".
+func UnknownLoad() *placement.LoadReport {
+	unknown := math.NaN()
+	return &placement.LoadReport{SpareCores: unknown, SpareMemory: unknown, Backlog: unknown, Utilization: unknown}
+}
+
+// SetLoadField sets the value that has this name in load reports. Other names are ignored.
+func SetLoadField(l *placement.LoadReport, name string, v float64) {
+	switch name {
+	case "x0":
+		l.SpareCores = v
+	case "x1":
+		l.SpareMemory = v
+	case "backlog", "queue":
+		l.Backlog = v
+	case "utilization", "util":
+		l.Utilization = v
+	}
+}
