--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,19 +38,21 @@
 }
 `
 
-func TestAGoodFileIsRead(t *testing.T) {
+func TestDecode_ReadsEveryBlock(t *testing.T) {
 	a, err := Decode("a.hcl", []byte(good))
 	require.NoError(t, err)
 	assert.Equal(t, 2, a.Settings.Ordinal)
 	assert.Equal(t, int64(2<<20), a.Limits.MaxWriteBuffer)
-	assert.Equal(t, placement.Millis(12000), a.Settings.WarmUpDuration)
+	assert.Equal(t, []placement.NodeKind{{Cores: 24, Memory: 48}}, a.Settings.NodeKinds)
 	assert.Equal(t, []string{"serve", "check"}, a.GroupNames)
-	assert.Equal(t, placement.Millis(700), a.Settings.Groups[0].LatencyObjective)
 	assert.Equal(t, 0, a.Settings.Groups[0].RequiredKind)
 	assert.Equal(t, placement.ScopeCell, a.Settings.Groups[1].KeyScope)
+	// Durations are converted without an error: 12000 and 700 are exact.
+	assert.InDelta(t, 12000, float64(a.Settings.WarmUpDuration), 0)
+	assert.InDelta(t, 700, float64(a.Settings.Groups[0].LatencyObjective), 0)
 }
 
-func TestWhatIsWrongIsNamedWithItsLineAndTheFix(t *testing.T) {
+func TestDecode_ProblemNamesLineAndFix(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"no unit":        {`"12s"`, `12`, `a.hcl:12: cold_for has no unit; write it in quotes with one, such as "12ms" or "12s"`},
 		"no time":        {`"12s"`, `"12 sec"`, `a.hcl:12: cold_for is "12 sec"; write a time with its unit`},
@@ -80,7 +82,7 @@
 	}
 }
 
-func TestAllThatIsWrongIsNamedAtOnceInTheOrderOfLines(t *testing.T) {
+func TestDecode_AllProblemsAreReportedInLineOrder(t *testing.T) {
 	_, err := Decode("a.hcl", []byte(strings.NewReplacer(`"12s"`, "12", "24", "-1", "700ms", "700").Replace(good)))
 	var all Problems
 	require.ErrorAs(t, err, &all)
@@ -89,6 +91,9 @@
 		lines = append(lines, p.Line)
 	}
 	assert.Equal(t, []int{12, 15, 19}, lines)
+	var first Problem
+	require.ErrorAs(t, err, &first)
+	assert.Equal(t, "a.hcl", first.File)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -97,7 +102,7 @@
 	f.Fuzz(func(t *testing.T, src string) {
 		a, err := Decode("f.hcl", []byte(src))
 		if err == nil && (len(a.GroupNames) == 0 || len(a.KindNames) != len(a.Settings.NodeKinds)) {
-			t.Error("a file was taken that says too little")
+			t.Error("a file was accepted that says too little")
 		}
 	})
 }
--- a/config/json.go
+++ b/config/json.go
@@ -71,7 +71,7 @@
 			Frame: a.Limits.MaxFrameBytes, Waiting: a.Limits.MaxWriteBuffer,
 		},
 		Log: a.Log, State: a.State,
-		Trace: traceJSON{Dir: a.Trace.Dir, File: a.Trace.File, Age: float64(a.Trace.Age), Total: a.Trace.Total},
+		Trace: traceJSON{Dir: a.Trace.Dir, File: a.Trace.MaxFileBytes, Age: float64(a.Trace.MaxFileAge), Total: a.Trace.MaxTotalBytes},
 	})
 }
 
--- /dev/null
+++ b/config/placement.go
@@ -0,0 +1,124 @@
+package config
+
+import (
+	"fmt"
+	"slices"
+
+	"grebeglade/placement"
+)
+
+const (
+	maxKinds                = 200 // of the 256 that a placement.KindID can number
+	defaultLatencyObjective = placement.Millis(1e3)
+)
+
+// Values of a group's "effect".
+const (
+	effectIdempotent      = "restartable"
+	effectIdempotentByKey = "deduplicated"
+	effectAtMostOnce      = "run-once"
+)
+
+var idempotencies = map[string]placement.Idempotency{
+	effectIdempotent:      placement.Idempotent,
+	effectIdempotentByKey: placement.IdempotentByKey,
+	effectAtMostOnce:      placement.AtMostOnce,
+}
+
+var scopes = map[string]placement.Scope{
+	"none": placement.ScopeNone,
+	"node": placement.ScopeNode,
+	"cell": placement.ScopeCell,
+	"zone": placement.ScopeZone,
+	"all":  placement.ScopeAll,
+}
+
+// ReadPlacement reads the blocks that an allocator's configuration and a scenario have in common: rules, kinds of nodes
+// and priority groups. It appends to the names.
+func ReadPlacement(root *Block, s *placement.Settings, kindNames, groupNames *[]string) {
+	readRules(root.Block("rules"), s)
+	readKinds(root, s, kindNames)
+	for _, b := range root.Named("group") {
+		*groupNames = append(*groupNames, b.Name)
+		s.Groups = append(s.Groups, readGroup(b, *kindNames))
+	}
+	if len(s.Groups) == 0 {
+		root.AddProblem("", "no priority group", `write at least one: group "NAME" { effect = "restartable" }`)
+	}
+}
+
+func readRules(b *Block, s *placement.Settings) {
+	s.WarmUpDuration = b.Duration("cold_for", 15e3)
+	s.InitialRate = b.Float("cold_from", 0.25, 0, 1)
+	s.WarmUpBudget = b.Float("cold_bears", 24, 0, 1e6)
+	s.OverloadWindow = b.Duration("overload_for", 2e3)
+	s.MaxBinds = b.Int("binds", 3, 1, 100)
+	s.HealthChecksAllowed = b.Bool("probes", true)
+	s.PolledDiscovery = b.OneOf("list", "push", "push", "ask") == "ask"
+	s.PollInterval = b.Duration("ask_within", 10e3)
+	s.ConfirmsRunning = b.OneOf("confirms", "accepted", "accepted", "running") == "running"
+	s.ReportsUsage = b.OneOf("reports", "used", "used", "asked") == "used"
+	s.EntriesCarryCapacity = b.Bool("room_in_list", true)
+}
+
+func readKinds(root *Block, s *placement.Settings, names *[]string) {
+	for _, b := range root.Named("kind") {
+		*names = append(*names, b.Name)
+		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{
+			Cores:  b.Float("cores", 16, 0.001, 1e6),
+			Memory: b.Float("memory", 32, 0.001, 1e9),
+		})
+	}
+	if len(s.NodeKinds) == 0 {
+		root.AddProblem("", "no kind of node", `write at least one: kind "NAME" { cores = 16  memory = 32 }`)
+	}
+	if len(s.NodeKinds) > maxKinds {
+		root.AddProblem("", fmt.Sprintf("%d kinds of nodes", len(s.NodeKinds)), fmt.Sprintf("leave %d at most", maxKinds))
+	}
+}
+
+func readGroup(b *Block, kindNames []string) placement.Group {
+	g := placement.Group{
+		LatencyObjective: b.Duration("target", defaultLatencyObjective),
+		PriorityWeight:   b.Float("utility", 1, 0, 1e9),
+		Idempotency: idempotencies[b.OneOf("effect", effectIdempotent,
+			effectIdempotent, effectIdempotentByKey, effectAtMostOnce)],
+		KeyScope:               scopes[b.OneOf("dedup_scope", "none", "none", "node", "cell", "zone", "all")],
+		KeyWindow:              b.Duration("dedup_window", 0),
+		SpreadScope:            scopes[b.OneOf("spread", "none", "none", "node", "cell", "zone")],
+		MaxPerScope:            b.Int("spread_most", 1, 1, 1e6),
+		FullServiceUtilization: b.Float("calm", 0, 0, 1),
+		DegradationRange:       b.Float("fade", 0.2, 0, 1),
+		RequiredKind:           readRequiredKind(b, kindNames),
+	}
+	checkIdempotency(b, &g)
+	if g.SpreadScope == placement.ScopeNone && b.Has("spread_most") {
+		b.AddProblem("spread_most", "spread_most stands without spread", `add spread = "node", "cell" or "zone"`)
+	}
+	return g
+}
+
+func checkIdempotency(b *Block, g *placement.Group) {
+	if g.Idempotency == placement.IdempotentByKey && (g.KeyScope == placement.ScopeNone || g.KeyWindow <= 0) {
+		b.AddProblem("effect", fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name),
+			`add dedup_scope = "cell" and dedup_window = "5s"`)
+	}
+	if g.Idempotency != placement.IdempotentByKey && (b.Has("dedup_scope") || b.Has("dedup_window")) {
+		b.AddProblem("dedup_scope", fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name),
+			`write effect = "deduplicated", or leave them out`)
+	}
+}
+
+// readRequiredKind returns the index of the kind that a group's workloads need, or placement's -1 for any.
+func readRequiredKind(b *Block, kindNames []string) int {
+	const anyKind = -1
+	name := b.String("kind", "")
+	if name == "" {
+		return anyKind
+	}
+	i := slices.Index(kindNames, name)
+	if i < 0 {
+		b.AddProblem("kind", fmt.Sprintf("kind %q is not known", name), fmt.Sprintf("write one of %q", kindNames))
+	}
+	return i
+}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -12,37 +12,49 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-const talkWithin = 5 * time.Second // for a connection and for an answer that costs no placing
+const (
+	replyTimeout = 5 * time.Second // for a connection, and for a reply that needs no placing
+	maxReplySize = 64 << 20        // bytes of one frame from an allocator
+)
 
 // client is a blocking connection to an allocator.
 type client struct {
-	conn net.Conn
-	in   *bufio.Reader
-	made time.Time
+	conn      net.Conn
+	in        *bufio.Reader
+	connected time.Time
 }
 
-// dial connects and says hello.
-func dial(addr string, role pb.Role, name string) (*client, error) {
-	conn, err := net.DialTimeout("tcp", addr, talkWithin)
+// dial connects to an allocator and exchanges hellos.
+func dial(address string, role pb.Role, name string) (*client, error) {
+	conn, err := net.DialTimeout("tcp", address, replyTimeout)
 	if err != nil {
-		return nil, failure{fmt.Errorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to", addr, err)}
+		return nil, runError{fmt.Errorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to", address, err)}
 	}
-	c := &client{conn: conn, in: bufio.NewReader(conn), made: time.Now()}
-	if err := c.send(transport.HelloFrame(&pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()})); err != nil {
+	c := &client{conn: conn, in: bufio.NewReader(conn), connected: time.Now()}
+	if err := c.hello(address, role, name); err != nil {
+		c.close()
 		return nil, err
 	}
-	f, err := c.receive(talkWithin)
+	return c, nil
+}
+
+func (c *client) hello(address string, role pb.Role, name string) error {
+	hello := &pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()}
+	if err := c.send(transport.HelloFrame(hello)); err != nil {
+		return err
+	}
+	f, err := c.receive(replyTimeout)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	if _, refusal := transport.CheckHello(f); refusal != "" {
-		return nil, failure{fmt.Errorf("%s: %s", addr, refusal)}
+		return runError{fmt.Errorf("%s: %s", address, refusal)}
 	}
-	return c, nil
+	return nil
 }
 
-// clock is the time in ms that an owner's frames are stamped with.
-func (c *client) clock() float64 { return float64(time.Since(c.made)) / float64(time.Millisecond) }
+// clock returns the milliseconds since the connection was made, with which a client's frames are stamped.
+func (c *client) clock() float64 { return milliseconds(time.Since(c.connected)) }
 
 func (c *client) send(f *pb.Frame) error {
 	b, err := transport.AppendFrame(nil, f)
@@ -50,46 +62,32 @@
 		_, err = c.conn.Write(b)
 	}
 	if err != nil {
-		return failure{err}
+		return runError{err}
 	}
 	return nil
 }
 
-func (c *client) receive(within time.Duration) (*pb.Frame, error) {
-	if err := c.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
-		return nil, failure{err}
+func (c *client) receive(timeout time.Duration) (*pb.Frame, error) {
+	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, runError{err}
 	}
-	f, err := transport.ReadFrame(c.in, 64<<20)
+	f, err := transport.ReadFrame(c.in, maxReplySize)
 	if err != nil {
-		return nil, failure{fmt.Errorf("no answer: %w", err)}
+		return nil, runError{fmt.Errorf("no answer: %w", err)}
 	}
 	return f, nil
 }
 
-func (c *client) Close() error { return c.conn.Close() }
+// close ends the connection. All replies that matter have been read, so an error says nothing.
+func (c *client) close() { _ = c.conn.Close() }
 
 // toFlag adds the flag that names the allocator to talk to.
 func toFlag(c *cobra.Command, to *string) {
-	c.Flags().StringVar(to, "to", environment("GREBEGLADE_ADDR", "127.0.0.1:7070"),
+	c.Flags().StringVar(to, "to", defaultAllocator(),
 		"address of the allocator; GREBEGLADE_ADDR in the environment sets it for all commands")
 }
 
-// query asks an allocator what it knows.
-func query(to string, what pb.Query_What, most uint32) (*pb.State, error) {
-	c, err := dial(to, pb.Role_OPERATOR, "")
-	if err != nil {
-		return nil, err
-	}
-	defer c.Close()
-	if err := c.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: what, Most: most}}}); err != nil {
-		return nil, err
-	}
-	f, err := c.receive(talkWithin)
-	if err != nil {
-		return nil, err
-	}
-	if f.GetState() == nil {
-		return nil, failure{fmt.Errorf("the allocator answered with %T", f.Body)}
-	}
-	return f.GetState(), nil
-}
+// defaultAllocator returns the address of the allocator to talk to if none is given.
+func defaultAllocator() string { return environmentOr("GREBEGLADE_ADDR", "127.0.0.1:7070") }
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,98 +1,116 @@
 // Package command is grebeglade's command line.
 //
-// Exit codes: 0 done and well, 1 done and something is wrong, 2 bad input. With --json, standard output holds
-// one JSON document and nothing else; logs and progress go to standard error.
+// Exit codes: 0 done and well, 1 done and something is wrong, 2 bad input. With --json, standard output holds one JSON
+// document and nothing else; logs and progress go to standard error.
 package command
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 )
 
-// errWrong ends a command that is done and found something wrong; it has said what.
-var errWrong = errors.New("something is wrong")
+// Exit codes of the program.
+const (
+	exitOK       = 0
+	exitProblem  = 1 // done, and something is wrong
+	exitBadInput = 2
+)
+
+// errProblemFound ends a command that is done and found something wrong, which it has printed.
+var errProblemFound = errors.New("something is wrong")
+
+// runError ends a command that could not do its work although its input was good.
+type runError struct{ err error }
 
-// failure ends a command that could not do its work although its input was good.
-type failure struct{ error }
+func (e runError) Error() string { return e.err.Error() }
+func (e runError) Unwrap() error { return e.err }
 
-func (f failure) Unwrap() error { return f.error }
+// inputError is what a command says about its input, as opposed to what cobra says about the command line.
+type inputError struct{ err error }
+
+func (e inputError) Error() string { return e.err.Error() }
+func (e inputError) Unwrap() error { return e.err }
 
 // Run runs a command line and returns the exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{
-		Use:   "grebeglade",
-		Short: "Places long-running work on a cluster's machines",
-		Long: "grebeglade places long-running work on a cluster's machines. Any number of allocators work side by " +
-			"side;\neach goes by what it sees itself. Try it without any file: grebeglade demo",
-		SilenceUsage: true, SilenceErrors: true,
-	}
+	root := rootCommand()
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
-	root.AddCommand(serveCommand(), platformCommand(), demoCommand(), submitCommand(), workloadsCommand(), gangsCommand(), nodesCommand(),
-		configCommand(), labCommand(), stateCommand(), traceCommand(), benchCommand())
-	err := root.ExecuteContext(ctx)
-	var failed failure
+	return exitCode(root, root.ExecuteContext(ctx))
+}
+
+// exitCode prints an error, unless the command has done so, and returns its exit code.
+func exitCode(root *cobra.Command, err error) int {
 	switch {
 	case err == nil:
-		return 0
-	case errors.Is(err, errWrong):
-		return 1
-	case errors.As(err, &failed):
-		fmt.Fprintln(stderr, "grebeglade:", err)
-		return 1
+		return exitOK
+	case errors.Is(err, errProblemFound):
+		return exitProblem
 	}
-	fmt.Fprintln(stderr, "grebeglade:", err)
-	if strings.HasPrefix(err.Error(), "unknown") || strings.Contains(err.Error(), "flag") {
-		fmt.Fprintln(stderr, "See 'grebeglade --help'.")
+	root.PrintErrln("grebeglade:", err)
+	var failed runError
+	if errors.As(err, &failed) {
+		return exitProblem
 	}
-	return 2
+	var input inputError
+	if !errors.As(err, &input) {
+		root.PrintErrln("See 'grebeglade --help'.")
+	}
+	return exitBadInput
 }
 
-// printJSON writes one document.
-func printJSON(c *cobra.Command, v any) error {
-	e := json.NewEncoder(c.OutOrStdout())
-	e.SetIndent("", "  ")
-	if err := e.Encode(v); err != nil {
-		return failure{err}
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "grebeglade",
+		Short: "Places long-running workloads on a cluster's nodes",
+		Long: "grebeglade places long-running workloads on a cluster's nodes. Any number of allocators work side by side;\n" +
+			"each decides by what it sees itself. To try it without any file: grebeglade demo",
+		SilenceUsage: true, SilenceErrors: true,
 	}
-	return nil
+	root.AddCommand(
+		serveCommand(), platformCommand(), demoCommand(),
+		submitCommand(), workloadsCommand(), gangsCommand(), nodesCommand(),
+		configCommand(), labCommand(), stateCommand(), traceCommand(), benchCommand(),
+	)
+	markInputErrors(root)
+	return root
 }
 
-// printTable writes aligned columns, the first row as their heads.
-func printTable(c *cobra.Command, rows [][]string) error { return writeTable(c.OutOrStdout(), rows) }
-
-func writeTable(to io.Writer, rows [][]string) error {
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	for _, row := range rows {
-		fmt.Fprintln(w, strings.Join(row, "\t"))
+// markInputErrors wraps the commands below c so that errors of their own can be told from cobra's.
+func markInputErrors(c *cobra.Command) {
+	if run := c.RunE; run != nil {
+		c.RunE = func(c *cobra.Command, args []string) error {
+			if err := run(c, args); err != nil {
+				return inputError{err}
+			}
+			return nil
+		}
 	}
-	if err := w.Flush(); err != nil {
-		return failure{err}
+	for _, sub := range c.Commands() {
+		markInputErrors(sub)
 	}
-	return nil
 }
 
-func jsonFlag(c *cobra.Command, on *bool) {
-	c.Flags().BoolVar(on, "json", false, "print one JSON document")
-}
-
-// environment reads a default from the environment, so that a shell can be told once where an allocator is.
-func environment(name, otherwise string) string {
+// environmentOr returns a variable of the environment, or otherwise if it is not set.
+func environmentOr(name, otherwise string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
 	return otherwise
 }
+
+// requireFlag marks a flag as required. The flag must exist.
+func requireFlag(c *cobra.Command, name string) {
+	if err := c.MarkFlagRequired(name); err != nil {
+		panic(err) // the flag is not defined: a mistake in this package
+	}
+}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,67 +13,145 @@
 	"github.com/stretchr/testify/require"
 )
 
+// run runs a command line in this process.
 func run(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = Run(args, &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-func TestExitCodesTellWellWrongAndBadInput(t *testing.T) {
+func TestRun_ExitCode(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.hcl")
 	require.NoError(t, os.WriteFile(bad, []byte("kind \"k\" {\n  cores = -1\n}\n"), 0o600))
 	good, wrong := filepath.Join(t.TempDir(), "good"), filepath.Join(t.TempDir(), "wrong")
 	for _, c := range []struct {
-		args string
-		code int
-		says string
+		args   string
+		code   int
+		stderr string // what it contains
 	}{
-		{"lab play quiet --virtual", 0, ""},
-		{"lab play quiet --virtual --history " + good, 0, ""},
-		{"lab play quiet --virtual --break two-binds --history " + wrong, 1, ""},
-		{"lab check " + good, 0, ""},
-		{"lab check " + good + " " + wrong, 1, ""},
-		{"lab check " + bad, 2, "bad.hcl:1: invalid character"},
-		{"lab check nowhere", 2, "no such file"},
-		{"lab play quiet --virtual --break nothing", 2, `--break "nothing" is not known; known are [binds-more`},
-		{"lab play nothing --virtual", 2, `no script is named "nothing"`},
-		{"lab play quiet --nodes -1", 2, "must not be below 0"},
-		{"lab play", 2, "accepts 1 arg(s)"},
-		{"nothing", 2, `unknown command "nothing"`},
-		{"demo --for 1ms", 2, "too short"},
-		{"demo --fro 1s", 2, "unknown flag: --fro"},
-		{"serve", 2, `required flag(s) "config" not set`},
-		{"serve --config nowhere.hcl", 2, "no such file"},
-		{"config check " + bad, 2, "bad.hcl:2: cores is -1; write a number from 0.001"},
-		{"nodes --to 127.0.0.1:1", 1, "no allocator at 127.0.0.1:1"},
-		{"submit --cores 1", 2, "--group is missing"},
-		{"submit --gang " + bad, 2, "bad.hcl:1: no part; write at least one"},
+		{"lab play quiet --virtual", exitOK, ""},
+		{"lab play quiet --virtual --history " + good, exitOK, ""},
+		{"lab play quiet --virtual --break two-binds --history " + wrong, exitProblem, ""},
+		{"lab check " + good, exitOK, ""},
+		{"lab check " + good + " " + wrong, exitProblem, ""},
+		{"lab check " + bad, exitBadInput, "bad.hcl:1: invalid character"},
+		{"lab check nowhere", exitBadInput, "no such file"},
+		{"lab play quiet --virtual --break nothing", exitBadInput, `--break "nothing" is not known; known are [binds-more`},
+		{"lab play nothing --virtual", exitBadInput, `no script is named "nothing"`},
+		{"lab play quiet --nodes -1", exitBadInput, "must not be below 0"},
+		{"lab play", exitBadInput, "accepts 1 arg(s)"},
+		{"nothing", exitBadInput, `unknown command "nothing"`},
+		{"demo --for 1ms", exitBadInput, "too short"},
+		{"demo --fro 1s", exitBadInput, "unknown flag: --fro"},
+		{"serve", exitBadInput, `required flag(s) "config" not set`},
+		{"serve --config nowhere.hcl", exitBadInput, "no such file"},
+		{"config check " + bad, exitBadInput, "bad.hcl:2: cores is -1; write a number from 0.001"},
+		{"nodes --to 127.0.0.1:1", exitProblem, "no allocator at 127.0.0.1:1"},
+		{"submit --cores 1", exitBadInput, "--group is missing"},
+		{"submit --gang " + bad, exitBadInput, "bad.hcl:1: no part; write at least one"},
 	} {
-		code, _, errs := run(strings.Fields(c.args)...)
-		assert.Equal(t, c.code, code, c.args)
-		assert.Contains(t, errs, c.says, c.args)
+		t.Run(c.args, func(t *testing.T) {
+			code, _, stderr := run(strings.Fields(c.args)...)
+			assert.Equal(t, c.code, code, c.args)
+			assert.Contains(t, stderr, c.stderr, c.args)
+		})
 	}
 }
 
-func TestJSONIsOneDocumentWithTheNamesThatScriptsRelyOn(t *testing.T) {
-	code, out, _ := run("lab", "play", "rough", "--virtual", "--seed", "3", "--allocators", "3", "--nodes", "12", "--json")
+func TestRun_HelpIsSuggestedOnlyForMistakesInTheCommandLine(t *testing.T) {
+	for args, suggested := range map[string]bool{
+		"demo --fro 1s":              true,
+		"nothing":                    true,
+		"serve":                      true,
+		"serve --config flag.hcl":    false, // the name of the file is no matter of flags
+		"lab play quiet --nodes -1":  false,
+		"nodes --to 127.0.0.1:1":     false,
+		"lab check unknown.history":  false,
+		"state check unknown":        false,
+		"trace summary --json a.gbt": false,
+	} {
+		t.Run(args, func(t *testing.T) {
+			_, _, stderr := run(strings.Fields(args)...)
+			assert.Contains(t, stderr, "grebeglade: ")
+			assert.Equal(t, suggested, strings.Contains(stderr, "See 'grebeglade --help'."), stderr)
+		})
+	}
+}
+
+func TestRun_JSONIsOneDocumentWithStableNames(t *testing.T) {
+	line := strings.Fields("lab play rough --virtual --seed 3 --allocators 3 --nodes 12 --json")
+	code, out, _ := run(line...)
 	require.Zero(t, code)
-	var day map[string]any
-	require.NoError(t, json.Unmarshal([]byte(out), &day))
+	var first map[string]any
+	require.NoError(t, json.Unmarshal([]byte(out), &first))
 	for _, name := range []string{
 		"name", "seed", "virtual", "allocators", "nodes", "workloads", "placed", "rejected", "unschedulable", "unanswered",
 		"binds", "moves", "digest", "broken",
 	} {
-		assert.Contains(t, day, name)
+		assert.Contains(t, first, name)
 	}
-	assert.Equal(t, []any{3.0, 12.0, true}, []any{day["allocators"], day["nodes"], day["virtual"]})
-	_, again, _ := run("lab", "play", "rough", "--virtual", "--seed", "3", "--allocators", "3", "--nodes", "12", "--json")
+	assert.Equal(t, []any{3.0, 12.0, true}, []any{first["allocators"], first["nodes"], first["virtual"]})
+	_, out, _ = run(line...)
 	var second map[string]any
-	require.NoError(t, json.Unmarshal([]byte(again), &second))
-	assert.Equal(t, day["digest"], second["digest"])
+	require.NoError(t, json.Unmarshal([]byte(out), &second))
+	assert.Equal(t, first["digest"], second["digest"])
+
 	code, out, _ = run("lab", "list", "--json")
 	require.Zero(t, code)
 	var names []string
 	require.NoError(t, json.Unmarshal([]byte(out), &names))
 	assert.Subset(t, names, []string{"rough", "quiet"})
 }
+
+func TestWriteOutput_FailedWriteRemovesTheFile(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+	errWrite := errors.New("disk full")
+
+	err := writeOutput(name, func(*os.File) error { return errWrite })
+
+	require.ErrorIs(t, err, errWrite)
+	require.ErrorAs(t, err, new(runError))
+	assert.NoFileExists(t, name)
+}
+
+func TestWriteOutput_FailedCloseIsAnError(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+
+	err := writeOutput(name, func(f *os.File) error { return f.Close() }) // so that the close after it fails
+
+	require.ErrorIs(t, err, os.ErrClosed)
+	assert.NoFileExists(t, name)
+}
+
+func TestWriteOutput_ExistingFileIsKept(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+	require.NoError(t, os.WriteFile(name, []byte("mine"), 0o600))
+
+	err := writeOutput(name, func(*os.File) error { return nil })
+
+	require.ErrorContains(t, err, "is there already")
+	kept, err := os.ReadFile(name)
+	require.NoError(t, err)
+	assert.Equal(t, "mine", string(kept))
+}
+
+func TestParseTime_AbsoluteAndRelative(t *testing.T) {
+	const first = 5000
+	for text, want := range map[string]float64{
+		"":                         0,
+		"+90s":                     first + 90e3,
+		"1970-01-01T00:00:01.500Z": 1500,
+	} {
+		t.Run(text, func(t *testing.T) {
+			at, err := parseTime("from", text, first)
+			require.NoError(t, err)
+			assert.InDelta(t, want, at, 0)
+		})
+	}
+	for _, text := range []string{"+90", "yesterday"} {
+		t.Run(text, func(t *testing.T) {
+			_, err := parseTime("from", text, first)
+			assert.ErrorContains(t, err, "--from \""+text+"\" is no time; write one such as")
+		})
+	}
+}
--- /dev/null
+++ b/internal/command/config.go
@@ -0,0 +1,37 @@
+package command
+
+import (
+	"github.com/spf13/cobra"
+
+	"grebeglade/config"
+)
+
+func configCommand() *cobra.Command {
+	c := &cobra.Command{Use: "config", Short: "Inspect configuration files"}
+	c.AddCommand(configCheckCommand())
+	return c
+}
+
+func configCheckCommand() *cobra.Command {
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Report everything that is wrong with an allocator's configuration",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			configuration, err := config.Load(args[0])
+			if err != nil {
+				return err
+			}
+			if asJSON {
+				return printJSON(c, configuration)
+			}
+			c.Printf("%s is good: allocator %s, number %d of %d, listens on %s, list at %s, %d groups, %d kinds of nodes\n",
+				args[0], configuration.Name, configuration.Settings.Ordinal, configuration.Settings.Allocators,
+				configuration.ListenAddress, configuration.DiscoveryAddress, len(configuration.GroupNames), len(configuration.KindNames))
+			return nil
+		},
+	}
+	jsonFlag(c, &asJSON)
+	return c
+}
--- /dev/null
+++ b/internal/command/demo.go
@@ -0,0 +1,50 @@
+package command
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"grebeglade/internal/simulation"
+	"grebeglade/placement"
+)
+
+const (
+	demoScenario  = "rough"
+	minDemoLength = time.Second
+)
+
+func demoCommand() *cobra.Command {
+	var length time.Duration
+	var asJSON bool
+	var o simulation.Options
+	c := &cobra.Command{
+		Use:   "demo",
+		Short: "Run a rough scenario on loopback sockets, without any file or other program",
+		Long: "Starts a discovery service, nodes, clients and two allocators on loopback sockets and runs a rough scenario:\n" +
+			"stalls, a crash, another program on the nodes, a burst, slow nodes, a late endpoint list, a rolling deploy.\n" +
+			"Then audits what passed. Exit status 0 only if every rule held.",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if length < minDemoLength {
+				return fmt.Errorf("--for %s is too short for a scenario; give %s or more", length, minDemoLength)
+			}
+			s, err := simulation.Open(demoScenario)
+			if err != nil {
+				return err
+			}
+			s.Stretch(placement.Millis(milliseconds(length)))
+			result, err := runScenario(c, s, o, false)
+			if err != nil {
+				return err
+			}
+			return printResult(c, result, asJSON)
+		},
+	}
+	c.Flags().DurationVar(&length, "for", 20*time.Second, "how long clients request workloads")
+	c.Flags().StringVar(&o.Trace, "trace", "", "record each allocator into a directory of its own below this one")
+	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the faults and of what is requested")
+	jsonFlag(c, &asJSON)
+	return c
+}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -1,7 +1,9 @@
 package command
 
 import (
+	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"math"
 	"os"
@@ -20,90 +22,136 @@
 )
 
 const (
-	heapShare = 0.5                    // of the process's memory, for Go's heap: its code and the sockets need the rest
-	lookEvery = 20 * time.Millisecond  // while it waits for the last answers
-	readEvery = 100 * time.Millisecond // between looks at a configuration that cannot be read
-	readMost  = 10                     // looks; what a new configuration brings counts as told 4 s after its signal
+	heapShare         = 0.5                    // of the process's memory, for Go's heap: its code and the sockets need the rest
+	drainPollInterval = 20 * time.Millisecond  // between looks at whether all requests are answered
+	reloadInterval    = 100 * time.Millisecond // between attempts to read a configuration
+	maxReloadAttempts = 10                     // a new configuration counts as applied 4 s after its signal
 )
 
+// errNoConfig means that the platform's environment lacks the path of the configuration.
+var errNoConfig = errors.New("NODE_CONFIG is not set; give the path of the platform's configuration")
+
 func platformCommand() *cobra.Command {
 	var verbose bool
 	c := &cobra.Command{
 		Use:   "platform",
 		Short: "Run an allocator on the shared platform",
-		Long: "Runs an allocator that speaks the shared platform's protocol. NODE_CONFIG names its configuration,\n" +
-			"NODE_LISTEN the address that it listens on. SIGHUP has it read the journal service's address again,\n" +
-			"SIGTERM answers what is pending and leaves; what it placed runs on.",
+		Long: "Runs an allocator that speaks the shared platform's protocol. NODE_CONFIG names its configuration, NODE_LISTEN\n" +
+			"the address that it listens on. On SIGHUP it reads the discovery service's address again. On SIGTERM it answers\n" +
+			"pending requests and exits; placed workloads keep running.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			// A reload that comes before all is up must not end the process.
-			reload := make(chan os.Signal, 1)
-			signal.Notify(reload, syscall.SIGHUP)
-			defer signal.Stop(reload)
-			file := os.Getenv("NODE_CONFIG")
-			if file == "" {
-				return fmt.Errorf("NODE_CONFIG is not set; give the path of the platform's configuration")
-			}
-			conf, err := platform.ReadConfig(file, os.Getenv("NODE_LISTEN"))
-			if err != nil {
-				return err
-			}
-			level := slog.LevelInfo
-			if verbose {
-				level = slog.LevelDebug
-			}
-			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), &slog.HandlerOptions{Level: level}))
-			runtime.GOMAXPROCS(max(1, int(math.Floor(conf.Limits.Cores))))
-			debug.SetMemoryLimit(int64(heapShare * float64(conf.Limits.MemoryMB) * (1 << 20)))
-			return servePlatform(c, conf, file, reload, log)
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return runPlatform(c, verbose) },
 	}
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each thing that is not taken")
+	c.Flags().BoolVar(&verbose, "verbose", false, "log each message that is not accepted")
 	return c
 }
 
-func servePlatform(c *cobra.Command, conf *platform.Config, file string, reload <-chan os.Signal, log *slog.Logger) error {
-	p := platform.New(conf, log)
-	loop := transport.NewLoop(nil)
-	if _, err := loop.Listen(p, func() transport.Codec { return codec.ClientCodec{} }, conf.Listen, p.Limits()); err != nil {
-		return failure{err}
+func runPlatform(c *cobra.Command, verbose bool) error {
+	// Caught before anything else: a reload during the start must not end the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	file := os.Getenv("NODE_CONFIG")
+	if file == "" {
+		return errNoConfig
+	}
+	configuration, err := platform.ReadConfig(file, os.Getenv("NODE_LISTEN"))
+	if err != nil {
+		return err
+	}
+	limitProcess(configuration.Limits)
+	s, err := startPlatform(configuration, file, platformLogger(c.ErrOrStderr(), verbose))
+	if err != nil {
+		return runError{err}
+	}
+	defer s.loop.Close()
+	return s.serve(c.Context().Done(), hangups)
+}
+
+func platformLogger(w io.Writer, verbose bool) *slog.Logger {
+	level := slog.LevelInfo
+	if verbose {
+		level = slog.LevelDebug
 	}
-	loop.Run()
-	defer loop.Close()
-	log.Info("serving", "allocator", conf.Name, "listen", conf.Listen, "journal", conf.DiscoveryAddress)
-	stop := c.Context().Done()
-	var look, again <-chan time.Time // while it waits for the last answers; when the configuration is to be read once more
-	tries := 0
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
+}
+
+// limitProcess makes Go's runtime keep to the process's limits, which it does not learn by itself.
+func limitProcess(limits platform.Limits) {
+	runtime.GOMAXPROCS(max(1, int(math.Floor(limits.Cores))))
+	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
+}
+
+// platformServer runs the platform's frontend, reloads its configuration and drains it.
+type platformServer struct {
+	frontend *platform.Frontend
+	loop     *transport.Loop
+	file     string // of the configuration
+	listen   string
+	log      *slog.Logger
+
+	reloadDue      <-chan time.Time // nil unless a reload is under way
+	reloadAttempts int              // failed ones
+}
+
+func startPlatform(configuration *platform.Config, file string, log *slog.Logger) (*platformServer, error) {
+	s := &platformServer{
+		frontend: platform.New(configuration, log), loop: transport.NewLoop(nil), file: file, listen: configuration.Listen, log: log,
+	}
+	newCodec := func() transport.Codec { return codec.ClientCodec{} }
+	if _, err := s.loop.Listen(s.frontend, newCodec, configuration.Listen, s.frontend.Limits()); err != nil {
+		return nil, err
+	}
+	s.loop.Run()
+	log.Info("serving", "allocator", configuration.Name, "listen", configuration.Listen, "discovery", configuration.DiscoveryAddress)
+	return s, nil
+}
+
+// serve runs until the frontend has drained after stop, or its listener fails.
+func (s *platformServer) serve(stop <-chan struct{}, hangups <-chan os.Signal) error {
+	var drainPoll <-chan time.Time // nil until stop
 	for {
 		select {
-		case <-reload:
-			tries, again = 0, time.After(0)
-		case <-again:
-			// The file may be in the middle of being written, so it is read a few times.
-			if conf, err := platform.ReadConfig(file, conf.Listen); err == nil {
-				again = nil
-				loop.Call(p, func(now placement.Millis) { p.Reload(now, conf.DiscoveryAddress) })
-			} else if tries++; tries < readMost {
-				again = time.After(readEvery)
-			} else {
-				again = nil
-				log.Error("the configuration stays as it was", "err", err)
-			}
+		case <-hangups:
+			s.reloadAttempts, s.reloadDue = 0, time.After(0)
+		case <-s.reloadDue:
+			s.reload()
 		case <-stop:
 			stop = nil
-			loop.Call(p, p.Drain)
-			ticker := time.NewTicker(lookEvery)
+			s.loop.Call(s.frontend, s.frontend.Drain)
+			ticker := time.NewTicker(drainPollInterval)
 			defer ticker.Stop()
-			look = ticker.C
-		case <-look:
-			stopped := false
-			loop.Call(p, func(now placement.Millis) { stopped = p.Drained(now) })
-			if stopped {
-				log.Info("stopped", "counts", fmt.Sprintf("%+v", p.Counters))
+			drainPoll = ticker.C
+		case <-drainPoll:
+			if s.drained() {
+				s.log.Info("stopped", "counters", fmt.Sprintf("%+v", s.frontend.Counters))
 				return nil
 			}
-		case err := <-loop.Failed():
-			return failure{err}
+		case err := <-s.loop.Failed():
+			return runError{err}
 		}
 	}
 }
+
+// reload reads the configuration and applies it. A file that cannot be read may be half written, so it is read again a
+// few times.
+func (s *platformServer) reload() {
+	s.reloadDue = nil
+	configuration, err := platform.ReadConfig(s.file, s.listen)
+	if err == nil {
+		s.loop.Call(s.frontend, func(now placement.Millis) { s.frontend.Reload(now, configuration.DiscoveryAddress) })
+		return
+	}
+	s.reloadAttempts++
+	if s.reloadAttempts < maxReloadAttempts {
+		s.reloadDue = time.After(reloadInterval)
+		return
+	}
+	s.log.Error("configuration not reloaded", "error", err)
+}
+
+func (s *platformServer) drained() bool {
+	drained := false
+	s.loop.Call(s.frontend, func(now placement.Millis) { drained = s.frontend.Drained(now) })
+	return drained
+}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os/signal"
 	"syscall"
 	"time"
@@ -13,70 +12,54 @@
 	"grebeglade/internal/daemon"
 )
 
+type serveOptions struct {
+	file     string
+	traceDir string
+	grace    time.Duration
+}
+
 func serveCommand() *cobra.Command {
-	var file, traceDir string
-	var grace time.Duration
+	var o serveOptions
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run an allocator",
-		Long: "Runs an allocator until it gets SIGTERM or SIGINT. It then turns new asks away, waits until what it\n" +
-			"holds has its answer, and leaves; what it placed runs on. A second signal ends it at once.",
+		Long: "Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones\n" +
+			"are answered, and exits; placed workloads keep running. A second signal ends it at once.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			conf, err := config.Load(file)
-			if err != nil {
-				return err
-			}
-			if traceDir != "" {
-				conf.Trace.Dir = traceDir
-			}
-			d, err := daemon.Start(conf, daemon.Logger(conf.Log, c.ErrOrStderr()))
-			if err != nil {
-				return failure{err}
-			}
-			<-c.Context().Done()
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			ctx, cancel := context.WithTimeout(ctx, grace)
-			defer cancel()
-			if left := d.Stop(ctx); left > 0 {
-				fmt.Fprintf(c.ErrOrStderr(), "left without an answer: %d workloads\n", left)
-				return errWrong
-			}
-			return nil
-		},
-	}
-	c.Flags().StringVar(&file, "config", "", "the allocator's settings, in HCL")
-	c.Flags().StringVar(&traceDir, "trace", "", "record calls and decisions into files of this directory")
-	c.Flags().DurationVar(&grace, "grace", time.Minute, "how long it may take to answer what is held")
-	if err := c.MarkFlagRequired("config"); err != nil {
-		panic(err)
+		RunE: func(c *cobra.Command, _ []string) error { return o.run(c) },
 	}
+	c.Flags().StringVar(&o.file, "config", "", "the allocator's configuration, in HCL")
+	c.Flags().StringVar(&o.traceDir, "trace", "", "record calls and decisions into files of this directory")
+	c.Flags().DurationVar(&o.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
+	requireFlag(c, "config")
 	return c
 }
 
-func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Look at settings"}
-	var asJSON bool
-	check := &cobra.Command{
-		Use:   "check FILE",
-		Short: "Say what is wrong with an allocator's settings",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			conf, err := config.Load(args[0])
-			if err != nil {
-				return err
-			}
-			if asJSON {
-				return printJSON(c, conf)
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is good: allocator %s, number %d of %d, listens on %s, list at %s, "+
-				"%d groups, %d kinds of nodes\n", args[0], conf.Name, conf.Settings.Ordinal, conf.Settings.Allocators,
-				conf.ListenAddress, conf.DiscoveryAddress, len(conf.GroupNames), len(conf.KindNames))
-			return nil
-		},
+func (o *serveOptions) run(c *cobra.Command) error {
+	configuration, err := config.Load(o.file)
+	if err != nil {
+		return err
 	}
-	jsonFlag(check, &asJSON)
-	c.AddCommand(check)
-	return c
+	if o.traceDir != "" {
+		configuration.Trace.Dir = o.traceDir
+	}
+	d, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, c.ErrOrStderr()))
+	if err != nil {
+		return runError{err}
+	}
+	<-c.Context().Done()
+	if unanswered := o.drain(d); unanswered > 0 {
+		c.PrintErrf("left without an answer: %d workloads\n", unanswered)
+		return errProblemFound
+	}
+	return nil
+}
+
+// drain stops the daemon within the grace period, or at once at a further signal.
+func (o *serveOptions) drain(d *daemon.Daemon) (unanswered int) {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, o.grace)
+	defer cancel()
+	return d.Stop(ctx)
 }
--- /dev/null
+++ b/internal/command/trace_span.go
@@ -0,0 +1,71 @@
+package command
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"grebeglade/trace"
+)
+
+// spanFlags are the bounds of a span of time as the flags give them: absolute, or relative to the first record.
+type spanFlags struct{ from, to string }
+
+func (f *spanFlags) add(c *cobra.Command) {
+	c.Flags().StringVar(&f.from, "from", "", `from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
+	c.Flags().StringVar(&f.to, "to", "", "up to this time, in the same forms")
+}
+
+// span returns the bounds as times, by what the files hold.
+func (f *spanFlags) span(files traceFiles) (trace.Span, error) {
+	first := firstMillis(files)
+	from, err := parseTime("from", f.from, first)
+	if err != nil {
+		return trace.Span{}, err
+	}
+	to, err := parseTime("to", f.to, first)
+	if err != nil {
+		return trace.Span{}, err
+	}
+	if from != 0 && to != 0 && from > to {
+		return trace.Span{}, fmt.Errorf("--from %s is after --to %s", f.from, f.to)
+	}
+	return trace.Span{FromMs: from, ToMs: to}, nil
+}
+
+// parseTime returns Unix milliseconds, 0 for "". A text that begins with "+" is relative to the first record.
+func parseTime(flag, text string, first float64) (float64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	if offset, relative := strings.CutPrefix(text, "+"); relative {
+		d, err := time.ParseDuration(offset)
+		if err != nil {
+			return 0, fmt.Errorf(`--%s %q is no time; write one such as "+90s"`, flag, text)
+		}
+		return first + milliseconds(d), nil
+	}
+	t, err := time.Parse(time.RFC3339Nano, text)
+	if err != nil {
+		return 0, fmt.Errorf(`--%s %q is no time; write one such as "2026-03-02T07:15:00Z" or "+90s"`, flag, text)
+	}
+	return float64(t.UnixNano()) / float64(time.Millisecond), nil
+}
+
+// firstMillis returns the time of the earliest record, 0 if there is none.
+func firstMillis(files traceFiles) (first float64) {
+	for _, r := range files {
+		if at := r.First(); at != 0 && (first == 0 || at < first) {
+			first = at
+		}
+	}
+	return first
+}
+
+// formatTime formats Unix milliseconds.
+func formatTime(unixMs float64) string {
+	const microsPerMilli = 1000
+	return time.UnixMicro(int64(unixMs * microsPerMilli)).UTC().Format("2006-01-02T15:04:05.000Z")
+}
--- /dev/null
+++ b/internal/command/trace_summary.go
@@ -0,0 +1,83 @@
+package command
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"grebeglade/trace"
+)
+
+const maxRejectionsShown = 20 // --json shows all
+
+func traceSummaryCommand() *cobra.Command {
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "summary FILE|DIR...",
+		Short: "Count requests, outcomes, waits and rejections by nodes",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: withTraces(func(c *cobra.Command, files traceFiles) error {
+			s, err := trace.Summarise(files)
+			if err != nil {
+				return runError{err}
+			}
+			if asJSON {
+				return printJSON(c, s)
+			}
+			return printSummary(c, s)
+		}),
+	}
+	jsonFlag(c, &asJSON)
+	return c
+}
+
+func printSummary(c *cobra.Command, s *trace.Summary) error {
+	c.Printf("%d records of %s, from %s to %s\n\n", s.Records, strings.Join(s.Sources, ", "), formatTime(s.FromMs), formatTime(s.ToMs))
+	rows := [][]string{{
+		"GROUP", "ASKS", "PLACED", "REJECTED", "UNSCHEDULABLE", "OPEN", "BINDS", "WAIT, MEDIAN", "P99", "LONGEST",
+	}}
+	for _, g := range s.Groups {
+		rows = append(rows, outcomesRow(g))
+	}
+	if err := printTable(c, rows); err != nil {
+		return err
+	}
+	c.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.Unclear, s.NotThere)
+	if err := printRejections(c, s.Refusals); err != nil {
+		return err
+	}
+	if s.Missing > 0 {
+		c.Printf("MISSING: %d records could not be recorded\n", s.Missing)
+	}
+	for _, d := range s.Damage {
+		c.Printf("DAMAGED: %s\n", d)
+	}
+	return nil
+}
+
+func outcomesRow(g *trace.Outcomes) []string {
+	ms := func(v float64) string { return fmt.Sprintf("%.1f ms", v) }
+	return []string{
+		g.Group, strconv.Itoa(g.Asks), strconv.Itoa(g.Placed), strconv.Itoa(g.Rejected), strconv.Itoa(g.Unschedulable),
+		strconv.Itoa(g.Open), strconv.Itoa(g.Binds), ms(g.MedianMs), ms(g.P99Ms), ms(g.MaxMs),
+	}
+}
+
+func printRejections(c *cobra.Command, rejections []trace.Refusals) error {
+	if len(rejections) == 0 {
+		return nil
+	}
+	rows := [][]string{{"", ""}, {"NODE", "REFUSED FOR", "TIMES"}}
+	for _, r := range rejections[:min(len(rejections), maxRejectionsShown)] {
+		rows = append(rows, []string{formatUint(r.Node), r.Reason, strconv.Itoa(r.Count)})
+	}
+	if err := printTable(c, rows); err != nil {
+		return err
+	}
+	if more := len(rejections) - maxRejectionsShown; more > 0 {
+		c.Printf("and %d more; --json lists all\n", more)
+	}
+	return nil
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon puts a running allocator together from its configuration, and takes it apart again.
+// Package daemon assembles a running allocator from its configuration: frontend, event loop, durable binds and trace. It
+// starts them in order, drains and stops them.
 package daemon
 
 import (
@@ -6,7 +7,6 @@
 	"crypto/rand"
 	"encoding/binary"
 	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"time"
@@ -19,127 +19,132 @@
 	"grebeglade/trace/tracepb"
 )
 
-const lookEvery = 20 * time.Millisecond // while it waits for the last answers
+const drainPollInterval = 20 * time.Millisecond // between looks at whether all requests are answered
 
-// Daemon is an allocator that listens.
+// Daemon is a running allocator.
 type Daemon struct {
-	Addr string // where it listens
-	loop *transport.Loop
-	port *native.Frontend
-	log  *slog.Logger
+	Addr string // address that it listens on
 
+	loop     *transport.Loop
+	frontend *native.Frontend
+	log      *slog.Logger
 	recorder *trace.Recorder // nil without a trace
-	journal  *BindStore      // nil without state
+	binds    *BindStore      // nil without durable state
 }
 
-// Logger makes the logger that the configuration asks for.
-func Logger(c config.Log, w io.Writer) *slog.Logger {
-	var level slog.Level
-	if err := level.UnmarshalText([]byte(c.Level)); err != nil {
-		level = slog.LevelInfo
+// Start assembles an allocator and begins to serve. If any part cannot start, those before it are stopped.
+func Start(c *config.Allocator, log *slog.Logger) (*Daemon, error) {
+	seed, err := randomSeed()
+	if err != nil {
+		return nil, err
 	}
-	o := &slog.HandlerOptions{Level: level}
-	if c.Format == "json" {
-		return slog.New(slog.NewJSONHandler(w, o))
+	log = log.With("allocator", c.Name)
+	d := &Daemon{loop: transport.NewLoop(log), log: log}
+	if err := d.start(c, d.frontendConfig(c, seed)); err != nil {
+		d.close()
+		return nil, err
 	}
-	return slog.New(slog.NewTextHandler(w, o))
+	log.Info("serving", "listen", d.Addr, "discovery", c.DiscoveryAddress, "pid", os.Getpid())
+	return d, nil
 }
 
-// Start listens and begins to serve.
-func Start(c *config.Allocator, log *slog.Logger) (*Daemon, error) {
+func randomSeed() (uint64, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return nil, fmt.Errorf("draw a seed: %w", err)
+		return 0, fmt.Errorf("draw a seed: %w", err)
 	}
-	log = log.With("allocator", c.Name)
-	d := &Daemon{loop: transport.NewLoop(log), log: log}
-	pc := native.Config{
-		Name: c.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: binary.LittleEndian.Uint64(seed[:]),
-		Settings: c.Settings, Groups: c.GroupNames, Kinds: c.KindNames, Zone: c.Zone, DiscoveryAddress: c.DiscoveryAddress,
-		MaxWorkloads: c.Limits.MaxWorkloads, Log: log, WallClockOffset: float64(time.Now().UnixNano())/1e6 - float64(d.loop.Now()),
+	return binary.LittleEndian.Uint64(seed[:]), nil
+}
+
+func (d *Daemon) frontendConfig(c *config.Allocator, seed uint64) *native.Config {
+	now := time.Now()
+	return &native.Config{
+		Name: c.Name, Incarnation: uint64(now.UnixNano()), Seed: seed, Settings: c.Settings, Groups: c.GroupNames,
+		Kinds: c.KindNames, Zone: c.Zone, DiscoveryAddress: c.DiscoveryAddress, MaxWorkloads: c.Limits.MaxWorkloads, Log: d.log,
+		WallClockOffset: unixMillis(now) - float64(d.loop.Now()),
 	}
+}
+
+// start opens the durable state first, since it decides the incarnation, and listens last.
+func (d *Daemon) start(c *config.Allocator, fc *native.Config) (err error) {
 	if c.State.Dir != "" {
-		j, err := OpenBindStore(c.State, &pc, d.loop, log)
-		if err != nil {
-			d.loop.Close()
-			return nil, err
+		if d.binds, err = OpenBindStore(c.State, fc, d.loop, d.log); err != nil {
+			return err
 		}
-		d.journal = j
 	}
 	if c.Trace.Dir != "" {
-		source := &tracepb.Source{Allocator: pc.Name, Incarnation: pc.Incarnation, WallMs: pc.WallClockOffset}
-		r, err := trace.NewRecorder(c.Trace.Dir, source, trace.Limits{
-			FileBytes: c.Trace.File, FileAge: time.Duration(float64(c.Trace.Age) * 1e6), TotalBytes: c.Trace.Total,
-		}, log)
-		if err != nil {
-			d.loop.Close()
-			d.closeJournal()
-			return nil, err
+		if d.recorder, err = newRecorder(c.Trace, fc, d.log); err != nil {
+			return err
 		}
-		d.recorder, pc.Trace = r, r
+		fc.Trace = d.recorder
 	}
-	d.port = native.New(pc)
-	if d.journal != nil {
-		d.journal.Attach(d.port)
+	d.frontend = native.New(*fc)
+	if d.binds != nil {
+		d.binds.Attach(d.frontend)
 	}
 	limits := transport.Limits{
 		MaxFrameSize: int(c.Limits.MaxFrameBytes), MaxWriteBuffer: int(c.Limits.MaxWriteBuffer), MaxConnections: c.Limits.MaxConnections,
 	}
-	addr, err := d.loop.ListenFrames(d.port, c.ListenAddress, limits)
-	if err != nil {
-		d.loop.Close()
-		d.endTrace()
-		d.closeJournal()
-		return nil, err
+	if d.Addr, err = d.loop.ListenFrames(d.frontend, c.ListenAddress, limits); err != nil {
+		return err
 	}
-	d.Addr = addr
 	d.loop.Run()
-	log.Info("serving", "listen", addr, "list", c.DiscoveryAddress, "pid", os.Getpid())
-	return d, nil
+	return nil
 }
 
-// Stop turns every further ask away, waits until what is held has its answer or ctx ends, and leaves. What is
-// placed runs on. It returns the number of workloads that were left without an answer.
-func (d *Daemon) Stop(ctx context.Context) int {
-	d.loop.Call(d.port, func(placement.Millis) { d.port.Drain() })
-	tick := time.NewTicker(lookEvery)
+func newRecorder(c config.Trace, fc *native.Config, log *slog.Logger) (*trace.Recorder, error) {
+	source := &tracepb.Source{Allocator: fc.Name, Incarnation: fc.Incarnation, WallMs: fc.WallClockOffset}
+	return trace.NewRecorder(c.Dir, source, trace.Limits{
+		FileBytes: c.MaxFileBytes, FileAge: duration(c.MaxFileAge), TotalBytes: c.MaxTotalBytes,
+	}, log)
+}
+
+// Stop rejects new requests, waits until pending ones are answered or ctx ends, and stops the allocator. Placed
+// workloads keep running. It returns the number of workloads without an answer.
+func (d *Daemon) Stop(ctx context.Context) (unanswered int) {
+	d.loop.Call(d.frontend, func(placement.Millis) { d.frontend.Drain() })
+	unanswered = d.awaitAnswers(ctx)
+	d.close()
+	c := d.frontend.Counters
+	d.log.Info("stopped", "unanswered", unanswered, "requests", c.Requests, "placed", c.Placed, "rejected", c.Rejected,
+		"not_admitted", c.NotAdmitted, "unschedulable", c.Unschedulable, "withdrawn", c.Withdrawn)
+	return unanswered
+}
+
+// awaitAnswers returns the number of pending workloads once it is 0 or ctx has ended.
+func (d *Daemon) awaitAnswers(ctx context.Context) int {
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	left := d.pending()
-	d.log.Info("stopping: no new asks", "pending", left)
-	for left > 0 && ctx.Err() == nil {
+	pending := d.pending()
+	d.log.Info("draining", "pending", pending)
+	for pending > 0 && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-tick.C:
-			left = d.pending()
+			pending = d.pending()
 		}
 	}
-	d.loop.Close()
-	d.endTrace()
-	d.closeJournal()
-	c := d.port.Counters
-	d.log.Info("stopped", "unanswered", left, "asks", c.Requests, "placed", c.Placed, "rejected", c.Rejected,
-		"turned", c.NotAdmitted, "unschedulable", c.Unschedulable, "withdrawn", c.Withdrawn)
-	return left
+	return pending
+}
+
+// pending returns the number of workloads without a final answer.
+func (d *Daemon) pending() (n int) {
+	d.loop.Call(d.frontend, func(placement.Millis) { n = d.frontend.Pending() })
+	return n
 }
 
-// endTrace writes what is left of the trace, once the port has come to rest.
-func (d *Daemon) endTrace() {
+// close stops the event loop, then what it writes to.
+func (d *Daemon) close() {
+	d.loop.Close()
 	if d.recorder != nil {
-		d.port.FlushTrace()
+		if d.frontend != nil {
+			d.frontend.FlushTrace()
+		}
 		d.recorder.Close()
 	}
-}
-
-// closeJournal has what was written last, and lets go of the directory.
-func (d *Daemon) closeJournal() {
-	if d.journal != nil {
-		if err := d.journal.Close(); err != nil {
-			d.log.Error("closing the state directory", "err", err)
+	if d.binds != nil {
+		if err := d.binds.Close(); err != nil {
+			d.log.Error("state directory not closed", "error", err)
 		}
 	}
 }
-
-func (d *Daemon) pending() (n int) {
-	d.loop.Call(d.port, func(placement.Millis) { n = d.port.Pending() })
-	return n
-}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"fmt"
 	"io"
-	"net"
 	"sync"
 	"testing"
 	"time"
@@ -14,12 +12,11 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/config"
-	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// start is a daemon without any node: its list is nowhere.
-func start(t *testing.T) *Daemon {
+// startWithoutNodes starts an allocator whose discovery service does not exist, so that it knows no node.
+func startWithoutNodes(t *testing.T) *Daemon {
 	t.Helper()
 	c, err := config.Decode("t.hcl", []byte(`
 allocator {
@@ -35,71 +32,41 @@
 }
 `))
 	require.NoError(t, err)
-	d, err := Start(c, Logger(c.Log, io.Discard))
+	d, err := Start(c, NewLogger(c.Log, io.Discard))
 	require.NoError(t, err)
 	return d
 }
 
-func send(c net.Conn, f *pb.Frame) error {
-	b, err := transport.AppendFrame(nil, f)
-	if err == nil {
-		_, err = c.Write(b)
-	}
-	return err
-}
-
-func receive(c net.Conn) (*pb.Frame, error) {
-	if err := c.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
-		return nil, err
-	}
-	var head [4]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
-		return nil, err
-	}
-	body := make([]byte, binary.BigEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(c, body); err != nil {
-		return nil, err
-	}
-	return transport.DecodeFrame(body)
-}
-
-// asks has an owner ask once, and returns its one answer.
-func asks(addr, owner string) (*pb.Answer, error) {
-	c, err := net.Dial("tcp", addr)
+// request connects as a client of that number, sends one request and returns its answer.
+func request(address string, number uint64) (*pb.Answer, error) {
+	p, err := dial(address, fmt.Sprintf("client-%d", number), 1)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	ask := &pb.Ask{Ask: 1, Key: uint64(len(owner)), Group: "serve", Cores: 1, Memory: 1, LeftMs: 5000}
-	if _, err := fmt.Sscanf(owner, "owner-%d", &ask.Key); err != nil {
-		return nil, err
-	}
-	for _, f := range []*pb.Frame{
-		transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: owner, Incarnation: 1}), {Body: &pb.Frame_Ask{Ask: ask}},
-	} {
-		if err := send(c, f); err != nil {
-			return nil, err
-		}
-	}
-	if _, err := receive(c); err != nil {
+	defer p.close()
+	err = p.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+		Ask: 1, Key: number, Group: "serve", Cores: 1, Memory: 1, LeftMs: 5000,
+	}}})
+	if err != nil {
 		return nil, err
 	}
-	f, err := receive(c)
+	f, err := p.receive()
 	if err != nil {
 		return nil, err
 	}
 	return f.GetAnswer(), nil
 }
 
-func TestAThousandOwnersAtOnceOnADaemonWithoutNodesAreAllRejected(t *testing.T) {
-	d := start(t)
+func TestDaemon_ThousandClientsAtOnceWithoutNodesAreAllRejected(t *testing.T) {
+	const clients = 1000
+	d := startWithoutNodes(t)
 	var wg sync.WaitGroup
-	results := make(chan string, 1000)
-	for i := range 1000 {
+	results := make(chan string, clients)
+	for i := range uint64(clients) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			a, err := asks(d.Addr, fmt.Sprintf("owner-%d", i+1))
+			a, err := request(d.Addr, i+1)
 			results <- fmt.Sprint(a.GetVerdict(), a.GetReason(), err)
 		}()
 	}
@@ -111,29 +78,69 @@
 	assert.Zero(t, d.Stop(context.Background()))
 }
 
-func TestADaemonThatStopsAnswersWhatItHoldsAndTurnsTheRestAway(t *testing.T) {
-	d := start(t)
-	held := make(chan string, 1)
+func TestDaemonStop_AnswersPendingRequestsAndRejectsNewOnes(t *testing.T) {
+	d := startWithoutNodes(t)
+	pending := make(chan string, 1)
 	go func() {
-		a, err := asks(d.Addr, "owner-1")
-		held <- fmt.Sprint(a.GetReason(), err)
+		a, err := request(d.Addr, 1)
+		pending <- fmt.Sprint(a.GetReason(), err)
 	}()
 	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
 	stopped := make(chan int, 1)
 	go func() { stopped <- d.Stop(context.Background()) }()
-	a, err := asks(d.Addr, "owner-2")
-	if err == nil { // unless it had left by then
+	a, err := request(d.Addr, 2)
+	if err == nil { // unless it had stopped by then
 		assert.Equal(t, "the allocator is stopping; ask another", a.GetReason())
 	}
-	assert.Equal(t, "no node is known<nil>", <-held)
+	assert.Equal(t, "no node is known<nil>", <-pending)
 	assert.Zero(t, <-stopped)
 }
 
-func TestADaemonThatMayNotWaitSaysWhatItLeaves(t *testing.T) {
-	d := start(t)
-	go asks(d.Addr, "owner-1")
+func TestDaemonStop_EndedContextReturnsNumberOfUnanswered(t *testing.T) {
+	d := startWithoutNodes(t)
+	go func() { _, _ = request(d.Addr, 1) }() // it gets no answer
 	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.Equal(t, 1, d.Stop(ctx))
 }
+
+func TestStart_FailedListenReleasesStateDirectory(t *testing.T) {
+	d := startWithoutNodes(t)
+	defer d.Stop(context.Background())
+	c := minimalConfig(t.TempDir())
+	c.ListenAddress = d.Addr // in use
+
+	_, err := Start(c, NewLogger(c.Log, io.Discard))
+	require.ErrorContains(t, err, "address already in use")
+
+	c.ListenAddress = "127.0.0.1:0"
+	other, err := Start(c, NewLogger(c.Log, io.Discard))
+	require.NoError(t, err)
+	assert.Zero(t, other.Stop(context.Background()))
+}
+
+func TestStart_StateDirectoryInUseIsAnError(t *testing.T) {
+	c := minimalConfig(t.TempDir())
+	d, err := Start(c, NewLogger(c.Log, io.Discard))
+	require.NoError(t, err)
+	_, err = Start(c, NewLogger(c.Log, io.Discard))
+	require.ErrorContains(t, err, "another process holds the directory")
+
+	require.NoError(t, d.binds.Close())
+	d.binds = nil
+	d.loop.Close()
+	again, err := Start(c, NewLogger(c.Log, io.Discard))
+	require.NoError(t, err)
+	again.loop.Close()
+	require.NoError(t, again.binds.Close())
+}
+
+// minimalConfig has a state directory and neither kinds nor groups.
+func minimalConfig(stateDir string) *config.Allocator {
+	return &config.Allocator{
+		Name: "a", ListenAddress: "127.0.0.1:0",
+		Limits: config.Limits{MaxFrameBytes: 1 << 20, MaxWriteBuffer: 1 << 20, MaxConnections: 10},
+		State:  config.State{Dir: stateDir, Retention: 1000, MaxEntries: 10, Sync: config.SyncGroup},
+	}
+}
--- /dev/null
+++ b/internal/daemon/logger.go
@@ -0,0 +1,21 @@
+package daemon
+
+import (
+	"io"
+	"log/slog"
+
+	"grebeglade/config"
+)
+
+// NewLogger returns a logger of the configured level and format. A level that is not known counts as "info".
+func NewLogger(c config.Log, w io.Writer) *slog.Logger {
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(c.Level)); err != nil {
+		level = slog.LevelInfo
+	}
+	options := &slog.HandlerOptions{Level: level}
+	if c.Format == "json" {
+		return slog.New(slog.NewJSONHandler(w, options))
+	}
+	return slog.New(slog.NewTextHandler(w, options))
+}
