--- a/internal/compatibility/operator_test.go
+++ b/internal/compatibility/operator_test.go
@@ -1,6 +1,7 @@
 package compatibility_test
 
 import (
+	"errors"
 	"fmt"
 	"grebeglade/internal/link"
 	"net"
@@ -39,8 +40,8 @@
 	return listener.Addr().String()
 }
 
-func answerOne(conn net.Conn, answer func(request *pb.Frame) []*pb.Frame) error {
-	defer conn.Close() //nolint:errcheck // the peer may have closed it first
+func answerOne(conn net.Conn, answer func(request *pb.Frame) []*pb.Frame) (err error) {
+	defer func() { err = errors.Join(err, conn.Close()) }()
 	if err := conn.SetDeadline(time.Now().Add(stubTimeout)); err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/compatibility/platform_process_test.go
@@ -0,0 +1,178 @@
+package compatibility_test
+
+import (
+	"bufio"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"grebeglade/internal/command"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// runAsProgram has the test's binary be the program itself, with the command line that it holds.
+const runAsProgram = "GREBEGLADE_COMPATIBILITY_COMMAND"
+
+func TestMain(m *testing.M) {
+	if line := os.Getenv(runAsProgram); line != "" {
+		os.Exit(command.Run(strings.Fields(line), os.Stdout, os.Stderr))
+	}
+	os.Exit(m.Run())
+}
+
+const platformConfig = `{"name":"one","listen":"127.0.0.1:0","seed":"05","journal":%q,
+"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":1,"entries":[{"hosts":{"snapshot":true,"endpoints":[
+{"name":"s-00","address":%q,"zone":"z","type":"small","group":0,"status":"Ready","since_ms":0,"room":[20,40]}]}}]},
+"settings":{"balancers":1,"ordinal":0,"zones":["z"],"kinds":["small"],"discovery":"automatic",
+ "contract":{"cold_ns":17000000000,"cold_from":0.28,"overload_for_ns":2000000000},"report":{"fields":["x0"]},
+ "permissions":{"most_tries":4,"probes":false,"connect_timeout_ns":250000000},
+ "request_classes":[{"name":"tiles","aim_ns":1000000000,"effect":"read_like","value":1}],
+ "family_info":{"cold_bears":54,"confirms":"running","report_counts":"used","free_in_list":true,"kind_cores":[20],
+  "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],"kind_by_class":[-1]}}}`
+
+// timeLeft is the parameter of a message to a node that says how many milliseconds are left, which no two runs share.
+var timeLeft = regexp.MustCompile(`120004(3[0-9]){4}`)
+
+// conversation is what passes between the program and its peers, in the order of the test.
+type conversation struct {
+	t          *testing.T
+	text       strings.Builder
+	client     net.Conn
+	clientRead *bufio.Reader
+	node       net.Conn
+}
+
+func (c *conversation) clientSends(line string) {
+	c.t.Helper()
+	fmt.Fprintf(&c.text, "client sends %s\n", line)
+	_, err := io.WriteString(c.client, line+"\n")
+	require.NoError(c.t, err)
+}
+
+func (c *conversation) clientReceives() {
+	c.t.Helper()
+	line, err := c.clientRead.ReadString('\n')
+	require.NoError(c.t, err)
+	fmt.Fprintf(&c.text, "client receives %s", line)
+}
+
+func (c *conversation) nodeSends(message string) {
+	c.t.Helper()
+	fmt.Fprintf(&c.text, "node sends %s\n", message)
+	b, err := hex.DecodeString(message)
+	require.NoError(c.t, err)
+	_, err = c.node.Write(binary.BigEndian.AppendUint16(nil, uint16(len(b))))
+	require.NoError(c.t, err)
+	_, err = c.node.Write(b)
+	require.NoError(c.t, err)
+}
+
+func (c *conversation) nodeReceives() {
+	c.t.Helper()
+	var size [2]byte
+	_, err := io.ReadFull(c.node, size[:])
+	require.NoError(c.t, err)
+	b := make([]byte, binary.BigEndian.Uint16(size[:]))
+	_, err = io.ReadFull(c.node, b)
+	require.NoError(c.t, err)
+	fmt.Fprintf(&c.text, "node receives %s\n", timeLeft.ReplaceAllString(hex.EncodeToString(b), "120004LEFT"))
+}
+
+// startPlatform starts the program with one node that is listening, and returns its address.
+func startPlatform(t *testing.T, discovery, node string) (addr string) {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, platformConfig, discovery, node), 0o600))
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	addr = free.Addr().String()
+	require.NoError(t, free.Close())
+	program := exec.Command(os.Args[0])
+	program.Env = append(os.Environ(), runAsProgram+"=platform", "NODE_CONFIG="+file, "NODE_LISTEN="+addr)
+	log, err := program.StderrPipe()
+	require.NoError(t, err)
+	require.NoError(t, program.Start())
+	t.Cleanup(func() {
+		assert.NoError(t, program.Process.Kill())
+		var exit *exec.ExitError
+		assert.ErrorAs(t, program.Wait(), &exit, "it was killed")
+	})
+	first, err := bufio.NewReader(log).ReadString('\n')
+	require.NoError(t, err)
+	require.Contains(t, first, "serving")
+	return addr
+}
+
+func TestPlatformProcess_SpeaksAsStored(t *testing.T) {
+	requests := make(chan string, 10)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		requests <- fmt.Sprintf("%s %s Accept=%s Last-Event-ID=%s", r.Method, r.URL, r.Header.Get("Accept"), r.Header.Get("Last-Event-ID"))
+		for r.Context().Err() == nil {
+			if _, err := io.WriteString(w, ": here\n\n"); err != nil {
+				return
+			}
+			if err := http.NewResponseController(w).Flush(); err != nil {
+				return
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+	}))
+	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
+	nodes, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { assert.NoError(t, nodes.Close()) })
+	addr := startPlatform(t, discovery.Listener.Addr().String(), nodes.Addr().String())
+
+	c := &conversation{t: t}
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Log(c.text.String())
+		}
+	})
+	fmt.Fprintf(&c.text, "discovery receives %s\n", <-requests)
+	c.client, err = net.Dial("tcp", addr)
+	require.NoError(t, err)
+	defer func() { assert.NoError(t, c.client.Close()) }()
+	require.NoError(t, c.client.SetDeadline(time.Now().Add(stubTimeout)))
+	c.clientRead = bufio.NewReader(c.client)
+	c.clientSends(`{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}`)
+	c.clientReceives()
+
+	const start = `{"verb":"START","tag":"%016x","opts":{"class":%q,"left":"6000","key":"aa","extras":"cores:1;memory:1;service:7"},"blob":"a <b> é"}`
+	c.clientSends(fmt.Sprintf(start, 2, "tiles"))
+	c.node, err = nodes.Accept()
+	require.NoError(t, err)
+	defer func() { assert.NoError(t, c.node.Close()) }()
+	require.NoError(t, c.node.SetDeadline(time.Now().Add(stubTimeout)))
+	c.nodeReceives()
+	c.nodeSends("09" + "0000000000000002" + "220008" + "78303a31362e3030" + "2e0008" + "74616b656e206279")
+	c.clientReceives()
+	c.nodeSends("2c" + "0000000000000002" + "1e0003" + "637075" + "280003" + "302e35") // cores used
+	c.clientSends(`{"verb":"FINISH","tag":"0000000000000002","opts":{},"rc":31}`)
+	c.nodeReceives()
+
+	c.clientSends(fmt.Sprintf(start, 3, "tiles"))
+	c.nodeReceives()
+	c.nodeSends("09" + "0000000000000003" + "2e0000")
+	c.clientReceives()
+	c.nodeSends("0c" + "0000000000000003" + "1e0003" + "6f6f6d" + "2c0001" + "29") // evicted
+	c.clientReceives()
+
+	c.clientSends(fmt.Sprintf(start, 4, "unknown"))
+	c.clientReceives()
+	_, err = c.clientRead.ReadByte()
+	require.ErrorIs(t, err, io.EOF, "the connection ends after a request that no client would send")
+	compareWithStored(t, "platform/conversation.txt", c.text.String())
+}
