--- a/internal/compatibility/history_test.go
+++ b/internal/compatibility/history_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -61,6 +62,25 @@
 	return all
 }
 
+// runs are the documents that an experiment's directory holds, without what is wall time.
+func runs(t *testing.T, dir string) (all []any) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(dir, "runs.jsonl"))
+	require.NoError(t, err)
+	for line := range strings.Lines(string(text)) {
+		run, ok := roundNumbers(parseDocument(t, line)).(map[string]any)
+		require.True(t, ok)
+		values, ok := run["values"].(map[string]any)
+		require.True(t, ok)
+		require.Contains(t, run, "seconds")
+		require.Contains(t, values, "cost")
+		delete(run, "seconds")
+		delete(values, "cost")
+		all = append(all, run)
+	}
+	return all
+}
+
 func TestExperimentJSON_AsStored(t *testing.T) {
 	stored := filepath.Join("testdata", "experiment", "stored")
 	_, out, stderr := runCommand("lab", "compare", stored+":none", stored+":crash", "--json")
@@ -72,6 +92,7 @@
 	compareWithStored(t, "json/lab-run.json", stableJSON(t, out, "seconds"))
 
 	assert.Equal(t, figures(t, stored), figures(t, made), "the scenarios came out otherwise")
+	assert.ElementsMatch(t, runs(t, stored), runs(t, made), "the runs are written otherwise")
 }
 
 func TestExperiment_StoredRunsAreContinued(t *testing.T) {
--- a/internal/compatibility/platform_process_test.go
+++ b/internal/compatibility/platform_process_test.go
@@ -54,6 +54,18 @@
 	node       net.Conn
 }
 
+// newConversation is an empty conversation, which is logged where the test fails.
+func newConversation(t *testing.T) *conversation {
+	t.Helper()
+	c := &conversation{t: t}
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Log(c.text.String())
+		}
+	})
+	return c
+}
+
 func (c *conversation) clientSends(line string) {
 	c.t.Helper()
 	fmt.Fprintf(&c.text, "client sends %s\n", line)
@@ -115,8 +127,9 @@
 	return addr
 }
 
-func TestPlatformProcess_SpeaksAsStored(t *testing.T) {
-	requests := make(chan string, 10)
+// stubDiscovery is a discovery service without events, which reports the requests that it gets.
+func stubDiscovery(t *testing.T, requests chan<- string) (addr string) {
+	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests <- fmt.Sprintf("%s %s Accept=%s Last-Event-ID=%s", r.Method, r.URL, r.Header.Get("Accept"), r.Header.Get("Last-Event-ID"))
 		for r.Context().Err() == nil {
@@ -130,17 +143,18 @@
 		}
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
+	return discovery.Listener.Addr().String()
+}
+
+func TestPlatformProcess_SpeaksAsStored(t *testing.T) {
+	requests := make(chan string, 10)
+	discovery := stubDiscovery(t, requests)
 	nodes, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, nodes.Close()) })
-	addr := startPlatform(t, discovery.Listener.Addr().String(), nodes.Addr().String())
+	addr := startPlatform(t, discovery, nodes.Addr().String())
 
-	c := &conversation{t: t}
-	t.Cleanup(func() {
-		if t.Failed() {
-			t.Log(c.text.String())
-		}
-	})
+	c := newConversation(t)
 	fmt.Fprintf(&c.text, "discovery receives %s\n", <-requests)
 	c.client, err = net.Dial("tcp", addr)
 	require.NoError(t, err)
