--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"testing"
@@ -25,12 +26,12 @@
 				r.at(r.w.wake)
 				r.p.Wake(r.now)
 				if n := r.p.nodes[0]; n.dialling {
-					r.p.Closed(r.now, n.conn, "refused")
+					r.p.Closed(r.now, n.conn, errors.New("refused"))
 				}
 			}
 			r.at(r.now + 1)
 			if n := r.p.nodes[0]; n.dialling {
-				r.p.Closed(r.now, n.conn, "refused")
+				r.p.Closed(r.now, n.conn, errors.New("refused"))
 			}
 		}
 		return int(r.w.last - before)
@@ -80,7 +81,7 @@
 		r.update(pb.ListUpdate_WHOLE, entries...)
 		for _, n := range r.p.nodes {
 			if n.dialling {
-				r.p.Closed(r.now, n.conn, "refused")
+				r.p.Closed(r.now, n.conn, errors.New("refused"))
 			}
 		}
 		r.update(pb.ListUpdate_WHOLE, entries...)
@@ -104,7 +105,7 @@
 	cold.UpForMs = 100
 	r.update(pb.ListUpdate_WHOLE, cold)
 	born := r.p.nodes[0].entry.StartedAt
-	r.p.Closed(r.now, r.p.nodes[0].conn, "refused")
+	r.p.Closed(r.now, r.p.nodes[0].conn, errors.New("refused"))
 	r.update(pb.ListUpdate_WHOLE)
 	require.Empty(t, r.p.nodes)
 	r.at(500)
@@ -112,7 +113,7 @@
 	r.update(pb.ListUpdate_WHOLE, cold)
 	assert.Equal(t, born, r.p.nodes[0].entry.StartedAt)
 	assert.Empty(t, r.p.starts)
-	r.p.Closed(r.now, r.p.nodes[0].conn, "refused")
+	r.p.Closed(r.now, r.p.nodes[0].conn, errors.New("refused"))
 	r.update(pb.ListUpdate_WHOLE)
 	assert.Len(t, r.p.starts, 1)
 	r.at(20e3)
@@ -169,8 +170,8 @@
 		for _, o := range offers {
 			r.from(n, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: o.Bind, Why: pb.Why_FINISHED}}})
 		}
-		r.p.Closed(r.now, owner, "gone")
-		r.p.Closed(r.now, n, "gone")
+		r.p.Closed(r.now, owner, errors.New("gone"))
+		r.p.Closed(r.now, n, errors.New("gone"))
 		r.wake(r.now + 34e3)
 		clear(r.w.sent)
 		clear(r.w.closed)
@@ -205,7 +206,7 @@
 		}}
 	}
 	r.p.lastID = math.MaxUint32 - 1
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	r.again(1, 1, -1, standing(1), standing(2))
 	assert.EqualValues(t, uint32(math.MaxUint32), r.p.lastID, "the number 0 is never given out")
 	assert.Equal(t, 1, r.p.WorkloadCount())
--- a/internal/frontend/native/list.go
+++ b/internal/frontend/native/list.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"errors"
 	"maps"
 	"slices"
 
@@ -29,13 +30,13 @@
 	c := p.list.conn
 	p.timers.Schedule(now+helloWithin, func(placement.Millis) {
 		if p.list.conn == c && !p.list.ready {
-			p.drop(c, "no hello came in time")
+			p.drop(c, errors.New("no hello came in time"))
 		}
 	})
 }
 
-func (p *Frontend) listClosed(now placement.Millis, why string) {
-	p.log.Warn("no connection to the machine list", "address", p.c.DiscoveryAddress, "why", why)
+func (p *Frontend) listClosed(now placement.Millis, reason error) {
+	p.log.Warn("no connection to the machine list", "address", p.c.DiscoveryAddress, "why", reason)
 	failed := p.list.out || p.list.wanted
 	p.list.conn, p.list.ready, p.list.out, p.list.wanted = 0, false, false, false
 	if failed {
@@ -67,7 +68,7 @@
 		}
 		if refusal != "" {
 			p.list.refused = refusal
-			p.drop(p.list.conn, refusal)
+			p.drop(p.list.conn, errors.New(refusal))
 			return
 		}
 		p.list.ready, p.list.fails = true, 0
@@ -188,7 +189,7 @@
 	}
 	n.starts(now, e.Boot, e.UpForMs)
 	if n.addr != e.Address && n.conn != 0 {
-		p.drop(n.conn, "the list names another address")
+		p.drop(n.conn, errors.New("the list names another address"))
 	}
 	// Cells are told apart by their zone too: two halls may each have a rack 1, and a mark that one of them knows is
 	// not known in the other.
--- a/internal/frontend/native/nodes.go
+++ b/internal/frontend/native/nodes.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"errors"
 	"math"
 	"slices"
 
@@ -36,13 +37,13 @@
 	p.peers[c] = &peer{role: pb.Role_NODE, node: n}
 	p.timers.Schedule(now+connectWithin, func(placement.Millis) {
 		if n.conn == c && n.dialling {
-			p.drop(c, "no connection in time")
+			p.drop(c, errors.New("no connection in time"))
 		}
 	})
 }
 
 // nodeClosed takes the end of a node's connection, or that there will be none.
-func (p *Frontend) nodeClosed(now placement.Millis, c transport.ConnID, n *node, why string) {
+func (p *Frontend) nodeClosed(now placement.Millis, c transport.ConnID, n *node, reason error) {
 	if n.conn != c {
 		return
 	}
@@ -50,7 +51,7 @@
 	n.conn, n.dialling, n.ready = 0, false, false
 	if stood {
 		p.record.Add(eventlog.Event{At: now, Kind: eventlog.NodeConnection, Node: n.id})
-		p.log.Info("connection to node lost", "node", n.id, "why", why)
+		p.log.Info("connection to node lost", "node", n.id, "why", reason)
 		p.engine.ConnectionLost(now, n.id)
 		n.fails = 0
 	}
@@ -88,7 +89,7 @@
 		if refusal != "" {
 			n.refusal = refusal
 			p.log.Warn("node not used", "node", n.id, "address", n.addr, "reason", refusal)
-			p.drop(c, refusal)
+			p.drop(c, errors.New(refusal))
 			return
 		}
 		p.nodeStands(now, n, h)
--- a/internal/frontend/native/port.go
+++ b/internal/frontend/native/port.go
@@ -7,6 +7,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math"
@@ -380,13 +381,13 @@
 func (p *Frontend) refuse(c transport.ConnID, reason string) {
 	p.log.Warn("connection refused", "reason", reason)
 	p.net.Send(c, transport.RefusalFrame(reason))
-	p.drop(c, reason)
+	p.drop(c, errors.New(reason))
 }
 
 // drop ends a connection from our side.
-func (p *Frontend) drop(c transport.ConnID, why string) {
+func (p *Frontend) drop(c transport.ConnID, reason error) {
 	p.net.Close(c)
-	p.Closed(p.now, c, why)
+	p.Closed(p.now, c, reason)
 }
 
 func (p *Frontend) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
@@ -443,16 +444,16 @@
 	return standing
 }
 
-func (p *Frontend) Closed(now placement.Millis, c transport.ConnID, why string) {
+func (p *Frontend) Closed(now placement.Millis, c transport.ConnID, reason error) {
 	p.begin(now)
 	from := p.peers[c]
 	delete(p.peers, c)
 	switch {
 	case c == p.list.conn && c != 0:
-		p.listClosed(now, why)
+		p.listClosed(now, reason)
 	case from == nil:
 	case from.node != nil:
-		p.nodeClosed(now, c, from.node, why)
+		p.nodeClosed(now, c, from.node, reason)
 	case from.role == pb.Role_OWNER && p.owners[from.owner] == c:
 		delete(p.owners, from.owner)
 		p.ownerGone(now, from.owner)
--- a/internal/frontend/native/port_test.go
+++ b/internal/frontend/native/port_test.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"errors"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -190,7 +191,7 @@
 	n := r.node(1, 1)
 	r.ask(1, "once")
 	o := r.offer(n)
-	r.p.Closed(5, n, "reset")
+	r.p.Closed(5, n, errors.New("reset"))
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, r.verdicts())
 	// It was accepted after all: it may have an effect by now, so it stays, and is on our books again.
 	n = r.again(1, 1, -1, &pb.Standing{Offer: o})
@@ -201,7 +202,7 @@
 	// A restartable copy that nobody waits for is stopped.
 	r.ask(2, "serve")
 	o = r.offer(n)
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	n = r.again(1, 1, -1, &pb.Standing{Offer: o})
 	assert.Equal(t, o.Bind, r.w.take(n)[1].GetStop().GetBind())
 }
@@ -288,7 +289,7 @@
 	r.answers(n, &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 2}, false, pb.Why_NOT_HERE)
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, r.verdicts())
 	// A connection that is gone takes nothing back: only the node does, at its next hello or by starting anew.
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	assert.Equal(t, placement.Draining, r.p.nodes[0].told().State)
 	r.ask(3, "serve")
 	assert.Equal(t, map[uint64]pb.Verdict{3: pb.Verdict_REJECTED}, r.verdicts())
@@ -322,7 +323,7 @@
 func TestANodeThatIsBackSaysSoBeforeTheList(t *testing.T) {
 	r := newRig(t)
 	n := r.node(1, 1)
-	r.p.Closed(10, n, "reset")
+	r.p.Closed(10, n, errors.New("reset"))
 	r.wake(180)
 	r.ask(1, "serve")
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, r.verdicts())
@@ -335,7 +336,7 @@
 	assert.Equal(t, r.now, r.p.nodes[0].entry.StartedAt)
 	// Nor does it when the connection is gone again: found by a hunt, where a list that was late undid a drain.
 	r.listed(1, pb.NodeEntry_DRAINING, 2, -1)
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	r.listed(1, pb.NodeEntry_READY, 1, -1)
 	assert.Equal(t, placement.Draining, r.p.nodes[0].entry.State)
 }
@@ -351,7 +352,7 @@
 	r.ask(78, "once", func(a *pb.Ask) { a.Key = 5 })
 	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, r.verdicts(), "it stands already")
 	// Told again at the next connection, it is the same one; withdrawn, it is stopped by its own name.
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	n = r.again(1, 1, -1, old)
 	assert.Equal(t, 1, r.p.WorkloadCount())
 	r.from(ownerConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: 77}}})
@@ -383,7 +384,7 @@
 	r.answers(n, o.Bind, true, 0)
 	r.from(ownerConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: 1}}})
 	assert.NotNil(t, r.w.take(n)[0].GetStop())
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	n = r.again(1, 1, -1, &pb.Standing{Offer: o})
 	assert.Equal(t, o.Bind, r.w.take(n)[1].GetStop().GetBind())
 }
@@ -395,7 +396,7 @@
 	r.answers(n, r.offer(n).Bind, true, 0)
 	r.ask(2, "serve")
 	r.offer(n)
-	r.p.Closed(r.now, ownerConn, "reset")
+	r.p.Closed(r.now, ownerConn, errors.New("reset"))
 	assert.Equal(t, uint64(1), r.p.Counters.Withdrawn, "what was pending can be told no answer")
 	r.p.Opened(r.now, secondOwner)
 	r.from(secondOwner, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
@@ -403,7 +404,7 @@
 	require.Len(t, standing, 1)
 	assert.Equal(t, uint64(1), standing[0].Offer.Ask.Ask)
 	r.listed(1, pb.NodeEntry_GONE, 1, -1)
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	assert.Equal(t, pb.Why_LOST, r.w.take(secondOwner)[0].GetOver().Why)
 }
 
@@ -524,7 +525,7 @@
 	}
 	assert.Equal(t, 2, keeps)
 	// A Keep that was lost with the connection is repeated to the node that does not know it.
-	r.p.Closed(r.now, n, "reset")
+	r.p.Closed(r.now, n, errors.New("reset"))
 	n = r.again(1, 1, -1, &pb.Standing{Offer: offers[0], Running: true, Kept: true}, &pb.Standing{Offer: offers[1], Running: true})
 	sent := r.w.take(n)[1:]
 	require.Len(t, sent, 1)
@@ -603,7 +604,7 @@
 	assert.Empty(t, r.verdicts())
 	assert.EqualValues(t, 2, r.p.Counters.DuplicateRequests)
 	// Another connection is another conversation: an owner that starts anew may count from 1 again.
-	r.p.Closed(r.now, ownerConn, "gone")
+	r.p.Closed(r.now, ownerConn, errors.New("gone"))
 	r.owner(ownerConn, "o")
 	r.ask(1, "unknown")
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, r.verdicts())
@@ -652,7 +653,7 @@
 		r.ask(1, group)
 		o := r.offer(n)
 		r.from(ownerConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: 1}}})
-		r.p.Closed(r.now, n, "reset")
+		r.p.Closed(r.now, n, errors.New("reset"))
 		n = r.again(1, 1, -1, &pb.Standing{Offer: o, Running: true})
 		assert.Equal(t, o.Bind, r.w.take(n)[1].GetStop().GetBind(), group)
 		assert.Zero(t, r.p.WorkloadCount())
--- a/internal/frontend/platform/journal.go
+++ b/internal/frontend/platform/journal.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -69,12 +70,12 @@
 	p.dialJournal(now)
 }
 
-func (p *Frontend) journalClosed(now placement.Millis, why string) {
+func (p *Frontend) journalClosed(now placement.Millis, reason error) {
 	j := &p.journal
 	j.conn = 0
 	pause := p.backoff(followFirst, followMost, j.fails)
 	j.fails++
-	p.log.Info("the journal service has broken off", "why", why)
+	p.log.Info("the journal service has broken off", "why", reason)
 	p.timers.Schedule(now+pause, p.dialJournal)
 }
 
@@ -182,7 +183,7 @@
 		n.entry, n.listed = entry, true
 		p.settleAt(now, n, ends[i].Address)
 		if moved {
-			p.hangUp(now, n, "the node's address has changed")
+			p.hangUp(now, n, errors.New("the node's address has changed"))
 		}
 		switch {
 		case entry.State == placement.Removed:
@@ -218,7 +219,7 @@
 	n.addr, p.addrs[addr] = addr, n
 	if before != nil && before != n {
 		before.addr = ""
-		p.hangUp(now, before, "another node has its address")
+		p.hangUp(now, before, errors.New("another node has its address"))
 		p.dead(now, before)
 	}
 }
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"hash/fnv"
 	"slices"
 	"strconv"
@@ -59,7 +60,7 @@
 	if p.addrs[n.addr] == n {
 		delete(p.addrs, n.addr)
 	}
-	p.hangUp(now, n, "the node is gone")
+	p.hangUp(now, n, errors.New("the node is gone"))
 	n.answerWaiting(nil)
 }
 
@@ -67,7 +68,7 @@
 	n := c.node
 	c.opened, c.heard = true, now
 	if n.dialling != c {
-		p.drop(now, c, "another connection is used")
+		p.drop(now, c, errors.New("another connection is used"))
 		return
 	}
 	p.log.Debug("connected to a node", "node", n.name, "address", n.addr, "holds", len(n.holds))
@@ -80,9 +81,9 @@
 }
 
 // nodeClosed takes the end of a connection to a node, or that there will be none. What was out there may have run.
-func (p *Frontend) nodeClosed(now placement.Millis, c *conn, why string) {
+func (p *Frontend) nodeClosed(now placement.Millis, c *conn, reason error) {
 	n := c.node
-	p.log.Debug("connection to a node ended", "node", n.name, "stood", c.opened, "out", len(c.open), "holds", len(n.holds), "why", why)
+	p.log.Debug("connection to a node ended", "node", n.name, "stood", c.opened, "out", len(c.open), "holds", len(n.holds), "why", reason)
 	if n.conn == c {
 		n.conn = nil
 	}
@@ -95,7 +96,7 @@
 		n.answerWaiting(nil)
 		n.fails++
 		switch {
-		case why != transport.Refused:
+		case !errors.Is(reason, transport.ErrConnectionRefused):
 			n.refused = 0
 		case n.refused == 0:
 			n.refused = now
@@ -213,7 +214,7 @@
 	}
 	p.later = append(p.later, func(now placement.Millis) {
 		if p.conns[c.id] == c {
-			p.drop(now, c, "another connection is used")
+			p.drop(now, c, errors.New("another connection is used"))
 		}
 	})
 }
@@ -246,7 +247,7 @@
 	n := c.node
 	load, err := p.load(m)
 	if err != nil {
-		p.drop(now, c, err.Error())
+		p.drop(now, c, err)
 		return
 	}
 	wl := p.tags[m.Tag]
@@ -263,7 +264,7 @@
 	case wl == nil: // its end was said before, or it is nobody's
 	case m.Verb == codec.Started && wl.out:
 		if m.Description == nil {
-			p.drop(now, c, "an answer without a description")
+			p.drop(now, c, errors.New("an answer without a description"))
 			return
 		}
 		wl.answer, wl.placed, wl.stands = m.Description, true, now
--- a/internal/frontend/platform/owners.go
+++ b/internal/frontend/platform/owners.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -22,7 +23,7 @@
 	p.timers.Schedule(now+muteFor, func(now placement.Millis) {
 		if p.conns[id] == c && !c.spoke {
 			p.Counters.Bad++
-			p.drop(now, c, "nothing came")
+			p.drop(now, c, errors.New("nothing came"))
 		}
 	})
 }
@@ -40,7 +41,7 @@
 	if least == nil {
 		least = latest
 	}
-	p.drop(now, least, "others need the room")
+	p.drop(now, least, errors.New("others need the room"))
 }
 
 func lessMissed(x, y *conn) bool {
@@ -107,7 +108,7 @@
 	p.Counters.Bad++
 	p.log.Debug("not taken", "tag", t, "err", err)
 	p.net.Send(c.id, codec.Message{Verb: codec.Finish, Tag: t}.With(codec.Incompatible))
-	p.drop(now, c, err.Error())
+	p.drop(now, c, err)
 }
 
 // start takes a set-up: one more workload, or one that stands already.
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -262,31 +262,31 @@
 	p.settle(now)
 }
 
-func (p *Frontend) Closed(now placement.Millis, id transport.ConnID, why string) {
+func (p *Frontend) Closed(now placement.Millis, id transport.ConnID, reason error) {
 	p.now = now
-	p.closed(now, id, why)
+	p.closed(now, id, reason)
 	p.settle(now)
 }
 
-func (p *Frontend) closed(now placement.Millis, id transport.ConnID, why string) {
+func (p *Frontend) closed(now placement.Millis, id transport.ConnID, reason error) {
 	c := p.conns[id]
 	delete(p.conns, id)
 	switch {
 	case id == p.journal.conn && id != 0:
-		p.journalClosed(now, why)
+		p.journalClosed(now, reason)
 	case c == nil:
 	case c.node != nil:
 		p.toNodes--
-		p.nodeClosed(now, c, why)
+		p.nodeClosed(now, c, reason)
 	default:
 		p.ownerClosed(now, c)
 	}
 }
 
 // drop ends a connection from our side.
-func (p *Frontend) drop(now placement.Millis, c *conn, why string) {
+func (p *Frontend) drop(now placement.Millis, c *conn, reason error) {
 	p.net.Close(c.id)
-	p.closed(now, c.id, why)
+	p.closed(now, c.id, reason)
 }
 
 // inOrder returns what a table holds in the order of its ids.
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -28,14 +29,14 @@
 func TestWhatStandsIsReleasedWhenItsNodeIsNoMore(t *testing.T) {
 	for name, end := range map[string]func(r *rig){
 		"nobody listens": func(r *rig) {
-			r.Closed(r.at, r.node, "reset")
+			r.Closed(r.at, r.node, errors.New("reset"))
 			for range 8 {
 				r.pass(300)
-				r.Closed(r.at, r.w.to(nodeAddr), transport.Refused)
+				r.Closed(r.at, r.w.to(nodeAddr), transport.ErrConnectionRefused)
 			}
 		},
 		"the list says gone": func(r *rig) {
-			r.Closed(r.at, r.node, "reset")
+			r.Closed(r.at, r.node, errors.New("reset"))
 			r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Gone", 0)}}})
 		},
 		"the list says that it has started anew": func(r *rig) {
@@ -58,7 +59,7 @@
 	r := newRig(t)
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
-	r.Closed(r.at, r.owner, "closed")
+	r.Closed(r.at, r.owner, errors.New("closed"))
 	r.says(r.node, finish(7, codec.Well))
 	r.Opened(r.at, 2000)
 	r.says(2000, ask(8))
@@ -115,12 +116,12 @@
 func TestWhatWasOutOnABrokenConnectionGoesOnByItsGroup(t *testing.T) {
 	r := newRig(t)
 	r.says(r.owner, ask(7, "class", "trace"))
-	r.Closed(r.at, r.node, "reset")
+	r.Closed(r.at, r.node, errors.New("reset"))
 	assert.Equal(t, []string{"FINISH 41"}, r.heard(r.owner, 7), "it may have run, and must run once")
 
 	r = newRig(t)
 	r.says(r.owner, ask(8))
-	r.Closed(r.at, r.node, "reset")
+	r.Closed(r.at, r.node, errors.New("reset"))
 	r.pass(2500)
 	assert.Equal(t, []string{"FINISH 34"}, r.heard(r.owner, 8), "asking again does no harm")
 }
@@ -167,7 +168,7 @@
 	first := r.w.to(journalAddr)
 	assert.Equal(t, []any{codec.Follow{Host: journalAddr, After: 1}}, r.w.sent[first])
 	r.Received(r.at, first, &codec.News{Events: []codec.Event{{ID: 2, Data: listOf(2, "Terminating", 0)}}})
-	r.Closed(r.at, first, "reset")
+	r.Closed(r.at, first, errors.New("reset"))
 	r.pass(200)
 	second := r.w.to(journalAddr)
 	r.Opened(r.at, second)
@@ -194,7 +195,7 @@
 	r := newRig(t)
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
-	r.Closed(r.at, r.node, "reset")
+	r.Closed(r.at, r.node, errors.New("reset"))
 	r.says(r.owner, finish(7, codec.Well))
 	r.pass(200)
 	again := r.w.to(nodeAddr)
@@ -219,7 +220,7 @@
 		case 2:
 			r.says(c, finish(tag, codec.Well))
 		}
-		r.Closed(r.at, c, "closed")
+		r.Closed(r.at, c, errors.New("closed"))
 		r.pass(20)
 	}
 	r.pass(70e3)
@@ -247,7 +248,7 @@
 	r.says(r.owner, finish(6, codec.Well))
 	assert.Empty(t, r.heard(r.node, 7))
 	assert.Equal(t, []string{"START", "FINISH 16"}, r.heard(r.node, 6))
-	r.Closed(r.at, r.owner, "closed")
+	r.Closed(r.at, r.owner, errors.New("closed"))
 	assert.Empty(t, r.heard(r.node, 7))
 	assert.Zero(t, r.pending)
 }
@@ -360,13 +361,13 @@
 	r := newRig(t)
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
-	r.Closed(r.at, r.node, "reset")
+	r.Closed(r.at, r.node, errors.New("reset"))
 	dials, last := 0, r.node
 	for range 200 {
 		r.pass(20)
 		if c := r.w.to(nodeAddr); c != last {
 			dials, last = dials+1, c
-			r.Closed(r.at, c, transport.Refused)
+			r.Closed(r.at, c, transport.ErrConnectionRefused)
 		}
 	}
 	assert.Equal(t, 2, dials-int(r.Counters.Probes), "one that finds nobody, and one that shows that it stays so")
@@ -407,7 +408,7 @@
 	r.says(r.owner, ask(7))
 	r.says(r.node, started(7))
 	r.says(r.node, started(7))
-	r.Closed(r.at, r.node, "reset")
+	r.Closed(r.at, r.node, errors.New("reset"))
 	assert.Equal(t, []string{"STARTED"}, r.heard(r.owner, 7))
 	r.pass(200)
 	again := r.w.to(nodeAddr)
@@ -419,7 +420,7 @@
 // A bind that waits for its node's connection leaves neither for an owner that has gone nor to a node that drains.
 func TestABindThatWaitsForItsConnectionLeavesOnlyIfStillWanted(t *testing.T) {
 	for name, meanwhile := range map[string]func(r *rig, n *node){
-		"its owner has gone":    func(r *rig, _ *node) { r.Closed(r.at, r.owner, "closed") },
+		"its owner has gone":    func(r *rig, _ *node) { r.Closed(r.at, r.owner, errors.New("closed")) },
 		"its owner gives it up": func(r *rig, _ *node) { r.says(r.owner, finish(7, codec.Well)) },
 		"the node drains": func(r *rig, n *node) {
 			r.Received(r.at, r.w.to(journalAddr), &codec.News{Events: []codec.Event{{ID: 3, Data: listOf(3, "Terminating", 0)}}})
@@ -427,7 +428,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.Closed(r.at, r.node, "closed")
+			r.Closed(r.at, r.node, errors.New("closed"))
 			r.says(r.owner, ask(7))
 			dialled := r.w.to(nodeAddr)
 			require.Greater(t, dialled, r.node)
@@ -493,7 +494,7 @@
 		r.says(r.owner, ask(7))
 		r.says(r.node, started(7))
 		r.Drain(r.at)
-		r.Closed(r.at, r.node, "reset")
+		r.Closed(r.at, r.node, errors.New("reset"))
 		r.says(r.owner, finish(7, codec.Well))
 		r.pass(drainFor + 50)
 		assert.False(t, r.Drained(r.at))
@@ -556,7 +557,7 @@
 		r.says(r.owner, ask(tag))
 		r.says(r.node, started(tag))
 	}
-	r.Closed(r.at, gone, "closed")
+	r.Closed(r.at, gone, errors.New("closed"))
 	for i := range 100 {
 		r.pass(20)
 		c, tag := transport.ConnID(2000+i), codec.Tag(100+i)
--- a/internal/frontend/platform/pool.go
+++ b/internal/frontend/platform/pool.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/placement"
 )
@@ -124,7 +125,7 @@
 	}
 	n := least.node
 	if n == to {
-		p.drop(now, least, "another connection is used")
+		p.drop(now, least, errors.New("another connection is used"))
 		return true
 	}
 	n.resting = true
@@ -133,15 +134,15 @@
 			p.connect(now, n)
 		}
 	})
-	p.drop(now, least, "another node needs the descriptor")
+	p.drop(now, least, errors.New("another node needs the descriptor"))
 	return true
 }
 
 // hangUp ends all that is connected or being dialled to a node.
-func (p *Frontend) hangUp(now placement.Millis, n *node, why string) {
+func (p *Frontend) hangUp(now placement.Millis, n *node, reason error) {
 	for _, c := range []*conn{n.conn, n.dialling} {
 		if c != nil {
-			p.drop(now, c, why)
+			p.drop(now, c, reason)
 		}
 	}
 }
@@ -156,7 +157,7 @@
 func (p *Frontend) tidy(now placement.Millis) {
 	for _, c := range inOrder(p.conns) {
 		if c.node != nil && c.opened && len(c.open) == 0 && p.idle(now, c) {
-			p.drop(now, c, "it was idle")
+			p.drop(now, c, errors.New("it was idle"))
 		}
 	}
 }
--- a/internal/simulation/gate.go
+++ b/internal/simulation/gate.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"maps"
 	"math"
 	"slices"
@@ -144,7 +145,7 @@
 	}
 	g.heldOut, g.heldIn = nil, nil
 	for _, c := range g.breakAll(now) {
-		g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, "timed out") })
+		g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, errors.New("timed out")) })
 	}
 }
 
@@ -175,7 +176,7 @@
 		g.net.Close(c)
 		if g.conns[c] { // dialled by us: the party must hear that it came to nothing
 			delete(g.conns, c)
-			g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, "cut off") })
+			g.run(now, func(now placement.Millis) { g.inner.Closed(g.clock.local(now), c, errors.New("cut off")) })
 		}
 		return
 	}
@@ -211,7 +212,7 @@
 	})
 }
 
-func (g *Gate) Closed(now placement.Millis, c transport.ConnID, why string) {
+func (g *Gate) Closed(now placement.Millis, c transport.ConnID, reason error) {
 	if !g.conns[c] {
 		return
 	}
@@ -219,7 +220,7 @@
 	delete(g.held, c)
 	g.run(now, func(now placement.Millis) {
 		g.witness.Conn(now, g, c, false)
-		g.inner.Closed(g.clock.local(now), c, why)
+		g.inner.Closed(g.clock.local(now), c, reason)
 	})
 }
 
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -90,7 +90,7 @@
 
 func (l *List) Opened(now placement.Millis, c transport.ConnID) { l.readers[c] = &reader{} }
 
-func (l *List) Closed(now placement.Millis, c transport.ConnID, _ string) {
+func (l *List) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	delete(l.readers, c)
 	if id, ok := l.nodes[c]; ok {
 		delete(l.nodes, c)
--- a/internal/simulation/mishap.go
+++ b/internal/simulation/mishap.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -77,7 +78,7 @@
 		u.delay(now+mishapDelay, pass)
 	case "cut":
 		u.net.Close(c)
-		u.delay(now, func(now placement.Millis) { u.FrameHandler.Closed(now, c, "cut") })
+		u.delay(now, func(now placement.Millis) { u.FrameHandler.Closed(now, c, errors.New("cut")) })
 	case "crash":
 		u.delay(now, u.crash)
 	}
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -22,10 +22,10 @@
 	at    []placement.Millis
 }
 
-func (h *hearer) Start(placement.Millis, transport.FrameNetwork)    {}
-func (h *hearer) Opened(placement.Millis, transport.ConnID)         {}
-func (h *hearer) Closed(placement.Millis, transport.ConnID, string) {}
-func (h *hearer) Wake(now placement.Millis)                         { h.at = append(h.at, now) }
+func (h *hearer) Start(placement.Millis, transport.FrameNetwork)   {}
+func (h *hearer) Opened(placement.Millis, transport.ConnID)        {}
+func (h *hearer) Closed(placement.Millis, transport.ConnID, error) {}
+func (h *hearer) Wake(now placement.Millis)                        { h.at = append(h.at, now) }
 func (h *hearer) Received(now placement.Millis, _ transport.ConnID, f *pb.Frame) {
 	h.heard, h.at = append(h.heard, f.GetProbe().GetId()), append(h.at, now)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -180,7 +180,7 @@
 	n.wake()
 }
 
-func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ string) {
+func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	n.now = now
 	if c == n.list {
 		n.timers.Schedule(now+500, n.dialList)
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -160,7 +160,7 @@
 	o.wake()
 }
 
-func (o *Owner) Closed(now placement.Millis, c transport.ConnID, _ string) {
+func (o *Owner) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	o.now = now
 	delete(o.ready, c)
 	i := slices.Index(o.conns, c)
--- a/internal/simulation/sabotage.go
+++ b/internal/simulation/sabotage.go
@@ -71,14 +71,14 @@
 func (s *saboteur) Now() placement.Millis             { return s.net.Now() }
 func (s *saboteur) Wake(now placement.Millis)         { s.sendLate(now); s.FrameHandler.Wake(now) }
 func (s *saboteur) tamper() bool                      { s.count++; return s.count%every == 0 }
-func (s *saboteur) Closed(now placement.Millis, c transport.ConnID, why string) {
+func (s *saboteur) Closed(now placement.Millis, c transport.ConnID, reason error) {
 	for i, n := range s.nodes {
 		if n == c {
 			s.nodes = append(s.nodes[:i], s.nodes[i+1:]...)
 			break
 		}
 	}
-	s.FrameHandler.Closed(now, c, why)
+	s.FrameHandler.Closed(now, c, reason)
 }
 
 func (s *saboteur) sendLate(now placement.Millis) {
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -52,7 +52,7 @@
 	f    *pb.Frame
 	do   func(now placement.Millis)
 	wake uint64
-	why  string
+	why  error
 }
 
 // resident is a party in the virtual network, and the net that it sees.
@@ -165,7 +165,7 @@
 	a := r.newEnd()
 	var no int
 	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.v.parties) {
-		r.v.events.Push(r.v.now, event{kind: evClosed, at: r, c: a.id, why: "no party at " + addr})
+		r.v.events.Push(r.v.now, event{kind: evClosed, at: r, c: a.id, why: fmt.Errorf("no party at %s", addr)})
 		return a.id
 	}
 	b := r.v.parties[no].newEnd()
@@ -190,7 +190,7 @@
 	}
 	e.open = false
 	if e.peer != nil {
-		r.v.send(e, event{kind: evClosed, why: "closed by the peer"})
+		r.v.send(e, event{kind: evClosed, why: transport.ErrClosedByPeer})
 	}
 }
 
--- /dev/null
+++ b/internal/transport/closereason.go
@@ -0,0 +1,56 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"syscall"
+)
+
+// Classes of reasons for which a connection ends. The reason given to Closed matches at most one of them with errors.Is;
+// its text says what went wrong in detail.
+var (
+	// ErrConnectionRefused means that nothing listens at the dialled address: no byte of any message was sent.
+	ErrConnectionRefused = errors.New("connection refused")
+	// ErrDialFailed means that a dialled connection was not established for another reason, a timeout among them.
+	ErrDialFailed = errors.New("dialling failed")
+	// ErrClosedByPeer means that the peer has closed the connection.
+	ErrClosedByPeer = errors.New("closed by the peer")
+	// ErrConnectionLost means that reading or writing has failed, as after a reset.
+	ErrConnectionLost = errors.New("connection lost")
+	// ErrMalformedMessage means that the codec could not decode what the peer sent.
+	ErrMalformedMessage = errors.New("malformed message")
+	// ErrMessageTimeout means that a message was not complete within Limits.MessageTimeout.
+	ErrMessageTimeout = errors.New("a message was not whole")
+	// ErrSlowPeer means that more than Limits.MaxWriteBuffer bytes waited for the peer to read them.
+	ErrSlowPeer = errors.New("the peer does not read")
+)
+
+// closeError is an error of a class, with the text of its cause.
+type closeError struct {
+	class error
+	cause error
+}
+
+func (e *closeError) Error() string { return e.cause.Error() }
+
+func (e *closeError) Unwrap() []error { return []error{e.class, e.cause} }
+
+// dialError classifies why dialling has failed.
+func dialError(err error) error {
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return ErrConnectionRefused
+	}
+	return &closeError{class: ErrDialFailed, cause: err}
+}
+
+// socketError classifies the error with which an event loop has closed a connection; nil is for an orderly close.
+func socketError(err error) error {
+	switch {
+	case err == nil:
+		return ErrClosedByPeer
+	case errors.Is(err, io.EOF):
+		return &closeError{class: ErrClosedByPeer, cause: err}
+	default:
+		return &closeError{class: ErrConnectionLost, cause: err}
+	}
+}
--- a/internal/transport/form.go
+++ b/internal/transport/form.go
@@ -1,17 +1,12 @@
 package transport
 
 import (
-	"errors"
 	"fmt"
-	"syscall"
 
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Refused is why a dialled connection has ended where nobody listens at the address.
-const Refused = "connection refused"
-
 // Codec is how messages stand in the bytes of one connection. Cut is called by the event loop and Append by the
 // party, so the two must share nothing that changes.
 type Codec interface {
@@ -31,7 +26,7 @@
 	Start(now placement.Millis, w Network)
 	Opened(now placement.Millis, c ConnID)
 	Received(now placement.Millis, c ConnID, m any)
-	Closed(now placement.Millis, c ConnID, why string)
+	Closed(now placement.Millis, c ConnID, reason error)
 	Wake(now placement.Millis)
 }
 
@@ -94,11 +89,3 @@
 func (n frameNet) Dial(addr string) ConnID { return n.DialCodec(addr, frames{n.most}, dialWithin) }
 
 func (n frameNet) Send(c ConnID, f *pb.Frame) { n.Network.Send(c, f) }
-
-// dialError is why dialling failed, in a word where nobody listens.
-func dialError(err error) string {
-	if errors.Is(err, syscall.ECONNREFUSED) {
-		return Refused
-	}
-	return err.Error()
-}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -28,7 +28,7 @@
 	// Received hands over a frame, in the order in which the peer sent them.
 	Received(now placement.Millis, c ConnID, f *pb.Frame)
 	// Closed tells that a connection is no more, or that dialling failed. It does not follow the party's Close.
-	Closed(now placement.Millis, c ConnID, why string)
+	Closed(now placement.Millis, c ConnID, reason error)
 	// Wake is called once a time given to WakeAt has come.
 	Wake(now placement.Millis)
 }
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -88,7 +88,7 @@
 	net    FrameNetwork
 	opened int
 	asks   int
-	closed []string
+	closed []error
 	dialed ConnID
 	dial   string
 }
@@ -105,9 +105,9 @@
 	e.opened++
 	e.mu.Unlock()
 }
-func (e *echo) Closed(_ placement.Millis, _ ConnID, why string) {
+func (e *echo) Closed(_ placement.Millis, _ ConnID, reason error) {
 	e.mu.Lock()
-	e.closed = append(e.closed, why)
+	e.closed = append(e.closed, reason)
 	e.mu.Unlock()
 }
 func (e *echo) Received(_ placement.Millis, c ConnID, f *pb.Frame) {
@@ -133,10 +133,10 @@
 }
 
 // ends are the reasons for which connections closed.
-func (e *echo) ends() []string {
+func (e *echo) ends() []error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.closed...)
+	return append([]error(nil), e.closed...)
 }
 
 func listen(t *testing.T, limits Limits) (*Loop, *echo, string) {
@@ -189,7 +189,10 @@
 		assert.Error(t, err, "%v", bad)
 	}
 	e.sees(t, func() bool { return len(e.closed) == 4 })
-	assert.Contains(t, e.ends()[0], "over the limit of 1000")
+	assert.ErrorContains(t, e.ends()[0], "over the limit of 1000")
+	for _, reason := range e.ends() {
+		assert.ErrorIs(t, reason, ErrMalformedMessage)
+	}
 	assert.Equal(t, uint64(4), l.Stats.BadFrames.Load())
 	write(t, good, sample())
 	f, err := read(t, good)
@@ -218,7 +221,8 @@
 	flood.GetAsk().Key, flood.GetAsk().Group = 300, string(make([]byte, 60000))
 	write(t, slow, flood)
 	e.sees(t, func() bool { return len(e.closed) == 1 })
-	assert.Contains(t, e.ends()[0], "does not read")
+	assert.ErrorContains(t, e.ends()[0], "the peer does not read: over 262144 bytes wait for it")
+	assert.ErrorIs(t, e.ends()[0], ErrSlowPeer)
 	assert.NotZero(t, l.Stats.TooSlow.Load())
 	write(t, quick, sample())
 	_, err := read(t, quick)
@@ -280,7 +284,8 @@
 	l.Run()
 	defer l.Close()
 	e.sees(t, func() bool { return len(e.closed) == 1 })
-	assert.Contains(t, e.ends()[0], "refused")
+	assert.ErrorIs(t, e.ends()[0], ErrConnectionRefused)
+	assert.EqualError(t, e.ends()[0], "connection refused")
 	var other echo
 	_, err = l.ListenFrames(&other, "127.0.0.1:99999", DefaultLimits)
 	assert.Error(t, err)
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -264,7 +264,7 @@
 	kind itemKind
 	sock *sock
 	m    any
-	why  string
+	why  error
 	at   placement.Millis // when it was read, or is due
 	do   func(now placement.Millis)
 }
@@ -310,7 +310,7 @@
 	lane    lane
 	form    Codec
 	parts   atomic.Uint64 // odd while a message is there in part; it grows with each change
-	failed  atomic.Pointer[string]
+	failed  atomic.Pointer[error]
 	ended   atomic.Bool        // the event loop knows its end; the party may not have been told yet
 	give    context.CancelFunc // gives up dialling it
 	out     []byte
@@ -681,17 +681,17 @@
 		return nil
 	})
 	if err != nil {
-		s.fail("write: " + err.Error())
+		s.fail(&closeError{class: ErrConnectionLost, cause: fmt.Errorf("write: %w", err)})
 	}
 }
 
 func (a *actor) tooSlow(s *sock) {
 	a.loop.Stats.TooSlow.Add(1)
-	s.fail(fmt.Sprintf("the peer does not read: over %d bytes wait for it", a.limits.MaxWriteBuffer))
+	s.fail(fmt.Errorf("%w: over %d bytes wait for it", ErrSlowPeer, a.limits.MaxWriteBuffer))
 }
 
 // fail ends a connection with a reason that the party is told.
-func (s *sock) fail(why string) {
+func (s *sock) fail(why error) {
 	s.failed.CompareAndSwap(nil, &why)
 	s.gc.Close()
 }
@@ -722,11 +722,9 @@
 		e.actor.inCount.Add(-1)
 		e.actor.leave()
 	}
-	why := "closed by the peer"
+	why := socketError(err)
 	if failed := s.failed.Load(); failed != nil {
 		why = *failed
-	} else if err != nil {
-		why = err.Error()
 	}
 	e.actor.post(item{kind: itemClosed, sock: s, why: why})
 	return gnet.None
@@ -766,7 +764,7 @@
 	if err != nil {
 		e.actor.loop.Stats.BadFrames.Add(1)
 		e.actor.loop.log.Warn("connection ended", "peer", c.RemoteAddr(), "reason", err)
-		why := err.Error()
+		var why error = &closeError{class: ErrMalformedMessage, cause: err}
 		s.failed.CompareAndSwap(nil, &why)
 		return gnet.Close
 	}
@@ -788,7 +786,7 @@
 	limit := s.actor.limits.MessageTimeout
 	s.actor.post(item{kind: itemDo, at: s.actor.loop.Now() + limit, do: func(placement.Millis) {
 		if s.parts.Load() == no && !s.closing {
-			s.fail(fmt.Sprintf("a message was not whole after %v ms", limit))
+			s.fail(fmt.Errorf("%w after %v ms", ErrMessageTimeout, limit))
 		}
 	}})
 }
