--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,5 @@
-// Command drill runs the decision module on the bench's wire, on standard input and output.
+// Command simulator-adapter serves the users' simulator on standard input and output: it makes the placement decisions of
+// the allocators that are simulated.
 package main
 
 import (
