--- a/internal/command/trace_span.go
+++ b/internal/command/trace_span.go
@@ -57,7 +57,7 @@
 // firstMillis returns the time of the earliest record, 0 if there is none.
 func firstMillis(files traceFiles) (first float64) {
 	for _, r := range files {
-		if at := r.First(); at != 0 && (first == 0 || at < first) {
+		if at := r.FirstUnixMillis(); at != 0 && (first == 0 || at < first) {
 			first = at
 		}
 	}
--- a/internal/command/trace_summary.go
+++ b/internal/command/trace_summary.go
@@ -44,8 +44,8 @@
 	if err := printTable(c, rows); err != nil {
 		return err
 	}
-	c.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.Unclear, s.NotThere)
-	if err := printRejections(c, s.Refusals); err != nil {
+	c.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.OutcomeUnknown, s.NotDelivered)
+	if err := printRejections(c, s.NodeRejections); err != nil {
 		return err
 	}
 	if s.Missing > 0 {
@@ -60,12 +60,12 @@
 func outcomesRow(g *trace.Outcomes) []string {
 	ms := func(v float64) string { return fmt.Sprintf("%.1f ms", v) }
 	return []string{
-		g.Group, strconv.Itoa(g.Asks), strconv.Itoa(g.Placed), strconv.Itoa(g.Rejected), strconv.Itoa(g.Unschedulable),
+		g.Group, strconv.Itoa(g.Requests), strconv.Itoa(g.Placed), strconv.Itoa(g.Rejected), strconv.Itoa(g.Unschedulable),
 		strconv.Itoa(g.Open), strconv.Itoa(g.Binds), ms(g.MedianMs), ms(g.P99Ms), ms(g.MaxMs),
 	}
 }
 
-func printRejections(c *cobra.Command, rejections []trace.Refusals) error {
+func printRejections(c *cobra.Command, rejections []trace.NodeRejection) error {
 	if len(rejections) == 0 {
 		return nil
 	}
--- /dev/null
+++ b/trace/directory.go
@@ -0,0 +1,44 @@
+package trace
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"grebeglade/trace/tracepb"
+)
+
+// FileExtension is how the names of trace files end.
+const FileExtension = ".gbt"
+
+// ListFiles returns the trace files of a directory in the order of writing, with their sizes and the sum of these. A
+// directory that cannot be read has none.
+func ListFiles(dir string) (names []string, sizes []int64, total int64) {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return nil, nil, 0
+	}
+	for _, e := range entries { // sorted by name
+		info, err := e.Info()
+		if err != nil || !strings.HasSuffix(e.Name(), FileExtension) || !info.Mode().IsRegular() {
+			continue
+		}
+		names, sizes = append(names, filepath.Join(dir, e.Name())), append(sizes, info.Size())
+		total += info.Size()
+	}
+	return names, sizes, total
+}
+
+// fileName returns the name of a source's n-th file. Names sort in the order of writing within one allocator.
+func fileName(s *tracepb.Source, n int) string {
+	return fmt.Sprintf("%s-%020d-%06d%s", strings.Map(fileNameRune, s.Allocator), s.Incarnation, n, FileExtension)
+}
+
+func fileNameRune(c rune) rune {
+	const allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
+	if strings.ContainsRune(allowed, c) {
+		return c
+	}
+	return '_'
+}
--- /dev/null
+++ b/trace/errors.go
@@ -0,0 +1,47 @@
+package trace
+
+import (
+	"errors"
+	"fmt"
+)
+
+var (
+	// ErrEmpty means that the file lacks even a header, as after a crash right after its creation.
+	ErrEmpty = errors.New("the file is empty")
+	// ErrNotTrace means that the file is something else.
+	ErrNotTrace = errors.New("not a trace file")
+	// ErrClosed means that a writer was used after Close.
+	ErrClosed = errors.New("the trace is closed")
+)
+
+// VersionError means that a file has a later major version than this package reads.
+type VersionError struct{ Major, Minor uint16 }
+
+func (e VersionError) Error() string {
+	return fmt.Sprintf("the trace is of format %d.%d and this program reads %d.x: read it with a newer grebeglade",
+		e.Major, e.Minor, Major)
+}
+
+// Damage is a part of a file that cannot be read. It is an error.
+type Damage struct {
+	Offset      int64
+	LostRecords uint64 // 0 if unknown
+	Problem     string
+}
+
+func (d Damage) Error() string {
+	if d.LostRecords > 0 {
+		return fmt.Sprintf("at byte %d: %s; %d records cannot be read", d.Offset, d.Problem, d.LostRecords)
+	}
+	return fmt.Sprintf("at byte %d: %s", d.Offset, d.Problem)
+}
+
+// SizeError means that a part of a trace is larger than the format allows.
+type SizeError struct {
+	Part        string // such as "a record"
+	Size, Limit int
+}
+
+func (e SizeError) Error() string {
+	return fmt.Sprintf("%s of %d bytes is over the limit of %d", e.Part, e.Size, e.Limit)
+}
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"iter"
 	"os"
@@ -19,17 +18,17 @@
 // Reader reads one file.
 type Reader struct {
 	Header *tracepb.Header
-	Minor  uint16
-	// Rebuilt tells that the file has no index of its own that can be used, and that one was made by a scan.
-	Rebuilt bool
-	// Damage is what the scan could not read; a cut-off end is one such part.
+	Minor  uint16 // version of the file
+	// IndexRebuilt tells that the file has no usable index, and that one was made by a scan.
+	IndexRebuilt bool
+	// Damage is what the scan could not read; a truncated end is one such part.
 	Damage []Damage
 
-	r      io.ReaderAt
-	size   int64
-	dec    *zstd.Decoder
-	blocks []*tracepb.Block
-	closer io.Closer
+	r       io.ReaderAt
+	size    int64
+	decoder *zstd.Decoder
+	blocks  []*tracepb.Block
+	closer  io.Closer // nil if the file is the caller's
 }
 
 // Open opens a file by name.
@@ -38,103 +37,120 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := f.Stat()
-	if err == nil {
-		var r *Reader
-		if r, err = NewReader(f, s.Size()); err == nil {
-			r.closer = f
-			return r, nil
-		}
+	r, err := newFileReader(f)
+	if err != nil {
+		_ = f.Close() // it was only read
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	return r, nil
+}
+
+func newFileReader(f *os.File) (*Reader, error) {
+	info, err := f.Stat()
+	if err != nil {
+		return nil, err
+	}
+	r, err := NewReader(f, info.Size())
+	if err != nil {
+		return nil, err
 	}
-	f.Close()
-	return nil, fmt.Errorf("%s: %w", name, err)
+	r.closer = f
+	return r, nil
 }
 
-// NewReader reads the header and the index, or scans the file where there is none.
+// NewReader reads the header and the index, or scans the file if it has none. The error is ErrEmpty, ErrNotTrace, a
+// VersionError, a Damage of the header, or that of r.
 func NewReader(r io.ReaderAt, size int64) (*Reader, error) {
 	if size == 0 {
 		return nil, ErrEmpty
 	}
 	t := &Reader{r: r, size: size}
-	at, err := t.readHeader()
+	first, err := t.readHeader()
 	if err != nil {
 		return nil, err
 	}
-	t.dec, err = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(mostRaw), zstd.WithDecoderConcurrency(1))
+	t.decoder, err = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxBlockSize), zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return nil, err
 	}
-	if !t.readIndex(at) {
-		t.Rebuilt = true
-		t.scan(at)
+	if !t.readIndex(first) {
+		t.IndexRebuilt = true
+		t.scan(first)
 	}
 	return t, nil
 }
 
-// Close lets go of the file.
+// Close releases the file.
 func (t *Reader) Close() error {
-	t.dec.Close()
+	t.decoder.Close()
 	if t.closer != nil {
 		return t.closer.Close()
 	}
 	return nil
 }
 
+// readAt is ReadAt, but a read that ends with the file is no error.
+func (t *Reader) readAt(b []byte, offset int64) (int, error) {
+	n, err := t.r.ReadAt(b, offset)
+	if errors.Is(err, io.EOF) {
+		err = nil
+	}
+	return n, err
+}
+
+// readHeader returns the offset of the first block.
 func (t *Reader) readHeader() (int64, error) {
-	var b [headSize]byte
-	n, err := t.r.ReadAt(b[:], 0)
-	if err != nil && !errors.Is(err, io.EOF) {
+	var head [headerSize]byte
+	n, err := t.readAt(head[:], 0)
+	if err != nil {
 		return 0, err
 	}
-	if n < len(magic) || string(b[:len(magic)]) != magic {
-		if n < len(magic) && string(b[:n]) == magic[:n] {
-			return 0, Damage{What: "the file is cut off in its header"}
-		}
+	if known := min(n, len(magic)); string(head[:known]) != magic[:known] {
 		return 0, ErrNotTrace
 	}
-	if n < headSize {
-		return 0, Damage{What: "the file is cut off in its header"}
+	if n < headerSize {
+		return 0, Damage{Problem: "the file is cut off in its header"}
 	}
-	major, minor := binary.LittleEndian.Uint16(b[8:]), binary.LittleEndian.Uint16(b[10:])
+	major, minor := binary.LittleEndian.Uint16(head[8:]), binary.LittleEndian.Uint16(head[10:])
 	if major > Major {
-		return 0, VersionError{major, minor}
+		return 0, VersionError{Major: major, Minor: minor}
 	}
-	length := binary.LittleEndian.Uint32(b[12:])
-	if int64(length) > min(mostHeader, t.size-headSize) {
-		return 0, Damage{What: "the file is cut off in its header, or the header is damaged"}
+	length := int64(binary.LittleEndian.Uint32(head[12:]))
+	if length > min(maxHeaderSize, t.size-headerSize) {
+		return 0, Damage{Problem: "the file is cut off in its header, or the header is damaged"}
 	}
-	body := make([]byte, length)
-	if _, err := t.r.ReadAt(body, headSize); err != nil && !errors.Is(err, io.EOF) {
+	message := make([]byte, length)
+	if _, err := t.readAt(message, headerSize); err != nil {
 		return 0, err
 	}
-	if crc32.Update(crc32.Checksum(b[:16], checksums), checksums, body) != binary.LittleEndian.Uint32(b[16:]) {
-		return 0, Damage{What: "the header is damaged"}
+	if checksumOf(head[:16], message) != binary.LittleEndian.Uint32(head[16:]) {
+		return 0, Damage{Problem: "the header is damaged"}
 	}
 	t.Header, t.Minor = &tracepb.Header{}, minor
-	if err := proto.Unmarshal(body, t.Header); err != nil {
-		return 0, Damage{What: "the header cannot be read"}
+	if err := proto.Unmarshal(message, t.Header); err != nil {
+		return 0, Damage{Problem: "the header cannot be read"}
 	}
-	return headSize + int64(length), nil
+	return headerSize + length, nil
 }
 
-// readIndex reads the index that a closed file ends with.
+// readIndex reads the index at the end of a file that was closed. It returns false if there is none that can be used.
 func (t *Reader) readIndex(first int64) bool {
-	var foot [footSize]byte
-	if t.size < first+footSize {
+	var footer [footerSize]byte
+	if t.size < first+footerSize {
 		return false
 	}
-	if _, err := t.r.ReadAt(foot[:], t.size-footSize); err != nil {
+	if _, err := t.r.ReadAt(footer[:], t.size-footerSize); err != nil {
 		return false
 	}
-	if string(foot[16:]) != footMagic || crc32.Checksum(foot[:12], checksums) != binary.LittleEndian.Uint32(foot[12:]) {
+	if string(footer[16:]) != footMagic || checksum(footer[:12]) != binary.LittleEndian.Uint32(footer[12:]) {
 		return false
 	}
-	at, length := binary.LittleEndian.Uint64(foot[:]), binary.LittleEndian.Uint32(foot[8:])
-	if at > uint64(t.size) || int64(at)+int64(length) != t.size-footSize {
+	offset, length := binary.LittleEndian.Uint64(footer[:]), binary.LittleEndian.Uint32(footer[8:])
+	if offset > uint64(t.size) || int64(offset)+int64(length) != t.size-footerSize {
 		return false
 	}
-	h, raw, _, err := t.readBlock(int64(at), nil)
-	if err != nil || h.kind != indexKind {
+	h, raw, err := t.readBlock(int64(offset), nil)
+	if err != nil || h.kind != blockOfIndex {
 		return false
 	}
 	var index tracepb.Index
@@ -145,94 +161,48 @@
 	return true
 }
 
-// readBlock reads a block, and returns where the next one begins.
-func (t *Reader) readBlock(at int64, into []byte) (h blockHead, raw []byte, next int64, err error) {
-	h, err = t.readHead(at)
+// readBlock reads a block. It reuses the memory of into.
+func (t *Reader) readBlock(offset int64, into []byte) (h blockHead, raw []byte, err error) {
+	h, err = t.readHead(offset)
 	if err != nil {
-		return h, nil, 0, err
+		return h, nil, err
 	}
-	next = at + blockSize + int64(h.packed)
-	packed := make([]byte, h.packed)
-	if _, err := t.r.ReadAt(packed, at+blockSize); err != nil && !errors.Is(err, io.EOF) {
-		return h, nil, next, err
+	packed := make([]byte, h.packedSize)
+	if _, err := t.readAt(packed, offset+blockHeadSize); err != nil {
+		return h, nil, err
 	}
-	raw, err = h.unpack(t.dec, packed, into)
-	return h, raw, next, err
+	raw, err = h.decompress(t.decoder, packed, into)
+	return h, raw, err
 }
 
-func (t *Reader) readHead(at int64) (blockHead, error) {
-	var b [blockSize]byte
-	if at < 0 || at > t.size-blockSize {
+func (t *Reader) readHead(offset int64) (blockHead, error) {
+	var b [blockHeadSize]byte
+	if offset < 0 || offset > t.size-blockHeadSize {
 		return blockHead{}, io.ErrUnexpectedEOF
 	}
-	if _, err := t.r.ReadAt(b[:], at); err != nil && !errors.Is(err, io.EOF) {
+	if _, err := t.readAt(b[:], offset); err != nil {
 		return blockHead{}, err
 	}
 	h, err := decodeBlockHead(b[:])
-	if err == nil && at+blockSize+int64(h.packed) > t.size {
+	if err == nil && offset+h.size() > t.size {
 		return h, io.ErrUnexpectedEOF
 	}
 	return h, err
 }
 
-// scan makes an index from what the blocks' heads say. Where one is damaged it looks for the next that is not.
-func (t *Reader) scan(at int64) {
-	for at < t.size {
-		h, err := t.readHead(at)
-		if err == nil && h.kind == indexKind {
-			at += blockSize + int64(h.packed)
-			if t.size-at <= footSize {
-				return // the footer alone is damaged or cut off; nothing is lost
-			}
-			continue
-		}
-		if err != nil {
-			t.Damage = append(t.Damage, Damage{Offset: at, What: damageText(err)})
-			if at = t.nextHead(at + 1); at < 0 {
-				return
-			}
-			continue
-		}
-		t.blocks = append(t.blocks, &tracepb.Block{
-			Offset: uint64(at), Records: uint64(h.records), FirstMs: h.firstMs, LastMs: h.lastMs,
-			FirstRevision: h.firstRev, LastRevision: h.lastRev,
-		})
-		at += blockSize + int64(h.packed)
-	}
-}
-
-func damageText(err error) string {
-	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return "the file is cut off in a block"
-	}
-	return err.Error()
-}
+// Blocks returns the number of blocks of records.
+func (t *Reader) Blocks() int { return len(t.blocks) }
 
-// nextHead finds the next block head that holds, or returns -1.
-func (t *Reader) nextHead(at int64) int64 {
-	const step = 1 << 16
-	buf := make([]byte, step+3)
-	for ; at < t.size; at += step {
-		n, err := t.r.ReadAt(buf, at)
-		if err != nil && !errors.Is(err, io.EOF) {
-			return -1
-		}
-		for i := 0; i+4 <= n; i++ {
-			if binary.LittleEndian.Uint32(buf[i:]) == blockMagic {
-				if _, err := t.readHead(at + int64(i)); err == nil {
-					return at + int64(i)
-				}
-			}
-		}
+// Count returns the number of records that the index lists.
+func (t *Reader) Count() (n uint64) {
+	for _, b := range t.blocks {
+		n += b.Records
 	}
-	return -1
+	return n
 }
 
-// Blocks is the number of blocks of records, and Count that of the records in them.
-func (t *Reader) Blocks() int { return len(t.blocks) }
-
-// First is the least time of the records, by the wall; 0 where there are none.
-func (t *Reader) First() (first float64) {
+// FirstUnixMillis returns the earliest time of a record, 0 if there are none.
+func (t *Reader) FirstUnixMillis() (first float64) {
 	for i, b := range t.blocks {
 		if i == 0 || b.FirstMs < first {
 			first = b.FirstMs
@@ -241,70 +211,63 @@
 	return first
 }
 
-// Count is the number of records that the index names.
-func (t *Reader) Count() (n uint64) {
-	for _, b := range t.blocks {
-		n += b.Records
+// UnixMillis returns a record's Unix time in milliseconds, by its source's clock.
+func (t *Reader) UnixMillis(r *Record) float64 { return unixMillis(t.Header, r) }
+
+// source returns a record's source, an empty one if the file does not name it.
+func (t *Reader) source(r *Record) *tracepb.Source {
+	if int(r.Source) < len(t.Header.Sources) {
+		return t.Header.Sources[r.Source]
 	}
-	return n
+	return &tracepb.Source{}
 }
 
-// Span is what to read of a file. The zero value reads all of it.
+// Span selects records by time. The zero value selects all.
 type Span struct {
-	FromMs, ToMs float64 // by the wall, Unix time; 0 for no bound
+	FromMs, ToMs float64 // Unix time; 0 for no bound
 }
 
-func (s Span) holds(first, last float64) bool {
+func (s Span) overlaps(first, last float64) bool {
 	return (s.FromMs == 0 || last >= s.FromMs) && (s.ToMs == 0 || first <= s.ToMs)
 }
 
-// UnixMillis is a record's time by the wall, as its source's clock had it.
-func (t *Reader) UnixMillis(r *Record) float64 {
-	if int(r.Source) < len(t.Header.Sources) {
-		return r.AtMs + t.Header.Sources[r.Source].WallMs
-	}
-	return r.AtMs
-}
-
-// Records goes through the records of a span, in the file's order. A block that cannot be read is told as a
-// Damage error in its place, and the next one follows. With a span, only its blocks are read.
+// Records iterates over the records of a span in the file's order. For a block that cannot be read it yields a Damage
+// error, and goes on with the next one. Blocks outside the span are not read.
 func (t *Reader) Records(s Span) iter.Seq2[*Record, error] {
 	return func(yield func(*Record, error) bool) {
 		var raw []byte
 		for _, b := range t.blocks {
-			if !s.holds(b.FirstMs, b.LastMs) {
+			if !s.overlaps(b.FirstMs, b.LastMs) {
 				continue
 			}
-			h, got, _, err := t.readBlock(int64(b.Offset), raw)
+			h, block, err := t.readBlock(int64(b.Offset), raw)
 			if err != nil {
-				if !yield(nil, Damage{Offset: int64(b.Offset), Lost: b.Records, What: damageText(err)}) {
+				if !yield(nil, Damage{Offset: int64(b.Offset), LostRecords: b.Records, Problem: damageText(err)}) {
 					return
 				}
 				continue
 			}
-			if raw = got; h.kind != recordsKind {
-				continue
-			}
-			if !t.split(raw, int64(b.Offset), s, yield) {
+			raw = block
+			if h.kind == blockOfRecords && !t.yieldRecords(raw, int64(b.Offset), s, yield) {
 				return
 			}
 		}
 	}
 }
 
-// split goes through the records of a block.
-func (t *Reader) split(raw []byte, at int64, s Span, yield func(*Record, error) bool) bool {
+// yieldRecords yields the records of a block at an offset. It returns false if the iteration ends.
+func (t *Reader) yieldRecords(raw []byte, offset int64, s Span, yield func(*Record, error) bool) bool {
 	for len(raw) > 0 {
 		size, n := protowire.ConsumeVarint(raw)
 		if n < 0 || size > uint64(len(raw)-n) {
-			return yield(nil, Damage{Offset: at, What: "a record is longer than its block"})
+			return yield(nil, Damage{Offset: offset, Problem: "a record is longer than its block"})
 		}
 		r := &Record{}
 		if err := proto.Unmarshal(raw[n:n+int(size)], r); err != nil {
-			return yield(nil, Damage{Offset: at, Lost: 1, What: "a record cannot be read"})
+			return yield(nil, Damage{Offset: offset, LostRecords: 1, Problem: "a record cannot be read"})
 		}
 		raw = raw[n+int(size):]
-		if w := t.UnixMillis(r); s.holds(w, w) && !yield(r, nil) {
+		if at := t.UnixMillis(r); s.overlaps(at, at) && !yield(r, nil) {
 			return false
 		}
 	}
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -12,35 +12,30 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Kinds of steps and results, as the records' numbers have them.
 const (
-	stepBind = 0
-
-	resultConfirmed   = 0
-	resultDeclined    = 1
-	resultUnreachable = 2
-	resultUnclear     = 4
-	resultTimedOut    = 5
+	maxWaitMicros  = 3_600_000_000
+	waitPrecision  = 3 // significant digits
+	microsPerMilli = 1000
 )
 
-// Outcomes counts what came of a group's asks.
+// Outcomes counts what the requests of a group came to.
 type Outcomes struct {
 	Group         string  `json:"group"`
-	Asks          int     `json:"asks"`
+	Requests          int     `json:"asks"`
 	Placed        int     `json:"placed"`
 	Rejected      int     `json:"rejected"`
 	Unschedulable int     `json:"unschedulable"`
-	Open          int     `json:"open"` // neither, by the end of the trace: withdrawn, or beyond it
+	Open          int     `json:"open"` // none of these by the end of the trace: withdrawn, or still pending
 	Binds         int     `json:"binds"`
 	MedianMs      float64 `json:"placed_median_ms"`
 	P99Ms         float64 `json:"placed_p99_ms"`
 	MaxMs         float64 `json:"placed_max_ms"`
 
-	waits *hdrhistogram.Histogram
+	waits *hdrhistogram.Histogram // until placed, in microseconds
 }
 
-// Refusals counts how often a node said no for one reason.
-type Refusals struct {
+// NodeRejection counts how often a node rejected a bind for one reason.
+type NodeRejection struct {
 	Node   uint32 `json:"node"`
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
@@ -48,180 +43,184 @@
 
 // Summary is what a trace holds, in figures.
 type Summary struct {
-	Sources  []string    `json:"sources"`
-	FromMs   float64     `json:"from_unix_ms"`
-	ToMs     float64     `json:"to_unix_ms"`
-	Records  uint64      `json:"records"`
-	Groups   []*Outcomes `json:"groups"`
-	Refusals []Refusals  `json:"refusals"` // most frequent first
-	Unclear  int         `json:"unclear"`  // binds without an answer: timed out, or cut off
-	NotThere int         `json:"unreachable"`
-	Missing  uint64      `json:"missing"`
-	Damage   []string    `json:"damage"`
-}
-
-var reasons = []string{
-	"no reason", "no cores", "no memory", "too many waiting", "not here", "evicted", "pushed out", "sent away",
-}
-
-// pending is a workload as a summary follows it.
-type pending struct {
-	group *Outcomes
-	asked float64
-	node  uint32
-}
-
-type workloadOf struct {
-	allocator string
-	life      uint64
-	id        uint32
+	Sources        []string    `json:"sources"`
+	FromMs         float64     `json:"from_unix_ms"`
+	ToMs           float64     `json:"to_unix_ms"`
+	Records        uint64      `json:"records"`
+	Groups         []*Outcomes `json:"groups"`
+	NodeRejections       []NodeRejection  `json:"refusals"`    // most frequent first
+	OutcomeUnknown int         `json:"unclear"`     // binds without an answer: timed out, or the connection was lost
+	NotDelivered   int         `json:"unreachable"` // binds that found no connection
+	Missing        uint64      `json:"missing"`     // records that gaps report
+	Damage         []string    `json:"damage"`
 }
 
-// Summarise goes through files in the order given; lives that go on from one file to the next are followed.
+// Summarise summarises files in the order given. Workloads are followed from one file to the next.
 func Summarise(files []*Reader) (*Summary, error) {
-	s := &Summary{Damage: []string{}}
 	t := tally{
-		summary: s, open: map[workloadOf]*pending{}, groups: map[string]*Outcomes{}, names: map[life][]string{},
-		refusals: map[Refusals]int{}, sources: map[string]bool{},
+		summary: &Summary{Damage: []string{}}, pending: map[workloadKey]*pendingWorkload{}, groups: map[string]*Outcomes{},
+		groupNames: map[sourceKey][]string{}, rejections: map[NodeRejection]int{}, sources: map[sourceKey]bool{},
 	}
 	for _, f := range files {
-		for _, d := range f.Damage {
-			s.Damage = append(s.Damage, d.Error())
-		}
-		for r, err := range f.Records(Span{}) {
-			if errors.As(err, new(Damage)) {
-				s.Damage = append(s.Damage, err.Error())
-				continue
-			}
-			if err != nil {
-				return nil, err
-			}
-			t.take(f, r)
+		if err := t.add(f); err != nil {
+			return nil, err
 		}
 	}
 	t.finish()
-	return s, nil
+	return t.summary, nil
 }
 
+// tally counts for a summary.
 type tally struct {
-	summary  *Summary
-	open     map[workloadOf]*pending
-	groups   map[string]*Outcomes
-	names    map[life][]string
-	refusals map[Refusals]int
-	sources  map[string]bool
+	summary    *Summary
+	pending    map[workloadKey]*pendingWorkload
+	groups     map[string]*Outcomes // by name
+	groupNames map[sourceKey][]string
+	rejections map[NodeRejection]int // by node and reason
+	sources    map[sourceKey]bool
 }
 
-func (t *tally) take(f *Reader, r *Record) {
-	s, at := t.summary, f.UnixMillis(r)
-	if s.Records++; s.Records == 1 {
-		s.FromMs, s.ToMs = at, at
+// pendingWorkload is a workload without a final answer.
+type pendingWorkload struct {
+	group       *Outcomes
+	requestedMs float64 // Unix time
+	node        uint32  // of the last bind
+}
+
+func (t *tally) add(f *Reader) error {
+	for _, d := range f.Damage {
+		t.summary.Damage = append(t.summary.Damage, d.Error())
 	}
-	s.FromMs, s.ToMs = min(s.FromMs, at), max(s.ToMs, at)
-	src := &tracepb.Source{}
-	if int(r.Source) < len(f.Header.Sources) {
-		src = f.Header.Sources[r.Source]
+	for r, err := range f.Records(Span{}) {
+		if errors.As(err, new(Damage)) {
+			t.summary.Damage = append(t.summary.Damage, err.Error())
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		t.count(f, r)
 	}
-	l := life{src.Allocator, src.Incarnation}
-	t.sources[fmt.Sprintf("%s.%d", l.allocator, l.incarnation)] = true
-	of := func(id uint32) workloadOf { return workloadOf{l.allocator, l.incarnation, id} }
+	return nil
+}
+
+func (t *tally) count(f *Reader, r *Record) {
+	at := f.UnixMillis(r)
+	t.extendTime(at)
+	source := keyOf(f.source(r))
+	t.sources[source] = true
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Start:
-		t.names[l] = b.Start.Groups
+		t.groupNames[source] = b.Start.Groups
 	case *tracepb.Record_Place:
-		w := b.Place.GetWorkload()
-		p := &pending{group: t.group(l, w.GetGroup()), asked: at}
-		p.group.Asks++
-		t.open[of(w.GetId())] = p
-		t.bound(p, r.Step)
+		t.countRequest(source, b.Place.GetWorkload(), r.Step, at)
 	case *tracepb.Record_Next:
-		p := t.open[of(b.Next.Workload)]
-		if p == nil {
-			return
+		if p := t.pending[workloadKey{source, b.Next.Workload}]; p != nil {
+			t.countResult(p, b.Next)
+			p.countBind(r.Step)
 		}
-		t.result(p, b.Next)
-		t.bound(p, r.Step)
 	case *tracepb.Record_Answered:
-		k := of(b.Answered.Workload)
-		if p := t.open[k]; p != nil {
-			t.answered(p, b.Answered.Verdict, at)
-			delete(t.open, k)
+		k := workloadKey{source, b.Answered.Workload}
+		if p := t.pending[k]; p != nil {
+			p.countAnswer(b.Answered.Verdict, at)
+			delete(t.pending, k)
 		}
 	case *tracepb.Record_Gap:
-		s.Missing += b.Gap.Missing
+		t.summary.Missing += b.Gap.Missing
 	}
 }
 
-func (t *tally) group(l life, i uint32) *Outcomes {
-	name := fmt.Sprintf("group %d", i)
-	if names := t.names[l]; int(i) < len(names) {
-		name = names[i]
+func (t *tally) extendTime(unixMs float64) {
+	s := t.summary
+	if s.Records++; s.Records == 1 {
+		s.FromMs, s.ToMs = unixMs, unixMs
 	}
+	s.FromMs, s.ToMs = min(s.FromMs, unixMs), max(s.ToMs, unixMs)
+}
+
+func (t *tally) countRequest(source sourceKey, w *tracepb.Workload, step *tracepb.Step, at float64) {
+	p := &pendingWorkload{group: t.group(source, w.GetGroup()), requestedMs: at}
+	p.group.Requests++
+	t.pending[workloadKey{source, w.GetId()}] = p
+	p.countBind(step)
+}
+
+// group returns the outcomes of a source's group by its number.
+func (t *tally) group(source sourceKey, number uint32) *Outcomes {
+	name := nameOr(t.groupNames[source], number, fmt.Sprintf("group %d", number))
 	g := t.groups[name]
 	if g == nil {
-		g = &Outcomes{Group: name, waits: hdrhistogram.New(1, 3_600_000_000, 3)}
+		g = &Outcomes{Group: name, waits: hdrhistogram.New(1, maxWaitMicros, waitPrecision)}
 		t.groups[name] = g
 	}
 	return g
 }
 
-func (t *tally) bound(p *pending, s *tracepb.Step) {
+func (p *pendingWorkload) countBind(s *tracepb.Step) {
 	if s != nil && s.Kind == stepBind {
 		p.group.Binds++
 		p.node = s.Node
 	}
 }
 
-func (t *tally) result(p *pending, n *tracepb.Next) {
+func (t *tally) countResult(p *pendingWorkload, n *tracepb.Next) {
 	switch n.Kind {
-	case resultDeclined:
-		reason := fmt.Sprintf("reason %d", n.Reason)
-		if int(n.Reason) < len(reasons) {
-			reason = reasons[n.Reason]
-		}
-		t.refusals[Refusals{Node: p.node, Reason: reason}]++
-	case resultUnreachable:
-		t.summary.NotThere++
-	case resultUnclear, resultTimedOut:
-		t.summary.Unclear++
+	case resultRejectedByNode:
+		reason := nameOr(rejectionNames, n.Reason, fmt.Sprintf("reason %d", n.Reason))
+		t.rejections[NodeRejection{Node: p.node, Reason: reason}]++
+	case resultNotDelivered:
+		t.summary.NotDelivered++
+	case resultOutcomeUnknown, resultTimedOut:
+		t.summary.OutcomeUnknown++
 	}
 }
 
-func (t *tally) answered(p *pending, verdict uint32, at float64) {
+func (p *pendingWorkload) countAnswer(verdict uint32, at float64) {
+	g := p.group
 	switch verdict {
-	case 1:
-		p.group.Placed++
-		if err := p.group.waits.RecordValue(max(1, int64((at-p.asked)*1000))); err != nil {
-			p.group.waits.RecordValue(p.group.waits.HighestTrackableValue())
+	case verdictPlaced:
+		g.Placed++
+		micros := int64((at - p.requestedMs) * microsPerMilli)
+		if err := g.waits.RecordValue(max(1, micros)); err != nil { // it is beyond the histogram's bounds
+			_ = g.waits.RecordValue(g.waits.HighestTrackableValue()) // which is within them
 		}
-	case 2:
-		p.group.Rejected++
-	case 3:
-		p.group.Unschedulable++
+	case verdictRejected:
+		g.Rejected++
+	case verdictUnschedulable:
+		g.Unschedulable++
 	}
 }
 
+// finish completes the summary with what is known only at the end.
 func (t *tally) finish() {
-	for _, p := range t.open {
+	for _, p := range t.pending {
 		p.group.Open++
 	}
 	s := t.summary
-	s.Sources = slices.Sorted(maps.Keys(t.sources))
-	s.Groups, s.Refusals = []*Outcomes{}, []Refusals{}
+	s.Sources, s.Groups, s.NodeRejections = nil, []*Outcomes{}, []NodeRejection{}
+	for source := range t.sources {
+		s.Sources = append(s.Sources, source.String())
+	}
+	slices.Sort(s.Sources)
 	for _, name := range slices.Sorted(maps.Keys(t.groups)) {
 		g := t.groups[name]
-		if g.waits.TotalCount() > 0 {
-			g.MedianMs = float64(g.waits.ValueAtQuantile(50)) / 1000
-			g.P99Ms = float64(g.waits.ValueAtQuantile(99)) / 1000
-			g.MaxMs = float64(g.waits.Max()) / 1000
-		}
+		g.summariseWaits()
 		s.Groups = append(s.Groups, g)
 	}
-	for r, n := range t.refusals {
+	for r, n := range t.rejections {
 		r.Count = n
-		s.Refusals = append(s.Refusals, r)
+		s.NodeRejections = append(s.NodeRejections, r)
 	}
-	slices.SortFunc(s.Refusals, func(x, y Refusals) int {
+	slices.SortFunc(s.NodeRejections, func(x, y NodeRejection) int {
 		return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Node, y.Node), cmp.Compare(x.Reason, y.Reason))
 	})
 }
+
+func (g *Outcomes) summariseWaits() {
+	if g.waits.TotalCount() == 0 {
+		return
+	}
+	g.MedianMs = float64(g.waits.ValueAtQuantile(50)) / microsPerMilli
+	g.P99Ms = float64(g.waits.ValueAtQuantile(99)) / microsPerMilli
+	g.MaxMs = float64(g.waits.Max()) / microsPerMilli
+}
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -2,10 +2,7 @@
 
 import (
 	"encoding/binary"
-	"fmt"
-	"hash/crc32"
 	"io"
-	"math"
 
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/encoding/protowire"
@@ -14,48 +11,57 @@
 	"grebeglade/trace/tracepb"
 )
 
-// blockRaw is how many bytes of records make a block: enough for zstd to find what repeats, few enough that a
+// targetBlockSize is how many bytes of records make a block: enough for zstd to find what repeats, few enough that a
 // look-up reads little.
-const blockRaw = 128 << 10
+const targetBlockSize = 128 << 10
 
-func bits(v float64) uint64  { return math.Float64bits(v) }
-func float(v uint64) float64 { return math.Float64frombits(v) }
+// maxRecordSize leaves room for a record's length in its block.
+var maxRecordSize = maxBlockSize - protowire.SizeVarint(maxBlockSize)
 
-// Writer writes one file. After an error nothing more is written.
+// Writer writes one file. After a failed write nothing more is written, and every method returns that error.
 type Writer struct {
+	Records uint64 // appended so far
+
 	w       io.Writer
 	header  *tracepb.Header
-	enc     *zstd.Encoder
-	at      int64
-	raw     []byte
+	encoder *zstd.Encoder
+	offset  int64
+	raw     []byte // records of the next block
 	packed  []byte
-	head    blockHead
+	head    blockHead // of the next block
 	index   tracepb.Index
 	err     error
-	Records uint64
 }
 
 // NewWriter writes a file's header.
 func NewWriter(w io.Writer, h *tracepb.Header) (*Writer, error) {
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, err
 	}
-	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(h)
+	t := &Writer{w: w, header: h, encoder: encoder}
+	b, err := encodeHeader(h)
+	if err != nil {
+		return nil, err
+	}
+	t.write(b)
+	return t, t.err
+}
+
+func encodeHeader(h *tracepb.Header) ([]byte, error) {
+	message, err := proto.MarshalOptions{Deterministic: true}.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > mostHeader {
-		return nil, fmt.Errorf("a header of %d bytes is over the limit of %d", len(body), mostHeader)
+	if len(message) > maxHeaderSize {
+		return nil, SizeError{Part: "a header", Size: len(message), Limit: maxHeaderSize}
 	}
-	t := &Writer{w: w, header: h, enc: enc}
-	b := append(make([]byte, 0, headSize+len(body)), magic...)
+	b := append(make([]byte, 0, headerSize+len(message)), magic...)
 	b = binary.LittleEndian.AppendUint16(b, Major)
 	b = binary.LittleEndian.AppendUint16(b, Minor)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Update(crc32.Checksum(b, checksums), checksums, body))
-	t.write(append(b, body...))
-	return t, t.err
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(message)))
+	b = binary.LittleEndian.AppendUint32(b, checksumOf(b, message))
+	return append(b, message...), nil
 }
 
 func (t *Writer) write(b []byte) {
@@ -63,23 +69,24 @@
 		return
 	}
 	n, err := t.w.Write(b)
-	t.at += int64(n)
+	t.offset += int64(n)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	t.err = err
 }
 
-// Append adds a record. It is in the file once its block is: after Flush, Close, or enough further records.
+// Append adds a record. It is in the file once its block is: after Flush, Close, or enough further records. A record
+// that is too large is a SizeError, after which the writer can still be used.
 func (t *Writer) Append(r *Record) error {
 	if t.err != nil {
 		return t.err
 	}
 	size := proto.Size(r)
-	if size > mostRaw-protowire.SizeVarint(mostRaw) {
-		return fmt.Errorf("a record of %d bytes is over the limit of %d", size, mostRaw)
+	if size > maxRecordSize {
+		return SizeError{Part: "a record", Size: size, Limit: maxBlockSize}
 	}
-	if len(t.raw) > 0 && len(t.raw)+size > blockRaw {
+	if len(t.raw) > 0 && len(t.raw)+size > targetBlockSize {
 		if err := t.Flush(); err != nil {
 			return err
 		}
@@ -89,70 +96,71 @@
 		return err
 	}
 	t.raw = raw
-	at := r.AtMs
-	if int(r.Source) < len(t.header.Sources) {
-		at += t.header.Sources[r.Source].WallMs
-	}
-	h := &t.head
-	if h.records == 0 {
-		h.firstMs, h.lastMs, h.firstRev, h.lastRev = at, at, r.Revision, r.Revision
-	}
-	h.firstMs, h.lastMs = min(h.firstMs, at), max(h.lastMs, at)
-	h.firstRev, h.lastRev = min(h.firstRev, r.Revision), max(h.lastRev, r.Revision)
-	h.records++
+	t.head.include(unixMillis(t.header, r), r.Revision)
 	t.Records++
 	return nil
 }
 
-// Size is the number of bytes written so far.
-func (t *Writer) Size() int64 { return t.at }
+// Size returns the number of bytes written so far.
+func (t *Writer) Size() int64 { return t.offset }
+
+// blocks returns the number of blocks of records written so far.
+func (t *Writer) blocks() int { return len(t.index.Blocks) }
 
 // Flush writes what was appended as a block.
 func (t *Writer) Flush() error {
 	if t.head.records == 0 || t.err != nil {
 		return t.err
 	}
-	t.index.Blocks = append(t.index.Blocks, &tracepb.Block{
-		Offset: uint64(t.at), Records: uint64(t.head.records), FirstMs: t.head.firstMs, LastMs: t.head.lastMs,
-		FirstRevision: t.head.firstRev, LastRevision: t.head.lastRev,
-	})
-	t.head.kind = recordsKind
-	t.block(t.raw)
+	t.index.Blocks = append(t.index.Blocks, t.head.indexEntry(t.offset))
+	t.head.kind = blockOfRecords
+	t.writeBlock(t.raw)
 	t.raw, t.head = t.raw[:0], blockHead{}
 	return t.err
 }
 
-func (t *Writer) block(raw []byte) {
-	t.packed = t.enc.EncodeAll(raw, t.packed[:0])
-	t.head.raw, t.head.packed = uint32(len(raw)), uint32(len(t.packed))
-	t.head.payloadSum = crc32.Checksum(t.packed, checksums)
-	// One write a block: a kill leaves a block cut off, not two half written.
+// writeBlock writes a block in one call, so that a kill leaves at most one block truncated.
+func (t *Writer) writeBlock(raw []byte) {
+	t.packed = t.encoder.EncodeAll(raw, t.packed[:0])
+	t.head.rawSize, t.head.packedSize = uint32(len(raw)), uint32(len(t.packed))
+	t.head.compressedChecksum = checksum(t.packed)
 	t.write(append(t.head.encode(), t.packed...))
 }
 
-// Close writes what is left, and the index. It does not close what it writes to.
+// Close writes what is left, and the index. It does not close the underlying writer.
 func (t *Writer) Close() error {
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	raw, err := proto.Marshal(&t.index)
+	index, err := proto.Marshal(&t.index)
 	if err != nil {
 		return err
 	}
-	if len(raw) > mostRaw {
-		return nil // readers make an index of their own
-	}
-	at := t.at
-	t.head = blockHead{kind: indexKind}
-	t.block(raw)
-	foot := binary.LittleEndian.AppendUint64(nil, uint64(at))
-	foot = binary.LittleEndian.AppendUint32(foot, uint32(t.at-at))
-	foot = binary.LittleEndian.AppendUint32(foot, crc32.Checksum(foot, checksums))
-	t.write(append(foot, footMagic...))
-	err = t.err
-	if t.err == nil {
-		t.err = fmt.Errorf("the trace is closed")
-	}
-	t.enc.Close()
-	return err
+	if len(index) > maxBlockSize {
+		return nil // readers rebuild the index by a scan
+	}
+	t.writeIndex(index)
+	if t.err != nil {
+		return t.err
+	}
+	t.err = ErrClosed
+	return t.encoder.Close()
+}
+
+func (t *Writer) writeIndex(index []byte) {
+	start := t.offset
+	t.head = blockHead{kind: blockOfIndex}
+	t.writeBlock(index)
+	footer := binary.LittleEndian.AppendUint64(nil, uint64(start))
+	footer = binary.LittleEndian.AppendUint32(footer, uint32(t.offset-start))
+	footer = binary.LittleEndian.AppendUint32(footer, checksum(footer))
+	t.write(append(footer, footMagic...))
+}
+
+// unixMillis returns a record's Unix time in milliseconds, by its source's clock.
+func unixMillis(h *tracepb.Header, r *Record) float64 {
+	if int(r.Source) < len(h.Sources) {
+		return r.AtMs + h.Sources[r.Source].WallMs
+	}
+	return r.AtMs
 }
