--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -88,18 +88,17 @@
 				break
 			}
 			b = b[used:]
-			m1 := m.(*codec.Message)
-			if m1.Verb != codec.Start {
+			offer, ok := m.(*codec.Offer)
+			if !ok {
 				continue
 			}
 			if asked != nil {
-				asked <- m1.Tag
+				asked <- offer.Tag
 			}
 			if may != nil {
 				<-may
 			}
-			text := "taken by a node"
-			out, err := codec.NodeCodec{}.Append(nil, &codec.Message{Verb: codec.Started, Tag: m1.Tag, Description: &text})
+			out, err := codec.NodeCodec{}.Append(nil, codec.NewConfirmation(offer.Tag, "taken by a node"))
 			if err != nil {
 				return
 			}
--- /dev/null
+++ b/internal/frontend/platform/actions.go
@@ -0,0 +1,53 @@
+package platform
+
+import (
+	"grebeglade/internal/allocator"
+	"grebeglade/placement"
+)
+
+// engineActions is a Frontend as its engine sees it. The engine is at work while these methods run.
+type engineActions struct{ *Frontend }
+
+// Bind offers a workload to a node.
+func (a engineActions) Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis) {
+	a.binder.offer(a.workloads.get(id), bind, a.nodes.get(node), a.host.Now()+timeout)
+}
+
+// Stop calls a bind off, or ends a running workload.
+func (a engineActions) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.StopReason, _ bool) {
+	w := a.workloads.get(id)
+	switch {
+	case why == allocator.Migrating:
+		a.requests.notifyMigration(w)
+	case w.running():
+		a.binder.stop(w)
+	default:
+		a.binder.abandon(w, why == allocator.TimedOut)
+	}
+}
+
+// CheckHealth sends a health check to a node.
+func (a engineActions) CheckHealth(node placement.NodeID) { a.healthChecks.check(node) }
+
+// SubscribeNodes does nothing: the subscription to the discovery service stands at all times.
+func (a engineActions) SubscribeNodes() {}
+
+// Answer sends a client the final answer to its request.
+func (a engineActions) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
+	a.requests.answer(a.workloads.get(id), v)
+}
+
+// NotifyEnded notifies a client that its workload has ended.
+func (a engineActions) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, migrated bool, _ placement.Reason) {
+	if !migrated {
+		a.requests.notifyEnd(a.workloads.get(id))
+	}
+}
+
+// Forget forgets a workload.
+func (a engineActions) Forget(id placement.WorkloadID) {
+	w := a.workloads.get(id)
+	a.requests.markAnswered(w)
+	w.detach()
+	a.workloads.remove(w)
+}
--- /dev/null
+++ b/internal/frontend/platform/binder.go
@@ -0,0 +1,155 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/placement"
+)
+
+// binder carries out binds: it offers workloads to nodes, and abandons and ends them there. It tells the engine of the ends
+// of binds that no message of a node reports.
+type binder struct {
+	*environment
+	workloads *workloadTable
+	nodes     *nodeTable
+	conns     *nodeConns
+}
+
+// pendingOffer is a bind that waits for the connection to its node.
+type pendingOffer struct {
+	binder   *binder
+	workload *workload
+	bind     int
+	deadline placement.Millis
+}
+
+// offer begins a bind. The offer is sent on a connection that is open or opens before the deadline.
+func (b *binder) offer(w *workload, bind int, n *node, deadline placement.Millis) {
+	w.beginBind(bind, n)
+	b.conns.await(n, &pendingOffer{b, w, bind, deadline})
+}
+
+// waits tells whether the bind has not ended in the meantime.
+func (o *pendingOffer) waits() bool {
+	return o.binder.workloads.holds(o.workload) && o.workload.connecting(o.bind)
+}
+
+func (o *pendingOffer) connected(c *nodeConn) {
+	if !o.waits() {
+		return
+	}
+	now := o.binder.host.Now()
+	if c.node.entry.State != placement.Ready || o.deadline <= now {
+		o.binder.notDelivered(o.workload) // the node drains, or time is over
+		return
+	}
+	o.binder.send(now, o, c)
+}
+
+func (o *pendingOffer) unreachable() {
+	if o.waits() {
+		o.binder.notDelivered(o.workload)
+	}
+}
+
+func (b *binder) send(now placement.Millis, o *pendingOffer, c *nodeConn) {
+	w := o.workload
+	w.markSent(now, c)
+	c.lastSent = now
+	b.net.Send(c.id, &codec.Offer{
+		Header: codec.Header{Tag: w.tag}, Class: w.class, Key: w.key, Timeout: o.deadline - now, Description: w.description,
+	})
+}
+
+// notDelivered tells the engine, once it is idle, that the offer of a bind was not sent.
+func (b *binder) notDelivered(w *workload) {
+	bind := w.bind.number
+	b.host.Defer(func(now placement.Millis) {
+		if b.workloads.holds(w) && w.bind.number == bind {
+			w.endBind()
+			b.settle(now, w, placement.Result{Kind: placement.NotDelivered})
+		}
+	})
+}
+
+// settle tells the engine how the last bind of a workload ended.
+func (b *binder) settle(now placement.Millis, w *workload, r placement.Result) {
+	var id placement.NodeID
+	if w.bind.node != nil {
+		id = w.bind.node.id
+	}
+	b.host.Engine().BindEnded(now, w.id, w.bind.number, id, r)
+}
+
+// abandon tells a node that nobody waits for the reply to an offer any more. After a timeout the engine goes on by itself;
+// for a workload that was withdrawn this is the end of its bind.
+func (b *binder) abandon(w *workload, timedOut bool) {
+	c, sent := w.bind.conn, w.bind.state == bindSent
+	w.endBind()
+	if sent {
+		w.bind.abandonedOn = append(w.bind.abandonedOn, c.id)
+		b.net.Send(c.id, codec.NewTermination(w.tag, codec.CauseNormal))
+	}
+	if timedOut {
+		if sent {
+			b.conns.replaceSilent(b.host.Now(), c, w.bind.sentAt)
+			b.conns.closeReplaced(c)
+		}
+		return
+	}
+	bind, kind := w.bind.number, placement.NotDelivered
+	if sent {
+		kind = placement.OutcomeUnknown
+	}
+	b.host.Defer(func(now placement.Millis) {
+		if b.workloads.holds(w) && w.bind.node != nil {
+			b.host.Engine().BindEnded(now, w.id, bind, w.bind.node.id, placement.Result{Kind: kind, Final: true})
+		}
+	})
+}
+
+// stop ends a running workload at its node, which then confirms the end. Without a confirmation it counts as ended after a
+// while.
+func (b *binder) stop(w *workload) {
+	b.conns.release(w)
+	b.host.Schedule(b.host.Now()+endGrace, func(now placement.Millis) {
+		if b.workloads.holds(w) {
+			b.settle(now, w, placement.Result{Kind: placement.Ended, Final: true})
+		}
+	})
+}
+
+// adopt takes over a workload that runs on a node, which is dialed to hear its end.
+func (b *binder) adopt(now placement.Millis, w *workload, task placement.Workload, name string) {
+	n := b.nodes.intern(name)
+	w.adopt(now, n)
+	b.host.Engine().Adopt(now, task, n.id)
+	b.conns.connect(now, n)
+}
+
+// offersLost handles the end of a connection: the offers that were out on it may have been accepted.
+func (b *binder) offersLost(now placement.Millis, c *nodeConn) {
+	for _, w := range frontend.SortedValues(c.offers) {
+		w.endBind()
+		b.settle(now, w, placement.Result{Kind: placement.OutcomeUnknown})
+	}
+}
+
+// processEnded handles that a node's process has ended, with all that ran there.
+func (b *binder) processEnded(now placement.Millis, n *node) { b.processRestarted(now, n, now+1) }
+
+// processRestarted handles that a node's process runs since the given time only: what ran there before has ended.
+func (b *binder) processRestarted(now placement.Millis, n *node, startedAt placement.Millis) {
+	for _, w := range frontend.SortedValues(n.workloads) {
+		if w.running() && w.bind.runningSince < startedAt {
+			b.counters.Lost++
+			w.bind.endCause = codec.CauseReset
+			b.settle(now, w, placement.Result{Kind: placement.Ended, Final: true})
+		}
+	}
+	if b.nodes.removable(n) {
+		b.nodes.remove(n)
+		b.conns.disconnectNode(now, n, reasonNodeRemoved)
+		n.failWaiters()
+	}
+}
--- /dev/null
+++ b/internal/frontend/platform/clients.go
@@ -0,0 +1,159 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+const (
+	// clientShare is the share of the descriptors for clients' connections: clients keep to a third, the rest is for those
+	// that do not. What is left is for nodes, the discovery service, the listener and the event loops.
+	clientShare = 0.4
+	// extraClientConns is how many connections more are accepted, so that there is a choice which one is closed.
+	extraClientConns = 8
+	// firstMessageTimeout is for how long, in ms, a connection may stay without a message; the platform wants a reply
+	// within 3 s.
+	firstMessageTimeout = placement.Millis(2000)
+	// maxUndelivered bounds the notifications that wait for a connection of a client.
+	maxUndelivered = 4096
+	// undeliveredTTL is for how long, in ms, they wait.
+	undeliveredTTL = 10 * endGrace
+)
+
+// maxClientConns is how many connections of clients stay open.
+func (c *Config) maxClientConns() int { return int(float64(c.Limits.Sockets) * clientShare) }
+
+// clientConn is a connection of a client.
+type clientConn struct {
+	id           transport.ConnID
+	active       bool // a message has come
+	placed       int  // workloads of its client that were placed
+	lastReceived placement.Millis
+	unanswered   map[placement.WorkloadID]*workload // requests of this connection without a final answer
+}
+
+// requestCanceler withdraws the requests of a connection that has ended.
+type requestCanceler interface {
+	cancelAll(now placement.Millis, unanswered map[placement.WorkloadID]*workload)
+}
+
+// clientConns holds the connections of clients, and the notifications that wait for one.
+type clientConns struct {
+	*environment
+	requests    requestCanceler
+	conns       map[transport.ConnID]*clientConn
+	limit       int
+	undelivered []notification
+}
+
+// notification is a message that waits for a connection.
+type notification struct {
+	message   codec.Message
+	expiresAt placement.Millis
+}
+
+func newClientConns(env *environment) *clientConns {
+	return &clientConns{environment: env, conns: map[transport.ConnID]*clientConn{}, limit: env.config.maxClientConns()}
+}
+
+// get returns the connection of that id, or nil.
+func (cs *clientConns) get(id transport.ConnID) *clientConn { return cs.conns[id] }
+
+// opened admits a connection. Beyond the limit one is evicted, which may be the new one.
+func (cs *clientConns) opened(now placement.Millis, id transport.ConnID) {
+	c := &clientConn{id: id, lastReceived: now, unanswered: map[placement.WorkloadID]*workload{}}
+	cs.conns[id] = c
+	if len(cs.conns) > cs.limit {
+		cs.evictConnection(now, c)
+	}
+	cs.host.Schedule(now+firstMessageTimeout, func(now placement.Millis) {
+		if cs.conns[id] == c && !c.active {
+			cs.counters.Invalid++
+			cs.disconnect(now, c)
+		}
+	})
+}
+
+// evictConnection closes the first connection of the eviction order among those that have no request open. It guards
+// against clients that open connections by the thousand and keep them. Where all carry requests, the latest is closed.
+func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
+	var first *clientConn
+	for _, c := range cs.conns {
+		if c != latest && len(c.unanswered) == 0 && (first == nil || c.evictedBefore(first)) {
+			first = c
+		}
+	}
+	if first == nil {
+		first = latest
+	}
+	cs.disconnect(now, first)
+}
+
+// evictedBefore is the eviction order: a connection that never carried a message before one that did, that of a client of
+// whom less was placed before one of whom more was, and of these the one that was silent for longer.
+func (c *clientConn) evictedBefore(other *clientConn) bool {
+	switch {
+	case c.active != other.active:
+		return other.active
+	case c.placed != other.placed:
+		return c.placed < other.placed
+	case c.lastReceived != other.lastReceived:
+		return c.lastReceived < other.lastReceived
+	}
+	return c.id < other.id
+}
+
+// disconnect closes a connection from our side.
+func (cs *clientConns) disconnect(now placement.Millis, c *clientConn) {
+	cs.net.Close(c.id)
+	cs.closed(now, c)
+}
+
+// closed handles the end of a connection: its requests are withdrawn, as no answer can reach their client any more.
+func (cs *clientConns) closed(now placement.Millis, c *clientConn) {
+	delete(cs.conns, c.id)
+	cs.requests.cancelAll(now, c.unanswered)
+}
+
+// notify sends a message about a workload on the connection of its request. If that has ended, it goes on the connection of
+// whose client most was placed: that is a client that stays, not one that sent a single request. Without any, the message
+// waits for one.
+func (cs *clientConns) notify(w *workload, m codec.Message) {
+	if cs.conns[w.client] != nil {
+		cs.net.Send(w.client, m)
+		return
+	}
+	if c := cs.mostPlaced(); c != nil {
+		cs.net.Send(c.id, m)
+		return
+	}
+	if len(cs.undelivered) >= maxUndelivered {
+		cs.undelivered = cs.undelivered[1:]
+	}
+	cs.undelivered = append(cs.undelivered, notification{m, cs.host.Now() + undeliveredTTL})
+}
+
+// mostPlaced returns the last connection of the eviction order among those of whose clients something was placed, or nil.
+func (cs *clientConns) mostPlaced() *clientConn {
+	var last *clientConn
+	for _, c := range cs.conns {
+		if c.placed > 0 && (last == nil || last.evictedBefore(c)) {
+			last = c
+		}
+	}
+	return last
+}
+
+// flushUndelivered sends the notifications that wait for a connection, unless this one has ended.
+func (cs *clientConns) flushUndelivered(now placement.Millis, c *clientConn) {
+	if len(cs.undelivered) == 0 || cs.conns[c.id] != c {
+		return
+	}
+	for _, n := range cs.undelivered {
+		if now < n.expiresAt {
+			cs.net.Send(c.id, n.message)
+		}
+	}
+	cs.undelivered = nil
+}
--- /dev/null
+++ b/internal/frontend/platform/codec/discovery.go
@@ -0,0 +1,180 @@
+package codec
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes: a list of some thousands of nodes.
+	maxEventSize = 1 << 20
+	// maxChunkHeader bounds the line in front of a chunk, in bytes.
+	maxChunkHeader = 32
+)
+
+var (
+	// ErrStatus means that the discovery service answered with another status than 200.
+	ErrStatus = errors.New("unexpected status of the discovery service")
+	// ErrStreamEnded means that the discovery service ended its stream of events.
+	ErrStreamEnded = errors.New("the stream of events has ended")
+)
+
+// Subscribe asks the discovery service for the events after a revision.
+type Subscribe struct {
+	Host  string
+	After uint64
+}
+
+// EventBatch is what was read from the discovery service at once: complete events, or none where it only showed that it
+// is there.
+type EventBatch struct{ Events []Event }
+
+// Event is one numbered change.
+type Event struct {
+	Revision uint64
+	Data     []byte // see DecodeEndpoints
+}
+
+// DiscoveryCodec is the encoding of one connection to the discovery service: an HTTP request, then server-sent events.
+// The zero value is ready for a new connection.
+type DiscoveryCodec struct {
+	streaming bool // the head of the response is over
+	chunked   bool
+	body      []byte // of chunks, up to the end of the last line not yet complete
+	event     pendingEvent
+}
+
+// pendingEvent is an event of which some lines have come.
+type pendingEvent struct {
+	Event
+	hasID, hasData bool
+}
+
+// Urgent has the transport hand over events ahead of other messages: a drain applies from when the service has it, however
+// much waits.
+func (s *DiscoveryCodec) Urgent() {}
+
+// Append appends the HTTP request of a Subscribe.
+func (s *DiscoveryCodec) Append(b []byte, m any) ([]byte, error) {
+	r, ok := m.(Subscribe)
+	if !ok {
+		return b, fmt.Errorf("%w: %T to the discovery service", ErrUnsupported, m)
+	}
+	return fmt.Appendf(b, "GET /journal HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
+		r.Host, r.After), nil
+}
+
+// Decode decodes what is complete at the beginning of b into an *EventBatch, and returns how many bytes it took.
+func (s *DiscoveryCodec) Decode(b []byte) (m any, n int, err error) {
+	var batch *EventBatch
+	switch {
+	case !s.streaming:
+		batch, n, err = s.decodeHead(b)
+	case s.chunked:
+		batch, n, err = s.decodeChunk(b)
+	default:
+		batch, n, err = s.decodeLines(b)
+	}
+	if n == 0 || err != nil {
+		return nil, 0, err
+	}
+	return batch, n, nil
+}
+
+func (s *DiscoveryCodec) decodeHead(b []byte) (*EventBatch, int, error) {
+	end := bytes.Index(b, []byte("\r\n\r\n"))
+	if end < 0 {
+		if len(b) > MaxMessageSize {
+			return nil, 0, fmt.Errorf("%w: the head of the response has no end", ErrTooLong)
+		}
+		return nil, 0, nil
+	}
+	lines := strings.Split(string(b[:end]), "\r\n")
+	if parts := strings.Fields(lines[0]); len(parts) < 2 || parts[1] != "200" {
+		return nil, 0, fmt.Errorf("%w: %.60q", ErrStatus, lines[0])
+	}
+	for _, l := range lines[1:] {
+		name, value, _ := strings.Cut(l, ":")
+		if strings.EqualFold(name, "Transfer-Encoding") && strings.Contains(strings.ToLower(value), "chunked") {
+			s.chunked = true
+		}
+	}
+	s.streaming = true
+	return &EventBatch{}, end + 4, nil
+}
+
+func (s *DiscoveryCodec) decodeChunk(b []byte) (*EventBatch, int, error) {
+	end := bytes.Index(b[:min(len(b), maxChunkHeader)], []byte("\r\n"))
+	if end < 0 {
+		if len(b) >= maxChunkHeader {
+			return nil, 0, fmt.Errorf("%w: a chunk has no size", ErrMalformed)
+		}
+		return nil, 0, nil
+	}
+	digits, _, _ := strings.Cut(string(b[:end]), ";")
+	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
+	if err != nil || size > maxEventSize {
+		return nil, 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
+	}
+	if size == 0 {
+		return nil, 0, ErrStreamEnded
+	}
+	from, to := end+2, end+2+int(size)
+	if len(b) < to+2 {
+		return nil, 0, nil
+	}
+	s.body = append(s.body, b[from:to]...)
+	batch, used, err := s.decodeLines(s.body)
+	s.body = append(s.body[:0], s.body[used:]...)
+	return batch, to + 2, err
+}
+
+// decodeLines takes all complete lines, and returns how many bytes they were.
+func (s *DiscoveryCodec) decodeLines(b []byte) (*EventBatch, int, error) {
+	batch, used := &EventBatch{}, 0
+	for {
+		end := bytes.IndexByte(b[used:], '\n')
+		if end < 0 {
+			break
+		}
+		l := bytes.TrimSuffix(b[used:used+end], []byte("\r"))
+		used += end + 1
+		if len(l) > 0 {
+			if err := s.event.addLine(l); err != nil {
+				return nil, used, err
+			}
+			continue
+		}
+		if s.event.hasID && s.event.hasData {
+			batch.Events = append(batch.Events, s.event.Event)
+		}
+		s.event = pendingEvent{}
+	}
+	if len(b)-used > maxEventSize || len(s.event.Data) > maxEventSize {
+		return nil, used, fmt.Errorf("%w: an event of more than %d bytes", ErrTooLong, maxEventSize)
+	}
+	return batch, used, nil
+}
+
+// addLine adds a line that is not empty. Comments and unknown fields are passed over.
+func (e *pendingEvent) addLine(l []byte) error {
+	name, value, _ := bytes.Cut(l, []byte(":"))
+	value = bytes.TrimPrefix(value, []byte(" "))
+	switch string(name) {
+	case "id":
+		id, err := strconv.ParseUint(string(value), 10, 64)
+		if err != nil {
+			return fmt.Errorf("%w: event number %.40q", ErrMalformed, value)
+		}
+		e.Revision, e.hasID = id, true
+	case "data":
+		if e.hasData {
+			e.Data = append(e.Data, '\n')
+		}
+		e.Data, e.hasData = append(e.Data, value...), true
+	}
+	return nil
+}
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -1,112 +1,146 @@
-// Package codec reads and writes the three forms that the platform speaks: lines of JSON with owners, binary
-// messages with nodes, and the journal service's stream of events. It is bounded and does no I/O; the forms are
-// transport.Form.
 package codec
 
-import (
-	"fmt"
-	"strconv"
-	"unicode/utf8"
-)
+import "grebeglade/placement"
+
+// Message is a message with a client or a node; its dynamic type is a pointer to one of the structs of this file.
+type Message interface {
+	// Envelope returns what every message has.
+	Envelope() *Header
+}
 
-// MostBytes bounds a message of either form.
-const MostBytes = 16 << 10
+// Header is what every message has.
+type Header struct {
+	Tag Tag
+	// Load is the load report that a node attached to the message, or nil. Encoders pass over it.
+	Load *placement.LoadReport
+}
+
+// Envelope returns h, which makes every struct that embeds a Header a Message.
+func (h *Header) Envelope() *Header { return h }
 
-// Verb is what a message says. Its number is that of the binary form.
-type Verb uint8
+// Cause says how a workload, or the request for it, ended. Its numbers are the protocol's. A message that states none
+// has CauseNone.
+type Cause uint8
 
+// The causes. Their numbers are fixed by the protocol.
 const (
-	Start    Verb = 1
-	Pending  Verb = 6
-	Started  Verb = 9
-	Finish   Verb = 12
-	Finished Verb = 16
-	Notice   Verb = 44
-	Move     Verb = 51
-	Echo     Verb = 52
-	Echoed   Verb = 53
+	CauseNone         Cause = 0
+	CauseNormal       Cause = 16  // it came to its end, or nobody wants it any more
+	CauseCancelled    Cause = 31  // migrated, or ended by its own client
+	CauseNoCapacity   Cause = 34  // rejected; it never ran
+	CauseReset        Cause = 41  // cut, or lost; before the answer it may have run
+	CauseError        Cause = 47  // the node failed to start it
+	CauseInvalid      Cause = 88  // no request that can be taken
+	CauseNotDelivered Cause = 102 // it never left
 )
 
-var verbNames = map[Verb]string{
-	Start: "START", Pending: "PENDING", Started: "STARTED", Finish: "FINISH", Finished: "FINISHED",
-	Notice: "NOTICE", Move: "MOVE", Echo: "ECHO", Echoed: "ECHOED",
+// Description is the description that a message carries, or that it carries none. The zero value carries none.
+type Description struct {
+	text    string
+	present bool
 }
 
-var verbsByName = func() map[string]Verb {
-	by := map[string]Verb{}
-	for v, name := range verbNames {
-		by[name] = v
-	}
-	return by
-}()
+// NewDescription returns a description that is present, even if its text is empty.
+func NewDescription(text string) Description { return Description{text: text, present: true} }
+
+// Text returns the text, and whether the message carries a description at all.
+func (d Description) Text() (string, bool) { return d.text, d.present }
+
+// Task is the workload that a client describes in a request.
+type Task struct {
+	Class       string
+	Key         string // idempotency key: 1 to 64 bytes
+	Description string // passed on to the node unchanged
+	Service     uint64 // 0 where the request names none
+	Cores       float64
+	Memory      float64
+	Retried     bool // the client has requested it before
+}
 
-func (v Verb) String() string { return verbNames[v] }
+// PlaceRequest is a client's request to place a workload.
+type PlaceRequest struct {
+	Header
+	Task
+	Timeout placement.Millis // for which the client waits for the answer, in ms from when it sent the request; above 0
+}
 
-// Cause says why a workload is refused, failed or over.
-type Cause uint8
+// AdoptRequest is a client's statement that a node runs a workload already. It gets no answer.
+type AdoptRequest struct {
+	Header
+	Task
+	Node string // the node's name
+}
 
-const (
-	Failed       Cause = 0 // of a test
-	Passed       Cause = 1 // of a test
-	Well         Cause = 16
-	Cancelled    Cause = 31
-	Full         Cause = 34
-	Broken       Cause = 41
-	Error        Cause = 47
-	Incompatible Cause = 88 // what was asked for cannot be
-	Moot         Cause = 102
-)
+// Offer is a bind on the wire: it asks a node to run a workload.
+type Offer struct {
+	Header
+	Class       string
+	Key         string
+	Timeout     placement.Millis // for which the allocator waits for the reply; whole ms on the wire
+	Description string
+}
+
+// Confirmation says that a workload runs on a node.
+type Confirmation struct {
+	Header
+	Description Description // the node's, passed on to the client unchanged
+}
 
-// Tag names a workload on a connection, and the copy of it that a node holds.
-type Tag uint64
+// Termination ends a workload or the request for it. A client cancels either with it; a node rejects a bind or reports the
+// end of a workload; a client is told that its request was rejected or has failed, or that its workload has ended.
+type Termination struct {
+	Header
+	Cause  Cause
+	Reason placement.Reason // what a node states beside the cause; encoders pass over it
+}
+
+// Migration tells a client that its workload ends so that it can be placed anew.
+type Migration struct{ Header }
 
-func (t Tag) String() string { return fmt.Sprintf("%016x", uint64(t)) }
+// HealthCheck asks for a HealthReply.
+type HealthCheck struct{ Header }
 
-func parseTag(s string) (Tag, error) {
-	n, err := strconv.ParseUint(s, 16, 64)
-	if err != nil || len(s) != 16 {
-		return 0, fmt.Errorf("tag %.40q is not 16 hex digits", s)
-	}
-	return Tag(n), nil
+// HealthReply is the reply to a health check, which has the same tag.
+type HealthReply struct {
+	Header
+	Passed bool
 }
 
-// Field is a named value of a message. Its number is that of the binary form.
-type Field uint8
+// Note is a measurement that a node makes of a workload that it runs.
+type Note struct {
+	Header
+	Kind  placement.UsageKind
+	Value float64
+}
 
-const (
-	Group  Field = 16
-	Left   Field = 18 // ms
-	Key    Field = 24
-	Note   Field = 30
-	Report Field = 34
-	Figure Field = 40
-	cause  Field = 44
-	text   Field = 46
-	Retry  Field = 1 // only owners have these
-	Extras Field = 2
-)
+// Ignorable is a message that needs no reaction beyond its load report: progress, an acknowledgement, a note that cannot
+// be used, or what only the other side of a connection may receive.
+type Ignorable struct{ Header }
 
-var fieldsByName = map[string]Field{"class": Group, "left": Left, "key": Key, "retry": Retry, "extras": Extras}
+// Invalid is a message that is framed correctly and whose content breaks the protocol. The receiver decides what becomes
+// of the connection.
+type Invalid struct {
+	Header
+	Err error
+}
 
-// Message is one message of either form. What is absent is nil, and HasCause false.
-type Message struct {
-	Verb        Verb
-	Tag         Tag
-	Fields      map[Field]string
-	Cause       Cause
-	HasCause    bool
-	Description *string
+// NewTermination returns a termination of the workload.
+func NewTermination(tag Tag, cause Cause) *Termination {
+	return &Termination{Header: Header{Tag: tag}, Cause: cause}
 }
 
-// With is the message with a cause.
-func (m Message) With(c Cause) *Message {
-	m.Cause, m.HasCause = c, true
-	return &m
+// NewConfirmation returns a confirmation that passes on a node's description.
+func NewConfirmation(tag Tag, description string) *Confirmation {
+	return &Confirmation{Header: Header{Tag: tag}, Description: NewDescription(description)}
 }
 
-func readable(s string) error {
-	if !utf8.ValidString(s) {
-		return fmt.Errorf("text is not UTF-8: %.40q", s)
-	}
-	return nil
+// NewHealthCheck returns a health check.
+func NewHealthCheck(tag Tag) *HealthCheck { return &HealthCheck{Header{Tag: tag}} }
+
+// NewHealthReply returns the reply to a health check.
+func NewHealthReply(tag Tag, passed bool) *HealthReply {
+	return &HealthReply{Header: Header{Tag: tag}, Passed: passed}
 }
+
+// NewMigration returns the notification that a workload is migrated.
+func NewMigration(tag Tag) *Migration { return &Migration{Header{Tag: tag}} }
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -10,29 +10,29 @@
 	"grebeglade/internal/settings"
 )
 
-// Config is what the platform tells an allocator at its start.
+// Config is what the platform gives an allocator at its start.
 type Config struct {
 	Name             string
-	Listen           string
-	DiscoveryAddress string // address of the journal service
+	Listen           string // address that clients connect to
+	DiscoveryAddress string
 	Seed             uint64
 	Limits           Limits
-	Told             *settings.Received
-	Known            []json.RawMessage // the journal's events up to Pos
-	Pos              uint64
+	Settings         *settings.Received
+	KnownEvents      []json.RawMessage // the discovery service's events up to Revision
+	Revision         uint64
 }
 
 // Limits are those of the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// leastSockets leaves a dozen descriptors for nodes beside the owners' share and what is kept.
-const leastSockets = 64
+// minSockets leaves a dozen descriptors for nodes beside the clients' share and the reserve.
+const minSockets = 64
 
-// ReadConfig reads the file that the platform gives. Listen, where given, is the address that the environment names.
+// ReadConfig reads the file that the platform writes. Listen, unless empty, takes the place of the file's address.
 func ReadConfig(file, listen string) (*Config, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -51,29 +51,41 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	c := &Config{
-		Name: raw.Name, Listen: raw.Listen, DiscoveryAddress: raw.Journal, Limits: raw.Limits, Known: raw.Known.Entries,
-		Pos: raw.Known.Pos,
+		Name: raw.Name, Listen: raw.Listen, DiscoveryAddress: raw.Journal, Seed: parseSeed(raw.Seed), Limits: raw.Limits,
+		KnownEvents: raw.Known.Entries, Revision: raw.Known.Pos,
 	}
 	if listen != "" {
 		c.Listen = listen
 	}
-	if c.Told, err = settings.FromJSON(raw.Settings); err != nil {
+	if c.Settings, err = settings.FromJSON(raw.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		h := fnv.New64a()
-		h.Write([]byte(raw.Seed))
-		c.Seed = h.Sum64()
+	if err := c.validate(); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	return c, nil
+}
+
+// parseSeed reads a seed in hexadecimal digits. Any other text is hashed.
+func parseSeed(text string) uint64 {
+	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
+		return seed
 	}
+	h := fnv.New64a()
+	h.Write([]byte(text))
+	return h.Sum64()
+}
+
+func (c *Config) validate() error {
 	switch {
 	case c.Listen == "":
-		return nil, fmt.Errorf("%s: listen is missing; give the address that clients connect to", file)
+		return fmt.Errorf("listen is missing; give the address that clients connect to")
 	case c.DiscoveryAddress == "":
-		return nil, fmt.Errorf("%s: journal is missing; give the journal service's address", file)
-	case c.Limits.Sockets < leastSockets:
-		return nil, fmt.Errorf("%s: limits.sockets is %d; an allocator needs %d or more", file, c.Limits.Sockets, leastSockets)
+		return fmt.Errorf("journal is missing; give the journal service's address")
+	case c.Limits.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets is %d; an allocator needs %d or more", c.Limits.Sockets, minSockets)
 	case c.Limits.MemoryMB <= 0:
-		return nil, fmt.Errorf("%s: limits.memory_mb is %d; it must be above 0", file, c.Limits.MemoryMB)
+		return fmt.Errorf("limits.memory_mb is %d; it must be above 0", c.Limits.MemoryMB)
 	}
-	return c, nil
+	return nil
 }
--- /dev/null
+++ b/internal/frontend/platform/frontend.go
@@ -0,0 +1,204 @@
+// Package platform is the allocator's frontend on the users' platform: clients send lines of JSON, nodes are sent binary
+// messages, and a discovery service tells which nodes there are.
+//
+// A Frontend wires together the types that own its state:
+//
+//   - clientConns: the connections of clients, and notifications that wait for one;
+//   - nodeTable, nodeConns: the nodes, and the connections to them;
+//   - workloadTable: the workloads, each with its bind;
+//   - subscription, endpointList: the discovery service's stream, and what its events change;
+//   - lifecycle: from the start over readiness to the end,
+//
+// and those that act on it: requestHandler for clients' messages, replyHandler for nodes' messages, binder and
+// healthChecker for what the engine wants of nodes.
+//
+// Where a workload goes is decided by the engine's placement module alone. Everything belongs to one goroutine. Times
+// are milliseconds on a clock that never steps back.
+package platform
+
+import (
+	"log/slog"
+	"time"
+
+	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+const (
+	// maxWakeInterval is the longest time between two wake-ups, in ms.
+	maxWakeInterval = placement.Millis(1000)
+	// endGrace is for how long, in ms, a node may take to confirm an end or to reply to a health check.
+	endGrace = placement.Millis(3000)
+	// messageTimeout is for how long, in ms, a message may take from its first byte to its last.
+	messageTimeout = placement.Millis(1000)
+	// maxWriteBuffer bounds what waits for a peer that does not read, in bytes.
+	maxWriteBuffer = 256 << 10
+	// maxQueuedEvents bounds the messages that wait to be handled; beyond it, connections are not read.
+	maxQueuedEvents = 512
+)
+
+// Counters count what happened since the start.
+type Counters struct {
+	frontend.Counters
+	Adopted  uint64 // workloads that ran already when a client named them
+	Invalid  uint64 // connections of clients closed for what they sent, or for sending nothing
+	Lost     uint64 // workloads that ended with the process of their node
+	Released uint64 // workloads whose end their client was notified of
+}
+
+// environment is what all parts of a Frontend use.
+type environment struct {
+	config   *Config
+	log      *slog.Logger
+	host     *frontend.Host
+	net      transport.Network // from Start on
+	counters *Counters
+}
+
+// Frontend is an allocator on the platform. It is a transport.Handler and belongs to one goroutine.
+type Frontend struct {
+	environment
+	Counters Counters
+
+	clients      *clientConns
+	workloads    *workloadTable
+	nodes        *nodeTable
+	nodeConns    *nodeConns
+	healthChecks *healthChecker
+	binder       *binder
+	replies      *replyHandler
+	requests     *requestHandler
+	endpoints    *endpointList
+	subscription *subscription
+	lifecycle    *lifecycle
+}
+
+// New makes a frontend, which is to be served with its Limits. A nil log discards its lines.
+func New(c *Config, log *slog.Logger) *Frontend {
+	if log == nil {
+		log = slog.New(slog.DiscardHandler)
+	}
+	f := &Frontend{environment: environment{config: c, log: log}}
+	env := &f.environment
+	env.counters = &f.Counters
+	f.workloads = newWorkloadTable(c.Limits.MemoryMB)
+	f.clients = newClientConns(env)
+	f.nodes = newNodeTable()
+	f.nodeConns = newNodeConns(env, f.nodes)
+	env.host = frontend.NewHost(frontend.Config{
+		Settings: c.Settings.Settings, Seed: c.Seed, Engine: allocator.Options{EnforceTimeouts: true}, Actions: engineActions{f},
+		MaxWakeInterval: maxWakeInterval, Periodic: f.nodeConns.closeIdle, Counters: &f.Counters.Counters,
+	})
+	f.healthChecks = &healthChecker{
+		environment: env, nodes: f.nodes, conns: f.nodeConns, pending: frontend.NewHealthChecks(env.host, endGrace),
+	}
+	f.lifecycle = newLifecycle(env)
+	f.binder = &binder{environment: env, workloads: f.workloads, nodes: f.nodes, conns: f.nodeConns}
+	f.replies = &replyHandler{
+		environment: env, workloads: f.workloads, conns: f.nodeConns, binder: f.binder, checks: f.healthChecks,
+	}
+	f.requests = newRequestHandler(env, f.clients, f.workloads, f.lifecycle, f.binder)
+	f.endpoints = &endpointList{environment: env, nodes: f.nodes, conns: f.nodeConns, binder: f.binder, unixTime: unixTime}
+	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
+	f.clients.requests, f.nodeConns.binds = f.requests, f.binder
+	return f
+}
+
+func unixTime() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) }
+
+// Limits returns the limits of the frontend's connections.
+func (f *Frontend) Limits() transport.Limits {
+	return transport.Limits{
+		MaxFrameSize: codec.MaxMessageSize, MaxWriteBuffer: maxWriteBuffer, MaxConnections: f.config.maxClientConns() + extraClientConns,
+		PauseAcceptAtLimit: true, MaxQueuedEvents: maxQueuedEvents, MessageTimeout: messageTimeout,
+	}
+}
+
+// Start is called once, before any other event.
+func (f *Frontend) Start(now placement.Millis, net transport.Network) {
+	f.host.Attach(now, net)
+	f.net = net
+	for i, event := range f.config.KnownEvents {
+		// The first holds the whole list, and all were written before this process began: the list counts as cached.
+		if err := f.endpoints.apply(now, event, i == 0); err != nil {
+			f.log.Warn("known event not applied", "error", err)
+		}
+	}
+	f.config.KnownEvents = nil
+	f.host.Engine().Start(now)
+	f.subscription.connect(now)
+	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
+	f.host.Flush(now)
+}
+
+// Drain begins a graceful shutdown: health checks fail, and requests are served for a little longer, then rejected.
+// Running workloads run on.
+func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
+
+// Drained tells whether, after a Drain, every request has its answer. Releases that wait for a connection to their node
+// are given a while. Notifications that wait for a connection of a client are left to the allocator that adopts the
+// workload next.
+func (f *Frontend) Drained(now placement.Millis) bool {
+	if f.workloads.unanswered > 0 {
+		return false
+	}
+	return f.lifecycle.drainedBy(now, f.nodes.releasesPending())
+}
+
+// Reload subscribes to the discovery service at another address.
+func (f *Frontend) Reload(now placement.Millis, discoveryAddress string) {
+	f.subscription.move(now, discoveryAddress)
+	f.host.Flush(now)
+}
+
+// Wake handles the wake-up.
+func (f *Frontend) Wake(now placement.Millis) { f.host.Wake(now) }
+
+// Opened handles a connection that was accepted or has been dialed.
+func (f *Frontend) Opened(now placement.Millis, id transport.ConnID) {
+	f.host.Begin(now)
+	if f.subscription.owns(id) {
+		f.subscription.opened(now)
+	} else if c := f.nodeConns.get(id); c != nil {
+		f.nodeConns.opened(now, c)
+	} else if f.clients.get(id) == nil {
+		f.clients.opened(now, id)
+	}
+	f.host.Flush(now)
+}
+
+// Received handles a message.
+func (f *Frontend) Received(now placement.Millis, id transport.ConnID, m any) {
+	f.host.Begin(now)
+	switch m := m.(type) {
+	case *codec.EventBatch:
+		if f.subscription.owns(id) {
+			f.subscription.received(now, m)
+		}
+	case codec.Message:
+		if c := f.nodeConns.get(id); c != nil {
+			c.lastReceived = now
+			f.replies.received(now, c, m)
+		} else if c := f.clients.get(id); c != nil {
+			c.lastReceived = now
+			f.requests.received(now, c, m)
+		}
+	}
+	f.host.Flush(now)
+}
+
+// Closed handles the end of a connection, or that it could not be dialed.
+func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason string) {
+	f.host.Begin(now)
+	if f.subscription.owns(id) {
+		f.subscription.closed(now, reason)
+	} else if c := f.nodeConns.get(id); c != nil {
+		f.nodeConns.closed(now, c, reason)
+	} else if c := f.clients.get(id); c != nil {
+		f.clients.closed(now, c)
+	}
+	f.host.Flush(now)
+}
--- /dev/null
+++ b/internal/frontend/platform/lifecycle.go
@@ -0,0 +1,86 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+const (
+	readyTimeout     = placement.Millis(500)  // ms after the start by which health checks pass without the discovery service
+	drainTimeout     = placement.Millis(750)  // ms of a shutdown in which requests are served
+	releaseTimeout   = placement.Millis(1000) // ms after that for releases that wait; the platform gives 3.7 s from SIGTERM on
+	maxPendingChecks = 64                     // health checks of clients that wait for readiness
+)
+
+// lifecycleState is how far a frontend is between its start and its end. It only goes forward, or from starting to draining.
+type lifecycleState uint8
+
+const (
+	lifecycleStarting lifecycleState = iota // health checks wait: what the discovery service told before the start is not known
+	lifecycleReady
+	lifecycleDraining // health checks fail; requests are served, and after a while rejected
+)
+
+// lifecycle is the state of a frontend, with the health checks that wait for readiness.
+type lifecycle struct {
+	*environment
+	state         lifecycleState
+	drainingSince placement.Millis // where draining
+	pendingChecks []pendingReply
+}
+
+// pendingReply is a client's health check that waits.
+type pendingReply struct {
+	client transport.ConnID
+	tag    codec.Tag
+}
+
+func newLifecycle(env *environment) *lifecycle { return &lifecycle{environment: env} }
+
+// checkHealth replies to a client's health check: at once, or once the frontend is ready.
+func (l *lifecycle) checkHealth(client transport.ConnID, tag codec.Tag) {
+	check := pendingReply{client, tag}
+	if l.state == lifecycleStarting && len(l.pendingChecks) < maxPendingChecks {
+		l.pendingChecks = append(l.pendingChecks, check)
+		return
+	}
+	l.reply(check)
+}
+
+func (l *lifecycle) reply(check pendingReply) {
+	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
+}
+
+// markReady replies to the health checks that came before the discovery service was heard. What it told between the
+// configuration and the start applies: no workload may be requested, and placed by a list that is behind, before that.
+func (l *lifecycle) markReady(placement.Millis) {
+	if l.state == lifecycleStarting {
+		l.state = lifecycleReady
+	}
+	checks := l.pendingChecks
+	l.pendingChecks = nil
+	for _, check := range checks {
+		l.reply(check)
+	}
+}
+
+// drain begins the shutdown. Further calls change nothing.
+func (l *lifecycle) drain(now placement.Millis) {
+	if l.state != lifecycleDraining {
+		l.state, l.drainingSince = lifecycleDraining, now
+	}
+}
+
+// rejecting tells whether further requests are rejected.
+func (l *lifecycle) rejecting(now placement.Millis) bool {
+	return l.state == lifecycleDraining && now-l.drainingSince > drainTimeout
+}
+
+// drainedBy tells whether the shutdown may end where all requests have their answers, while releases still wait or not.
+func (l *lifecycle) drainedBy(now placement.Millis, releasesPending bool) bool {
+	if !l.rejecting(now) {
+		return false
+	}
+	return !releasesPending || now-l.drainingSince > drainTimeout+releaseTimeout
+}
--- /dev/null
+++ b/internal/frontend/platform/nodeconns.go
@@ -0,0 +1,332 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// A node is dialed once something is to be sent to it or heard from it: there may be more nodes than descriptors, and
+// dialing all of them at once would cost a start on a part of a core more than it can spare.
+
+const (
+	defaultConnectTimeout = placement.Millis(250)  // ms, where the settings give none
+	nodeDownAfter         = placement.Millis(600)  // ms for which nobody listens at an address until what ran there counts as lost
+	revisitAfter          = placement.Millis(3000) // ms until an evicted node is heard again; clients are notified within 8 s
+	idleShare             = 0.9                    // of the settings' idle timeout, so that no offer crosses the node's own close
+	maxPendingReleases    = 4096                   // for each node
+)
+
+// reservedSockets are for neither clients nor nodes: 3 standard files, the listener, 8 of event loops and the runtime, the
+// discovery service's connection, the configuration read anew, and the second ones that up to 4 connections hold while
+// they are handed to their event loops.
+const reservedSockets = 18
+
+// redialBackoff ends at 2 s, so that the ends of workloads are heard within the 8 s in which clients are notified.
+var redialBackoff = frontend.Backoff{Initial: 50, Max: 2000}
+
+// maxNodeConns bounds the connections to nodes, those being dialed among them.
+func (c *Config) maxNodeConns() int {
+	return max(1, c.Limits.Sockets-c.maxClientConns()-extraClientConns-reservedSockets)
+}
+
+// connState is where a connection to a node stands.
+//
+//	dialing ---> open ---> retired ---> closed, which any of them may become
+type connState uint8
+
+const (
+	connDialing connState = iota
+	connOpen              // new offers take it
+	connRetired           // no new offers take it; it is closed once none is out on it and its successor is open
+	connClosed
+)
+
+// nodeConn is a connection to a node.
+type nodeConn struct {
+	id           transport.ConnID
+	node         *node
+	state        connState
+	lastSent     placement.Millis // or dialed
+	lastReceived placement.Millis
+	offers       map[placement.WorkloadID]*workload // offers that are out on it
+}
+
+// isOpen tells whether messages can be sent on the connection.
+func (c *nodeConn) isOpen() bool { return c.state == connOpen || c.state == connRetired }
+
+// retire has the node's new offers take another connection.
+func (c *nodeConn) retire() {
+	c.state, c.node.conn = connRetired, nil
+}
+
+// nodeEvents are told what becomes of the workloads of connections and nodes.
+type nodeEvents interface {
+	// offersLost handles the end of a connection with its offers: they may have run.
+	offersLost(now placement.Millis, c *nodeConn)
+	// processEnded handles that the process of a node has ended, with all that ran there.
+	processEnded(now placement.Millis, n *node)
+}
+
+// nodeConns holds the connections to nodes. They keep to their share of the descriptors: where it is used up, one is
+// evicted for the next.
+type nodeConns struct {
+	*environment
+	nodes          *nodeTable
+	binds          nodeEvents
+	conns          map[transport.ConnID]*nodeConn
+	limit          int
+	connectTimeout placement.Millis
+}
+
+func newNodeConns(env *environment, nodes *nodeTable) *nodeConns {
+	timeout := env.config.Settings.ConnectTimeout
+	if timeout <= 0 {
+		timeout = defaultConnectTimeout
+	}
+	return &nodeConns{
+		environment: env, nodes: nodes, conns: map[transport.ConnID]*nodeConn{}, limit: env.config.maxNodeConns(),
+		connectTimeout: timeout,
+	}
+}
+
+// get returns the connection of that id, or nil.
+func (nc *nodeConns) get(id transport.ConnID) *nodeConn { return nc.conns[id] }
+
+// await calls the waiter with the connection to a node, at once or when it opens, or that there is none.
+func (nc *nodeConns) await(n *node, w connWaiter) {
+	if n == nil {
+		w.unreachable()
+		return
+	}
+	if c := n.openConn(); c != nil && !nc.idle(nc.host.Now(), c) {
+		w.connected(c)
+		return
+	}
+	if !n.reachable() {
+		w.unreachable()
+		return
+	}
+	n.waiters = append(n.waiters, w)
+	nc.connect(nc.host.Now(), n)
+}
+
+// connect dials a node if there is something to send to it or to hear.
+func (nc *nodeConns) connect(now placement.Millis, n *node) {
+	if n.needed() {
+		nc.dial(now, n)
+	}
+}
+
+// dial dials a node, unless it is connected or has no address.
+func (nc *nodeConns) dial(now placement.Millis, n *node) {
+	if c := n.openConn(); c != nil && nc.idle(now, c) {
+		c.retire() // the node may be closing it now
+	}
+	if n.conn != nil || !n.reachable() {
+		return
+	}
+	if len(nc.conns) >= nc.limit && !nc.evictConnection(now, n) {
+		nc.redial(now, n)
+		return
+	}
+	id := nc.net.DialCodec(n.addr, codec.NodeCodec{}, nc.connectTimeout)
+	n.conn = &nodeConn{id: id, node: n, lastSent: now, offers: map[placement.WorkloadID]*workload{}}
+	nc.conns[id] = n.conn
+}
+
+// redial dials a node again after a backoff, if it is still needed then.
+func (nc *nodeConns) redial(now placement.Millis, n *node) {
+	d := &n.dialing
+	if d.scheduled || d.evicted || !n.reachable() || !n.needed() {
+		return
+	}
+	d.scheduled = true
+	at := now + nc.host.RetryDelay(redialBackoff, d.failures)
+	if d.refusing {
+		// Nothing is to be learnt before the node counts as down. Where a zone was lost, dialing its nodes more often took
+		// all that a part of a core can do, and answers were late by half a second.
+		at = max(at, d.refusedSince+nodeDownAfter)
+	}
+	nc.host.Schedule(at, func(now placement.Millis) {
+		d.scheduled = false
+		if nc.nodes.holds(n) {
+			nc.connect(now, n)
+		}
+	})
+}
+
+// evictConnection closes the first connection of the eviction order for one to another node, and returns whether there was
+// one. Connections with an offer out are never evicted. A node tells the ends of workloads on its next connection, so it
+// is dialed again after a while.
+func (nc *nodeConns) evictConnection(now placement.Millis, successor *node) bool {
+	var first *nodeConn
+	for _, c := range nc.conns {
+		if c.isOpen() && len(c.offers) == 0 && c != successor.conn && (first == nil || c.evictedBefore(first)) {
+			first = c
+		}
+	}
+	if first == nil {
+		return false
+	}
+	n := first.node
+	if n == successor {
+		nc.disconnect(now, first, reasonReplaced)
+		return true
+	}
+	n.dialing.evicted = true
+	nc.host.Schedule(now+revisitAfter, func(now placement.Millis) {
+		n.dialing.evicted = false
+		if nc.nodes.holds(n) {
+			nc.connect(now, n)
+		}
+	})
+	nc.disconnect(now, first, reasonEvicted)
+	return true
+}
+
+// evictedBefore is the eviction order: a connection to a node without workloads before one that may tell the end of one,
+// and of these the one unused for longer.
+func (c *nodeConn) evictedBefore(other *nodeConn) bool {
+	if empty := len(c.node.workloads) == 0; empty != (len(other.node.workloads) == 0) {
+		return empty
+	}
+	return c.lastSent < other.lastSent || c.lastSent == other.lastSent && c.id < other.id
+}
+
+// opened handles a dialed connection that is up.
+func (nc *nodeConns) opened(now placement.Millis, c *nodeConn) {
+	n := c.node
+	c.state, c.lastReceived = connOpen, now
+	if n.conn != c {
+		nc.disconnect(now, c, reasonReplaced)
+		return
+	}
+	nc.log.Debug("node connected", "node", n.name, "address", n.addr, "workloads", len(n.workloads))
+	n.dialing.failures, n.dialing.refusing = 0, false
+	waiters := n.waiters
+	n.waiters = nil
+	for _, w := range waiters {
+		w.connected(c)
+	}
+	for _, tag := range n.pendingReleases {
+		nc.net.Send(c.id, codec.NewTermination(tag, codec.CauseNormal))
+	}
+	n.pendingReleases = nil
+}
+
+// Reasons why a connection to a node is closed from our side.
+const (
+	reasonReplaced       = "replaced by another connection"
+	reasonEvicted        = "another node needs the descriptor"
+	reasonIdle           = "idle"
+	reasonNodeRemoved    = "the node is gone"
+	reasonAddressChanged = "the node's address has changed"
+	reasonAddressTaken   = "another node has its address"
+	reasonNoDescription  = "a confirmation without a description"
+)
+
+// disconnect closes a connection from our side.
+func (nc *nodeConns) disconnect(now placement.Millis, c *nodeConn, reason string) {
+	nc.net.Close(c.id)
+	nc.closed(now, c, reason)
+}
+
+// disconnectNode closes what is open or being dialed to a node.
+func (nc *nodeConns) disconnectNode(now placement.Millis, n *node, reason string) {
+	if n.conn != nil {
+		nc.disconnect(now, n.conn, reason)
+	}
+}
+
+// closed handles the end of a connection, or that it could not be dialed.
+func (nc *nodeConns) closed(now placement.Millis, c *nodeConn, reason string) {
+	n, dialed := c.node, c.state != connDialing
+	nc.log.Debug("node disconnected", "node", n.name, "opened", dialed, "offers", len(c.offers), "workloads", len(n.workloads),
+		"reason", reason)
+	delete(nc.conns, c.id)
+	c.state = connClosed
+	if n.conn == c {
+		n.conn = nil
+	}
+	nc.binds.offersLost(now, c)
+	if !dialed {
+		n.failWaiters()
+		nc.dialFailed(now, n, reason)
+	}
+	nc.redial(now, n)
+}
+
+// dialFailed notes that a node could not be dialed. Where nobody has listened for long enough, its process has ended.
+func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason string) {
+	d := &n.dialing
+	d.failures++
+	switch {
+	case reason != transport.Refused:
+		d.refusing = false
+	case !d.refusing:
+		d.refusing, d.refusedSince = true, now
+	case now-d.refusedSince >= nodeDownAfter:
+		nc.binds.processEnded(now, n)
+	}
+}
+
+// release has a node end a workload. It goes on the connection of its offer where that is open, else on the node's own,
+// and waits where there is none.
+func (nc *nodeConns) release(w *workload) {
+	now, n, c := nc.host.Now(), w.bind.node, w.bind.conn
+	if !nc.usable(now, c) {
+		c = n.openConn()
+	}
+	if !nc.usable(now, c) {
+		if len(n.pendingReleases) < maxPendingReleases {
+			n.pendingReleases = append(n.pendingReleases, w.tag)
+		}
+		nc.connect(now, n)
+		return
+	}
+	c.lastSent = now
+	nc.net.Send(c.id, codec.NewTermination(w.tag, codec.CauseNormal))
+}
+
+// usable tells whether a message sent on the connection will reach the node.
+func (nc *nodeConns) usable(now placement.Millis, c *nodeConn) bool {
+	return c != nil && c.isOpen() && !nc.idle(now, c)
+}
+
+// replaceSilent dials another connection for new offers where nothing has come on this one since the given time: it may
+// have swallowed what was sent.
+func (nc *nodeConns) replaceSilent(now placement.Millis, c *nodeConn, since placement.Millis) {
+	if c.lastReceived < since && c.node.conn == c {
+		c.retire()
+		nc.dial(now, c.node)
+	}
+}
+
+// closeReplaced closes a connection that was replaced, once no offer is out on it and its successor is open.
+func (nc *nodeConns) closeReplaced(c *nodeConn) {
+	if c.state != connRetired || len(c.offers) > 0 || c.node.openConn() == nil {
+		return
+	}
+	nc.host.Defer(func(now placement.Millis) {
+		if c.state != connClosed {
+			nc.disconnect(now, c, reasonReplaced)
+		}
+	})
+}
+
+// idle tells whether a connection has carried nothing for so long that the node is about to close it.
+func (nc *nodeConns) idle(now placement.Millis, c *nodeConn) bool {
+	timeout := nc.config.Settings.IdleTimeout
+	return timeout > 0 && now-max(c.lastSent, c.lastReceived) > timeout*idleShare
+}
+
+// closeIdle closes idle connections before their nodes do, in the order of their ids.
+func (nc *nodeConns) closeIdle(now placement.Millis) {
+	for _, c := range frontend.SortedValues(nc.conns) {
+		if c.isOpen() && len(c.offers) == 0 && nc.idle(now, c) {
+			nc.disconnect(now, c, reasonIdle)
+		}
+	}
+}
--- /dev/null
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -0,0 +1,134 @@
+package platform
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+)
+
+// recordingWaiter records what a connWaiter is told.
+type recordingWaiter struct {
+	conn  *nodeConn
+	calls int
+}
+
+func (w *recordingWaiter) connected(c *nodeConn) { w.conn, w.calls = c, w.calls+1 }
+func (w *recordingWaiter) unreachable()          { w.calls++ }
+
+// More nodes than descriptors: each is reached when something is to be sent to it, within the nodes' share, and the
+// connection to a node without workloads is evicted. It guards against a process that runs out of descriptors. It could
+// harm where nearly all nodes run something of ours: their ends are heard later.
+func TestNodeConns_StayWithinTheirShareOfDescriptors(t *testing.T) {
+	r := newRig(t)
+	r.publishNodes(40)
+	assert.Len(t, r.nodeConns.conns, 1, "a list alone has no node dialed")
+	require.Less(t, r.nodeConns.limit, 40)
+	r.receive(r.client, request(7))
+	holder := r.workloads.tagged(7).bind.node
+	r.openNodeConns()
+	r.receive(holder.conn.id, confirmation(7))
+	for i := range 3 * 40 {
+		r.pass(20)
+		n := r.nodes.byName[extraNode(i%40)]
+		w := &recordingWaiter{}
+		r.nodeConns.await(n, w)
+		assert.LessOrEqual(t, r.openNodeConns(), r.nodeConns.limit)
+		require.NotNil(t, w.conn, n.name)
+		assert.Equal(t, n, w.conn.node)
+		assert.NotNil(t, holder.openConn(), "its workload may end at any time")
+	}
+	assert.Equal(t, len(r.nodeConns.conns), r.openNodeConns())
+}
+
+// A node whose connection was evicted although it runs something of ours is heard again soon.
+func TestNodeConns_EvictedNodeIsRevisited(t *testing.T) {
+	r := newRig(t)
+	r.publishNodes(40)
+	for i := range 40 {
+		r.receive(r.client, runningOn(codec.Tag(100+i), extraNode(i)))
+		r.pass(1)
+		r.openNodeConns()
+	}
+	heard := map[string]bool{}
+	for range 400 {
+		r.pass(20)
+		r.openNodeConns()
+		for _, c := range r.nodeConns.conns {
+			if c.isOpen() {
+				heard[c.node.name] = true
+			}
+		}
+	}
+	assert.GreaterOrEqual(t, len(heard), 40, "within the 8 s in which clients are to be notified")
+}
+
+// A connection that was idle for nearly the settings' timeout is closed by us: an offer that crosses the node's own close
+// would count as one that may have run.
+func TestNodeConns_IdleConnectionIsClosedBeforeTheNodeDoes(t *testing.T) {
+	r := newRig(t)
+	r.config.Settings.IdleTimeout = 5000
+	r.receive(r.client, codec.NewTermination(1, codec.CauseNormal)) // a first message, so that the connection stays
+	r.pass(5000*idleShare - 100)
+	assert.False(t, r.fake.closed[r.node])
+	r.pass(100 + maxWakeInterval + 50)
+	assert.True(t, r.fake.closed[r.node])
+	r.receive(r.client, request(7))
+	again := r.fake.lastTo(nodeAddr)
+	require.Greater(t, again, r.node)
+	r.Opened(r.at, again)
+	assert.Equal(t, []string{"offer"}, r.sentAbout(again, 7))
+}
+
+// A node that refuses connections is dialed again once that proves it down, not before: with a hundred of them a small core
+// does nothing else. It could harm where a process is up again at once; an offer for it dials it all the same.
+func TestNodeConns_RefusingNodeIsDialedSparingly(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	r.Closed(r.at, r.node, "reset")
+	dials, last := 0, r.node
+	for range 200 {
+		r.pass(20)
+		if c := r.fake.lastTo(nodeAddr); c != last {
+			dials, last = dials+1, c
+			r.Closed(r.at, c, transport.Refused)
+		}
+	}
+	assert.Equal(t, 2, dials-int(r.Counters.HealthChecks), "one that finds nobody, and one that shows that it stays so")
+	assert.Equal(t, []string{"confirmation", "termination 41"}, r.sentAbout(r.client, 7))
+}
+
+func TestNodeConns_ReleaseWaitsForTheConnection(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	r.Closed(r.at, r.node, "reset")
+	r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
+	r.pass(200)
+	again := r.fake.lastTo(nodeAddr)
+	require.Greater(t, again, r.node)
+	r.Opened(r.at, again)
+	assert.Equal(t, []string{"termination 16"}, r.sentAbout(again, 7))
+}
+
+func TestNodeConns_WaitersAreToldOnce(t *testing.T) {
+	r := newRig(t)
+	r.publishNodes(3)
+	up, down, gone, known := &recordingWaiter{}, &recordingWaiter{}, &recordingWaiter{}, &recordingWaiter{}
+	r.nodeConns.await(r.nodes.byName[extraNode(0)], up)
+	r.nodeConns.await(r.nodes.byName[extraNode(1)], down)
+	r.nodeConns.await(r.nodes.byName[extraNode(2)], gone)
+	r.nodeConns.await(nil, known)
+	assert.Equal(t, 1, known.calls, "an unknown node is unreachable at once")
+	assert.Zero(t, up.calls+down.calls+gone.calls)
+	r.Opened(r.at, r.fake.lastTo("127.0.1.0:5080"))
+	r.Closed(r.at, r.fake.lastTo("127.0.1.1:5080"), "timeout")
+	r.publish(3, []byte(`{"hosts":{"endpoints":[{"name":"m-02","status":"Gone"}]}}`))
+	r.pass(100)
+	assert.NotNil(t, up.conn)
+	assert.Nil(t, down.conn)
+	assert.Nil(t, gone.conn)
+	assert.Equal(t, []int{1, 1, 1}, []int{up.calls, down.calls, gone.calls})
+}
--- /dev/null
+++ b/internal/frontend/platform/nodehealth.go
@@ -0,0 +1,46 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/placement"
+)
+
+// healthChecker sends nodes the health checks that the engine wants. The tag of a check is its number.
+type healthChecker struct {
+	*environment
+	nodes   *nodeTable
+	conns   *nodeConns
+	pending *frontend.HealthChecks
+}
+
+// pendingCheck is a health check that waits for the connection to its node.
+type pendingCheck struct {
+	checker *healthChecker
+	number  uint64
+}
+
+// check sends a node a health check, on a connection that is open or opens before the check has failed.
+func (h *healthChecker) check(id placement.NodeID) {
+	h.conns.await(h.nodes.get(id), &pendingCheck{h, h.pending.Begin(id)})
+}
+
+// completed hands the engine the reply to a health check. It returns false where the node has no such check pending.
+func (h *healthChecker) completed(now placement.Millis, n *node, m *codec.HealthReply) bool {
+	return h.pending.Complete(now, uint64(m.Tag), n.id, m.Load)
+}
+
+func (p *pendingCheck) connected(c *nodeConn) {
+	h := p.checker
+	if !h.pending.Pending(p.number) {
+		return
+	}
+	c.lastSent = h.host.Now()
+	h.net.Send(c.id, codec.NewHealthCheck(codec.Tag(p.number)))
+}
+
+func (p *pendingCheck) unreachable() {
+	if p.checker.pending.Pending(p.number) {
+		p.checker.pending.Fail(p.number)
+	}
+}
--- /dev/null
+++ b/internal/frontend/platform/subscription.go
@@ -0,0 +1,144 @@
+package platform
+
+import (
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+const (
+	silenceTimeout          = placement.Millis(2500) // ms: the discovery service comments each second, so silence is a fault
+	discoveryConnectTimeout = placement.Millis(500)  // ms
+	// readyDelay is how long after the discovery service's first message, in ms, all that was missed has come.
+	readyDelay = placement.Millis(50)
+	// maxMalformed is how often one event that cannot be decoded is read, before it is passed over.
+	maxMalformed = 3
+)
+
+// subscribeBackoff ends at 0.5 s: what the discovery service has to tell counts as told 2 s after a break.
+var subscribeBackoff = frontend.Backoff{Initial: 50, Max: 500}
+
+// subscriptionState is where the connection to the discovery service stands.
+type subscriptionState uint8
+
+const (
+	subscriptionDown subscriptionState = iota // a timer connects again
+	subscriptionConnecting
+	subscriptionOpen
+)
+
+// eventHandler applies the events of the discovery service.
+type eventHandler interface {
+	apply(now placement.Millis, event []byte, cached bool) error
+}
+
+// subscription follows the discovery service's events over breaks, each from the last one that was applied on.
+type subscription struct {
+	*environment
+	events       eventHandler
+	lifecycle    *lifecycle
+	addr         string
+	state        subscriptionState
+	conn         transport.ConnID // unless the subscription is down
+	revision     uint64           // of the last event that was applied or passed over
+	lastReceived placement.Millis
+	failures     int // in a row
+	malformed    int // how often the next event could not be decoded
+}
+
+func newSubscription(env *environment, events eventHandler, lifecycle *lifecycle) *subscription {
+	return &subscription{
+		environment: env, events: events, lifecycle: lifecycle, addr: env.config.DiscoveryAddress, revision: env.config.Revision,
+	}
+}
+
+// owns tells whether the connection is that to the discovery service.
+func (s *subscription) owns(id transport.ConnID) bool {
+	return s.state != subscriptionDown && s.conn == id
+}
+
+// connect dials the discovery service unless that was done.
+func (s *subscription) connect(now placement.Millis) {
+	if s.state != subscriptionDown {
+		return
+	}
+	s.conn = s.net.DialCodec(s.addr, &codec.DiscoveryCodec{}, discoveryConnectTimeout)
+	s.state, s.lastReceived = subscriptionConnecting, now
+}
+
+// opened subscribes on the connection that is up.
+func (s *subscription) opened(now placement.Millis) {
+	s.state, s.lastReceived = subscriptionOpen, now
+	s.net.Send(s.conn, codec.Subscribe{Host: s.addr, After: s.revision})
+	s.watchSilence(s.conn)
+}
+
+// watchSilence connects anew once nothing has come on the connection for too long.
+func (s *subscription) watchSilence(conn transport.ConnID) {
+	s.host.Schedule(s.lastReceived+silenceTimeout, func(now placement.Millis) {
+		switch {
+		case !s.owns(conn):
+		case now-s.lastReceived < silenceTimeout:
+			s.watchSilence(conn)
+		default:
+			s.reconnect(now, "no message within the timeout")
+		}
+	})
+}
+
+// reconnect drops the connection, if there is one, and dials again.
+func (s *subscription) reconnect(now placement.Millis, reason string) {
+	s.log.Info("reconnecting to the discovery service", "reason", reason)
+	if s.state != subscriptionDown {
+		s.net.Close(s.conn)
+		s.state = subscriptionDown
+	}
+	s.connect(now)
+}
+
+// move continues the subscription at another address.
+func (s *subscription) move(now placement.Millis, addr string) {
+	s.addr, s.failures = addr, 0
+	s.reconnect(now, "its address has changed")
+}
+
+// closed connects again, after a backoff.
+func (s *subscription) closed(now placement.Millis, reason string) {
+	s.state = subscriptionDown
+	delay := s.host.RetryDelay(subscribeBackoff, s.failures)
+	s.failures++
+	s.log.Info("discovery service disconnected", "reason", reason)
+	s.host.Schedule(now+delay, s.connect)
+}
+
+// received applies events. A batch without any shows that the service is there: what was missed follows at once.
+func (s *subscription) received(now placement.Millis, batch *codec.EventBatch) {
+	s.lastReceived = now
+	if len(batch.Events) == 0 {
+		s.host.Schedule(now+readyDelay, s.lifecycle.markReady)
+		return
+	}
+	for _, event := range batch.Events {
+		if !s.applied(now, event) {
+			s.reconnect(now, "an event cannot be decoded")
+			break
+		}
+	}
+	s.lifecycle.markReady(now)
+}
+
+// applied applies an event unless that was done, and returns false where it is to be read once more.
+func (s *subscription) applied(now placement.Millis, event codec.Event) bool {
+	if event.Revision <= s.revision {
+		return true
+	}
+	if err := s.events.apply(now, event.Data, false); err != nil {
+		s.log.Warn("event of the discovery service not applied", "revision", event.Revision, "error", err)
+		if s.malformed++; s.malformed < maxMalformed {
+			return false
+		}
+	}
+	s.revision, s.malformed, s.failures = event.Revision, 0, 0
+	return true
+}
--- /dev/null
+++ b/internal/frontend/platform/workload.go
@@ -0,0 +1,85 @@
+package platform
+
+import (
+	"math"
+
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// workloadsPerMB is how many workloads are held for each MB of memory: a few KB each, with their descriptions.
+const workloadsPerMB = 64
+
+// workload is a client's workload, from its request to its end.
+type workload struct {
+	id     placement.WorkloadID
+	tag    codec.Tag
+	client transport.ConnID // that the request came on; it may have ended
+	// answered is whether nothing is owed for the request: it has its final answer, was withdrawn, or wanted none.
+	answered         bool
+	class            string
+	key              string // idempotency key
+	description      string // the client's
+	replyDescription string // the node's, once it is running by a bind
+	bind             bind
+}
+
+// workloadTable holds the workloads that the engine holds.
+type workloadTable struct {
+	byID       map[placement.WorkloadID]*workload
+	byTag      map[codec.Tag]*workload
+	lastID     placement.WorkloadID
+	limit      int
+	unanswered int
+}
+
+func newWorkloadTable(memoryMB int) *workloadTable {
+	return &workloadTable{
+		byID: map[placement.WorkloadID]*workload{}, byTag: map[codec.Tag]*workload{}, limit: workloadsPerMB * memoryMB,
+	}
+}
+
+// get returns the workload of that id, or nil.
+func (t *workloadTable) get(id placement.WorkloadID) *workload { return t.byID[id] }
+
+// tagged returns the workload of that tag, or nil.
+func (t *workloadTable) tagged(tag codec.Tag) *workload { return t.byTag[tag] }
+
+// full tells whether there is no memory for another request.
+func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
+
+// idsExhausted tells whether every id was given out. Ids are never used again.
+func (t *workloadTable) idsExhausted() bool { return t.lastID == math.MaxUint32 }
+
+// holds tells whether the engine still holds the workload.
+func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
+
+// add makes a workload with an id of its own. It counts as unanswered unless answered is true.
+func (t *workloadTable) add(h codec.Header, task *codec.Task, client transport.ConnID, answered bool) *workload {
+	t.lastID++
+	w := &workload{
+		id: t.lastID, tag: h.Tag, client: client, answered: answered,
+		class: task.Class, key: task.Key, description: task.Description,
+	}
+	t.byID[w.id], t.byTag[w.tag] = w, w
+	if !answered {
+		t.unanswered++
+	}
+	return w
+}
+
+// markAnswered notes that nothing is owed for the request any more.
+func (t *workloadTable) markAnswered(w *workload) {
+	if !w.answered {
+		w.answered = true
+		t.unanswered--
+	}
+}
+
+func (t *workloadTable) remove(w *workload) {
+	delete(t.byID, w.id)
+	if t.byTag[w.tag] == w {
+		delete(t.byTag, w.tag)
+	}
+}
