--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -138,7 +138,8 @@
 // processEnded handles that a node's process has ended, with all that ran there.
 func (b *binder) processEnded(now placement.Millis, n *node) { b.processRestarted(now, n, now+1) }
 
-// processRestarted handles that a node's process runs since the given time only: what ran there before has ended.
+// processRestarted handles that a node's process has started at the given time: what ran there before has ended. A node
+// that is gone and holds nothing any more is removed.
 func (b *binder) processRestarted(now placement.Millis, n *node, startedAt placement.Millis) {
 	for _, w := range frontend.SortedValues(n.workloads) {
 		if w.running() && w.bind.runningSince < startedAt {
@@ -147,9 +148,5 @@
 			b.settle(now, w, placement.Result{Kind: placement.Ended, Final: true})
 		}
 	}
-	if b.nodes.removable(n) {
-		b.nodes.remove(n)
-		b.conns.disconnectNode(now, n, reasonNodeRemoved)
-		n.failWaiters()
-	}
+	b.conns.removeNode(now, n)
 }
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -7,20 +7,19 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/frontend/platform/codec"
-	"grebeglade/internal/transport"
 )
 
 func TestBinder_RunningWorkloadEndsWithTheProcessOfItsNode(t *testing.T) {
 	for name, end := range map[string]func(r *rig){
 		"nobody listens": func(r *rig) {
-			r.Closed(r.at, r.node, "reset")
+			r.close(r.node, errReset)
 			for range 8 {
 				r.pass(300)
-				r.Closed(r.at, r.fake.lastTo(nodeAddr), transport.Refused)
+				r.close(r.fake.lastTo(nodeAddr), errRefused)
 			}
 		},
 		"the list says gone": func(r *rig) {
-			r.Closed(r.at, r.node, "reset")
+			r.close(r.node, errReset)
 			r.publishNode(2, "Gone")
 		},
 		"the list says that it has restarted": func(r *rig) {
@@ -40,12 +39,12 @@
 func TestBinder_OfferOnABrokenConnectionIsRetriedUnlessAtMostOnce(t *testing.T) {
 	r := newRig(t)
 	r.receive(r.client, request(7, atMostOnce))
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	assert.Equal(t, []string{"termination 41"}, r.sentAbout(r.client, 7), "it may have run, and must run once")
 
 	r = newRig(t)
 	r.receive(r.client, request(8))
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	r.pass(2500)
 	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 8), "a retry does no harm")
 }
@@ -64,13 +63,13 @@
 // An offer that waits for its node's connection leaves neither for a client that has gone nor to a node that drains.
 func TestBinder_WaitingOfferIsSentOnlyIfStillWanted(t *testing.T) {
 	for name, meanwhile := range map[string]func(r *rig){
-		"client gone":       func(r *rig) { r.Closed(r.at, r.client, "closed") },
+		"client gone":       func(r *rig) { r.close(r.client, errClosed) },
 		"request cancelled": func(r *rig) { r.receive(r.client, codec.NewTermination(7, codec.CauseNormal)) },
 		"node draining":     func(r *rig) { r.publishNode(3, "Terminating") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.Closed(r.at, r.node, "closed")
+			r.close(r.node, errClosed)
 			r.receive(r.client, request(7))
 			dialed := r.fake.lastTo(nodeAddr)
 			require.Greater(t, dialed, r.node)
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -54,7 +54,7 @@
 func TestClientConns_NotificationGoesToAnotherConnection(t *testing.T) {
 	r := newRig(t)
 	r.start(7)
-	r.Closed(r.at, r.client, "closed")
+	r.close(r.client, errClosed)
 	r.receive(r.node, codec.NewTermination(7, codec.CauseNormal))
 	r.Opened(r.at, 2000)
 	r.receive(2000, request(8))
@@ -63,7 +63,7 @@
 
 func TestClientConns_UndeliveredNotificationsExpireAndAreBounded(t *testing.T) {
 	r := newRig(t)
-	r.Closed(r.at, r.client, "closed")
+	r.close(r.client, errClosed)
 	gone := &workload{client: r.client}
 	for tag := range codec.Tag(maxUndelivered + 1) {
 		r.clients.notify(gone, codec.NewMigration(tag))
@@ -91,7 +91,7 @@
 	for tag := codec.Tag(7); tag < 9; tag++ {
 		r.start(tag)
 	}
-	r.Closed(r.at, gone, "closed")
+	r.close(gone, errClosed)
 	for i := range 100 {
 		r.pass(20)
 		c, tag := transport.ConnID(2000+i), codec.Tag(100+i)
@@ -113,7 +113,7 @@
 	r.receive(r.client, request(7))
 	r.receive(r.client, request(8))
 	assert.Equal(t, 2, r.workloads.unanswered)
-	r.Closed(r.at, r.client, "closed")
+	r.close(r.client, errClosed)
 	assert.Zero(t, r.workloads.unanswered)
 	assert.Equal(t, uint64(2), r.Counters.Withdrawn)
 	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 7))
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -81,11 +81,11 @@
 	// The node that had the address is no more, also where the list is yet to say so: an offer for it must not reach the
 	// one that is there now.
 	if displaced := l.nodes.assignAddr(n, addr); displaced != nil {
-		l.conns.disconnectNode(now, displaced, reasonAddressTaken)
+		l.conns.disconnectNode(now, displaced, errAddressTaken)
 		l.binder.processEnded(now, displaced)
 	}
 	if moved {
-		l.conns.disconnectNode(now, n, reasonAddressChanged)
+		l.conns.disconnectNode(now, n, errAddressChanged)
 	}
 	switch {
 	case entry.State == placement.Removed:
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -17,6 +17,7 @@
 package platform
 
 import (
+	"errors"
 	"log/slog"
 	"time"
 
@@ -194,11 +195,22 @@
 func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason string) {
 	f.host.Begin(now)
 	if f.subscription.owns(id) {
-		f.subscription.closed(now, reason)
+		f.subscription.closed(now, closeReason(reason))
 	} else if c := f.nodeConns.get(id); c != nil {
-		f.nodeConns.closed(now, c, reason)
+		f.nodeConns.closed(now, c, closeReason(reason))
 	} else if c := f.clients.get(id); c != nil {
 		f.clients.closed(now, c)
 	}
 	f.host.Flush(now)
 }
+
+// errConnRefused means that nobody listens at an address.
+var errConnRefused = errors.New(transport.Refused)
+
+// closeReason is the transport's reason for the end of a connection as an error.
+func closeReason(reason string) error {
+	if reason == transport.Refused {
+		return errConnRefused
+	}
+	return errors.New(reason)
+}
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -39,7 +39,7 @@
 		case 2:
 			r.receive(c, codec.NewTermination(tag, codec.CauseNormal))
 		}
-		r.Closed(r.at, c, "closed")
+		r.close(c, errClosed)
 		r.pass(20)
 	}
 	r.pass(70e3)
--- a/internal/frontend/platform/helpers_test.go
+++ b/internal/frontend/platform/helpers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -128,6 +129,16 @@
 	r.publish(uint64(revision), nodeEvent(revision, status, 0))
 }
 
+// Reasons for which connections end.
+var (
+	errReset   = errors.New("reset")
+	errClosed  = errors.New("closed by the peer")
+	errRefused = errors.New(transport.Refused)
+)
+
+// close has a connection end, or a dialed one fail.
+func (r *rig) close(c transport.ConnID, reason error) { r.Closed(r.at, c, reason.Error()) }
+
 // pass lets time pass, with a wake-up every 10 ms.
 func (r *rig) pass(ms placement.Millis) {
 	for end := r.at + ms; r.at < end; {
--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -44,7 +44,7 @@
 			r := newRig(t)
 			r.start(7)
 			r.Drain(r.at)
-			r.Closed(r.at, r.node, "reset")
+			r.close(r.node, errReset)
 			r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
 			r.pass(drainTimeout + 50)
 			assert.False(t, r.Drained(r.at))
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -1,6 +1,8 @@
 package platform
 
 import (
+	"errors"
+
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/transport"
@@ -26,14 +28,23 @@
 // redialBackoff ends at 2 s, so that the ends of workloads are heard within the 8 s in which clients are notified.
 var redialBackoff = frontend.Backoff{Initial: 50, Max: 2000}
 
+// Reasons why a connection to a node is closed from our side.
+var (
+	errReplaced       = errors.New("replaced by another connection")
+	errEvicted        = errors.New("another node needs the descriptor")
+	errIdle           = errors.New("idle")
+	errNodeRemoved    = errors.New("the node is gone")
+	errAddressChanged = errors.New("the node's address has changed")
+	errAddressTaken   = errors.New("another node has its address")
+	errNoDescription  = errors.New("a confirmation without a description")
+)
+
 // maxNodeConns bounds the connections to nodes, those being dialed among them.
 func (c *Config) maxNodeConns() int {
 	return max(1, c.Limits.Sockets-c.maxClientConns()-extraClientConns-reservedSockets)
 }
 
-// connState is where a connection to a node stands.
-//
-//	dialing ---> open ---> retired ---> closed, which any of them may become
+// connState is where a connection to a node stands. It only goes forward, and from any state to connClosed.
 type connState uint8
 
 const (
@@ -172,7 +183,7 @@
 	}
 	n := first.node
 	if n == successor {
-		nc.disconnect(now, first, reasonReplaced)
+		nc.disconnect(now, first, errReplaced)
 		return true
 	}
 	n.dialing.evicted = true
@@ -182,7 +193,7 @@
 			nc.connect(now, n)
 		}
 	})
-	nc.disconnect(now, first, reasonEvicted)
+	nc.disconnect(now, first, errEvicted)
 	return true
 }
 
@@ -200,7 +211,7 @@
 	n := c.node
 	c.state, c.lastReceived = connOpen, now
 	if n.conn != c {
-		nc.disconnect(now, c, reasonReplaced)
+		nc.disconnect(now, c, errReplaced)
 		return
 	}
 	nc.log.Debug("node connected", "node", n.name, "address", n.addr, "workloads", len(n.workloads))
@@ -216,32 +227,31 @@
 	n.pendingReleases = nil
 }
 
-// Reasons why a connection to a node is closed from our side.
-const (
-	reasonReplaced       = "replaced by another connection"
-	reasonEvicted        = "another node needs the descriptor"
-	reasonIdle           = "idle"
-	reasonNodeRemoved    = "the node is gone"
-	reasonAddressChanged = "the node's address has changed"
-	reasonAddressTaken   = "another node has its address"
-	reasonNoDescription  = "a confirmation without a description"
-)
-
 // disconnect closes a connection from our side.
-func (nc *nodeConns) disconnect(now placement.Millis, c *nodeConn, reason string) {
+func (nc *nodeConns) disconnect(now placement.Millis, c *nodeConn, reason error) {
 	nc.net.Close(c.id)
 	nc.closed(now, c, reason)
 }
 
 // disconnectNode closes what is open or being dialed to a node.
-func (nc *nodeConns) disconnectNode(now placement.Millis, n *node, reason string) {
+func (nc *nodeConns) disconnectNode(now placement.Millis, n *node, reason error) {
 	if n.conn != nil {
 		nc.disconnect(now, n.conn, reason)
 	}
 }
 
+// removeNode removes a node, if it is gone and holds nothing, with the connection to it.
+func (nc *nodeConns) removeNode(now placement.Millis, n *node) {
+	if !nc.nodes.removable(n) {
+		return
+	}
+	nc.nodes.remove(n)
+	nc.disconnectNode(now, n, errNodeRemoved)
+	n.failWaiters()
+}
+
 // closed handles the end of a connection, or that it could not be dialed.
-func (nc *nodeConns) closed(now placement.Millis, c *nodeConn, reason string) {
+func (nc *nodeConns) closed(now placement.Millis, c *nodeConn, reason error) {
 	n, dialed := c.node, c.state != connDialing
 	nc.log.Debug("node disconnected", "node", n.name, "opened", dialed, "offers", len(c.offers), "workloads", len(n.workloads),
 		"reason", reason)
@@ -259,11 +269,11 @@
 }
 
 // dialFailed notes that a node could not be dialed. Where nobody has listened for long enough, its process has ended.
-func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason string) {
+func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason error) {
 	d := &n.dialing
 	d.failures++
 	switch {
-	case reason != transport.Refused:
+	case !errors.Is(reason, errConnRefused):
 		d.refusing = false
 	case !d.refusing:
 		d.refusing, d.refusedSince = true, now
@@ -311,7 +321,7 @@
 	}
 	nc.host.Defer(func(now placement.Millis) {
 		if c.state != connClosed {
-			nc.disconnect(now, c, reasonReplaced)
+			nc.disconnect(now, c, errReplaced)
 		}
 	})
 }
@@ -326,7 +336,7 @@
 func (nc *nodeConns) closeIdle(now placement.Millis) {
 	for _, c := range frontend.SortedValues(nc.conns) {
 		if c.isOpen() && len(c.offers) == 0 && nc.idle(now, c) {
-			nc.disconnect(now, c, reasonIdle)
+			nc.disconnect(now, c, errIdle)
 		}
 	}
 }
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -7,7 +7,6 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/frontend/platform/codec"
-	"grebeglade/internal/transport"
 )
 
 // recordingWaiter records what a connWaiter is told.
@@ -88,13 +87,13 @@
 func TestNodeConns_RefusingNodeIsDialedSparingly(t *testing.T) {
 	r := newRig(t)
 	r.start(7)
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	dials, last := 0, r.node
 	for range 200 {
 		r.pass(20)
 		if c := r.fake.lastTo(nodeAddr); c != last {
 			dials, last = dials+1, c
-			r.Closed(r.at, c, transport.Refused)
+			r.close(c, errRefused)
 		}
 	}
 	assert.Equal(t, 2, dials-int(r.Counters.HealthChecks), "one that finds nobody, and one that shows that it stays so")
@@ -104,7 +103,7 @@
 func TestNodeConns_ReleaseWaitsForTheConnection(t *testing.T) {
 	r := newRig(t)
 	r.start(7)
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
 	r.pass(200)
 	again := r.fake.lastTo(nodeAddr)
@@ -124,7 +123,7 @@
 	assert.Equal(t, 1, known.calls, "an unknown node is unreachable at once")
 	assert.Zero(t, up.calls+down.calls+gone.calls)
 	r.Opened(r.at, r.fake.lastTo("127.0.1.0:5080"))
-	r.Closed(r.at, r.fake.lastTo("127.0.1.1:5080"), "timeout")
+	r.close(r.fake.lastTo("127.0.1.1:5080"), errClosed)
 	r.publish(3, []byte(`{"hosts":{"endpoints":[{"name":"m-02","status":"Gone"}]}}`))
 	r.pass(100)
 	assert.NotNil(t, up.conn)
--- a/internal/frontend/platform/nodehealth_test.go
+++ b/internal/frontend/platform/nodehealth_test.go
@@ -31,7 +31,7 @@
 	r.pass(10)
 	assert.Zero(t, r.healthChecks.pending.Len(), "an unknown node")
 
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	r.healthChecks.check(n.id)
 	dialed := r.fake.lastTo(nodeAddr)
 	r.pass(endGrace + 10)
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -17,7 +17,7 @@
 // received handles a message of a node.
 func (h *replyHandler) received(now placement.Millis, c *nodeConn, m codec.Message) {
 	if invalid, ok := m.(*codec.Invalid); ok {
-		h.conns.disconnect(now, c, invalid.Err.Error())
+		h.conns.disconnect(now, c, invalid.Err)
 		return
 	}
 	load := m.Envelope().Load
@@ -56,7 +56,7 @@
 	}
 	description, present := m.Description.Text()
 	if !present {
-		h.conns.disconnect(now, c, reasonNoDescription)
+		h.conns.disconnect(now, c, errNoDescription)
 		return true
 	}
 	w.replyDescription = description
--- a/internal/frontend/platform/replies_test.go
+++ b/internal/frontend/platform/replies_test.go
@@ -44,7 +44,7 @@
 	r := newRig(t)
 	r.start(7)
 	r.receive(r.node, confirmation(7))
-	r.Closed(r.at, r.node, "reset")
+	r.close(r.node, errReset)
 	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 7))
 	r.pass(200)
 	again := r.fake.lastTo(nodeAddr)
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -59,40 +59,40 @@
 		h.lifecycle.checkHealth(c.id, tag)
 	case *codec.HealthReply, *codec.Ignorable:
 	case *codec.Invalid:
-		h.refuse(now, c, tag, m.Err)
+		h.rejectInvalid(now, c, tag, m.Err)
 	default:
-		h.refuse(now, c, tag, fmt.Errorf("%w: %T", codec.ErrUnexpected, m))
+		h.rejectInvalid(now, c, tag, fmt.Errorf("%w: %T", codec.ErrUnexpected, m))
 		return
 	}
 	h.clients.flushUndelivered(now, c)
 }
 
-// refuse answers what cannot be used, and closes the connection that it came on.
-func (h *requestHandler) refuse(now placement.Millis, c *clientConn, tag codec.Tag, err error) {
+// rejectInvalid answers a message that breaks the protocol, and closes the connection that it came on.
+func (h *requestHandler) rejectInvalid(now placement.Millis, c *clientConn, tag codec.Tag, err error) {
 	h.counters.Invalid++
-	h.log.Debug("client's message refused", "workload", tag, "client", c.id, "error", err)
+	h.log.Debug("invalid message of a client", "workload", tag, "client", c.id, "error", err)
 	h.net.Send(c.id, codec.NewTermination(tag, codec.CauseInvalid))
 	h.clients.disconnect(now, c)
 }
 
 // place handles the request to place a workload.
 func (h *requestHandler) place(now placement.Millis, c *clientConn, r *codec.PlaceRequest) {
-	w, err := h.describe(&r.Task)
+	w, err := h.workloadOf(&r.Task)
 	switch {
 	case err != nil:
-		h.refuse(now, c, r.Tag, err)
+		h.rejectInvalid(now, c, r.Tag, err)
 	case h.net.IsClosed(c.id):
 		// The end of the client's connection was read and waits behind this message. A bind would take capacity from a
 		// client that is there, and then be abandoned.
 		h.counters.Withdrawn++
 	case h.workloads.tagged(r.Tag) != nil:
-		h.refuseTag(now, c, h.workloads.tagged(r.Tag))
+		h.rejectTag(now, c, h.workloads.tagged(r.Tag))
 	case h.lifecycle.rejecting(now) || h.workloads.full() || h.workloads.idsExhausted():
 		h.net.Send(c.id, codec.NewTermination(r.Tag, codec.CauseNoCapacity))
 	default:
 		// The client's timeout runs from when it sent the request: what this waited to be handled is over.
 		w.PendingTimeout = r.Timeout - max(0, now-h.net.ReceivedAt())
-		added := h.workloads.add(r.Header, &r.Task, c.id, false)
+		added := h.workloads.addRequest(r.Tag, &r.Task, c.id)
 		c.unanswered[added.id] = added
 		h.counters.Requests++
 		w.ID = added.id
@@ -102,15 +102,15 @@
 
 // adopt handles the statement that a workload runs on a node already.
 func (h *requestHandler) adopt(now placement.Millis, c *clientConn, r *codec.AdoptRequest) {
-	w, err := h.describe(&r.Task)
+	w, err := h.workloadOf(&r.Task)
 	switch {
 	case err != nil:
-		h.refuse(now, c, r.Tag, err)
+		h.rejectInvalid(now, c, r.Tag, err)
 	case h.workloads.tagged(r.Tag) != nil: // it is held already
 	case h.workloads.idsExhausted():
 		h.net.Send(c.id, codec.NewTermination(r.Tag, codec.CauseNoCapacity))
 	default:
-		added := h.workloads.add(r.Header, &r.Task, c.id, true)
+		added := h.workloads.addRunning(r.Tag, &r.Task, c.id)
 		c.placed++
 		h.counters.Adopted++
 		w.ID = added.id
@@ -118,18 +118,19 @@
 	}
 }
 
-// refuseTag answers a request under the tag of another one: on the same connection, nobody could tell their answers apart.
-func (h *requestHandler) refuseTag(now placement.Millis, c *clientConn, held *workload) {
+// rejectTag rejects a request under the tag of another one. On the same connection nobody could tell their answers apart, so
+// it is closed.
+func (h *requestHandler) rejectTag(now placement.Millis, c *clientConn, held *workload) {
 	if held.client == c.id && !held.answered {
-		h.refuse(now, c, held.tag, errTagInUse)
+		h.rejectInvalid(now, c, held.tag, errTagInUse)
 		return
 	}
 	h.net.Send(c.id, codec.NewTermination(held.tag, codec.CauseInvalid))
 }
 
-// describe returns a task as the engine knows it, without an id. A figure out of range must not reach the engine: it would
+// workloadOf returns a task as the engine knows it, without an id. A figure out of range must not reach the engine: it would
 // stay in the sums that decisions are made by.
-func (h *requestHandler) describe(t *codec.Task) (placement.Workload, error) {
+func (h *requestHandler) workloadOf(t *codec.Task) (placement.Workload, error) {
 	class, known := h.classes[t.Class]
 	if !known {
 		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, t.Class)
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -90,7 +90,7 @@
 	r.receive(r.client, codec.NewTermination(6, codec.CauseNormal))
 	assert.Empty(t, r.sentAbout(r.node, 7))
 	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 6))
-	r.Closed(r.at, r.client, "closed")
+	r.close(r.client, errClosed)
 	assert.Empty(t, r.sentAbout(r.node, 7))
 	assert.Zero(t, r.workloads.unanswered)
 }
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -1,6 +1,8 @@
 package platform
 
 import (
+	"errors"
+
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/transport"
@@ -16,6 +18,13 @@
 	maxMalformed = 3
 )
 
+// Reasons why the connection to the discovery service is replaced.
+var (
+	errSilent         = errors.New("no message within the timeout")
+	errDiscoveryMoved = errors.New("the service's address has changed")
+	errMalformedEvent = errors.New("an event cannot be decoded")
+)
+
 // subscribeBackoff ends at 0.5 s: what the discovery service has to tell counts as told 2 s after a break.
 var subscribeBackoff = frontend.Backoff{Initial: 50, Max: 500}
 
@@ -82,13 +91,13 @@
 		case now-s.lastReceived < silenceTimeout:
 			s.watchSilence(conn)
 		default:
-			s.reconnect(now, "no message within the timeout")
+			s.reconnect(now, errSilent)
 		}
 	})
 }
 
 // reconnect drops the connection, if there is one, and dials again.
-func (s *subscription) reconnect(now placement.Millis, reason string) {
+func (s *subscription) reconnect(now placement.Millis, reason error) {
 	s.log.Info("reconnecting to the discovery service", "reason", reason)
 	if s.state != subscriptionDown {
 		s.net.Close(s.conn)
@@ -100,11 +109,11 @@
 // move continues the subscription at another address.
 func (s *subscription) move(now placement.Millis, addr string) {
 	s.addr, s.failures = addr, 0
-	s.reconnect(now, "its address has changed")
+	s.reconnect(now, errDiscoveryMoved)
 }
 
 // closed connects again, after a backoff.
-func (s *subscription) closed(now placement.Millis, reason string) {
+func (s *subscription) closed(now placement.Millis, reason error) {
 	s.state = subscriptionDown
 	delay := s.host.RetryDelay(subscribeBackoff, s.failures)
 	s.failures++
@@ -121,7 +130,7 @@
 	}
 	for _, event := range batch.Events {
 		if !s.applied(now, event) {
-			s.reconnect(now, "an event cannot be decoded")
+			s.reconnect(now, errMalformedEvent)
 			break
 		}
 	}
--- a/internal/frontend/platform/subscription_test.go
+++ b/internal/frontend/platform/subscription_test.go
@@ -14,7 +14,7 @@
 	first := r.fake.lastTo(discoveryAddr)
 	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, r.fake.sent[first])
 	r.publishNode(2, "Terminating")
-	r.Closed(r.at, first, "reset")
+	r.close(first, errReset)
 	r.pass(200)
 	second := r.fake.lastTo(discoveryAddr)
 	r.Opened(r.at, second)
@@ -77,7 +77,7 @@
 	attempts := 0
 	for last := r.fake.lastTo(discoveryAddr); r.at < 10e3; r.pass(10) {
 		if !r.fake.closed[last] {
-			r.Closed(r.at, last, "refused")
+			r.close(last, errClosed)
 			r.fake.closed[last] = true
 			attempts++
 		}
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -55,17 +55,22 @@
 // holds tells whether the engine still holds the workload.
 func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
 
-// add makes a workload with an id of its own. It counts as unanswered unless answered is true.
-func (t *workloadTable) add(h codec.Header, task *codec.Task, client transport.ConnID, answered bool) *workload {
+// addRequest adds the workload of a request, which is to be answered.
+func (t *workloadTable) addRequest(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
+	t.unanswered++
+	return t.add(&workload{tag: tag, client: client}, task)
+}
+
+// addRunning adds a workload that runs already, so that nothing is to be answered.
+func (t *workloadTable) addRunning(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
+	return t.add(&workload{tag: tag, client: client, answered: true}, task)
+}
+
+// add gives a workload its id and keeps it.
+func (t *workloadTable) add(w *workload, task *codec.Task) *workload {
 	t.lastID++
-	w := &workload{
-		id: t.lastID, tag: h.Tag, client: client, answered: answered,
-		class: task.Class, key: task.Key, description: task.Description,
-	}
+	w.id, w.class, w.key, w.description = t.lastID, task.Class, task.Key, task.Description
 	t.byID[w.id], t.byTag[w.tag] = w, w
-	if !answered {
-		t.unanswered++
-	}
 	return w
 }
 
