--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -17,7 +17,6 @@
 package platform
 
 import (
-	"errors"
 	"log/slog"
 	"time"
 
@@ -192,25 +191,14 @@
 }
 
 // Closed handles the end of a connection, or that it could not be dialed.
-func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason string) {
+func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason error) {
 	f.host.Begin(now)
 	if f.subscription.owns(id) {
-		f.subscription.closed(now, closeReason(reason))
+		f.subscription.closed(now, reason)
 	} else if c := f.nodeConns.get(id); c != nil {
-		f.nodeConns.closed(now, c, closeReason(reason))
+		f.nodeConns.closed(now, c, reason)
 	} else if c := f.clients.get(id); c != nil {
 		f.clients.closed(now, c)
 	}
 	f.host.Flush(now)
 }
-
-// errConnRefused means that nobody listens at an address.
-var errConnRefused = errors.New(transport.Refused)
-
-// closeReason is the transport's reason for the end of a connection as an error.
-func closeReason(reason string) error {
-	if reason == transport.Refused {
-		return errConnRefused
-	}
-	return errors.New(reason)
-}
--- a/internal/frontend/platform/helpers_test.go
+++ b/internal/frontend/platform/helpers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -131,13 +130,13 @@
 
 // Reasons for which connections end.
 var (
-	errReset   = errors.New("reset")
-	errClosed  = errors.New("closed by the peer")
-	errRefused = errors.New(transport.Refused)
+	errReset   = fmt.Errorf("%w: reset", transport.ErrConnectionLost)
+	errClosed  = transport.ErrClosedByPeer
+	errRefused = transport.ErrConnectionRefused
 )
 
 // close has a connection end, or a dialed one fail.
-func (r *rig) close(c transport.ConnID, reason error) { r.Closed(r.at, c, reason.Error()) }
+func (r *rig) close(c transport.ConnID, reason error) { r.Closed(r.at, c, reason) }
 
 // pass lets time pass, with a wake-up every 10 ms.
 func (r *rig) pass(ms placement.Millis) {
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -273,7 +273,7 @@
 	d := &n.dialing
 	d.failures++
 	switch {
-	case !errors.Is(reason, errConnRefused):
+	case !errors.Is(reason, transport.ErrConnectionRefused):
 		d.refusing = false
 	case !d.refusing:
 		d.refusing, d.refusedSince = true, now
