--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -58,7 +58,9 @@
 	counters *Counters
 }
 
-// Frontend is an allocator on the platform. It is a transport.Handler and belongs to one goroutine.
+var _ transport.Handler = (*Frontend)(nil)
+
+// Frontend is an allocator on the platform. It belongs to one goroutine.
 type Frontend struct {
 	environment
 	Counters Counters
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/placement"
 )
 
 // recordingWaiter records what a connWaiter is told.
@@ -131,3 +132,47 @@
 	assert.Nil(t, gone.conn)
 	assert.Equal(t, []int{1, 1, 1}, []int{up.calls, down.calls, gone.calls})
 }
+
+func TestNodeConn_EvictionOrder(t *testing.T) {
+	empty, holding := &node{}, &node{workloads: map[placement.WorkloadID]*workload{1: {}}}
+	order := []*nodeConn{
+		{id: 3, node: empty, lastSent: 10},
+		{id: 4, node: empty, lastSent: 10},
+		{id: 2, node: empty, lastSent: 20},
+		{id: 1, node: holding, lastSent: 5},
+		{id: 5, node: holding, lastSent: 6},
+	}
+	for i, c := range order {
+		for j, other := range order {
+			assert.Equal(t, i < j, c.evictedBefore(other), "%d before %d", c.id, other.id)
+		}
+	}
+}
+
+func TestNodeConns_RetiredConnectionIsClosedOnceItsSuccessorIsOpen(t *testing.T) {
+	r := newRig(t)
+	c := r.nodeConns.get(r.node)
+	c.lastReceived = 0
+	r.nodeConns.replaceSilent(r.at, c, 1)
+	assert.Equal(t, connRetired, c.state)
+	successor := r.fake.lastTo(nodeAddr)
+	require.Greater(t, successor, r.node)
+	r.nodeConns.closeReplaced(c)
+	r.host.Flush(r.at)
+	assert.False(t, r.fake.closed[r.node], "its successor is being dialed")
+	r.Opened(r.at, successor)
+	r.receive(r.node, codec.NewTermination(99, codec.CauseNormal)) // about no workload
+	assert.True(t, r.fake.closed[r.node])
+	assert.Equal(t, connClosed, c.state)
+	assert.Equal(t, successor, r.nodes.byName["s-01"].openConn().id)
+}
+
+func TestNodeConns_PendingReleasesAreBounded(t *testing.T) {
+	r := newRig(t)
+	n := r.nodes.byName["s-01"]
+	r.close(r.node, errReset)
+	for range maxPendingReleases + 1 {
+		r.nodeConns.release(&workload{bind: bind{node: n}})
+	}
+	assert.Len(t, n.pendingReleases, maxPendingReleases)
+}
--- /dev/null
+++ b/internal/frontend/platform/nodes_test.go
@@ -0,0 +1,56 @@
+package platform
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"grebeglade/placement"
+)
+
+func TestNodeTable_InternedIDDependsOnTheNameAlone(t *testing.T) {
+	one, other := newNodeTable(), newNodeTable()
+	other.intern("s-02")
+	n := one.intern("s-01")
+	assert.Equal(t, n.id, other.intern("s-01").id)
+	assert.Same(t, n, one.intern("s-01"))
+	assert.Equal(t, placement.Removed, n.entry.State, "until the list names it")
+}
+
+func TestNodeTable_InternedIDIsFree(t *testing.T) {
+	table := newNodeTable()
+	id := table.intern("s-01").id
+	delete(table.byName, "s-01") // so that another name has the same hash
+	assert.Equal(t, id+1, table.intern("s-01").id)
+}
+
+func TestNodeTable_AssignAddrDisplacesTheNodeThatHadIt(t *testing.T) {
+	table := newNodeTable()
+	first, second := table.intern("s-01"), table.intern("s-02")
+	assert.Nil(t, table.assignAddr(first, "a"), "a removed node gets no address")
+	assert.Empty(t, first.addr)
+	first.entry.State, second.entry.State = placement.Ready, placement.Draining
+	assert.Nil(t, table.assignAddr(first, "a"))
+	assert.Nil(t, table.assignAddr(first, "a"), "its own address displaces nobody")
+	assert.Same(t, first, table.assignAddr(second, "a"))
+	assert.Empty(t, first.addr)
+	assert.Equal(t, map[string]*node{"a": second}, table.byAddr)
+	assert.Nil(t, table.assignAddr(second, "b"))
+	assert.Equal(t, map[string]*node{"b": second}, table.byAddr)
+}
+
+func TestNodeTable_OnlyANodeThatIsGoneAndEmptyIsRemovable(t *testing.T) {
+	table := newNodeTable()
+	n := table.intern("s-01")
+	assert.True(t, table.removable(n))
+	n.workloads[1] = &workload{}
+	assert.False(t, table.removable(n))
+	delete(n.workloads, 1)
+	n.entry.State = placement.Draining
+	assert.False(t, table.removable(n))
+	n.entry.State = placement.Removed
+	table.remove(n)
+	assert.False(t, table.removable(n), "it was removed")
+	assert.False(t, table.holds(n))
+	assert.Empty(t, table.byName)
+}
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"grebeglade/internal/allocator"
 	"grebeglade/internal/frontend/platform/codec"
 )
 
@@ -147,3 +148,16 @@
 	r.receive(r.node, codec.NewTermination(7, codec.CauseCancelled))
 	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 7), "its client ended it, or was told of the migration")
 }
+
+func TestRequestHandler_MigratedWorkloadsClientIsNotifiedOnce(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	w := r.workloads.tagged(7)
+	engineActions{r.Frontend}.Stop(w.id, w.bind.number, w.bind.node.id, allocator.Migrating, false)
+	r.host.Flush(r.at)
+	assert.Equal(t, bindMigrating, w.bind.state)
+	r.receive(r.node, codec.NewTermination(7, codec.CauseReset))
+	assert.Equal(t, []string{"confirmation", "*codec.Migration"}, r.sentAbout(r.client, 7))
+	assert.Equal(t, []string{"offer"}, r.sentAbout(r.node, 7), "the platform ends it at its node")
+	assert.Empty(t, r.workloads.byID)
+}
