--- /dev/null
+++ b/internal/frontend/platform/workload.go
@@ -0,0 +1,90 @@
+package platform
+
+import (
+	"math"
+
+	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// workloadsPerMB is how many workloads are held for each MB of memory: a few KB each, with their descriptions.
+const workloadsPerMB = 64
+
+// workload is a client's workload, from its request to its end.
+type workload struct {
+	id     placement.WorkloadID
+	tag    codec.Tag
+	client transport.ConnID // that the request came on; it may have ended
+	// answered is whether nothing is owed for the request: it has its final answer, was withdrawn, or wanted none.
+	answered         bool
+	class            string
+	key              string // idempotency key
+	description      string // the client's
+	replyDescription string // the node's, once it is running by a bind
+	bind             bind
+}
+
+// workloadTable holds the workloads that the engine holds.
+type workloadTable struct {
+	byID       map[placement.WorkloadID]*workload
+	byTag      map[codec.Tag]*workload
+	lastID     placement.WorkloadID
+	limit      int
+	unanswered int
+}
+
+func newWorkloadTable(memoryMB int) *workloadTable {
+	return &workloadTable{
+		byID: map[placement.WorkloadID]*workload{}, byTag: map[codec.Tag]*workload{}, limit: workloadsPerMB * memoryMB,
+	}
+}
+
+// get returns the workload of that id, or nil.
+func (t *workloadTable) get(id placement.WorkloadID) *workload { return t.byID[id] }
+
+// tagged returns the workload of that tag, or nil.
+func (t *workloadTable) tagged(tag codec.Tag) *workload { return t.byTag[tag] }
+
+// full tells whether there is no memory for another request.
+func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
+
+// idsExhausted tells whether every id was given out. Ids are never used again.
+func (t *workloadTable) idsExhausted() bool { return t.lastID == math.MaxUint32 }
+
+// holds tells whether the engine still holds the workload.
+func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
+
+// addRequest adds the workload of a request, which is to be answered.
+func (t *workloadTable) addRequest(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
+	t.unanswered++
+	return t.add(&workload{tag: tag, client: client}, task)
+}
+
+// addRunning adds a workload that runs already, so that nothing is to be answered.
+func (t *workloadTable) addRunning(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
+	return t.add(&workload{tag: tag, client: client, answered: true}, task)
+}
+
+// add gives a workload its id and keeps it.
+func (t *workloadTable) add(w *workload, task *codec.Task) *workload {
+	t.lastID++
+	w.id, w.class, w.key, w.description = t.lastID, task.Class, task.Key, task.Description
+	t.byID[w.id], t.byTag[w.tag] = w, w
+	return w
+}
+
+// markAnswered notes that nothing is owed for the request any more.
+func (t *workloadTable) markAnswered(w *workload) {
+	if !w.answered {
+		w.answered = true
+		t.unanswered--
+	}
+}
+
+func (t *workloadTable) remove(w *workload) {
+	delete(t.byID, w.id)
+	if t.byTag[w.tag] == w {
+		delete(t.byTag, w.tag)
+	}
+}
