--- /dev/null
+++ b/internal/frontend/native/connections.go
@@ -0,0 +1,71 @@
+package native
+
+import (
+	"log/slog"
+
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// helloTimeout is how long, in ms, a new connection may take until the peer's hello.
+const helloTimeout = placement.Millis(5e3)
+
+// reconnectBackoff is the delay before the next dial to a node or to the discovery service. A longer Max would leave a
+// node unused for long after it is back.
+var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
+
+// Reasons for which the frontend ends a connection. Those of refusals are sent to the peer.
+const (
+	reasonHelloTimeout   = "no hello came in time"
+	reasonConnectTimeout = "no connection in time"
+	reasonAddressChanged = "the list names another address"
+	reasonWrongNode      = "another than the node that the list names answers at its address"
+	reasonNoDiscovery    = "no machine list answers at its address"
+)
+
+// connection is what is known of the peer of a connection to a node or of one that was accepted.
+type connection struct {
+	role   pb.Role        // unspecified until the hello of a peer that connected to us
+	client *clientSession // of the role OWNER
+	node   *node          // of the role NODE
+}
+
+// connections are the open connections, but for the one to the discovery service.
+type connections struct {
+	byID    map[transport.ConnID]*connection
+	network transport.FrameNetwork
+	log     *slog.Logger
+	// closed handles the end of a connection that disconnect ends, as if the peer had closed it.
+	closed func(c transport.ConnID, reason string)
+}
+
+func (t *connections) add(c transport.ConnID, conn *connection) { t.byID[c] = conn }
+
+func (t *connections) get(c transport.ConnID) (conn *connection, open bool) {
+	conn, open = t.byID[c]
+	return conn, open
+}
+
+func (t *connections) remove(c transport.ConnID) { delete(t.byID, c) }
+
+// disconnect ends a connection from this side.
+func (t *connections) disconnect(c transport.ConnID, reason string) {
+	t.network.Close(c)
+	t.closed(c, reason)
+}
+
+// refuse ends a connection and tells the peer why.
+func (t *connections) refuse(c transport.ConnID, reason string) {
+	t.log.Warn("connection rejected", "reason", reason)
+	t.network.Send(c, transport.RefusalFrame(reason))
+	t.disconnect(c, reason)
+}
+
+// awaitsHello tells whether a connection is open and its peer has sent no hello.
+func (t *connections) awaitsHello(c transport.ConnID) bool {
+	conn, open := t.get(c)
+	return open && conn.role == pb.Role_ROLE_UNSPECIFIED
+}
--- /dev/null
+++ b/internal/frontend/native/durability.go
@@ -0,0 +1,72 @@
+package native
+
+import (
+	"grebeglade/internal/recovery"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// durableBinds keeps what the next incarnation must know of this one's binds: it asks the registry which binds must be
+// durable, and has the journal write them. Without a journal no bind is durable, and nothing is known of earlier ones.
+type durableBinds struct {
+	enabled         bool
+	journal         BindJournal
+	registry        *recovery.Registry
+	wallClockOffset float64
+}
+
+func newDurableBinds(c Config) *durableBinds {
+	if c.Journal == nil {
+		return &durableBinds{}
+	}
+	rules := make(map[string]recovery.GroupPolicy, len(c.Groups))
+	for i, name := range c.Groups {
+		rules[name] = recovery.GroupPolicy{Idempotency: c.Settings.Groups[i].Idempotency, KeyWindow: c.Settings.Groups[i].KeyWindow}
+	}
+	settings := recovery.Settings{Groups: rules, Retention: c.AtMostOnceRetention, MaxEntries: c.MaxDurableKeys}
+	return &durableBinds{
+		enabled: true, journal: c.Journal, wallClockOffset: c.WallClockOffset,
+		registry: recovery.New(settings, c.RecoveredBinds, c.WallClockOffset),
+	}
+}
+
+// unixTime is a time of the frontend's clock as one that the next incarnation knows too, in ms.
+func (d *durableBinds) unixTime(now placement.Millis) float64 {
+	return d.wallClockOffset + float64(now)
+}
+
+// admit tells what the binds that are known of a request's key allow.
+func (d *durableBinds) admit(now placement.Millis, r *pb.Ask) recovery.Admission {
+	if !d.enabled {
+		return recovery.Admit
+	}
+	return d.registry.CheckAdmission(d.unixTime(now), r.Key, r.Group)
+}
+
+// boundBefore tells whether an earlier incarnation left a bind of a key.
+func (d *durableBinds) boundBefore(now placement.Millis, key uint64) bool {
+	return d.enabled && d.registry.KnownBeforeRestart(d.unixTime(now), key)
+}
+
+// required tells whether the binds of a group must be durable before their offers are sent.
+func (d *durableBinds) required(group string) bool {
+	return d.enabled && d.registry.RequiresDurability(group)
+}
+
+// persist makes a workload's bind durable. It calls done once, with nil when it is, or with the error of the journal.
+func (d *durableBinds) persist(
+	now placement.Millis, wl *workload, node placement.NodeID, id *pb.BindID, done func(now placement.Millis, err error),
+) {
+	bind := d.registry.RecordBind(d.unixTime(now), recovery.Bind{
+		Key: wl.request.Key, Group: wl.request.Group, Node: uint32(node), Incarnation: id.Incarnation, Workload: id.Workload,
+		Number: id.Number,
+	})
+	d.journal.PersistBind(bind, done)
+}
+
+// forget takes back a bind that its node never accepted, if that settles its key.
+func (d *durableBinds) forget(wl *workload, id *pb.BindID) {
+	if d.enabled && d.registry.Forget(wl.request.Key, id.Incarnation, id.Number) {
+		d.journal.ForgetBind(wl.request.Key, id.Incarnation, id.Number)
+	}
+}
--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -1,487 +1,304 @@
 package native
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
 	"slices"
 
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/gang"
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
-	pb "grebeglade/proto/grebeglade/v1"
-)
 
-const (
-	leaseSpare  = placement.Millis(3e3)  // ms beyond a start's time that an undeclared part may stand
-	adoptSettle = placement.Millis(1500) // ms after our start that parts found on nodes wait for the others
-	mostParts   = 1000
+	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// spreads are the places that no two parts of a gang may share, by wish. Each of the settings' groups has a
-// variant for each, so that placement keeps it like any other spread.
-var spreads = []struct {
-	word  string
-	scope placement.Scope
-}{{"node", placement.ScopeNode}, {"cell", placement.ScopeCell}, {"zone", placement.ScopeZone}}
-
-// WithSpreadVariants adds to settings the variants of each group.
-func WithSpreadVariants(s placement.Settings) placement.Settings {
-	base := s.Groups
-	s.Groups = slices.Clone(base)
-	for _, spread := range spreads {
-		for _, g := range base {
-			g.SpreadScope, g.MaxPerScope = spread.scope, 1
-			s.Groups = append(s.Groups, g)
-		}
-	}
-	return s
-}
-
-// groupNames are the names of groups and of their variants.
-func groupNames(base []string) []string {
-	names := slices.Clone(base)
-	for _, spread := range spreads {
-		for _, name := range base {
-			names = append(names, name+" apart by "+spread.word)
-		}
-	}
-	return names
+// gangs holds the gangs, hands each gang's state machine what happens to its parts, and carries out what it decides.
+type gangs struct {
+	*core
+	workloads *workloadTable
+	clients   *clientSessions
+	nodes     *nodeTable
+	binds     *binds
+	catalog   *catalog
+
+	byRequest  map[requestID]*gangRequest
+	unanswered int // gangs whose client waits for its final answer
 }
 
-// group is a gang on the wire.
-type group struct {
-	state   *gang.Gang // nil while parts of it are being found after a restart
-	id      askID
-	ask     *pb.GangAsk
-	parts   []placement.WorkloadID // as asked for last, 0 for none
-	expires placement.Millis
-	since   placement.Millis
-	pending bool
-	kept    bool // a part was found that had been declared standing
-	told    gang.State
+func (t *gangs) get(id requestID) (*gangRequest, bool) {
+	g, ok := t.byRequest[id]
+	return g, ok
 }
 
-// partOf is what goes with the offer of a part.
-func (g *group) partOf(now placement.Millis, part int) *pb.GangPart {
-	lease := max(0, g.expires-now) + leaseSpare
-	if g.state != nil && g.state.State == gang.Standing {
-		lease = placement.Millis(g.ask.ReplaceWithinMs) + leaseSpare
-	}
-	return &pb.GangPart{
-		Part: uint32(part), Of: uint32(len(g.parts)), Need: g.ask.Need, LeaseMs: float64(lease), Replace: g.ask.Replace,
-		ReplaceWithinMs: g.ask.ReplaceWithinMs,
-	}
-}
+func (t *gangs) add(g *gangRequest) { t.byRequest[g.id] = g }
 
-// gangAsk takes a group to its module, or turns it away at once with the reason.
-func (p *Frontend) gangAsk(now placement.Millis, c transport.ConnID, owner string, a *pb.GangAsk) {
-	p.Counters.Requests++
-	id, late := askID{owner, a.Ask}, p.underWay(now, p.peers[c], a.SentMs)
-	if p.gangs[id] != nil || p.passed(c, a.Ask) {
-		p.Counters.DuplicateRequests++
-		return
-	}
-	if a.Need == 0 {
-		a.Need = uint32(len(a.Parts))
-	}
-	if reason := p.gangUnfit(a); reason != "" {
-		p.Counters.NotAdmitted++
-		p.answer(c, a.Ask, pb.Verdict_REJECTED, 0, reason)
-		return
-	}
-	if p.book != nil && slices.ContainsFunc(a.Parts, func(part *pb.Ask) bool { return p.book.KnownBeforeRestart(p.unix(now), part.Key) }) {
-		p.Counters.AnsweredFromJournal++
-		p.answer(c, a.Ask, pb.Verdict_UNSCHEDULABLE, 0, "a bind of one of its parts went out before; it may have run")
-		return
-	}
-	left := placement.Millis(a.LeftMs) - late
-	g := &group{
-		id: id, ask: a, parts: make([]placement.WorkloadID, len(a.Parts)), expires: now + left, since: now, pending: true,
-	}
-	g.state = gang.New(now, p.wish(a, left), p.c.Seed^a.Ask)
-	p.gangs[id] = g
-	p.pending++
-	p.Counters.Gangs++
-	if p.tap != nil {
-		p.tap.RecordGangRequest(now, owner, a.Ask, len(a.Parts), int(a.Need), left)
-	}
-	p.act(now, g, g.state.Begin(now))
-}
+// holds tells whether a gang is still held: another may have come under its request since.
+func (t *gangs) holds(g *gangRequest) bool { return t.byRequest[g.id] == g }
 
-// gangUnfit says why a group cannot be taken, or "".
-func (p *Frontend) gangUnfit(a *pb.GangAsk) string {
-	keys := map[uint64]bool{}
-	known := a.Spread == "" || slices.ContainsFunc(spreads, func(s struct {
-		word  string
-		scope placement.Scope
-	}) bool {
-		return s.word == a.Spread
-	})
-	switch {
-	case len(a.Parts) == 0 || len(a.Parts) > mostParts:
-		return fmt.Sprintf("a gang of %d parts; it must have 1 to %d", len(a.Parts), mostParts)
-	case int(a.Need) > len(a.Parts):
-		return fmt.Sprintf("need is %d of %d parts", a.Need, len(a.Parts))
-	case !known:
-		return fmt.Sprintf(`spread is %q; it must be "node", "cell", "zone" or nothing`, a.Spread)
-	case a.Replace && a.ReplaceWithinMs <= 0:
-		return "replace_within_ms must be above 0 where parts are to be replaced"
-	case p.c.MaxWorkloads > 0 && len(p.wls)+p.idleParts()+len(a.Parts) > p.c.MaxWorkloads:
-		return fmt.Sprintf("the allocator holds %d workloads and may hold %d", len(p.wls)+p.idleParts(), p.c.MaxWorkloads)
+// sorted returns the gangs in the order of their clients and requests.
+func (t *gangs) sorted() []*gangRequest {
+	all := make([]*gangRequest, 0, len(t.byRequest))
+	for _, id := range slices.SortedFunc(maps.Keys(t.byRequest), compareRequestIDs) {
+		all = append(all, t.byRequest[id])
 	}
-	for i, part := range a.Parts {
-		part.Ask, part.LeftMs = a.Ask, a.LeftMs
-		if reason := p.unfit(part); reason != "" {
-			return fmt.Sprintf("part %d: %s", i, reason)
-		}
-		if keys[part.Key] {
-			return fmt.Sprintf("part %d has the key of another part", i)
-		}
-		keys[part.Key] = true
-	}
-	return ""
+	return all
 }
 
-// idleParts counts the parts of groups that are not asked for now: a group that waits to be begun again holds its place.
-func (p *Frontend) idleParts() (n int) {
-	for _, g := range p.gangs {
-		for _, id := range g.parts {
-			if id == 0 {
-				n++
-			}
-		}
+// unrequestedParts counts the parts that have no workload now. A gang that waits for its next attempt holds its place.
+func (t *gangs) unrequestedParts() int {
+	n := 0
+	for _, g := range t.byRequest {
+		n += g.unrequestedParts()
 	}
 	return n
 }
 
-func (p *Frontend) wish(a *pb.GangAsk, left placement.Millis) gang.Wish {
-	w := gang.Wish{Need: int(a.Need), Left: left, ReplaceWithin: placement.Millis(a.ReplaceWithinMs)}
-	if a.Replace {
-		w.OnLoss = gang.Replace
-	}
-	for _, part := range a.Parts {
-		w.Parts = append(w.Parts, p.gangPart(part))
-	}
-	return w
+// start starts a gang that was admitted. Its client waits for the given time from now.
+func (t *gangs) start(now placement.Millis, id requestID, r *pb.GangAsk, timeout placement.Millis) {
+	g := &gangRequest{
+		id: id, request: r, parts: make([]placement.WorkloadID, len(r.Parts)), expires: now + timeout, receivedAt: now,
+		answerDue: true, state: gang.New(now, t.stateRequest(r, timeout), t.seed(id.request)),
+	}
+	t.add(g)
+	t.unanswered++
+	t.counters.Gangs++
+	t.recorder.gangRequest(now, g, timeout)
+	t.execute(now, g, g.state.Start(now))
 }
 
-// gangPart is what a decision needs of a part: what a second start does, and its share of the largest kind.
-func (p *Frontend) gangPart(a *pb.Ask) gang.Part {
-	part := gang.Part{}
-	if g, ok := p.groups[a.Group]; ok {
-		part.Effect = p.c.Settings.Groups[g].Idempotency
-	}
-	for _, k := range p.c.Settings.NodeKinds {
-		part.Size = max(part.Size, min(1, a.Cores/k.Cores), min(1, a.Memory/k.Memory))
-	}
-	return part
-}
+func (t *gangs) seed(request uint64) uint64 { return t.config.Seed ^ request }
 
-// part makes the workload of a part that is asked for.
-func (p *Frontend) part(now placement.Millis, g *group, i int, left placement.Millis) placement.Workload {
-	a := g.ask.Parts[i]
-	p.lastID++
-	id := p.lastID
-	p.wls[id] = &workload{owner: g.id.owner, ask: a, since: now, gang: g, part: i}
-	p.keys[a.Key] = id
-	g.parts[i] = id
-	if p.tap != nil {
-		p.tap.RecordRequest(now, id, g.id.owner, a.Ask, a.Key)
+// stateRequest is a request as the gang's state machine takes it.
+func (t *gangs) stateRequest(r *pb.GangAsk, timeout placement.Millis) gang.Request {
+	request := gang.Request{
+		MinParts: int(r.Need), PendingTimeout: timeout, ReplaceTimeout: placement.Millis(r.ReplaceWithinMs),
 	}
-	w := p.workload(id, a)
-	w.PendingTimeout = left
-	w.Retried = w.Retried || g.state.Tries() > 1
-	for k, s := range spreads {
-		if s.word == g.ask.Spread {
-			w.Group += placement.GroupID((k + 1) * len(p.c.Groups))
-		}
+	if r.Replace {
+		request.OnLoss = gang.ReplaceOnLoss
 	}
-	return w
+	for _, part := range r.Parts {
+		request.Parts = append(request.Parts, t.catalog.gangPart(part))
+	}
+	return request
 }
 
-// act does what a group's module wants done.
-func (p *Frontend) act(now placement.Millis, g *group, acts []gang.Act) {
-	for _, a := range acts {
+// execute carries out what a gang's state machine decided.
+func (t *gangs) execute(now placement.Millis, g *gangRequest, decided []gang.Action) {
+	for _, a := range decided {
 		switch a.Kind {
-		case gang.Try:
-			p.try(now, g, a)
-		case gang.Ask:
-			p.engine.Schedule(now, p.part(now, g, a.Part, a.Left))
-		case gang.Stop:
-			p.stopPart(now, g, a.Part)
-		case gang.Place:
-			p.Counters.GangsPlaced++
-			p.gangAnswer(now, g, pb.Verdict_PLACED, "")
-		case gang.Reject:
-			p.Counters.GangsAbandoned++
-			p.gangAnswer(now, g, pb.Verdict_REJECTED, p.gangWhy(g))
-		case gang.GiveUp:
-			p.Counters.GangsAbandoned++
-			p.gangAnswer(now, g, pb.Verdict_UNSCHEDULABLE, "a part that must not run twice may have run")
-		case gang.Keep:
-			p.keep(g)
-		case gang.Over:
-			if c, ok := p.owners[g.id.owner]; ok {
-				p.net.Send(c, &pb.Frame{Body: &pb.Frame_Over{Over: &pb.Over{Ask: g.id.ask, Why: p.overWhy(g)}}})
-			}
-		case gang.Wake:
-			p.wakeGang(now, g, a.At)
+		case gang.Attempt:
+			t.attempt(now, g, a)
+		case gang.RequestPart:
+			t.Engine().Schedule(now, t.requestPart(now, g, a.Part, a.Timeout))
+		case gang.StopPart:
+			t.stopPart(now, g, a.Part)
+		case gang.AnswerPlaced, gang.AnswerRejected, gang.AnswerUnschedulable:
+			t.answer(g, a.Kind)
+		case gang.ConfirmParts:
+			t.confirmParts(g)
+		case gang.ReportEnd:
+			t.clients.send(g.id.client, &pb.Frame{Body: &pb.Frame_Over{Over: &pb.Over{Ask: g.id.request, Why: g.endReason()}}})
+		case gang.SetTimer:
+			t.setTimer(now, g, a.At)
 		case gang.Forget:
-			if g.pending {
-				g.pending = false
-				p.pending--
-			}
-			delete(p.gangs, g.id)
+			t.markAnswered(g)
+			delete(t.byRequest, g.id)
 		}
 	}
-	if g.told != g.state.State && p.tap != nil {
-		p.tap.RecordGangState(now, g.id.owner, g.id.ask, g.state.State.String(), g.parts)
+	if g.tracedState != g.state.State {
+		t.recorder.gangState(now, g)
 	}
-	g.told = g.state.State
+	g.tracedState = g.state.State
 }
 
-// wakeGang has a group's module called once that time has come, if the group is still there. A timer stands for a minute at
-// most, as in the engine.
-func (p *Frontend) wakeGang(now placement.Millis, g *group, at placement.Millis) {
-	p.timers.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
-		switch {
-		case p.gangs[g.id] != g:
-		case now < at:
-			p.wakeGang(now, g, at)
-		default:
-			p.act(now, g, g.state.Due(now))
-		}
-	})
+// requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
+func (t *gangs) requestPart(now placement.Millis, g *gangRequest, part int, timeout placement.Millis) placement.Workload {
+	wl := t.workloads.addPart(now, g, part)
+	g.parts[part] = wl.id
+	t.recorder.request(now, wl)
+	w := t.catalog.workload(wl.id, wl.request)
+	w.PendingTimeout = timeout
+	w.Retried = w.Retried || g.state.Attempts() > 1
+	w.Group = spreadVariant(w.Group, g.request.Spread, len(t.catalog.groupNames))
+	return w
 }
 
-func (p *Frontend) try(now placement.Millis, g *group, a gang.Act) {
-	ws := make([]placement.Workload, len(a.Parts))
-	for k, i := range a.Parts {
-		ws[k] = p.part(now, g, i, g.expires-now)
+// attempt requests the parts of a gang together: at least MinParts of them are offered to nodes, or none.
+func (t *gangs) attempt(now placement.Millis, g *gangRequest, a gang.Action) {
+	requests := make([]placement.Workload, len(a.Parts))
+	for k, part := range a.Parts {
+		requests[k] = t.requestPart(now, g, part, g.expires-now)
 	}
-	sent := p.engine.ScheduleGang(now, ws, a.Need)
+	sent := t.Engine().ScheduleGang(now, requests, a.MinParts)
 	offered := make([]bool, len(g.parts))
-	for k, i := range a.Parts {
-		offered[i] = sent[k]
+	for k, part := range a.Parts {
+		offered[part] = sent[k]
 		if !sent[k] {
-			g.parts[i] = 0
+			g.parts[part] = 0
 		}
 	}
-	p.act(now, g, g.state.Tried(now, offered))
+	t.execute(now, g, g.state.AttemptResult(offered))
 }
 
-func (p *Frontend) stopPart(now placement.Millis, g *group, part int) {
+// stopPart has a part stopped. One that the engine has let go of has ended already.
+func (t *gangs) stopPart(now placement.Millis, g *gangRequest, part int) {
 	id := g.parts[part]
-	wl := p.wls[id]
+	wl, held := t.workloads.get(id)
 	switch {
-	case wl == nil:
-		p.later = append(p.later, func(now placement.Millis) {
-			if p.gangs[g.id] == g && g.parts[part] == id {
-				p.act(now, g, g.state.Ended(now, part, false))
-			}
-		})
-	case wl.stopped: // once more: the first stop may have been lost
-		if n := p.node(wl.last()); n != nil && n.ready {
-			p.stop(n, p.bindID(id, wl), false)
-		}
+	case !held:
+		t.deferEvent(g, id, part, func(now placement.Millis) []gang.Action { return g.state.PartEnded(now, part, false) })
+	case wl.state.withdrawn():
+		t.binds.repeatStop(wl)
 	default:
-		wl.stopped = true
-		p.Counters.GangPartStops++
-		p.engine.Withdraw(now, id)
+		t.workloads.markWithdrawn(wl)
+		t.counters.GangPartStops++
+		t.Engine().Withdraw(now, id)
 	}
 }
 
-// keep tells the nodes of the parts that run that their gang stands.
-func (p *Frontend) keep(g *group) {
-	for i, id := range g.parts {
-		wl := p.wls[id]
-		if wl == nil || g.state.Parts[i] != gang.Running {
-			continue
-		}
-		if n := p.node(wl.last()); n != nil && n.ready {
-			p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: p.bindID(id, wl)}}})
+// confirmParts tells the nodes of the running parts that their gang runs.
+func (t *gangs) confirmParts(g *gangRequest) {
+	for part, id := range g.parts {
+		if wl, held := t.workloads.get(id); held && g.state.Parts[part] == gang.PartRunning {
+			t.binds.confirmGang(wl.lastNode(), t.workloads.bindID(wl))
 		}
 	}
 }
 
-// keepAgain repeats a Keep that was lost with its connection.
-func (p *Frontend) keepAgain(n *node, id placement.WorkloadID, s *pb.Standing) {
-	wl := p.wls[id]
-	if wl != nil && wl.gang != nil && !s.Kept && wl.gang.state != nil && wl.gang.state.State == gang.Standing {
-		p.net.Send(n.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: s.Offer.Bind}}})
+// repeatConfirmation tells a node again that a part's gang runs, where the node does not know it: that was lost with its
+// last connection.
+func (t *gangs) repeatConfirmation(n *node, wl *workload, r *pb.Standing) {
+	if wl.gang != nil && !r.Kept && wl.gang.runs() {
+		t.binds.confirmGang(n.id, r.Offer.Bind)
 	}
 }
 
-func (p *Frontend) gangAnswer(now placement.Millis, g *group, v pb.Verdict, reason string) {
-	if g.pending {
-		g.pending = false
-		p.pending--
-	}
-	a := &pb.Answer{Ask: g.id.ask, Verdict: v, Reason: reason}
-	for i, id := range g.parts {
-		node := uint32(0)
-		if wl := p.wls[id]; v == pb.Verdict_PLACED && wl != nil && g.state.Parts[i] == gang.Running {
-			node = uint32(wl.last())
+// setTimer has a gang's state machine called at the given time, if the gang is held by then. A timer is set for a minute at
+// most, as in the engine, so that those of gangs that have ended are bounded.
+func (t *gangs) setTimer(now placement.Millis, g *gangRequest, at placement.Millis) {
+	t.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
+		switch {
+		case !t.holds(g):
+		case now < at:
+			t.setTimer(now, g, at)
+		default:
+			t.execute(now, g, g.state.TimerFired(now))
 		}
-		a.Nodes = append(a.Nodes, node)
-	}
-	p.over(g.id.owner, g.id.ask, false)
-	if c, ok := p.owners[g.id.owner]; ok {
-		p.net.Send(c, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
+	})
+}
+
+// markAnswered notes that the client no longer waits for an answer.
+func (t *gangs) markAnswered(g *gangRequest) {
+	if g.answerDue {
+		g.answerDue = false
+		t.unanswered--
 	}
 }
 
-func (p *Frontend) gangWhy(g *group) string {
-	if g.state.Tries() <= 1 && !slices.ContainsFunc(g.parts, func(id placement.WorkloadID) bool { return id != 0 }) {
-		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known", g.ask.Need, len(g.parts), len(p.nodes))
+// answer sends a gang's final answer to its client.
+func (t *gangs) answer(g *gangRequest, kind gang.ActionKind) {
+	answer := &pb.Answer{Ask: g.id.request}
+	switch kind {
+	case gang.AnswerPlaced:
+		t.counters.GangsPlaced++
+		answer.Verdict = pb.Verdict_PLACED
+	case gang.AnswerRejected:
+		t.counters.GangsAbandoned++
+		answer.Verdict, answer.Reason = pb.Verdict_REJECTED, t.rejectionReason(g)
+	default:
+		t.counters.GangsAbandoned++
+		answer.Verdict, answer.Reason = pb.Verdict_UNSCHEDULABLE, reasonPartMayHaveRun
+	}
+	t.markAnswered(g)
+	for part, id := range g.parts {
+		node := placement.NodeID(0)
+		if wl, held := t.workloads.get(id); kind == gang.AnswerPlaced && held && g.state.Parts[part] == gang.PartRunning {
+			node = wl.lastNode()
+		}
+		answer.Nodes = append(answer.Nodes, uint32(node))
 	}
-	return fmt.Sprintf("it fell apart, %d times begun", g.state.Tries())
+	t.clients.answer(g.id.client, answer)
 }
 
-func (p *Frontend) overWhy(g *group) pb.Why {
-	if !slices.ContainsFunc(g.state.Parts, func(s gang.PartState) bool { return s != gang.Finished }) {
-		return pb.Why_FINISHED
+func (t *gangs) rejectionReason(g *gangRequest) string {
+	if g.state.Attempts() <= 1 && g.unrequestedParts() == len(g.parts) {
+		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known",
+			g.request.Need, len(g.parts), t.nodes.count())
 	}
-	return pb.Why_LOST
+	return fmt.Sprintf("it fell apart, %d times begun", g.state.Attempts())
+}
+
+// partEvent hands a gang's state machine what happened to a part, once the engine is idle.
+func (t *gangs) partEvent(wl *workload, event func(now placement.Millis) []gang.Action) {
+	t.deferEvent(wl.gang, wl.id, wl.part, event)
 }
 
-// partEvent takes something that happened to a part to its module, once the engine is done with what it does.
-// What concerns a workload that is no more the part's is passed over.
-func (p *Frontend) partEvent(id placement.WorkloadID, wl *workload, event func(now placement.Millis) []gang.Act) {
-	g := wl.gang
-	p.later = append(p.later, func(now placement.Millis) {
-		if g.state != nil && p.gangs[g.id] == g && g.parts[wl.part] == id {
-			p.act(now, g, event(now))
+// deferEvent calls event once the engine is idle, unless the gang is recovering or has ended, or the part has another
+// workload by then.
+func (t *gangs) deferEvent(g *gangRequest, id placement.WorkloadID, part int, event func(now placement.Millis) []gang.Action) {
+	t.Defer(func(now placement.Millis) {
+		if !g.recovering() && t.holds(g) && g.parts[part] == id {
+			t.execute(now, g, event(now))
 		}
 	})
 }
 
-func (p *Frontend) partAnswered(id placement.WorkloadID, wl *workload, v allocator.Verdict) {
-	if p.tap != nil {
-		p.tap.RecordAnswer(p.now, id, uint8(v), wl.last(), "a part of a gang")
-	}
+// partAnswered handles the engine's final answer for a part.
+func (t *gangs) partAnswered(wl *workload, v allocator.Verdict) {
+	t.recorder.answer(t.Now(), wl, v, wl.lastNode(), reasonPartOfGang)
 	switch v {
 	case allocator.Placed:
-		if p.c.Settings.ConfirmsRunning {
-			p.partRuns(id)
+		if t.config.Settings.ConfirmsRunning {
+			t.partRunning(wl)
 		}
 	case allocator.Rejected:
-		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Failed(now, wl.part, false) })
+		t.partEvent(wl, func(now placement.Millis) []gang.Action { return wl.gang.state.PartFailed(now, wl.part, false) })
 	default:
-		// It may run where its last bind went. Its gang is undone, so nothing of it may be left.
-		// A run-once one was called off only as far as it was waiting; any other has been stopped already.
-		to, bind, stopped := wl.last(), p.bindID(id, wl), wl.called == len(wl.nodes) && !p.keeps(wl)
-		p.partEvent(id, wl, func(now placement.Millis) []gang.Act {
-			if n := p.node(to); n != nil && n.ready && !stopped {
-				p.stop(n, bind, false)
-			}
-			return wl.gang.state.Failed(now, wl.part, true)
-		})
+		t.partMayRun(wl)
 	}
 }
 
-// keeps tells whether a node that accepted the workload keeps it when its bind times out.
-func (p *Frontend) keeps(wl *workload) bool {
-	return p.gangPart(wl.ask).Effect == placement.AtMostOnce
-}
-
-// partRuns takes that a workload runs, if it is a part.
-func (p *Frontend) partRuns(id placement.WorkloadID) {
-	if wl := p.wls[id]; wl != nil && wl.gang != nil {
-		p.partEvent(id, wl, func(now placement.Millis) []gang.Act { return wl.gang.state.Up(now, wl.part) })
-	}
-}
-
-func (p *Frontend) gangWithdraw(now placement.Millis, g *group) {
-	if g.state == nil {
-		return // parts are still being found; they are decided about together
-	}
-	p.Counters.Withdrawn++
-	p.act(now, g, g.state.Withdraw(now))
-}
-
-// gangOwnerGone withdraws an owner's groups that have no answer yet: it can be told none.
-func (p *Frontend) gangOwnerGone(now placement.Millis, owner string) {
-	for _, id := range p.gangIDs() {
-		if g := p.gangs[id]; g != nil && id.owner == owner && g.pending {
-			p.gangWithdraw(now, g)
+// partMayRun handles a part that may run where its last bind went, though its answer is unknown. The gang is rolled back, so
+// the part must not run on. Its bind is stopped, unless it was: the stop of an at-most-once workload that timed out leaves
+// it alone where the node has accepted it, so that one is stopped again.
+func (t *gangs) partMayRun(wl *workload) {
+	node, bind := wl.lastNode(), t.workloads.bindID(wl)
+	stopped := wl.bindState == bindStopRequested && t.catalog.effect(wl.request.Group) != placement.AtMostOnce
+	t.partEvent(wl, func(now placement.Millis) []gang.Action {
+		if !stopped {
+			t.binds.stop(node, bind, false)
 		}
-	}
-}
-
-func (p *Frontend) gangIDs() []askID {
-	return slices.SortedFunc(maps.Keys(p.gangs), func(x, y askID) int {
-		return cmp.Or(cmp.Compare(x.owner, y.owner), cmp.Compare(x.ask, y.ask))
+		return wl.gang.state.PartFailed(now, wl.part, true)
 	})
 }
 
-// found takes a part that an earlier incarnation started. When all nodes have had time to tell, the group goes
-// on as it was declared, or nothing of it is left.
-func (p *Frontend) found(now placement.Millis, id placement.WorkloadID, wl *workload, s *pb.Standing) {
-	of := s.Offer.Gang
-	key := askID{wl.owner, wl.ask.Ask}
-	g := p.gangs[key]
-	if g == nil {
-		of.Of = min(max(of.Of, of.Part+1), mostParts)
-		g = &group{
-			id: key, since: now, parts: make([]placement.WorkloadID, of.Of),
-			ask: &pb.GangAsk{
-				Ask: key.ask, Need: of.Need, Replace: of.Replace, ReplaceWithinMs: of.ReplaceWithinMs, Parts: make([]*pb.Ask, of.Of),
-			},
-		}
-		p.gangs[key] = g
-		p.timers.Schedule(now+adoptSettle, func(now placement.Millis) { p.recover(now, g) })
-	}
-	if g.state != nil || int(of.Part) >= len(g.parts) || g.parts[of.Part] != 0 {
-		// It comes after its group was decided about, or stands twice.
-		wl.stopped = true
-		p.engine.Withdraw(now, id)
-		return
+// partRunning handles that a workload runs, if it is a part of a gang.
+func (t *gangs) partRunning(wl *workload) {
+	if wl.gang != nil {
+		t.partEvent(wl, func(placement.Millis) []gang.Action { return wl.gang.state.PartStarted(wl.part) })
 	}
-	wl.gang, wl.part = g, int(of.Part)
-	g.parts[of.Part], g.ask.Parts[of.Part] = id, wl.ask
-	g.kept = g.kept || s.Kept
 }
 
-func (p *Frontend) recover(now placement.Millis, g *group) {
-	if p.gangs[g.id] != g {
+// partEnded handles that a part runs no more, or never will.
+func (t *gangs) partEnded(wl *workload, finished bool) {
+	t.partEvent(wl, func(now placement.Millis) []gang.Action { return wl.gang.state.PartEnded(now, wl.part, finished) })
+}
+
+// withdraw handles a client's withdrawal. Of a gang that is recovering it has no effect: its parts are decided about
+// together, once the others had time to be found.
+func (t *gangs) withdraw(now placement.Millis, g *gangRequest) {
+	if g.recovering() {
 		return
 	}
-	running := make([]bool, len(g.parts))
-	for i, id := range g.parts {
-		running[i] = id != 0 && p.wls[id] != nil
-		if g.ask.Parts[i] == nil {
-			g.ask.Parts[i] = &pb.Ask{}
-		}
-	}
-	var acts []gang.Act
-	g.state, acts = gang.Recover(now, p.wish(g.ask, 0), running, g.kept, p.c.Seed^g.id.ask)
-	p.act(now, g, acts)
+	t.counters.Withdrawn++
+	t.execute(now, g, g.state.Withdraw(now))
 }
 
-// gangStates answers an operator's question.
-func (p *Frontend) gangStates(now placement.Millis, most int) (states []*pb.GangStatus, leftOut uint32) {
-	ids := p.gangIDs()
-	for _, id := range ids[:min(len(ids), most)] {
-		g := p.gangs[id]
-		s := &pb.GangStatus{
-			Owner: id.owner, Ask: id.ask, State: "found", Parts: uint32(len(g.parts)), Need: g.ask.Need,
-			SinceMs: float64(now - g.since),
-		}
-		if g.state != nil {
-			s.State, s.Tries = g.state.State.String(), uint32(g.state.Tries())
-			for _, part := range g.state.Parts {
-				if part == gang.Running {
-					s.Running++
-				}
-			}
-		}
-		for _, wl := range g.parts {
-			s.Workloads = append(s.Workloads, uint64(wl))
+// clientDisconnected withdraws the gangs of a client that have no answer yet, since it can be sent none.
+func (t *gangs) clientDisconnected(now placement.Millis, client string) {
+	for _, g := range t.sorted() {
+		if t.holds(g) && g.id.client == client && g.answerDue {
+			t.withdraw(now, g)
 		}
-		states = append(states, s)
 	}
-	return states, uint32(max(0, len(ids)-most))
 }
--- /dev/null
+++ b/internal/frontend/native/membership.go
@@ -0,0 +1,80 @@
+package native
+
+import (
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// membership keeps the node table as the discovery service says, and has its nodes dialled and removed.
+type membership struct {
+	*core
+	nodes       *nodeTable
+	sessions    *nodeSessions
+	connections *connections
+	catalog     *catalog
+}
+
+// update takes over a snapshot or changes of the discovery service: into the node table, then to the engine, and then the
+// nodes are dialled or removed.
+func (m *membership) update(now placement.Millis, u *pb.ListUpdate) {
+	m.counters.DiscoveryEntries += uint64(len(u.Entries))
+	kind := placement.Delta
+	if u.Kind == pb.ListUpdate_WHOLE {
+		kind = placement.Snapshot
+		m.nodes.markMissing(u.Entries)
+	}
+	entries := make([]placement.Node, 0, len(u.Entries))
+	var updated []*node
+	for _, e := range u.Entries {
+		if n, ok := m.enter(now, e); ok {
+			entries = append(entries, n.placementEntry())
+			updated = append(updated, n)
+		}
+	}
+	if excess := len(u.Entries) - len(updated); excess > 0 {
+		m.log.Warn("nodes not used", "reason", "more than are kept", "kept", m.nodes.count(), "unused", excess)
+	}
+	m.Engine().UpdateNodes(now, kind, entries)
+	for _, n := range updated {
+		m.sessions.dial(now, n)
+	}
+	m.removeGone(now)
+}
+
+// enter takes over one entry. It is not ok where the node table is full.
+func (m *membership) enter(now placement.Millis, e *pb.NodeEntry) (n *node, ok bool) {
+	id := placement.NodeID(e.Id)
+	_, known := m.nodes.get(id)
+	n, ok = m.nodes.getOrAdd(id, e.Boot)
+	if !ok {
+		return nil, false
+	}
+	n.updatedAt = now
+	// An entry of an earlier incarnation than the node itself has named is late. Taking it over would undo a drain, and
+	// end a warm-up.
+	if e.Boot < n.incarnation {
+		return n, true
+	}
+	n.setIncarnation(now, e.Boot, e.UpForMs)
+	if n.address != e.Address && n.session.state != sessionDisconnected {
+		m.connections.disconnect(n.session.conn, reasonAddressChanged)
+	}
+	kind, configured := m.catalog.kindID(e.Kind)
+	if !configured && !known {
+		m.log.Warn("node not used", "node", id, "reason", "unknown kind", "kind", e.Kind, "known", m.catalog.kindNames)
+	}
+	m.nodes.describe(n, e, kind)
+	return n, true
+}
+
+// removeGone forgets the nodes that the discovery service has removed and that are not connected.
+func (m *membership) removeGone(now placement.Millis) {
+	gone := map[*node]bool{}
+	for _, n := range m.nodes.sorted {
+		if n.entry.State == placement.Removed && n.session.state == sessionDisconnected {
+			m.sessions.lost(now, n)
+			gone[n] = true
+		}
+	}
+	m.nodes.remove(now, gone)
+}
--- /dev/null
+++ b/internal/frontend/native/status_test.go
@@ -0,0 +1,35 @@
+package native
+
+import (
+	"testing"
+
+	"grebeglade/internal/transport"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+func TestStatus_ShowsWorkloadsAndNodes(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.request(1, "serve")
+	x.answerOffer(n, x.offer(n).Bind, true, 0)
+	x.request(2, "serve")
+	x.answerOffer(n, x.offer(n).Bind, false, pb.Why_NO_CORES)
+	x.request(3, "serve", func(a *pb.Ask) { a.Cores = 0.5 })
+	x.f.Opened(x.now, operatorConn)
+	x.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
+	state := func(w pb.Query_What) *pb.State {
+		x.network.take(operatorConn)
+		x.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: w}}})
+		return x.network.take(operatorConn)[0].GetState()
+	}
+	wls := state(pb.Query_WORKLOADS).Workloads
+	require.Len(t, wls, 2)
+	assert.Equal(t, []string{"placed", "pending"}, []string{wls[0].State, wls[1].State})
+	nodes := state(pb.Query_NODES).Nodes
+	assert.Equal(t, []uint32{1, 1}, []uint32{nodes[0].Residents, nodes[0].BindsOut})
+	assert.Equal(t, "open", nodes[0].Connection)
+}
--- /dev/null
+++ b/internal/frontend/native/transit.go
@@ -0,0 +1,43 @@
+package native
+
+import (
+	"math"
+
+	"grebeglade/placement"
+)
+
+const (
+	maxTransitTimes = 64                     // frames of a session that are compared: some of them were not delayed
+	transitWindow   = placement.Millis(60e3) // ms for which a frame counts; over a longer time two clocks may drift apart by more than the answer margin
+)
+
+// transitTimes estimates how long the network delayed the frames of a session, by comparing how long they were in transit.
+// That is known up to a constant only, since the sender's clock is not ours.
+//
+// A client counts its pending timeout from when it sent the request. One that the network delays by more than the placement
+// module's answer margin would be answered after its client gave up. A wider margin for all requests costs far more than
+// taking the delay from those requests alone that arrived late (see docs/review-findings.md). Not covered are delays of
+// every frame of the last minute alike, clients that send no times, and the way of the answer back.
+type transitTimes []transitTime
+
+type transitTime struct{ receivedAt, duration placement.Millis }
+
+// delay adds a frame that was sent at the given time of its sender's clock, in ms, and returns how much longer it was in
+// transit than the quickest of the recent ones. Frames without a valid time are not delayed as far as is known.
+func (t *transitTimes) delay(now placement.Millis, sent float64) placement.Millis {
+	if !(sent > 0) || math.IsInf(sent, 0) {
+		return 0
+	}
+	duration := now - placement.Millis(sent)
+	quickest := duration
+	for _, earlier := range *t {
+		if now-earlier.receivedAt < transitWindow {
+			quickest = min(quickest, earlier.duration)
+		}
+	}
+	if len(*t) >= maxTransitTimes {
+		*t = append((*t)[:0], (*t)[1:]...)
+	}
+	*t = append(*t, transitTime{now, duration})
+	return duration - quickest
+}
--- /dev/null
+++ b/internal/frontend/native/workloads_test.go
@@ -0,0 +1,45 @@
+package native
+
+import (
+	"testing"
+
+	"grebeglade/internal/allocator"
+
+	"github.com/stretchr/testify/assert"
+
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+func TestWorkloadState_AfterAnswerAndWithdrawal(t *testing.T) {
+	assert.Equal(t, workloadPlaced, workloadPending.afterAnswer(allocator.Placed))
+	assert.Equal(t, workloadNotPlaced, workloadPending.afterAnswer(allocator.Rejected))
+	assert.Equal(t, workloadNotPlaced, workloadPending.afterAnswer(allocator.Unschedulable))
+	for before, after := range map[workloadState]workloadState{
+		workloadPending:    workloadCancelling,
+		workloadNotPlaced:  workloadCancelling,
+		workloadCancelling: workloadCancelling,
+		workloadPlaced:     workloadStopping,
+		workloadStopping:   workloadStopping,
+	} {
+		assert.Equal(t, after, before.afterWithdrawal(), before)
+		assert.True(t, after.withdrawn())
+		assert.Equal(t, before.accepted(), after.accepted(), "a withdrawal does not change where it was placed")
+	}
+}
+
+func TestWorkloadTable_Pending_CountsUnansweredRequests(t *testing.T) {
+	table := newWorkloadTable(Config{Name: "a", Incarnation: 1})
+	placed := table.add(0, "c", &pb.Ask{Ask: 1, Key: 1})
+	withdrawn := table.add(0, "c", &pb.Ask{Ask: 2, Key: 2})
+	assert.Equal(t, 2, table.pending)
+	table.markAnswered(placed, allocator.Placed)
+	table.markWithdrawn(placed)
+	assert.Equal(t, 1, table.pending)
+	table.markWithdrawn(withdrawn)
+	table.markWithdrawn(withdrawn)
+	assert.Zero(t, table.pending)
+	table.remove(placed)
+	assert.False(t, table.hasKey(1))
+	assert.False(t, table.hasRequest(requestID{"c", 1}))
+	assert.True(t, table.hasKey(2))
+}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,12 +1,12 @@
 // Package gang decides about groups of workloads that start together or not at all.
 //
-// A Gang is the state of one group and nothing else: each call takes what happened and its time, and returns
-// what is to be done. Where a part goes is never decided here. Times are milliseconds on the caller's clock.
-// The source of the design, Ibis, knows no groups; what leads this module is its early refusal: a group that
-// does not fit as a whole, as far as is known, is rejected at once, and nothing of it is sent.
+// A Gang is the state machine of one group, without I/O: each call tells it what happened and when, and returns what is to
+// be done. Where a part is placed is not decided here. A gang that does not fit as a whole, as far as is known, is rejected
+// at once, and none of its parts is sent.
 //
-// Calls: Begin, then Tried with what came of a Try, Up, Failed and Ended for parts, Withdraw, and Due once a
-// Wake has come. A gang that ends with Forget is called no more.
+// The calls are Start, then AttemptResult with what came of an Attempt; PartStarted, PartFailed and PartEnded for its
+// parts; Withdraw; and TimerFired at the time of a SetTimer. A gang that has returned Forget is called no more. Times are
+// milliseconds on the caller's clock.
 package gang
 
 import (
@@ -19,131 +19,60 @@
 )
 
 const (
-	mostTries    = 3                     // times that a group is begun; each that falls apart costs starts and stops
-	pauseFirst   = placement.Millis(400) // ms, at least, before a group that fell apart is begun again; doubles
-	leastStart   = placement.Millis(300) // ms that a start needs; with less left another try is waste
-	answerMargin = placement.Millis(20)  // ms before the pending timeout by which the group is answered, at least
-	marginShare  = 0.02                  // of the pending timeout, likewise: the ask may have been held up on its way here
-	stopAgain    = placement.Millis(2e3) // ms after which a stop that came to nothing is repeated
+	maxAttempts       = 3                     // starts of a gang; each one that fails costs starts and stops of parts
+	minRetryDelay     = placement.Millis(400) // ms before the next attempt; the random part on top of it doubles
+	minStartTime      = placement.Millis(300) // ms that a start needs; with less left another attempt is waste
+	minAnswerMargin   = placement.Millis(20)  // ms before the pending timeout by which the client is answered, at least
+	answerMarginShare = 0.02                  // of the pending timeout, likewise: the request may have been delayed on its way here
+	stopRetryInterval = placement.Millis(2e3) // ms after which a stop without a result is repeated
 )
 
-// State is how far a group is.
-type State uint8
-
-const (
-	Pending  State = iota // to be begun, or begun again
-	Starting              // its parts are asked for
-	Standing              // enough of them run; the owner has its answer
-	Undoing               // what there is of it is being stopped
-	GivenUp               // nothing of it is left
-)
-
-func (s State) String() string {
-	return [...]string{"pending", "starting", "standing", "undoing", "given up"}[s]
-}
-
-// PartState is how far a part is.
-type PartState uint8
-
-const (
-	Idle     PartState = iota // never offered, or known never to have run
-	Asked                     // on its way
-	Running                   // it runs
-	Finished                  // it ran to its own end
-	Stopping                  // called off, its end not known yet
-	Lost                      // it ended before its time, or may have run and is out of reach
-)
-
-// OnLoss is what becomes of a standing group that loses a part.
-type OnLoss uint8
-
-const (
-	Undo    OnLoss = iota // all of it is stopped
-	Replace               // the part is placed anew, within a time; if that fails, all of it is stopped
-)
-
-// Part is what a decision needs of a part.
-type Part struct {
-	Effect placement.Idempotency
-	Size   float64 // its share of a machine: larger ones are asked for first
-}
-
-// Wish is what an owner asks for.
-type Wish struct {
-	Parts         []Part
-	Need          int // parts that must run, at least
-	Left          placement.Millis
-	OnLoss        OnLoss
-	ReplaceWithin placement.Millis
-}
-
-// ActKind says what is to be done.
-type ActKind uint8
-
-const (
-	Try    ActKind = iota // ask for the parts named, all or at least Need of them together, and call Tried
-	Ask                   // ask for one part by itself
-	Stop                  // call a part off, wherever it is
-	Place                 // tell the owner that the group stands
-	Reject                // tell it that asking again does no harm
-	GiveUp                // tell it that a part may have run
-	Keep                  // tell the parts' nodes that the group stands
-	Over                  // tell the owner that the standing group is no more
-	Wake                  // call Due at At
-	Forget                // the group is done with
-)
-
-// Act is one thing to be done.
-type Act struct {
-	Kind  ActKind
-	Part  int
-	Parts []int // of Try, larger ones first
-	Need  int   // of Try
-	At    placement.Millis
-	Left  placement.Millis // of Ask
-}
-
-// Gang is one group.
+// Gang is one group of workloads. It belongs to one goroutine.
 type Gang struct {
 	State   State
 	Parts   []PartState
-	wish    Wish
-	expires placement.Millis
+	request Request
+	expires placement.Millis // when the client gives up
 	seed    uint64
-	tries   int
-	owed    bool // the owner has no answer yet
-	again   bool // it is begun again once it is undone
-	harmed  bool // a part that must not run twice may have run
-	wake    placement.Millis
-	stopAt  placement.Millis // when stops are repeated
+
+	attempts      int
+	answered      bool             // the client has its final answer, or wants none
+	retry         bool             // it is started again once it is rolled back
+	mayHaveEffect bool             // a part that must not run twice may have run
+	retryAt       placement.Millis // of Pending, when the next attempt is due
+	stopRetryAt   placement.Millis // of RollingBack, when stops are repeated
 }
 
-// New makes a group that is to be begun.
-func New(now placement.Millis, w Wish, seed uint64) *Gang {
-	w.Need = min(max(1, w.Need), len(w.Parts))
-	return &Gang{wish: w, Parts: make([]PartState, len(w.Parts)), expires: now + w.Left, seed: seed, owed: true}
+// New returns a gang that is yet to be started. The seed parts the retries of gangs that compete for the same nodes.
+func New(now placement.Millis, r Request, seed uint64) *Gang {
+	r.MinParts = min(max(1, r.MinParts), len(r.Parts))
+	return &Gang{request: r, Parts: make([]PartState, len(r.Parts)), expires: now + r.PendingTimeout, seed: seed}
 }
 
-// Recover makes a group of what was found of it after a restart: its parts that run. One that was declared
-// standing goes on if enough of it is there; any other is undone. Its owner has its answer, or is gone.
-func Recover(now placement.Millis, w Wish, running []bool, declared bool, seed uint64) (*Gang, []Act) {
-	g := New(now, w, seed)
-	g.owed, g.State = false, Standing
+// Recover returns a gang of which some parts were found running after a restart of the allocator, and what is to be done.
+// One that was confirmed to be running goes on if enough of its parts are there; any other is rolled back. Its client has
+// its answer, or is gone.
+func Recover(now placement.Millis, r Request, running []bool, confirmed bool, seed uint64) (*Gang, []Action) {
+	g := New(now, r, seed)
+	g.answered, g.State = true, Running
 	for i, runs := range running {
-		if g.Parts[i] = Lost; runs {
-			g.Parts[i] = Running
+		g.Parts[i] = PartLost
+		if runs {
+			g.Parts[i] = PartRunning
 		}
 	}
-	if declared && g.count(Running) >= g.wish.Need {
-		return g, []Act{{Kind: Keep}}
+	if confirmed && g.count(PartRunning) >= g.request.MinParts {
+		return g, []Action{{Kind: ConfirmParts}}
 	}
-	return g, g.undo(now, false)
+	return g, g.rollBack(now, false)
 }
 
-// Tries is how often the group was begun.
-func (g *Gang) Tries() int { return g.tries }
+// Attempts returns how often the gang was started.
+func (g *Gang) Attempts() int { return g.attempts }
 
-func (g *Gang) count(states ...PartState) (n int) {
+// count returns the number of parts in any of the states.
+func (g *Gang) count(states ...PartState) int {
+	n := 0
 	for _, s := range g.Parts {
 		if slices.Contains(states, s) {
 			n++
@@ -152,288 +81,298 @@
 	return n
 }
 
-// Begin begins the group: all parts are asked for at once, so that what is known decides about it as a whole.
-func (g *Gang) Begin(now placement.Millis) []Act {
+// Start starts the gang: all parts are requested at once, so that they are placed by what is known at one time.
+func (g *Gang) Start(now placement.Millis) []Action {
 	if g.State != Pending {
 		return nil
 	}
-	if g.expires-now < leastStart {
-		return g.giveUp(now)
+	if g.expires-now < minStartTime {
+		return g.end()
 	}
-	g.State, g.tries = Starting, g.tries+1
+	g.State, g.attempts = Starting, g.attempts+1
 	parts := make([]int, 0, len(g.Parts))
 	for i := range g.Parts {
-		g.Parts[i] = Asked
+		g.Parts[i] = PartRequested
 		parts = append(parts, i)
 	}
-	slices.SortStableFunc(parts, func(x, y int) int { return cmp.Compare(g.wish.Parts[y].Size, g.wish.Parts[x].Size) })
-	return []Act{
-		{Kind: Try, Parts: parts, Need: g.wish.Need},
-		{Kind: Wake, At: g.answerBy()},
+	slices.SortStableFunc(parts, g.largerFirst)
+	return []Action{
+		{Kind: Attempt, Parts: parts, MinParts: g.request.MinParts},
+		{Kind: SetTimer, At: g.answerBy()},
 	}
 }
 
-// answerBy is when the group is answered at the latest. Its owner counts from when it asked; how long the ask was under way
-// nobody here knows. A hunt found groups answered some 30 ms too late over a network that holds frames up; with less than a
-// fiftieth of the time left nothing starts any more, so that little is given away.
+// largerFirst orders parts by their size.
+func (g *Gang) largerFirst(x, y int) int {
+	return cmp.Compare(g.request.Parts[y].Size, g.request.Parts[x].Size)
+}
+
+// answerBy is when the client is answered at the latest. It counts its timeout from when it sent the request, and how long
+// that was under way is not known here. The margin is too small for a part to start in, so little is given away.
 func (g *Gang) answerBy() placement.Millis {
-	return g.expires - max(answerMargin, placement.Millis(marginShare)*g.wish.Left)
+	return g.expires - max(minAnswerMargin, placement.Millis(answerMarginShare)*g.request.PendingTimeout)
 }
 
-// Tried takes which parts were offered. Either that is enough for the group, or nothing was sent.
-func (g *Gang) Tried(now placement.Millis, offered []bool) []Act {
+// AttemptResult tells which parts were offered to nodes. Either these are enough for the gang, or none was sent.
+func (g *Gang) AttemptResult(offered []bool) []Action {
 	if g.State != Starting {
 		return nil
 	}
 	for i, sent := range offered {
-		if !sent && g.Parts[i] == Asked {
-			g.Parts[i] = Idle
+		if !sent && g.Parts[i] == PartRequested {
+			g.Parts[i] = PartIdle
 		}
 	}
-	if g.count(Asked, Running, Finished) >= g.wish.Need {
-		return nil
-	}
-	// It does not fit as a whole, as far as is known: early refusal, no waiting on hope.
-	return g.giveUp(now)
-}
-
-// giveUp answers at once a group of which nothing is left.
-func (g *Gang) giveUp(placement.Millis) []Act {
-	g.State = GivenUp
-	return append(g.refuse(), Act{Kind: Forget})
-}
-
-// refuse is the final answer of a group that does not stand, if it is owed.
-func (g *Gang) refuse() []Act {
-	if !g.owed {
+	if g.count(PartRequested, PartRunning, PartFinished) >= g.request.MinParts {
 		return nil
 	}
-	g.owed = false
-	if g.harmed {
-		return []Act{{Kind: GiveUp}}
-	}
-	return []Act{{Kind: Reject}}
+	return g.end() // it does not fit as a whole, as far as is known
 }
 
-// Up takes that a part runs.
-func (g *Gang) Up(now placement.Millis, part int) []Act {
-	if g.Parts[part] != Asked {
-		return nil // called off meanwhile: its stop is on the way
+// PartStarted tells that a part runs.
+func (g *Gang) PartStarted(part int) []Action {
+	if g.Parts[part] != PartRequested {
+		return nil // it was called off meanwhile
 	}
-	g.Parts[part] = Running
+	g.Parts[part] = PartRunning
 	switch g.State {
 	case Starting:
-		return g.stands(now)
-	case Standing:
-		return []Act{{Kind: Keep}} // a part that was replaced
+		return g.completeStart()
+	case Running:
+		return []Action{{Kind: ConfirmParts}} // it replaces one that was lost
 	}
 	return nil
 }
 
-// stands declares the group standing once enough parts run and none is on its way.
-func (g *Gang) stands(placement.Millis) []Act {
-	if g.count(Running, Finished) < g.wish.Need || g.count(Asked) > 0 {
+// completeStart ends the start once enough parts run and none is on its way.
+func (g *Gang) completeStart() []Action {
+	if g.count(PartRunning, PartFinished) < g.request.MinParts || g.count(PartRequested) > 0 {
 		return nil
 	}
-	g.State, g.owed = Standing, false
-	acts := []Act{{Kind: Keep}, {Kind: Place}}
-	return append(acts, g.done()...)
+	g.State, g.answered = Running, true
+	return append([]Action{{Kind: ConfirmParts}, {Kind: AnswerPlaced}}, g.completeRun()...)
 }
 
-// done forgets a standing group whose parts have all come to their end.
-func (g *Gang) done() []Act {
-	if g.count(Asked, Running, Stopping) > 0 {
+// completeRun ends a running gang once all its parts have ended.
+func (g *Gang) completeRun() []Action {
+	if g.count(PartRequested, PartRunning, PartStopping) > 0 {
 		return nil
 	}
-	g.State = GivenUp
-	return []Act{{Kind: Over}, {Kind: Forget}}
+	g.State = Ended
+	return []Action{{Kind: ReportEnd}, {Kind: Forget}}
 }
 
-// Failed takes that a part will not be placed, and whether it may run all the same.
-func (g *Gang) Failed(now placement.Millis, part int, mayRun bool) []Act {
-	if mayRun && g.wish.Parts[part].Effect != placement.Idempotent {
-		g.harmed = true
+// PartFailed tells that a part was not placed, and whether it may run all the same.
+func (g *Gang) PartFailed(now placement.Millis, part int, mayRun bool) []Action {
+	if mayRun && g.request.Parts[part].Idempotency != placement.Idempotent {
+		g.mayHaveEffect = true
 	}
-	was := g.Parts[part]
-	g.Parts[part] = Idle
+	before := g.Parts[part]
+	g.Parts[part] = PartIdle
 	if mayRun {
-		g.Parts[part] = Lost
+		g.Parts[part] = PartLost
 	}
-	return g.without(now, was)
+	return g.continueWithout(now, before)
 }
 
-// Ended takes that a part is no more: it ran to its own end, or was stopped, evicted or lost.
-func (g *Gang) Ended(now placement.Millis, part int, finished bool) []Act {
-	was := g.Parts[part]
+// PartEnded tells that a part runs no more: it finished, or was stopped, evicted or lost.
+func (g *Gang) PartEnded(now placement.Millis, part int, finished bool) []Action {
+	before := g.Parts[part]
 	switch {
-	case was == Running && finished:
-		g.Parts[part] = Finished
-	case was == Running || was == Stopping || was == Asked:
-		if g.wish.Parts[part].Effect == placement.AtMostOnce {
-			g.harmed = true
+	case before == PartRunning && finished:
+		g.Parts[part] = PartFinished
+	case before == PartRunning || before == PartStopping || before == PartRequested:
+		if g.request.Parts[part].Idempotency == placement.AtMostOnce {
+			g.mayHaveEffect = true
 		}
-		g.Parts[part] = Lost
+		g.Parts[part] = PartLost
 	default:
 		return nil
 	}
-	return g.without(now, was)
+	return g.continueWithout(now, before)
 }
 
-// without goes on after a part is no more on its way or no more running.
-func (g *Gang) without(now placement.Millis, was PartState) []Act {
+// continueWithout goes on after a part that was in the given state is no longer on its way or running.
+func (g *Gang) continueWithout(now placement.Millis, before PartState) []Action {
 	switch g.State {
 	case Starting:
-		if g.count(Asked, Running, Finished) < g.wish.Need {
-			return g.undo(now, true)
+		if g.count(PartRequested, PartRunning, PartFinished) < g.request.MinParts {
+			return g.rollBack(now, true)
 		}
-		return g.stands(now)
-	case Standing:
-		return g.mend(now, was)
-	case Undoing:
-		return g.undone(now)
+		return g.completeStart()
+	case Running:
+		return g.handleLoss(now, before)
+	case RollingBack:
+		return g.completeRollback(now)
 	}
 	return nil
 }
 
-// mend goes on with a standing group that lost a part, or whose part could not be replaced.
-func (g *Gang) mend(now placement.Millis, was PartState) []Act {
-	if g.count(Finished) > 0 || g.count(Asked, Running) >= g.wish.Need {
-		return g.done() // its work is coming to its end, or enough of it is left
+// handleLoss goes on with a running gang that lost a part, or whose part could not be replaced.
+func (g *Gang) handleLoss(now placement.Millis, before PartState) []Action {
+	if g.count(PartFinished) > 0 || g.count(PartRequested, PartRunning) >= g.request.MinParts {
+		return g.completeRun() // its work comes to its end, or enough of it is left
 	}
-	lost := slices.Index(g.Parts, Lost)
-	if g.wish.OnLoss == Replace && was == Running && lost >= 0 && g.wish.Parts[lost].Effect != placement.AtMostOnce {
-		g.Parts[lost] = Asked
-		return []Act{{Kind: Ask, Part: lost, Left: g.wish.ReplaceWithin}, {Kind: Wake, At: now + g.wish.ReplaceWithin}}
+	lost := slices.Index(g.Parts, PartLost)
+	if g.request.OnLoss == ReplaceOnLoss && before == PartRunning && lost >= 0 && g.request.Parts[lost].Idempotency != placement.AtMostOnce {
+		g.Parts[lost] = PartRequested
+		timeout := g.request.ReplaceTimeout
+		return []Action{{Kind: RequestPart, Part: lost, Timeout: timeout}, {Kind: SetTimer, At: now + timeout}}
 	}
-	return append([]Act{{Kind: Over}}, g.undo(now, false)...)
+	return append([]Action{{Kind: ReportEnd}}, g.rollBack(now, false)...)
 }
 
-// undo stops what there is of the group: first what is only on its way, which costs least and frees the nodes'
-// lines, then what runs, larger parts first. If it may be begun again, the owner waits; else it is told at once.
-func (g *Gang) undo(now placement.Millis, mayRetry bool) []Act {
-	g.State = Undoing
+// rollBack stops all parts: first those that are only on their way, which costs least and frees the nodes' queues, then
+// those that run, larger ones first. The client of a gang that may be started again waits; any other is answered at once.
+func (g *Gang) rollBack(now placement.Millis, mayRetry bool) []Action {
+	g.State = RollingBack
 	var stop []int
 	for i, s := range g.Parts {
-		// One that ran to its own end has had its effect. Begun again, a deduplicated one had it twice where its mark does
-		// not reach: a lost answer had kept the group from standing for longer than that part ran.
-		if s == Finished && g.wish.Parts[i].Effect != placement.Idempotent {
-			g.harmed = true
+		if g.cannotRepeat(s, g.request.Parts[i].Idempotency) {
+			g.mayHaveEffect = true
 		}
-		if s != Asked && s != Running {
-			continue
+		if s == PartRequested || s == PartRunning {
+			stop = append(stop, i)
 		}
-		if g.wish.Parts[i].Effect == placement.AtMostOnce {
-			g.harmed = true
-		}
-		stop = append(stop, i)
 	}
 	slices.SortStableFunc(stop, func(x, y int) int {
-		return cmp.Or(cmp.Compare(g.Parts[x], g.Parts[y]), cmp.Compare(g.wish.Parts[y].Size, g.wish.Parts[x].Size))
+		return cmp.Or(cmp.Compare(g.Parts[x], g.Parts[y]), g.largerFirst(x, y))
 	})
-	g.again = mayRetry && g.owed && !g.harmed && g.tries < mostTries && g.expires-now > pauseFirst+leastStart
-	var acts []Act
-	if !g.again {
-		acts = g.refuse()
+	g.retry = mayRetry && !g.answered && !g.mayHaveEffect && g.attempts < maxAttempts &&
+		g.expires-now > minRetryDelay+minStartTime
+	var actions []Action
+	if !g.retry {
+		actions = g.answerFailed()
 	}
 	for _, i := range stop {
-		g.Parts[i] = Stopping
-		acts = append(acts, Act{Kind: Stop, Part: i})
+		g.Parts[i] = PartStopping
+		actions = append(actions, Action{Kind: StopPart, Part: i})
+	}
+	g.stopRetryAt = now + stopRetryInterval
+	actions = append(actions, Action{Kind: SetTimer, At: g.stopRetryAt})
+	return append(actions, g.completeRollback(now)...)
+}
+
+// cannotRepeat tells whether a part in that state keeps its gang from being started again. One that finished has had its
+// effect: even where a repeat is dropped by its idempotency key, that holds only on some nodes and for some time.
+func (g *Gang) cannotRepeat(s PartState, effect placement.Idempotency) bool {
+	switch s {
+	case PartFinished:
+		return effect != placement.Idempotent
+	case PartRequested, PartRunning:
+		return effect == placement.AtMostOnce
 	}
-	g.stopAt = now + stopAgain
-	acts = append(acts, Act{Kind: Wake, At: g.stopAt})
-	return append(acts, g.undone(now)...)
+	return false
 }
 
-// undone goes on once nothing of the group is left.
-func (g *Gang) undone(now placement.Millis) []Act {
-	if g.count(Asked, Running, Stopping) > 0 {
+// completeRollback goes on once all parts have ended: the gang waits for its next attempt, or ends.
+func (g *Gang) completeRollback(now placement.Millis) []Action {
+	if g.count(PartRequested, PartRunning, PartStopping) > 0 {
 		return nil
 	}
-	pause := g.pause()
-	if !g.again || g.harmed || g.expires-now < pause+leastStart {
-		return g.giveUp(now)
+	delay := g.retryDelay()
+	if !g.retry || g.mayHaveEffect || g.expires-now < delay+minStartTime {
+		return g.end()
 	}
 	for i := range g.Parts {
-		g.Parts[i] = Idle
+		g.Parts[i] = PartIdle
 	}
-	g.State, g.again, g.wake = Pending, false, now+pause
-	return []Act{{Kind: Wake, At: g.wake}}
+	g.State, g.retry, g.retryAt = Pending, false, now+delay
+	return []Action{{Kind: SetTimer, At: g.retryAt}}
 }
 
-// pause is how long a group that fell apart waits. Groups that compete fall apart together; chance parts them,
-// and doubling gives one of them the time to stand. Of two alike the one with more parts comes first: it is the
-// harder one to place, and room that it does not get at once soon goes to others.
-func (g *Gang) pause() placement.Millis {
+// retryDelay is how long a gang waits until its next attempt. Gangs that compete fail together; a random part, which
+// doubles, gives one of them the time to start. Of two such gangs the one with more parts tends to come first: it is the
+// harder one to place, and capacity that it does not get at once soon goes to others.
+func (g *Gang) retryDelay() placement.Millis {
 	h := fnv.New64a()
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], g.seed)
-	binary.BigEndian.PutUint64(b[8:], uint64(g.tries))
+	binary.BigEndian.PutUint64(b[8:], uint64(g.attempts))
 	h.Write(b[:])
-	chance := float64(h.Sum64()>>11%1024) / 1024
-	longest := pauseFirst * placement.Millis(int(1)<<min(g.tries, 8)) / placement.Millis(min(len(g.Parts), 4))
-	return pauseFirst + longest*placement.Millis(chance)
+	random := float64(h.Sum64()>>11%1024) / 1024
+	longest := minRetryDelay * placement.Millis(int(1)<<min(g.attempts, 8)) / placement.Millis(min(len(g.Parts), 4))
+	return minRetryDelay + longest*placement.Millis(random)
+}
+
+// end ends a gang of which no part is left, and answers its client.
+func (g *Gang) end() []Action {
+	g.State = Ended
+	return append(g.answerFailed(), Action{Kind: Forget})
+}
+
+// answerFailed is the final answer of a gang that does not run, unless its client has one.
+func (g *Gang) answerFailed() []Action {
+	if g.answered {
+		return nil
+	}
+	g.answered = true
+	if g.mayHaveEffect {
+		return []Action{{Kind: AnswerUnschedulable}}
+	}
+	return []Action{{Kind: AnswerRejected}}
 }
 
-// Withdraw takes that the owner wants the group no more. It is owed no answer.
-func (g *Gang) Withdraw(now placement.Millis) []Act {
-	g.owed, g.again = false, false
+// Withdraw tells that the client no longer wants the gang. It gets no answer after that.
+func (g *Gang) Withdraw(now placement.Millis) []Action {
+	g.answered, g.retry = true, false
 	switch g.State {
 	case Pending:
-		return g.giveUp(now)
-	case Starting, Standing:
-		return g.undo(now, false)
+		return g.end()
+	case Starting, Running:
+		return g.rollBack(now, false)
 	}
 	return nil
 }
 
-// Due takes that a time has come.
-func (g *Gang) Due(now placement.Millis) []Act {
+// TimerFired tells that the time of a SetTimer has come. Timers of a state that has passed do nothing.
+func (g *Gang) TimerFired(now placement.Millis) []Action {
 	switch g.State {
 	case Pending:
-		if now >= g.wake {
-			return g.Begin(now)
+		if now >= g.retryAt {
+			return g.Start(now)
 		}
 	case Starting:
 		if now >= g.answerBy() {
-			return g.late(now)
-		}
-	case Undoing:
-		var acts []Act
-		if g.owed && now >= g.answerBy() {
-			g.again = false
-			acts = g.refuse()
+			return g.startTimedOut(now)
 		}
-		if now >= g.stopAt {
-			acts = append(acts, g.stopMore(now)...)
-		}
-		return acts
+	case RollingBack:
+		return g.rollbackTimer(now)
 	}
 	return nil
 }
 
-// late ends a start whose time is up: if enough parts run the others are called off, else all of it.
-func (g *Gang) late(now placement.Millis) []Act {
-	if g.count(Running, Finished) < g.wish.Need {
-		return g.undo(now, false)
+// startTimedOut ends a start whose time is over: if enough parts run the others are stopped, else all of them.
+func (g *Gang) startTimedOut(now placement.Millis) []Action {
+	if g.count(PartRunning, PartFinished) < g.request.MinParts {
+		return g.rollBack(now, false)
 	}
-	var acts []Act
+	var actions []Action
 	for i, s := range g.Parts {
-		if s == Asked {
-			g.Parts[i] = Stopping
-			acts = append(acts, Act{Kind: Stop, Part: i})
+		if s == PartRequested {
+			g.Parts[i] = PartStopping
+			actions = append(actions, Action{Kind: StopPart, Part: i})
 		}
 	}
-	return append(acts, g.stands(now)...)
+	return append(actions, g.completeStart()...)
 }
 
-// stopMore repeats the stops whose end is not known yet.
-func (g *Gang) stopMore(now placement.Millis) []Act {
-	g.stopAt = now + stopAgain
-	acts := []Act{{Kind: Wake, At: g.stopAt}}
+// rollbackTimer answers the client before it gives up, and repeats stops that have no result.
+func (g *Gang) rollbackTimer(now placement.Millis) []Action {
+	var actions []Action
+	if !g.answered && now >= g.answerBy() {
+		g.retry = false
+		actions = g.answerFailed()
+	}
+	if now < g.stopRetryAt {
+		return actions
+	}
+	g.stopRetryAt = now + stopRetryInterval
+	actions = append(actions, Action{Kind: SetTimer, At: g.stopRetryAt})
 	for i, s := range g.Parts {
-		if s == Stopping {
-			acts = append(acts, Act{Kind: Stop, Part: i})
+		if s == PartStopping {
+			actions = append(actions, Action{Kind: StopPart, Part: i})
 		}
 	}
-	return acts
+	return actions
 }
