--- a/internal/frontend/native/actions.go
+++ b/internal/frontend/native/actions.go
@@ -21,12 +21,12 @@
 
 // Bind implements allocator.Actions.
 func (a *actions) Bind(id placement.WorkloadID, _ int, node placement.NodeID, timeout placement.Millis) {
-	a.binds.bind(a.workloads.byID[id], node, timeout)
+	a.binds.bind(a.workloads.held(id), node, timeout)
 }
 
 // Stop implements allocator.Actions.
 func (a *actions) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyWaiting bool) {
-	a.binds.callOff(a.workloads.byID[id], onlyWaiting)
+	a.binds.callOff(a.workloads.held(id), onlyWaiting)
 }
 
 // CheckHealth implements allocator.Actions.
@@ -37,7 +37,7 @@
 
 // Answer implements allocator.Actions.
 func (a *actions) Answer(id placement.WorkloadID, v allocator.Verdict, node placement.NodeID) {
-	wl := a.workloads.byID[id]
+	wl := a.workloads.held(id)
 	a.workloads.markAnswered(wl, v)
 	if wl.gang != nil {
 		a.gangs.partAnswered(wl, v)
@@ -48,7 +48,7 @@
 
 // NotifyEnded implements allocator.Actions.
 func (a *actions) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, migrating bool, reason placement.Reason) {
-	wl := a.workloads.byID[id]
+	wl := a.workloads.held(id)
 	if wl.gang != nil {
 		a.gangs.partEnded(wl, !migrating && !a.interrupted && reason == placement.ReasonUnspecified)
 		return
@@ -60,7 +60,7 @@
 
 // Forget implements allocator.Actions.
 func (a *actions) Forget(id placement.WorkloadID) {
-	wl := a.workloads.byID[id]
+	wl := a.workloads.held(id)
 	if wl.gang != nil && wl.state.withdrawn() {
 		a.gangs.partEnded(wl, false)
 	}
--- a/internal/frontend/native/binds.go
+++ b/internal/frontend/native/binds.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// send sends an offer if its node is connected. No offer waits for a connection: it would reach a node that drains or was
+// send sends the offer of a workload's last bind if its node is connected. No offer waits for a connection: it would reach a node that drains or was
 // restarted meanwhile, and measured gains were none (docs/review-findings.md).
 func (b *binds) send(wl *workload, bind int, node placement.NodeID, o *pb.Offer) {
 	n, known := b.nodes.get(node)
@@ -86,13 +86,12 @@
 		b.notSent(wl, bind, node, o.Bind)
 		return
 	}
-	if wl.lastBind() == bind {
-		wl.bindState = bindSent
-	}
+	wl.bindState = bindSent
 	b.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
 }
 
-// notSent takes back a bind whose offer was never sent. The engine hears of it once it is idle.
+// notSent takes back a bind whose offer was never sent. The engine hears of it once it is idle. The workload may have been
+// bound again meanwhile, or this bind called off: its state is another one's then, or stays.
 func (b *binds) notSent(wl *workload, bind int, node placement.NodeID, id *pb.BindID) {
 	if wl.lastBind() == bind && wl.bindState != bindStopRequested {
 		wl.bindState = bindNotSent
@@ -103,6 +102,9 @@
 	})
 }
 
+// rejected takes back a bind that its node rejected.
+func (b *binds) rejected(wl *workload, id *pb.BindID) { b.durable.forget(wl, id) }
+
 // callOff carries out the engine's stop of a workload's last bind. With onlyWaiting, a node that has accepted it keeps it.
 func (b *binds) callOff(wl *workload, onlyWaiting bool) {
 	wl.bindState = bindStopRequested
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -63,7 +63,7 @@
 
 // stateSizes are the sizes of everything that the frontend keeps.
 func (x *fixture) stateSizes() map[string]int {
-	f, nodes := x.f, x.f.nodes.nodes
+	f, nodes := x.f, x.f.nodes.table
 	return map[string]int{
 		"connections": len(f.connections.byID), "clients": len(f.clients.byName), "nodes": len(nodes.sorted),
 		"workloads": len(f.workloads.byID), "requests": len(f.workloads.byRequest), "keys": len(f.workloads.byKey),
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -6,7 +6,6 @@
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -17,13 +16,14 @@
 // node unused for long after it is back.
 var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
 
-// Reasons for which the frontend ends a connection. Those of refusals are sent to the peer.
+// Reasons for which the frontend ends a connection. reasonHelloTimeout is sent to the peer, and operators see
+// reasonWrongNode.
 const (
 	reasonHelloTimeout   = "no hello came in time"
 	reasonConnectTimeout = "no connection in time"
-	reasonAddressChanged = "the list names another address"
+	reasonAddressChanged = "the discovery service names another address"
 	reasonWrongNode      = "another than the node that the list names answers at its address"
-	reasonNoDiscovery    = "no machine list answers at its address"
+	reasonNoDiscovery    = "no discovery service answers at its address"
 )
 
 // connection is what is known of the peer of a connection to a node or of one that was accepted.
--- a/internal/frontend/native/core.go
+++ b/internal/frontend/native/core.go
@@ -9,7 +9,6 @@
 	"grebeglade/internal/replay"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -183,7 +183,7 @@
 // firstNode is the known node with the smallest id.
 func (x *fixture) firstNode() *node { return x.knownNodes()[0] }
 
-func (x *fixture) knownNodes() []*node { return x.f.nodes.nodes.sorted }
+func (x *fixture) knownNodes() []*node { return x.f.nodes.table.sorted }
 
 // request sends a client's request.
 func (x *fixture) request(id uint64, group string, change ...func(*pb.Ask)) {
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -21,9 +21,8 @@
 	"grebeglade/internal/replay"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
-	"grebeglade/trace/tracepb"
-
 	pb "grebeglade/proto/grebeglade/v1"
+	"grebeglade/trace/tracepb"
 )
 
 const (
@@ -83,7 +82,7 @@
 		core: f.core, requests: f.requests, clients: f.clients, workloads: f.workloads, durable: durable, gangs: f.gangs,
 	}
 	f.nodes = &nodeSessions{
-		core: f.core, nodes: nodes, connections: f.connections, workloads: f.workloads, binds: f.binds, gangs: f.gangs,
+		core: f.core, table: nodes, connections: f.connections, workloads: f.workloads, binds: f.binds, gangs: f.gangs,
 	}
 	f.nodes.reconciler = &reconciler{
 		core: f.core, workloads: f.workloads, binds: f.binds, clients: f.clients, gangs: f.gangs, catalog: catalog,
@@ -92,7 +91,7 @@
 	f.discovery = &discovery{
 		core: f.core, address: f.core.config.DiscoveryAddress, connections: f.connections,
 		membership: &membership{
-			core: f.core, nodes: nodes, sessions: f.nodes, connections: f.connections, catalog: catalog,
+			core: f.core, table: nodes, sessions: f.nodes, connections: f.connections, catalog: catalog,
 		},
 	}
 	f.status = &status{core: f.core, workloads: f.workloads, nodes: nodes, gangs: f.gangs}
--- a/internal/frontend/native/gangadmission.go
+++ b/internal/frontend/native/gangadmission.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -5,7 +5,6 @@
 
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -8,7 +8,6 @@
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -8,7 +8,7 @@
 // membership keeps the node table as the discovery service says, and has its nodes dialled and removed.
 type membership struct {
 	*core
-	nodes       *nodeTable
+	table       *nodeTable
 	sessions    *nodeSessions
 	connections *connections
 	catalog     *catalog
@@ -21,7 +21,7 @@
 	kind := placement.Delta
 	if u.Kind == pb.ListUpdate_WHOLE {
 		kind = placement.Snapshot
-		m.nodes.markMissing(u.Entries)
+		m.table.markMissing(u.Entries)
 	}
 	entries := make([]placement.Node, 0, len(u.Entries))
 	var updated []*node
@@ -32,7 +32,7 @@
 		}
 	}
 	if excess := len(u.Entries) - len(updated); excess > 0 {
-		m.log.Warn("nodes not used", "reason", "more than are kept", "kept", m.nodes.count(), "unused", excess)
+		m.log.Warn("nodes not used", "reason", "more than are kept", "kept", m.table.count(), "unused", excess)
 	}
 	m.Engine().UpdateNodes(now, kind, entries)
 	for _, n := range updated {
@@ -44,8 +44,8 @@
 // enter takes over one entry. It is not ok where the node table is full.
 func (m *membership) enter(now placement.Millis, e *pb.NodeEntry) (n *node, ok bool) {
 	id := placement.NodeID(e.Id)
-	_, known := m.nodes.get(id)
-	n, ok = m.nodes.getOrAdd(id, e.Boot)
+	_, known := m.table.get(id)
+	n, ok = m.table.getOrAdd(id, e.Boot)
 	if !ok {
 		return nil, false
 	}
@@ -63,18 +63,18 @@
 	if !configured && !known {
 		m.log.Warn("node not used", "node", id, "reason", "unknown kind", "kind", e.Kind, "known", m.catalog.kindNames)
 	}
-	m.nodes.describe(n, e, kind)
+	m.table.describe(n, e, kind)
 	return n, true
 }
 
 // removeGone forgets the nodes that the discovery service has removed and that are not connected.
 func (m *membership) removeGone(now placement.Millis) {
 	gone := map[*node]bool{}
-	for _, n := range m.nodes.sorted {
+	for _, n := range m.table.sorted {
 		if n.entry.State == placement.Removed && n.session.state == sessionDisconnected {
 			m.sessions.lost(now, n)
 			gone[n] = true
 		}
 	}
-	m.nodes.remove(now, gone)
+	m.table.remove(now, gone)
 }
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -128,8 +128,8 @@
 			}
 			seen[n.entry.Cell] = n.cell
 		}
-		require.LessOrEqual(t, len(x.f.nodes.nodes.cells.byName), 2*fleet+11)
-		require.Len(t, x.f.nodes.nodes.cells.used, len(x.f.nodes.nodes.cells.byName))
+		require.LessOrEqual(t, len(x.f.nodes.table.cells.byName), 2*fleet+11)
+		require.Len(t, x.f.nodes.table.cells.used, len(x.f.nodes.table.cells.byName))
 	}
 }
 
@@ -148,13 +148,13 @@
 	entry.UpForMs = 601.5
 	x.snapshot(entry)
 	assert.InDelta(t, float64(startedAt), float64(x.firstNode().entry.StartedAt), 0)
-	assert.Empty(t, x.f.nodes.nodes.removed)
+	assert.Empty(t, x.f.nodes.table.removed)
 	x.f.Closed(x.now, x.firstNode().session.conn, "refused")
 	x.snapshot()
-	assert.Len(t, x.f.nodes.nodes.removed, 1)
+	assert.Len(t, x.f.nodes.table.removed, 1)
 	x.setTime(20e3)
 	x.snapshot()
-	assert.Empty(t, x.f.nodes.nodes.removed, "it has warmed up by then")
+	assert.Empty(t, x.f.nodes.table.removed, "it has warmed up by then")
 }
 
 func TestNodes_BeyondMaximum_Unused(t *testing.T) {
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -13,16 +13,16 @@
 	healthCheckTimeout = placement.Millis(250) // ms; a health check without a reply by then has failed
 )
 
-// Details of eventlog events of the kind NodeSeen.
+// Details of the event log's events of the kind NodeConnection.
 const (
 	nodeDisconnected uint8 = iota
 	nodeConnected
 )
 
-// nodeSessions are the connections to the nodes: it dials them, and hands the engine what they send.
+// nodeSessions are the connections to the nodes. They dial the nodes, and hand the engine what the nodes send.
 type nodeSessions struct {
 	*core
-	nodes        *nodeTable
+	table        *nodeTable
 	connections  *connections
 	workloads    *workloadTable
 	binds        *binds
@@ -73,7 +73,7 @@
 	n.session.failures++
 	dials := n.session.dials
 	s.Schedule(now+delay, func(now placement.Millis) {
-		if current, known := s.nodes.get(n.id); known && current == n && n.session.dials == dials {
+		if current, known := s.table.get(n.id); known && current == n && n.session.dials == dials {
 			s.dial(now, n)
 		}
 	})
@@ -183,7 +183,7 @@
 // rejected handles a node's rejection of an offer.
 func (s *nodeSessions) rejected(now placement.Millis, n *node, wl *workload, bind int, a *pb.OfferAnswer) {
 	n.lastRefusal = a.Text
-	s.binds.durable.forget(wl, a.Bind)
+	s.binds.rejected(wl, a.Bind)
 	s.recorder.nodeRejection(now, wl, n.id, a.Text)
 	s.Engine().BindEnded(now, wl.id, bind, n.id, placement.Result{
 		Kind: placement.RejectedByNode, Reason: reasonOf(a.Why), Final: wl.state.withdrawn(), Load: loadOf(a.Load),
@@ -221,7 +221,7 @@
 
 // checkHealth sends a health check to a node. One that is not connected fails it at once.
 func (s *nodeSessions) checkHealth(id placement.NodeID) {
-	n, known := s.nodes.get(id)
+	n, known := s.table.get(id)
 	if !known || !n.connected() {
 		s.healthChecks.FailUnsent(id)
 		return
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -7,7 +7,6 @@
 
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -5,7 +5,6 @@
 
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -11,7 +11,6 @@
 	"grebeglade/internal/eventlog"
 	"grebeglade/internal/recovery"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -6,7 +6,6 @@
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/workloads.go
+++ b/internal/frontend/native/workloads.go
@@ -7,7 +7,6 @@
 
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
-
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -48,7 +47,14 @@
 // accepted tells whether the workload was placed on the node of its last bind.
 func (s workloadState) accepted() bool { return s == workloadPlaced || s == workloadStopping }
 
-// bindState is what has become of a workload's last bind on its way to the node.
+// bindState is what has become of a workload's last bind on its way to the node. Each bind begins as not sent:
+//
+//	notSent -> persisting -> sent       if the journal must have it first
+//	notSent -> sent                     if not
+//	persisting -> outdated -> notSent   if the decision no longer holds
+//	any -> stopRequested                if the engine calls it off
+//
+// Type binds makes these transitions.
 type bindState uint8
 
 const (
@@ -138,6 +144,9 @@
 	return wl, ok
 }
 
+// held returns a workload that the engine names, and that is held for that reason.
+func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
+
 // hasKey tells whether a workload of that idempotency key is held.
 func (t *workloadTable) hasKey(key uint64) bool {
 	_, ok := t.byKey[key]
