--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"reflect"
 	"testing"
 
 	"grebeglade/internal/transport"
@@ -68,29 +67,14 @@
 		"connections": len(f.connections.byID), "clients": len(f.clients.byName), "nodes": len(nodes.sorted),
 		"workloads": len(f.workloads.byID), "requests": len(f.workloads.byRequest), "keys": len(f.workloads.byKey),
 		"adopted binds": len(f.workloads.byAdopted), "gangs": len(f.gangs.byRequest),
-		"deferred calls": x.hostSize("deferred"), "timers": x.hostSize("timers", "queue", "items"),
+		"deferred calls": f.core.DeferredCalls(), "timers": f.core.PendingTimers(),
 		"zones": len(nodes.zones.byName), "zone numbers": len(nodes.zones.used),
 		"cells": len(nodes.cells.byName), "cell numbers": len(nodes.cells.used), "removed nodes": len(nodes.removed),
-		"health checks": sizeOf(x, reflect.ValueOf(f.nodes.healthChecks), "pending"),
+		"health checks": f.nodes.healthChecks.Len(),
 		"engine":        f.core.Engine().WorkloadCount(), "pending requests": f.Pending(),
 	}
 }
 
-// hostSize is the size of a field of the engine's host, which is of another package and exports none of them.
-func (x *fixture) hostSize(path ...string) int {
-	x.Helper()
-	return sizeOf(x, reflect.ValueOf(x.f.core.Host), path...)
-}
-
-func sizeOf(x *fixture, v reflect.Value, path ...string) int {
-	x.Helper()
-	for _, name := range path {
-		v = reflect.Indirect(v).FieldByName(name)
-		require.True(x, v.IsValid(), "no field %s", name)
-	}
-	return v.Len()
-}
-
 func TestWorkloadIDs_LastOnes_KeptForAdoption(t *testing.T) {
 	x := newFixture(t)
 	n := x.node(1)
