--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -47,8 +47,8 @@
 		for _, o := range offers {
 			x.endWorkload(n, o.Bind, pb.Why_FINISHED)
 		}
-		x.f.Closed(x.now, client, "gone")
-		x.f.Closed(x.now, n, "gone")
+		x.f.Closed(x.now, client, transport.ErrClosedByPeer)
+		x.f.Closed(x.now, n, transport.ErrClosedByPeer)
 		x.runUntil(x.now + 34e3)
 		clear(x.network.sent)
 		clear(x.network.closed)
--- a/internal/frontend/native/clients_test.go
+++ b/internal/frontend/native/clients_test.go
@@ -61,5 +61,5 @@
 	assert.False(t, x.network.closed[secondClientConn])
 	x.runUntil(helloTimeout)
 	assert.True(t, x.network.closed[secondClientConn])
-	assert.Equal(t, reasonHelloTimeout, x.network.take(secondClientConn)[0].GetRefusal().GetReason())
+	assert.Equal(t, errHelloTimeout.Error(), x.network.take(secondClientConn)[0].GetRefusal().GetReason())
 }
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"errors"
 	"log/slog"
 
 	"grebeglade/internal/frontend"
@@ -16,14 +17,13 @@
 // node unused for long after it is back.
 var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
 
-// Reasons for which the frontend ends a connection. reasonHelloTimeout is sent to the peer, and operators see
-// reasonWrongNode.
-const (
-	reasonHelloTimeout   = "no hello came in time"
-	reasonConnectTimeout = "no connection in time"
-	reasonAddressChanged = "the discovery service names another address"
-	reasonWrongNode      = "another than the node that the list names answers at its address"
-	reasonNoDiscovery    = "no discovery service answers at its address"
+// Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer, and operators see errWrongNode.
+var (
+	errHelloTimeout   = errors.New("no hello came in time")
+	errConnectTimeout = errors.New("no connection in time")
+	errAddressChanged = errors.New("the discovery service names another address")
+	errWrongNode      = errors.New("another than the node that the list names answers at its address")
+	errNoDiscovery    = errors.New("no discovery service answers at its address")
 )
 
 // connection is what is known of the peer of a connection to a node or of one that was accepted.
@@ -39,7 +39,7 @@
 	network transport.FrameNetwork
 	log     *slog.Logger
 	// closed handles the end of a connection that disconnect ends, as if the peer had closed it.
-	closed func(c transport.ConnID, reason string)
+	closed func(c transport.ConnID, reason error)
 }
 
 func (t *connections) add(c transport.ConnID, conn *connection) { t.byID[c] = conn }
@@ -52,18 +52,27 @@
 func (t *connections) remove(c transport.ConnID) { delete(t.byID, c) }
 
 // disconnect ends a connection from this side.
-func (t *connections) disconnect(c transport.ConnID, reason string) {
+func (t *connections) disconnect(c transport.ConnID, reason error) {
 	t.network.Close(c)
 	t.closed(c, reason)
 }
 
 // refuse ends a connection and tells the peer why.
-func (t *connections) refuse(c transport.ConnID, reason string) {
+func (t *connections) refuse(c transport.ConnID, reason error) {
 	t.log.Warn("connection rejected", "reason", reason)
-	t.network.Send(c, transport.RefusalFrame(reason))
+	t.network.Send(c, transport.RefusalFrame(reason.Error()))
 	t.disconnect(c, reason)
 }
 
+// helloOf returns the hello that is a peer's first frame, or why it is none that accepts lets pass.
+func helloOf(f *pb.Frame, accepts func(*pb.Hello) error) (*pb.Hello, error) {
+	h, refusal := transport.CheckHello(f)
+	if refusal != "" {
+		return nil, errors.New(refusal)
+	}
+	return h, accepts(h)
+}
+
 // awaitsHello tells whether a connection is open and its peer has sent no hello.
 func (t *connections) awaitsHello(c transport.ConnID) bool {
 	conn, open := t.get(c)
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -37,13 +37,13 @@
 	d.state, d.conn = sessionConnecting, c
 	d.Schedule(now+helloTimeout, func(placement.Millis) {
 		if d.conn == c && d.state == sessionConnecting {
-			d.connections.disconnect(c, reasonHelloTimeout)
+			d.connections.disconnect(c, errHelloTimeout)
 		}
 	})
 }
 
 // closed handles the end of the connection, or that dialling failed.
-func (d *discovery) closed(now placement.Millis, reason string) {
+func (d *discovery) closed(now placement.Millis, reason error) {
 	d.log.Warn("no connection to discovery service", "address", d.address, "reason", reason)
 	unanswered := d.unanswered
 	d.state, d.conn, d.unanswered = sessionDisconnected, 0, false
@@ -80,12 +80,14 @@
 
 // handshake handles the first frame: a hello of a discovery service, or the connection ends.
 func (d *discovery) handshake(f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
-	if refusal == "" && h.Role != pb.Role_LIST {
-		refusal = reasonNoDiscovery
-	}
-	if refusal != "" {
-		d.connections.disconnect(d.conn, refusal)
+	_, err := helloOf(f, func(h *pb.Hello) error {
+		if h.Role != pb.Role_LIST {
+			return errNoDiscovery
+		}
+		return nil
+	})
+	if err != nil {
+		d.connections.disconnect(d.conn, err)
 		return
 	}
 	d.state, d.failures = sessionConnected, 0
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -105,7 +105,7 @@
 
 func (x *fixture) receive(c transport.ConnID, f *pb.Frame) { x.f.Received(x.now, c, f) }
 
-func (x *fixture) disconnect(c transport.ConnID) { x.f.Closed(x.now, c, "reset") }
+func (x *fixture) disconnect(c transport.ConnID) { x.f.Closed(x.now, c, transport.ErrConnectionLost) }
 
 // connectClient connects a client and drops the answer to its hello.
 func (x *fixture) connectClient(c transport.ConnID, name string) {
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -55,7 +55,7 @@
 	f.workloads = newWorkloadTable(c)
 	f.clients = &clientSessions{core: shared, byName: map[string]*clientSession{}}
 	f.connections = &connections{byID: map[transport.ConnID]*connection{}, log: shared.log}
-	f.connections.closed = func(c transport.ConnID, reason string) { f.Closed(shared.Now(), c, reason) }
+	f.connections.closed = func(c transport.ConnID, reason error) { f.Closed(shared.Now(), c, reason) }
 	f.wire(newCatalog(c), newNodeTable(c), newDurableBinds(c))
 	shared.Host = newHost(c, shared, &actions{
 		core: shared, workloads: f.workloads, clients: f.clients, requests: f.requests, binds: f.binds, nodes: f.nodes,
@@ -168,7 +168,7 @@
 	f.connections.add(c, &connection{})
 	f.core.Schedule(now+helloTimeout, func(placement.Millis) {
 		if f.connections.awaitsHello(c) {
-			f.connections.refuse(c, reasonHelloTimeout)
+			f.connections.refuse(c, errHelloTimeout)
 		}
 	})
 }
@@ -196,24 +196,27 @@
 // handshake handles the first frame of an accepted connection: the hello of a client or an operator, or the connection is
 // refused.
 func (f *Frontend) handshake(now placement.Millis, c transport.ConnID, conn *connection, frame *pb.Frame) {
-	h, refusal := transport.CheckHello(frame)
+	h, err := helloOf(frame, func(h *pb.Hello) error {
+		if h.Role != pb.Role_OWNER && h.Role != pb.Role_OPERATOR {
+			return fmt.Errorf("an allocator serves owners and operators, not the role %s", h.Role)
+		}
+		return nil
+	})
 	switch {
-	case refusal != "":
-		f.connections.refuse(c, refusal)
+	case err != nil:
+		f.connections.refuse(c, err)
 	case h.Role == pb.Role_OWNER:
 		f.clientConnected(now, c, conn, h)
-	case h.Role == pb.Role_OPERATOR:
+	default:
 		conn.role = h.Role
 		f.core.network.Send(c, f.core.hello())
-	default:
-		f.connections.refuse(c, fmt.Sprintf("an allocator serves owners and operators, not the role %s", h.Role))
 	}
 }
 
 // clientConnected begins a client's session, in place of an earlier one under the same name.
 func (f *Frontend) clientConnected(now placement.Millis, c transport.ConnID, conn *connection, h *pb.Hello) {
 	if earlier, ok := f.clients.connected(h.Name); ok {
-		f.connections.refuse(earlier.conn, "another connection came in under the name "+h.Name)
+		f.connections.refuse(earlier.conn, fmt.Errorf("another connection came in under the name %s", h.Name))
 	}
 	conn.role, conn.client = h.Role, f.clients.open(c, h.Name)
 	conn.client.transit.delay(now, h.SentMs)
@@ -221,7 +224,7 @@
 }
 
 // Closed handles the end of a connection, or that dialling it failed.
-func (f *Frontend) Closed(now placement.Millis, c transport.ConnID, reason string) {
+func (f *Frontend) Closed(now placement.Millis, c transport.ConnID, reason error) {
 	f.core.Begin(now)
 	conn, open := f.connections.get(c)
 	f.connections.remove(c)
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -57,7 +57,7 @@
 	}
 	n.setIncarnation(now, e.Boot, e.UpForMs)
 	if n.address != e.Address && n.session.state != sessionDisconnected {
-		m.connections.disconnect(n.session.conn, reasonAddressChanged)
+		m.connections.disconnect(n.session.conn, errAddressChanged)
 	}
 	kind, configured := m.catalog.kindID(e.Kind)
 	if !configured && !known {
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"grebeglade/internal/transport"
 	"grebeglade/placement"
 
 	"github.com/stretchr/testify/assert"
@@ -75,12 +76,12 @@
 				x.setTime(x.network.wakeAt)
 				x.f.Wake(x.now)
 				if n := x.firstNode(); n.session.state == sessionConnecting {
-					x.f.Closed(x.now, n.session.conn, "refused")
+					x.f.Closed(x.now, n.session.conn, transport.ErrConnectionRefused)
 				}
 			}
 			x.setTime(x.now + 1)
 			if n := x.firstNode(); n.session.state == sessionConnecting {
-				x.f.Closed(x.now, n.session.conn, "refused")
+				x.f.Closed(x.now, n.session.conn, transport.ErrConnectionRefused)
 			}
 		}
 		return int(x.network.last - before)
@@ -117,7 +118,7 @@
 		x.snapshot(entries...)
 		for _, n := range x.knownNodes() {
 			if n.session.state == sessionConnecting {
-				x.f.Closed(x.now, n.session.conn, "refused")
+				x.f.Closed(x.now, n.session.conn, transport.ErrConnectionRefused)
 			}
 		}
 		x.snapshot(entries...)
@@ -141,7 +142,7 @@
 	entry.UpForMs = 100
 	x.snapshot(entry)
 	startedAt := x.firstNode().entry.StartedAt
-	x.f.Closed(x.now, x.firstNode().session.conn, "refused")
+	x.f.Closed(x.now, x.firstNode().session.conn, transport.ErrConnectionRefused)
 	x.snapshot()
 	require.Empty(t, x.knownNodes())
 	x.setTime(500)
@@ -149,7 +150,7 @@
 	x.snapshot(entry)
 	assert.InDelta(t, float64(startedAt), float64(x.firstNode().entry.StartedAt), 0)
 	assert.Empty(t, x.f.nodes.table.removed)
-	x.f.Closed(x.now, x.firstNode().session.conn, "refused")
+	x.f.Closed(x.now, x.firstNode().session.conn, transport.ErrConnectionRefused)
 	x.snapshot()
 	assert.Len(t, x.f.nodes.table.removed, 1)
 	x.setTime(20e3)
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -42,13 +42,13 @@
 	s.connections.add(c, &connection{role: pb.Role_NODE, node: n})
 	s.Schedule(now+connectTimeout, func(placement.Millis) {
 		if n.session.conn == c && n.session.state == sessionConnecting {
-			s.connections.disconnect(c, reasonConnectTimeout)
+			s.connections.disconnect(c, errConnectTimeout)
 		}
 	})
 }
 
 // closed handles the end of a node's connection, or that dialling it failed.
-func (s *nodeSessions) closed(now placement.Millis, c transport.ConnID, n *node, reason string) {
+func (s *nodeSessions) closed(now placement.Millis, c transport.ConnID, n *node, reason error) {
 	if n.session.conn != c {
 		return
 	}
@@ -109,14 +109,16 @@
 
 // handshake handles the first frame of a node: a hello of the node that was dialled, or the connection ends.
 func (s *nodeSessions) handshake(now placement.Millis, c transport.ConnID, n *node, f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
-	if refusal == "" && (h.Role != pb.Role_NODE || placement.NodeID(h.Node) != n.id) {
-		refusal = reasonWrongNode
-	}
-	if refusal != "" {
-		n.lastRefusal = refusal
-		s.log.Warn("node not used", "node", n.id, "address", n.address, "reason", refusal)
-		s.connections.disconnect(c, refusal)
+	h, err := helloOf(f, func(h *pb.Hello) error {
+		if h.Role != pb.Role_NODE || placement.NodeID(h.Node) != n.id {
+			return errWrongNode
+		}
+		return nil
+	})
+	if err != nil {
+		n.lastRefusal = err.Error()
+		s.log.Warn("node not used", "node", n.id, "address", n.address, "reason", err)
+		s.connections.disconnect(c, err)
 		return
 	}
 	s.helloReceived(now, n, h)
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -60,7 +60,7 @@
 	case *pb.Frame_Withdraw:
 		r.withdrawRequest(now, session, b.Withdraw.Ask)
 	default:
-		r.connections.refuse(session.conn, fmt.Sprintf("an owner may not send %T", f.Body))
+		r.connections.refuse(session.conn, fmt.Errorf("an owner may not send %T", f.Body))
 	}
 }
 
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -5,6 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -87,7 +88,7 @@
 	assert.Empty(t, x.verdicts())
 	assert.EqualValues(t, 2, x.f.Counters.DuplicateRequests)
 	// Another connection is another session: a client that starts anew may number its requests from 1 again.
-	x.f.Closed(x.now, clientConn, "gone")
+	x.f.Closed(x.now, clientConn, transport.ErrClosedByPeer)
 	x.connectClient(clientConn, "o")
 	x.request(1, "unknown")
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, x.verdicts())
