--- a/internal/frontend/simulator/instance.go
+++ b/internal/frontend/simulator/instance.go
@@ -7,7 +7,7 @@
 )
 
 // instance is one allocator. Instances share the reply and the lists of nodes, and nothing else. It implements
-// allocator.World: the engine's actions become records of the reply.
+// allocator.Host: the engine's actions become records of the reply.
 type instance struct {
 	number     uint16
 	engine     *allocator.Engine
@@ -29,19 +29,19 @@
 func (in *instance) handle(now placement.Millis, code requestCode, r *fieldReader) error {
 	switch code {
 	case codePong:
-		return in.handlePong(now, r)
+		return in.handleHealthCheckEnded(now, r)
 	case codeNewTask:
-		return in.handleNewTask(now, r)
+		return in.handleRequest(now, r)
 	case codeSettled:
-		return in.handleSettled(now, r)
+		return in.handleBindEnded(now, r)
 	case codeStanding:
-		return in.handleStanding(now, r)
+		return in.handleRunningWorkload(now, r)
 	case codeHint:
-		return in.handleHint(now, r)
+		return in.handleUsageReport(now, r)
 	case codeDropped:
-		return in.handleDropped(now, r)
+		return in.handleWithdrawal(now, r)
 	case codeLanded:
-		return in.handleLanded(now, r)
+		return in.handleBindAccepted(now, r)
 	case codeWakeup:
 		return in.handleWakeup(now, r)
 	default:
@@ -49,24 +49,24 @@
 	}
 }
 
-func (in *instance) handlePong(now placement.Millis, r *fieldReader) error {
-	m, err := decodePong(r)
+func (in *instance) handleHealthCheckEnded(now placement.Millis, r *fieldReader) error {
+	m, err := decodeHealthCheckEnded(r)
 	if err == nil {
 		in.engine.HealthChecked(now, m.node, m.healthy, in.loadReport(m.load))
 	}
 	return err
 }
 
-func (in *instance) handleNewTask(now placement.Millis, r *fieldReader) error {
-	w, err := decodeNewTask(r)
+func (in *instance) handleRequest(now placement.Millis, r *fieldReader) error {
+	w, err := decodeRequest(r)
 	if err == nil {
 		in.engine.Schedule(now, w)
 	}
 	return err
 }
 
-func (in *instance) handleSettled(now placement.Millis, r *fieldReader) error {
-	m, err := decodeSettled(r)
+func (in *instance) handleBindEnded(now placement.Millis, r *fieldReader) error {
+	m, err := decodeBindEnded(r)
 	if err == nil {
 		m.result.Load = in.loadReport(m.load)
 		in.engine.BindEnded(now, m.workload, m.bind, m.node, m.result)
@@ -74,32 +74,32 @@
 	return err
 }
 
-func (in *instance) handleStanding(now placement.Millis, r *fieldReader) error {
-	m, err := decodeStanding(r)
+func (in *instance) handleRunningWorkload(now placement.Millis, r *fieldReader) error {
+	m, err := decodeRunningWorkload(r)
 	if err == nil {
 		in.engine.Adopt(now, m.workload, m.node)
 	}
 	return err
 }
 
-func (in *instance) handleHint(now placement.Millis, r *fieldReader) error {
-	m, err := decodeHint(r)
+func (in *instance) handleUsageReport(now placement.Millis, r *fieldReader) error {
+	m, err := decodeUsageReport(r)
 	if err == nil && m.known {
 		in.engine.ReportUsage(now, m.workload, m.bind, m.kind, m.level)
 	}
 	return err
 }
 
-func (in *instance) handleDropped(now placement.Millis, r *fieldReader) error {
-	id, err := decodeDropped(r)
+func (in *instance) handleWithdrawal(now placement.Millis, r *fieldReader) error {
+	id, err := decodeWithdrawal(r)
 	if err == nil {
 		in.engine.Withdraw(now, id)
 	}
 	return err
 }
 
-func (in *instance) handleLanded(now placement.Millis, r *fieldReader) error {
-	m, err := decodeLanded(r)
+func (in *instance) handleBindAccepted(now placement.Millis, r *fieldReader) error {
+	m, err := decodeBindAccepted(r)
 	if err == nil {
 		in.engine.BindConfirmed(now, m.workload, m.bind, nil)
 	}
@@ -133,8 +133,8 @@
 
 // Stop implements allocator.Actions. Only a migration is sent: the simulator itself ends a bind that has timed out, or
 // whose workload was withdrawn.
-func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.StopReason, _ bool) {
-	if why == allocator.Migrating {
+func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, reason allocator.StopReason, _ bool) {
+	if reason == allocator.Migrating {
 		in.reply.migrate(in.number, id)
 	}
 }
@@ -162,5 +162,5 @@
 // Forget implements allocator.Actions. There is nothing to forget.
 func (in *instance) Forget(placement.WorkloadID) {}
 
-// Wake implements allocator.World.
+// Wake implements allocator.Host.
 func (in *instance) Wake(at placement.Millis) { in.reply.alarm(in.number, at) }
--- a/internal/frontend/simulator/reply.go
+++ b/internal/frontend/simulator/reply.go
@@ -10,6 +10,7 @@
 // replyCode says what a record of a reply is.
 type replyCode uint8
 
+// Codes of the records that are sent, by the protocol's names.
 const (
 	codeBind     replyCode = 67 // a workload is offered to a node
 	codeObserve  replyCode = 68 // discovery is to send its changes
@@ -22,9 +23,9 @@
 
 const (
 	replyHeaderSize = 4 + 4
-	observeChanges  = 1 // the one form of codeObserve that is used
-	noRetryAfter    = 0 // in codePushBack
-	noAlarmNumber   = 0 // in codeAlarm: the simulator returns it, and no instance needs it
+	observeChanges  = 1 // in codeObserve: changes are wanted, from now on
+	noRetryAfter    = 0 // in codePushBack: no advice when to request again
+	alarmName       = 0 // in codeAlarm: what the simulator returns; no instance has to tell its alarms apart
 )
 
 // reply collects the records that answer one batch.
@@ -75,7 +76,7 @@
 
 func (p *reply) alarm(instance uint16, at placement.Millis) {
 	f := binary.BigEndian.AppendUint64(p.fields, nanos(at))
-	p.add(codeAlarm, instance, binary.BigEndian.AppendUint32(f, noAlarmNumber))
+	p.add(codeAlarm, instance, binary.BigEndian.AppendUint32(f, alarmName))
 }
 
 // writeTo writes the reply, which is empty afterwards.
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -9,23 +9,60 @@
 // requestCode says what a record of a batch is.
 type requestCode uint8
 
-// Codes of the records that are known. The gap at 3 is a record that allocators need not handle.
+// Codes of the records that are known, by the protocol's names.
 const (
 	codeAttach    requestCode = 1  // an instance starts
 	codePong      requestCode = 2  // a health check has ended
+	codeDatagram  requestCode = 3  // another instance has sent a message, which none does
 	codeNewTask   requestCode = 4  // a client requests a workload
 	codeSettled   requestCode = 5  // a bind has ended
-	codeStanding  requestCode = 6  // a workload was running before the instance started
-	codeSheet     requestCode = 7  // a list of nodes, for all instances
-	codeHint      requestCode = 8  // a workload reports its usage
-	codeDirectory requestCode = 9  // discovery names a list of nodes, or has failed
+	codeStanding  requestCode = 6  // the instance takes charge of a workload that is running
+	codeSheet     requestCode = 7  // a numbered list of nodes, for all instances
+	codeHint      requestCode = 8  // news of a bind
+	codeDirectory requestCode = 9  // news of node discovery
 	codeDropped   requestCode = 10 // a client has withdrawn its workload
-	codeLanded    requestCode = 11 // a node has accepted a bind
-	codePowerOff  requestCode = 12 // an instance ends
+	codeLanded    requestCode = 11 // a node has confirmed a bind
+	codePowerOff  requestCode = 12 // an instance is killed
 	codeWakeup    requestCode = 13 // a time that the instance asked for has come
 	lastKnownCode             = codeWakeup
 )
 
+// Values of the fields that are enumerations, by the protocol's names. Other values are skipped or have a default.
+const (
+	nodeReady    = 1
+	nodeDraining = 2
+
+	updateDelta  = 0
+	updateFailed = 2
+	updateCached = 3
+	updateFull   = 4
+
+	hintRuns  = 1
+	hintCores = 2
+
+	outcomeOK            = 0
+	outcomeFull          = 2
+	outcomeTimeout       = 3
+	outcomeConnectFailed = 4
+	outcomeMoot          = 7
+
+	optionCameAgain = 16 // a bit: the workload came before, and was rejected, failed, migrated or lost
+)
+
+// Sizes of elements that are counted, and of fields that are skipped, in bytes.
+const (
+	nodeSize      = 30
+	loadValueSize = 4
+
+	alarmNameSize = 4
+	durationSize  = 8
+	hostSize      = 4
+	stampSize     = 8 // the version of a list of nodes
+	tenantSize    = 2
+	unitIDSize    = 8 // the identity that a workload keeps when it is requested again
+	weightSize    = 4
+)
+
 // nanosPerMillis converts between the times of the protocol and those of the engine.
 const nanosPerMillis = 1e6
 
@@ -51,9 +88,6 @@
 	nodes  []placement.Node
 }
 
-// nodeSize is the length of a node in a list.
-const nodeSize = 30
-
 func decodeNodeList(r *fieldReader) (nodeList, error) {
 	l := nodeList{number: r.uint32()}
 	l.nodes = make([]placement.Node, r.count(int(r.uint32()), nodeSize))
@@ -69,7 +103,7 @@
 		FreeMemory: r.float32(), Kind: placement.KindID(r.uint8()), Cell: placement.CellID(r.uint16()),
 		State: nodeState(r.uint8()), StartedAt: placement.DistantPast,
 	}
-	r.skip(4)
+	r.skip(weightSize)
 	if started := r.uint64(); started > 0 {
 		n.StartedAt = millis(started)
 	}
@@ -78,9 +112,9 @@
 
 func nodeState(code uint8) placement.NodeState {
 	switch code {
-	case 1:
+	case nodeReady:
 		return placement.Ready
-	case 2:
+	case nodeDraining:
 		return placement.Draining
 	default:
 		return placement.Removed
@@ -97,55 +131,53 @@
 func decodeNodeUpdate(r *fieldReader) (nodeUpdate, error) {
 	m := nodeUpdate{}
 	m.kind, m.known = nodeUpdateKind(r.uint8())
-	r.skip(8)
+	r.skip(stampSize)
 	m.list = r.uint32()
 	return m, r.err
 }
 
 func nodeUpdateKind(code uint8) (kind placement.NodeUpdateKind, known bool) {
 	switch code {
-	case 0:
+	case updateDelta:
 		return placement.Delta, true
-	case 2:
+	case updateFailed:
 		return placement.PollFailed, true
-	case 3:
+	case updateCached:
 		return placement.CachedSnapshot, true
-	case 4:
+	case updateFull:
 		return placement.Snapshot, true
 	default:
 		return 0, false
 	}
 }
 
-// retriedFlag marks a workload that was rejected, failed, migrated or lost before.
-const retriedFlag = 16
-
-// decodeNewTask returns the workload that a client requests.
-func decodeNewTask(r *fieldReader) (placement.Workload, error) {
+// decodeRequest returns the workload that a client requests.
+func decodeRequest(r *fieldReader) (placement.Workload, error) {
 	w := placement.Workload{ID: placement.WorkloadID(r.uint32()), Group: placement.GroupID(r.uint16())}
-	r.skip(2 + 8)
+	r.skip(tenantSize + unitIDSize)
 	w.PendingTimeout = millis(r.uint64())
-	r.skip(8)
+	r.skip(durationSize)
 	w.Service = placement.ServiceID(r.uint64())
 	w.Cores, w.Memory = r.float32(), r.float32()
-	w.Retried = r.uint8()&retriedFlag != 0
+	w.Retried = r.uint8()&optionCameAgain != 0
 	return w, r.err
 }
 
-// runningWorkload is one that was running before its instance started.
+// runningWorkload is one that its instance takes charge of: it was running before the instance started, or a node has
+// accepted a bind that was given up.
 type runningWorkload struct {
 	workload placement.Workload
 	node     placement.NodeID
 }
 
-func decodeStanding(r *fieldReader) (runningWorkload, error) {
+func decodeRunningWorkload(r *fieldReader) (runningWorkload, error) {
 	m := runningWorkload{workload: placement.Workload{ID: placement.WorkloadID(r.uint32())}}
-	r.skip(2 + 8)
+	r.skip(tenantSize + durationSize)
 	m.node = placement.NodeID(r.uint32())
 	m.workload.Memory = r.float32()
 	m.workload.Service = placement.ServiceID(r.uint64())
 	m.workload.Group = placement.GroupID(r.uint16())
-	r.skip(8)
+	r.skip(durationSize)
 	m.workload.Cores = r.float32()
 	return m, r.err
 }
@@ -156,9 +188,9 @@
 	bind     int
 }
 
-func decodeLanded(r *fieldReader) (bindAccepted, error) {
+func decodeBindAccepted(r *fieldReader) (bindAccepted, error) {
 	m := bindAccepted{workload: placement.WorkloadID(r.uint32()), bind: int(r.uint8())}
-	r.skip(4 + 8)
+	r.skip(hostSize + durationSize)
 	return m, r.err
 }
 
@@ -171,19 +203,19 @@
 	level    float64
 }
 
-func decodeHint(r *fieldReader) (usageReport, error) {
+func decodeUsageReport(r *fieldReader) (usageReport, error) {
 	m := usageReport{workload: placement.WorkloadID(r.uint32()), bind: int(r.uint8())}
 	m.kind, m.known = usageKind(r.uint8())
-	r.skip(4)
+	r.skip(hostSize)
 	m.level = r.float32()
 	return m, r.err
 }
 
 func usageKind(code uint8) (kind placement.UsageKind, known bool) {
 	switch code {
-	case 1:
+	case hintRuns:
 		return placement.Running, true
-	case 2:
+	case hintCores:
 		return placement.CoresUsed, true
 	default:
 		return 0, false
@@ -199,18 +231,19 @@
 	load     []float64        // the values of a load report, as the instance's settings name them; empty for none
 }
 
-func decodeSettled(r *fieldReader) (bindEnded, error) {
+func decodeBindEnded(r *fieldReader) (bindEnded, error) {
 	m := bindEnded{workload: placement.WorkloadID(r.uint32())}
 	m.result.Final = r.uint8() != 0
 	m.bind = int(r.uint8())
 	m.result.Reason = reason(r.uint32())
 	m.result.Kind = resultKind(r.uint8())
-	r.skip(8)
+	r.skip(durationSize)
 	m.node = placement.NodeID(r.uint32())
 	m.load = decodeLoad(r)
 	return m, r.err
 }
 
+// reason returns why a node has rejected a bind. The protocol numbers the reasons as package placement does.
 func reason(code uint32) placement.Reason {
 	if code > uint32(placement.Drained) {
 		return placement.ReasonUnspecified
@@ -220,13 +253,13 @@
 
 func resultKind(code uint8) placement.ResultKind {
 	switch code {
-	case 2:
+	case outcomeFull:
 		return placement.RejectedByNode
-	case 3:
+	case outcomeTimeout:
 		return placement.TimedOut
-	case 4:
+	case outcomeConnectFailed:
 		return placement.NotDelivered
-	case 7:
+	case outcomeMoot:
 		return placement.NotAttempted
 	default:
 		return placement.OutcomeUnknown
@@ -240,16 +273,13 @@
 	load    []float64 // as in bindEnded
 }
 
-func decodePong(r *fieldReader) (healthCheckEnded, error) {
-	r.skip(8)
-	m := healthCheckEnded{healthy: r.uint8() == 0, node: placement.NodeID(r.uint32())}
+func decodeHealthCheckEnded(r *fieldReader) (healthCheckEnded, error) {
+	r.skip(durationSize)
+	m := healthCheckEnded{healthy: r.uint8() == outcomeOK, node: placement.NodeID(r.uint32())}
 	m.load = decodeLoad(r)
 	return m, r.err
 }
 
-// loadValueSize is the length of one value of a load report.
-const loadValueSize = 4
-
 func decodeLoad(r *fieldReader) []float64 {
 	values := make([]float64, r.count(int(r.uint8()), loadValueSize))
 	for i := range values {
@@ -258,13 +288,13 @@
 	return values
 }
 
-func decodeDropped(r *fieldReader) (placement.WorkloadID, error) {
+func decodeWithdrawal(r *fieldReader) (placement.WorkloadID, error) {
 	id := placement.WorkloadID(r.uint32())
 	return id, r.err
 }
 
-// decodeWakeup checks a record whose fields say nothing that is needed.
+// decodeWakeup checks a record of which nothing is needed: every alarm has the same name.
 func decodeWakeup(r *fieldReader) error {
-	r.skip(4)
+	r.skip(alarmNameSize)
 	return r.err
 }
--- a/internal/frontend/simulator/server.go
+++ b/internal/frontend/simulator/server.go
@@ -49,7 +49,7 @@
 func (s *server) handle(now placement.Millis, rec record) error {
 	r := &fieldReader{data: rec.fields}
 	if rec.code == codeSheet {
-		return s.handleSheet(r)
+		return s.handleNodeList(r)
 	}
 	if rec.code == 0 || rec.code > lastKnownCode {
 		return nil // of a later version of the protocol
@@ -70,13 +70,13 @@
 		delete(s.instances, number)
 		return nil
 	case codeDirectory:
-		return s.handleDirectory(now, in, r)
+		return s.handleNodeUpdate(now, in, r)
 	default:
 		return in.handle(now, rec.code, r)
 	}
 }
 
-func (s *server) handleSheet(r *fieldReader) error {
+func (s *server) handleNodeList(r *fieldReader) error {
 	l, err := decodeNodeList(r)
 	if err == nil {
 		s.lists[l.number] = l.nodes
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (s *server) handleDirectory(now placement.Millis, in *instance, r *fieldReader) error {
+func (s *server) handleNodeUpdate(now placement.Millis, in *instance, r *fieldReader) error {
 	m, err := decodeNodeUpdate(r)
 	if err != nil || !m.known {
 		return err
