--- a/internal/storage/memorydisk.go
+++ b/internal/storage/memorydisk.go
@@ -12,35 +12,6 @@
 // ErrCrashed is what every operation on a MemoryDisk returns after a crash of its machine.
 var ErrCrashed = errors.New("the machine has crashed")
 
-// Operation is an operation of a MemoryDisk or of one of its files.
-type Operation uint8
-
-// Operations in which a fault can be injected.
-const (
-	OpList Operation = iota
-	OpRead
-	OpCreate
-	OpRename
-	OpRemove
-	OpSyncNames
-	OpWrite
-	OpSync
-)
-
-var operationNames = [...]string{
-	OpList: "list", OpRead: "read", OpCreate: "create", OpRename: "rename", OpRemove: "remove", OpSyncNames: "sync names",
-	OpWrite: "write", OpSync: "sync",
-}
-
-func (o Operation) String() string { return operationNames[o] }
-
-// Call is one operation that a MemoryDisk is about to carry out.
-type Call struct {
-	Number    int // counted from 1
-	Operation Operation
-	File      string // empty for List and Sync of the disk
-}
-
 // MemoryDisk is a Disk in memory, for tests and simulations. A crash loses what was not synced, or a part of it, and faults
 // can be injected into its operations. It is safe for concurrent use.
 type MemoryDisk struct {
