--- a/internal/command/trace_replay.go
+++ b/internal/command/trace_replay.go
@@ -41,7 +41,7 @@
 			return replaceSettings(recorded, configuration)
 		}
 	}
-	reports, err := replay.Files(files, o)
+	reports, err := replay.RunFiles(files, o)
 	if err != nil {
 		return runError{err}
 	}
@@ -85,7 +85,7 @@
 		w := r.WhatIf
 		c.Printf("%s, with other settings: of %d asks %d go to the same node, %d to another, %d are rejected that were bound, "+
 			"%d are bound that were rejected, %d are rejected as before.\nWhat nodes would have answered is unknown.\n",
-			r.Source, w.Asks, w.SameNode, w.OtherNode, w.NowRejected, w.NowBound, w.StillRejected)
+			r.Source, w.Requests, w.SameNode, w.OtherNode, w.NowRejected, w.NowBound, w.StillRejected)
 	case r.Identical():
 		c.Printf("%s: identical, %d decisions\n", r.Source, r.Decisions)
 	default:
@@ -105,7 +105,7 @@
 		Short: "Print the few calls that a decision rests on, as a test in Go",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(c *cobra.Command, files traceFiles) error {
-			x, err := replay.ExtractFiles(files, workload)
+			x, err := replay.ReproduceFiles(files, workload)
 			if err != nil {
 				return runError{err}
 			}
--- a/internal/replay/encode.go
+++ b/internal/replay/encode.go
@@ -1,7 +1,3 @@
-// Package replay stands between an engine and the module: Tap writes down every call and what came of it, Run
-// feeds the calls of a trace to a module again and compares every step.
-//
-// Times are milliseconds. Taps and runs belong to one goroutine.
 package replay
 
 import (
@@ -9,6 +5,8 @@
 	"grebeglade/trace/tracepb"
 )
 
+// The functions below convert between the module's types and those of a trace. Every value is kept exactly.
+
 func encodeSettings(s placement.Settings) *tracepb.Settings {
 	e := &tracepb.Settings{
 		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), ColdFor: float64(s.WarmUpDuration),
@@ -111,7 +109,7 @@
 	}
 }
 
-func encodeChores(c placement.Maintenance) *tracepb.Chores {
+func encodeMaintenance(c placement.Maintenance) *tracepb.Chores {
 	e := &tracepb.Chores{Watch: c.Subscribe, Again: float64(c.NextAt)}
 	for _, id := range c.Migrations {
 		e.Moves = append(e.Moves, uint32(id))
@@ -121,3 +119,15 @@
 	}
 	return e
 }
+
+func encodeResult(id placement.WorkloadID, r placement.Result) *tracepb.Next {
+	return &tracepb.Next{
+		Workload: uint32(id), Kind: uint32(r.Kind), Reason: uint32(r.Reason), Over: r.Final, Load: encodeLoad(r.Load),
+	}
+}
+
+func decodeResult(n *tracepb.Next) placement.Result {
+	return placement.Result{
+		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Final: n.Over, Load: decodeLoad(n.Load),
+	}
+}
--- /dev/null
+++ b/internal/replay/gosource.go
@@ -0,0 +1,102 @@
+package replay
+
+import (
+	"fmt"
+	"go/format"
+	"io"
+	"slices"
+	"strings"
+
+	"grebeglade/placement"
+	"grebeglade/trace"
+	"grebeglade/trace/tracepb"
+)
+
+// goLiterals replaces what %#v prints by expressions, and breaks long lists of nodes and groups into lines.
+var goLiterals = strings.NewReplacer(
+	"StartedAt:-Inf", "StartedAt:placement.DistantPast", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
+	"}, placement.Node{", "},\nplacement.Node{", "}, placement.Group{", "},\nplacement.Group{",
+)
+
+// Print writes the calls as a test in Go that makes the decision again.
+func (r *Reproduction) Print(w io.Writer) error {
+	source, err := format.Source([]byte(goLiterals.Replace(r.goTest())))
+	if err != nil {
+		return fmt.Errorf("the calls cannot be written as Go: %w", err)
+	}
+	_, err = w.Write(source)
+	return err
+}
+
+// goTest returns the test before formatting.
+func (r *Reproduction) goTest() string {
+	before, last := r.Calls[:len(r.Calls)-1], r.Calls[len(r.Calls)-1]
+	lines := []string{
+		fmt.Sprintf("// %d of %d calls of %s before the decision on one ask.", len(before), r.CallsBefore, r.Source),
+		"func TestExtracted(t *testing.T) {",
+		fmt.Sprintf("a := placement.New(%#v, %d)", decodeSettings(r.Start.Settings), r.Start.Seed),
+	}
+	if slices.ContainsFunc(before, concernsWorkload) {
+		lines = append(lines, "steps := map[placement.WorkloadID]placement.Step{}")
+	}
+	for _, rec := range before {
+		lines = append(lines, goCall(rec))
+	}
+	lines = append(lines,
+		"s := "+goSchedule(last, last.GetPlace()),
+		fmt.Sprintf("assert.Equal(t, placement.StepKind(%d), s.Kind) // %s", r.Decision.Kind, describeStep(r.Decision)),
+		fmt.Sprintf("assert.Equal(t, placement.NodeID(%d), s.Node)", r.Decision.Node),
+		"}", "",
+	)
+	return strings.Join(lines, "\n")
+}
+
+func concernsWorkload(r *trace.Record) bool {
+	_, ok := workloadID(r)
+	return ok
+}
+
+// goCall returns a call as a statement; steps are in a map by workload.
+func goCall(r *trace.Record) string {
+	at := r.AtMs
+	switch b := r.Body.(type) {
+	case *tracepb.Record_Place:
+		return fmt.Sprintf("steps[%d] = %s", b.Place.GetWorkload().GetId(), goSchedule(r, b.Place))
+	case *tracepb.Record_Adopt:
+		w := decodeWorkload(b.Adopt.Workload)
+		return fmt.Sprintf("steps[%d] = a.Adopt(%v, %#v, %d)", w.ID, at, w, b.Adopt.Node)
+	case *tracepb.Record_Next:
+		id := b.Next.Workload
+		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%v, %s)", id, id, at, goResult(decodeResult(b.Next)))
+	case *tracepb.Record_List:
+		return fmt.Sprintf("a.UpdateNodes(%v, %d, %#v)", at, b.List.Kind, decodeNodes(b.List.Nodes))
+	case *tracepb.Record_Report:
+		return fmt.Sprintf("a.ReportLoad(%v, %d, %#v)", at, b.Report.Node, *decodeLoad(b.Report.Load))
+	case *tracepb.Record_Probed:
+		return fmt.Sprintf("a.HealthChecked(%v, %d, %v, %s)", at, b.Probed.Node, b.Probed.Answered, goLoad(decodeLoad(b.Probed.Load)))
+	case *tracepb.Record_Note:
+		return fmt.Sprintf("a.ReportUsage(%v, %d, %d, %v)", at, b.Note.Workload, b.Note.Kind, b.Note.Value)
+	case *tracepb.Record_Upkeep:
+		return fmt.Sprintf("a.Maintain(%v)", at)
+	}
+	return ""
+}
+
+func goSchedule(r *trace.Record, p *tracepb.Place) string {
+	return fmt.Sprintf("a.Schedule(%v, %#v)", r.AtMs, decodeWorkload(p.Workload))
+}
+
+func goResult(r placement.Result) string {
+	fields := fmt.Sprintf("Kind: %d, Reason: %d, Final: %v", r.Kind, r.Reason, r.Final)
+	if r.Load != nil {
+		fields += ", Load: " + goLoad(r.Load)
+	}
+	return "placement.Result{" + fields + "}"
+}
+
+func goLoad(l *placement.LoadReport) string {
+	if l == nil {
+		return "nil"
+	}
+	return fmt.Sprintf("&%#v", *l)
+}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -3,8 +3,13 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -19,7 +24,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// traced plays a script in virtual time and returns the traces of each allocator.
+// traced runs a scenario in virtual time and returns the traces of each allocator.
 func traced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
 	s, err := simulation.Open(name)
@@ -40,7 +45,7 @@
 		for _, n := range names {
 			r, err := trace.Open(n)
 			require.NoError(t, err)
-			t.Cleanup(func() { r.Close() })
+			t.Cleanup(func() { require.NoError(t, r.Close()) })
 			all[e.Name()] = append(all[e.Name()], r)
 		}
 	}
@@ -51,7 +56,7 @@
 func identical(t *testing.T, traces map[string][]*trace.Reader) {
 	t.Helper()
 	for name, files := range traces {
-		reports, err := replay.Files(files, replay.Options{})
+		reports, err := replay.RunFiles(files, replay.Options{})
 		require.NoError(t, err, name)
 		for _, r := range reports {
 			assert.True(t, r.Identical(), "%s: %+v", r.Source, r.Differ)
@@ -60,7 +65,7 @@
 	}
 }
 
-func TestEveryScriptIsDecidedAgainAlike(t *testing.T) {
+func TestRunFiles_EveryScenarioIsIdentical(t *testing.T) {
 	for _, name := range simulation.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -69,7 +74,7 @@
 	}
 }
 
-func TestADayOverSocketsIsDecidedAgainAlike(t *testing.T) {
+func TestRunFiles_ScenarioOverSocketsIsIdentical(t *testing.T) {
 	s, err := simulation.Open("rough")
 	require.NoError(t, err)
 	s.Stretch(4000)
@@ -80,8 +85,7 @@
 	identical(t, open(t, dir))
 }
 
-// Recording must not change what is decided.
-func TestADayWithATraceIsTheSameDay(t *testing.T) {
+func TestRecorder_DoesNotChangeDecisions(t *testing.T) {
 	s, err := simulation.Open("rough")
 	require.NoError(t, err)
 	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, Trace: t.TempDir()})
@@ -93,7 +97,7 @@
 	assert.Equal(t, without.Digest, with.Digest)
 }
 
-func TestAModuleThatIsChangedIsCaughtAtItsFirstOtherDecision(t *testing.T) {
+func TestRunFiles_ChangedModuleIsReportedAtFirstDivergence(t *testing.T) {
 	files := traced(t, "full")["allocator-1"]
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = append([]placement.Group(nil), s.Groups...)
@@ -102,13 +106,13 @@
 		}
 		return placement.New(s, seed)
 	}
-	reports, err := replay.Files(files, replay.Options{Module: changed})
+	reports, err := replay.RunFiles(files, replay.Options{Module: changed})
 	require.NoError(t, err)
 	d := reports[0].Differ
 	require.NotNil(t, d)
 	assert.NotEqual(t, d.Recorded, d.Decided)
 	assert.NotEmpty(t, d.Before)
-	// All before it is decided alike: with one call less than that, nothing differs.
+	// All decisions before it are the same.
 	records := 0
 	for r, err := range files[0].Records(trace.Span{}) {
 		require.NoError(t, err)
@@ -119,13 +123,13 @@
 	assert.Equal(t, records, reports[0].Same)
 }
 
-func TestOtherSettingsAreComparedByTheirAsks(t *testing.T) {
+func TestRunFiles_OtherSettingsAreComparedByRequest(t *testing.T) {
 	files := traced(t, "full")["allocator-1"]
-	reports, err := replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
+	reports, err := replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
 	require.NoError(t, err)
 	w := reports[0].WhatIf
-	assert.Equal(t, w.Asks, w.SameNode+w.StillRejected, "the same settings decide alike")
-	reports, err = replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
+	assert.Equal(t, w.Requests, w.SameNode+w.StillRejected, "the same settings decide the same")
+	reports, err = replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
 		s.NodeKinds = append([]placement.NodeKind(nil), s.NodeKinds...)
 		for i := range s.NodeKinds {
 			s.NodeKinds[i].Cores /= 4
@@ -135,56 +139,118 @@
 	require.NoError(t, err)
 	w = reports[0].WhatIf
 	assert.NotZero(t, w.NowRejected)
-	assert.Equal(t, w.Asks, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
+	assert.Equal(t, w.Requests, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
 }
 
-func TestATraceWithoutItsBeginningIsNotDecidedAgain(t *testing.T) {
-	files := traced(t, "quiet")["allocator-1"]
-	var cut bytes.Buffer
-	header := trace.CopyHeader(files[0].Header)
-	w, err := trace.NewWriter(&cut, header)
+// rewritten returns a file with the records that edit keeps, as it leaves them.
+func rewritten(t *testing.T, file *trace.Reader, edit func(*trace.Record) (keep bool)) *trace.Reader {
+	t.Helper()
+	var out bytes.Buffer
+	w, err := trace.NewWriter(&out, trace.CopyHeader(file.Header))
 	require.NoError(t, err)
-	for r, err := range files[0].Records(trace.Span{}) {
+	for r, err := range file.Records(trace.Span{}) {
 		require.NoError(t, err)
-		if r.Revision == 50 {
-			r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
-			r.Step, r.Chores = nil, nil
+		if edit(r) {
+			require.NoError(t, w.Append(r))
 		}
-		require.NoError(t, w.Append(r))
 	}
 	require.NoError(t, w.Close())
-	r, err := trace.NewReader(bytes.NewReader(cut.Bytes()), int64(cut.Len()))
+	r, err := trace.NewReader(bytes.NewReader(out.Bytes()), int64(out.Len()))
 	require.NoError(t, err)
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorContains(t, err, "1 records are missing here (the queue was full)")
-	r.Header.Anonymised = true
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorIs(t, err, replay.ErrAnonymised)
-	var none bytes.Buffer
-	w, err = trace.NewWriter(&none, header)
+	return r
+}
+
+func TestRunFiles_IncompleteTraceIsAnError(t *testing.T) {
+	file := traced(t, "quiet")["allocator-1"][0]
+	t.Run("gap", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{rewritten(t, file, func(r *trace.Record) bool {
+			if r.Revision == 50 {
+				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
+				r.Step, r.Chores = nil, nil
+			}
+			return true
+		})}, replay.Options{})
+		assert.ErrorContains(t, err, "1 records are missing here (the queue was full)")
+	})
+	t.Run("missing record", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(r *trace.Record) bool { return r.Revision != 50 }),
+		}, replay.Options{})
+		assert.ErrorContains(t, err, "revision 51: the record before has revision 49; a file is missing between them")
+	})
+	t.Run("no start", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(r *trace.Record) bool { return r.GetUpkeep() != nil }),
+		}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrNoStart)
+	})
+	t.Run("no records", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(*trace.Record) bool { return false }),
+		}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrNoStart)
+	})
+	t.Run("pseudonyms", func(t *testing.T) {
+		anonymised := rewritten(t, file, func(*trace.Record) bool { return true })
+		anonymised.Header.Anonymised = true
+		_, err := replay.RunFiles([]*trace.Reader{anonymised}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrAnonymised)
+	})
+}
+
+func TestReproduceFiles_FindsFewCalls(t *testing.T) {
+	files := traced(t, "rough")["allocator-1"]
+	r, err := replay.ReproduceFiles(files, 60)
 	require.NoError(t, err)
-	require.NoError(t, w.Append(&trace.Record{Revision: 2, Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}}))
-	require.NoError(t, w.Close())
-	r, err = trace.NewReader(bytes.NewReader(none.Bytes()), int64(none.Len()))
+	assert.Less(t, len(r.Calls), r.CallsBefore/5)
+	var source strings.Builder
+	require.NoError(t, r.Print(&source))
+	assert.Contains(t, source.String(), "s := a.Schedule(")
+	assert.NotContains(t, source.String(), "NaN)")
+	assertCallsModule(t, source.String())
+}
+
+// assertCallsModule checks that a printed test calls only methods that the module has, with as many arguments.
+func assertCallsModule(t *testing.T, source string) {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), "", "package p\n"+source, 0)
 	require.NoError(t, err)
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorIs(t, err, replay.ErrNoStart)
+	module := reflect.TypeFor[*placement.Scheduler]()
+	calls := 0
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		if f, ok := call.Fun.(*ast.SelectorExpr); ok && fmt.Sprint(f.X) == "a" {
+			calls++
+			method, found := module.MethodByName(f.Sel.Name)
+			if assert.True(t, found, f.Sel.Name) {
+				assert.Len(t, call.Args, method.Type.NumIn()-1, f.Sel.Name) // without the receiver
+			}
+		}
+		return true
+	})
+	assert.NotZero(t, calls)
 }
 
-func TestADecisionIsExtractedWithTheFewCallsThatItRestsOn(t *testing.T) {
-	files := traced(t, "rough")["allocator-1"]
-	x, err := replay.ExtractFiles(files, 60)
-	require.NoError(t, err)
-	assert.Less(t, len(x.Calls), x.All/5)
-	var b strings.Builder
-	require.NoError(t, x.Print(&b))
-	assert.Contains(t, b.String(), "s := a.Schedule(")
-	assert.NotContains(t, b.String(), "NaN)")
-	_, err = replay.ExtractFiles(files, 999999)
+func TestReproduceFiles_UnknownWorkloadIsAnError(t *testing.T) {
+	_, err := replay.ReproduceFiles(traced(t, "quiet")["allocator-1"], 999999)
 	assert.ErrorContains(t, err, "no ask of workload 999999")
 }
 
-func TestRecordsAreFilteredByWhomTheyConcern(t *testing.T) {
+func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
+	file := rewritten(t, traced(t, "quiet")["allocator-1"][0], func(r *trace.Record) bool {
+		if r.GetPlace() != nil {
+			r.Step.Node += 1000
+		}
+		return true
+	})
+	_, err := replay.ReproduceFiles([]*trace.Reader{file}, 60)
+	assert.ErrorIs(t, err, replay.ErrOtherDecision)
+}
+
+func TestFilter_SelectsRecordsByWhatTheyConcern(t *testing.T) {
 	file := traced(t, "quiet")["allocator-1"][0]
 	count := func(f replay.Filter) (n int) {
 		match := f.Matcher()
@@ -198,7 +264,7 @@
 	}
 	all, one := count(replay.Filter{}), count(replay.Filter{Workload: 3})
 	assert.Greater(t, all, 500)
-	assert.GreaterOrEqual(t, one, 4, "asked, placed, confirmed, answered")
+	assert.GreaterOrEqual(t, one, 4, "requested, scheduled, confirmed, answered")
 	assert.Less(t, one, 30)
 	assert.Zero(t, count(replay.Filter{Workload: 3, Node: 1}))
 }
--- a/trace/clocks.go
+++ b/trace/clocks.go
@@ -41,7 +41,7 @@
 			direction = "later"
 		}
 		found = append(found, fmt.Sprintf("%s hears the same news of the list %.1f s %s than %s (median of %d)",
-			keyOf(h.Sources[s]), math.Abs(median)/millisPerSecond, direction, keyOf(h.Sources[reference]), len(differences)))
+			KeyOf(h.Sources[s]), math.Abs(median)/millisPerSecond, direction, KeyOf(h.Sources[reference]), len(differences)))
 	}
 	return found
 }
--- a/trace/export.go
+++ b/trace/export.go
@@ -38,7 +38,7 @@
 // Export writes one row for each decision to a Parquet file.
 func Export(files []*Reader, w io.Writer) (rows int, err error) {
 	out := parquet.NewGenericWriter[Row](w, parquet.Compression(&parquet.Zstd))
-	e := exporter{open: map[workloadKey]*Row{}, groups: map[sourceKey][]string{}}
+	e := exporter{open: map[workloadKey]*Row{}, groups: map[SourceKey][]string{}}
 	var batch []Row
 	for _, f := range files {
 		for r, err := range f.Records(Span{}) {
@@ -67,12 +67,12 @@
 // exporter makes the rows of decisions. It follows each workload from its request to its end.
 type exporter struct {
 	open   map[workloadKey]*Row // the last row of each workload
-	groups map[sourceKey][]string
+	groups map[SourceKey][]string
 }
 
 // row returns the row of a record, false if the record is no decision.
 func (e *exporter) row(f *Reader, r *Record) (row Row, decided bool) {
-	source := keyOf(f.source(r))
+	source := KeyOf(f.source(r))
 	at := f.UnixMillis(r)
 	var o *Row
 	switch b := r.Body.(type) {
@@ -89,29 +89,29 @@
 		o = e.request(source, b.Adopt.GetWorkload(), "adopt", at)
 	case *tracepb.Record_Next:
 		o = e.workload(source, b.Next.Workload)
-		o.Call, o.Reason = nameOr(resultNames, b.Next.Kind, unknownKind), b.Next.Reason
+		o.Call, o.Reason = ResultName(b.Next.Kind, unknownKind), b.Next.Reason
 		o.SinceRequestMs += at - o.AtUnixMs
 		o.AtUnixMs = at
 	default:
 		return Row{}, false
 	}
 	o.Revision = r.Revision
-	o.Step, o.Node, o.TimeoutMs = nameOr(stepNames, r.Step.GetKind(), unknownKind), r.Step.GetNode(), r.Step.GetTimeout()
+	o.Step, o.Node, o.TimeoutMs = StepName(r.Step.GetKind(), unknownKind), r.Step.GetNode(), r.Step.GetTimeout()
 	if r.Step.GetKind() >= stepRejected {
 		delete(e.open, workloadKey{source, o.Workload})
 	}
 	return *o, true
 }
 
-func (e *exporter) workload(source sourceKey, id uint32) *Row {
+func (e *exporter) workload(source SourceKey, id uint32) *Row {
 	k := workloadKey{source, id}
 	if e.open[k] == nil {
-		e.open[k] = &Row{Allocator: source.allocator, Incarnation: source.incarnation, Workload: id}
+		e.open[k] = &Row{Allocator: source.Allocator, Incarnation: source.Incarnation, Workload: id}
 	}
 	return e.open[k]
 }
 
-func (e *exporter) request(source sourceKey, w *tracepb.Workload, call string, at float64) *Row {
+func (e *exporter) request(source SourceKey, w *tracepb.Workload, call string, at float64) *Row {
 	o := e.workload(source, w.GetId())
 	o.Service, o.Cores, o.Memory, o.Retried = w.GetService(), w.GetCores(), w.GetMemory(), w.GetAgain()
 	o.Group, o.Call, o.SinceRequestMs = nameOr(e.groups[source], w.GetGroup(), unknownKind), call, 0
--- a/trace/header.go
+++ b/trace/header.go
@@ -10,19 +10,21 @@
 // toolName is the program that a header names as the file's writer.
 const toolName = "grebeglade"
 
-// sourceKey identifies one incarnation of an allocator across files.
-type sourceKey struct {
-	allocator   string
-	incarnation uint64
+// SourceKey identifies one incarnation of an allocator across files.
+type SourceKey struct {
+	Allocator   string
+	Incarnation uint64
 }
 
-func keyOf(s *tracepb.Source) sourceKey { return sourceKey{s.Allocator, s.Incarnation} }
+// KeyOf returns the key of a source.
+func KeyOf(s *tracepb.Source) SourceKey { return SourceKey{s.Allocator, s.Incarnation} }
 
-func (k sourceKey) String() string { return fmt.Sprintf("%s.%d", k.allocator, k.incarnation) }
+// String returns allocator and incarnation, as in "allocator-1.5".
+func (k SourceKey) String() string { return fmt.Sprintf("%s.%d", k.Allocator, k.Incarnation) }
 
 // workloadKey identifies a workload across files.
 type workloadKey struct {
-	source sourceKey
+	source SourceKey
 	id     uint32
 }
 
--- a/trace/kinds.go
+++ b/trace/kinds.go
@@ -1,6 +1,6 @@
 package trace
 
-// Kinds of steps, results and verdicts, as records number them. The names are those of exported tables.
+// Kinds of steps, results and verdicts, as records number them.
 const (
 	stepBind     = 0
 	stepRejected = 3 // the first of the kinds that end a workload's decisions
@@ -15,6 +15,17 @@
 	verdictUnschedulable = 3
 )
 
+// StepName returns the name of a kind of step, otherwise for one that a later version has added.
+func StepName(kind uint32, otherwise string) string { return nameOr(stepNames, kind, otherwise) }
+
+// ResultName returns the name of a kind of result, otherwise for one that a later version has added.
+func ResultName(kind uint32, otherwise string) string { return nameOr(resultNames, kind, otherwise) }
+
+// RejectionName returns the name of the reason of a node's rejection, otherwise for one that a later version has added.
+func RejectionName(reason uint32, otherwise string) string {
+	return nameOr(rejectionNames, reason, otherwise)
+}
+
 var stepNames = []string{"bind", "wait", "resident", "rejected", "unschedulable", "done"}
 
 var resultNames = []string{
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -44,7 +44,7 @@
 // merger merges files whose sources have places in one header.
 type merger struct {
 	header *tracepb.Header
-	places map[sourceKey]uint32 // of sources in the header
+	places map[SourceKey]uint32 // of sources in the header
 	inputs []*mergeInput
 	// listRevisions are the Unix times, in milliseconds, at which each source first received each revision of the
 	// endpoint list.
@@ -72,7 +72,7 @@
 // newMerger reads the files once, for what sources and revisions each has.
 func newMerger(readers []*Reader) (*merger, error) {
 	m := &merger{
-		header: &tracepb.Header{Tool: toolName}, places: map[sourceKey]uint32{},
+		header: &tracepb.Header{Tool: toolName}, places: map[SourceKey]uint32{},
 		listRevisions: map[uint32]map[listRevision]float64{}, written: map[uint32]uint64{},
 	}
 	for _, r := range readers {
@@ -96,10 +96,10 @@
 
 func (m *merger) addSources(in *mergeInput) {
 	for i, s := range in.r.Header.Sources {
-		place, known := m.places[keyOf(s)]
+		place, known := m.places[KeyOf(s)]
 		if !known {
 			place = uint32(len(m.header.Sources))
-			m.places[keyOf(s)] = place
+			m.places[KeyOf(s)] = place
 			m.header.Sources = append(m.header.Sources, s)
 		}
 		in.places[uint32(i)] = place
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -21,7 +21,7 @@
 // Outcomes counts what the requests of a group came to.
 type Outcomes struct {
 	Group         string  `json:"group"`
-	Requests          int     `json:"asks"`
+	Requests      int     `json:"asks"`
 	Placed        int     `json:"placed"`
 	Rejected      int     `json:"rejected"`
 	Unschedulable int     `json:"unschedulable"`
@@ -43,23 +43,23 @@
 
 // Summary is what a trace holds, in figures.
 type Summary struct {
-	Sources        []string    `json:"sources"`
-	FromMs         float64     `json:"from_unix_ms"`
-	ToMs           float64     `json:"to_unix_ms"`
-	Records        uint64      `json:"records"`
-	Groups         []*Outcomes `json:"groups"`
-	NodeRejections       []NodeRejection  `json:"refusals"`    // most frequent first
-	OutcomeUnknown int         `json:"unclear"`     // binds without an answer: timed out, or the connection was lost
-	NotDelivered   int         `json:"unreachable"` // binds that found no connection
-	Missing        uint64      `json:"missing"`     // records that gaps report
-	Damage         []string    `json:"damage"`
+	Sources        []string        `json:"sources"`
+	FromMs         float64         `json:"from_unix_ms"`
+	ToMs           float64         `json:"to_unix_ms"`
+	Records        uint64          `json:"records"`
+	Groups         []*Outcomes     `json:"groups"`
+	NodeRejections []NodeRejection `json:"refusals"`    // most frequent first
+	OutcomeUnknown int             `json:"unclear"`     // binds without an answer: timed out, or the connection was lost
+	NotDelivered   int             `json:"unreachable"` // binds that found no connection
+	Missing        uint64          `json:"missing"`     // records that gaps report
+	Damage         []string        `json:"damage"`
 }
 
 // Summarise summarises files in the order given. Workloads are followed from one file to the next.
 func Summarise(files []*Reader) (*Summary, error) {
 	t := tally{
 		summary: &Summary{Damage: []string{}}, pending: map[workloadKey]*pendingWorkload{}, groups: map[string]*Outcomes{},
-		groupNames: map[sourceKey][]string{}, rejections: map[NodeRejection]int{}, sources: map[sourceKey]bool{},
+		groupNames: map[SourceKey][]string{}, rejections: map[NodeRejection]int{}, sources: map[SourceKey]bool{},
 	}
 	for _, f := range files {
 		if err := t.add(f); err != nil {
@@ -75,9 +75,9 @@
 	summary    *Summary
 	pending    map[workloadKey]*pendingWorkload
 	groups     map[string]*Outcomes // by name
-	groupNames map[sourceKey][]string
+	groupNames map[SourceKey][]string
 	rejections map[NodeRejection]int // by node and reason
-	sources    map[sourceKey]bool
+	sources    map[SourceKey]bool
 }
 
 // pendingWorkload is a workload without a final answer.
@@ -107,7 +107,7 @@
 func (t *tally) count(f *Reader, r *Record) {
 	at := f.UnixMillis(r)
 	t.extendTime(at)
-	source := keyOf(f.source(r))
+	source := KeyOf(f.source(r))
 	t.sources[source] = true
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Start:
@@ -138,7 +138,7 @@
 	s.FromMs, s.ToMs = min(s.FromMs, unixMs), max(s.ToMs, unixMs)
 }
 
-func (t *tally) countRequest(source sourceKey, w *tracepb.Workload, step *tracepb.Step, at float64) {
+func (t *tally) countRequest(source SourceKey, w *tracepb.Workload, step *tracepb.Step, at float64) {
 	p := &pendingWorkload{group: t.group(source, w.GetGroup()), requestedMs: at}
 	p.group.Requests++
 	t.pending[workloadKey{source, w.GetId()}] = p
@@ -146,7 +146,7 @@
 }
 
 // group returns the outcomes of a source's group by its number.
-func (t *tally) group(source sourceKey, number uint32) *Outcomes {
+func (t *tally) group(source SourceKey, number uint32) *Outcomes {
 	name := nameOr(t.groupNames[source], number, fmt.Sprintf("group %d", number))
 	g := t.groups[name]
 	if g == nil {
@@ -166,7 +166,7 @@
 func (t *tally) countResult(p *pendingWorkload, n *tracepb.Next) {
 	switch n.Kind {
 	case resultRejectedByNode:
-		reason := nameOr(rejectionNames, n.Reason, fmt.Sprintf("reason %d", n.Reason))
+		reason := RejectionName(n.Reason, fmt.Sprintf("reason %d", n.Reason))
 		t.rejections[NodeRejection{Node: p.node, Reason: reason}]++
 	case resultNotDelivered:
 		t.summary.NotDelivered++
