--- /dev/null
+++ b/internal/compatibility/json_keys_test.go
@@ -0,0 +1,125 @@
+package compatibility_test
+
+import (
+	"fmt"
+	"grebeglade/internal/benchmark"
+	"grebeglade/internal/loadgen"
+	"grebeglade/internal/replay"
+	"grebeglade/internal/simulation"
+	"grebeglade/trace"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// listKeys writes a line for each key that a type has in JSON: its path, the kind of its value, and its options.
+func listKeys(text *strings.Builder, path string, typ reflect.Type) {
+	switch typ.Kind() {
+	case reflect.Pointer:
+		listKeys(text, path, typ.Elem())
+	case reflect.Slice, reflect.Array:
+		listKeys(text, path+"[]", typ.Elem())
+	case reflect.Map:
+		listKeys(text, path+"{}", typ.Elem())
+	case reflect.Struct:
+		for f := range typ.NumField() {
+			field := typ.Field(f)
+			name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
+			switch {
+			case name == "-" || !field.IsExported() && !field.Anonymous:
+			case field.Anonymous && name == "":
+				listKeys(text, path, field.Type)
+			default:
+				if name == "" {
+					name = field.Name
+				}
+				if options != "" {
+					fmt.Fprintf(text, "%s.%s %s\n", path, name, options)
+				}
+				listKeys(text, path+"."+name, field.Type)
+			}
+		}
+	default:
+		fmt.Fprintf(text, "%s %s\n", path, typ.Kind())
+	}
+}
+
+// TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are wall time.
+func TestJSONDocuments_KeysAsStored(t *testing.T) {
+	for name, document := range map[string]any{
+		"bench-rates":   benchmark.Rates{},
+		"bench-memory":  benchmark.Memory{},
+		"bench-state":   benchmark.StateResult{},
+		"bench-trace":   benchmark.TraceCost{},
+		"lab-load":      loadgen.Result{},
+		"lab-play":      simulation.Result{},
+		"lab-hunt":      simulation.HuntReport{},
+		"trace-summary": trace.Summary{},
+		"trace-verify":  trace.Check{},
+		"trace-merge":   trace.MergeReport{},
+		"trace-replay":  replay.Report{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var text strings.Builder
+			listKeys(&text, "", reflect.TypeOf(document))
+			compareWithStored(t, "keys/"+name+".txt", text.String())
+		})
+	}
+}
+
+// listDocumentKeys writes a line for each key of a JSON document: its path and the JSON kind of its value.
+func listDocumentKeys(keys map[string]bool, path string, value any) {
+	switch v := value.(type) {
+	case map[string]any:
+		for name, member := range v {
+			listDocumentKeys(keys, path+"."+name, member)
+		}
+	case []any:
+		for _, element := range v {
+			listDocumentKeys(keys, path+"[]", element)
+		}
+	case string:
+		keys[path+" string"] = true
+	case bool:
+		keys[path+" bool"] = true
+	case nil:
+		keys[path+" null"] = true
+	default:
+		keys[path+" number"] = true
+	}
+}
+
+// The document of config check has a form of its own in JSON, so its keys are taken from a document that has all of them. The
+// stored file names the Go type of each value; both integers and floats are numbers in JSON.
+func TestConfigCheckJSON_KeysAsStored(t *testing.T) {
+	stored, err := os.ReadFile("testdata/keys/config-check.txt")
+	require.NoError(t, err)
+	want := map[string]bool{}
+	for line := range strings.Lines(string(stored)) {
+		path, kind, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if kind != "string" && kind != "bool" {
+			kind = "number"
+		}
+		want[path+" "+kind] = true
+	}
+	got := map[string]bool{}
+	listDocumentKeys(got, "", parseDocument(t, mustRun(t, "config", "check", "--json", "../../config/testdata/allocator.hcl")))
+	require.Equal(t, want, got)
+}
+
+func TestBenchJSON_HoldsRatesAndMemory(t *testing.T) {
+	out := mustRun(t, "bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
+	document, ok := parseDocument(t, out).(map[string]any)
+	require.True(t, ok)
+	require.Len(t, document, 2)
+	require.Contains(t, document, "rates")
+	require.Contains(t, document, "memory")
+}
+
+func TestLabHuntJSON_AsStored(t *testing.T) {
+	out := mustRun(t, "lab", "hunt", "--days", "2", "--nodes", "6", "--allocators", "2", "--seed", "1", "--json")
+	compareWithStored(t, "json/lab-hunt.json", stableJSON(t, out, "seconds"))
+}
