--- a/placement/constants.go
+++ b/placement/constants.go
@@ -36,7 +36,7 @@
 	healthChecksPerRequest = 1.0          // checks that a request pays for: their cost stays a small part of it
 	unresponsiveAfter      = Millis(800)  // beyond the usual, after which an unanswered bind hints at a hang
 	ejectionTime           = Millis(500)  // after one failed contact; doubles with each further one in a row
-	maxEjectionDoublings   = 5            // so that a node is tried again after 16 s at the latest
+	ejectionDoublings      = 5            // so that a node is tried again after 16 s at the latest
 	minNodesPerEjection    = 3            // nodes for each that is ejected: more failures have a common cause
 
 	resubscribeAfter    = Millis(8e3)  // without an event, after which the subscription is renewed
--- a/placement/health.go
+++ b/placement/health.go
@@ -21,8 +21,7 @@
 
 // eject reports whether the failures keep the node out of use, for a time that doubles with each.
 func (f *failureCount) eject(now Millis) bool {
-	doublings := min(f.consecutive-1, maxEjectionDoublings)
-	return f.consecutive > 0 && now-f.last < ejectionTime*Millis(int(1)<<doublings)
+	return f.consecutive > 0 && now-f.last < ejectionTime*Millis(int(1)<<min(f.consecutive-1, ejectionDoublings))
 }
 
 // healthMonitor decides which nodes are ejected as outliers, and which to check.
@@ -36,7 +35,7 @@
 
 // ejected returns the nodes with failed contacts, then those with an overdue bind; at most part of the fleet.
 func (h *healthMonitor) ejected(now Millis) []*node {
-	var failing, unresponsive []*node
+	var suspects [2][]*node // with failed contacts, with an overdue bind
 	ready, limit := 0, unresponsiveAfter+h.longestConfirmation()
 	for _, n := range h.nodes.sorted {
 		if n.State != Ready {
@@ -45,15 +44,19 @@
 		ready++
 		switch {
 		case n.failures.eject(now):
-			failing = append(failing, n)
-		case slices.ContainsFunc(n.binds, func(b *bind) bool { return b.overdue(now, limit) }):
-			unresponsive = append(unresponsive, n)
+			suspects[0] = append(suspects[0], n)
+		case hasOverdue(n.binds, now, limit):
+			suspects[1] = append(suspects[1], n)
 		}
 	}
-	all := slices.Concat(failing, unresponsive)
+	all := slices.Concat(suspects[0], suspects[1])
 	return all[:min(len(all), ready/minNodesPerEjection)]
 }
 
+func hasOverdue(binds []*bind, now, limit Millis) bool {
+	return slices.ContainsFunc(binds, func(b *bind) bool { return b.state == bindSent && now-b.sentAt > limit })
+}
+
 func (h *healthMonitor) longestConfirmation() Millis {
 	if len(h.confirmations) > 0 {
 		return slices.Max(h.confirmations)
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -39,8 +39,6 @@
 
 func (b *bind) advance(to bindState) { b.state = max(b.state, to) }
 
-func (b *bind) overdue(now, limit Millis) bool { return b.state == bindSent && now-b.sentAt > limit }
-
 // group is a priority group: its settings, what follows from them, and its last requests.
 type group struct {
 	Group
