--- a/internal/frontend/backoff.go
+++ b/internal/frontend/backoff.go
@@ -1,9 +1,10 @@
 package frontend
 
 import (
+	"math"
+
 	"grebeglade/internal/timerqueue"
 	"grebeglade/placement"
-	"math"
 )
 
 // maxDoublings bounds the exponent of a backoff, far beyond where any Max applies.
--- a/placement/types.go
+++ b/placement/types.go
@@ -62,18 +62,18 @@
 	ScopeAll
 )
 
-// Group holds the settings of one priority group.
+// Group holds the settings of one priority group. The names in JSON are those of stored histories and of config check.
 type Group struct {
-	LatencyObjective       Millis  // a start within this is in time
-	PriorityWeight         float64 // value of one second of full service, at mean size
-	Idempotency            Idempotency
-	KeyScope               Scope   // nodes that share their idempotency keys
-	KeyWindow              Millis  // how long they keep a key
-	SpreadScope            Scope   // where the workloads of a service are limited, or ScopeNone
-	MaxPerScope            int     // how many of them may share one such scope
-	FullServiceUtilization float64 // share of a node's cores in use up to which workloads are served in full
-	DegradationRange       float64 // share beyond that over which the service falls to nothing
-	RequiredKind           int     // KindID of the nodes that its workloads need, or AnyKind
+	LatencyObjective       Millis      `json:"Target"`  // a start within this is in time
+	PriorityWeight         float64     `json:"Utility"` // value of one second of full service, at mean size
+	Idempotency            Idempotency `json:"Effect"`
+	KeyScope               Scope       `json:"DedupScope"`  // nodes that share their idempotency keys
+	KeyWindow              Millis      `json:"DedupWindow"` // how long they keep a key
+	SpreadScope            Scope       `json:"Spread"`      // where the workloads of a service are limited, or ScopeNone
+	MaxPerScope            int         `json:"SpreadMost"`  // how many of them may share one such scope
+	FullServiceUtilization float64     `json:"Calm"`        // share of a node's cores in use up to which workloads are served in full
+	DegradationRange       float64     `json:"Fade"`        // share beyond that over which the service falls to nothing
+	RequiredKind           int         `json:"Kind"`        // KindID of the nodes that its workloads need, or AnyKind
 }
 
 // NodeKind is the size of one kind of node.
@@ -84,18 +84,18 @@
 	Allocators           int        // allocators that place workloads on the same nodes
 	Ordinal              int        // this allocator's number among them, from 0
 	Groups               []Group    // by GroupID
-	NodeKinds            []NodeKind // by KindID
-	WarmUpDuration       Millis     // for which a node that has just started warms up
-	InitialRate          float64    // share of its full rate that a node starts with
-	WarmUpBudget         float64    // binds within OverloadWindow from all allocators that a warming node bears
-	OverloadWindow       Millis     // over which the binds to a node are counted
-	PolledDiscovery      bool       // whether the node list sends changes only to subscribers
-	PollInterval         Millis     // within which an allocator is expected to know a change of the list
+	NodeKinds            []NodeKind `json:"Kinds"`       // by KindID
+	WarmUpDuration       Millis     `json:"ColdFor"`     // for which a node that has just started warms up
+	InitialRate          float64    `json:"ColdFrom"`    // share of its full rate that a node starts with
+	WarmUpBudget         float64    `json:"ColdBears"`   // binds within OverloadWindow from all allocators that a warming node bears
+	OverloadWindow       Millis     `json:"OverloadFor"` // over which the binds to a node are counted
+	PolledDiscovery      bool       `json:"MustAsk"`     // whether the node list sends changes only to subscribers
+	PollInterval         Millis     `json:"AskWithin"`   // within which an allocator is expected to know a change of the list
 	ConfirmsRunning      bool       // whether a confirmation means running, not only accepted
-	ReportsUsage         bool       // whether reported spare capacity is not in use, or else not requested
-	EntriesCarryCapacity bool       // whether the entries of the node list hold free capacity
+	ReportsUsage         bool       `json:"ReportsUse"` // whether reported spare capacity is not in use, or else not requested
+	EntriesCarryCapacity bool       `json:"RoomInList"` // whether the entries of the node list hold free capacity
 	MaxBinds             int        // binds of one workload
-	HealthChecksAllowed  bool
+	HealthChecksAllowed  bool       `json:"MayProbe"`
 }
 
 // NodeState is a node's state in the node list.
