--- a/placement/types.go
+++ b/placement/types.go
@@ -1,15 +1,3 @@
-// Package placement decides where workloads run. It does no I/O and reads no clock or global random source:
-// every call is given the time, the same calls give the same results, and schedulers share nothing.
-//
-// New makes a [Scheduler] from its settings and a seed. Schedule takes a workload and returns a [Step]:
-// execute it and pass the result to its NextStep, which returns the step after that, until a step has no
-// NextStep. Adopt does the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and
-// ReportUsage take what is observed meanwhile. Maintain, called at the time that it last asked for, returns
-// migrations, health checks and whether to subscribe to the node list.
-//
-// A decision filters the nodes (filter.go, capacity.go, slowstart.go, health.go, reservation.go) and selects
-// among those that are feasible (score.go); scheduler.go follows a workload from its request to its end. This
-// file is the interface: identifiers, settings, inputs and results.
 package placement
 
 import "math"
@@ -62,24 +50,24 @@
 	ScopeAll
 )
 
-// Group holds the settings of one priority group. The names in JSON are those of stored histories and of config check.
+// Group holds the settings of one priority group. JSON has the names of stored histories and of config check.
 type Group struct {
 	LatencyObjective       Millis      `json:"Target"`  // a start within this is in time
 	PriorityWeight         float64     `json:"Utility"` // value of one second of full service, at mean size
 	Idempotency            Idempotency `json:"Effect"`
 	KeyScope               Scope       `json:"DedupScope"`  // nodes that share their idempotency keys
 	KeyWindow              Millis      `json:"DedupWindow"` // how long they keep a key
-	SpreadScope            Scope       `json:"Spread"`      // where the workloads of a service are limited, or ScopeNone
-	MaxPerScope            int         `json:"SpreadMost"`  // how many of them may share one such scope
-	FullServiceUtilization float64     `json:"Calm"`        // share of a node's cores in use up to which workloads are served in full
-	DegradationRange       float64     `json:"Fade"`        // share beyond that over which the service falls to nothing
-	RequiredKind           int         `json:"Kind"`        // KindID of the nodes that its workloads need, or AnyKind
+	SpreadScope            Scope       `json:"Spread"`      // where a service is limited, or ScopeNone
+	MaxPerScope            int         `json:"SpreadMost"`  // workloads of a service in one such scope
+	FullServiceUtilization float64     `json:"Calm"`        // share of cores in use up to which service is full
+	DegradationRange       float64     `json:"Fade"`        // share beyond that over which it falls to nothing
+	RequiredKind           int         `json:"Kind"`        // KindID of the nodes that it needs, or AnyKind
 }
 
 // NodeKind is the size of one kind of node.
 type NodeKind struct{ Cores, Memory float64 }
 
-// Settings are what an allocator knows when it starts.
+// Settings are what an allocator knows when it starts. JSON has the names of stored histories, as for Group.
 type Settings struct {
 	Allocators           int        // allocators that place workloads on the same nodes
 	Ordinal              int        // this allocator's number among them, from 0
@@ -87,13 +75,13 @@
 	NodeKinds            []NodeKind `json:"Kinds"`       // by KindID
 	WarmUpDuration       Millis     `json:"ColdFor"`     // for which a node that has just started warms up
 	InitialRate          float64    `json:"ColdFrom"`    // share of its full rate that a node starts with
-	WarmUpBudget         float64    `json:"ColdBears"`   // binds within OverloadWindow from all allocators that a warming node bears
+	WarmUpBudget         float64    `json:"ColdBears"`   // binds that a warming node bears in OverloadWindow
 	OverloadWindow       Millis     `json:"OverloadFor"` // over which the binds to a node are counted
-	PolledDiscovery      bool       `json:"MustAsk"`     // whether the node list sends changes only to subscribers
-	PollInterval         Millis     `json:"AskWithin"`   // within which an allocator is expected to know a change of the list
-	ConfirmsRunning      bool       // whether a confirmation means running, not only accepted
-	ReportsUsage         bool       `json:"ReportsUse"` // whether reported spare capacity is not in use, or else not requested
-	EntriesCarryCapacity bool       `json:"RoomInList"` // whether the entries of the node list hold free capacity
+	PolledDiscovery      bool       `json:"MustAsk"`     // the node list sends changes only to subscribers
+	PollInterval         Millis     `json:"AskWithin"`   // within which a change of the list must be known
+	ConfirmsRunning      bool       // a confirmation means running, not only accepted
+	ReportsUsage         bool       `json:"ReportsUse"` // spare means not in use, or else not requested
+	EntriesCarryCapacity bool       `json:"RoomInList"` // entries of the node list hold free capacity
 	MaxBinds             int        // binds of one workload
 	HealthChecksAllowed  bool       `json:"MayProbe"`
 }
