--- a/placement/doc.go
+++ b/placement/doc.go
@@ -3,31 +3,33 @@
 //
 // # Calls
 //
-// New makes a [Scheduler] from its settings and a seed. Schedule takes a workload and returns a [Step]: execute
-// it and pass the result to its NextStep, which returns the step after that, until a step has no NextStep. Adopt
-// does the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and ReportUsage take
-// what is observed meanwhile. Maintain, called at the time that it last asked for, returns migrations, health
-// checks and whether to subscribe to the node list. The types of these calls are in types.go.
+// New makes a [Scheduler] from its settings and a seed. Schedule takes a workload and returns a [Step]:
+// execute it and pass the result to its NextStep, which returns the step after that, until a step has no
+// NextStep. Adopt does the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and
+// ReportUsage take what is observed meanwhile. Maintain, called at the time that it last asked for, returns
+// migrations, health checks and whether to subscribe to the node list. The types of these calls are in
+// types.go.
 //
 // # A decision
 //
-// scheduler.go follows a workload from its request to its end. For each bind it filters the nodes: by the rules
-// of the group, the capacity and the load cap (filter.go, capacity.go), the warm-up budget (slowstart.go), the
-// ejected nodes (health.go) and the capacity that is reserved for others (reservation.go). Among the rest it
-// prefers nodes that run the service already, above all those that are not crowded, and then the least loaded
-// with ties broken at random (score.go). constants.go has every tuning value with its unit and reason.
+// scheduler.go follows a workload from its request to its end. For each bind it filters the nodes: by the
+// rules of the group, the capacity and the load cap (filter.go, capacity.go), the warm-up budget
+// (slowstart.go), the ejected nodes (health.go) and the capacity that is reserved for others
+// (reservation.go). Among the rest it prefers nodes that run the service already, above all those that are
+// not crowded, and then the least loaded with ties broken at random (score.go). constants.go has every tuning
+// value with its unit and reason.
 //
 // # The first node of a service
 //
 // Where no node is known to run a service, several allocators without communication would start it in as many
-// places as there are allocators. A rank that all compute alike lets the later ones find it already started; of
-// the two nodes of highest rank the one with more capacity is taken.
+// places as there are allocators. A rank that all compute alike lets the later ones find it already started;
+// of the two nodes of highest rank the one with more capacity is taken.
 //
 // # Capacity
 //
-// The node list and the load reports show the capacity late, so the requests that our own workloads have added
-// and released since are applied to it. What a workload uses is less than it requests: the load counts our
-// changes at the share of the requested cores that workloads were seen to use.
+// The node list and the load reports show the capacity late, so the requests that our own workloads have
+// added and released since are applied to it. What a workload uses is less than it requests: the load counts
+// our changes at the share of the requested cores that workloads were seen to use.
 //
 // # Reservations
 //
@@ -44,24 +46,26 @@
 //
 // All allocators together must stay within the warm-up budget of a node that has just started, without
 // agreement. Each has an equal share, which it ramps up to. Where allocators outnumber the budget they take
-// turns of one bind, which all compute alike from the node, its start time and their ordinals. A window of the
-// budget overlaps two turns at most, also with binds in flight, so each turn has half of it. What was sent
-// before a restart of the allocator is unknown, so it waits for a window or a whole turn. Binds that a network
-// partition holds up arrive together at its end: a bind counts until it is answered, and from its answer on for
-// a window. Nodes stay idle in turns of allocators without requests, and while answers are slow.
+// turns of one bind, which all compute alike from the node, its start time and their ordinals. A window of
+// the budget overlaps two turns at most, also with binds in flight, so each turn has half of it. What was
+// sent before a restart of the allocator is unknown, so it waits for a window or a whole turn. Binds that a
+// network partition holds up arrive together at its end: a bind counts until it is answered, and from its
+// answer on for a window. Nodes stay idle in turns of allocators without requests, and while answers are
+// slow.
 //
 // # Health
 //
 // Nodes with failed contacts, or with a bind that is unanswered for much longer than usual, are ejected for a
 // time. At most a part of the fleet is: more failures have a common cause. Withdrawn workloads say nothing of
-// the node; clients that withdraw hundreds at once had nodes ejected for seconds. Health checks are paid for by
-// requests: where each allocator has few of them, checking all nodes without a recent report would fill the
-// nodes' queues with checks alone, and a fleet without requests needs none. An allocator with few requests knows
-// most nodes by the list alone and takes the mean load for them.
+// the node; clients that withdraw hundreds at once had nodes ejected for seconds. Health checks are paid for
+// by requests: where each allocator has few of them, checking all nodes without a recent report would fill
+// the nodes' queues with checks alone, and a fleet without requests needs none. An allocator with few
+// requests knows most nodes by the list alone and takes the mean load for them.
 //
 // # Subscription to the node list
 //
-// A subscription may break unnoticed, and a failed poll does not tell whether it still holds: it is renewed after
-// a quiet time, which every event extends. Many allocators in step overload the list, and immediate retries keep
-// it so. First polls are spaced by ordinal, later ones have jitter, and failures make them back off.
+// A subscription may break unnoticed, and a failed poll does not tell whether it still holds: it is renewed
+// after a quiet time, which every event extends. Many allocators in step overload the list, and immediate
+// retries keep it so. First polls are spaced by ordinal, later ones have jitter, and failures make them back
+// off.
 package placement
