--- a/internal/benchmark/trace.go
+++ b/internal/benchmark/trace.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -62,11 +63,11 @@
 
 // day plays a script and returns one allocator's records.
 func day(script, dir string) ([]*trace.Record, []*tracepb.Source, error) {
-	s, err := simulation.Open(script)
+	s, err := scenario.Open(script)
 	if err != nil {
 		return nil, nil, err
 	}
-	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir}); err != nil {
+	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir}); err != nil {
 		return nil, nil, err
 	}
 	names, _, _ := trace.ListFiles(filepath.Join(dir, "allocator-1"))
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -7,6 +7,7 @@
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
@@ -30,11 +31,11 @@
 			if length < minDemoLength {
 				return fmt.Errorf("--for %s is too short for a scenario; give %s or more", length, minDemoLength)
 			}
-			s, err := simulation.Open(demoScenario)
+			s, err := scenario.Open(demoScenario)
 			if err != nil {
 				return err
 			}
-			s.Stretch(placement.Millis(milliseconds(length)))
+			s.SetLength(placement.Millis(milliseconds(length)))
 			result, err := runScenario(c, s, o, false)
 			if err != nil {
 				return err
@@ -43,7 +44,7 @@
 		},
 	}
 	c.Flags().DurationVar(&length, "for", 20*time.Second, "how long clients request workloads")
-	c.Flags().StringVar(&o.Trace, "trace", "", "record each allocator into a directory of its own below this one")
+	c.Flags().StringVar(&o.TraceDirectory, "trace", "", "record each allocator into a directory of its own below this one")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the faults and of what is requested")
 	jsonFlag(c, &asJSON)
 	return c
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 )
 
 func labCommand() *cobra.Command {
@@ -23,11 +23,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if asJSON {
-				return printJSON(c, simulation.Names())
+				return printJSON(c, scenario.Names())
 			}
 			rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
-			for _, name := range simulation.Names() {
-				s, err := simulation.Open(name)
+			for _, name := range scenario.Names() {
+				s, err := scenario.Open(name)
 				if err != nil {
 					return err
 				}
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -24,7 +24,7 @@
 }
 
 func checkHistories(c *cobra.Command, names []string, asJSON bool) error {
-	found := map[string][]simulation.Broken{}
+	found := map[string][]simulation.Violation{}
 	anyBroken := false
 	for _, name := range names {
 		h, err := readHistory(name)
@@ -32,7 +32,7 @@
 			return err
 		}
 		audit := h.Audit()
-		found[name] = append([]simulation.Broken{}, audit.Broken...) // never null in JSON
+		found[name] = append([]simulation.Violation{}, audit.Broken...) // never null in JSON
 		anyBroken = anyBroken || len(audit.Broken) > 0
 		if !asJSON {
 			c.Printf("%s: ", name)
--- a/internal/command/lab_fleet.go
+++ b/internal/command/lab_fleet.go
@@ -4,6 +4,7 @@
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 )
 
 type fleetOptions struct {
@@ -32,17 +33,17 @@
 }
 
 func (o *fleetOptions) run(c *cobra.Command) error {
-	s, err := simulation.Open(o.scenario)
+	s, err := scenario.Open(o.scenario)
 	if err != nil {
 		return err
 	}
 	s.Resize(0, max(0, o.nodes))
-	loop, address, err := simulation.StandFleet(s, o.seed, o.discovery, nil)
+	loop, address, err := simulation.StartFleet(s, o.seed, o.discovery, nil)
 	if err != nil {
 		return runError{err}
 	}
 	defer loop.Close()
-	c.Printf("%d nodes run; the machine list answers at %s\n", s.Nodes(), address)
+	c.Printf("%d nodes run; the machine list answers at %s\n", s.NodeCount(), address)
 	<-c.Context().Done()
 	return nil
 }
--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -16,7 +16,7 @@
 const minHuntNodes = 4
 
 type huntOptions struct {
-	search  simulation.Hunt
+	search  simulation.Search
 	seconds int
 	dir     string
 	mutant  string
@@ -35,11 +35,11 @@
 	}
 	f := c.Flags()
 	f.IntVar(&o.seconds, "seconds", 0, "search for so long; reduction comes after")
-	f.IntVar(&o.search.Days, "days", 0, "search over so many scenarios")
+	f.IntVar(&o.search.MaxRuns, "days", 0, "search over so many scenarios")
 	f.Uint64Var(&o.search.Seed, "seed", 1, "seed of the scenarios that are drawn")
 	f.IntVar(&o.search.Allocators, "allocators", 16, "allocators of a scenario, at most")
 	f.IntVar(&o.search.Nodes, "nodes", 24, "nodes of a scenario, at most")
-	f.IntVar(&o.search.Worst, "worst", 1, "scenarios to keep that break nothing and lose most")
+	f.IntVar(&o.search.KeepWorst, "worst", 1, "scenarios to keep that break nothing and lose most")
 	f.StringVarP(&o.dir, "output", "o", "", "directory for what is found, as scenario files")
 	f.StringVar(&o.mutant, "break", "", "let the allocators break a rule on purpose, to see the search find it")
 	jsonFlag(c, &o.asJSON)
@@ -48,7 +48,7 @@
 
 func (o *huntOptions) check() error {
 	h := &o.search
-	if o.seconds < 0 || h.Days < 0 || o.seconds+h.Days == 0 || h.Allocators < 1 || h.Nodes < minHuntNodes || h.Worst < 0 {
+	if o.seconds < 0 || h.MaxRuns < 0 || o.seconds+h.MaxRuns == 0 || h.Allocators < 1 || h.Nodes < minHuntNodes || h.KeepWorst < 0 {
 		return errors.New("give --seconds or --days above 0, --allocators of 1 and --nodes of 4 or more")
 	}
 	return checkMutant(o.mutant)
@@ -58,14 +58,14 @@
 	if err := o.check(); err != nil {
 		return err
 	}
-	o.search.Time, o.search.Sabotage = time.Duration(o.seconds)*time.Second, simulation.Sabotage(o.mutant)
+	o.search.MaxTime, o.search.Mutant = time.Duration(o.seconds)*time.Second, simulation.Mutant(o.mutant)
 	report, err := o.search.Run(c.Context(), func(scenarios, found int) {
 		c.PrintErrf("%d scenarios, %d break a rule\n", scenarios, found)
 	})
 	if err != nil {
 		return runError{err}
 	}
-	if err := writeFinds(o.dir, report.Finds); err != nil {
+	if err := writeFinds(o.dir, report.Findings); err != nil {
 		return runError{err}
 	}
 	if o.asJSON {
@@ -75,16 +75,16 @@
 	} else {
 		printHunt(c, report, o.dir)
 	}
-	if slices.ContainsFunc(report.Finds, breaksRule) {
+	if slices.ContainsFunc(report.Findings, breaksRule) {
 		return errProblemFound
 	}
 	return nil
 }
 
-func breaksRule(f simulation.Find) bool { return f.Rule > 0 }
+func breaksRule(f simulation.Finding) bool { return f.Rule > 0 }
 
 // writeFinds writes each scenario that was found into a file of its own, unless dir is "".
-func writeFinds(dir string, finds []simulation.Find) error {
+func writeFinds(dir string, finds []simulation.Finding) error {
 	if dir == "" {
 		return nil
 	}
@@ -92,9 +92,9 @@
 		return err
 	}
 	for _, f := range finds {
-		name := fmt.Sprintf("rule%d-day%d-seed%d.hcl", f.Rule, f.Day, f.Seed)
+		name := fmt.Sprintf("rule%d-day%d-seed%d.hcl", f.Rule, f.Run, f.Seed)
 		if !breaksRule(f) {
-			name = fmt.Sprintf("lost-day%d-seed%d.hcl", f.Day, f.Seed)
+			name = fmt.Sprintf("lost-day%d-seed%d.hcl", f.Run, f.Seed)
 		}
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(f.Script), 0o644); err != nil {
 			return err
@@ -103,19 +103,19 @@
 	return nil
 }
 
-func printHunt(c *cobra.Command, r *simulation.HuntReport, dir string) {
+func printHunt(c *cobra.Command, r *simulation.SearchReport, dir string) {
 	n := r.Nearest
 	c.Printf("%d scenarios in %.0f s. Nearest approach to a limit, which is 1: answers %.3f, drains %.3f, cold nodes %.3f, spread %.3f.\n",
-		r.Days, r.Seconds, n.Answer, n.Drain, n.Cold, n.Spread)
-	for _, f := range r.Finds {
+		r.Runs, r.Seconds, n.Answer, n.Drain, n.Cold, n.Spread)
+	for _, f := range r.Findings {
 		if breaksRule(f) {
-			c.Printf("RULE %d BROKEN in scenario %d and %d others: %s; reduced: %s; seed %d\n", f.Rule, f.Day, f.Times-1, f.What, f.Shrunk, f.Seed)
+			c.Printf("RULE %d BROKEN in scenario %d and %d others: %s; reduced: %s; seed %d\n", f.Rule, f.Run, f.Times-1, f.What, f.Reduction, f.Seed)
 		} else {
 			c.Printf("Most lost in scenario %d: %.1f%% of the workloads wanted were not placed at their first request; seed %d\n",
-				f.Day, 100*f.Lost, f.Seed)
+				f.Run, 100*f.Lost, f.Seed)
 		}
 	}
-	if dir != "" && len(r.Finds) > 0 {
+	if dir != "" && len(r.Findings) > 0 {
 		c.Printf("Run them again: grebeglade lab play %s --virtual --seed SEED\n", filepath.Join(dir, "NAME.hcl"))
 	}
 }
--- a/internal/command/lab_play.go
+++ b/internal/command/lab_play.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
@@ -52,15 +53,15 @@
 	f.Float64Var(&o.load, "load", 0, "request that share of the fleet's cores, in the mean: 0.8 for 80%")
 	f.StringVar(&o.gangs, "gangs", "together", "how clients request gangs: together, or to compare independent or for-ever")
 	f.StringVar(&o.mutant, "break", "", "let the allocators break a rule on purpose, to see the auditor detect it")
-	f.StringVar(&o.run.Trace, "trace", "", "record each allocator into a directory of its own below this one")
-	f.StringVar(&o.run.History, "history", "", "write everything seen from outside into this file, for 'lab check'")
+	f.StringVar(&o.run.TraceDirectory, "trace", "", "record each allocator into a directory of its own below this one")
+	f.StringVar(&o.run.HistoryFile, "history", "", "write everything seen from outside into this file, for 'lab check'")
 	f.BoolVar(&o.verbose, "verbose", false, "show the allocators' log")
 	jsonFlag(c, &o.asJSON)
 	return c
 }
 
-func (o *playOptions) play(c *cobra.Command, scenario string) error {
-	s, err := simulation.Open(scenario)
+func (o *playOptions) play(c *cobra.Command, name string) error {
+	s, err := scenario.Open(name)
 	if err != nil {
 		return err
 	}
@@ -70,7 +71,7 @@
 	if err := checkMutant(o.mutant); err != nil {
 		return err
 	}
-	o.run.Sabotage = simulation.Sabotage(o.mutant)
+	o.run.Mutant = simulation.Mutant(o.mutant)
 	if o.verbose {
 		o.run.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
 	}
@@ -82,23 +83,23 @@
 }
 
 // adjust changes a scenario as the flags say.
-func (o *playOptions) adjust(s *simulation.Script) error {
+func (o *playOptions) adjust(s *scenario.Script) error {
 	if o.allocators < 0 || o.nodes < 0 || o.rate < 0 || o.length < 0 {
 		return errors.New("--allocators, --nodes, --rate and --for must not be below 0")
 	}
 	s.Resize(o.allocators, o.nodes)
 	if o.length > 0 {
-		s.Stretch(placement.Millis(milliseconds(o.length)))
+		s.SetLength(placement.Millis(milliseconds(o.length)))
 	}
 	if o.rate > 0 {
-		s.Owner.Rate = o.rate
+		s.Client.Rate = o.rate
 	}
 	if o.load > 0 {
-		s.Load(o.load)
+		s.SetLoad(o.load)
 	}
-	switch policy := simulation.GangPolicy(o.gangs); policy {
-	case simulation.Together, simulation.Independent, simulation.ForEver:
-		s.Owner.Policy = policy
+	switch policy := scenario.GangPolicy(o.gangs); policy {
+	case scenario.Together, scenario.Independent, scenario.UntilPlaced:
+		s.Client.GangPolicy = policy
 	default:
 		return fmt.Errorf("--gangs %q is not known; known are together, independent, for-ever", o.gangs)
 	}
@@ -107,14 +108,14 @@
 
 // checkMutant checks the name of a rule-breaking variant; "" is none.
 func checkMutant(name string) error {
-	if _, ok := simulation.Sabotages[simulation.Sabotage(name)]; !ok && name != "" {
-		return fmt.Errorf("--break %q is not known; known are %v", name, slices.Sorted(maps.Keys(simulation.Sabotages)))
+	if _, ok := simulation.MutantRules[simulation.Mutant(name)]; !ok && name != "" {
+		return fmt.Errorf("--break %q is not known; known are %v", name, slices.Sorted(maps.Keys(simulation.MutantRules)))
 	}
 	return nil
 }
 
 // runScenario runs a scenario in virtual time or on sockets.
-func runScenario(c *cobra.Command, s *simulation.Script, o simulation.Options, virtual bool) (*simulation.Result, error) {
+func runScenario(c *cobra.Command, s *scenario.Script, o simulation.Options, virtual bool) (*simulation.Result, error) {
 	var result *simulation.Result
 	var err error
 	if virtual {
@@ -134,7 +135,7 @@
 func printProgress(c *cobra.Command, p simulation.Progress) {
 	const millisPerSecond = 1000
 	c.PrintErrf("%4.0f of %.0f s: %d requests, %d placed, %d rejected, %d unschedulable, %d waiting\n",
-		float64(min(p.At, p.Of))/millisPerSecond, float64(p.Of)/millisPerSecond, p.Asks, p.Placed, p.Rejected, p.Unschedulable, p.Waits)
+		float64(min(p.At, p.Of))/millisPerSecond, float64(p.Of)/millisPerSecond, p.Requests, p.Placed, p.Rejected, p.Unschedulable, p.Pending)
 }
 
 // printResult prints what a run came to. The error is errProblemFound if a rule broke.
@@ -146,7 +147,7 @@
 	} else {
 		printResultText(c, r)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errProblemFound
 	}
 	return nil
@@ -160,10 +161,10 @@
 	c.Printf("Scenario %q (%s), seed %d, %s: %d allocators, %d nodes, %.0f s, run in %.1f s.\n",
 		r.Name, r.About, r.Seed, how, r.Allocators, r.Nodes, r.DaySeconds, r.RanSeconds)
 	c.Printf("Clients sent %d requests for %d workloads. Placed %d, rejected %d, unschedulable %d, withdrawn %d, lost with their "+
-		"allocator or connection %d, without an answer %d.\n", r.Workloads, r.Firsts, r.Placed, r.Rejected,
-		r.Unschedulable, r.Withdrawn, r.Cut, r.Unanswered)
+		"allocator or connection %d, without an answer %d.\n", r.Workloads, r.FirstRequests, r.Placed, r.Rejected,
+		r.Unschedulable, r.Withdrawn, r.Disconnected, r.Unanswered)
 	c.Printf("It took %d binds and %d migrations; half of the workloads were placed within %.0f ms, 99%% within %.0f ms.\n",
-		r.Binds, r.Moves, r.WaitMedian, r.Wait99)
+		r.Binds, r.Migrations, r.WaitMedian, r.Wait99)
 	if r.Gangs > 0 {
 		c.Printf("Of %d gangs %d were placed, half of them within %.0f ms, and %d were abandoned; %.1f%% of the parts' core time went to "+
 			"gangs that were not placed. Parts left of incomplete gangs: %d.\n", r.Gangs, r.GangsStood, r.GangMedian, r.GangsGivenUp,
@@ -176,18 +177,18 @@
 	if len(ends) > 0 {
 		c.Printf("Of those placed have ended: %s.\n", strings.Join(ends, ", "))
 	}
-	printAudit(c, r.Frames, r.Broken, r.MoreBroken)
+	printAudit(c, r.Frames, r.Violations, r.MoreViolations)
 }
 
 // printAudit prints whether the rules held, and the frames of the first breaks. More is how many breaks were not kept.
-func printAudit(c *cobra.Command, frames int, broken []simulation.Broken, more int) {
+func printAudit(c *cobra.Command, frames int, broken []simulation.Violation, more int) {
 	if len(broken) == 0 {
 		c.Printf("All rules held, by the %d frames that passed.\n", frames)
 		return
 	}
 	c.Printf("RULES WERE BROKEN, %d times:\n", len(broken)+more)
 	for _, b := range broken[:min(len(broken), maxBrokenShown)] {
-		c.Printf("  rule %d at %.0f ms: %s (workload %d, node %d)\n", b.Rule, b.At, b.What, b.Workload, b.Node)
+		c.Printf("  rule %d at %.0f ms: %s (workload %d, node %d)\n", b.Rule, b.At, b.Message, b.Workload, b.Node)
 		for _, f := range b.Frames {
 			c.Printf("    %s\n", f)
 		}
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -56,7 +56,7 @@
 		"bench-trace":   benchmark.TraceCost{},
 		"lab-load":      loadgen.Result{},
 		"lab-play":      simulation.Result{},
-		"lab-hunt":      simulation.HuntReport{},
+		"lab-hunt":      simulation.SearchReport{},
 		"trace-summary": trace.Summary{},
 		"trace-verify":  trace.Check{},
 		"trace-merge":   trace.MergeReport{},
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -96,8 +96,8 @@
 	}
 	day, err := p.Day(p.Cells()[3])
 	require.NoError(t, err)
-	assert.Equal(t, 8, day.Nodes())
-	assert.Equal(t, "crash", day.Faults[0].Kind)
+	assert.Equal(t, 8, day.NodeCount())
+	assert.Equal(t, "crash", string(day.Faults[0].Kind))
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, parquetFile))
 	require.NoError(t, err)
 	assert.Greater(t, len(rows), 12*8)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"grebeglade/config"
-	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
@@ -156,7 +156,7 @@
 
 // Day is the script of a cell: what its levels' day blocks say, then the script that they or the plan name. Where two
 // levels set the same, the one of the factor that stands first counts.
-func (p *Plan) Day(c Cell) (*simulation.Script, error) {
+func (p *Plan) Day(c Cell) (*scenario.Script, error) {
 	b, err := config.Parse(p.file, p.src)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	from, err := simulation.Parse(base)
+	from, err := scenario.Parse(base)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.file, err)
 	}
@@ -186,7 +186,7 @@
 	} else {
 		day.Inherit(from)
 	}
-	s, err := simulation.Decode(day)
+	s, err := scenario.Decode(day)
 	if err != nil {
 		return nil, err
 	}
@@ -196,13 +196,13 @@
 	}
 	for _, l := range c.Levels {
 		if l.Length > 0 {
-			s.Stretch(l.Length)
+			s.SetLength(l.Length)
 		}
 		if l.Rate > 0 {
-			s.Owner.Rate = l.Rate
+			s.Client.Rate = l.Rate
 		}
 		if l.Load > 0 {
-			s.Load(l.Load)
+			s.SetLoad(l.Load)
 		}
 	}
 	return s, nil
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -256,7 +256,7 @@
 		if deadline, ok := ctx.Deadline(); ok && deadline.Before(until) {
 			until = deadline
 		}
-		result, err = simulation.PlayVirtual(s, simulation.Options{Seed: j.seed, Oracle: p.Oracle, Until: until, Stopped: ctx.Err})
+		result, err = simulation.PlayVirtual(s, simulation.Options{Seed: j.seed, Oracle: p.Oracle, Deadline: until, Cancelled: ctx.Err})
 	}
 	if err != nil {
 		run.Error = err.Error()
--- a/internal/experiment/values.go
+++ b/internal/experiment/values.go
@@ -52,7 +52,7 @@
 	{"cost", "ms a workload", "time on one core to play the day, set-up too; not the same on every run", true, true,
 		func(r *simulation.Result) (float64, bool) { return each(1000*r.RanSeconds, float64(r.Workloads)) }},
 	{"broken", "", "breaks of a rule", true, false,
-		func(r *simulation.Result) (float64, bool) { return float64(len(r.Broken) + r.MoreBroken), true }},
+		func(r *simulation.Result) (float64, bool) { return float64(len(r.Violations) + r.MoreViolations), true }},
 	{"oracle_best", "%", "core time that is known to have been possible", true, true,
 		func(r *simulation.Result) (float64, bool) {
 			return oracle(r, func(o *simulation.Oracle) float64 { return o.Best })
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -12,6 +12,7 @@
 
 	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -64,10 +65,10 @@
 // What an allocator was asked on a day can be asked of another one, faster.
 func TestATraceIsAskedAgainAtItsTimes(t *testing.T) {
 	dir := t.TempDir()
-	s, err := simulation.Open("quiet")
+	s, err := scenario.Open("quiet")
 	require.NoError(t, err)
-	s.Stretch(4000)
-	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
+	s.SetLength(4000)
+	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
 	names, _, _ := trace.ListFiles(dir + "/allocator-1")
 	require.NotEmpty(t, names)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,6 +19,7 @@
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
@@ -27,10 +28,10 @@
 // traced runs a scenario in virtual time and returns the traces of each allocator.
 func traced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
-	s, err := simulation.Open(name)
+	s, err := scenario.Open(name)
 	require.NoError(t, err)
 	dir := t.TempDir()
-	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
+	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
 	return open(t, dir)
 }
@@ -66,7 +67,7 @@
 }
 
 func TestRunFiles_EveryScenarioIsIdentical(t *testing.T) {
-	for _, name := range simulation.Names() {
+	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			identical(t, traced(t, name))
@@ -75,22 +76,22 @@
 }
 
 func TestRunFiles_ScenarioOverSocketsIsIdentical(t *testing.T) {
-	s, err := simulation.Open("rough")
+	s, err := scenario.Open("rough")
 	require.NoError(t, err)
-	s.Stretch(4000)
+	s.SetLength(4000)
 	dir := t.TempDir()
-	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, Trace: dir}, nil)
+	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, TraceDirectory: dir}, nil)
 	require.NoError(t, err)
-	assert.Empty(t, r.Broken)
+	assert.Empty(t, r.Violations)
 	identical(t, open(t, dir))
 }
 
 func TestRecorder_DoesNotChangeDecisions(t *testing.T) {
-	s, err := simulation.Open("rough")
+	s, err := scenario.Open("rough")
 	require.NoError(t, err)
-	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, Trace: t.TempDir()})
+	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, TraceDirectory: t.TempDir()})
 	require.NoError(t, err)
-	s, err = simulation.Open("rough")
+	s, err = scenario.Open("rough")
 	require.NoError(t, err)
 	without, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5})
 	require.NoError(t, err)
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -5,24 +5,16 @@
 	"fmt"
 	"slices"
 
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Terms are what the auditor holds a day to.
-type Terms struct {
-	Slack      placement.Millis // beyond the pending timeout within which an answer still counts
-	DrainGrace placement.Millis
-	MaxBinds   int        // of one ask; 0 for any number
-	Model      *NodeModel // for what cold nodes bear
-	Groups     map[string]placement.Group
-}
-
 // Broken is a rule that did not hold, with the frames that show it.
-type Broken struct {
+type Violation struct {
 	Rule     int      `json:"rule"`
-	What     string   `json:"what"`
+	Message  string   `json:"what"`
 	Workload uint64   `json:"workload,omitempty"` // its key
 	Node     uint32   `json:"node,omitempty"`
 	At       float64  `json:"at_ms"`
@@ -39,19 +31,19 @@
 
 // Auditor decides the five rules from what passed between the parties, and from nothing else.
 type Auditor struct {
-	terms  Terms
+	terms  scenario.Terms
 	allocs map[string]*allocatorSeen
-	conns  map[*Gate]map[transport.ConnID]*connSeen
+	conns  map[*Interceptor]map[transport.ConnID]*connSeen
 	asks   map[askRef]*askSeen
 	order  []*askSeen
 	nodes  map[uint32]*nodeSeen
 	starts map[uint64][]bindKey // run-once workloads that started, by key
 	once   map[uint64][]*bindSeen
-	Broken []Broken
+	Broken []Violation
 	More   int // breaks beyond those kept
 	Frames int
 
-	Nearest Nearest // how near to the limits it came
+	Nearest LimitUse // how near to the limits it came
 
 	dead  map[string]bool // allocators
 	gangs map[askRef]*gangSeen
@@ -144,9 +136,9 @@
 }
 
 // NewAuditor makes an auditor that has seen nothing.
-func NewAuditor(t Terms) *Auditor {
+func NewAuditor(t scenario.Terms) *Auditor {
 	return &Auditor{
-		terms: t, allocs: map[string]*allocatorSeen{}, conns: map[*Gate]map[transport.ConnID]*connSeen{},
+		terms: t, allocs: map[string]*allocatorSeen{}, conns: map[*Interceptor]map[transport.ConnID]*connSeen{},
 		asks: map[askRef]*askSeen{}, nodes: map[uint32]*nodeSeen{}, starts: map[uint64][]bindKey{}, once: map[uint64][]*bindSeen{},
 		dead: map[string]bool{}, gangs: map[askRef]*gangSeen{}, parts: map[bindKey]*partSeen{},
 		partBinds: map[bindKey]bool{}, stopped: map[bindKey]stopSeen{},
@@ -158,7 +150,7 @@
 		a.More++
 		return
 	}
-	b := Broken{Rule: rule, What: what, Node: node, At: float64(now)}
+	b := Violation{Rule: rule, Message: what, Node: node, At: float64(now)}
 	if w != nil {
 		b.Workload = w.ask.Key
 		frames = append(slices.Clone(w.frames), frames...)
@@ -188,7 +180,7 @@
 }
 
 // Life forgets what a dead allocator was told, and excuses what it held.
-func (a *Auditor) Life(now placement.Millis, g *Gate, alive bool) {
+func (a *Auditor) Life(now placement.Millis, g *Interceptor, alive bool) {
 	if !alive && g.Role == pb.Role_NODE {
 		a.nodeDied(now, uint32(g.ID))
 	}
@@ -208,7 +200,7 @@
 }
 
 // Still notes for how long an allocator stands still.
-func (a *Auditor) Still(now placement.Millis, g *Gate, until placement.Millis) {
+func (a *Auditor) Still(now placement.Millis, g *Interceptor, until placement.Millis) {
 	if g.Role == pb.Role_ALLOCATOR {
 		s := a.allocator(g.Name)
 		s.still = append(s.still, [2]placement.Millis{now, until})
@@ -216,7 +208,7 @@
 }
 
 // Conn takes the end of a connection: what was out over it may have run, what waited at it gets no answer.
-func (a *Auditor) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
+func (a *Auditor) Conn(now placement.Millis, g *Interceptor, c transport.ConnID, open bool) {
 	if open {
 		return
 	}
@@ -242,7 +234,7 @@
 }
 
 // Frame takes one frame at one end.
-func (a *Auditor) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
+func (a *Auditor) Frame(now, arrived placement.Millis, g *Interceptor, c transport.ConnID, out bool, f *pb.Frame) {
 	a.Frames++
 	if h := f.GetHello(); h != nil && out && g.Role == pb.Role_ALLOCATOR {
 		a.allocator(g.Name).life = h.Incarnation
@@ -297,7 +289,7 @@
 }
 
 // buryGone ends what stood on a node that the list calls gone and that is not connected any more.
-func (a *Auditor) buryGone(g *Gate, s *allocatorSeen, node uint32) {
+func (a *Auditor) buryGone(g *Interceptor, s *allocatorSeen, node uint32) {
 	if t := a.told(s, node); !t.gone {
 		return
 	}
@@ -313,11 +305,11 @@
 	}
 }
 
-func (a *Auditor) atOwner(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
+func (a *Auditor) atOwner(now placement.Millis, g *Interceptor, c transport.ConnID, seen frameSeen) {
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Ask:
 		w := &askSeen{
-			ref: askRef{g.Name, b.Ask.Ask}, ask: b.Ask, deadline: now + placement.Millis(b.Ask.LeftMs) + a.terms.Slack,
+			ref: askRef{g.Name, b.Ask.Ask}, ask: b.Ask, deadline: now + placement.Millis(b.Ask.LeftMs) + a.terms.AnswerSlack,
 		}
 		if peer := a.conns[g][c]; peer != nil {
 			w.alloc = peer.name
@@ -329,7 +321,7 @@
 		// To the first rule a group is one ask; its parts' offers are held to the other rules by their own keys.
 		w := &askSeen{
 			ref: askRef{g.Name, b.GangAsk.Ask}, ask: b.GangAsk.Parts[0], gang: true,
-			deadline: now + placement.Millis(b.GangAsk.LeftMs) + a.terms.Slack,
+			deadline: now + placement.Millis(b.GangAsk.LeftMs) + a.terms.AnswerSlack,
 		}
 		if peer := a.conns[g][c]; peer != nil {
 			w.alloc = peer.name
@@ -355,7 +347,7 @@
 		}
 		a.unanswered(now, w)
 		if !w.answered && !w.excused {
-			a.Nearest.Answer = max(a.Nearest.Answer, 1-float64((w.deadline-now)/max(1, placement.Millis(w.ask.LeftMs)+a.terms.Slack)))
+			a.Nearest.Answer = max(a.Nearest.Answer, 1-float64((w.deadline-now)/max(1, placement.Millis(w.ask.LeftMs)+a.terms.AnswerSlack)))
 		}
 		w.answered = true
 	}
@@ -384,7 +376,7 @@
 	return t
 }
 
-func (a *Auditor) atAllocator(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
+func (a *Auditor) atAllocator(now placement.Millis, g *Interceptor, c transport.ConnID, seen frameSeen) {
 	s := a.allocator(g.Name)
 	peer := a.conns[g][c]
 	if peer == nil {
@@ -443,7 +435,7 @@
 }
 
 // listed takes what the list tells an allocator; news older than what it has told before is none.
-func (a *Auditor) listed(now placement.Millis, g *Gate, s *allocatorSeen, u *pb.ListUpdate) {
+func (a *Auditor) listed(now placement.Millis, g *Interceptor, s *allocatorSeen, u *pb.ListUpdate) {
 	whole := u.Kind == pb.ListUpdate_WHOLE
 	if u.Kind == pb.ListUpdate_FAILED || u.Epoch == s.epoch && u.Revision < s.have || u.Epoch != s.epoch && !whole {
 		return
@@ -596,7 +588,7 @@
 	return s == placement.ScopeAll
 }
 
-func (a *Auditor) atNode(now, arrived placement.Millis, g *Gate, seen frameSeen) {
+func (a *Auditor) atNode(now, arrived placement.Millis, g *Interceptor, seen frameSeen) {
 	n := a.node(uint32(g.ID))
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Register:
@@ -627,7 +619,7 @@
 func (a *Auditor) arrives(now placement.Millis, id uint32, n *nodeSeen, o *pb.Offer, seen frameSeen) {
 	m := a.terms.Model
 	up := now - n.born
-	if up >= m.ColdFor {
+	if up >= m.WarmUpDuration {
 		return
 	}
 	for _, x := range n.arrivals {
@@ -641,18 +633,18 @@
 	var window []frameSeen
 	knew := 0
 	for _, x := range n.arrivals {
-		if x.at >= now-m.OverloadFor {
+		if x.at >= now-m.OverloadWindow {
 			window = append(window, x.seen)
 			if x.told {
 				knew++
 			}
 		}
 	}
-	pace := m.ColdFrom + (1-m.ColdFrom)*float64(up/m.ColdFor)
-	a.Nearest.Cold = max(a.Nearest.Cold, float64(len(window))/m.bears(pace))
-	if bears := m.bears(pace); float64(len(window)) > bears && 3*knew >= 2*len(window) {
+	pace := m.InitialRate + (1-m.InitialRate)*float64(up/m.WarmUpDuration)
+	a.Nearest.Cold = max(a.Nearest.Cold, float64(len(window))/m.BindLimit(pace))
+	if bears := m.BindLimit(pace); float64(len(window)) > bears && 3*knew >= 2*len(window) {
 		a.breaks(4, now, id, nil, fmt.Sprintf("%d offers within %.0f ms at a cold node that bears %.0f",
-			len(window), m.OverloadFor, bears), window...)
+			len(window), m.OverloadWindow, bears), window...)
 		n.arrivals = nil
 	}
 }
@@ -678,7 +670,7 @@
 		a.unanswered(now, w)
 	}
 	a.finishGangs(now)
-	slices.SortStableFunc(a.Broken, func(x, y Broken) int {
+	slices.SortStableFunc(a.Broken, func(x, y Violation) int {
 		return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Rule, y.Rule))
 	})
 }
--- a/internal/simulation/auditgangs.go
+++ b/internal/simulation/auditgangs.go
@@ -103,7 +103,7 @@
 }
 
 // gangFrame follows the parts of groups at the nodes.
-func (a *Auditor) gangFrame(now placement.Millis, g *Gate, c transport.ConnID, seen frameSeen) {
+func (a *Auditor) gangFrame(now placement.Millis, g *Interceptor, c transport.ConnID, seen frameSeen) {
 	switch b := seen.f.Body.(type) {
 	case *pb.Frame_Hello:
 		if peer := a.conns[g][c]; g.Role == pb.Role_NODE && seen.out && peer != nil {
--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -17,27 +17,27 @@
 }
 
 // atOnce is how old the news may be on a day on which the engine sees the true state, in ms.
-const atOnce = placement.Millis(10)
+const freshDelay = placement.Millis(10)
 
 // oracle works out what the best could have run of what was wanted on this day.
-func (d *Day) oracle(ran float64) (*Oracle, error) {
-	machines, wants, end := d.machines(), d.oracleWants(), d.QuietAt()
+func (d *Run) oracle(ran float64) (*Oracle, error) {
+	machines, wants, end := d.machines(), d.oracleWants(), d.RequestsEnd()
 	wanted := d.wantedCores()
 	if wanted == 0 {
 		return &Oracle{}, nil
 	}
 	m := &d.script.Node
-	rules := &oracle.Rules{Window: m.OverloadFor, Bears: func(up placement.Millis) float64 {
-		if up >= m.ColdFor {
+	rules := &oracle.Rules{Window: m.OverloadWindow, Bears: func(up placement.Millis) float64 {
+		if up >= m.WarmUpDuration {
 			return -1
 		}
-		return m.bears(m.ColdFrom + (1-m.ColdFrom)*float64(up/m.ColdFor))
+		return m.BindLimit(m.InitialRate + (1-m.InitialRate)*float64(up/m.WarmUpDuration))
 	}}
 	free := oracle.Place(machines, wants, end, nil) / wanted
 	ruled := oracle.Place(machines, wants, end, rules) / wanted
 	rules.Asked = true
 	asked := oracle.Place(machines, wants, end, rules) / wanted
-	seeing, err := d.seeing()
+	seeing, err := d.playWithFullKnowledge()
 	if err != nil {
 		return nil, err
 	}
@@ -49,11 +49,11 @@
 }
 
 // seeing plays the day again with one allocator that knows of everything at once.
-func (d *Day) seeing() (float64, error) {
+func (d *Run) playWithFullKnowledge() (float64, error) {
 	s := *d.script
-	s.Allocators, s.List.Lag, s.List.Every, s.List.LinesPerSec = 1, 0, atOnce, 0
-	s.Node.ReportEvery = min(s.Node.ReportEvery, atOnce)
-	r, err := PlayVirtual(&s, Options{Seed: d.opts.Seed, Until: d.opts.Until})
+	s.Allocators, s.Discovery.Lag, s.Discovery.PushInterval, s.Discovery.EntriesPerSecond = 1, 0, freshDelay, 0
+	s.Node.ReportInterval = min(s.Node.ReportInterval, freshDelay)
+	r, err := PlayVirtual(&s, Options{Seed: d.opts.Seed, Deadline: d.opts.Deadline})
 	if err != nil {
 		return 0, err
 	}
@@ -61,38 +61,38 @@
 }
 
 // again is how long an owner waits, in the mean, before it asks again for what was lost.
-func (d *Day) again(e placement.Idempotency) placement.Millis {
+func (d *Run) meanRetryDelay(e placement.Idempotency) placement.Millis {
 	switch e {
 	case placement.AtMostOnce:
 		return -1
 	case placement.IdempotentByKey:
-		return max(d.script.Owner.Again, settleAfter)
+		return max(d.script.Client.RetryDelay, retryAfterUnknown)
 	}
-	return d.script.Owner.Again
+	return d.script.Client.RetryDelay
 }
 
-func (d *Day) machines() []oracle.Machine {
+func (d *Run) machines() []oracle.Machine {
 	var all []oracle.Machine
 	for i, g := range d.nodes {
 		spec := d.specs[i]
 		all = append(all, oracle.Machine{
 			Zone: spec.Zone, Cell: spec.Cell, Cores: spec.Cores, Memory: spec.Memory,
-			AskCores: spec.Cores * d.script.Node.OverCores, AskMemory: spec.Memory * d.script.Node.OverMemory,
-			Up: g.lives, Drains: d.drains[g],
+			AskCores: spec.Cores * d.script.Node.CoreOvercommit, AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
+			Up: g.uptime, Drains: d.drains[g],
 		})
 	}
 	return all
 }
 
-func (d *Day) oracleWants() []oracle.Want {
+func (d *Run) oracleWants() []oracle.Want {
 	terms := d.script.Terms()
 	var all []oracle.Want
-	for _, w := range d.wants() {
+	for _, w := range d.wantedWorkloads() {
 		use, g := d.script.Node.Groups[w.Group], terms.Groups[w.Group]
 		all = append(all, oracle.Want{
 			From: w.From, Until: w.Until, Service: w.Service, Cores: w.Cores, Memory: w.Memory,
-			UsesCores: w.Cores * use.Cores * spread(w.Service), UsesMemory: w.Memory * use.Memory * spread(w.Service+1),
-			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.again(g.Idempotency),
+			UsesCores: w.Cores * use.CoreUse * serviceFactor(w.Service), UsesMemory: w.Memory * use.MemoryUse * serviceFactor(w.Service+1),
+			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.meanRetryDelay(g.Idempotency),
 		})
 	}
 	return all
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -15,6 +15,7 @@
 
 	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/oracle"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/storage"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -23,148 +24,137 @@
 	"grebeglade/trace/tracepb"
 )
 
-const settleFor = placement.Millis(2e3) // ms after the last answer for what is still under way
+const settleTime = placement.Millis(2e3) // ms after the last answer for what is still under way
 
 // Options are what a day is played with, besides its script.
 type Options struct {
-	Seed     uint64
-	Sabotage Sabotage // an engine that breaks a rule on purpose
-	Log      *slog.Logger
-	Mishap   *Mishap
-	Oracle   bool         // work out how much the best could have run, in virtual time
-	Stopped  func() error // asked now and then whether to give up, in virtual time
-	Until    time.Time    // when a day in virtual time is given up, zero for never
-	History  string       // file that takes all that was seen from outside; "" for none
-	Trace    string       // directory that takes a trace of each allocator, in one of its own; "" for none
+	Seed           uint64
+	Mutant         Mutant // an engine that breaks a rule on purpose
+	Log            *slog.Logger
+	MessageFault   *MessageFault
+	Oracle         bool         // work out how much the best could have run, in virtual time
+	Cancelled      func() error // asked now and then whether to give up, in virtual time
+	Deadline       time.Time    // when a day in virtual time is given up, zero for never
+	HistoryFile    string       // file that takes all that was seen from outside; "" for none
+	TraceDirectory string       // directory that takes a trace of each allocator, in one of its own; "" for none
 }
 
 // Result is what came of a day. Every ask ends in one of Placed, Rejected, Unschedulable, Withdrawn (by its
 // owner, before an answer), Cut (its allocator or connection went) and Unanswered.
 type Result struct {
-	Name          string         `json:"name"`
-	About         string         `json:"about,omitempty"`
-	Seed          uint64         `json:"seed"`
-	Virtual       bool           `json:"virtual"`
-	Allocators    int            `json:"allocators"`
-	Nodes         int            `json:"nodes"`
-	Lives         int            `json:"allocator_lives"` // processes of allocators, those that came back counted anew
-	Workloads     int            `json:"workloads"`       // asks, those that came again too
-	Firsts        int            `json:"firsts"`
-	Placed        int            `json:"placed"`
-	Rejected      int            `json:"rejected"`
-	Unschedulable int            `json:"unschedulable"`
-	Withdrawn     int            `json:"withdrawn"`
-	Cut           int            `json:"cut"`
-	Unanswered    int            `json:"unanswered"`
-	Binds         uint64         `json:"binds"`
-	Moves         uint64         `json:"moves"`
-	Probes        uint64         `json:"probes"`
-	ListCalls     uint64         `json:"list_calls"`
-	Duplicates    uint64         `json:"duplicates"`
-	Stray         uint64         `json:"stray"`
-	Known         uint64         `json:"known_before"` // asks answered by what was written down before
-	Ended         map[string]int `json:"ended"`
-	WaitMedian    float64        `json:"wait_median_ms"` // from ask to yes
-	Wait99        float64        `json:"wait_p99_ms"`
-	Fell          int            `json:"fell"` // cold nodes pushed over
-
-	Ran          float64  `json:"core_time_share"` // of the core time that single workloads wanted while owners asked
-	ListEntries  uint64   `json:"list_entries"`    // that allocators were told
-	Oracle       *Oracle  `json:"oracle,omitempty"`
-	FirstPlaced  float64  `json:"singles_placed_at_first"` // share of workloads in no group that their first ask placed
-	Gangs        int      `json:"gangs"`                   // that owners wanted
-	GangsStood   int      `json:"gangs_standing"`          // that stood at some time
-	GangsGivenUp int      `json:"gangs_given_up"`          // that never did, and are not asked for any more
-	PartialLeft  int      `json:"partial_groups_left"`     // by the auditor, after the settle time
-	GangMedian   float64  `json:"gang_wait_median_ms"`     // from a group's first ask until it stood
-	GangWasted   float64  `json:"gang_wasted_share"`       // of the core time of parts, that of groups that did not stand
-	GangStops    uint64   `json:"gang_stops"`              // parts that allocators stopped
-	Frames       int      `json:"frames"`
-	DaySeconds   float64  `json:"day_seconds"`
-	RanSeconds   float64  `json:"ran_seconds"`
-	Nearest      Nearest  `json:"nearest"` // how near to its limits it came
-	Digest       string   `json:"digest"`
-	Broken       []Broken `json:"broken"`
-	MoreBroken   int      `json:"more_broken,omitempty"`
-	Singles      int      `json:"singles"` // workloads wanted that are in no group
+	Name                  string         `json:"name"`
+	About                 string         `json:"about,omitempty"`
+	Seed                  uint64         `json:"seed"`
+	Virtual               bool           `json:"virtual"`
+	Allocators            int            `json:"allocators"`
+	Nodes                 int            `json:"nodes"`
+	AllocatorIncarnations int            `json:"allocator_lives"` // processes of allocators, those that came back counted anew
+	Workloads             int            `json:"workloads"`       // asks, those that came again too
+	FirstRequests         int            `json:"firsts"`
+	Placed                int            `json:"placed"`
+	Rejected              int            `json:"rejected"`
+	Unschedulable         int            `json:"unschedulable"`
+	Withdrawn             int            `json:"withdrawn"`
+	Disconnected          int            `json:"cut"`
+	Unanswered            int            `json:"unanswered"`
+	Binds                 uint64         `json:"binds"`
+	Migrations            uint64         `json:"moves"`
+	Probes                uint64         `json:"probes"`
+	ListCalls             uint64         `json:"list_calls"`
+	Duplicates            uint64         `json:"duplicates"`
+	UnmatchedReplies      uint64         `json:"stray"`
+	AnsweredFromStorage   uint64         `json:"known_before"` // asks answered by what was written down before
+	Ended                 map[string]int `json:"ended"`
+	WaitMedian            float64        `json:"wait_median_ms"` // from ask to yes
+	Wait99                float64        `json:"wait_p99_ms"`
+	OverloadedNodes       int            `json:"fell"` // cold nodes pushed over
+
+	Ran            float64     `json:"core_time_share"` // of the core time that single workloads wanted while owners asked
+	ListEntries    uint64      `json:"list_entries"`    // that allocators were told
+	Oracle         *Oracle     `json:"oracle,omitempty"`
+	FirstPlaced    float64     `json:"singles_placed_at_first"` // share of workloads in no group that their first ask placed
+	Gangs          int         `json:"gangs"`                   // that owners wanted
+	GangsStood     int         `json:"gangs_standing"`          // that stood at some time
+	GangsGivenUp   int         `json:"gangs_given_up"`          // that never did, and are not asked for any more
+	PartialLeft    int         `json:"partial_groups_left"`     // by the auditor, after the settle time
+	GangMedian     float64     `json:"gang_wait_median_ms"`     // from a group's first ask until it stood
+	GangWasted     float64     `json:"gang_wasted_share"`       // of the core time of parts, that of groups that did not stand
+	GangStops      uint64      `json:"gang_stops"`              // parts that allocators stopped
+	Frames         int         `json:"frames"`
+	DaySeconds     float64     `json:"day_seconds"`
+	RanSeconds     float64     `json:"ran_seconds"`
+	Nearest        LimitUse    `json:"nearest"` // how near to its limits it came
+	Digest         string      `json:"digest"`
+	Violations     []Violation `json:"broken"`
+	MoreViolations int         `json:"more_broken,omitempty"`
+	Singles        int         `json:"singles"` // workloads wanted that are in no group
 }
 
 // Day is a script put together on a host.
-type Day struct {
-	script *Script
-	opts   Options
-	host   Host
-	w      Witness
-	rng    *rand.Rand
-
-	list   *Gate
-	nodes  []*Gate
-	specs  []*NodeSpec
-	allocs []*Gate
-	owners []*Gate
-	ports  [][]*native.Frontend // by allocator, one for each life
-	begins placement.Millis     // when owners begin: nodes and allocators know of each other by then
-	fell   chan struct{}        // one for each node that fell over
-	drains map[*Gate][]oracle.Span
-
-	wall      float64    // Unix time, in ms, at which the host's clock stood at 0
-	mu        sync.Mutex // recorders are begun on the allocators' goroutines
-	recorders []*trace.Recorder
-	traceErr  error
-}
-
-// Terms are what the script's day is audited by.
-func (s *Script) Terms() Terms {
-	t := Terms{
-		Slack: s.Owner.Slack, DrainGrace: s.Drain, MaxBinds: s.Settings.MaxBinds, Model: &s.Node, Groups: map[string]placement.Group{},
-	}
-	for i, name := range s.Groups {
-		t.Groups[name] = s.Settings.Groups[i]
-	}
-	return t
+type Run struct {
+	script   *scenario.Script
+	opts     Options
+	host     Host
+	observer Observer
+	rng      *rand.Rand
+
+	discovery     *Interceptor
+	nodes         []*Interceptor
+	specs         []*NodeSpec
+	allocators    []*Interceptor
+	clients       []*Interceptor
+	frontends     [][]*native.Frontend // by allocator, one for each life
+	requestsStart placement.Millis     // when owners begin: nodes and allocators know of each other by then
+	overloads     chan struct{}        // one for each node that fell over
+	drains        map[*Interceptor][]oracle.Span
+
+	wallClockOffset float64    // Unix time, in ms, at which the host's clock stood at 0
+	mu              sync.Mutex // recorders are begun on the allocators' goroutines
+	recorders       []*trace.Recorder
+	traceErr        error
 }
 
 // NewDay brings the script's parties to the host and plans its faults.
-func NewDay(s *Script, o Options, host Host, w Witness, now placement.Millis) (*Day, error) {
-	d := newDay(s, o, host, w, now)
+func NewRun(s *scenario.Script, o Options, host Host, w Observer, now placement.Millis) (*Run, error) {
+	d := newRun(s, o, host, w, now)
 	if err := d.populate(); err != nil {
 		return nil, err
 	}
 	for i, f := range s.Faults {
 		d.rng = rand.New(rand.NewPCG(o.Seed, uint64(1000+i)))
-		d.plan(f)
+		d.planFault(f)
 	}
 	return d, nil
 }
 
-func newDay(s *Script, o Options, host Host, w Witness, now placement.Millis) *Day {
+func newRun(s *scenario.Script, o Options, host Host, w Observer, now placement.Millis) *Run {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	d := &Day{
-		script: s, opts: o, host: host, w: w, rng: rand.New(rand.NewPCG(o.Seed, 77)), begins: now + s.Settle,
-		fell: make(chan struct{}, s.Nodes()*100+1), drains: map[*Gate][]oracle.Span{},
+	d := &Run{
+		script: s, opts: o, host: host, observer: w, rng: rand.New(rand.NewPCG(o.Seed, 77)), requestsStart: now + s.SettleTime,
+		overloads: make(chan struct{}, s.NodeCount()*100+1), drains: map[*Interceptor][]oracle.Span{},
 	}
 	if _, virtual := host.(*Virtual); !virtual {
-		d.wall = float64(time.Now().UnixNano())/1e6 - float64(now)
+		d.wallClockOffset = float64(time.Now().UnixNano())/1e6 - float64(now)
 	}
 	return d
 }
 
-func (d *Day) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
+func (d *Run) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
-func (d *Day) newList() *Gate {
-	return NewGate("list", pb.Role_LIST, 0, d.w, func(inc uint64) transport.FrameHandler { return NewList(&d.script.List, inc) })
+func (d *Run) newDiscovery() *Interceptor {
+	return NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return NewDiscoveryService(&d.script.Discovery, inc) })
 }
 
 // addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
-func (d *Day) addNodes(list string) error {
+func (d *Run) addNodes(list string) error {
 	s := d.script
-	for k, count := range s.Counts {
+	for k, count := range s.NodeCounts {
 		for range count {
 			i := len(d.specs)
 			d.specs = append(d.specs, &NodeSpec{
-				ID: uint32(hashOf(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.Kinds[k],
+				ID: uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.NodeKinds[k],
 				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, ListAddr: list,
 			})
 		}
@@ -180,38 +170,38 @@
 	return nil
 }
 
-func (d *Day) populate() error {
+func (d *Run) populate() error {
 	s := d.script
-	d.list = d.newList()
-	list, err := d.host.AddHandler(d.list, d.zone(0))
+	d.discovery = d.newDiscovery()
+	list, err := d.host.AddHandler(d.discovery, d.zone(0))
 	if err != nil {
 		return err
 	}
 	if err := d.addNodes(list); err != nil {
 		return err
 	}
-	owner := s.Owner
+	owner := s.Client
 	for i := range s.Allocators {
 		g := d.allocator(i, list)
-		d.allocs = append(d.allocs, g)
+		d.allocators = append(d.allocators, g)
 		addr, err := d.host.AddHandler(g, d.zone(i))
 		if err != nil {
 			return err
 		}
 		owner.Allocators = append(owner.Allocators, addr)
 	}
-	owner.Groups, owner.From, owner.Until = s.Demand, d.begins, d.begins+s.Length
-	owner.Rate /= float64(s.Owners)
+	owner.Demand, owner.From, owner.Until = s.Demand, d.requestsStart, d.requestsStart+s.Length
+	owner.Rate /= float64(s.Clients)
 	owner.Gangs = slices.Clone(owner.Gangs)
 	for i := range owner.Gangs {
-		owner.Gangs[i].Rate /= float64(s.Owners)
+		owner.Gangs[i].Rate /= float64(s.Clients)
 	}
-	for i := range s.Owners {
+	for i := range s.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := NewGate(name, pb.Role_OWNER, i, d.w, func(uint64) transport.FrameHandler {
-			return NewOwner(name, i, &owner, d.opts.Seed)
+		g := NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
+			return NewClient(name, i, &owner, d.opts.Seed)
 		})
-		d.owners = append(d.owners, g)
+		d.clients = append(d.clients, g)
 		if _, err := d.host.AddHandler(g, d.zone(i)); err != nil {
 			return err
 		}
@@ -219,83 +209,83 @@
 	return nil
 }
 
-func (d *Day) addNode(spec *NodeSpec) error {
-	var g *Gate
-	g = NewGate(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.w, func(boot uint64) transport.FrameHandler {
+func (d *Run) addNode(spec *NodeSpec) error {
+	var g *Interceptor
+	g = NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.observer, func(boot uint64) transport.FrameHandler {
 		n := NewNode(spec, &d.script.Node, boot)
-		n.Fell = func() {
-			d.fell <- struct{}{}
+		n.OnOverload = func() {
+			d.overloads <- struct{}{}
 			g.Kill(g.net.Now())
 		}
-		n.Runs = func(t *task, runs bool) {
-			switch now := min(g.net.Now(), d.QuietAt()); {
+		n.OnRunning = func(t *task, runs bool) {
+			switch now := min(g.net.Now(), d.RequestsEnd()); {
 			case t.offer.Gang != nil:
 			case runs:
 				t.since = now
 			default:
-				spec.ran += t.offer.Ask.Cores * float64(now-t.since)
+				spec.coreTime += t.offer.Ask.Cores * float64(now-t.since)
 			}
 		}
 		return n
 	})
-	g.Dies = func(inner transport.FrameHandler) { inner.(*Node).Died() }
+	g.OnKill = func(inner transport.FrameHandler) { inner.(*Node).Stop() }
 	d.nodes = append(d.nodes, g)
 	addr, err := d.host.AddHandler(g, spec.Zone)
 	spec.Addr = addr
 	return err
 }
 
-func (d *Day) allocator(i int, list string) *Gate {
+func (d *Run) allocator(i int, list string) *Interceptor {
 	s := d.script
 	settings := s.Settings
 	settings.Allocators, settings.Ordinal = s.Allocators, i
-	if d.opts.Sabotage == BindsMore {
+	if d.opts.Mutant == ExceedsMaxBinds {
 		settings.MaxBinds += 4
 	}
-	if d.opts.Sabotage == SpreadBlind {
+	if d.opts.Mutant == IgnoresSpread {
 		settings.Groups = slices.Clone(settings.Groups)
 		for g := range settings.Groups {
 			settings.Groups[g].SpreadScope = placement.ScopeNone
 		}
 	}
 	name := fmt.Sprintf("allocator-%d", i+1)
-	d.ports = append(d.ports, nil)
+	d.frontends = append(d.frontends, nil)
 	var recorder *trace.Recorder
-	var gate *Gate
-	journal := &journal{
-		disk: storage.NewMemoryDisk(hashOf(d.opts.Seed, uint64(i))), takes: s.State.Disk, honest: d.opts.Sabotage != SyncsNever,
-		now:   func() placement.Millis { return gate.net.Now() },
-		later: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(gate, at, do) },
+	var gate *Interceptor
+	journal := &simulatedLog{
+		disk: storage.NewMemoryDisk(mixHash(d.opts.Seed, uint64(i))), syncTime: s.Storage.SyncTime, syncs: d.opts.Mutant != NeverSyncs,
+		now:      func() placement.Millis { return gate.net.Now() },
+		schedule: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(gate, at, do) },
 	}
 	frames := 0
-	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) transport.FrameHandler {
+	gate = NewInterceptor(name, pb.Role_ALLOCATOR, i, d.observer, func(inc uint64) transport.FrameHandler {
 		c := native.Config{
-			Name: name, Incarnation: inc, Seed: hashOf(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
-			Groups: s.Groups, Kinds: s.Kinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
-			Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wall,
+			Name: name, Incarnation: inc, Seed: mixHash(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
+			Groups: s.Groups, Kinds: s.NodeKinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
+			Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wallClockOffset,
 		}
-		if d.opts.Trace != "" {
-			if lives := d.ports[i]; len(lives) > 0 {
+		if d.opts.TraceDirectory != "" {
+			if lives := d.frontends[i]; len(lives) > 0 {
 				lives[len(lives)-1].FlushTrace()
 			}
-			if recorder = d.record(recorder, c); recorder != nil {
+			if recorder = d.startTrace(recorder, c); recorder != nil {
 				c.Trace = recorder
 			}
 		}
-		if s.State.Disk > 0 {
+		if s.Storage.SyncTime > 0 {
 			if err := journal.begin(&c); err != nil {
 				panic(err) // the disk is ours, and fails only when it is told to
 			}
-			if d.opts.Sabotage == ForgetsState {
+			if d.opts.Mutant == IgnoresStorage {
 				c.RecoveredBinds = nil
 			}
 		}
 		p := native.New(c)
-		d.ports[i] = append(d.ports[i], p)
-		if m := d.opts.Mishap; m != nil && i == 0 {
-			return &unlucky{
-				FrameHandler: p, m: m, seen: &frames,
-				delay: func(at placement.Millis, do func(now placement.Millis)) {
+		d.frontends[i] = append(d.frontends[i], p)
+		if m := d.opts.MessageFault; m != nil && i == 0 {
+			return &faultInjector{
+				FrameHandler: p, fault: m, frames: &frames,
+				schedule: func(at placement.Millis, do func(now placement.Millis)) {
 					d.host.RunAt(gate, at, func(now placement.Millis) {
 						if gate.Alive() {
 							do(now)
@@ -304,20 +294,20 @@
 				},
 				crash: func(now placement.Millis) {
 					gate.Kill(now)
-					if m.Back {
-						d.host.RunAt(gate, now+mishapAway, gate.Restart)
+					if m.Restarts {
+						d.host.RunAt(gate, now+crashDuration, gate.Restart)
 					}
 				},
 			}
 		}
-		return d.opts.Sabotage.around(p)
+		return d.opts.Mutant.wrap(p)
 	})
-	gate.Dies = func(transport.FrameHandler) { journal.crash() }
+	gate.OnKill = func(transport.FrameHandler) { journal.crash() }
 	return gate
 }
 
 // record begins the trace of an allocator's life, after the end of the one before.
-func (d *Day) record(before *trace.Recorder, c native.Config) *trace.Recorder {
+func (d *Run) startTrace(before *trace.Recorder, c native.Config) *trace.Recorder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before != nil {
@@ -325,7 +315,7 @@
 		d.recorders = slices.DeleteFunc(d.recorders, func(r *trace.Recorder) bool { return r == before })
 	}
 	source := &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset}
-	r, err := trace.NewRecorder(filepath.Join(d.opts.Trace, c.Name), source, trace.DefaultLimits, c.Log)
+	r, err := trace.NewRecorder(filepath.Join(d.opts.TraceDirectory, c.Name), source, trace.DefaultLimits, c.Log)
 	if err != nil {
 		d.traceErr = err
 		return nil
@@ -336,8 +326,8 @@
 }
 
 // endTraces writes what is left of the traces, once the parties have come to rest.
-func (d *Day) endTraces() error {
-	for _, lives := range d.ports {
+func (d *Run) closeTraces() error {
+	for _, lives := range d.frontends {
 		if len(lives) > 0 {
 			lives[len(lives)-1].FlushTrace()
 		}
@@ -349,7 +339,7 @@
 }
 
 // hashOf mixes two numbers into one that looks like chance.
-func hashOf(a, b uint64) uint64 {
+func mixHash(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
@@ -357,27 +347,27 @@
 }
 
 // Ends is when owners have stopped asking and the last answer is due.
-func (d *Day) Ends() placement.Millis {
+func (d *Run) Deadline() placement.Millis {
 	last := placement.Millis(0)
 	for _, g := range d.script.Demand {
-		last = max(last, g.Pending)
+		last = max(last, g.PendingTimeout)
 	}
-	for _, g := range d.script.Owner.Gangs {
-		last = max(last, g.Pending)
+	for _, g := range d.script.Client.Gangs {
+		last = max(last, g.PendingTimeout)
 	}
-	return d.begins + d.script.Length + last + d.script.Owner.Slack + settleFor
+	return d.requestsStart + d.script.Length + last + d.script.Client.AnswerSlack + settleTime
 }
 
 // SinglesWanted tells whether workloads in no group were wanted.
 func (r *Result) SinglesWanted() bool { return r.Singles > 0 }
 
 // QuietAt is when owners have stopped asking.
-func (d *Day) QuietAt() placement.Millis { return d.begins + d.script.Length }
+func (d *Run) RequestsEnd() placement.Millis { return d.requestsStart + d.script.Length }
 
 // Open is the number of asks that wait for an answer. The owners' goroutines must not run meanwhile.
-func (d *Day) Open() (n int) {
-	for _, g := range d.owners {
-		if o, ok := g.Inner().(*Owner); ok {
+func (d *Run) PendingRequests() (n int) {
+	for _, g := range d.clients {
+		if o, ok := g.Handler().(*Client); ok {
 			n += o.Open()
 		}
 	}
@@ -385,27 +375,27 @@
 }
 
 // Result sums the day up once all its parties have come to rest.
-func (d *Day) Result(a *Auditor) *Result {
+func (d *Run) Result(a *Auditor) *Result {
 	s := d.script
 	r := &Result{
 		Name: s.Name, About: s.About, Seed: d.opts.Seed, Allocators: s.Allocators, Nodes: len(d.nodes),
-		Ended: map[string]int{}, Frames: a.Frames, Broken: a.Broken, MoreBroken: a.More, Fell: len(d.fell), Nearest: a.Nearest,
+		Ended: map[string]int{}, Frames: a.Frames, Violations: a.Broken, MoreViolations: a.More, OverloadedNodes: len(d.overloads), Nearest: a.Nearest,
 		DaySeconds: float64(s.Length) / 1000,
 	}
-	if r.Broken == nil {
-		r.Broken = []Broken{}
+	if r.Violations == nil {
+		r.Violations = []Violation{}
 	}
 	var waits, gangWaits []float64
 	singles, placedFirst, wasted, used := 0, 0, 0.0, 0.0
-	for _, g := range d.owners {
-		t := &g.Inner().(*Owner).Tally
-		r.Workloads += t.Asks
-		r.Firsts += t.Firsts
+	for _, g := range d.clients {
+		t := &g.Handler().(*Client).Tally
+		r.Workloads += t.Requests
+		r.FirstRequests += t.FirstRequests
 		r.Placed += t.Placed
 		r.Rejected += t.Rejected
 		r.Unschedulable += t.Unschedulable
 		r.Withdrawn += t.Withdrawn
-		r.Cut += t.Cut
+		r.Disconnected += t.Disconnected
 		r.Unanswered += t.Unanswered
 		waits = append(waits, t.Waits...)
 		gangWaits = append(gangWaits, t.GangWaits...)
@@ -413,8 +403,8 @@
 		singles += t.SinglesFirst
 		placedFirst += t.SinglesPlaced
 		r.Gangs += t.Gangs
-		r.GangsStood += t.GangsStood
-		r.GangsGivenUp += t.GangsGivenUp
+		r.GangsStood += t.GangsStarted
+		r.GangsGivenUp += t.GangsAbandoned
 		for why, n := range t.Ended {
 			r.Ended[why.String()] += n
 		}
@@ -428,10 +418,10 @@
 		r.GangWasted = wasted / (wasted + used)
 	}
 	for i, g := range d.nodes {
-		if n, ok := g.Inner().(*Node); ok {
-			n.Died() // the day is over
+		if n, ok := g.Handler().(*Node); ok {
+			n.Stop() // the day is over
 		}
-		r.Ran += d.specs[i].ran
+		r.Ran += d.specs[i].coreTime
 	}
 	if wanted := d.wantedCores(); wanted > 0 {
 		r.Ran /= wanted
@@ -439,18 +429,18 @@
 	slices.Sort(waits)
 	r.WaitMedian, r.Wait99 = percentile(waits, 0.5), percentile(waits, 0.99)
 	digest := xxhash.New()
-	for _, lives := range d.ports {
-		r.Lives += len(lives)
+	for _, lives := range d.frontends {
+		r.AllocatorIncarnations += len(lives)
 		for _, p := range lives {
 			r.Binds += p.Counters.Binds
-			r.Moves += p.Counters.Migrations
+			r.Migrations += p.Counters.Migrations
 			r.Probes += p.Counters.HealthChecks
 			r.ListCalls += p.Counters.DiscoveryCalls
 			r.ListEntries += p.Counters.DiscoveryEntries
 			r.GangStops += p.Counters.GangPartStops
 			r.Duplicates += p.Counters.DuplicateRequests
-			r.Stray += p.Counters.UnmatchedReplies
-			r.Known += p.Counters.AnsweredFromJournal
+			r.UnmatchedReplies += p.Counters.UnmatchedReplies
+			r.AnsweredFromStorage += p.Counters.AnsweredFromJournal
 			digest.Write(binary.LittleEndian.AppendUint64(nil, p.EventLog().Digest()))
 		}
 	}
@@ -459,16 +449,16 @@
 }
 
 // wantedCores is the core time, in core milliseconds, that single workloads wanted until owners stopped asking.
-func (d *Day) wantedCores() (sum float64) {
-	for _, w := range d.wants() {
-		sum += w.Cores * float64(max(0, min(w.Until, d.QuietAt())-w.From))
+func (d *Run) wantedCores() (sum float64) {
+	for _, w := range d.wantedWorkloads() {
+		sum += w.Cores * float64(max(0, min(w.Until, d.RequestsEnd())-w.From))
 	}
 	return sum
 }
 
-func (d *Day) wants() (all []*Want) {
-	for _, g := range d.owners {
-		all = append(all, g.Inner().(*Owner).Tally.Wants...)
+func (d *Run) wantedWorkloads() (all []*Want) {
+	for _, g := range d.clients {
+		all = append(all, g.Handler().(*Client).Tally.Wants...)
 	}
 	return all
 }
@@ -482,197 +472,199 @@
 }
 
 // plan has a fault happen at its time to those whom chance names.
-func (d *Day) plan(f Fault) {
-	at, until := d.begins+f.At, d.begins+f.At+f.For
+func (d *Run) planFault(f scenario.Fault) {
+	at, until := d.requestsStart+f.At, d.requestsStart+f.At+f.Duration
 	switch f.Kind {
-	case "crash":
-		for _, g := range d.some(d.nodes, f.Part) {
+	case scenario.NodeCrash:
+		for _, g := range d.sample(d.nodes, f.Share) {
 			d.host.RunAt(g, at, g.Kill)
 			d.host.RunAt(g, until, g.Restart)
 		}
-	case "allocator-death":
-		for _, g := range d.some(d.allocs, f.Part) {
+	case scenario.AllocatorCrash:
+		for _, g := range d.sample(d.allocators, f.Share) {
 			d.host.RunAt(g, at, g.Kill)
 			d.host.RunAt(g, until, g.Restart)
 		}
-	case "stall":
-		d.stills(d.some(d.nodes, f.Part), f, at, until)
-	case "allocator-still":
-		d.stills(d.some(d.allocs, f.Part), f, at, until)
-	case "slow":
-		d.during(f, at, until, func(n *Node) { n.Slow = f.Size }, func(n *Node) { n.Slow = 1 })
-	case "throttle":
-		d.during(f, at, until, func(n *Node) { n.Throttled = f.Group }, func(n *Node) { n.Throttled = "" })
-	case "hot-service":
-		swell := Swelling{Part: f.Part, Times: f.Size}
-		f.Part = 1
-		d.during(f, at, until, func(n *Node) { n.Swells = swell }, func(n *Node) { n.Swells = Swelling{} })
-	case "overrun":
-		swell := Swelling{Group: f.Group, Part: f.Part, Times: f.Size}
-		f.Part = 1
-		d.during(f, at, until, func(n *Node) { n.Swells = swell }, func(n *Node) { n.Swells = Swelling{} })
-	case "neighbour":
-		for _, g := range d.some(d.nodes, f.Part) {
-			shift := f.Every * placement.Millis(d.rng.Float64())
-			for t := at + shift; t < until; t += 2 * f.Every {
-				d.onNode(g, t, func(_ placement.Millis, n *Node) { n.Neighbour = f.Size })
-				d.onNode(g, min(until, t+f.Every), func(_ placement.Millis, n *Node) { n.Neighbour = 0 })
+	case scenario.NodePause:
+		d.pauseRepeatedly(d.sample(d.nodes, f.Share), f, at, until)
+	case scenario.AllocatorPause:
+		d.pauseRepeatedly(d.sample(d.allocators, f.Share), f, at, until)
+	case scenario.NodeSlow:
+		d.duringFault(f, at, until, func(n *Node) { n.Slowdown = f.Size }, func(n *Node) { n.Slowdown = 1 })
+	case scenario.GroupThrottled:
+		d.duringFault(f, at, until, func(n *Node) { n.ThrottledGroup = f.Group }, func(n *Node) { n.ThrottledGroup = "" })
+	case scenario.HotService:
+		swell := UsageSurge{Share: f.Share, Factor: f.Size}
+		f.Share = 1
+		d.duringFault(f, at, until, func(n *Node) { n.Surge = swell }, func(n *Node) { n.Surge = UsageSurge{} })
+	case scenario.UsageOverrun:
+		swell := UsageSurge{Group: f.Group, Share: f.Share, Factor: f.Size}
+		f.Share = 1
+		d.duringFault(f, at, until, func(n *Node) { n.Surge = swell }, func(n *Node) { n.Surge = UsageSurge{} })
+	case scenario.NoisyNeighbour:
+		for _, g := range d.sample(d.nodes, f.Share) {
+			shift := f.Interval * placement.Millis(d.rng.Float64())
+			for t := at + shift; t < until; t += 2 * f.Interval {
+				d.onNode(g, t, func(_ placement.Millis, n *Node) { n.NeighbourShare = f.Size })
+				d.onNode(g, min(until, t+f.Interval), func(_ placement.Millis, n *Node) { n.NeighbourShare = 0 })
 			}
 		}
-	case "lying":
-		d.during(f, at, until, func(n *Node) { n.Lies = f.Size }, func(n *Node) { n.Lies = 0 })
-	case "never-starts":
-		for _, g := range d.some(d.nodes, f.Part) {
-			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.Stuck = true })
-			d.onNode(g, until, func(now placement.Millis, n *Node) { n.Unstick(now) })
+	case scenario.LoadUnderreported:
+		d.duringFault(f, at, until, func(n *Node) { n.UnderreportedShare = f.Size }, func(n *Node) { n.UnderreportedShare = 0 })
+	case scenario.StartsNeverHappen:
+		for _, g := range d.sample(d.nodes, f.Share) {
+			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.StartsBlocked = true })
+			d.onNode(g, until, func(now placement.Millis, n *Node) { n.UnblockStarts(now) })
 		}
-	case "forget":
-		for _, g := range d.some(d.nodes, f.Part) {
-			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.Forget(f.Size) })
+	case scenario.CacheLoss:
+		for _, g := range d.sample(d.nodes, f.Share) {
+			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.DropCachedPrograms(f.Size) })
 		}
-	case "deploy":
-		d.waves(f, at, f.Wait, true)
-	case "preempt":
-		d.waves(f, at, f.For, false)
-	case "hall-cut":
+	case scenario.RollingDeploy:
+		d.rollNodes(f, at, f.DrainTime, true)
+	case scenario.NodePreemption:
+		d.rollNodes(f, at, f.Duration, false)
+	case scenario.ZoneCut:
 		for i, g := range d.nodes {
 			if d.specs[i].Zone == f.Zone {
 				d.host.RunAt(g, at, g.Cut)
-				d.host.RunAt(g, at+cutBreaks, g.BreakCut)
+				d.host.RunAt(g, at+CutTimeout, g.BreakConnections)
 				d.host.RunAt(g, until, g.Heal)
 			}
 		}
 	default:
-		d.planOutside(f, at, until)
+		d.planClientsAndDiscovery(f, at, until)
 	}
 }
 
 // planOutside plans what happens to owners and the list.
-func (d *Day) planOutside(f Fault, at, until placement.Millis) {
-	owners := func(at placement.Millis, do func(now placement.Millis, o *Owner)) {
-		for _, g := range d.owners {
+func (d *Run) planClientsAndDiscovery(f scenario.Fault, at, until placement.Millis) {
+	owners := func(at placement.Millis, do func(now placement.Millis, o *Client)) {
+		for _, g := range d.clients {
 			d.host.RunAt(g, at, func(now placement.Millis) {
-				if o, ok := g.Inner().(*Owner); ok {
-					do(g.clock.local(now), o)
+				if o, ok := g.Handler().(*Client); ok {
+					do(g.clock.toLocal(now), o)
 				}
 			})
 		}
 	}
 	switch f.Kind {
-	case "burst":
-		owners(at, func(_ placement.Millis, o *Owner) { o.Burst = f.Size })
-		owners(until, func(_ placement.Millis, o *Owner) { o.Burst = 1 })
-	case "hot-allocator":
-		owners(at, func(_ placement.Millis, o *Owner) { o.HotFirst = f.Size })
-		owners(until, func(_ placement.Millis, o *Owner) { o.HotFirst = 0 })
-	case "reconnect":
-		owners(at, func(now placement.Millis, o *Owner) { o.Restart(now, f.Size, f.For) })
-	case "owner-disconnect":
-		for _, g := range d.some(d.owners, f.Part) {
+	case scenario.RequestBurst:
+		owners(at, func(_ placement.Millis, o *Client) { o.RateFactor = f.Size })
+		owners(until, func(_ placement.Millis, o *Client) { o.RateFactor = 1 })
+	case scenario.HotAllocator:
+		owners(at, func(_ placement.Millis, o *Client) { o.FirstAllocatorShare = f.Size })
+		owners(until, func(_ placement.Millis, o *Client) { o.FirstAllocatorShare = 0 })
+	case scenario.ServiceRestart:
+		owners(at, func(now placement.Millis, o *Client) { o.Restart(now, f.Size, f.Duration) })
+	case scenario.ClientDisconnect:
+		for _, g := range d.sample(d.clients, f.Share) {
 			d.host.RunAt(g, at, g.Cut)
-			d.host.RunAt(g, at+1, g.BreakCut)
+			d.host.RunAt(g, at+1, g.BreakConnections)
 			d.host.RunAt(g, at+2, g.Heal)
 		}
-	case "list-overrun":
-		d.onList(at, func(_ placement.Millis, l *List) { l.Slower, l.Later = f.Size, placement.Millis(f.Size)*50 })
-		d.onList(until, func(_ placement.Millis, l *List) { l.Slower, l.Later = 1, 0 })
-	case "list-late":
-		d.onList(at, func(_ placement.Millis, l *List) { l.Later = placement.Millis(f.Size) })
-		d.onList(until, func(_ placement.Millis, l *List) { l.Later = 0 })
-	case "list-stale":
-		d.onList(at, func(now placement.Millis, l *List) { l.Stale(now, true) })
-		d.onList(until, func(now placement.Millis, l *List) { l.Stale(now, false) })
-	case "list-wrong":
-		d.onList(at, func(now placement.Millis, l *List) { l.Tell(now, f.Size, false) })
-		d.onList(until, func(now placement.Millis, l *List) { l.Tell(now, 1, false) })
-	case "list-empty":
-		d.onList(at, func(now placement.Millis, l *List) { l.Tell(now, 1, true) })
-		d.onList(until, func(now placement.Millis, l *List) { l.Tell(now, 1, false) })
+	case scenario.DiscoveryOverload:
+		d.onDiscovery(at, func(_ placement.Millis, l *DiscoveryService) {
+			l.Slowdown, l.ExtraLag = f.Size, placement.Millis(f.Size)*50
+		})
+		d.onDiscovery(until, func(_ placement.Millis, l *DiscoveryService) { l.Slowdown, l.ExtraLag = 1, 0 })
+	case scenario.DiscoveryLate:
+		d.onDiscovery(at, func(_ placement.Millis, l *DiscoveryService) { l.ExtraLag = placement.Millis(f.Size) })
+		d.onDiscovery(until, func(_ placement.Millis, l *DiscoveryService) { l.ExtraLag = 0 })
+	case scenario.DiscoveryStale:
+		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.SetStale(now, true) })
+		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.SetStale(now, false) })
+	case scenario.DiscoveryWrong:
+		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, f.Size, false) })
+		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, false) })
+	case scenario.DiscoveryEmpty:
+		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, true) })
+		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, false) })
 	default:
 		d.planNetwork(f, at, until)
 	}
 }
 
 // planNetwork plans what happens between the parties, and to their clocks.
-func (d *Day) planNetwork(f Fault, at, until placement.Millis) {
-	everyone := slices.Concat(d.nodes, d.allocs, d.owners, []*Gate{d.list})
+func (d *Run) planNetwork(f scenario.Fault, at, until placement.Millis) {
+	everyone := slices.Concat(d.nodes, d.allocators, d.clients, []*Interceptor{d.discovery})
 	switch f.Kind {
-	case "one-way":
-		for i, g := range d.some(d.nodes, f.Part) {
+	case scenario.OneWayCut:
+		for i, g := range d.sample(d.nodes, f.Share) {
 			out := i%2 == 0
-			d.host.RunAt(g, at, func(placement.Millis) { g.CutOne(out) })
-			d.host.RunAt(g, at+cutBreaks, g.BreakCut)
+			d.host.RunAt(g, at, func(placement.Millis) { g.CutDirection(out) })
+			d.host.RunAt(g, at+CutTimeout, g.BreakConnections)
 			d.host.RunAt(g, until, g.Heal)
 		}
-	case "clock-skew":
-		for _, g := range d.some(everyone, f.Part) {
+	case scenario.ClockSkew:
+		for _, g := range d.sample(everyone, f.Share) {
 			rate := 1 + f.Size/1e6*(2*d.rng.Float64()-1)
 			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, rate, 0) })
 			d.host.RunAt(g, until, func(now placement.Millis) { g.SetClock(now, 1, 0) })
 		}
-	case "clock-step":
-		for _, g := range d.some(slices.Concat(d.nodes, []*Gate{d.list}), f.Part) {
+	case scenario.ClockStep:
+		for _, g := range d.sample(slices.Concat(d.nodes, []*Interceptor{d.discovery}), f.Share) {
 			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
 		}
-	case "doubled": // not at owners: an answer that comes twice is what the first rule is about
-		d.trouble(slices.Concat(d.nodes, d.allocs, []*Gate{d.list}), f, at, until, Trouble{Doubled: true})
-	case "delayed":
-		d.trouble(everyone, f, at, until, Trouble{Delay: placement.Millis(f.Size)})
-	case "reordered":
-		d.trouble(everyone, f, at, until, Trouble{Delay: placement.Millis(f.Size), Overtake: true})
+	case scenario.FramesDuplicated: // not at owners: an answer that comes twice is what the first rule is about
+		d.injectFrameFaults(slices.Concat(d.nodes, d.allocators, []*Interceptor{d.discovery}), f, at, until, FrameFaults{Duplicate: true})
+	case scenario.FramesDelayed:
+		d.injectFrameFaults(everyone, f, at, until, FrameFaults{Delay: placement.Millis(f.Size)})
+	case scenario.FramesReordered:
+		d.injectFrameFaults(everyone, f, at, until, FrameFaults{Delay: placement.Millis(f.Size), Reorder: true})
 	}
 }
 
 // trouble has the network strike part of the frames that reach these.
-func (d *Day) trouble(gates []*Gate, f Fault, at, until placement.Millis, t Trouble) {
+func (d *Run) injectFrameFaults(gates []*Interceptor, f scenario.Fault, at, until placement.Millis, t FrameFaults) {
 	for _, g := range gates {
 		t := t
-		t.Part, t.rng = f.Part, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
+		t.Share, t.rng = f.Share, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
 		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(g, at, do) }
-		d.host.RunAt(g, at, func(placement.Millis) { g.SetTrouble(&t, later) })
-		d.host.RunAt(g, until, func(placement.Millis) { g.SetTrouble(nil, later) })
+		d.host.RunAt(g, at, func(placement.Millis) { g.SetFrameFaults(&t, later) })
+		d.host.RunAt(g, until, func(placement.Millis) { g.SetFrameFaults(nil, later) })
 	}
 }
 
 // some draws a part of them, at least one where the part is above nought.
-func (d *Day) some(of []*Gate, part float64) []*Gate {
+func (d *Run) sample(of []*Interceptor, part float64) []*Interceptor {
 	drawn := slices.Clone(of)
 	d.rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(len(drawn), int(math.Ceil(part*float64(len(drawn)))))]
 }
 
 // stills has each stand still again and again, not all at once.
-func (d *Day) stills(gates []*Gate, f Fault, at, until placement.Millis) {
+func (d *Run) pauseRepeatedly(gates []*Interceptor, f scenario.Fault, at, until placement.Millis) {
 	for _, g := range gates {
-		for t := at + f.Every*placement.Millis(d.rng.Float64()); t < until; t += f.Every {
+		for t := at + f.Interval*placement.Millis(d.rng.Float64()); t < until; t += f.Interval {
 			size := placement.Millis(f.Size)
-			d.host.RunAt(g, t, func(now placement.Millis) { g.Still(now, now+size) })
-			d.host.RunAt(g, t+size, g.Go)
+			d.host.RunAt(g, t, func(now placement.Millis) { g.Pause(now, now+size) })
+			d.host.RunAt(g, t+size, g.Resume)
 		}
 	}
 }
 
-func (d *Day) onNode(g *Gate, at placement.Millis, do func(now placement.Millis, n *Node)) {
+func (d *Run) onNode(g *Interceptor, at placement.Millis, do func(now placement.Millis, n *Node)) {
 	d.host.RunAt(g, at, func(now placement.Millis) {
-		if n, ok := g.Inner().(*Node); ok {
-			do(g.clock.local(now), n)
+		if n, ok := g.Handler().(*Node); ok {
+			do(g.clock.toLocal(now), n)
 		}
 	})
 }
 
-func (d *Day) during(f Fault, at, until placement.Millis, begin, end func(*Node)) {
-	for _, g := range d.some(d.nodes, f.Part) {
+func (d *Run) duringFault(f scenario.Fault, at, until placement.Millis, begin, end func(*Node)) {
+	for _, g := range d.sample(d.nodes, f.Share) {
 		d.onNode(g, at, func(_ placement.Millis, n *Node) { begin(n) })
 		d.onNode(g, until, func(_ placement.Millis, n *Node) { end(n) })
 	}
 }
 
 // waves takes a part of the fleet away, some nodes at a time, and brings each back cold.
-func (d *Day) waves(f Fault, at, away placement.Millis, drained bool) {
-	nodes := d.some(d.nodes, f.Part)
+func (d *Run) rollNodes(f scenario.Fault, at, away placement.Millis, drained bool) {
+	nodes := d.sample(d.nodes, f.Share)
 	batch := max(1, int(f.Size*float64(len(d.nodes))))
 	for i, g := range nodes {
-		t := at + placement.Millis(i/batch)*f.Every
+		t := at + placement.Millis(i/batch)*f.Interval
 		if drained {
 			d.onNode(g, t, func(now placement.Millis, n *Node) { n.Drain(now, true) })
 			d.drains[g] = append(d.drains[g], oracle.Span{From: t, Until: t + away})
@@ -686,10 +678,10 @@
 }
 
 // onList changes how the machine list behaves.
-func (d *Day) onList(at placement.Millis, do func(now placement.Millis, l *List)) {
-	d.host.RunAt(d.list, at, func(now placement.Millis) {
-		if l, ok := d.list.Inner().(*List); ok {
-			do(d.list.clock.local(now), l)
+func (d *Run) onDiscovery(at placement.Millis, do func(now placement.Millis, l *DiscoveryService)) {
+	d.host.RunAt(d.discovery, at, func(now placement.Millis) {
+		if l, ok := d.discovery.Handler().(*DiscoveryService); ok {
+			do(d.discovery.clock.toLocal(now), l)
 		}
 	})
 }
--- a/internal/simulation/harden_test.go
+++ b/internal/simulation/harden_test.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "grebeglade/internal/simulation/scenario"
+
 import (
 	"fmt"
 	"path/filepath"
@@ -12,9 +14,9 @@
 )
 
 // decode reads a day from its text.
-func decode(t *testing.T, text string) *Script {
+func decode(t *testing.T, text string) *scenario.Script {
 	t.Helper()
-	s, err := DecodeScript("day.hcl", []byte(text))
+	s, err := scenario.DecodeText("day.hcl", []byte(text))
 	require.NoError(t, err)
 	return s
 }
@@ -53,7 +55,7 @@
 }
 `
 	for seed := range uint64(20) {
-		assert.Empty(t, play(t, decode(t, text), Options{Seed: 114914427 + seed}).Broken, "seed %d", seed)
+		assert.Empty(t, play(t, decode(t, text), Options{Seed: 114914427 + seed}).Violations, "seed %d", seed)
 	}
 }
 
@@ -113,7 +115,7 @@
 			for _, list := range []string{"", "list-late", "list-empty", "list-overrun"} {
 				for seed := range uint64(4) {
 					r := play(t, decode(t, emptyStart(part, state, list)), Options{Seed: seed + 1})
-					assert.EqualValues(t, 4+4*part, r.Lives)
+					assert.EqualValues(t, 4+4*part, r.AllocatorIncarnations)
 					kept(t, r)
 				}
 			}
@@ -127,7 +129,7 @@
 	sums, days := make([]float64, 28), make([]float64, 28)
 	for seed := range seeds {
 		file := filepath.Join(t.TempDir(), "history")
-		play(t, decode(t, day), Options{Seed: seed + 1, History: file})
+		play(t, decode(t, day), Options{Seed: seed + 1, HistoryFile: file})
 		h := readBack(t, file)
 		type ref struct {
 			owner string
@@ -236,8 +238,8 @@
 		file := filepath.Join(t.TempDir(), "history")
 		s := decode(t, allRetry)
 		require.Equal(t, binds, s.Settings.MaxBinds)
-		require.Equal(t, tries, s.Owner.Tries)
-		kept(t, play(t, s, Options{Seed: seed + 1, History: file}))
+		require.Equal(t, tries, s.Client.MaxAttempts)
+		kept(t, play(t, s, Options{Seed: seed + 1, HistoryFile: file}))
 		h := readBack(t, file)
 		type ref struct {
 			who string
@@ -313,7 +315,7 @@
 	} {
 		t.Run(known.name, func(t *testing.T) {
 			r := play(t, open(t, filepath.Join("testdata", "known", known.name+".hcl")), Options{Seed: known.seed})
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				if b.Rule == known.rule {
 					t.Skip(known.why)
 				}
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -13,6 +13,7 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -24,7 +25,7 @@
 // A file holds one JSON document a line: first the terms, then what was seen, by time, last an end that counts it. So a file
 // that was cut off, put out of order or garbled is an error with its line, and never passes.
 type History struct {
-	terms  Terms
+	terms  scenario.Terms
 	ended  placement.Millis
 	mu     sync.Mutex // parties on sockets have goroutines of their own
 	sights []sight
@@ -40,7 +41,7 @@
 	what    string
 	at      placement.Millis
 	arrived placement.Millis // when a frame reached the machine; until when a process stands still
-	gate    *Gate
+	gate    *Interceptor
 	conn    transport.ConnID
 	frame   *pb.Frame
 }
@@ -57,7 +58,7 @@
 )
 
 // NewHistory makes a history of a day that is held to these terms.
-func NewHistory(t Terms) *History { return &History{terms: t} }
+func NewHistory(t scenario.Terms) *History { return &History{terms: t} }
 
 func (h *History) add(s sight) {
 	h.mu.Lock()
@@ -65,7 +66,7 @@
 	h.mu.Unlock()
 }
 
-func (h *History) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
+func (h *History) Frame(now, arrived placement.Millis, g *Interceptor, c transport.ConnID, out bool, f *pb.Frame) {
 	what := gets
 	if out {
 		what = sends
@@ -73,7 +74,7 @@
 	h.add(sight{what, now, arrived, g, c, f})
 }
 
-func (h *History) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
+func (h *History) Conn(now placement.Millis, g *Interceptor, c transport.ConnID, open bool) {
 	what := closes
 	if open {
 		what = opens
@@ -81,7 +82,7 @@
 	h.add(sight{what, now, 0, g, c, nil})
 }
 
-func (h *History) Life(now placement.Millis, g *Gate, alive bool) {
+func (h *History) Life(now placement.Millis, g *Interceptor, alive bool) {
 	what := dies
 	if alive {
 		what = starts
@@ -89,7 +90,7 @@
 	h.add(sight{what, now, 0, g, 0, nil})
 }
 
-func (h *History) Still(now placement.Millis, g *Gate, until placement.Millis) {
+func (h *History) Still(now placement.Millis, g *Interceptor, until placement.Millis) {
 	h.add(sight{stands, now, until, g, 0, nil})
 }
 
@@ -123,8 +124,8 @@
 // The lines of a file.
 type (
 	historyHead struct {
-		History int    `json:"history"`
-		Terms   *Terms `json:"terms"`
+		History int             `json:"history"`
+		Terms   *scenario.Terms `json:"terms"`
 	}
 	historyLine struct {
 		At      placement.Millis `json:"at"`
@@ -147,7 +148,7 @@
 	if err := e.Encode(historyHead{historyVersion, &h.terms}); err != nil {
 		return err
 	}
-	named := map[*Gate]bool{}
+	named := map[*Interceptor]bool{}
 	for _, s := range h.sights {
 		l := historyLine{At: s.at, Who: s.gate.Name, What: s.what, Conn: s.conn}
 		if !named[s.gate] {
@@ -231,7 +232,7 @@
 		return nil, wrong("no history of version %d; its first line must hold its terms", historyVersion)
 	}
 	h := &History{terms: *head.Terms}
-	parties := map[string]*Gate{}
+	parties := map[string]*Interceptor{}
 	lives := map[string]bool{}
 	for last := placement.Millis(0); ; {
 		var l historyLine
@@ -262,14 +263,14 @@
 }
 
 // sight says what a line means.
-func (l *historyLine) sight(parties map[string]*Gate, lives map[string]bool) (sight, error) {
+func (l *historyLine) sight(parties map[string]*Interceptor, lives map[string]bool) (sight, error) {
 	g := parties[l.Who]
 	if g == nil {
 		role := pb.Role(pb.Role_value[l.Role])
 		if role == pb.Role_ROLE_UNSPECIFIED || l.What != starts {
 			return sight{}, fmt.Errorf("%q is seen for the first time, and it is not its start in a known role", l.Who)
 		}
-		g = &Gate{Name: l.Who, Role: role, ID: l.ID}
+		g = &Interceptor{Name: l.Who, Role: role, ID: l.ID}
 		parties[l.Who] = g
 	}
 	s := sight{l.What, l.At, l.Arrived, g, l.Conn, nil}
@@ -307,24 +308,24 @@
 }
 
 // both tells two witnesses.
-type both [2]Witness
+type both [2]Observer
 
-func (b both) Frame(now, arrived placement.Millis, g *Gate, c transport.ConnID, out bool, f *pb.Frame) {
+func (b both) Frame(now, arrived placement.Millis, g *Interceptor, c transport.ConnID, out bool, f *pb.Frame) {
 	b[0].Frame(now, arrived, g, c, out, f)
 	b[1].Frame(now, arrived, g, c, out, f)
 }
 
-func (b both) Conn(now placement.Millis, g *Gate, c transport.ConnID, open bool) {
+func (b both) Conn(now placement.Millis, g *Interceptor, c transport.ConnID, open bool) {
 	b[0].Conn(now, g, c, open)
 	b[1].Conn(now, g, c, open)
 }
 
-func (b both) Life(now placement.Millis, g *Gate, alive bool) {
+func (b both) Life(now placement.Millis, g *Interceptor, alive bool) {
 	b[0].Life(now, g, alive)
 	b[1].Life(now, g, alive)
 }
 
-func (b both) Still(now placement.Millis, g *Gate, until placement.Millis) {
+func (b both) Still(now placement.Millis, g *Interceptor, until placement.Millis) {
 	b[0].Still(now, g, until)
 	b[1].Still(now, g, until)
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -49,7 +49,7 @@
 		ask uint64
 		at  placement.Millis
 	}
-	offers, lives, services := map[offer]int{}, map[*Gate]int{}, map[[2]uint64]map[uint64]bool{}
+	offers, lives, services := map[offer]int{}, map[*Interceptor]int{}, map[[2]uint64]map[uint64]bool{}
 	for _, s := range h.sights {
 		ask, answer, o := s.frame.GetAsk(), s.frame.GetAnswer(), s.frame.GetOffer()
 		switch {
@@ -158,7 +158,7 @@
 // The share is a sum of floating-point numbers, so its last digit shows any change of the order in which they are added.
 func TestAuditor_WastedShareIsTheSameEachTime(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "history")
-	r := play(t, open(t, "gang-node-failure"), Options{Seed: 2, History: file})
+	r := play(t, open(t, "gang-node-failure"), Options{Seed: 2, HistoryFile: file})
 	h := readBack(t, file)
 	require.NotZero(t, r.GangWasted)
 	for range 200 {
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -7,26 +7,26 @@
 	"path/filepath"
 	"slices"
 	"strconv"
-	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func open(t *testing.T, name string) *Script {
+func open(t *testing.T, name string) *scenario.Script {
 	t.Helper()
-	s, err := Open(name)
+	s, err := scenario.Open(name)
 	require.NoError(t, err)
 	return s
 }
 
-func play(t *testing.T, s *Script, o Options) *Result {
+func play(t *testing.T, s *scenario.Script, o Options) *Result {
 	t.Helper()
 	r, err := PlayVirtual(s, o)
 	require.NoError(t, err)
@@ -36,10 +36,10 @@
 // kept checks what must hold on any day of an honest engine.
 func kept(t *testing.T, r *Result) {
 	t.Helper()
-	assert.Empty(t, r.Broken, "seed %d", r.Seed)
+	assert.Empty(t, r.Violations, "seed %d", r.Seed)
 	assert.Zero(t, r.Unanswered, "seed %d", r.Seed)
-	assert.Zero(t, r.Fell, "seed %d", r.Seed)
-	assert.Equal(t, r.Workloads, r.Placed+r.Rejected+r.Unschedulable+r.Withdrawn+r.Cut+r.Unanswered, "seed %d", r.Seed)
+	assert.Zero(t, r.OverloadedNodes, "seed %d", r.Seed)
+	assert.Equal(t, r.Workloads, r.Placed+r.Rejected+r.Unschedulable+r.Withdrawn+r.Disconnected+r.Unanswered, "seed %d", r.Seed)
 	assert.NotZero(t, r.Placed)
 }
 
@@ -52,7 +52,7 @@
 }
 
 func TestEveryScriptKeepsTheRules(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds() {
@@ -82,9 +82,9 @@
 	for _, allocators := range []int{2, 10, 100} {
 		s := open(t, "gang-contest")
 		s.Resize(allocators, 0)
-		s.Owner.Rate = 1
-		s.Owner.Gangs[0].Parts, s.Owner.Gangs[0].Need, s.Owner.Gangs[0].Spread = s.Nodes()/2, s.Nodes()/2, "node"
-		s.Owner.Gangs[0].Rate = float64(allocators) / 8
+		s.Client.Rate = 1
+		s.Client.Gangs[0].Parts, s.Client.Gangs[0].MinParts, s.Client.Gangs[0].SpreadScope = s.NodeCount()/2, s.NodeCount()/2, "node"
+		s.Client.Gangs[0].Rate = float64(allocators) / 8
 		r := play(t, s, Options{Seed: 1})
 		kept(t, r)
 		assert.Zero(t, r.PartialLeft)
@@ -93,30 +93,32 @@
 }
 
 func TestAGroupThatCannotFitIsRejectedAndOneOnASingleNodeStands(t *testing.T) {
-	day := func(change func(*GangDemand)) *Result {
+	day := func(change func(*scenario.GangDemand)) *Result {
 		s := open(t, "gang-contest")
 		s.Resize(1, 0)
-		s.Owner.Rate, s.Owner.Gangs[0].Rate = 0.5, 0.5
-		change(&s.Owner.Gangs[0])
+		s.Client.Rate, s.Client.Gangs[0].Rate = 0.5, 0.5
+		change(&s.Client.Gangs[0])
 		r := play(t, s, Options{Seed: 1})
-		assert.Empty(t, r.Broken)
+		assert.Empty(t, r.Violations)
 		return r
 	}
-	larger := day(func(g *GangDemand) { g.Parts, g.Need = 50, 50 })
+	larger := day(func(g *scenario.GangDemand) { g.Parts, g.MinParts = 50, 50 })
 	assert.Zero(t, larger.GangsStood)
 	assert.Zero(t, larger.GangStops, "nothing of it was ever sent")
-	one := day(func(g *GangDemand) { g.Parts, g.Need, g.Shape, g.Spread = 3, 3, [2]float64{13, 20}, "" })
+	one := day(func(g *scenario.GangDemand) {
+		g.Parts, g.MinParts, g.Shape, g.SpreadScope = 3, 3, [2]float64{13, 20}, ""
+	})
 	assert.NotZero(t, one.GangsStood)
 }
 
 // single is a small day with one group after another on four nodes.
-func single(t *testing.T, group string, replace bool) *Script {
+func single(t *testing.T, group string, replace bool) *scenario.Script {
 	s := open(t, "gang-contest")
 	s.Resize(1, 4)
-	s.Owners, s.Length, s.Owner.Rate, s.Owner.Withdraws = 1, 3000, 0, 0
-	s.Owner.Gangs = []GangDemand{{
-		Group: group, Effect: s.Settings.Groups[slices.Index(s.Groups, group)].Idempotency, Rate: 0.6, Parts: 3, Need: 3,
-		Shape: [2]float64{10, 10}, Life: 2500, Pending: 4000, Replace: replace, ReplaceWithin: 1500,
+	s.Clients, s.Length, s.Client.Rate, s.Client.WithdrawShare = 1, 3000, 0, 0
+	s.Client.Gangs = []scenario.GangDemand{{
+		Group: group, Idempotency: s.Settings.Groups[slices.Index(s.Groups, group)].Idempotency, Rate: 0.6, Parts: 3, MinParts: 3,
+		Shape: [2]float64{10, 10}, Lifetime: 2500, PendingTimeout: 4000, Replace: replace, ReplaceTimeout: 1500,
 	}}
 	return s
 }
@@ -126,21 +128,21 @@
 func TestNoMishapAtAnyFrameLeavesAPartOfAGroup(t *testing.T) {
 	days := 0
 	for _, group := range []string{"serve", "check", "trace"} {
-		for _, kind := range Mishaps {
+		for _, kind := range MessageFaultKinds {
 			for frame := 1; frame <= 40; frame++ {
-				m := &Mishap{Kind: kind, Frame: frame, Back: frame%2 == 0}
+				m := &MessageFault{Kind: kind, Frame: frame, Restarts: frame%2 == 0}
 				s := single(t, group, frame%3 == 0)
-				s.Owner.Withdraws = float64(frame / 2 % 2) // then parts are stopped, and it may be a stop that goes wrong
-				r := play(t, s, Options{Seed: 2, Mishap: m})
+				s.Client.WithdrawShare = float64(frame / 2 % 2) // then parts are stopped, and it may be a stop that goes wrong
+				r := play(t, s, Options{Seed: 2, MessageFault: m})
 				days++
-				for _, b := range r.Broken {
-					if kind == "double" && (b.What == "the same bind sent twice" || b.What == "a part stopped twice") {
+				for _, b := range r.Violations {
+					if kind == "double" && (b.Message == "the same bind sent twice" || b.Message == "a part stopped twice") {
 						continue // the mishap itself
 					}
-					if kind == "delay" && (b.What == "an offer after the owner withdrew" || b.Rule == 5) {
+					if kind == "delay" && (b.Message == "an offer after the owner withdrew" || b.Rule == 5) {
 						continue // it left the allocator in time; the mishap holds it up before the auditor sees it
 					}
-					assert.Fail(t, b.What, "%s %+v: %v", group, *m, b.Frames)
+					assert.Fail(t, b.Message, "%s %+v: %v", group, *m, b.Frames)
 				}
 				assert.Zero(t, r.PartialLeft, "%s %+v", group, *m)
 			}
@@ -152,7 +154,7 @@
 // The first proof, on sockets: a rough day with overlapping troubles.
 func TestARoughDayOverSocketsKeepsTheRules(t *testing.T) {
 	s := open(t, "rough")
-	s.Stretch(9000)
+	s.SetLength(9000)
 	r, err := PlaySockets(context.Background(), s, Options{Seed: 2}, nil)
 	require.NoError(t, err)
 	kept(t, r)
@@ -161,7 +163,7 @@
 
 func TestGroupsOverSocketsLeaveNoPart(t *testing.T) {
 	s := open(t, "gang-node-failure")
-	s.Stretch(5000)
+	s.SetLength(5000)
 	r, err := PlaySockets(context.Background(), s, Options{Seed: 1}, nil)
 	require.NoError(t, err)
 	kept(t, r)
@@ -171,30 +173,30 @@
 
 func TestTheAuditorCatchesEveryDeliberateBreak(t *testing.T) {
 	// The days on which each has occasion to break its rule.
-	days := map[Sabotage]string{
-		NoAnswer: "quiet", TwoAnswers: "quiet", LateAnswer: "full", OffersAfter: "quiet", TwoBinds: "quiet",
-		RejectsMaybe: "hall-cut", DrainDeaf: "deploy", ColdBlind: "cold-herd", SpreadBlind: "full", LeavesParts: "gang-contest",
-		StopsTwice: "gang-node-failure", ForgetsState: "state-death", SyncsNever: "state-death", BindsMore: "throttle",
+	days := map[Mutant]string{
+		NoAnswer: "quiet", TwoAnswers: "quiet", LateAnswer: "full", OffersAfterAnswer: "quiet", TwoBinds: "quiet",
+		RejectsUnknownOutcome: "hall-cut", IgnoresDrain: "deploy", IgnoresWarmUp: "cold-herd", IgnoresSpread: "full", LeavesGangParts: "gang-contest",
+		StopsTwice: "gang-node-failure", IgnoresStorage: "state-death", NeverSyncs: "state-death", ExceedsMaxBinds: "throttle",
 	}
-	for how, rule := range Sabotages {
+	for how, rule := range MutantRules {
 		t.Run(string(how), func(t *testing.T) {
 			s := open(t, days[how])
-			for i := range s.Owner.Gangs {
-				s.Owner.Gangs[i].Life = 60e3 // longer than a lease and the time to settle
+			for i := range s.Client.Gangs {
+				s.Client.Gangs[i].Lifetime = 60e3 // longer than a lease and the time to settle
 			}
 			file := filepath.Join(t.TempDir(), "history")
 			seed := uint64(1)
-			r := play(t, s, Options{Seed: seed, Sabotage: how, History: file})
-			for len(r.Broken) == 0 && seed < 20 {
+			r := play(t, s, Options{Seed: seed, Mutant: how, HistoryFile: file})
+			for len(r.Violations) == 0 && seed < 20 {
 				seed++
-				r = play(t, s, Options{Seed: seed, Sabotage: how, History: file}) // some need chance to give them occasion
+				r = play(t, s, Options{Seed: seed, Mutant: how, HistoryFile: file}) // some need chance to give them occasion
 			}
-			require.NotEmpty(t, r.Broken)
+			require.NotEmpty(t, r.Violations)
 			// What was written down is judged alike, and an honest allocator passes on the same day.
-			assert.Equal(t, r.Broken, readBack(t, file).Audit().Broken)
-			assert.Empty(t, play(t, s, Options{Seed: seed}).Broken)
+			assert.Equal(t, r.Violations, readBack(t, file).Audit().Broken)
+			assert.Empty(t, play(t, s, Options{Seed: seed}).Violations)
 			found := false
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				found = found || b.Rule == rule
 				assert.NotEmpty(t, b.Frames)
 			}
@@ -205,11 +207,11 @@
 
 func TestTheAuditorCatchesABreakOverSockets(t *testing.T) {
 	s := open(t, "quiet")
-	s.Stretch(2000)
-	r, err := PlaySockets(context.Background(), s, Options{Seed: 1, Sabotage: TwoBinds}, nil)
+	s.SetLength(2000)
+	r, err := PlaySockets(context.Background(), s, Options{Seed: 1, Mutant: TwoBinds}, nil)
 	require.NoError(t, err)
-	require.NotEmpty(t, r.Broken)
-	assert.Equal(t, 2, r.Broken[0].Rule)
+	require.NotEmpty(t, r.Violations)
+	assert.Equal(t, 2, r.Violations[0].Rule)
 }
 
 func TestADayThatIsCutShortIsNotJudged(t *testing.T) {
@@ -232,12 +234,12 @@
 		"allocator-still": slower,
 		"forget":          slower, // against a day on which programs are kept; setups are long
 		"overrun":         func(r *Result) bool { return r.Ended["EVICTED"] > 0 },
-		"burst":           func(r *Result) bool { return r.Firsts > calm.Firsts*5/4 },
+		"burst":           func(r *Result) bool { return r.FirstRequests > calm.FirstRequests*5/4 },
 		"full":            func(r *Result) bool { return r.Rejected > r.Placed },
 		"throttle":        func(r *Result) bool { return r.Binds > uint64(r.Placed) },
 		"hall-cut":        func(r *Result) bool { return r.Unschedulable+r.Ended["LOST"] > 0 },
-		"reconnect":       func(r *Result) bool { return r.Firsts > calm.Firsts*5/4 },
-		"allocator-death": func(r *Result) bool { return r.Lives == r.Allocators+3 },
+		"reconnect":       func(r *Result) bool { return r.FirstRequests > calm.FirstRequests*5/4 },
+		"allocator-death": func(r *Result) bool { return r.AllocatorIncarnations == r.Allocators+3 },
 		"one-way":         slower,
 		"reordered":       slower,
 		"delayed":         slower,
@@ -248,9 +250,9 @@
 		assert.True(t, shows(play(t, open(t, name), Options{Seed: 1})), name)
 	}
 	for name, set := range map[string]func(*Node){
-		"neighbour": func(n *Node) { n.Neighbour = 0.5 }, "hot": func(n *Node) { n.Swells = Swelling{Part: 1, Times: 3} },
+		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 }, "hot": func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
 	} {
-		n := NewNode(&NodeSpec{Cores: 10, Memory: 10}, &NodeModel{}, 1)
+		n := NewNode(&NodeSpec{Cores: 10, Memory: 10}, &scenario.NodeModel{}, 1)
 		n.tasks = []*task{{offer: &pb.Offer{Ask: &pb.Ask{}}, cores: 2, memory: 2}}
 		before := n.coresUsed()
 		set(n)
@@ -261,30 +263,30 @@
 // A hunt over a bounded number of days finds each engine that breaks a rule, and makes the day smaller; the script
 // that it writes breaks the same rule when it is played.
 func TestAHuntFindsEachDeliberateBreakAndShrinksIt(t *testing.T) {
-	for how, rule := range Sabotages {
+	for how, rule := range MutantRules {
 		t.Run(string(how), func(t *testing.T) {
 			t.Parallel()
-			h := Hunt{Seed: 1, Days: 40, Allocators: 6, Nodes: 12, Sabotage: how}
-			if how == ColdBlind || how == RejectsMaybe || how == LeavesParts || how == StopsTwice ||
-				how == ForgetsState || how == SyncsNever {
-				h.Days = 600 // these need more than chance gives every day
+			h := Search{Seed: 1, MaxRuns: 40, Allocators: 6, Nodes: 12, Mutant: how}
+			if how == IgnoresWarmUp || how == RejectsUnknownOutcome || how == LeavesGangParts || how == StopsTwice ||
+				how == IgnoresStorage || how == NeverSyncs {
+				h.MaxRuns = 600 // these need more than chance gives every day
 			}
 			r, err := h.Run(context.Background(), nil)
 			require.NoError(t, err)
-			at := slices.IndexFunc(r.Finds, func(f Find) bool { return f.Rule == rule })
-			require.GreaterOrEqual(t, at, 0, "rule %d in %d days", rule, r.Days)
-			s, err := DecodeScript("found.hcl", []byte(r.Finds[at].Script))
+			at := slices.IndexFunc(r.Findings, func(f Finding) bool { return f.Rule == rule })
+			require.GreaterOrEqual(t, at, 0, "rule %d in %d days", rule, r.Runs)
+			s, err := scenario.DecodeText("found.hcl", []byte(r.Findings[at].Script))
 			require.NoError(t, err)
-			again := play(t, s, Options{Seed: r.Finds[at].Seed, Sabotage: how})
-			assert.True(t, slices.ContainsFunc(again.Broken, func(b Broken) bool { return b.Rule == rule }))
+			again := play(t, s, Options{Seed: r.Findings[at].Seed, Mutant: how})
+			assert.True(t, slices.ContainsFunc(again.Violations, func(b Violation) bool { return b.Rule == rule }))
 		})
 	}
 }
 
 // What a hunt draws depends on its seed alone, and an honest engine breaks nothing.
 func TestAHuntOfTheSameDaysFindsTheSame(t *testing.T) {
-	run := func(seed uint64) *HuntReport {
-		h := Hunt{Seed: seed, Days: 150, Allocators: 8, Nodes: 16, Worst: 2}
+	run := func(seed uint64) *SearchReport {
+		h := Search{Seed: seed, MaxRuns: 150, Allocators: 8, Nodes: 16, KeepWorst: 2}
 		r, err := h.Run(context.Background(), nil)
 		require.NoError(t, err)
 		r.Seconds = 0
@@ -292,7 +294,7 @@
 	}
 	first := run(7)
 	assert.Equal(t, first, run(7))
-	for _, f := range first.Finds {
+	for _, f := range first.Findings {
 		assert.Zero(t, f.Rule, f.What)
 	}
 	assert.NotEqual(t, first.Faults, run(8).Faults)
@@ -302,7 +304,7 @@
 
 // A fault whose absence changes nothing is none: each of every script, left out by itself, makes another day.
 func TestEveryFaultOfEveryScriptChangesItsDay(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range scenario.Names() {
 		with := play(t, open(t, name), Options{Seed: 1})
 		for i, f := range open(t, name).Faults {
 			s := open(t, name)
@@ -345,9 +347,9 @@
 
 func TestANodeTakesAnOfferOnceAndRefusesWithAReason(t *testing.T) {
 	w := &nodeWire{}
-	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, &NodeModel{
-		OverCores: 1, OverMemory: 1, Admit: 10, Line: 3, Starts: 1, Setup: 2, ReportEvery: 1000, Away: "keeps",
-		Groups: map[string]*GroupModel{"g": {Work: 50, Cores: 1, Memory: 1}, "t": {Work: 50}},
+	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, &scenario.NodeModel{
+		CoreOvercommit: 1, MemoryOvercommit: 1, AdmissionTime: 10, QueueLimit: 3, ConcurrentStarts: 1, UncachedStartFactor: 2, ReportInterval: 1000, DrainMode: "keeps",
+		Groups: map[string]*scenario.GroupModel{"g": {StartTime: 50, CoreUse: 1, MemoryUse: 1}, "t": {StartTime: 50}},
 	}, 1)
 	n.Start(0, w)
 	n.Opened(0, 2)
@@ -375,7 +377,7 @@
 	w.run(n, 200)
 	offer(6, func(o *pb.Offer) { o.Ask.Memory, o.Ask.Cores = 7, 1 })
 	offer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
-	n.Throttled = "t"
+	n.ThrottledGroup = "t"
 	offer(8, func(o *pb.Offer) { o.Ask.Group = "t" })
 	w.run(n, 240)
 	assert.Equal(t, []string{
@@ -394,27 +396,6 @@
 	assert.Len(t, n.tasks, 1)
 }
 
-func TestAWrongScriptIsNamedWithItsLine(t *testing.T) {
-	base := "kind \"k\" {}\ngroup \"g\" {}\n"
-	for src, want := range map[string]string{
-		"fault \"flood\" {}":                                      `x.hcl:3: a fault of kind "flood" is not known; give it the name of a kind`,
-		"fault \"crash\" {\n part = 2\n}":                         "x.hcl:4: part is 2; write a number from 0 to 1",
-		"fault \"hall-cut\" {\n zone = \"x\"\n}":                  `x.hcl:4: zone "x" is not known`,
-		"fault \"overrun\" {\n group = \"x\"\n}":                  `x.hcl:4: group "x" is not known`,
-		"fault \"stall\" {\n every = \"0s\"\n}":                   "x.hcl:4: every is no time",
-		"length = \"0s\"":                                         "x.hcl:3: the day has no length",
-		"load {\n rate = \"fast\"\n}":                             "x.hcl:4: rate is not a number",
-		"fault \"crash\" {}\nfault \"crash\" {}":                  `x.hcl:4: fault "crash" stands already in line 3`,
-		"fault \"second\" {\n kind = \"crash\"\n atx = \"5s\"\n}": "x.hcl:5: atx is not known here; did you mean at?",
-	} {
-		_, err := DecodeScript("x.hcl", []byte(base+src))
-		assert.ErrorContains(t, err, want, src)
-	}
-	_, err := Open("ruogh")
-	assert.ErrorContains(t, err, `no script is named "ruogh"; known are allocator-death`)
-	assert.True(t, strings.HasPrefix(open(t, "rough").About, "overlapping"))
-}
-
 // Allocators and their machines die a hundred times at any moment, with what their disks had not synced, while owners insist on
 // workloads that must not run twice: none does, and what may have run is said to have.
 func TestNothingRunsTwiceWhereAllocatorsDieWithTheirDisks(t *testing.T) {
@@ -426,7 +407,7 @@
 		}
 		r := play(t, s, Options{Seed: seed + 1})
 		kept(t, r)
-		known += int(r.Known)
+		known += int(r.AnsweredFromStorage)
 	}
 	assert.NotZero(t, known, "no ask met what an earlier life had written down, and nothing is proved")
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -5,6 +5,7 @@
 	"errors"
 	"time"
 
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 )
@@ -14,32 +15,32 @@
 const socketSlack = placement.Millis(500)
 
 // PlayVirtual plays a day in virtual time. The result depends on the script and the options alone.
-func PlayVirtual(s *Script, o Options) (*Result, error) {
+func PlayVirtual(s *scenario.Script, o Options) (*Result, error) {
 	began := time.Now()
 	v := NewVirtual(o.Seed)
 	a := NewAuditor(s.Terms())
-	var w Witness = a
+	var w Observer = a
 	seen := NewHistory(s.Terms())
-	if o.History != "" {
+	if o.HistoryFile != "" {
 		w = both{a, seen}
 	}
-	d, err := NewDay(s, o, v, w, v.Now())
+	d, err := NewRun(s, o, v, w, v.Now())
 	if err != nil {
 		return nil, err
 	}
 	late := o.late()
-	v.Run(d.QuietAt(), late)
-	v.Run(d.Ends(), func() bool { return late() || d.Open() == 0 })
-	v.Run(v.Now()+settleFor, late)
+	v.Run(d.RequestsEnd(), late)
+	v.Run(d.Deadline(), func() bool { return late() || d.PendingRequests() == 0 })
+	v.Run(v.Now()+settleTime, late)
 	if late() {
-		return nil, ErrTooLong
+		return nil, ErrDeadline
 	}
 	a.Finish(v.Now())
 	seen.End(v.Now())
-	if err := seen.write(o.History); err != nil {
+	if err := seen.write(o.HistoryFile); err != nil {
 		return nil, err
 	}
-	if err := d.endTraces(); err != nil {
+	if err := d.closeTraces(); err != nil {
 		return nil, err
 	}
 	r := d.Result(a)
@@ -54,17 +55,17 @@
 }
 
 // ErrTooLong is returned for a day that was given up as its time was over.
-var ErrTooLong = errors.New("the day took too long and was given up")
+var ErrDeadline = errors.New("the day took too long and was given up")
 
 // late tells whether the day's time is over; it looks at the clock once in a while.
 func (o *Options) late() func() bool {
-	if o.Until.IsZero() && o.Stopped == nil {
+	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
 	}
 	n, over := 0, false
 	return func() bool {
 		if n++; n%4096 == 1 {
-			over = over || !o.Until.IsZero() && time.Now().After(o.Until) || o.Stopped != nil && o.Stopped() != nil
+			over = over || !o.Deadline.IsZero() && time.Now().After(o.Deadline) || o.Cancelled != nil && o.Cancelled() != nil
 		}
 		return over
 	}
@@ -72,19 +73,19 @@
 
 // Progress is how far a day on sockets is.
 type Progress struct {
-	At, Of                                       placement.Millis
-	Asks, Placed, Rejected, Unschedulable, Waits int
+	At, Of                                             placement.Millis
+	Requests, Placed, Rejected, Unschedulable, Pending int
 }
 
 // PlaySockets plays a day on loopback sockets, in real time. What passed is audited once it is over. Told of
 // progress once a second; a context that ends cuts the day short, and it is then not judged.
-func PlaySockets(ctx context.Context, s *Script, o Options, told func(Progress)) (*Result, error) {
+func PlaySockets(ctx context.Context, s *scenario.Script, o Options, told func(Progress)) (*Result, error) {
 	began := time.Now()
-	s.Owner.Slack = max(s.Owner.Slack, socketSlack)
+	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
 	loop := transport.NewLoop(o.Log)
 	defer loop.Close()
 	seen := NewHistory(s.Terms())
-	d, err := NewDay(s, o, loop, seen, loop.Now())
+	d, err := NewRun(s, o, loop, seen, loop.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -100,22 +101,22 @@
 		now := loop.Now()
 		if p := d.progress(loop); told != nil && n%5 == 0 {
 			told(p)
-		} else if now > d.Ends() || now > d.QuietAt() && p.Waits == 0 {
+		} else if now > d.Deadline() || now > d.RequestsEnd() && p.Pending == 0 {
 			break
 		}
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(time.Duration(float64(settleFor) * 1e6)):
+	case <-time.After(time.Duration(float64(settleTime) * 1e6)):
 	}
 	loop.Close()
-	if err := d.endTraces(); err != nil {
+	if err := d.closeTraces(); err != nil {
 		return nil, err
 	}
 	seen.End(loop.Now())
 	r := d.Result(seen.Audit())
-	if err := seen.write(o.History); err != nil {
+	if err := seen.write(o.HistoryFile); err != nil {
 		return nil, err
 	}
 	r.RanSeconds = time.Since(began).Seconds()
@@ -123,16 +124,16 @@
 }
 
 // progress asks the owners, each on its own goroutine.
-func (d *Day) progress(loop *transport.Loop) Progress {
-	p := Progress{At: max(0, loop.Now()-d.begins), Of: d.script.Length}
-	for _, g := range d.owners {
+func (d *Run) progress(loop *transport.Loop) Progress {
+	p := Progress{At: max(0, loop.Now()-d.requestsStart), Of: d.script.Length}
+	for _, g := range d.clients {
 		loop.Call(g, func(placement.Millis) {
-			o := g.Inner().(*Owner)
-			p.Asks += o.Tally.Asks
+			o := g.Handler().(*Client)
+			p.Requests += o.Tally.Requests
 			p.Placed += o.Tally.Placed
 			p.Rejected += o.Tally.Rejected
 			p.Unschedulable += o.Tally.Unschedulable
-			p.Waits += o.Open()
+			p.Pending += o.Open()
 		})
 	}
 	return p
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
@@ -13,12 +14,12 @@
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			workloads := 0
 			for i := range b.N {
-				s, err := Open("quiet")
+				s, err := scenario.Open("quiet")
 				if err != nil {
 					b.Fatal(err)
 				}
 				s.Resize(size[1], size[0])
-				s.Stretch(placement.Millis(5000))
+				s.SetLength(placement.Millis(5000))
 				r, err := PlayVirtual(s, Options{Seed: uint64(i) + 1})
 				if err != nil {
 					b.Fatal(err)
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -13,9 +13,9 @@
 // Lengths of a frame's way in virtual time, in ms one way: within a hall, between halls, and how much longer
 // by chance.
 const (
-	nearWay = placement.Millis(0.2)
-	farWay  = placement.Millis(0.9)
-	wayMore = 0.3
+	sameZoneLatency  = placement.Millis(0.2)
+	crossZoneLatency = placement.Millis(0.9)
+	latencyJitter    = 0.3
 )
 
 // Host is where parties live: Virtual, or sockets.
@@ -28,73 +28,73 @@
 
 // Virtual is a network and a clock of its own making. What happens depends on the seed and on nothing else.
 type Virtual struct {
-	now     placement.Millis
-	events  timerqueue.Queue[event]
-	parties []*resident
-	byParty map[transport.FrameHandler]*resident
-	rng     *rand.Rand
+	now       placement.Millis
+	events    timerqueue.Queue[event]
+	endpoints []*endpoint
+	byHandler map[transport.FrameHandler]*endpoint
+	rng       *rand.Rand
 }
 
 type eventKind uint8
 
 const (
-	evDo eventKind = iota
-	evOpened
-	evFrame
-	evClosed
-	evWake
+	eventCall eventKind = iota
+	eventOpened
+	eventFrame
+	eventClosed
+	eventWake
 )
 
 type event struct {
-	kind eventKind
-	at   *resident
-	c    transport.ConnID
-	f    *pb.Frame
-	do   func(now placement.Millis)
-	wake uint64
-	why  error
+	kind   eventKind
+	at     *endpoint
+	conn   transport.ConnID
+	frame  *pb.Frame
+	do     func(now placement.Millis)
+	wakeID uint64
+	reason error
 }
 
 // resident is a party in the virtual network, and the net that it sees.
-type resident struct {
-	v     *Virtual
-	no    int
-	party transport.FrameHandler
-	zone  string
-	ends  []*end // by ConnID-1
+type endpoint struct {
+	network *Virtual
+	index   int
+	handler transport.FrameHandler
+	zone    string
+	ends    []*connectionEnd // by ConnID-1
 	// The wake-up that counts, if there is one.
-	wake   uint64
-	wakeAt placement.Millis
-	wakes  bool
+	wakeID      uint64
+	wakeAt      placement.Millis
+	wakePending bool
 }
 
 // end is one side of a connection.
-type end struct {
-	at   *resident
+type connectionEnd struct {
+	at   *endpoint
 	id   transport.ConnID
-	peer *end
+	peer *connectionEnd
 	open bool             // as far as this side is concerned
 	last placement.Millis // arrival of the last frame that was sent from here
 }
 
 // NewVirtual makes an empty network.
 func NewVirtual(seed uint64) *Virtual {
-	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byParty: map[transport.FrameHandler]*resident{}}
+	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byHandler: map[transport.FrameHandler]*endpoint{}}
 }
 
 // Now is the virtual time.
 func (v *Virtual) Now() placement.Millis { return v.now }
 
 func (v *Virtual) AddHandler(p transport.FrameHandler, zone string) (string, error) {
-	r := &resident{v: v, no: len(v.parties), party: p, zone: zone}
-	v.parties = append(v.parties, r)
-	v.byParty[p] = r
-	v.events.Push(v.now, event{kind: evDo, do: func(now placement.Millis) { p.Start(now, r) }})
-	return fmt.Sprintf("virtual:%d", r.no), nil
+	r := &endpoint{network: v, index: len(v.endpoints), handler: p, zone: zone}
+	v.endpoints = append(v.endpoints, r)
+	v.byHandler[p] = r
+	v.events.Push(v.now, event{kind: eventCall, do: func(now placement.Millis) { p.Start(now, r) }})
+	return fmt.Sprintf("virtual:%d", r.index), nil
 }
 
 func (v *Virtual) RunAt(_ transport.FrameHandler, at placement.Millis, do func(now placement.Millis)) {
-	v.events.Push(max(at, v.now), event{kind: evDo, do: do})
+	v.events.Push(max(at, v.now), event{kind: eventCall, do: do})
 }
 
 // Run handles what comes due until that time, or until done says so.
@@ -111,94 +111,94 @@
 
 func (v *Virtual) handle(e event) {
 	switch e.kind {
-	case evDo:
+	case eventCall:
 		e.do(v.now)
 		return
-	case evWake:
-		if e.wake == e.at.wake {
-			e.at.wakes = false
-			e.at.party.Wake(v.now)
+	case eventWake:
+		if e.wakeID == e.at.wakeID {
+			e.at.wakePending = false
+			e.at.handler.Wake(v.now)
 		}
 		return
 	}
-	side := e.at.ends[e.c-1]
+	side := e.at.ends[e.conn-1]
 	if !side.open {
 		return
 	}
 	switch e.kind {
-	case evOpened:
-		e.at.party.Opened(v.now, e.c)
-	case evFrame:
-		e.at.party.Received(v.now, e.c, e.f)
-	case evClosed:
+	case eventOpened:
+		e.at.handler.Opened(v.now, e.conn)
+	case eventFrame:
+		e.at.handler.Received(v.now, e.conn, e.frame)
+	case eventClosed:
 		side.open = false
-		e.at.party.Closed(v.now, e.c, e.why)
+		e.at.handler.Closed(v.now, e.conn, e.reason)
 	}
 }
 
 // way is how long something takes from one party to another.
-func (v *Virtual) way(from, to *resident) placement.Millis {
-	base := nearWay
+func (v *Virtual) latency(from, to *endpoint) placement.Millis {
+	base := sameZoneLatency
 	if from.zone != to.zone {
-		base = farWay
+		base = crossZoneLatency
 	}
-	return base * placement.Millis(1+wayMore*v.rng.Float64())
+	return base * placement.Millis(1+latencyJitter*v.rng.Float64())
 }
 
 // send has something arrive at the other end, after all that was sent before it.
-func (v *Virtual) send(from *end, e event) {
+func (v *Virtual) send(from *connectionEnd, e event) {
 	to := from.peer
-	from.last = max(from.last, v.now+v.way(from.at, to.at))
-	e.at, e.c = to.at, to.id
+	from.last = max(from.last, v.now+v.latency(from.at, to.at))
+	e.at, e.conn = to.at, to.id
 	v.events.Push(from.last, e)
 }
 
-func (r *resident) newEnd() *end {
-	e := &end{at: r, id: transport.ConnID(len(r.ends) + 1), open: true}
+func (r *endpoint) newEnd() *connectionEnd {
+	e := &connectionEnd{at: r, id: transport.ConnID(len(r.ends) + 1), open: true}
 	r.ends = append(r.ends, e)
 	return e
 }
 
-func (r *resident) Now() placement.Millis { return r.v.now }
+func (r *endpoint) Now() placement.Millis { return r.network.now }
 
-func (r *resident) Dial(addr string) transport.ConnID {
+func (r *endpoint) Dial(addr string) transport.ConnID {
 	a := r.newEnd()
 	var no int
-	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.v.parties) {
-		r.v.events.Push(r.v.now, event{kind: evClosed, at: r, c: a.id, why: fmt.Errorf("no party at %s", addr)})
+	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.network.endpoints) {
+		r.network.events.Push(r.network.now, event{kind: eventClosed, at: r, conn: a.id, reason: fmt.Errorf("no party at %s", addr)})
 		return a.id
 	}
-	b := r.v.parties[no].newEnd()
+	b := r.network.endpoints[no].newEnd()
 	a.peer, b.peer = b, a
-	r.v.send(a, event{kind: evOpened})
+	r.network.send(a, event{kind: eventOpened})
 	b.last = a.last
-	b.last = max(b.last, a.last) + r.v.way(b.at, a.at)
-	r.v.events.Push(b.last, event{kind: evOpened, at: a.at, c: a.id})
+	b.last = max(b.last, a.last) + r.network.latency(b.at, a.at)
+	r.network.events.Push(b.last, event{kind: eventOpened, at: a.at, conn: a.id})
 	return a.id
 }
 
-func (r *resident) Send(c transport.ConnID, f *pb.Frame) {
+func (r *endpoint) Send(c transport.ConnID, f *pb.Frame) {
 	if e := r.ends[c-1]; e.open && e.peer != nil {
-		r.v.send(e, event{kind: evFrame, f: f})
+		r.network.send(e, event{kind: eventFrame, frame: f})
 	}
 }
 
-func (r *resident) Close(c transport.ConnID) {
+func (r *endpoint) Close(c transport.ConnID) {
 	e := r.ends[c-1]
 	if !e.open {
 		return
 	}
 	e.open = false
 	if e.peer != nil {
-		r.v.send(e, event{kind: evClosed, why: transport.ErrClosedByPeer})
+		r.network.send(e, event{kind: eventClosed, reason: transport.ErrClosedByPeer})
 	}
 }
 
-func (r *resident) WakeAt(t placement.Millis) {
-	if t = max(t, r.v.now); r.wakes && t == r.wakeAt {
+func (r *endpoint) WakeAt(t placement.Millis) {
+	if t = max(t, r.network.now); r.wakePending && t == r.wakeAt {
 		return
 	}
-	r.wake++
-	r.wakeAt, r.wakes = t, true
-	r.v.events.Push(t, event{kind: evWake, at: r, wake: r.wake})
+	r.wakeID++
+	r.wakeAt, r.wakePending = t, true
+	r.network.events.Push(t, event{kind: eventWake, at: r, wakeID: r.wakeID})
 }
