--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -5,7 +5,8 @@
 
 	"github.com/spf13/cobra"
 
-	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/observer"
 )
 
 func labCheckCommand() *cobra.Command {
@@ -24,19 +25,19 @@
 }
 
 func checkHistories(c *cobra.Command, names []string, asJSON bool) error {
-	found := map[string][]simulation.Violation{}
+	found := map[string][]audit.Violation{}
 	anyBroken := false
 	for _, name := range names {
 		h, err := readHistory(name)
 		if err != nil {
 			return err
 		}
-		audit := h.Audit()
-		found[name] = append([]simulation.Violation{}, audit.Broken...) // never null in JSON
-		anyBroken = anyBroken || len(audit.Broken) > 0
+		result := audit.Check(h)
+		found[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
+		anyBroken = anyBroken || len(result.Violations) > 0
 		if !asJSON {
 			c.Printf("%s: ", name)
-			printAudit(c, audit.Frames, audit.Broken, audit.More)
+			printAudit(c, result.Frames, result.Violations, result.MoreViolations)
 		}
 	}
 	if asJSON {
@@ -50,11 +51,11 @@
 	return nil
 }
 
-func readHistory(name string) (*simulation.History, error) {
+func readHistory(name string) (*observer.History, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	return simulation.ReadHistory(name, f)
+	return observer.ReadHistory(name, f)
 }
--- a/internal/command/lab_play.go
+++ b/internal/command/lab_play.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/audit"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
@@ -181,7 +182,7 @@
 }
 
 // printAudit prints whether the rules held, and the frames of the first breaks. More is how many breaks were not kept.
-func printAudit(c *cobra.Command, frames int, broken []simulation.Violation, more int) {
+func printAudit(c *cobra.Command, frames int, broken []audit.Violation, more int) {
 	if len(broken) == 0 {
 		c.Printf("All rules held, by the %d frames that passed.\n", frames)
 		return
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -15,6 +15,8 @@
 
 	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/oracle"
+	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/storage"
 	"grebeglade/internal/transport"
@@ -69,25 +71,25 @@
 	Wait99                float64        `json:"wait_p99_ms"`
 	OverloadedNodes       int            `json:"fell"` // cold nodes pushed over
 
-	Ran            float64     `json:"core_time_share"` // of the core time that single workloads wanted while owners asked
-	ListEntries    uint64      `json:"list_entries"`    // that allocators were told
-	Oracle         *Oracle     `json:"oracle,omitempty"`
-	FirstPlaced    float64     `json:"singles_placed_at_first"` // share of workloads in no group that their first ask placed
-	Gangs          int         `json:"gangs"`                   // that owners wanted
-	GangsStood     int         `json:"gangs_standing"`          // that stood at some time
-	GangsGivenUp   int         `json:"gangs_given_up"`          // that never did, and are not asked for any more
-	PartialLeft    int         `json:"partial_groups_left"`     // by the auditor, after the settle time
-	GangMedian     float64     `json:"gang_wait_median_ms"`     // from a group's first ask until it stood
-	GangWasted     float64     `json:"gang_wasted_share"`       // of the core time of parts, that of groups that did not stand
-	GangStops      uint64      `json:"gang_stops"`              // parts that allocators stopped
-	Frames         int         `json:"frames"`
-	DaySeconds     float64     `json:"day_seconds"`
-	RanSeconds     float64     `json:"ran_seconds"`
-	Nearest        LimitUse    `json:"nearest"` // how near to its limits it came
-	Digest         string      `json:"digest"`
-	Violations     []Violation `json:"broken"`
-	MoreViolations int         `json:"more_broken,omitempty"`
-	Singles        int         `json:"singles"` // workloads wanted that are in no group
+	Ran            float64           `json:"core_time_share"` // of the core time that single workloads wanted while owners asked
+	ListEntries    uint64            `json:"list_entries"`    // that allocators were told
+	Oracle         *Oracle           `json:"oracle,omitempty"`
+	FirstPlaced    float64           `json:"singles_placed_at_first"` // share of workloads in no group that their first ask placed
+	Gangs          int               `json:"gangs"`                   // that owners wanted
+	GangsStood     int               `json:"gangs_standing"`          // that stood at some time
+	GangsGivenUp   int               `json:"gangs_given_up"`          // that never did, and are not asked for any more
+	PartialLeft    int               `json:"partial_groups_left"`     // by the auditor, after the settle time
+	GangMedian     float64           `json:"gang_wait_median_ms"`     // from a group's first ask until it stood
+	GangWasted     float64           `json:"gang_wasted_share"`       // of the core time of parts, that of groups that did not stand
+	GangStops      uint64            `json:"gang_stops"`              // parts that allocators stopped
+	Frames         int               `json:"frames"`
+	DaySeconds     float64           `json:"day_seconds"`
+	RanSeconds     float64           `json:"ran_seconds"`
+	Nearest        audit.LimitUse    `json:"nearest"` // how near to its limits it came
+	Digest         string            `json:"digest"`
+	Violations     []audit.Violation `json:"broken"`
+	MoreViolations int               `json:"more_broken,omitempty"`
+	Singles        int               `json:"singles"` // workloads wanted that are in no group
 }
 
 // Day is a script put together on a host.
@@ -95,7 +97,7 @@
 	script   *scenario.Script
 	opts     Options
 	host     Host
-	observer Observer
+	observer observer.Observer
 	rng      *rand.Rand
 
 	discovery     *Interceptor
@@ -115,7 +117,7 @@
 }
 
 // NewDay brings the script's parties to the host and plans its faults.
-func NewRun(s *scenario.Script, o Options, host Host, w Observer, now placement.Millis) (*Run, error) {
+func NewRun(s *scenario.Script, o Options, host Host, w observer.Observer, now placement.Millis) (*Run, error) {
 	d := newRun(s, o, host, w, now)
 	if err := d.populate(); err != nil {
 		return nil, err
@@ -127,7 +129,7 @@
 	return d, nil
 }
 
-func newRun(s *scenario.Script, o Options, host Host, w Observer, now placement.Millis) *Run {
+func newRun(s *scenario.Script, o Options, host Host, w observer.Observer, now placement.Millis) *Run {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -375,15 +377,15 @@
 }
 
 // Result sums the day up once all its parties have come to rest.
-func (d *Run) Result(a *Auditor) *Result {
+func (d *Run) Result(a *audit.Auditor) *Result {
 	s := d.script
 	r := &Result{
 		Name: s.Name, About: s.About, Seed: d.opts.Seed, Allocators: s.Allocators, Nodes: len(d.nodes),
-		Ended: map[string]int{}, Frames: a.Frames, Violations: a.Broken, MoreViolations: a.More, OverloadedNodes: len(d.overloads), Nearest: a.Nearest,
+		Ended: map[string]int{}, Frames: a.Frames, Violations: a.Violations, MoreViolations: a.MoreViolations, OverloadedNodes: len(d.overloads), Nearest: a.LimitUse,
 		DaySeconds: float64(s.Length) / 1000,
 	}
 	if r.Violations == nil {
-		r.Violations = []Violation{}
+		r.Violations = []audit.Violation{}
 	}
 	var waits, gangWaits []float64
 	singles, placedFirst, wasted, used := 0, 0, 0.0, 0.0
@@ -413,7 +415,7 @@
 	r.FirstPlaced = float64(placedFirst) / float64(max(1, singles))
 	slices.Sort(gangWaits)
 	r.GangMedian = percentile(gangWaits, 0.5)
-	r.PartialLeft, r.GangWasted = a.Partial, a.wastedShare()
+	r.PartialLeft, r.GangWasted = a.IncompleteGangs(), a.WastedCoreShare()
 	if wasted+used > 0 {
 		r.GangWasted = wasted / (wasted + used)
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -3,29 +3,16 @@
 import (
 	"log/slog"
 
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
-	"grebeglade/placement"
-	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// silent sees nothing.
-type discardObserver struct{}
-
-func (discardObserver) Frame(placement.Millis, placement.Millis, *Interceptor, transport.ConnID, bool, *pb.Frame) {
-}
-
-func (discardObserver) Conn(placement.Millis, *Interceptor, transport.ConnID, bool) {}
-
-func (discardObserver) Life(placement.Millis, *Interceptor, bool) {}
-
-func (discardObserver) Still(placement.Millis, *Interceptor, placement.Millis) {}
-
 // StandFleet runs a script's machine list, at that address, and its nodes, so that an allocator started by hand
 // has something to place on. It returns the loop that they run on and the list's address.
 func StartFleet(s *scenario.Script, seed uint64, listAddr string, log *slog.Logger) (*transport.Loop, string, error) {
 	loop := transport.NewLoop(log)
-	d := newRun(s, Options{Seed: seed}, loop, discardObserver{}, 0)
+	d := newRun(s, Options{Seed: seed}, loop, observer.Discard{}, 0)
 	d.discovery = d.newDiscovery()
 	addr, err := loop.ListenFrames(d.discovery, listAddr, transport.DefaultLimits)
 	if err == nil {
--- a/internal/simulation/gate.go
+++ b/internal/simulation/gate.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"grebeglade/internal/oracle"
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -15,28 +16,14 @@
 // cutBreaks is how long, in ms, a connection outlives a cut: about as long as keep-alives let one stand.
 const CutTimeout = placement.Millis(3e3)
 
-// Witness sees what passes between a party and its connections, and nothing of what goes on inside it.
-type Observer interface {
-	// Frame is called when a party sends a frame (out), or is handed one, which may have waited since it arrived.
-	Frame(now, arrived placement.Millis, g *Interceptor, c transport.ConnID, out bool, f *pb.Frame)
-	// Conn is called when a connection opens or closes.
-	Conn(now placement.Millis, g *Interceptor, c transport.ConnID, open bool)
-	// Life is called when a party's process starts or dies.
-	Life(now placement.Millis, g *Interceptor, alive bool)
-	// Still is called when a party's process stands still until then.
-	Still(now placement.Millis, g *Interceptor, until placement.Millis)
-}
-
 // Gate stands between a party and its net. It is where a party's process dies, stands still or is cut off,
 // and where the witness looks on. Everything is called on the party's goroutine.
 type Interceptor struct {
-	Name   string
-	Role   pb.Role
-	ID     int                                // number within its role
+	observer.Process
 	OnKill func(inner transport.FrameHandler) // called before the process ends, or nil
 
 	newHandler func(incarnation uint64) transport.FrameHandler
-	observer   Observer
+	observer   observer.Observer
 	uptime     []oracle.Span // of its process
 
 	net          transport.FrameNetwork
@@ -47,7 +34,6 @@
 	arrivedAt    placement.Millis // when the frame that is being handed over reached the machine
 	cutOut       bool             // what the party sends does not arrive, and
 	cutIn        bool             // what is sent to it
-	cutNo        int
 	clock        clock
 	faults       *FrameFaults
 	delayedUntil map[transport.ConnID]placement.Millis // until when frames wait that the network holds up
@@ -63,8 +49,8 @@
 }
 
 // NewGate makes a gate in front of what make returns; make is called again at each start of the process.
-func NewInterceptor(name string, role pb.Role, id int, w Observer, make func(uint64) transport.FrameHandler) *Interceptor {
-	return &Interceptor{Name: name, Role: role, ID: id, newHandler: make, observer: w, conns: map[transport.ConnID]bool{}, delayedUntil: map[transport.ConnID]placement.Millis{}}
+func NewInterceptor(name string, role pb.Role, id int, o observer.Observer, newHandler func(uint64) transport.FrameHandler) *Interceptor {
+	return &Interceptor{Process: observer.Process{Name: name, Role: role, ID: id}, newHandler: newHandler, observer: o, conns: map[transport.ConnID]bool{}, delayedUntil: map[transport.ConnID]placement.Millis{}}
 }
 
 // Inner is the party as it lives now, nil while it is dead.
@@ -86,7 +72,7 @@
 	g.incarnation++
 	g.uptime = append(g.uptime, oracle.Span{From: now, Until: placement.Millis(math.Inf(1))})
 	g.handler = g.newHandler(g.incarnation)
-	g.observer.Life(now, g, true)
+	g.observer.Process(now, &g.Process, true)
 	g.handler.Start(g.clock.toLocal(now), g)
 }
 
@@ -96,7 +82,7 @@
 		return
 	}
 	g.uptime[len(g.uptime)-1].Until = now
-	g.observer.Life(now, g, false)
+	g.observer.Process(now, &g.Process, false)
 	if g.OnKill != nil {
 		g.OnKill(g.handler)
 	}
@@ -109,7 +95,7 @@
 	all := slices.Sorted(maps.Keys(g.conns))
 	for _, c := range all {
 		g.net.Close(c)
-		g.observer.Conn(now, g, c, false)
+		g.observer.Connection(now, &g.Process, c, false)
 	}
 	clear(g.conns)
 	return all
@@ -119,7 +105,7 @@
 func (g *Interceptor) Pause(now, until placement.Millis) {
 	if g.handler != nil {
 		g.paused = true
-		g.observer.Still(now, g, until)
+		g.observer.Pause(now, &g.Process, until)
 	}
 }
 
@@ -136,7 +122,7 @@
 }
 
 // Cut cuts the party off from everyone: frames wait on both sides, and connections break if it lasts.
-func (g *Interceptor) Cut(placement.Millis) { g.cutOut, g.cutIn, g.cutNo = true, true, g.cutNo+1 }
+func (g *Interceptor) Cut(placement.Millis) { g.cutOut, g.cutIn = true, true }
 
 // BreakCut ends the connections that have been cut off for too long. It is due cutBreaks after Cut.
 func (g *Interceptor) BreakConnections(now placement.Millis) {
@@ -181,7 +167,7 @@
 		return
 	}
 	g.conns[c] = true
-	g.observer.Conn(now, g, c, true)
+	g.observer.Connection(now, &g.Process, c, true)
 	g.deliver(now, func(now placement.Millis) { g.handler.Opened(g.clock.toLocal(now), c) })
 }
 
@@ -200,14 +186,14 @@
 func (g *Interceptor) deliverFrame(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	if g.handler != nil && !g.paused { // the way of nearly all, and without a closure
 		g.arrivedAt = now
-		g.observer.Frame(now, now, g, c, false, f)
+		g.observer.Frame(now, now, &g.Process, c, false, f)
 		g.handler.Received(g.clock.toLocal(now), c, f)
 		return
 	}
 	arrived := now
 	g.deliver(now, func(now placement.Millis) {
 		g.arrivedAt = arrived
-		g.observer.Frame(now, arrived, g, c, false, f)
+		g.observer.Frame(now, arrived, &g.Process, c, false, f)
 		g.handler.Received(g.clock.toLocal(now), c, f)
 	})
 }
@@ -219,7 +205,7 @@
 	delete(g.conns, c)
 	delete(g.delayedUntil, c)
 	g.deliver(now, func(now placement.Millis) {
-		g.observer.Conn(now, g, c, false)
+		g.observer.Connection(now, &g.Process, c, false)
 		g.handler.Closed(g.clock.toLocal(now), c, reason)
 	})
 }
@@ -248,13 +234,13 @@
 		return
 	}
 	g.net.Send(c, f)
-	g.observer.Frame(g.net.Now(), g.net.Now(), g, c, true, f)
+	g.observer.Frame(g.net.Now(), g.net.Now(), &g.Process, c, true, f)
 }
 
 func (g *Interceptor) Close(c transport.ConnID) {
 	if g.conns[c] {
 		delete(g.conns, c)
-		g.observer.Conn(g.net.Now(), g, c, false)
+		g.observer.Connection(g.net.Now(), &g.Process, c, false)
 		g.net.Close(c)
 	}
 }
--- a/internal/simulation/harden_test.go
+++ b/internal/simulation/harden_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/simulation/observer"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -136,14 +137,14 @@
 			ask   uint64
 		}
 		sent, asked, placed := map[ref]int{}, make([]float64, 28), make([]float64, 28)
-		for _, s := range h.sights {
-			if a := s.frame.GetAsk(); a != nil && s.what == sends {
-				slot := min(27, int((s.at-begins)/half))
-				sent[ref{s.gate.Name, a.Ask}] = slot
+		for _, s := range h.Events() {
+			if a := s.Frame.GetAsk(); a != nil && s.Kind == observer.FrameSent {
+				slot := min(27, int((s.At-begins)/half))
+				sent[ref{s.Process.Name, a.Ask}] = slot
 				asked[slot]++
 			}
-			if a := s.frame.GetAnswer(); a != nil && s.what == gets && a.Verdict == pb.Verdict_PLACED {
-				placed[sent[ref{s.gate.Name, a.Ask}]]++
+			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived && a.Verdict == pb.Verdict_PLACED {
+				placed[sent[ref{s.Process.Name, a.Ask}]]++
 			}
 		}
 		for i := range sums {
@@ -252,19 +253,19 @@
 			}
 			count[what][ref{who, no}]++
 		}
-		for _, s := range h.sights {
-			if a := s.frame.GetAnswer(); a != nil && s.what == gets {
-				add("answers to an ask", s.gate.Name, a.Ask)
+		for _, s := range h.Events() {
+			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived {
+				add("answers to an ask", s.Process.Name, a.Ask)
 			}
-			if s.what != sends || s.gate.Role == pb.Role_NODE {
+			if s.Kind != observer.FrameSent || s.Process.Role == pb.Role_NODE {
 				continue
 			}
-			switch b := s.frame.Body.(type) {
+			switch b := s.Frame.Body.(type) {
 			case *pb.Frame_Ask:
-				add("asks of a workload", s.gate.Name, b.Ask.Key)
+				add("asks of a workload", s.Process.Name, b.Ask.Key)
 			case *pb.Frame_Offer:
 				o := b.Offer
-				add("sendings of a bind", fmt.Sprint(bindText(o.Bind)), 0)
+				add("sendings of a bind", observer.KeyOf(o.Bind).String(), 0)
 				if o.Gang != nil {
 					add("binds of a part", o.Owner, o.Ask.Key)
 				} else {
@@ -272,11 +273,11 @@
 					add("binds of a workload", o.Owner, o.Ask.Key)
 				}
 			case *pb.Frame_Stop:
-				add("stops of a bind", bindText(b.Stop.Bind), 0)
+				add("stops of a bind", observer.KeyOf(b.Stop.Bind).String(), 0)
 			case *pb.Frame_ListCall:
-				add("list calls of an allocator", s.gate.Name, 0)
+				add("list calls of an allocator", s.Process.Name, 0)
 			case *pb.Frame_Probe:
-				add("probes of an allocator", s.gate.Name, 0)
+				add("probes of an allocator", s.Process.Name, 0)
 			}
 		}
 		for what, each := range count {
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/hunt.go
@@ -11,6 +11,7 @@
 	"sync"
 	"time"
 
+	"grebeglade/internal/simulation/audit"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
@@ -44,20 +45,7 @@
 	Seconds  float64        `json:"seconds"`
 	Findings []Finding      `json:"finds"`
 	Faults   map[string]int `json:"faults"`  // days on which each was played
-	Nearest  LimitUse       `json:"nearest"` // how near to each limit any day came
-}
-
-// Nearest is how near to its limits a day came: 1 is the limit.
-type LimitUse struct {
-	Answer float64 `json:"answer_time"`  // of the pending timeout, until an answer
-	Drain  float64 `json:"drain_grace"`  // of the grace, until the last offer to a draining node
-	Cold   float64 `json:"cold_budget"`  // of what a cold node bears
-	Spread float64 `json:"spread_limit"` // of the most in one place
-}
-
-func (n *LimitUse) raiseTo(m LimitUse) {
-	n.Answer, n.Drain = max(n.Answer, m.Answer), max(n.Drain, m.Drain)
-	n.Cold, n.Spread = max(n.Cold, m.Cold), max(n.Spread, m.Spread)
+	Nearest  audit.LimitUse `json:"nearest"` // how near to each limit any day came
 }
 
 // drawn is a day as a hunt makes it up: what differs from the quiet day.
@@ -194,7 +182,7 @@
 func (d *generated) reduce(rule int, how Mutant) *generated {
 	holds := func(c *generated) bool {
 		r, err := c.play(how)
-		return err == nil && slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Rule == rule })
+		return err == nil && slices.ContainsFunc(r.Violations, func(b audit.Violation) bool { return b.Rule == rule })
 	}
 	try := func(change func(*generated) bool) bool {
 		c := *d
@@ -284,7 +272,7 @@
 		for _, f := range o.d.faults {
 			report.Faults[string(f.Kind)]++
 		}
-		report.Nearest.raiseTo(o.r.Nearest)
+		report.Nearest.RaiseTo(o.r.Nearest)
 		if len(o.r.Violations) > 0 {
 			broken = append(broken, o)
 		} else if h.KeepWorst > 0 {
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math"
 	"os"
 	"path/filepath"
 	"slices"
@@ -13,6 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -193,7 +196,7 @@
 			}
 			require.NotEmpty(t, r.Violations)
 			// What was written down is judged alike, and an honest allocator passes on the same day.
-			assert.Equal(t, r.Violations, readBack(t, file).Audit().Broken)
+			assert.Equal(t, r.Violations, audit.Check(readBack(t, file)).Violations)
 			assert.Empty(t, play(t, s, Options{Seed: seed}).Violations)
 			found := false
 			for _, b := range r.Violations {
@@ -278,7 +281,7 @@
 			s, err := scenario.DecodeText("found.hcl", []byte(r.Findings[at].Script))
 			require.NoError(t, err)
 			again := play(t, s, Options{Seed: r.Findings[at].Seed, Mutant: how})
-			assert.True(t, slices.ContainsFunc(again.Violations, func(b Violation) bool { return b.Rule == rule }))
+			assert.True(t, slices.ContainsFunc(again.Violations, func(b audit.Violation) bool { return b.Rule == rule }))
 		})
 	}
 }
@@ -411,3 +414,25 @@
 	}
 	assert.NotZero(t, known, "no ask met what an earlier life had written down, and nothing is proved")
 }
+
+// readBack reads the history of a day that was just played.
+func readBack(t *testing.T, file string) *observer.History {
+	t.Helper()
+	f, err := os.Open(file)
+	require.NoError(t, err)
+	defer func() { require.NoError(t, f.Close()) }()
+	h, err := observer.ReadHistory(file, f)
+	require.NoError(t, err)
+	return h
+}
+
+// The share is a sum of floating-point numbers, so its last digit shows any change of the order in which they are added.
+func TestRun_WastedShareIsTheSameEachTime(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "history")
+	r := play(t, open(t, "gang-node-failure"), Options{Seed: 2, HistoryFile: file})
+	h := readBack(t, file)
+	require.NotZero(t, r.GangWasted)
+	for range 200 {
+		assert.Equal(t, math.Float64bits(r.GangWasted), math.Float64bits(audit.Check(h).WastedCoreShare()))
+	}
+}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -63,7 +63,6 @@
 // CutOne cuts one direction off: what the party sends, or what is sent to it. No connection comes about then, and
 // those that stand break as they do in a full cut.
 func (g *Interceptor) CutDirection(out bool) {
-	g.cutNo++
 	if out {
 		g.cutOut = true
 	} else {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -34,7 +35,7 @@
 // troubled is a gate with one connection, and a queue of what the network holds up.
 func troubled(t *FrameFaults) (*Interceptor, *hearer, *Virtual) {
 	h, v := &hearer{}, NewVirtual(1)
-	g := NewInterceptor("x", pb.Role_NODE, 1, discardObserver{}, func(uint64) transport.FrameHandler { return h })
+	g := NewInterceptor("x", pb.Role_NODE, 1, observer.Discard{}, func(uint64) transport.FrameHandler { return h })
 	g.Start(0, &nodeWire{})
 	g.Opened(0, 1)
 	if t != nil {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -5,6 +5,7 @@
 	"math"
 	"slices"
 
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -45,9 +46,9 @@
 	queue              []*queuedFrame_
 	admitting          bool
 	tasks              []*task // in the order of their acceptance
-	byBind             map[bindKey]*task
-	answered           map[bindKey]*pb.OfferAnswer
-	answeredOrder      []bindKey // of answered
+	byBind             map[observer.BindKey]*task
+	answered           map[observer.BindKey]*pb.OfferAnswer
+	answeredOrder      []observer.BindKey // of answered
 	toStart            []*task
 	starting           int
 	programs           []uint64 // kept, latest last
@@ -78,17 +79,6 @@
 	coreTime      float64 // core milliseconds that single workloads ran while owners asked
 }
 
-type bindKey struct {
-	allocator   string
-	incarnation uint64
-	workload    uint64
-	number      uint32
-}
-
-func keyOf(b *pb.BindID) bindKey {
-	return bindKey{b.GetAllocator(), b.GetIncarnation(), b.GetWorkload(), b.GetNumber()}
-}
-
 // waiting is an offer or a probe in the admission line.
 type queuedFrame_ struct {
 	offer     *pb.Offer
@@ -114,8 +104,8 @@
 func NewNode(spec *NodeSpec, m *scenario.NodeModel, boot uint64) *Node {
 	return &Node{
 		id: spec.ID, spec: spec, model: m, incarnation: boot, startedAt: placement.DistantPast, peers: map[transport.ConnID]string{},
-		conns: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[bindKey]*task{},
-		answered: map[bindKey]*pb.OfferAnswer{}, Slowdown: 1,
+		conns: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*task{},
+		answered: map[observer.BindKey]*pb.OfferAnswer{}, Slowdown: 1,
 	}
 }
 
@@ -181,7 +171,7 @@
 		case *pb.Frame_Stop:
 			n.stopped(now, b.Stop)
 		case *pb.Frame_Keep:
-			if t := n.byBind[keyOf(b.Keep.Bind)]; t != nil {
+			if t := n.byBind[observer.KeyOf(b.Keep.Bind)]; t != nil {
 				t.confirmed = true
 			}
 		case *pb.Frame_Probe:
@@ -231,12 +221,12 @@
 	if n.overloaded {
 		return
 	}
-	if a := n.answered[keyOf(o.Bind)]; a != nil {
+	if a := n.answered[observer.KeyOf(o.Bind)]; a != nil {
 		n.net.Send(c, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: a}})
 		return
 	}
-	if n.byBind[keyOf(o.Bind)] != nil || slices.ContainsFunc(n.queue, func(w *queuedFrame_) bool {
-		return w.offer != nil && keyOf(w.offer.Bind) == keyOf(o.Bind)
+	if n.byBind[observer.KeyOf(o.Bind)] != nil || slices.ContainsFunc(n.queue, func(w *queuedFrame_) bool {
+		return w.offer != nil && observer.KeyOf(w.offer.Bind) == observer.KeyOf(o.Bind)
 	}) {
 		return // it came twice, and is answered once
 	}
@@ -325,7 +315,7 @@
 func (n *Node) accept(now placement.Millis, o *pb.Offer) {
 	t := &task{offer: o, group: n.model.Groups[o.Ask.Group]}
 	n.tasks = append(n.tasks, t)
-	n.byBind[keyOf(o.Bind)] = t
+	n.byBind[observer.KeyOf(o.Bind)] = t
 	if !n.model.ConfirmsRunning {
 		n.answer(now, o.Bind, &pb.OfferAnswer{Bind: o.Bind, Accepted: true, Load: n.loadNow(now)})
 	}
@@ -350,7 +340,7 @@
 
 // answer gives a bind its one answer, and remembers it in case the offer comes again.
 func (n *Node) answer(_ placement.Millis, b *pb.BindID, a *pb.OfferAnswer) {
-	k := keyOf(b)
+	k := observer.KeyOf(b)
 	n.answered[k] = a
 	if n.answeredOrder = append(n.answeredOrder, k); len(n.answeredOrder) > maxAnswered {
 		delete(n.answered, n.answeredOrder[0])
@@ -446,7 +436,7 @@
 	}
 	t.ended = true
 	n.tasks = slices.DeleteFunc(n.tasks, func(o *task) bool { return o == t })
-	delete(n.byBind, keyOf(t.offer.Bind))
+	delete(n.byBind, observer.KeyOf(t.offer.Bind))
 	if t.running && n.OnRunning != nil {
 		n.OnRunning(t, false)
 	}
@@ -466,9 +456,9 @@
 
 // stopped takes a bind back, from the line or, unless only that was wanted, from the node.
 func (n *Node) stopped(now placement.Millis, s *pb.Stop) {
-	k := keyOf(s.Bind)
+	k := observer.KeyOf(s.Bind)
 	for _, w := range n.queue {
-		if w.offer != nil && keyOf(w.offer.Bind) == k {
+		if w.offer != nil && observer.KeyOf(w.offer.Bind) == k {
 			w.cancelled = true
 			return
 		}
--- /dev/null
+++ b/internal/simulation/observer/history.go
@@ -0,0 +1,120 @@
+package observer
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+
+	"grebeglade/internal/simulation/scenario"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// History is an Observer that keeps everything, so that a run can be audited once it has ended, at once or from a file.
+// It may be used by several goroutines.
+type History struct {
+	terms  scenario.Terms
+	ended  placement.Millis
+	mu     sync.Mutex // guards events while the run lasts: processes on sockets have goroutines of their own
+	events []Event
+}
+
+// EventKind says what was observed, by its name in the files.
+type EventKind string
+
+// The kinds of events.
+const (
+	FrameSent        EventKind = "sends"
+	FrameReceived    EventKind = "gets"
+	ConnectionOpened EventKind = "opens"
+	ConnectionClosed EventKind = "closes"
+	ProcessStarted   EventKind = "starts"
+	ProcessKilled    EventKind = "dies"
+	ProcessPaused    EventKind = "stands still"
+)
+
+// Event is one observation.
+type Event struct {
+	Kind    EventKind
+	At      placement.Millis
+	Arrived placement.Millis // when a frame reached the machine
+	Until   placement.Millis // when a pause ends
+	Process *Process
+	Conn    transport.ConnID
+	Frame   *pb.Frame // of FrameSent and FrameReceived only
+}
+
+// NewHistory returns an empty history of a run that is held to these terms.
+func NewHistory(t scenario.Terms) *History { return &History{terms: t} }
+
+// Terms returns the terms that the run is held to.
+func (h *History) Terms() scenario.Terms { return h.terms }
+
+// Events returns what was observed, sorted by time once the history has ended.
+func (h *History) Events() []Event { return h.events }
+
+func (h *History) add(e Event) {
+	h.mu.Lock()
+	h.events = append(h.events, e)
+	h.mu.Unlock()
+}
+
+// Frame implements Observer.
+func (h *History) Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame) {
+	kind := FrameReceived
+	if sent {
+		kind = FrameSent
+	}
+	h.add(Event{Kind: kind, At: now, Arrived: arrived, Process: p, Conn: c, Frame: f})
+}
+
+// Connection implements Observer.
+func (h *History) Connection(now placement.Millis, p *Process, c transport.ConnID, open bool) {
+	kind := ConnectionClosed
+	if open {
+		kind = ConnectionOpened
+	}
+	h.add(Event{Kind: kind, At: now, Process: p, Conn: c})
+}
+
+// Process implements Observer.
+func (h *History) Process(now placement.Millis, p *Process, running bool) {
+	kind := ProcessKilled
+	if running {
+		kind = ProcessStarted
+	}
+	h.add(Event{Kind: kind, At: now, Process: p})
+}
+
+// Pause implements Observer.
+func (h *History) Pause(now placement.Millis, p *Process, until placement.Millis) {
+	h.add(Event{Kind: ProcessPaused, At: now, Until: until, Process: p})
+}
+
+// End ends the history and sorts its events by time. Events of one process keep their order, as its clock never steps back.
+func (h *History) End(now placement.Millis) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ended = now
+	slices.SortStableFunc(h.events, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
+}
+
+// Ended returns the time at which the run ended.
+func (h *History) Ended() placement.Millis { return h.ended }
+
+// Replay notifies o of everything in the history.
+func (h *History) Replay(o Observer) {
+	for _, e := range h.events {
+		switch e.Kind {
+		case FrameSent, FrameReceived:
+			o.Frame(e.At, e.Arrived, e.Process, e.Conn, e.Kind == FrameSent, e.Frame)
+		case ConnectionOpened, ConnectionClosed:
+			o.Connection(e.At, e.Process, e.Conn, e.Kind == ConnectionOpened)
+		case ProcessStarted, ProcessKilled:
+			o.Process(e.At, e.Process, e.Kind == ProcessStarted)
+		case ProcessPaused:
+			o.Pause(e.At, e.Process, e.Until)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/observer/observer.go
@@ -0,0 +1,95 @@
+// Package observer records what passes between the processes of a run and their connections. It sees frames with their
+// times and directions, connections, and starts and ends of processes, and nothing of what goes on inside a process.
+package observer
+
+import (
+	"fmt"
+
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// Process identifies a process of a run: an allocator, a node, a client or the discovery service. Observers compare
+// processes by their addresses.
+type Process struct {
+	Name string
+	Role pb.Role
+	ID   int // unique within the role; a node's id
+}
+
+// Observer is notified of everything that passes at one end of a connection.
+type Observer interface {
+	// Frame is called when a process has sent a frame, or is handed one, which may have waited since it arrived.
+	Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame)
+	// Connection is called when a connection opens or closes.
+	Connection(now placement.Millis, p *Process, c transport.ConnID, open bool)
+	// Process is called when a process starts or is killed.
+	Process(now placement.Millis, p *Process, running bool)
+	// Pause is called when a process stops running until the given time.
+	Pause(now placement.Millis, p *Process, until placement.Millis)
+}
+
+// Discard ignores everything.
+type Discard struct{}
+
+// Frame does nothing.
+func (Discard) Frame(_, _ placement.Millis, _ *Process, _ transport.ConnID, _ bool, _ *pb.Frame) {}
+
+// Connection does nothing.
+func (Discard) Connection(placement.Millis, *Process, transport.ConnID, bool) {}
+
+// Process does nothing.
+func (Discard) Process(placement.Millis, *Process, bool) {}
+
+// Pause does nothing.
+func (Discard) Pause(placement.Millis, *Process, placement.Millis) {}
+
+// Tee notifies each of its observers, in order.
+type Tee []Observer
+
+// Frame implements Observer.
+func (t Tee) Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame) {
+	for _, o := range t {
+		o.Frame(now, arrived, p, c, sent, f)
+	}
+}
+
+// Connection implements Observer.
+func (t Tee) Connection(now placement.Millis, p *Process, c transport.ConnID, open bool) {
+	for _, o := range t {
+		o.Connection(now, p, c, open)
+	}
+}
+
+// Process implements Observer.
+func (t Tee) Process(now placement.Millis, p *Process, running bool) {
+	for _, o := range t {
+		o.Process(now, p, running)
+	}
+}
+
+// Pause implements Observer.
+func (t Tee) Pause(now placement.Millis, p *Process, until placement.Millis) {
+	for _, o := range t {
+		o.Pause(now, p, until)
+	}
+}
+
+// BindKey is the identity of a bind, in a form that can be compared.
+type BindKey struct {
+	Allocator   string
+	Incarnation uint64
+	Workload    uint64
+	Number      uint32
+}
+
+// KeyOf returns the key of a bind.
+func KeyOf(b *pb.BindID) BindKey {
+	return BindKey{b.GetAllocator(), b.GetIncarnation(), b.GetWorkload(), b.GetNumber()}
+}
+
+// String returns the key as it is shown in reports.
+func (k BindKey) String() string {
+	return fmt.Sprintf("%s.%d bind %d.%d", k.Allocator, k.Incarnation, k.Workload, k.Number)
+}
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -5,6 +5,8 @@
 	"errors"
 	"time"
 
+	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -18,11 +20,11 @@
 func PlayVirtual(s *scenario.Script, o Options) (*Result, error) {
 	began := time.Now()
 	v := NewVirtual(o.Seed)
-	a := NewAuditor(s.Terms())
-	var w Observer = a
-	seen := NewHistory(s.Terms())
+	a := audit.New(s.Terms())
+	var w observer.Observer = a
+	seen := observer.NewHistory(s.Terms())
 	if o.HistoryFile != "" {
-		w = both{a, seen}
+		w = observer.Tee{a, seen}
 	}
 	d, err := NewRun(s, o, v, w, v.Now())
 	if err != nil {
@@ -37,8 +39,10 @@
 	}
 	a.Finish(v.Now())
 	seen.End(v.Now())
-	if err := seen.write(o.HistoryFile); err != nil {
-		return nil, err
+	if o.HistoryFile != "" {
+		if err := seen.WriteFile(o.HistoryFile); err != nil {
+			return nil, err
+		}
 	}
 	if err := d.closeTraces(); err != nil {
 		return nil, err
@@ -84,7 +88,7 @@
 	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
 	loop := transport.NewLoop(o.Log)
 	defer loop.Close()
-	seen := NewHistory(s.Terms())
+	seen := observer.NewHistory(s.Terms())
 	d, err := NewRun(s, o, loop, seen, loop.Now())
 	if err != nil {
 		return nil, err
@@ -115,9 +119,11 @@
 		return nil, err
 	}
 	seen.End(loop.Now())
-	r := d.Result(seen.Audit())
-	if err := seen.write(o.HistoryFile); err != nil {
-		return nil, err
+	r := d.Result(audit.Check(seen))
+	if o.HistoryFile != "" {
+		if err := seen.WriteFile(o.HistoryFile); err != nil {
+			return nil, err
+		}
 	}
 	r.RanSeconds = time.Since(began).Seconds()
 	return r, nil
