--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -11,12 +11,13 @@
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/search"
 )
 
 const minHuntNodes = 4
 
 type huntOptions struct {
-	search  simulation.Search
+	search  search.Search
 	seconds int
 	dir     string
 	mutant  string
@@ -81,10 +82,10 @@
 	return nil
 }
 
-func breaksRule(f simulation.Finding) bool { return f.Rule > 0 }
+func breaksRule(f search.Finding) bool { return f.Rule > 0 }
 
 // writeFinds writes each scenario that was found into a file of its own, unless dir is "".
-func writeFinds(dir string, finds []simulation.Finding) error {
+func writeFinds(dir string, finds []search.Finding) error {
 	if dir == "" {
 		return nil
 	}
@@ -103,7 +104,7 @@
 	return nil
 }
 
-func printHunt(c *cobra.Command, r *simulation.SearchReport, dir string) {
+func printHunt(c *cobra.Command, r *search.Report, dir string) {
 	n := r.Nearest
 	c.Printf("%d scenarios in %.0f s. Nearest approach to a limit, which is 1: answers %.3f, drains %.3f, cold nodes %.3f, spread %.3f.\n",
 		r.Runs, r.Seconds, n.Answer, n.Drain, n.Cold, n.Spread)
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -7,6 +7,7 @@
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
 	"grebeglade/trace"
+	"grebeglade/internal/simulation/search"
 	"os"
 	"reflect"
 	"strings"
@@ -56,7 +57,7 @@
 		"bench-trace":   benchmark.TraceCost{},
 		"lab-load":      loadgen.Result{},
 		"lab-play":      simulation.Result{},
-		"lab-hunt":      simulation.SearchReport{},
+		"lab-hunt":      search.Report{},
 		"trace-summary": trace.Summary{},
 		"trace-verify":  trace.Check{},
 		"trace-merge":   trace.MergeReport{},
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -263,48 +263,6 @@
 	}
 }
 
-// A hunt over a bounded number of days finds each engine that breaks a rule, and makes the day smaller; the script
-// that it writes breaks the same rule when it is played.
-func TestAHuntFindsEachDeliberateBreakAndShrinksIt(t *testing.T) {
-	for how, rule := range MutantRules {
-		t.Run(string(how), func(t *testing.T) {
-			t.Parallel()
-			h := Search{Seed: 1, MaxRuns: 40, Allocators: 6, Nodes: 12, Mutant: how}
-			if how == IgnoresWarmUp || how == RejectsUnknownOutcome || how == LeavesGangParts || how == StopsTwice ||
-				how == IgnoresStorage || how == NeverSyncs {
-				h.MaxRuns = 600 // these need more than chance gives every day
-			}
-			r, err := h.Run(context.Background(), nil)
-			require.NoError(t, err)
-			at := slices.IndexFunc(r.Findings, func(f Finding) bool { return f.Rule == rule })
-			require.GreaterOrEqual(t, at, 0, "rule %d in %d days", rule, r.Runs)
-			s, err := scenario.DecodeText("found.hcl", []byte(r.Findings[at].Script))
-			require.NoError(t, err)
-			again := play(t, s, Options{Seed: r.Findings[at].Seed, Mutant: how})
-			assert.True(t, slices.ContainsFunc(again.Violations, func(b audit.Violation) bool { return b.Rule == rule }))
-		})
-	}
-}
-
-// What a hunt draws depends on its seed alone, and an honest engine breaks nothing.
-func TestAHuntOfTheSameDaysFindsTheSame(t *testing.T) {
-	run := func(seed uint64) *SearchReport {
-		h := Search{Seed: seed, MaxRuns: 150, Allocators: 8, Nodes: 16, KeepWorst: 2}
-		r, err := h.Run(context.Background(), nil)
-		require.NoError(t, err)
-		r.Seconds = 0
-		return r
-	}
-	first := run(7)
-	assert.Equal(t, first, run(7))
-	for _, f := range first.Findings {
-		assert.Zero(t, f.Rule, f.What)
-	}
-	assert.NotEqual(t, first.Faults, run(8).Faults)
-	assert.LessOrEqual(t, first.Nearest.Cold, 1.0)
-	assert.LessOrEqual(t, first.Nearest.Drain, 1.0)
-}
-
 // A fault whose absence changes nothing is none: each of every script, left out by itself, makes another day.
 func TestEveryFaultOfEveryScriptChangesItsDay(t *testing.T) {
 	for _, name := range scenario.Names() {
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -1,13 +1,10 @@
 package simulation
 
 import (
-	"context"
 	"math/rand/v2"
-	"runtime"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
 	"grebeglade/internal/simulation/observer"
@@ -182,21 +179,6 @@
 	}
 }
 
-// Days run one to a core and share nothing, so that neither the number of cores nor the order in which days end shows.
-func TestResultsDoNotDependOnTheNumberOfCores(t *testing.T) {
-	run := func(cores int) *SearchReport {
-		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		h := Search{Seed: 3, MaxRuns: 40, Allocators: 6, Nodes: 12, KeepWorst: 3, Mutant: TwoBinds}
-		r, err := h.Run(context.Background(), nil)
-		require.NoError(t, err)
-		r.Seconds = 0
-		return r
-	}
-	one := run(1)
-	assert.Equal(t, one, run(4))
-	assert.NotEmpty(t, one.Findings)
-}
-
 // What owners, lists and single allocators suffer shows at them, or at the nodes.
 func TestFaultsOutsideTheNodesShow(t *testing.T) {
 	l := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
--- a/internal/simulation/hunt.go
+++ b/internal/simulation/search/search.go
@@ -1,4 +1,5 @@
-package simulation
+// Package search plays generated scripts and looks for runs that break a rule; those that it finds it reduces to minimal examples.
+package search
 
 import (
 	"cmp"
@@ -11,44 +12,48 @@
 	"sync"
 	"time"
 
+	"grebeglade/internal/simulation"
 	"grebeglade/internal/simulation/audit"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
-// Hunt is a search for days that break a rule, or on which most is lost.
+// Search looks for runs that break a rule, or that place least.
 type Search struct {
 	Seed       uint64
-	MaxRuns    int           // at most, 0 for no bound
-	MaxTime    time.Duration // at most, 0 for no bound
-	Allocators int           // at most, a day
-	Nodes      int
-	KeepWorst  int // days kept that break nothing and lose most
-	Mutant     Mutant
+	MaxRuns    int           // 0 for no limit
+	MaxTime    time.Duration // 0 for no limit
+	Allocators int           // at most, in a run
+	Nodes      int           // at most, in a run
+	KeepWorst  int           // runs without a violation that are reported
+	Mutant     simulation.Mutant
 }
 
-// Find is a day that a hunt kept.
+// Finding is a run that a search reports.
 type Finding struct {
-	Rule      int     `json:"rule,omitempty"` // that broke; 0 for a day that only loses much
+	Rule      int     `json:"rule,omitempty"` // that broke; 0 for a run that only places little
 	What      string  `json:"what"`
 	Lost      float64 `json:"lost"` // share of the workloads wanted that were never placed
-	Run       int     `json:"day"`  // number in the hunt
+	Run       int     `json:"day"`  // index in the search
 	Times     int     `json:"times"`
-	Reduction string  `json:"shrunk"` // from what to what
+	Reduction string  `json:"shrunk"` // from which size to which
 	Script    string  `json:"script"`
 	Seed      uint64  `json:"seed"`
 }
 
-// HuntReport is what a hunt found.
-type SearchReport struct {
+// Report is the result of a search.
+type Report struct {
 	Runs     int            `json:"days"`
 	Seconds  float64        `json:"seconds"`
 	Findings []Finding      `json:"finds"`
-	Faults   map[string]int `json:"faults"`  // days on which each was played
-	Nearest  audit.LimitUse `json:"nearest"` // how near to each limit any day came
+	Faults   map[string]int `json:"faults"`  // runs in which each was injected
+	Nearest  audit.LimitUse `json:"nearest"` // how close to each limit any run came
 }
 
-// drawn is a day as a hunt makes it up: what differs from the quiet day.
+// progressInterval is the number of runs between calls of the progress function.
+const progressInterval = 100
+
+// generated is a generated script: what differs from the quiet scenario.
 type generated struct {
 	seed                    uint64
 	allocators              int
@@ -63,7 +68,7 @@
 	durable                 bool // allocators write down what must not run twice, and owners insist on it
 }
 
-// ranges are what a hunt draws the size of a fault from.
+// faultSizes are the ranges from which the sizes of faults are drawn.
 var faultSizes = map[scenario.FaultKind][2]float64{
 	scenario.NodeSlow: {2, 12}, scenario.NodePause: {100, 900}, scenario.NoisyNeighbour: {0.3, 0.9}, scenario.RequestBurst: {1.3, 3}, scenario.HotService: {1.5, 4},
 	scenario.UsageOverrun: {2, 8}, scenario.RollingDeploy: {0.05, 0.4}, scenario.CacheLoss: {0.3, 1}, scenario.ServiceRestart: {0.1, 0.7},
@@ -72,9 +77,9 @@
 	scenario.FramesDelayed: {5, 400}, scenario.LoadUnderreported: {0.2, 1},
 }
 
-// draw makes a day up.
-func (h *Search) draw(day int) *generated {
-	rng := rand.New(rand.NewPCG(h.Seed, uint64(day)+1))
+// generate returns the script of a run. It depends on the seed and the index alone.
+func (h *Search) generate(index int) *generated {
+	rng := rand.New(rand.NewPCG(h.Seed, uint64(index)+1))
 	between := func(least, most float64) float64 { return least + (most-least)*rng.Float64() }
 	few := func(most int) int { return 1 + int(float64(most)*rng.Float64()*rng.Float64()) } // small ones more often
 	nodes := 3 + few(max(1, h.Nodes-3))
@@ -113,7 +118,7 @@
 	return d
 }
 
-// text is the day as a script.
+// text returns the script.
 func (d *generated) text() string {
 	var b strings.Builder
 	ms := func(t placement.Millis) string { return fmt.Sprintf("%q", fmt.Sprintf("%.0fms", float64(t))) }
@@ -160,26 +165,26 @@
 	return b.String()
 }
 
-// play plays the day from its text, as anybody would who was given it.
-func (d *generated) play(how Mutant) (*Result, error) {
+// play plays the script from its text, as anybody would who was given it.
+func (d *generated) play(how simulation.Mutant) (*simulation.Result, error) {
 	s, err := scenario.DecodeText("found.hcl", []byte(d.text()))
 	if err != nil {
 		return nil, err
 	}
-	return PlayVirtual(s, Options{Seed: d.seed, Mutant: how})
+	return simulation.PlayVirtual(s, simulation.Options{Seed: d.seed, Mutant: how})
 }
 
-// lost is the share of the workloads wanted that no ask placed.
-func unplacedShare(r *Result) float64 { return 1 - r.FirstPlaced }
+// unplacedShare returns the share of the workloads wanted that no first request placed.
+func unplacedShare(r *simulation.Result) float64 { return 1 - r.FirstPlaced }
 
-// size is what shrinking makes less of.
+// size describes what reduce makes smaller.
 func (d *generated) size() string {
 	return fmt.Sprintf("%d faults, %d allocators, %d nodes, %.0f s", len(d.faults), d.allocators, d.smallNodes+d.largeNodes, float64(d.length)/1000)
 }
 
-// shrink looks for a smaller day that breaks the same rule: fewer faults first, then fewer allocators and nodes, a
-// shorter day, a lower load. Every step is played; what does not break the rule any more is not taken.
-func (d *generated) reduce(rule int, how Mutant) *generated {
+// reduce looks for a smaller script that breaks the same rule: fewer faults first, then fewer allocators and nodes, a shorter
+// run, a lower load. Every step is played; a step after which the rule holds is not taken.
+func (d *generated) reduce(rule int, how simulation.Mutant) *generated {
 	holds := func(c *generated) bool {
 		r, err := c.play(how)
 		return err == nil && slices.ContainsFunc(r.Violations, func(b audit.Violation) bool { return b.Rule == rule })
@@ -219,87 +224,104 @@
 	return d
 }
 
-// outcome is one day of a hunt.
+// outcome is one run of a search.
 type outcome struct {
-	day int
-	d   *generated
-	r   *Result
+	index  int
+	script *generated
+	result *simulation.Result
 }
 
-// Run hunts on all cores. Which days are drawn depends on the seed alone; how many of them, on the bounds.
-func (h *Search) Run(ctx context.Context, told func(days, finds int)) (*SearchReport, error) {
+// Run searches on all cores. Which runs are generated depends on the seed alone; how many of them, on the limits. Progress, if
+// not nil, is called now and then with the numbers of runs and of violations so far.
+func (h *Search) Run(ctx context.Context, progress func(runs, violations int)) (*Report, error) {
 	if h.MaxTime > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, h.MaxTime)
 		defer cancel()
 	}
 	began := time.Now()
-	days, outcomes := make(chan int), make(chan outcome)
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var failed error
-	for range runtime.GOMAXPROCS(0) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for day := range days {
-				d := h.draw(day)
-				r, err := d.play(h.Mutant)
-				if err != nil {
-					mu.Lock()
-					if failed == nil {
-						failed = fmt.Errorf("day %d: %w\n%s", day, err, d.text())
-					}
-					mu.Unlock()
-					continue
-				}
-				outcomes <- outcome{day: day, d: d, r: r}
-			}
-		}()
-	}
-	go func() {
-		defer close(outcomes)
-		for day := 0; ctx.Err() == nil && (h.MaxRuns == 0 || day < h.MaxRuns); day++ {
-			days <- day
-		}
-		close(days)
-		wg.Wait()
-	}()
-	report := &SearchReport{Faults: map[string]int{}, Findings: []Finding{}}
+	outcomes, failure := h.playAll(ctx)
+	report := &Report{Faults: map[string]int{}, Findings: []Finding{}}
 	var broken, worst []outcome
 	for o := range outcomes {
-		report.Runs++
-		for _, f := range o.d.faults {
-			report.Faults[string(f.Kind)]++
-		}
-		report.Nearest.RaiseTo(o.r.Nearest)
-		if len(o.r.Violations) > 0 {
+		report.count(o)
+		if len(o.result.Violations) > 0 {
 			broken = append(broken, o)
 		} else if h.KeepWorst > 0 {
-			worst = append(worst, o)
-			slices.SortFunc(worst, func(x, y outcome) int {
-				return cmp.Or(cmp.Compare(unplacedShare(y.r), unplacedShare(x.r)), x.day-y.day)
-			})
-			worst = worst[:min(len(worst), h.KeepWorst)]
+			worst = h.insertWorst(worst, o)
 		}
-		if told != nil && report.Runs%100 == 0 {
-			told(report.Runs, len(broken))
+		if progress != nil && report.Runs%progressInterval == 0 {
+			progress(report.Runs, len(broken))
 		}
 	}
-	if failed != nil {
-		return nil, failed
+	if err := failure(); err != nil {
+		return nil, err
 	}
 	report.keep(broken, worst, h.Mutant)
 	report.Seconds = time.Since(began).Seconds()
 	return report, nil
 }
 
-// keep shrinks one day of each kind of break: the same rule, told in the same words but for figures.
-func (r *SearchReport) keep(broken, worst []outcome, how Mutant) {
-	slices.SortFunc(broken, func(x, y outcome) int { return x.day - y.day })
+// playAll plays runs until the context or the number of runs ends, one on each core at a time. The channel is closed after the
+// last; failure then returns the first error.
+func (h *Search) playAll(ctx context.Context) (outcomes chan outcome, failure func() error) {
+	indexes, outcomes := make(chan int), make(chan outcome)
+	var workers sync.WaitGroup
+	var mu sync.Mutex
+	var first error
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(func() {
+			for index := range indexes {
+				script := h.generate(index)
+				result, err := script.play(h.Mutant)
+				if err == nil {
+					outcomes <- outcome{index, script, result}
+					continue
+				}
+				mu.Lock()
+				if first == nil {
+					first = fmt.Errorf("day %d: %w\n%s", index, err, script.text())
+				}
+				mu.Unlock()
+			}
+		})
+	}
+	go func() {
+		defer close(outcomes)
+		for index := 0; ctx.Err() == nil && (h.MaxRuns == 0 || index < h.MaxRuns); index++ {
+			indexes <- index
+		}
+		close(indexes)
+		workers.Wait()
+	}()
+	return outcomes, func() error { return first }
+}
+
+// insertWorst returns the KeepWorst runs that placed least of the workloads wanted.
+func (h *Search) insertWorst(worst []outcome, o outcome) []outcome {
+	worst = append(worst, o)
+	slices.SortFunc(worst, func(x, y outcome) int {
+		return cmp.Or(cmp.Compare(unplacedShare(y.result), unplacedShare(x.result)), x.index-y.index)
+	})
+	return worst[:min(len(worst), h.KeepWorst)]
+}
+
+// count adds a run to the report's totals.
+func (r *Report) count(o outcome) {
+	r.Runs++
+	for _, f := range o.script.faults {
+		r.Faults[string(f.Kind)]++
+	}
+	r.Nearest.RaiseTo(o.result.Nearest)
+}
+
+// keep adds one run of each kind of violation, reduced, and the worst runs. Violations are of one kind if the rule and the
+// message, but for its digits, are the same.
+func (r *Report) keep(broken, worst []outcome, how simulation.Mutant) {
+	slices.SortFunc(broken, func(x, y outcome) int { return x.index - y.index })
 	kinds := map[string]int{} // to place in Finds
 	for _, o := range broken {
-		b := o.r.Violations[0]
+		b := o.result.Violations[0]
 		kind := fmt.Sprintf("%d %s", b.Rule, strings.Map(func(c rune) rune {
 			if c >= '0' && c <= '9' {
 				return -1
@@ -311,16 +333,16 @@
 			continue
 		}
 		kinds[kind] = len(r.Findings)
-		before := o.d.size()
-		small := o.d.reduce(b.Rule, how)
+		before := o.script.size()
+		small := o.script.reduce(b.Rule, how)
 		r.Findings = append(r.Findings, Finding{
-			Rule: b.Rule, What: b.Message, Lost: unplacedShare(o.r), Run: o.day, Times: 1, Reduction: before + " -> " + small.size(),
+			Rule: b.Rule, What: b.Message, Lost: unplacedShare(o.result), Run: o.index, Times: 1, Reduction: before + " -> " + small.size(),
 			Script: small.text(), Seed: small.seed,
 		})
 	}
 	for _, o := range worst {
 		r.Findings = append(r.Findings, Finding{
-			What: "much is lost, and no rule is broken", Lost: unplacedShare(o.r), Run: o.day, Times: 1, Script: o.d.text(), Seed: o.d.seed,
+			What: "much is lost, and no rule is broken", Lost: unplacedShare(o.result), Run: o.index, Times: 1, Script: o.script.text(), Seed: o.script.seed,
 		})
 	}
 }
