--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -78,7 +78,7 @@
 		all = append(all, oracle.Machine{
 			Zone: spec.Zone, Cell: spec.Cell, Cores: spec.Cores, Memory: spec.Memory,
 			AskCores: spec.Cores * d.script.Node.CoreOvercommit, AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
-			Up: g.uptime, Drains: d.drains[g],
+			Up: g.Uptime, Drains: d.drains[g],
 		})
 	}
 	return all
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -16,6 +16,7 @@
 	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/oracle"
 	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/storage"
@@ -33,7 +34,7 @@
 	Seed           uint64
 	Mutant         Mutant // an engine that breaks a rule on purpose
 	Log            *slog.Logger
-	MessageFault   *MessageFault
+	MessageFault   *network.MessageFault
 	Oracle         bool         // work out how much the best could have run, in virtual time
 	Cancelled      func() error // asked now and then whether to give up, in virtual time
 	Deadline       time.Time    // when a day in virtual time is given up, zero for never
@@ -96,19 +97,19 @@
 type Run struct {
 	script   *scenario.Script
 	opts     Options
-	host     Host
+	host     network.Host
 	observer observer.Observer
 	rng      *rand.Rand
 
-	discovery     *Interceptor
-	nodes         []*Interceptor
+	discovery     *network.Interceptor
+	nodes         []*network.Interceptor
 	specs         []*NodeSpec
-	allocators    []*Interceptor
-	clients       []*Interceptor
+	allocators    []*network.Interceptor
+	clients       []*network.Interceptor
 	frontends     [][]*native.Frontend // by allocator, one for each life
 	requestsStart placement.Millis     // when owners begin: nodes and allocators know of each other by then
 	overloads     chan struct{}        // one for each node that fell over
-	drains        map[*Interceptor][]oracle.Span
+	drains        map[*network.Interceptor][]oracle.Span
 
 	wallClockOffset float64    // Unix time, in ms, at which the host's clock stood at 0
 	mu              sync.Mutex // recorders are begun on the allocators' goroutines
@@ -117,7 +118,7 @@
 }
 
 // NewDay brings the script's parties to the host and plans its faults.
-func NewRun(s *scenario.Script, o Options, host Host, w observer.Observer, now placement.Millis) (*Run, error) {
+func NewRun(s *scenario.Script, o Options, host network.Host, w observer.Observer, now placement.Millis) (*Run, error) {
 	d := newRun(s, o, host, w, now)
 	if err := d.populate(); err != nil {
 		return nil, err
@@ -129,15 +130,15 @@
 	return d, nil
 }
 
-func newRun(s *scenario.Script, o Options, host Host, w observer.Observer, now placement.Millis) *Run {
+func newRun(s *scenario.Script, o Options, host network.Host, w observer.Observer, now placement.Millis) *Run {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	d := &Run{
 		script: s, opts: o, host: host, observer: w, rng: rand.New(rand.NewPCG(o.Seed, 77)), requestsStart: now + s.SettleTime,
-		overloads: make(chan struct{}, s.NodeCount()*100+1), drains: map[*Interceptor][]oracle.Span{},
+		overloads: make(chan struct{}, s.NodeCount()*100+1), drains: map[*network.Interceptor][]oracle.Span{},
 	}
-	if _, virtual := host.(*Virtual); !virtual {
+	if _, virtual := host.(*network.Virtual); !virtual {
 		d.wallClockOffset = float64(time.Now().UnixNano())/1e6 - float64(now)
 	}
 	return d
@@ -145,8 +146,8 @@
 
 func (d *Run) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
-func (d *Run) newDiscovery() *Interceptor {
-	return NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return NewDiscoveryService(&d.script.Discovery, inc) })
+func (d *Run) newDiscovery() *network.Interceptor {
+	return network.NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return NewDiscoveryService(&d.script.Discovery, inc) })
 }
 
 // addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
@@ -200,7 +201,7 @@
 	}
 	for i := range s.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
+		g := network.NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
 			return NewClient(name, i, &owner, d.opts.Seed)
 		})
 		d.clients = append(d.clients, g)
@@ -212,15 +213,15 @@
 }
 
 func (d *Run) addNode(spec *NodeSpec) error {
-	var g *Interceptor
-	g = NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.observer, func(boot uint64) transport.FrameHandler {
+	var g *network.Interceptor
+	g = network.NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.observer, func(boot uint64) transport.FrameHandler {
 		n := NewNode(spec, &d.script.Node, boot)
 		n.OnOverload = func() {
 			d.overloads <- struct{}{}
-			g.Kill(g.net.Now())
+			g.Kill(g.HostNow())
 		}
 		n.OnRunning = func(t *task, runs bool) {
-			switch now := min(g.net.Now(), d.RequestsEnd()); {
+			switch now := min(g.HostNow(), d.RequestsEnd()); {
 			case t.offer.Gang != nil:
 			case runs:
 				t.since = now
@@ -237,7 +238,7 @@
 	return err
 }
 
-func (d *Run) allocator(i int, list string) *Interceptor {
+func (d *Run) allocator(i int, list string) *network.Interceptor {
 	s := d.script
 	settings := s.Settings
 	settings.Allocators, settings.Ordinal = s.Allocators, i
@@ -253,14 +254,14 @@
 	name := fmt.Sprintf("allocator-%d", i+1)
 	d.frontends = append(d.frontends, nil)
 	var recorder *trace.Recorder
-	var gate *Interceptor
+	var gate *network.Interceptor
 	journal := &simulatedLog{
 		disk: storage.NewMemoryDisk(mixHash(d.opts.Seed, uint64(i))), syncTime: s.Storage.SyncTime, syncs: d.opts.Mutant != NeverSyncs,
-		now:      func() placement.Millis { return gate.net.Now() },
+		now:      func() placement.Millis { return gate.HostNow() },
 		schedule: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(gate, at, do) },
 	}
 	frames := 0
-	gate = NewInterceptor(name, pb.Role_ALLOCATOR, i, d.observer, func(inc uint64) transport.FrameHandler {
+	gate = network.NewInterceptor(name, pb.Role_ALLOCATOR, i, d.observer, func(inc uint64) transport.FrameHandler {
 		c := native.Config{
 			Name: name, Incarnation: inc, Seed: mixHash(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
 			Groups: s.Groups, Kinds: s.NodeKinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
@@ -285,19 +286,19 @@
 		p := native.New(c)
 		d.frontends[i] = append(d.frontends[i], p)
 		if m := d.opts.MessageFault; m != nil && i == 0 {
-			return &faultInjector{
-				FrameHandler: p, fault: m, frames: &frames,
-				schedule: func(at placement.Millis, do func(now placement.Millis)) {
+			return &network.Injector{
+				FrameHandler: p, Fault: m, Frames: &frames,
+				Schedule: func(at placement.Millis, do func(now placement.Millis)) {
 					d.host.RunAt(gate, at, func(now placement.Millis) {
 						if gate.Alive() {
 							do(now)
 						}
 					})
 				},
-				crash: func(now placement.Millis) {
+				Crash: func(now placement.Millis) {
 					gate.Kill(now)
 					if m.Restarts {
-						d.host.RunAt(gate, now+crashDuration, gate.Restart)
+						d.host.RunAt(gate, now+network.CrashDuration, gate.Restart)
 					}
 				},
 			}
@@ -322,7 +323,7 @@
 		d.traceErr = err
 		return nil
 	}
-	_, r.BlockWhenFull = d.host.(*Virtual)
+	_, r.BlockWhenFull = d.host.(*network.Virtual)
 	d.recorders = append(d.recorders, r)
 	return r
 }
@@ -530,7 +531,7 @@
 		for i, g := range d.nodes {
 			if d.specs[i].Zone == f.Zone {
 				d.host.RunAt(g, at, g.Cut)
-				d.host.RunAt(g, at+CutTimeout, g.BreakConnections)
+				d.host.RunAt(g, at+network.CutTimeout, g.BreakConnections)
 				d.host.RunAt(g, until, g.Heal)
 			}
 		}
@@ -545,7 +546,7 @@
 		for _, g := range d.clients {
 			d.host.RunAt(g, at, func(now placement.Millis) {
 				if o, ok := g.Handler().(*Client); ok {
-					do(g.clock.toLocal(now), o)
+					do(g.LocalTime(now), o)
 				}
 			})
 		}
@@ -589,13 +590,13 @@
 
 // planNetwork plans what happens between the parties, and to their clocks.
 func (d *Run) planNetwork(f scenario.Fault, at, until placement.Millis) {
-	everyone := slices.Concat(d.nodes, d.allocators, d.clients, []*Interceptor{d.discovery})
+	everyone := slices.Concat(d.nodes, d.allocators, d.clients, []*network.Interceptor{d.discovery})
 	switch f.Kind {
 	case scenario.OneWayCut:
 		for i, g := range d.sample(d.nodes, f.Share) {
 			out := i%2 == 0
 			d.host.RunAt(g, at, func(placement.Millis) { g.CutDirection(out) })
-			d.host.RunAt(g, at+CutTimeout, g.BreakConnections)
+			d.host.RunAt(g, at+network.CutTimeout, g.BreakConnections)
 			d.host.RunAt(g, until, g.Heal)
 		}
 	case scenario.ClockSkew:
@@ -605,23 +606,23 @@
 			d.host.RunAt(g, until, func(now placement.Millis) { g.SetClock(now, 1, 0) })
 		}
 	case scenario.ClockStep:
-		for _, g := range d.sample(slices.Concat(d.nodes, []*Interceptor{d.discovery}), f.Share) {
+		for _, g := range d.sample(slices.Concat(d.nodes, []*network.Interceptor{d.discovery}), f.Share) {
 			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
 		}
 	case scenario.FramesDuplicated: // not at owners: an answer that comes twice is what the first rule is about
-		d.injectFrameFaults(slices.Concat(d.nodes, d.allocators, []*Interceptor{d.discovery}), f, at, until, FrameFaults{Duplicate: true})
+		d.injectFrameFaults(slices.Concat(d.nodes, d.allocators, []*network.Interceptor{d.discovery}), f, at, until, network.FrameFaults{Duplicate: true})
 	case scenario.FramesDelayed:
-		d.injectFrameFaults(everyone, f, at, until, FrameFaults{Delay: placement.Millis(f.Size)})
+		d.injectFrameFaults(everyone, f, at, until, network.FrameFaults{Delay: placement.Millis(f.Size)})
 	case scenario.FramesReordered:
-		d.injectFrameFaults(everyone, f, at, until, FrameFaults{Delay: placement.Millis(f.Size), Reorder: true})
+		d.injectFrameFaults(everyone, f, at, until, network.FrameFaults{Delay: placement.Millis(f.Size), Reorder: true})
 	}
 }
 
 // trouble has the network strike part of the frames that reach these.
-func (d *Run) injectFrameFaults(gates []*Interceptor, f scenario.Fault, at, until placement.Millis, t FrameFaults) {
+func (d *Run) injectFrameFaults(gates []*network.Interceptor, f scenario.Fault, at, until placement.Millis, t network.FrameFaults) {
 	for _, g := range gates {
 		t := t
-		t.Share, t.rng = f.Share, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
+		t.Share, t.Random = f.Share, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
 		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(g, at, do) }
 		d.host.RunAt(g, at, func(placement.Millis) { g.SetFrameFaults(&t, later) })
 		d.host.RunAt(g, until, func(placement.Millis) { g.SetFrameFaults(nil, later) })
@@ -629,14 +630,14 @@
 }
 
 // some draws a part of them, at least one where the part is above nought.
-func (d *Run) sample(of []*Interceptor, part float64) []*Interceptor {
+func (d *Run) sample(of []*network.Interceptor, part float64) []*network.Interceptor {
 	drawn := slices.Clone(of)
 	d.rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(len(drawn), int(math.Ceil(part*float64(len(drawn)))))]
 }
 
 // stills has each stand still again and again, not all at once.
-func (d *Run) pauseRepeatedly(gates []*Interceptor, f scenario.Fault, at, until placement.Millis) {
+func (d *Run) pauseRepeatedly(gates []*network.Interceptor, f scenario.Fault, at, until placement.Millis) {
 	for _, g := range gates {
 		for t := at + f.Interval*placement.Millis(d.rng.Float64()); t < until; t += f.Interval {
 			size := placement.Millis(f.Size)
@@ -646,10 +647,10 @@
 	}
 }
 
-func (d *Run) onNode(g *Interceptor, at placement.Millis, do func(now placement.Millis, n *Node)) {
+func (d *Run) onNode(g *network.Interceptor, at placement.Millis, do func(now placement.Millis, n *Node)) {
 	d.host.RunAt(g, at, func(now placement.Millis) {
 		if n, ok := g.Handler().(*Node); ok {
-			do(g.clock.toLocal(now), n)
+			do(g.LocalTime(now), n)
 		}
 	})
 }
@@ -683,7 +684,7 @@
 func (d *Run) onDiscovery(at placement.Millis, do func(now placement.Millis, l *DiscoveryService)) {
 	d.host.RunAt(d.discovery, at, func(now placement.Millis) {
 		if l, ok := d.discovery.Handler().(*DiscoveryService); ok {
-			do(d.discovery.clock.toLocal(now), l)
+			do(d.discovery.LocalTime(now), l)
 		}
 	})
 }
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
@@ -131,9 +132,9 @@
 func TestNoMishapAtAnyFrameLeavesAPartOfAGroup(t *testing.T) {
 	days := 0
 	for _, group := range []string{"serve", "check", "trace"} {
-		for _, kind := range MessageFaultKinds {
+		for _, kind := range network.MessageFaultKinds {
 			for frame := 1; frame <= 40; frame++ {
-				m := &MessageFault{Kind: kind, Frame: frame, Restarts: frame%2 == 0}
+				m := &network.MessageFault{Kind: kind, Frame: frame, Restarts: frame%2 == 0}
 				s := single(t, group, frame%3 == 0)
 				s.Client.WithdrawShare = float64(frame / 2 % 2) // then parts are stopped, and it may be a stop that goes wrong
 				r := play(t, s, Options{Seed: 2, MessageFault: m})
--- a/internal/simulation/gate.go
+++ b/internal/simulation/network/interceptor.go
@@ -1,4 +1,5 @@
-package simulation
+// Package network provides a virtual network with its clock, and the faults of networks, clocks and processes.
+package network
 
 import (
 	"errors"
@@ -13,33 +14,34 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// cutBreaks is how long, in ms, a connection outlives a cut: about as long as keep-alives let one stand.
+// CutTimeout is how long a connection survives a cut, in milliseconds: about as long as keep-alives allow.
 const CutTimeout = placement.Millis(3e3)
 
-// Gate stands between a party and its net. It is where a party's process dies, stands still or is cut off,
-// and where the witness looks on. Everything is called on the party's goroutine.
+// Interceptor stands between a process and its network. It starts, kills, pauses and cuts off the process, injects faults into
+// its connections and clock, and notifies an observer. Its methods must be called on the process's goroutine. It has more than
+// fifteen fields as each of these faults has its own state on the same frames.
 type Interceptor struct {
 	observer.Process
 	OnKill func(inner transport.FrameHandler) // called before the process ends, or nil
 
 	newHandler func(incarnation uint64) transport.FrameHandler
 	observer   observer.Observer
-	uptime     []oracle.Span // of its process
+	Uptime     []oracle.Span // times at which the process ran
 
 	net          transport.FrameNetwork
-	handler      transport.FrameHandler // nil while dead
+	handler      transport.FrameHandler // nil while the process does not run
 	incarnation  uint64
 	conns        map[transport.ConnID]bool
 	paused       bool
-	arrivedAt    placement.Millis // when the frame that is being handed over reached the machine
-	cutOut       bool             // what the party sends does not arrive, and
-	cutIn        bool             // what is sent to it
+	arrivedAt    placement.Millis // arrival of the frame that is being handed over
+	cutOut       bool             // frames that the process sends are queued
+	cutIn        bool             // frames that are sent to it are queued
 	clock        clock
 	faults       *FrameFaults
-	delayedUntil map[transport.ConnID]placement.Millis // until when frames wait that the network holds up
+	delayedUntil map[transport.ConnID]placement.Millis // until when delayed frames wait
 	schedule     func(at placement.Millis, do func(now placement.Millis))
-	deferred     []func(now placement.Millis) // what a party that stands still has not been handed
-	queuedOut    []queuedFrame                // what has not left a party that is cut off
+	deferred     []func(now placement.Millis) // calls that wait for a paused process
+	queuedOut    []queuedFrame                // frames that wait for the end of a cut
 	queuedIn     []queuedFrame
 }
 
@@ -48,40 +50,41 @@
 	f *pb.Frame
 }
 
-// NewGate makes a gate in front of what make returns; make is called again at each start of the process.
+// NewInterceptor returns an interceptor of the process that newHandler returns. It is called again at each start of the process.
 func NewInterceptor(name string, role pb.Role, id int, o observer.Observer, newHandler func(uint64) transport.FrameHandler) *Interceptor {
 	return &Interceptor{Process: observer.Process{Name: name, Role: role, ID: id}, newHandler: newHandler, observer: o, conns: map[transport.ConnID]bool{}, delayedUntil: map[transport.ConnID]placement.Millis{}}
 }
 
-// Inner is the party as it lives now, nil while it is dead.
+// Handler returns the handler of the running process, or nil while it does not run.
 func (g *Interceptor) Handler() transport.FrameHandler { return g.handler }
 
-// Alive tells whether the process runs.
+// Alive reports whether the process runs.
 func (g *Interceptor) Alive() bool { return g.handler != nil }
 
+// Start implements transport.FrameHandler.
 func (g *Interceptor) Start(now placement.Millis, net transport.FrameNetwork) {
 	g.net = net
 	g.Restart(now)
 }
 
-// Restart starts the process anew, unless it runs.
+// Restart starts the process with the next incarnation, unless it runs.
 func (g *Interceptor) Restart(now placement.Millis) {
 	if g.handler != nil {
 		return
 	}
 	g.incarnation++
-	g.uptime = append(g.uptime, oracle.Span{From: now, Until: placement.Millis(math.Inf(1))})
+	g.Uptime = append(g.Uptime, oracle.Span{From: now, Until: placement.Millis(math.Inf(1))})
 	g.handler = g.newHandler(g.incarnation)
 	g.observer.Process(now, &g.Process, true)
 	g.handler.Start(g.clock.toLocal(now), g)
 }
 
-// Kill ends the process outright: its connections break and all that it knew is gone.
+// Kill ends the process at once: its connections break, and its state is lost.
 func (g *Interceptor) Kill(now placement.Millis) {
 	if g.handler == nil {
 		return
 	}
-	g.uptime[len(g.uptime)-1].Until = now
+	g.Uptime[len(g.Uptime)-1].Until = now
 	g.observer.Process(now, &g.Process, false)
 	if g.OnKill != nil {
 		g.OnKill(g.handler)
@@ -90,7 +93,7 @@
 	g.closeAll(now)
 }
 
-// breakAll closes every connection towards the peers.
+// closeAll closes all connections, and returns them in order.
 func (g *Interceptor) closeAll(now placement.Millis) []transport.ConnID {
 	all := slices.Sorted(maps.Keys(g.conns))
 	for _, c := range all {
@@ -101,7 +104,7 @@
 	return all
 }
 
-// Still has the process stand still: what comes waits until Go is called.
+// Pause stops the process until Resume is called. What happens meanwhile is handed to it then.
 func (g *Interceptor) Pause(now, until placement.Millis) {
 	if g.handler != nil {
 		g.paused = true
@@ -109,7 +112,7 @@
 	}
 }
 
-// Go lets a process that stands still run on.
+// Resume lets a paused process run on.
 func (g *Interceptor) Resume(now placement.Millis) {
 	g.paused = false
 	waiting := g.deferred
@@ -121,10 +124,10 @@
 	}
 }
 
-// Cut cuts the party off from everyone: frames wait on both sides, and connections break if it lasts.
+// Cut cuts the process off in both directions: frames are queued, and connections break after CutTimeout.
 func (g *Interceptor) Cut(placement.Millis) { g.cutOut, g.cutIn = true, true }
 
-// BreakCut ends the connections that have been cut off for too long. It is due cutBreaks after Cut.
+// BreakConnections breaks the connections of a process that is still cut off. It is to be called CutTimeout after the cut.
 func (g *Interceptor) BreakConnections(now placement.Millis) {
 	if !g.cutOut && !g.cutIn {
 		return
@@ -135,7 +138,7 @@
 	}
 }
 
-// Heal ends the cut.
+// Heal ends a cut, and delivers the frames that were queued.
 func (g *Interceptor) Heal(now placement.Millis) {
 	g.cutOut, g.cutIn = false, false
 	out, in := g.queuedOut, g.queuedIn
@@ -148,7 +151,7 @@
 	}
 }
 
-// run hands something to the party, now or when it runs again.
+// deliver calls the process, now or when it resumes.
 func (g *Interceptor) deliver(now placement.Millis, call func(now placement.Millis)) {
 	if g.paused {
 		g.deferred = append(g.deferred, call)
@@ -157,10 +160,11 @@
 	}
 }
 
+// Opened implements transport.FrameHandler.
 func (g *Interceptor) Opened(now placement.Millis, c transport.ConnID) {
 	if g.handler == nil || g.cutOut || g.cutIn {
 		g.net.Close(c)
-		if g.conns[c] { // dialled by us: the party must hear that it came to nothing
+		if g.conns[c] { // dialled by the process, which is notified of the failure
 			delete(g.conns, c)
 			g.deliver(now, func(now placement.Millis) { g.handler.Closed(g.clock.toLocal(now), c, errors.New("cut off")) })
 		}
@@ -171,6 +175,7 @@
 	g.deliver(now, func(now placement.Millis) { g.handler.Opened(g.clock.toLocal(now), c) })
 }
 
+// Received implements transport.FrameHandler.
 func (g *Interceptor) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	switch {
 	case !g.conns[c]:
@@ -182,9 +187,9 @@
 	}
 }
 
-// handOver gives the party a frame, now or when it runs again.
+// deliverFrame hands a frame to the process, now or when it resumes.
 func (g *Interceptor) deliverFrame(now placement.Millis, c transport.ConnID, f *pb.Frame) {
-	if g.handler != nil && !g.paused { // the way of nearly all, and without a closure
+	if g.handler != nil && !g.paused { // the common case, without a closure
 		g.arrivedAt = now
 		g.observer.Frame(now, now, &g.Process, c, false, f)
 		g.handler.Received(g.clock.toLocal(now), c, f)
@@ -198,6 +203,7 @@
 	})
 }
 
+// Closed implements transport.FrameHandler.
 func (g *Interceptor) Closed(now placement.Millis, c transport.ConnID, reason error) {
 	if !g.conns[c] {
 		return
@@ -210,6 +216,7 @@
 	})
 }
 
+// Wake implements transport.FrameHandler.
 func (g *Interceptor) Wake(now placement.Millis) {
 	if g.handler != nil && !g.paused {
 		g.handler.Wake(g.clock.toLocal(now))
@@ -218,13 +225,14 @@
 	g.deliver(now, func(now placement.Millis) { g.handler.Wake(g.clock.toLocal(now)) })
 }
 
-// Dial is the party's: so are Send, Close and WakeAt.
+// Dial implements transport.FrameNetwork for the process.
 func (g *Interceptor) Dial(addr string) transport.ConnID {
 	c := g.net.Dial(addr)
 	g.conns[c] = true
 	return c
 }
 
+// Send implements transport.FrameNetwork for the process.
 func (g *Interceptor) Send(c transport.ConnID, f *pb.Frame) {
 	if !g.conns[c] {
 		return
@@ -237,6 +245,7 @@
 	g.observer.Frame(g.net.Now(), g.net.Now(), &g.Process, c, true, f)
 }
 
+// Close implements transport.FrameNetwork for the process.
 func (g *Interceptor) Close(c transport.ConnID) {
 	if g.conns[c] {
 		delete(g.conns, c)
@@ -245,11 +254,18 @@
 	}
 }
 
-// Arrived is when the frame that is being handed over reached the machine: a process that stood still is handed
-// all at once what came by and by.
+// Arrived returns arrival of the frame that is being handed over, by the process's own clock: a process that was
+// paused is handed all at once what arrived one after the other.
 func (g *Interceptor) Arrived() placement.Millis { return g.clock.toLocal(g.arrivedAt) }
 
+// WakeAt implements transport.FrameNetwork for the process.
 func (g *Interceptor) WakeAt(t placement.Millis) { g.net.WakeAt(g.clock.toHost(t)) }
 
-// Now is the party's own time.
+// HostNow returns the time by the host's clock.
+func (g *Interceptor) HostNow() placement.Millis { return g.net.Now() }
+
+// LocalTime converts a time of the host's clock to the process's own clock.
+func (g *Interceptor) LocalTime(t placement.Millis) placement.Millis { return g.clock.toLocal(t) }
+
+// Now implements transport.FrameNetwork. It returns the time by the process's own clock.
 func (g *Interceptor) Now() placement.Millis { return g.clock.toLocal(g.net.Now()) }
--- /dev/null
+++ b/internal/simulation/network/messagefault.go
@@ -0,0 +1,110 @@
+package network
+
+import (
+	"errors"
+
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// MessageFaultKind names what happens to a frame.
+type MessageFaultKind string
+
+// The kinds of message faults.
+const (
+	LoseFrame       MessageFaultKind = "lose"
+	DuplicateFrame  MessageFaultKind = "double"
+	DelayFrame      MessageFaultKind = "delay"
+	CloseConnection MessageFaultKind = "cut"
+	CrashAllocator  MessageFaultKind = "crash"
+)
+
+// MessageFaultKinds are all kinds.
+var MessageFaultKinds = []MessageFaultKind{LoseFrame, DuplicateFrame, DelayFrame, CloseConnection, CrashAllocator}
+
+// MessageFault is a fault that hits one frame between an allocator and its nodes. Tests try each kind at each frame.
+type MessageFault struct {
+	Kind     MessageFaultKind
+	Frame    int  // counted from 1 over the frames of offers, their answers, stops, ends, notes and keeps, both ways
+	Restarts bool // a crashed allocator starts again after CrashDuration
+}
+
+const (
+	messageDelay = placement.Millis(700)
+	// CrashDuration is how long a crashed allocator that restarts is away.
+	CrashDuration = placement.Millis(900)
+)
+
+// Injector is a handler that applies a MessageFault to the frames of the handler that it wraps.
+type Injector struct {
+	transport.FrameHandler
+	Fault    *MessageFault
+	Frames   *int // seen so far, over all incarnations of the allocator
+	Schedule func(at placement.Millis, do func(now placement.Millis))
+	Crash    func(now placement.Millis)
+
+	net transport.FrameNetwork
+}
+
+// Start implements transport.FrameHandler.
+func (i *Injector) Start(now placement.Millis, net transport.FrameNetwork) {
+	i.net = net
+	i.FrameHandler.Start(now, i)
+}
+
+// Dial implements transport.FrameNetwork.
+func (i *Injector) Dial(addr string) transport.ConnID { return i.net.Dial(addr) }
+
+// Close implements transport.FrameNetwork.
+func (i *Injector) Close(c transport.ConnID) { i.net.Close(c) }
+
+// WakeAt implements transport.FrameNetwork.
+func (i *Injector) WakeAt(t placement.Millis) { i.net.WakeAt(t) }
+
+// Now implements transport.FrameNetwork.
+func (i *Injector) Now() placement.Millis { return i.net.Now() }
+
+// selects counts a frame and reports whether it is the one to be hit.
+func (i *Injector) selects(f *pb.Frame) bool {
+	switch f.Body.(type) {
+	case *pb.Frame_Offer, *pb.Frame_OfferAnswer, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_Note, *pb.Frame_Keep:
+		*i.Frames++
+		return *i.Frames == i.Fault.Frame
+	}
+	return false
+}
+
+// Send implements transport.FrameNetwork.
+func (i *Injector) Send(c transport.ConnID, f *pb.Frame) {
+	if !i.selects(f) {
+		i.net.Send(c, f)
+		return
+	}
+	i.inject(i.net.Now(), c, func(placement.Millis) { i.net.Send(c, f) })
+}
+
+// Received implements transport.FrameHandler.
+func (i *Injector) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
+	if !i.selects(f) {
+		i.FrameHandler.Received(now, c, f)
+		return
+	}
+	i.inject(now, c, func(now placement.Millis) { i.FrameHandler.Received(now, c, f) })
+}
+
+func (i *Injector) inject(now placement.Millis, c transport.ConnID, pass func(now placement.Millis)) {
+	switch i.Fault.Kind {
+	case LoseFrame:
+	case DuplicateFrame:
+		pass(now)
+		pass(now)
+	case DelayFrame:
+		i.Schedule(now+messageDelay, pass)
+	case CloseConnection:
+		i.net.Close(c)
+		i.Schedule(now, func(now placement.Millis) { i.Closed(now, c, errors.New("cut")) })
+	case CrashAllocator:
+		i.Schedule(now, i.Crash)
+	}
+}
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -1,4 +1,4 @@
-package simulation
+package network
 
 import (
 	"fmt"
@@ -10,23 +10,22 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Lengths of a frame's way in virtual time, in ms one way: within a hall, between halls, and how much longer
-// by chance.
+// One-way latencies, in ms: within a zone, between zones, and the largest random addition as a share of them.
 const (
 	sameZoneLatency  = placement.Millis(0.2)
 	crossZoneLatency = placement.Millis(0.9)
 	latencyJitter    = 0.3
 )
 
-// Host is where parties live: Virtual, or sockets.
+// Host runs handlers: a Virtual network, or the event loop on sockets.
 type Host interface {
-	// AddHandler brings a party in and returns the address at which others reach it.
+	// AddHandler adds a handler and returns the address at which others reach it.
 	AddHandler(p transport.FrameHandler, zone string) (addr string, err error)
-	// RunAt calls do on the party's goroutine once that time has come.
+	// RunAt calls do on the handler's goroutine at that time.
 	RunAt(p transport.FrameHandler, at placement.Millis, do func(now placement.Millis))
 }
 
-// Virtual is a network and a clock of its own making. What happens depends on the seed and on nothing else.
+// Virtual is a network with a virtual clock. What happens in it depends on the seed and the handlers alone.
 type Virtual struct {
 	now       placement.Millis
 	events    timerqueue.Queue[event]
@@ -55,7 +54,7 @@
 	reason error
 }
 
-// resident is a party in the virtual network, and the net that it sees.
+// endpoint is a handler in the virtual network, and the network as the handler sees it.
 type endpoint struct {
 	network *Virtual
 	index   int
@@ -68,7 +67,7 @@
 	wakePending bool
 }
 
-// end is one side of a connection.
+// connectionEnd is one side of a connection.
 type connectionEnd struct {
 	at   *endpoint
 	id   transport.ConnID
@@ -77,14 +76,15 @@
 	last placement.Millis // arrival of the last frame that was sent from here
 }
 
-// NewVirtual makes an empty network.
+// NewVirtual returns an empty network at time 0.
 func NewVirtual(seed uint64) *Virtual {
 	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byHandler: map[transport.FrameHandler]*endpoint{}}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (v *Virtual) Now() placement.Millis { return v.now }
 
+// AddHandler implements Host.
 func (v *Virtual) AddHandler(p transport.FrameHandler, zone string) (string, error) {
 	r := &endpoint{network: v, index: len(v.endpoints), handler: p, zone: zone}
 	v.endpoints = append(v.endpoints, r)
@@ -93,11 +93,12 @@
 	return fmt.Sprintf("virtual:%d", r.index), nil
 }
 
+// RunAt implements Host.
 func (v *Virtual) RunAt(_ transport.FrameHandler, at placement.Millis, do func(now placement.Millis)) {
 	v.events.Push(max(at, v.now), event{kind: eventCall, do: do})
 }
 
-// Run handles what comes due until that time, or until done says so.
+// Run handles events until that time, or until done returns true.
 func (v *Virtual) Run(until placement.Millis, done func() bool) {
 	for at, ok := v.events.NextTime(); ok && at <= until && !done(); at, ok = v.events.NextTime() {
 		_, _, e := v.events.Pop()
@@ -136,7 +137,7 @@
 	}
 }
 
-// way is how long something takes from one party to another.
+// latency returns the time that a frame takes from one endpoint to another.
 func (v *Virtual) latency(from, to *endpoint) placement.Millis {
 	base := sameZoneLatency
 	if from.zone != to.zone {
@@ -145,7 +146,7 @@
 	return base * placement.Millis(1+latencyJitter*v.rng.Float64())
 }
 
-// send has something arrive at the other end, after all that was sent before it.
+// send schedules an event at the other end of a connection, after everything that was sent before it.
 func (v *Virtual) send(from *connectionEnd, e event) {
 	to := from.peer
 	from.last = max(from.last, v.now+v.latency(from.at, to.at))
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
@@ -19,7 +20,7 @@
 // PlayVirtual plays a day in virtual time. The result depends on the script and the options alone.
 func PlayVirtual(s *scenario.Script, o Options) (*Result, error) {
 	began := time.Now()
-	v := NewVirtual(o.Seed)
+	v := network.NewVirtual(o.Seed)
 	a := audit.New(s.Terms())
 	var w observer.Observer = a
 	seen := observer.NewHistory(s.Terms())
