--- a/internal/simulation/best.go
+++ b/internal/simulation/best.go
@@ -2,6 +2,7 @@
 
 import (
 	"grebeglade/internal/oracle"
+	"grebeglade/internal/simulation/emulator"
 	"grebeglade/placement"
 )
 
@@ -66,7 +67,7 @@
 	case placement.AtMostOnce:
 		return -1
 	case placement.IdempotentByKey:
-		return max(d.script.Client.RetryDelay, retryAfterUnknown)
+		return max(d.script.Client.RetryDelay, emulator.RetryAfterUnknown)
 	}
 	return d.script.Client.RetryDelay
 }
@@ -91,7 +92,7 @@
 		use, g := d.script.Node.Groups[w.Group], terms.Groups[w.Group]
 		all = append(all, oracle.Want{
 			From: w.From, Until: w.Until, Service: w.Service, Cores: w.Cores, Memory: w.Memory,
-			UsesCores: w.Cores * use.CoreUse * serviceFactor(w.Service), UsesMemory: w.Memory * use.MemoryUse * serviceFactor(w.Service+1),
+			UsesCores: w.Cores * use.CoreUse * emulator.ServiceFactor(w.Service), UsesMemory: w.Memory * use.MemoryUse * emulator.ServiceFactor(w.Service+1),
 			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.meanRetryDelay(g.Idempotency),
 		})
 	}
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -16,6 +16,7 @@
 	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/oracle"
 	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/emulator"
 	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
@@ -103,7 +104,7 @@
 
 	discovery     *network.Interceptor
 	nodes         []*network.Interceptor
-	specs         []*NodeSpec
+	specs         []*emulator.NodeSpec
 	allocators    []*network.Interceptor
 	clients       []*network.Interceptor
 	frontends     [][]*native.Frontend // by allocator, one for each life
@@ -147,7 +148,7 @@
 func (d *Run) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
 func (d *Run) newDiscovery() *network.Interceptor {
-	return network.NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return NewDiscoveryService(&d.script.Discovery, inc) })
+	return network.NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return emulator.NewDiscoveryService(&d.script.Discovery, inc) })
 }
 
 // addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
@@ -156,7 +157,7 @@
 	for k, count := range s.NodeCounts {
 		for range count {
 			i := len(d.specs)
-			d.specs = append(d.specs, &NodeSpec{
+			d.specs = append(d.specs, &emulator.NodeSpec{
 				ID: uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.NodeKinds[k],
 				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, ListAddr: list,
 			})
@@ -202,7 +203,7 @@
 	for i := range s.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
 		g := network.NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
-			return NewClient(name, i, &owner, d.opts.Seed)
+			return emulator.NewClient(name, i, &owner, d.opts.Seed)
 		})
 		d.clients = append(d.clients, g)
 		if _, err := d.host.AddHandler(g, d.zone(i)); err != nil {
@@ -212,26 +213,26 @@
 	return nil
 }
 
-func (d *Run) addNode(spec *NodeSpec) error {
+func (d *Run) addNode(spec *emulator.NodeSpec) error {
 	var g *network.Interceptor
 	g = network.NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.observer, func(boot uint64) transport.FrameHandler {
-		n := NewNode(spec, &d.script.Node, boot)
+		n := emulator.NewNode(spec, &d.script.Node, boot)
 		n.OnOverload = func() {
 			d.overloads <- struct{}{}
 			g.Kill(g.HostNow())
 		}
-		n.OnRunning = func(t *task, runs bool) {
+		n.OnRunning = func(t *emulator.Task, runs bool) {
 			switch now := min(g.HostNow(), d.RequestsEnd()); {
-			case t.offer.Gang != nil:
+			case t.Offer.Gang != nil:
 			case runs:
-				t.since = now
+				t.RunningSince = now
 			default:
-				spec.coreTime += t.offer.Ask.Cores * float64(now-t.since)
+				spec.CoreTime += t.Offer.Ask.Cores * float64(now-t.RunningSince)
 			}
 		}
 		return n
 	})
-	g.OnKill = func(inner transport.FrameHandler) { inner.(*Node).Stop() }
+	g.OnKill = func(inner transport.FrameHandler) { inner.(*emulator.Node).Stop() }
 	d.nodes = append(d.nodes, g)
 	addr, err := d.host.AddHandler(g, spec.Zone)
 	spec.Addr = addr
@@ -370,7 +371,7 @@
 // Open is the number of asks that wait for an answer. The owners' goroutines must not run meanwhile.
 func (d *Run) PendingRequests() (n int) {
 	for _, g := range d.clients {
-		if o, ok := g.Handler().(*Client); ok {
+		if o, ok := g.Handler().(*emulator.Client); ok {
 			n += o.Open()
 		}
 	}
@@ -391,7 +392,7 @@
 	var waits, gangWaits []float64
 	singles, placedFirst, wasted, used := 0, 0, 0.0, 0.0
 	for _, g := range d.clients {
-		t := &g.Handler().(*Client).Tally
+		t := &g.Handler().(*emulator.Client).Tally
 		r.Workloads += t.Requests
 		r.FirstRequests += t.FirstRequests
 		r.Placed += t.Placed
@@ -421,10 +422,10 @@
 		r.GangWasted = wasted / (wasted + used)
 	}
 	for i, g := range d.nodes {
-		if n, ok := g.Handler().(*Node); ok {
+		if n, ok := g.Handler().(*emulator.Node); ok {
 			n.Stop() // the day is over
 		}
-		r.Ran += d.specs[i].coreTime
+		r.Ran += d.specs[i].CoreTime
 	}
 	if wanted := d.wantedCores(); wanted > 0 {
 		r.Ran /= wanted
@@ -459,9 +460,9 @@
 	return sum
 }
 
-func (d *Run) wantedWorkloads() (all []*Want) {
+func (d *Run) wantedWorkloads() (all []*emulator.Want) {
 	for _, g := range d.clients {
-		all = append(all, g.Handler().(*Client).Tally.Wants...)
+		all = append(all, g.Handler().(*emulator.Client).Tally.Wants...)
 	}
 	return all
 }
@@ -493,35 +494,35 @@
 	case scenario.AllocatorPause:
 		d.pauseRepeatedly(d.sample(d.allocators, f.Share), f, at, until)
 	case scenario.NodeSlow:
-		d.duringFault(f, at, until, func(n *Node) { n.Slowdown = f.Size }, func(n *Node) { n.Slowdown = 1 })
+		d.duringFault(f, at, until, func(n *emulator.Node) { n.Slowdown = f.Size }, func(n *emulator.Node) { n.Slowdown = 1 })
 	case scenario.GroupThrottled:
-		d.duringFault(f, at, until, func(n *Node) { n.ThrottledGroup = f.Group }, func(n *Node) { n.ThrottledGroup = "" })
+		d.duringFault(f, at, until, func(n *emulator.Node) { n.ThrottledGroup = f.Group }, func(n *emulator.Node) { n.ThrottledGroup = "" })
 	case scenario.HotService:
-		swell := UsageSurge{Share: f.Share, Factor: f.Size}
+		swell := emulator.UsageSurge{Share: f.Share, Factor: f.Size}
 		f.Share = 1
-		d.duringFault(f, at, until, func(n *Node) { n.Surge = swell }, func(n *Node) { n.Surge = UsageSurge{} })
+		d.duringFault(f, at, until, func(n *emulator.Node) { n.Surge = swell }, func(n *emulator.Node) { n.Surge = emulator.UsageSurge{} })
 	case scenario.UsageOverrun:
-		swell := UsageSurge{Group: f.Group, Share: f.Share, Factor: f.Size}
+		swell := emulator.UsageSurge{Group: f.Group, Share: f.Share, Factor: f.Size}
 		f.Share = 1
-		d.duringFault(f, at, until, func(n *Node) { n.Surge = swell }, func(n *Node) { n.Surge = UsageSurge{} })
+		d.duringFault(f, at, until, func(n *emulator.Node) { n.Surge = swell }, func(n *emulator.Node) { n.Surge = emulator.UsageSurge{} })
 	case scenario.NoisyNeighbour:
 		for _, g := range d.sample(d.nodes, f.Share) {
 			shift := f.Interval * placement.Millis(d.rng.Float64())
 			for t := at + shift; t < until; t += 2 * f.Interval {
-				d.onNode(g, t, func(_ placement.Millis, n *Node) { n.NeighbourShare = f.Size })
-				d.onNode(g, min(until, t+f.Interval), func(_ placement.Millis, n *Node) { n.NeighbourShare = 0 })
+				d.onNode(g, t, func(_ placement.Millis, n *emulator.Node) { n.NeighbourShare = f.Size })
+				d.onNode(g, min(until, t+f.Interval), func(_ placement.Millis, n *emulator.Node) { n.NeighbourShare = 0 })
 			}
 		}
 	case scenario.LoadUnderreported:
-		d.duringFault(f, at, until, func(n *Node) { n.UnderreportedShare = f.Size }, func(n *Node) { n.UnderreportedShare = 0 })
+		d.duringFault(f, at, until, func(n *emulator.Node) { n.UnderreportedShare = f.Size }, func(n *emulator.Node) { n.UnderreportedShare = 0 })
 	case scenario.StartsNeverHappen:
 		for _, g := range d.sample(d.nodes, f.Share) {
-			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.StartsBlocked = true })
-			d.onNode(g, until, func(now placement.Millis, n *Node) { n.UnblockStarts(now) })
+			d.onNode(g, at, func(_ placement.Millis, n *emulator.Node) { n.StartsBlocked = true })
+			d.onNode(g, until, func(now placement.Millis, n *emulator.Node) { n.UnblockStarts(now) })
 		}
 	case scenario.CacheLoss:
 		for _, g := range d.sample(d.nodes, f.Share) {
-			d.onNode(g, at, func(_ placement.Millis, n *Node) { n.DropCachedPrograms(f.Size) })
+			d.onNode(g, at, func(_ placement.Millis, n *emulator.Node) { n.DropCachedPrograms(f.Size) })
 		}
 	case scenario.RollingDeploy:
 		d.rollNodes(f, at, f.DrainTime, true)
@@ -542,10 +543,10 @@
 
 // planOutside plans what happens to owners and the list.
 func (d *Run) planClientsAndDiscovery(f scenario.Fault, at, until placement.Millis) {
-	owners := func(at placement.Millis, do func(now placement.Millis, o *Client)) {
+	owners := func(at placement.Millis, do func(now placement.Millis, o *emulator.Client)) {
 		for _, g := range d.clients {
 			d.host.RunAt(g, at, func(now placement.Millis) {
-				if o, ok := g.Handler().(*Client); ok {
+				if o, ok := g.Handler().(*emulator.Client); ok {
 					do(g.LocalTime(now), o)
 				}
 			})
@@ -553,13 +554,13 @@
 	}
 	switch f.Kind {
 	case scenario.RequestBurst:
-		owners(at, func(_ placement.Millis, o *Client) { o.RateFactor = f.Size })
-		owners(until, func(_ placement.Millis, o *Client) { o.RateFactor = 1 })
+		owners(at, func(_ placement.Millis, o *emulator.Client) { o.RateFactor = f.Size })
+		owners(until, func(_ placement.Millis, o *emulator.Client) { o.RateFactor = 1 })
 	case scenario.HotAllocator:
-		owners(at, func(_ placement.Millis, o *Client) { o.FirstAllocatorShare = f.Size })
-		owners(until, func(_ placement.Millis, o *Client) { o.FirstAllocatorShare = 0 })
+		owners(at, func(_ placement.Millis, o *emulator.Client) { o.FirstAllocatorShare = f.Size })
+		owners(until, func(_ placement.Millis, o *emulator.Client) { o.FirstAllocatorShare = 0 })
 	case scenario.ServiceRestart:
-		owners(at, func(now placement.Millis, o *Client) { o.Restart(now, f.Size, f.Duration) })
+		owners(at, func(now placement.Millis, o *emulator.Client) { o.Restart(now, f.Size, f.Duration) })
 	case scenario.ClientDisconnect:
 		for _, g := range d.sample(d.clients, f.Share) {
 			d.host.RunAt(g, at, g.Cut)
@@ -567,22 +568,22 @@
 			d.host.RunAt(g, at+2, g.Heal)
 		}
 	case scenario.DiscoveryOverload:
-		d.onDiscovery(at, func(_ placement.Millis, l *DiscoveryService) {
+		d.onDiscovery(at, func(_ placement.Millis, l *emulator.DiscoveryService) {
 			l.Slowdown, l.ExtraLag = f.Size, placement.Millis(f.Size)*50
 		})
-		d.onDiscovery(until, func(_ placement.Millis, l *DiscoveryService) { l.Slowdown, l.ExtraLag = 1, 0 })
+		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) { l.Slowdown, l.ExtraLag = 1, 0 })
 	case scenario.DiscoveryLate:
-		d.onDiscovery(at, func(_ placement.Millis, l *DiscoveryService) { l.ExtraLag = placement.Millis(f.Size) })
-		d.onDiscovery(until, func(_ placement.Millis, l *DiscoveryService) { l.ExtraLag = 0 })
+		d.onDiscovery(at, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = placement.Millis(f.Size) })
+		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = 0 })
 	case scenario.DiscoveryStale:
-		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.SetStale(now, true) })
-		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.SetStale(now, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(now, true) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(now, false) })
 	case scenario.DiscoveryWrong:
-		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, f.Size, false) })
-		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, f.Size, false) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, false) })
 	case scenario.DiscoveryEmpty:
-		d.onDiscovery(at, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, true) })
-		d.onDiscovery(until, func(now placement.Millis, l *DiscoveryService) { l.Misreport(now, 1, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, true) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, false) })
 	default:
 		d.planNetwork(f, at, until)
 	}
@@ -647,18 +648,18 @@
 	}
 }
 
-func (d *Run) onNode(g *network.Interceptor, at placement.Millis, do func(now placement.Millis, n *Node)) {
+func (d *Run) onNode(g *network.Interceptor, at placement.Millis, do func(now placement.Millis, n *emulator.Node)) {
 	d.host.RunAt(g, at, func(now placement.Millis) {
-		if n, ok := g.Handler().(*Node); ok {
+		if n, ok := g.Handler().(*emulator.Node); ok {
 			do(g.LocalTime(now), n)
 		}
 	})
 }
 
-func (d *Run) duringFault(f scenario.Fault, at, until placement.Millis, begin, end func(*Node)) {
+func (d *Run) duringFault(f scenario.Fault, at, until placement.Millis, begin, end func(*emulator.Node)) {
 	for _, g := range d.sample(d.nodes, f.Share) {
-		d.onNode(g, at, func(_ placement.Millis, n *Node) { begin(n) })
-		d.onNode(g, until, func(_ placement.Millis, n *Node) { end(n) })
+		d.onNode(g, at, func(_ placement.Millis, n *emulator.Node) { begin(n) })
+		d.onNode(g, until, func(_ placement.Millis, n *emulator.Node) { end(n) })
 	}
 }
 
@@ -669,7 +670,7 @@
 	for i, g := range nodes {
 		t := at + placement.Millis(i/batch)*f.Interval
 		if drained {
-			d.onNode(g, t, func(now placement.Millis, n *Node) { n.Drain(now, true) })
+			d.onNode(g, t, func(now placement.Millis, n *emulator.Node) { n.Drain(now, true) })
 			d.drains[g] = append(d.drains[g], oracle.Span{From: t, Until: t + away})
 			d.host.RunAt(g, t+away, g.Kill)
 			d.host.RunAt(g, t+away+300, g.Restart)
@@ -681,9 +682,9 @@
 }
 
 // onList changes how the machine list behaves.
-func (d *Run) onDiscovery(at placement.Millis, do func(now placement.Millis, l *DiscoveryService)) {
+func (d *Run) onDiscovery(at placement.Millis, do func(now placement.Millis, l *emulator.DiscoveryService)) {
 	d.host.RunAt(d.discovery, at, func(now placement.Millis) {
-		if l, ok := d.discovery.Handler().(*DiscoveryService); ok {
+		if l, ok := d.discovery.Handler().(*emulator.DiscoveryService); ok {
 			do(d.discovery.LocalTime(now), l)
 		}
 	})
--- a/internal/simulation/owner.go
+++ b/internal/simulation/emulator/client.go
@@ -1,4 +1,4 @@
-package simulation
+package emulator
 
 import (
 	"maps"
@@ -13,70 +13,71 @@
 )
 
 const (
-	retryAfterUnknown = placement.Millis(3e3) // ms that an owner waits where its workload may have run
-	quickRetry        = placement.Millis(40)  // ms within which an owner may think again at once
-	minRemaining      = placement.Millis(500) // ms of life that are not worth asking for again
+	// RetryAfterUnknown is how long a client waits before it retries a workload that may have run, in ms.
+	RetryAfterUnknown = placement.Millis(3e3)
+	quickRetry        = placement.Millis(40)  // ms; the longest delay of a withdrawal right after a request
+	minRemaining      = placement.Millis(500) // ms of remaining lifetime below which a workload is not requested again
 )
 
-// Tally is what an owner saw of its asks.
+// Tally counts what a client has seen of its requests.
 type Tally struct {
 	Requests, FirstRequests, Placed, Rejected, Unschedulable int
-	Withdrawn                                                int // by the owner, before an answer
-	Disconnected                                             int // the connection, or the allocator, went before an answer
+	Withdrawn                                                int // by the client, before an answer
+	Disconnected                                             int // the connection or the allocator was lost before an answer
 	Unanswered                                               int
 	Ended                                                    map[pb.Why]int
-	Waits                                                    []float64 // ms from a first ask to its yes
-	SinglesFirst, SinglesPlaced                              int       // of workloads in no group: wanted, and placed at their first ask
-	Gangs, GangsStarted, GangsAbandoned                      int       // groups that were wanted, that stood, that never did
-	GangWaits                                                []float64 // ms from the first ask for a group until it stood
-	Wasted, Used                                             float64   // core seconds that parts asked for by themselves stood in vain, and not
-	Wants                                                    []*Want   // single workloads, in the order of their coming
+	Waits                                                    []float64 // ms from the first request until the workload is placed
+	SinglesFirst, SinglesPlaced                              int       // workloads that belong to no gang: wanted, and placed by their first request
+	Gangs, GangsStarted, GangsAbandoned                      int       // wanted, started, and never started
+	GangWaits                                                []float64 // ms from the first request for a gang until it started
+	Wasted, Used                                             float64   // core seconds of parts that were requested independently, in gangs that did not start and that did
+	Wants                                                    []*Want   // single workloads, in the order in which they were first wanted
 }
 
-// Owner is a stand-in for those who ask for workloads.
+// Client emulates the clients that request workloads and gangs.
 type Client struct {
 	name      string
 	index     int
 	model     *scenario.ClientModel
-	rng       *rand.Rand // of what it does as things turn out
-	demandRNG *rand.Rand // of what it wants, which is the same however things turn out
+	rng       *rand.Rand // for its reactions
+	demandRNG *rand.Rand // for its demand, which does not depend on what happens
 	net       transport.FrameNetwork
 	timers    transport.Timers
 	now       placement.Millis
 
 	connections     []transport.ConnID // by allocator; 0 while there is none
 	allocatorByConn map[transport.ConnID]int
-	requests        map[uint64]*clientRequest // asked and not over, by ask
+	requests        map[uint64]*clientRequest // that have not ended, by number
 	lastRequest     uint64
 
-	incarnations []uint64 // of the allocators, as last met
+	incarnations []uint64 // of the allocators, by their last hello
 	keys         uint64
 
-	RateFactor          float64 // times as many asks
-	FirstAllocatorShare float64 // share of the asks that goes to the first allocator besides
+	RateFactor          float64 // multiplies the request rate
+	FirstAllocatorShare float64 // additional share of the requests that goes to the first allocator
 	Tally               Tally
 }
 
-// wanted is a workload that an owner wants.
+// clientRequest is a workload or gang that a client wants.
 type clientRequest struct {
 	key               uint64
 	service           uint64
 	demand            *scenario.Demand
 	shape             [2]float64
-	endsAt            placement.Millis // of its life
+	endsAt            placement.Millis // of its lifetime
 	attempts          int
 	requestedAt       placement.Millis
 	conn              transport.ConnID
-	allocator         int // allocator
+	allocator         int // index
 	placed            bool
 	gone              bool
-	gang              *clientGang // that it is, or is a part of
+	gang              *clientGang // of which it is a part, or nil
 	part              int
 	want              *Want
-	requiredAllocator int // allocator that may be asked, counted from 1; 0 for any
+	requiredAllocator int // the only allocator that may be used, counted from 1; 0 for any
 }
 
-// Want is a single workload as its owner wanted it.
+// Want is a single workload as its client wanted it.
 type Want struct {
 	From, Until   placement.Millis
 	Service       uint64
@@ -84,13 +85,13 @@
 	Cores, Memory float64
 }
 
-// wantIt notes a workload that is wanted for the first time.
+// recordWant records a workload that is wanted for the first time.
 func (o *Client) recordWant(now placement.Millis, w *clientRequest) {
 	w.want = &Want{now, w.endsAt, w.service, w.demand.Name, w.shape[0], w.shape[1]}
 	o.Tally.Wants = append(o.Tally.Wants, w.want)
 }
 
-// NewOwner makes an owner; its number keeps its keys apart from those of others.
+// NewClient returns a client. Its number keeps its workload keys apart from those of other clients.
 func NewClient(name string, no int, m *scenario.ClientModel, seed uint64) *Client {
 	return &Client{
 		name: name, index: no, model: m, rng: rand.New(rand.NewPCG(seed, uint64(no)+1)),
@@ -100,6 +101,7 @@
 	}
 }
 
+// Start implements transport.FrameHandler.
 func (o *Client) Start(now placement.Millis, net transport.FrameNetwork) {
 	o.now, o.net = now, net
 	for i := range o.connections {
@@ -122,18 +124,21 @@
 	}
 }
 
+// Wake implements transport.FrameHandler.
 func (o *Client) Wake(now placement.Millis) {
 	o.now = now
 	o.timers.RunDue(now)
 	o.wake()
 }
 
+// Opened implements transport.FrameHandler.
 func (o *Client) Opened(now placement.Millis, c transport.ConnID) {
 	o.now = now
 	o.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
 	o.wake()
 }
 
+// Closed implements transport.FrameHandler.
 func (o *Client) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	o.now = now
 	delete(o.allocatorByConn, c)
@@ -174,6 +179,7 @@
 	return asks
 }
 
+// Received implements transport.FrameHandler.
 func (o *Client) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	o.now = now
 	switch b := f.Body.(type) {
@@ -184,7 +190,7 @@
 	case *pb.Frame_Over:
 		if w := o.requests[b.Over.Ask]; w != nil && w.placed && w.gang != nil {
 			delete(o.requests, b.Over.Ask)
-			o.gangEnded(now, w, b.Over.Why)
+			o.gangEnded(w, b.Over.Why)
 		} else if w != nil && w.placed {
 			delete(o.requests, b.Over.Ask)
 			o.Tally.Ended[b.Over.Why]++
@@ -392,7 +398,7 @@
 		return
 	}
 	if mayHaveRun && w.demand.Idempotency == placement.IdempotentByKey {
-		wait = max(wait, retryAfterUnknown)
+		wait = max(wait, RetryAfterUnknown)
 	}
 	if w.attempts >= o.model.MaxAttempts || now+wait+minRemaining > min(w.endsAt, o.model.Until) {
 		return
@@ -400,13 +406,13 @@
 	o.timers.Schedule(now+wait, func(now placement.Millis) { o.ask(now, w) })
 }
 
-// Restart has the owner stop a share of its services and ask for all their workloads again, within a time.
+// Restart stops a share of the client's services and requests all their workloads again, within the given time.
 func (o *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
 	o.now = now
 	done := map[*clientRequest]bool{}
 	for _, no := range slices.Sorted(maps.Keys(o.requests)) {
 		w := o.requests[no]
-		if w == nil || done[w] || w.gone || w.gang != nil || serviceFactor(w.service+3)-0.5 >= share {
+		if w == nil || done[w] || w.gone || w.gang != nil || ServiceFactor(w.service+3)-0.5 >= share {
 			continue
 		}
 		done[w] = true
@@ -427,7 +433,7 @@
 	o.wake()
 }
 
-// Open is the number of asks that wait for an answer.
+// Open returns the number of requests that wait for an answer.
 func (o *Client) Open() int {
 	n := 0
 	for _, w := range o.requests {
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -1,4 +1,4 @@
-package simulation
+package emulator
 
 import (
 	"maps"
@@ -9,11 +9,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// stopWithin is how long, in ms, an owner that asks for parts by itself waits for all of them before it stops
-// those that it has.
+// gangStopTimeout is how long, in ms, a client that requests parts independently waits for all of them before it stops the others.
 const gangStopTimeout = placement.Millis(5e3)
 
-// wantedGang is a group that an owner wants.
+// clientGang is a gang that a client wants.
 type clientGang struct {
 	demand      *scenario.GangDemand
 	keys        []uint64
@@ -30,7 +29,7 @@
 	return placement.Millis(min(60e3, o.demandRNG.ExpFloat64()*1000/max(1e-6, o.model.Gangs[i].Rate*o.RateFactor)))
 }
 
-// nextGang asks for a new group and comes again.
+// nextGang requests a new gang and schedules the next one.
 func (o *Client) nextGang(now placement.Millis, i int) {
 	if now >= o.model.Until {
 		return
@@ -75,7 +74,7 @@
 	}
 }
 
-// gangAsk asks for a group as a whole. A new try has new keys: what is left of the one before is its own.
+// requestGang sends one request for a whole gang. Each attempt has new keys, as parts of an earlier one may still run.
 func (o *Client) requestGang(now placement.Millis, g *clientGang) {
 	there := o.connectedAllocators()
 	if len(there) == 0 {
@@ -150,7 +149,7 @@
 	}
 }
 
-// gangAgain asks once more while there is time.
+// retryGang requests a gang again while there is time.
 func (o *Client) retryGang(now placement.Millis, w *clientRequest, mayHaveRun bool) {
 	g := w.gang
 	if o.model.GangPolicy == scenario.Independent {
@@ -176,12 +175,12 @@
 }
 
 // gangOver takes the end of a group that stood.
-func (o *Client) gangEnded(now placement.Millis, w *clientRequest, why pb.Why) {
+func (o *Client) gangEnded(w *clientRequest, why pb.Why) {
 	o.Tally.Ended[why]++
 	w.gang.ended = true
 }
 
-// gangParts asks for the parts of a group each by itself, and stops what there is if it is not whole in time.
+// requestParts requests each part independently, and stops them if the gang is incomplete after a timeout.
 func (o *Client) requestParts(now placement.Millis, g *clientGang) {
 	g.keys = o.newKeys(g.demand.Parts)
 	for i := range g.demand.Parts {
--- a/internal/simulation/list.go
+++ b/internal/simulation/emulator/discovery.go
@@ -1,4 +1,4 @@
-package simulation
+package emulator
 
 import (
 	"maps"
@@ -11,10 +11,11 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// callLines is the fixed cost of a call to the list, in lines.
+// callCost is the fixed cost of a call, in entries.
 const callCost = 40
 
-// List is a stand-in for the machine list: nodes tell it of themselves, allocators read it.
+// DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. Faults set its
+// exported fields.
 type DiscoveryService struct {
 	model  *scenario.DiscoveryModel
 	epoch  uint64
@@ -27,12 +28,12 @@
 	nodes          map[transport.ConnID]uint32
 	queue          []queuedCall
 	busy           bool
-	Slowdown       float64 // times fewer lines a second, while a fault lasts
+	Slowdown       float64 // divides the entries a second
 	ExtraLag       placement.Millis
-	stale          bool     // it takes no news
-	deferred       []func() // in what it did not take
-	capacityFactor float64  // times the room that nodes told of, 0 for 1
-	empty          bool     // it names no node
+	stale          bool     // registrations are deferred
+	deferred       []func() // registrations
+	capacityFactor float64  // multiplies free capacity, 0 for 1
+	empty          bool     // it lists no nodes
 }
 
 type nodeRecord struct {
@@ -54,7 +55,7 @@
 	at   placement.Millis
 }
 
-// NewList makes a list that knows no node yet.
+// NewDiscoveryService returns a service that knows no nodes.
 func NewDiscoveryService(m *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
 	return &DiscoveryService{
 		model: m, epoch: epoch, entries: map[uint32]*nodeRecord{}, subscribers: map[transport.ConnID]*subscriber{},
@@ -62,6 +63,7 @@
 	}
 }
 
+// Start implements transport.FrameHandler.
 func (l *DiscoveryService) Start(now placement.Millis, net transport.FrameNetwork) {
 	l.net = net
 	l.timers.Schedule(now+l.model.PushInterval, l.push)
@@ -74,15 +76,18 @@
 	}
 }
 
+// Wake implements transport.FrameHandler.
 func (l *DiscoveryService) Wake(now placement.Millis) {
 	l.timers.RunDue(now)
 	l.wake()
 }
 
+// Opened implements transport.FrameHandler.
 func (l *DiscoveryService) Opened(now placement.Millis, c transport.ConnID) {
 	l.subscribers[c] = &subscriber{}
 }
 
+// Closed implements transport.FrameHandler.
 func (l *DiscoveryService) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	delete(l.subscribers, c)
 	if id, ok := l.nodes[c]; ok {
@@ -98,6 +103,7 @@
 	l.wake()
 }
 
+// Received implements transport.FrameHandler.
 func (l *DiscoveryService) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	r := l.subscribers[c]
 	switch {
@@ -198,7 +204,7 @@
 	news()
 }
 
-// Stale has the list take no news, and go on telling what it knew; afterwards it takes all of it at once.
+// SetStale stops the service from taking registrations, or has it take all that it has missed.
 func (l *DiscoveryService) SetStale(_ placement.Millis, stale bool) {
 	l.stale = stale
 	for _, news := range l.deferred {
@@ -207,8 +213,7 @@
 	l.deferred = nil
 }
 
-// Tell has the list tell other things than it knows: so many times the room there is, or that there is no node at
-// all. Whoever watches is told at the next push.
+// Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with the next push.
 func (l *DiscoveryService) Misreport(_ placement.Millis, room float64, empty bool) {
 	l.capacityFactor, l.empty = room, empty
 	l.revision++
--- a/internal/simulation/node.go
+++ b/internal/simulation/emulator/node.go
@@ -1,4 +1,5 @@
-package simulation
+// Package emulator provides stand-ins for the processes that allocators talk to: nodes, clients and the discovery service.
+package emulator
 
 import (
 	"cmp"
@@ -17,17 +18,18 @@
 	firstUsageNote        = placement.Millis(800) // ms after its start
 	pacedEvictionInterval = placement.Millis(300) // ms between workloads that a node sends away bit by bit
 	maxAnswered           = 4096                  // binds whose answer a node remembers
-	contentionSlowdown    = 4.0                   // times slower that starts get while the cores are asked for twice over
+	contentionSlowdown    = 4.0                   // factor by which starts take longer if demand is twice the cores
 )
 
-// Swelling is use far over the asks.
+// UsageSurge is resource use far above what was requested.
 type UsageSurge struct {
 	Group  string  // "" for every group
-	Share  float64 // of the services
-	Factor float64 // their usual use
+	Share  float64 // of the services, that surge
+	Factor float64 // of their usual use
 }
 
-// Node is a stand-in for a machine. Its faults are set from outside, on its goroutine.
+// Node emulates a machine. Faults set its exported fields, on its goroutine. It has more than fifteen fields as these faults act on
+// its admission queue, its tasks and its reports alike.
 type Node struct {
 	id          uint32
 	spec        *NodeSpec
@@ -43,32 +45,32 @@
 	peers              map[transport.ConnID]string // allocator's name, "" before its hello
 	conns              map[string]transport.ConnID
 	latestIncarnation  map[string]uint64 // latest incarnation met of each allocator
-	queue              []*queuedFrame_
+	queue              []*queuedFrame
 	admitting          bool
-	tasks              []*task // in the order of their acceptance
-	byBind             map[observer.BindKey]*task
+	tasks              []*Task // in the order of their acceptance
+	byBind             map[observer.BindKey]*Task
 	answered           map[observer.BindKey]*pb.OfferAnswer
 	answeredOrder      []observer.BindKey // of answered
-	toStart            []*task
+	toStart            []*Task
 	starting           int
-	programs           []uint64 // kept, latest last
+	programs           []uint64 // cached, latest last
 	load               *pb.Load
 	loadAt             placement.Millis
-	arrivals           []placement.Millis // offers while cold
+	arrivals           []placement.Millis // of offers while warming up
 	draining           bool
 	overloaded         bool
-	Slowdown           float64 // times slower
+	Slowdown           float64 // multiplies the time of admissions and starts
 	NeighbourShare     float64 // share of the machine that another program takes
-	ThrottledGroup     string  // group that is turned away without a reason
+	ThrottledGroup     string  // group whose offers are rejected without a reason
 	Surge              UsageSurge
 	UnderreportedShare float64                  // share of its load that it does not report
-	StartsBlocked      bool                     // accepts, and starts nothing
-	Leaves             bool                     // the list is told that it goes for good
-	OnOverload         func()                   // called when it was pushed over
-	OnRunning          func(t *task, runs bool) // called as a workload begins to run, and as it ends
+	StartsBlocked      bool                     // it accepts offers, and starts nothing
+	Leaves             bool                     // it registers as gone for good
+	OnOverload         func()                   // called when too many offers while warming up made it fail
+	OnRunning          func(t *Task, runs bool) // called when a workload starts and when it ends
 }
 
-// NodeSpec is one machine of a day.
+// NodeSpec describes one machine of a run.
 type NodeSpec struct {
 	ID            uint32
 	Kind          string
@@ -76,39 +78,40 @@
 	Cores, Memory float64
 	ListAddr      string
 	Addr          string
-	coreTime      float64 // core milliseconds that single workloads ran while owners asked
+	CoreTime      float64 // core milliseconds for which single workloads ran while clients sent requests
 }
 
-// waiting is an offer or a probe in the admission line.
-type queuedFrame_ struct {
+// queuedFrame is an offer or a health check in the admission queue.
+type queuedFrame struct {
 	offer     *pb.Offer
 	probe     uint64
 	from      transport.ConnID
 	arrived   placement.Millis
-	cancelled bool // called off meanwhile
+	cancelled bool // by a stop
 }
 
-// task is a workload that was accepted.
-type task struct {
-	offer     *pb.Offer
-	group     *scenario.GroupModel
-	running   bool
-	ended     bool
-	confirmed bool // its gang stands
-	since     placement.Millis
-	cores     float64 // in use when it runs
-	memory    float64
+// Task is a workload that was accepted.
+type Task struct {
+	Offer        *pb.Offer
+	group        *scenario.GroupModel
+	running      bool
+	ended        bool
+	confirmed    bool // its gang has started
+	RunningSince placement.Millis
+	cores        float64 // in use while it runs
+	memory       float64
 }
 
-// NewNode makes a node; its earlier incarnations left nothing. At its first boot it has been up for long.
+// NewNode returns a node without workloads. In its first incarnation it has been up for long.
 func NewNode(spec *NodeSpec, m *scenario.NodeModel, boot uint64) *Node {
 	return &Node{
 		id: spec.ID, spec: spec, model: m, incarnation: boot, startedAt: placement.DistantPast, peers: map[transport.ConnID]string{},
-		conns: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*task{},
+		conns: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*Task{},
 		answered: map[observer.BindKey]*pb.OfferAnswer{}, Slowdown: 1,
 	}
 }
 
+// Start implements transport.FrameHandler.
 func (n *Node) Start(now placement.Millis, net transport.FrameNetwork) {
 	n.net, n.now = net, now
 	if n.incarnation > 1 {
@@ -127,12 +130,14 @@
 	}
 }
 
+// Wake implements transport.FrameHandler.
 func (n *Node) Wake(now placement.Millis) {
 	n.now = now
 	n.timers.RunDue(now)
 	n.wake()
 }
 
+// Opened implements transport.FrameHandler.
 func (n *Node) Opened(now placement.Millis, c transport.ConnID) {
 	n.now = now
 	if c == n.list {
@@ -144,6 +149,7 @@
 	n.wake()
 }
 
+// Closed implements transport.FrameHandler.
 func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ error) {
 	n.now = now
 	if c == n.list {
@@ -157,6 +163,7 @@
 	n.wake()
 }
 
+// Received implements transport.FrameHandler.
 func (n *Node) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	n.now = now
 	name, known := n.peers[c]
@@ -175,7 +182,7 @@
 				t.confirmed = true
 			}
 		case *pb.Frame_Probe:
-			n.enqueue(now, &queuedFrame_{probe: b.Probe.Id, from: c, arrived: now})
+			n.enqueue(now, &queuedFrame{probe: b.Probe.Id, from: c, arrived: now})
 		}
 	}
 	n.wake()
@@ -200,8 +207,8 @@
 		ConfirmsRunning: n.model.ConfirmsRunning, Draining: n.draining, UpForMs: n.upFor(n.now),
 	}
 	for _, t := range n.tasks {
-		if t.offer.Bind.Allocator == h.Name && (t.running || !n.model.ConfirmsRunning) {
-			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.offer, Running: t.running, Kept: t.confirmed})
+		if t.Offer.Bind.Allocator == h.Name && (t.running || !n.model.ConfirmsRunning) {
+			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.Offer, Running: t.running, Kept: t.confirmed})
 		}
 	}
 	n.net.Send(c, transport.HelloFrame(hello))
@@ -225,7 +232,7 @@
 		n.net.Send(c, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: a}})
 		return
 	}
-	if n.byBind[observer.KeyOf(o.Bind)] != nil || slices.ContainsFunc(n.queue, func(w *queuedFrame_) bool {
+	if n.byBind[observer.KeyOf(o.Bind)] != nil || slices.ContainsFunc(n.queue, func(w *queuedFrame) bool {
 		return w.offer != nil && observer.KeyOf(w.offer.Bind) == observer.KeyOf(o.Bind)
 	}) {
 		return // it came twice, and is answered once
@@ -243,10 +250,10 @@
 			return
 		}
 	}
-	n.enqueue(now, &queuedFrame_{offer: o, from: c, arrived: now})
+	n.enqueue(now, &queuedFrame{offer: o, from: c, arrived: now})
 }
 
-func (n *Node) enqueue(now placement.Millis, w *queuedFrame_) {
+func (n *Node) enqueue(now placement.Millis, w *queuedFrame) {
 	if len(n.queue) >= n.model.QueueLimit {
 		n.decline(now, w, pb.Why_TOO_MANY_WAITING, "too many offers wait")
 		return
@@ -270,7 +277,7 @@
 	})
 }
 
-func (n *Node) decide(now placement.Millis, w *queuedFrame_) {
+func (n *Node) decide(now placement.Millis, w *queuedFrame) {
 	if w.offer == nil {
 		n.net.Send(w.from, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: w.probe, Load: n.loadNow(now)}}})
 		return
@@ -300,20 +307,20 @@
 }
 
 func (n *Node) hasWorkload(o *pb.Offer) bool {
-	return slices.ContainsFunc(n.tasks, func(t *task) bool { return t.offer.Ask.Key == o.Ask.Key })
+	return slices.ContainsFunc(n.tasks, func(t *Task) bool { return t.Offer.Ask.Key == o.Ask.Key })
 }
 
-// asked is what those here ask for.
+// requested returns the cores and memory that the accepted workloads request.
 func (n *Node) requested() (cores, memory float64) {
 	for _, t := range n.tasks {
-		cores += t.offer.Ask.Cores
-		memory += t.offer.Ask.Memory
+		cores += t.Offer.Ask.Cores
+		memory += t.Offer.Ask.Memory
 	}
 	return cores, memory
 }
 
 func (n *Node) accept(now placement.Millis, o *pb.Offer) {
-	t := &task{offer: o, group: n.model.Groups[o.Ask.Group]}
+	t := &Task{Offer: o, group: n.model.Groups[o.Ask.Group]}
 	n.tasks = append(n.tasks, t)
 	n.byBind[observer.KeyOf(o.Bind)] = t
 	if !n.model.ConfirmsRunning {
@@ -331,7 +338,7 @@
 	}
 }
 
-func (n *Node) decline(now placement.Millis, w *queuedFrame_, why pb.Why, text string) {
+func (n *Node) decline(now placement.Millis, w *queuedFrame, why pb.Why, text string) {
 	if w.offer == nil {
 		return // a probe that finds no place is not answered
 	}
@@ -374,11 +381,11 @@
 	}
 }
 
-func (n *Node) startTime(now placement.Millis, t *task) placement.Millis {
+func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
-	s := t.offer.Ask.Service
+	s := t.Offer.Ask.Service
 	if !slices.Contains(n.programs, s) &&
-		!slices.ContainsFunc(n.tasks, func(o *task) bool { return o.running && o.offer.Ask.Service == s }) {
+		!slices.ContainsFunc(n.tasks, func(o *Task) bool { return o.running && o.Offer.Ask.Service == s }) {
 		work *= n.model.UncachedStartFactor
 	}
 	pace, _ := n.warmUpRate(now)
@@ -386,33 +393,33 @@
 	return placement.Millis(work / pace)
 }
 
-func (n *Node) started(now placement.Millis, t *task) {
+func (n *Node) started(now placement.Millis, t *Task) {
 	t.running = true
 	if n.OnRunning != nil {
 		n.OnRunning(t, true)
 	}
-	t.cores = t.offer.Ask.Cores * t.group.CoreUse * serviceFactor(t.offer.Ask.Service)
-	t.memory = t.offer.Ask.Memory * t.group.MemoryUse * serviceFactor(t.offer.Ask.Service+1)
-	n.programs = slices.DeleteFunc(n.programs, func(s uint64) bool { return s == t.offer.Ask.Service })
+	t.cores = t.Offer.Ask.Cores * t.group.CoreUse * ServiceFactor(t.Offer.Ask.Service)
+	t.memory = t.Offer.Ask.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Ask.Service+1)
+	n.programs = slices.DeleteFunc(n.programs, func(s uint64) bool { return s == t.Offer.Ask.Service })
 	if n.model.ConfirmsRunning {
-		n.answer(now, t.offer.Bind, &pb.OfferAnswer{Bind: t.offer.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Accepted: true, Load: n.loadNow(now)})
 	} else {
 		n.note(t, pb.Note_RUNNING, 1)
 	}
-	n.timers.Schedule(now+placement.Millis(t.offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
+	n.timers.Schedule(now+placement.Millis(t.Offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
 	n.timers.Schedule(now+firstUsageNote, func(now placement.Millis) { n.noteUse(now, t) })
 }
 
-// spread is a factor between a half and one and a half that belongs to a service.
-func serviceFactor(service uint64) float64 {
+// ServiceFactor returns a factor between 0.5 and 1.5 that depends on the service alone.
+func ServiceFactor(service uint64) float64 {
 	return 0.5 + float64((service*0x9e3779b97f4a7c15)>>40&1023)/1023
 }
 
-func (n *Node) note(t *task, k pb.Note_Kind, value float64) {
-	n.sendTo(t.offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.offer.Bind, Kind: k, Value: value}}})
+func (n *Node) note(t *Task, k pb.Note_Kind, value float64) {
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.Offer.Bind, Kind: k, Value: value}}})
 }
 
-func (n *Node) noteUse(now placement.Millis, t *task) {
+func (n *Node) noteUse(now placement.Millis, t *Task) {
 	if t.ended {
 		return
 	}
@@ -421,37 +428,37 @@
 }
 
 // excess is how many times its usual use a workload now has.
-func (n *Node) surgeFactor(t *task) float64 {
-	w, a := n.Surge, t.offer.Ask
-	if w.Factor > 1 && (w.Group == "" || w.Group == a.Group) && serviceFactor(a.Service+2)-0.5 < w.Share {
+func (n *Node) surgeFactor(t *Task) float64 {
+	w, a := n.Surge, t.Offer.Ask
+	if w.Factor > 1 && (w.Group == "" || w.Group == a.Group) && ServiceFactor(a.Service+2)-0.5 < w.Share {
 		return w.Factor
 	}
 	return 1
 }
 
 // end takes a workload off the node.
-func (n *Node) end(now placement.Millis, t *task, why pb.Why) {
+func (n *Node) end(now placement.Millis, t *Task, why pb.Why) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	n.tasks = slices.DeleteFunc(n.tasks, func(o *task) bool { return o == t })
-	delete(n.byBind, observer.KeyOf(t.offer.Bind))
+	n.tasks = slices.DeleteFunc(n.tasks, func(o *Task) bool { return o == t })
+	delete(n.byBind, observer.KeyOf(t.Offer.Bind))
 	if t.running && n.OnRunning != nil {
 		n.OnRunning(t, false)
 	}
 	if t.running && n.model.CachedPrograms > 0 {
-		s := t.offer.Ask.Service
+		s := t.Offer.Ask.Service
 		n.programs = slices.DeleteFunc(n.programs, func(o uint64) bool { return o == s })
 		if n.programs = append(n.programs, s); len(n.programs) > n.model.CachedPrograms {
 			n.programs = n.programs[1:]
 		}
 	}
 	if !t.running && n.model.ConfirmsRunning {
-		n.answer(now, t.offer.Bind, &pb.OfferAnswer{Bind: t.offer.Bind, Why: why, Text: "ended before it ran", Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Why: why, Text: "ended before it ran", Load: n.loadNow(now)})
 		return
 	}
-	n.sendTo(t.offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.offer.Bind, Why: why, Load: n.loadNow(now)}}})
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.Offer.Bind, Why: why, Load: n.loadNow(now)}}})
 }
 
 // stopped takes a bind back, from the line or, unless only that was wanted, from the node.
@@ -489,10 +496,10 @@
 	n.timers.Schedule(now+n.model.ReportInterval, n.report)
 }
 
-func (n *Node) evictionCandidate() *task {
-	return slices.MinFunc(n.tasks, func(x, y *task) int {
+func (n *Node) evictionCandidate() *Task {
+	return slices.MinFunc(n.tasks, func(x, y *Task) int {
 		return cmp.Or(cmp.Compare(x.group.EvictionRank, y.group.EvictionRank),
-			cmp.Compare(y.memory*n.surgeFactor(y)-y.offer.Ask.Memory, x.memory*n.surgeFactor(x)-x.offer.Ask.Memory))
+			cmp.Compare(y.memory*n.surgeFactor(y)-y.Offer.Ask.Memory, x.memory*n.surgeFactor(x)-x.Offer.Ask.Memory))
 	})
 }
 
@@ -532,7 +539,7 @@
 	}
 }
 
-// register tells the list who this is and how much room nobody has asked for, where that changed.
+// register sends the node's state and unrequested capacity to the discovery service.
 func (n *Node) register(now placement.Millis) {
 	cores, memory := n.requested()
 	state := pb.NodeEntry_READY
@@ -548,7 +555,7 @@
 	}}})
 }
 
-// upFor is the time since the node's start, below nought where nobody remembers it.
+// upFor returns the time since the node's start in ms, or -1 if it is not known.
 func (n *Node) upFor(now placement.Millis) float64 {
 	if math.IsInf(float64(n.startedAt), -1) {
 		return -1
@@ -556,7 +563,7 @@
 	return float64(now - n.startedAt)
 }
 
-// Drain has the node take nothing new, or take again.
+// Drain sets whether the node drains, and announces it.
 func (n *Node) Drain(now placement.Millis, draining bool) {
 	n.now = now
 	n.draining = draining
@@ -593,14 +600,14 @@
 	}
 }
 
-// Unstick has it start what it has accepted meanwhile.
+// UnblockStarts starts what was accepted while starts were blocked.
 func (n *Node) UnblockStarts(now placement.Millis) {
 	n.now, n.StartsBlocked = now, false
 	n.startNext(now)
 	n.wake()
 }
 
-// Died ends the count of what ran here.
+// Stop ends the accounting of what runs on the node.
 func (n *Node) Stop() {
 	for _, t := range n.tasks {
 		if t.running && n.OnRunning != nil {
@@ -609,7 +616,7 @@
 	}
 }
 
-// Forget loses the programs that are kept, that share of them.
+// DropCachedPrograms drops that share of the cached programs.
 func (n *Node) DropCachedPrograms(share float64) {
 	n.programs = n.programs[int(math.Ceil(share*float64(len(n.programs)))):]
 }
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math"
 	"os"
 	"path/filepath"
@@ -18,9 +17,7 @@
 	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
-	pb "grebeglade/proto/grebeglade/v1"
 )
 
 func open(t *testing.T, name string) *scenario.Script {
@@ -253,15 +250,6 @@
 	} {
 		assert.True(t, shows(play(t, open(t, name), Options{Seed: 1})), name)
 	}
-	for name, set := range map[string]func(*Node){
-		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 }, "hot": func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
-	} {
-		n := NewNode(&NodeSpec{Cores: 10, Memory: 10}, &scenario.NodeModel{}, 1)
-		n.tasks = []*task{{offer: &pb.Offer{Ask: &pb.Ask{}}, cores: 2, memory: 2}}
-		before := n.coresUsed()
-		set(n)
-		assert.Greater(t, n.coresUsed(), before, name)
-	}
 }
 
 // A fault whose absence changes nothing is none: each of every script, left out by itself, makes another day.
@@ -276,88 +264,6 @@
 	}
 }
 
-// nodeWire is the net of one node under test.
-type nodeWire struct {
-	now  placement.Millis
-	wake placement.Millis
-	sent []*pb.Frame
-}
-
-func (w *nodeWire) Dial(string) transport.ConnID         { return 1 }
-func (w *nodeWire) Send(c transport.ConnID, f *pb.Frame) { w.sent = append(w.sent, f) }
-func (w *nodeWire) Close(transport.ConnID)               {}
-func (w *nodeWire) WakeAt(t placement.Millis)            { w.wake = t }
-func (w *nodeWire) Now() placement.Millis                { return w.now }
-func (w *nodeWire) run(n *Node, until placement.Millis) {
-	for w.wake <= until {
-		w.now = w.wake
-		n.Wake(w.now)
-	}
-	w.now = until
-}
-
-// said are the node's answers to offers, in words.
-func (w *nodeWire) said() (all []string) {
-	for _, f := range w.sent {
-		if a := f.GetOfferAnswer(); a != nil {
-			all = append(all, fmt.Sprintf("%d %v %s", a.Bind.Workload, a.Accepted, a.Text))
-		}
-	}
-	w.sent = nil
-	return all
-}
-
-func TestANodeTakesAnOfferOnceAndRefusesWithAReason(t *testing.T) {
-	w := &nodeWire{}
-	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, &scenario.NodeModel{
-		CoreOvercommit: 1, MemoryOvercommit: 1, AdmissionTime: 10, QueueLimit: 3, ConcurrentStarts: 1, UncachedStartFactor: 2, ReportInterval: 1000, DrainMode: "keeps",
-		Groups: map[string]*scenario.GroupModel{"g": {StartTime: 50, CoreUse: 1, MemoryUse: 1}, "t": {StartTime: 50}},
-	}, 1)
-	n.Start(0, w)
-	n.Opened(0, 2)
-	n.Received(0, 2, transport.HelloFrame(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
-	offer := func(id uint64, change ...func(*pb.Offer)) {
-		o := &pb.Offer{
-			Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: id}, AcceptWithinMs: 100,
-			Ask: &pb.Ask{Key: id, Service: 1, Group: "g", Cores: 4, Memory: 4, RunsForMs: 10000},
-		}
-		for _, f := range change {
-			f(o)
-		}
-		n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
-	}
-	offer(1)
-	w.run(n, 20)
-	offer(1) // again, as a network may bring it
-	w.run(n, 40)
-	assert.Equal(t, []string{"1 true ", "1 true "}, w.said())
-	assert.Len(t, n.tasks, 1)
-	offer(2, func(o *pb.Offer) { o.Bind.Incarnation = 4 })
-	offer(3, func(o *pb.Offer) { o.Ask.Key = 1 })
-	offer(4, func(o *pb.Offer) { o.Ask.Cores = 7 })
-	offer(5)
-	w.run(n, 200)
-	offer(6, func(o *pb.Offer) { o.Ask.Memory, o.Ask.Cores = 7, 1 })
-	offer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
-	n.ThrottledGroup = "t"
-	offer(8, func(o *pb.Offer) { o.Ask.Group = "t" })
-	w.run(n, 240)
-	assert.Equal(t, []string{
-		"5 false too many offers wait", "2 false from an earlier incarnation of the allocator",
-		"3 false a copy stands here", "4 false no cores left", "6 false no memory left", "7 false too late", "8 false ",
-	}, w.said())
-	// Called off or draining while it waits in line: refused, and nothing of it stands.
-	offer(9, func(o *pb.Offer) { o.Ask.Cores = 1 })
-	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 9}, OnlyWaiting: true}}})
-	offer(10, func(o *pb.Offer) { o.Ask.Cores = 1 })
-	n.Drain(w.now, true)
-	w.run(n, 300)
-	assert.Equal(t, []string{"9 false called off", "10 false draining"}, w.said())
-	// What was accepted is not called off where only what waits may be.
-	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 1}, OnlyWaiting: true}}})
-	assert.Len(t, n.tasks, 1)
-}
-
 // Allocators and their machines die a hundred times at any moment, with what their disks had not synced, while owners insist on
 // workloads that must not run twice: none does, and what may have run is said to have.
 func TestNothingRunsTwiceWhereAllocatorsDieWithTheirDisks(t *testing.T) {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"grebeglade/internal/simulation/audit"
+	"grebeglade/internal/simulation/emulator"
 	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
@@ -135,7 +136,7 @@
 	p := Progress{At: max(0, loop.Now()-d.requestsStart), Of: d.script.Length}
 	for _, g := range d.clients {
 		loop.Call(g, func(placement.Millis) {
-			o := g.Handler().(*Client)
+			o := g.Handler().(*emulator.Client)
 			p.Requests += o.Tally.Requests
 			p.Placed += o.Tally.Placed
 			p.Rejected += o.Tally.Rejected
