--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,7 +12,7 @@
 	"grebeglade/placement"
 )
 
-// plan has a fault happen at its time to those whom chance names.
+// planFault schedules a fault, on targets chosen at random.
 func (d *Run) planFault(f scenario.Fault) {
 	at, until := d.requestsStart+f.At, d.requestsStart+f.At+f.Duration
 	switch f.Kind {
@@ -86,7 +86,7 @@
 	}
 }
 
-// planOutside plans what happens to owners and the list.
+// planClientsAndDiscovery schedules faults of clients and of the discovery service.
 func (d *Run) planClientsAndDiscovery(f scenario.Fault, at, until placement.Millis) {
 	owners := func(at placement.Millis, do func(now placement.Millis, o *emulator.Client)) {
 		for _, g := range d.clients {
@@ -134,7 +134,7 @@
 	}
 }
 
-// planNetwork plans what happens between the parties, and to their clocks.
+// planNetwork schedules faults of connections and clocks.
 func (d *Run) planNetwork(f scenario.Fault, at, until placement.Millis) {
 	everyone := slices.Concat(d.nodes, d.allocators, d.clients, []*network.Interceptor{d.discovery})
 	switch f.Kind {
@@ -155,7 +155,7 @@
 		for _, g := range d.sample(slices.Concat(d.nodes, []*network.Interceptor{d.discovery}), f.Share) {
 			d.host.RunAt(g, at, func(now placement.Millis) { g.SetClock(now, 1, placement.Millis(f.Size)) })
 		}
-	case scenario.FramesDuplicated: // not at owners: an answer that comes twice is what the first rule is about
+	case scenario.FramesDuplicated: // not at clients: the first rule is about answers that come twice
 		d.injectFrameFaults(slices.Concat(d.nodes, d.allocators, []*network.Interceptor{d.discovery}), f, at, until, network.FrameFaults{Duplicate: true})
 	case scenario.FramesDelayed:
 		d.injectFrameFaults(everyone, f, at, until, network.FrameFaults{Delay: placement.Millis(f.Size)})
@@ -164,7 +164,7 @@
 	}
 }
 
-// trouble has the network strike part of the frames that reach these.
+// injectFrameFaults applies faults to part of the frames that reach these processes.
 func (d *Run) injectFrameFaults(gates []*network.Interceptor, f scenario.Fault, at, until placement.Millis, t network.FrameFaults) {
 	for _, g := range gates {
 		t := t
@@ -175,14 +175,14 @@
 	}
 }
 
-// some draws a part of them, at least one where the part is above nought.
+// sample returns a random share of the processes, at least one if the share is above zero.
 func (d *Run) sample(of []*network.Interceptor, part float64) []*network.Interceptor {
 	drawn := slices.Clone(of)
 	d.rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	return drawn[:min(len(drawn), int(math.Ceil(part*float64(len(drawn)))))]
 }
 
-// stills has each stand still again and again, not all at once.
+// pauseRepeatedly pauses each process again and again, at different times.
 func (d *Run) pauseRepeatedly(gates []*network.Interceptor, f scenario.Fault, at, until placement.Millis) {
 	for _, g := range gates {
 		for t := at + f.Interval*placement.Millis(d.rng.Float64()); t < until; t += f.Interval {
@@ -208,7 +208,7 @@
 	}
 }
 
-// waves takes a part of the fleet away, some nodes at a time, and brings each back cold.
+// rollNodes stops part of the nodes in batches, and restarts each.
 func (d *Run) rollNodes(f scenario.Fault, at, away placement.Millis, drained bool) {
 	nodes := d.sample(d.nodes, f.Share)
 	batch := max(1, int(f.Size*float64(len(d.nodes))))
@@ -226,7 +226,7 @@
 	}
 }
 
-// onList changes how the machine list behaves.
+// onDiscovery calls do on the discovery service's goroutine.
 func (d *Run) onDiscovery(at placement.Millis, do func(now placement.Millis, l *emulator.DiscoveryService)) {
 	d.host.RunAt(d.discovery, at, func(now placement.Millis) {
 		if l, ok := d.discovery.Handler().(*emulator.DiscoveryService); ok {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -8,8 +8,8 @@
 	"grebeglade/internal/transport"
 )
 
-// StandFleet runs a script's machine list, at that address, and its nodes, so that an allocator started by hand
-// has something to place on. It returns the loop that they run on and the list's address.
+// StartFleet runs a script's discovery service, at that address, and its nodes, for an allocator that is started by hand. It returns
+// the loop that they run on and the service's address.
 func StartFleet(s *scenario.Script, seed uint64, listAddr string, log *slog.Logger) (*transport.Loop, string, error) {
 	loop := transport.NewLoop(log)
 	d := newRun(s, Options{Seed: seed}, loop, observer.Discard{}, 0)
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -6,44 +6,45 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Sabotage names an allocator that breaks a rule on purpose, to show that the auditor sees it.
+// Mutant names a change of the allocators that breaks a rule on purpose, to show that the auditor detects it.
 type Mutant string
 
+// The mutants, by their names on the command line, with the rule that each breaks.
 const (
 	NoMutant              Mutant = ""
-	NoAnswer              Mutant = "no-answer"     // rule 1: some owners get no answer
+	NoAnswer              Mutant = "no-answer"     // rule 1: some requests get no answer
 	TwoAnswers            Mutant = "two-answers"   // rule 1: some get two
-	LateAnswer            Mutant = "late-answer"   // rule 1: rejections come when the owner has given up
+	LateAnswer            Mutant = "late-answer"   // rule 1: rejections are sent after the pending timeout
 	OffersAfterAnswer     Mutant = "offers-after"  // rule 1: a workload is offered after its answer
 	TwoBinds              Mutant = "two-binds"     // rule 2: some offers go to two nodes
-	RejectsUnknownOutcome Mutant = "rejects-maybe" // rule 2: what may have run is rejected
+	RejectsUnknownOutcome Mutant = "rejects-maybe" // rule 2: workloads that may have run are rejected
 	ExceedsMaxBinds       Mutant = "binds-more"    // rule 2: more binds are made than the settings permit
-	IgnoresDrain          Mutant = "drain-deaf"    // rule 3: drains are not heard
-	IgnoresWarmUp         Mutant = "cold-blind"    // rule 4: all nodes count as warm
-	IgnoresSpread         Mutant = "spread-blind"  // rule 5: no group is spread
+	IgnoresDrain          Mutant = "drain-deaf"    // rule 3: drains are ignored
+	IgnoresWarmUp         Mutant = "cold-blind"    // rule 4: nodes are never treated as warming up
+	IgnoresSpread         Mutant = "spread-blind"  // rule 5: spread limits are ignored
 	StopsTwice            Mutant = "stops-twice"   // check 6: every stop is sent twice
-	IgnoresStorage        Mutant = "forgets-state" // rule 2: what an earlier life wrote down is not read
-	NeverSyncs            Mutant = "syncs-never"   // rule 2: offers leave before what is written down lasts
-	LeavesGangParts       Mutant = "leaves-parts"  // check 6: parts are kept as they start, and never stopped
+	IgnoresStorage        Mutant = "forgets-state" // rule 2: durable binds are not recovered
+	NeverSyncs            Mutant = "syncs-never"   // rule 2: offers are sent before binds are durable
+	LeavesGangParts       Mutant = "leaves-parts"  // check 6: parts are confirmed at once and never stopped
 )
 
-// Sabotages are all of them with the rule that each breaks.
+// MutantRules holds the rule that each mutant breaks.
 var MutantRules = map[Mutant]int{
 	NoAnswer: 1, TwoAnswers: 1, LateAnswer: 1, OffersAfterAnswer: 1, TwoBinds: 2, RejectsUnknownOutcome: 2, IgnoresDrain: 3,
 	IgnoresWarmUp: 4, IgnoresSpread: 5, LeavesGangParts: 6, StopsTwice: 6, IgnoresStorage: 2, NeverSyncs: 2, ExceedsMaxBinds: 2,
 }
 
-// every is how many frames are left as they are for one that is tampered with.
+// mutationInterval is the number of frames of which one is changed.
 const mutationInterval = 7
 
-// saboteur stands between an allocator and its gate.
+// mutantHandler changes what an allocator's handler sends and receives.
 type mutantHandler struct {
 	transport.FrameHandler
 	net        transport.FrameNetwork
 	mutant     Mutant
 	count      int
-	nodes      []transport.ConnID // connections that stand to nodes
-	firstOffer *pb.Frame          // an offer that has been answered
+	nodes      []transport.ConnID // open connections to nodes
+	firstOffer *pb.Frame          // the first offer, until it is repeated
 	delayed    []delayedFrame
 }
 
@@ -53,6 +54,7 @@
 	f  *pb.Frame
 }
 
+// wrap returns the handler changed as the mutant says. Mutants that need other settings leave it as it is.
 func (s Mutant) wrap(p transport.FrameHandler) transport.FrameHandler {
 	if s == NoMutant || s == IgnoresSpread || s == IgnoresStorage || s == NeverSyncs || s == ExceedsMaxBinds {
 		return p
@@ -120,7 +122,7 @@
 	s.FrameHandler.Received(now, c, f)
 }
 
-// mislead has the allocator hear something else of the list than it said.
+// changeUpdate returns a discovery update with other contents.
 func (s *mutantHandler) changeUpdate(u *pb.ListUpdate) *pb.Frame {
 	told := &pb.ListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
 	for _, e := range u.Entries {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -14,11 +14,10 @@
 	"grebeglade/placement"
 )
 
-// socketSlack is how long beyond the pending timeout owners wait on sockets, where other programs take turns
-// with ours on the same cores.
+// socketSlack is how long beyond the pending timeout clients wait on sockets, where other programs compete for the cores.
 const socketSlack = placement.Millis(500)
 
-// PlayVirtual plays a day in virtual time. The result depends on the script and the options alone.
+// PlayVirtual plays a script in virtual time. The result depends on the script and the options alone.
 func PlayVirtual(s *scenario.Script, o Options) (*Result, error) {
 	began := time.Now()
 	v := network.NewVirtual(o.Seed)
@@ -60,7 +59,7 @@
 	return r, nil
 }
 
-// ErrTooLong is returned for a day that was given up as its time was over.
+// ErrDeadline is returned for a run that was given up at its deadline.
 var ErrDeadline = errors.New("the day took too long and was given up")
 
 // late tells whether the day's time is over; it looks at the clock once in a while.
@@ -77,14 +76,14 @@
 	}
 }
 
-// Progress is how far a day on sockets is.
+// Progress is the progress of a run on sockets.
 type Progress struct {
 	At, Of                                             placement.Millis
 	Requests, Placed, Rejected, Unschedulable, Pending int
 }
 
-// PlaySockets plays a day on loopback sockets, in real time. What passed is audited once it is over. Told of
-// progress once a second; a context that ends cuts the day short, and it is then not judged.
+// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Progress, if not nil, is called once
+// a second. If the context ends, the run is given up and not audited.
 func PlaySockets(ctx context.Context, s *scenario.Script, o Options, told func(Progress)) (*Result, error) {
 	began := time.Now()
 	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
@@ -131,7 +130,7 @@
 	return r, nil
 }
 
-// progress asks the owners, each on its own goroutine.
+// progress polls the clients, each on its own goroutine.
 func (d *Run) progress(loop *transport.Loop) Progress {
 	p := Progress{At: max(0, loop.Now()-d.requestsStart), Of: d.script.Length}
 	for _, g := range d.clients {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -11,8 +11,8 @@
 	"grebeglade/internal/simulation/emulator"
 )
 
-// Result is what came of a day. Every ask ends in one of Placed, Rejected, Unschedulable, Withdrawn (by its
-// owner, before an answer), Cut (its allocator or connection went) and Unanswered.
+// Result is the outcome of a run. Each request ends as one of Placed, Rejected, Unschedulable, Withdrawn (by its client, before an
+// answer), Disconnected (its allocator or connection was lost) and Unanswered. The fields are the JSON document of lab play.
 type Result struct {
 	Name                  string         `json:"name"`
 	About                 string         `json:"about,omitempty"`
@@ -62,7 +62,7 @@
 	Singles        int               `json:"singles"` // workloads wanted that are in no group
 }
 
-// SinglesWanted tells whether workloads in no group were wanted.
+// SinglesWanted reports whether workloads outside gangs were wanted.
 func (r *Result) SinglesWanted() bool { return r.Singles > 0 }
 
 // Result returns the result of the run. No handler may run any more.
@@ -157,7 +157,7 @@
 	r.Digest = fmt.Sprintf("%016x", xxhash.Sum64(logs))
 }
 
-// wantedCores is the core time, in core milliseconds, that single workloads wanted until owners stopped asking.
+// wantedCores returns the core time, in core milliseconds, that single workloads wanted until clients stopped sending requests.
 func (d *Run) wantedCores() (sum float64) {
 	for _, w := range d.wantedWorkloads() {
 		sum += w.Cores * float64(max(0, min(w.Until, d.RequestsEnd())-w.From))
@@ -172,7 +172,7 @@
 	return all
 }
 
-// percentile is the value below which that share of sorted values lies, 0 of none.
+// percentile returns the value below which that share of the sorted values lies, or 0 if there are none.
 func percentile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,3 +1,5 @@
+// Package simulation plays scenarios: real allocators against emulated nodes, clients and a discovery service, in virtual time
+// or on loopback sockets, with an audit of the rules.
 package simulation
 
 import (
@@ -26,22 +28,24 @@
 	"grebeglade/trace/tracepb"
 )
 
+// settleTime is how long a run goes on after the last answer, in ms.
 const settleTime = placement.Millis(2e3) // ms after the last answer for what is still under way
 
-// Options are what a day is played with, besides its script.
+// Options are the options of a run, besides its script.
 type Options struct {
 	Seed           uint64
-	Mutant         Mutant // an engine that breaks a rule on purpose
+	Mutant         Mutant // breaks a rule on purpose
 	Log            *slog.Logger
 	MessageFault   *network.MessageFault
-	Oracle         bool         // work out how much the best could have run, in virtual time
-	Cancelled      func() error // asked now and then whether to give up, in virtual time
-	Deadline       time.Time    // when a day in virtual time is given up, zero for never
-	HistoryFile    string       // file that takes all that was seen from outside; "" for none
-	TraceDirectory string       // directory that takes a trace of each allocator, in one of its own; "" for none
+	Oracle         bool         // compare with the best possible placement; in virtual time only
+	Cancelled      func() error // polled; an error ends a run in virtual time
+	Deadline       time.Time    // of a run in virtual time, by the wall clock; zero for none
+	HistoryFile    string       // to which the history is written; "" for none
+	TraceDirectory string       // with a directory for each allocator's trace; "" for none
 }
 
-// Day is a script put together on a host.
+// Run is a script that is played on a host. It must not be copied. It has more than fifteen fields as it holds every process of
+// the run by its role.
 type Run struct {
 	script   *scenario.Script
 	opts     Options
@@ -54,18 +58,18 @@
 	specs         []*emulator.NodeSpec
 	allocators    []*network.Interceptor
 	clients       []*network.Interceptor
-	frontends     [][]*native.Frontend // by allocator, one for each life
-	requestsStart placement.Millis     // when owners begin: nodes and allocators know of each other by then
-	overloads     chan struct{}        // one for each node that fell over
+	frontends     [][]*native.Frontend // by allocator and incarnation
+	requestsStart placement.Millis     // first requests; nodes and allocators are connected by then
+	overloads     chan struct{}        // a value for each node that failed while warming up
 	drains        map[*network.Interceptor][]oracle.Span
 
 	wallClockOffset float64    // Unix time, in ms, at which the host's clock stood at 0
-	mu              sync.Mutex // recorders are begun on the allocators' goroutines
+	mu              sync.Mutex // guards the fields below: traces are started on the allocators' goroutines
 	recorders       []*trace.Recorder
 	traceErr        error
 }
 
-// NewDay brings the script's parties to the host and plans its faults.
+// NewRun adds the processes of the script to the host and schedules its faults.
 func NewRun(s *scenario.Script, o Options, host network.Host, w observer.Observer, now placement.Millis) (*Run, error) {
 	d := newRun(s, o, host, w, now)
 	if err := d.populate(); err != nil {
@@ -98,7 +102,7 @@
 	return network.NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return emulator.NewDiscoveryService(&d.script.Discovery, inc) })
 }
 
-// addNodes brings the nodes in. Kinds and halls are dealt out by chance, so that no hall is of one kind.
+// addNodes adds the nodes. Kinds and zones are assigned at random, so that no zone has nodes of one kind only.
 func (d *Run) addNodes(list string) error {
 	s := d.script
 	for k, count := range s.NodeCounts {
@@ -131,7 +135,7 @@
 	if err := d.addNodes(list); err != nil {
 		return err
 	}
-	owner := s.Client
+	client := s.Client
 	for i := range s.Allocators {
 		g := d.allocator(i, list)
 		d.allocators = append(d.allocators, g)
@@ -139,18 +143,18 @@
 		if err != nil {
 			return err
 		}
-		owner.Allocators = append(owner.Allocators, addr)
+		client.Allocators = append(client.Allocators, addr)
 	}
-	owner.Demand, owner.From, owner.Until = s.Demand, d.requestsStart, d.requestsStart+s.Length
-	owner.Rate /= float64(s.Clients)
-	owner.Gangs = slices.Clone(owner.Gangs)
-	for i := range owner.Gangs {
-		owner.Gangs[i].Rate /= float64(s.Clients)
+	client.Demand, client.From, client.Until = s.Demand, d.requestsStart, d.requestsStart+s.Length
+	client.Rate /= float64(s.Clients)
+	client.Gangs = slices.Clone(client.Gangs)
+	for i := range client.Gangs {
+		client.Gangs[i].Rate /= float64(s.Clients)
 	}
 	for i := range s.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
 		g := network.NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
-			return emulator.NewClient(name, i, &owner, d.opts.Seed)
+			return emulator.NewClient(name, i, &client, d.opts.Seed)
 		})
 		d.clients = append(d.clients, g)
 		if _, err := d.host.AddHandler(g, d.zone(i)); err != nil {
@@ -275,7 +279,7 @@
 	}
 }
 
-// record begins the trace of an allocator's life, after the end of the one before.
+// startTrace begins the trace of an allocator's incarnation, after it has closed that of the one before.
 func (d *Run) startTrace(before *trace.Recorder, c native.Config) *trace.Recorder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -294,7 +298,7 @@
 	return r
 }
 
-// endTraces writes what is left of the traces, once the parties have come to rest.
+// closeTraces writes out and closes all traces. No handler may run any more.
 func (d *Run) closeTraces() error {
 	for i := range d.frontends {
 		d.flushTrace(i)
@@ -305,7 +309,7 @@
 	return d.traceErr
 }
 
-// hashOf mixes two numbers into one that looks like chance.
+// mixHash hashes two numbers into one.
 func mixHash(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], a)
@@ -313,7 +317,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// Ends is when owners have stopped asking and the last answer is due.
+// Deadline returns the time by which the last answer is due.
 func (d *Run) Deadline() placement.Millis {
 	last := placement.Millis(0)
 	for _, g := range d.script.Demand {
@@ -325,10 +329,10 @@
 	return d.requestsStart + d.script.Length + last + d.script.Client.AnswerSlack + settleTime
 }
 
-// QuietAt is when owners have stopped asking.
+// RequestsEnd returns the time at which clients stop sending requests.
 func (d *Run) RequestsEnd() placement.Millis { return d.requestsStart + d.script.Length }
 
-// Open is the number of asks that wait for an answer. The owners' goroutines must not run meanwhile.
+// PendingRequests returns the number of requests that wait for an answer. The clients must not run meanwhile.
 func (d *Run) PendingRequests() (n int) {
 	for _, g := range d.clients {
 		if o, ok := g.Handler().(*emulator.Client); ok {
--- a/internal/simulation/simulated_log.go
+++ b/internal/simulation/simulated_log.go
@@ -8,16 +8,16 @@
 	"grebeglade/placement"
 )
 
-// keepState is how long days keep run-once keys: longer than any of them lasts.
+// retention is how long at-most-once keys are kept: longer than any run.
 const retention = placement.Millis(3600e3)
 
-// journal is an allocator's state directory on a disk that takes its time, and that loses what was not synced when the
-// allocator dies: its machine dies with it. What comes while the disk is busy is written together.
+// simulatedLog is an allocator's durable state on a simulated disk. Syncs take time, writes that come meanwhile are grouped, and a
+// crash loses what was not synced.
 type simulatedLog struct {
 	disk        *storage.MemoryDisk
 	log         *storage.Log
 	syncTime    placement.Millis
-	syncs       bool // it waits for the disk
+	syncs       bool // false to skip syncs
 	now         func() placement.Millis
 	schedule    func(at placement.Millis, do func(now placement.Millis))
 	queue       []pendingWrite
@@ -30,7 +30,7 @@
 	durable func(now placement.Millis, err error)
 }
 
-// begin starts a life: it reads what the last one left.
+// begin opens the log for an incarnation and puts what was recovered into its configuration.
 func (j *simulatedLog) begin(c *native.Config) error {
 	j.disk.Recover()
 	j.queue, j.busy = nil, false
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// crash is the end of a life.
+// crash ends an incarnation, and drops what was not synced.
 func (j *simulatedLog) crash() {
 	j.incarnation++
 	j.disk.Crash()
@@ -59,7 +59,7 @@
 	j.next()
 }
 
-// next writes all that waits, unless the disk is busy.
+// next writes all pending entries, unless a write is in progress.
 func (j *simulatedLog) next() {
 	if j.busy || len(j.queue) == 0 {
 		return
