--- a/internal/benchmark/state.go
+++ b/internal/benchmark/state.go
@@ -91,7 +91,7 @@
 		return r, err
 	}
 	now := func() float64 { return 1 }
-	l, _, err := storage.Open(d, &statepb.Life{Incarnation: 1}, storage.DefaultMaxLogSize, now)
+	l, _, err := storage.Open(d, &statepb.Incarnation{Number: 1}, storage.DefaultMaxLogSize, now)
 	if err != nil {
 		return r, err
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	began := time.Now()
-	l, found, err := storage.Open(d, &statepb.Life{Incarnation: 2}, storage.DefaultMaxLogSize, now)
+	l, found, err := storage.Open(d, &statepb.Incarnation{Number: 2}, storage.DefaultMaxLogSize, now)
 	if err != nil {
 		return r, err
 	}
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -96,7 +96,7 @@
 	for _, entry := range contents.LiveBinds {
 		b := durableBind{
 			Key: entry.Key, Group: entry.Group, Node: entry.Node, Incarnation: entry.Incarnation, Bind: entry.Number,
-			ExpiresAt: time.UnixMilli(int64(entry.UntilMs)).UTC(),
+			ExpiresAt: time.UnixMilli(int64(entry.ExpiresUnixMs)).UTC(),
 		}
 		binds = append(binds, b)
 		rows = append(rows, b.row())
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -37,7 +37,7 @@
 	disk, err := storage.OpenDir(dir)
 	require.NoError(t, err)
 	now := func() float64 { return stateNow }
-	first, _, err := storage.Open(disk, &statepb.Life{Incarnation: 5, UnixMs: stateNow}, snapshotAfter, now)
+	first, _, err := storage.Open(disk, &statepb.Incarnation{Number: 5, StartedUnixMs: stateNow}, snapshotAfter, now)
 	require.NoError(t, err)
 	for key := range uint64(12) {
 		require.NoError(t, first.Commit([]*statepb.Entry{boundEntry(key, 0)}, true))
@@ -46,7 +46,7 @@
 		}
 	}
 	require.NoError(t, first.Close())
-	second, found, err := storage.Open(disk, &statepb.Life{Incarnation: 6, UnixMs: stateNow + 1000}, 1<<20, now)
+	second, found, err := storage.Open(disk, &statepb.Incarnation{Number: 6, StartedUnixMs: stateNow + 1000}, 1<<20, now)
 	require.NoError(t, err)
 	require.NotEmpty(t, found.LiveBinds)
 	require.NoError(t, second.Commit([]*statepb.Entry{boundEntry(1<<63+5, 2), settledEntry(1, 0), boundEntry(2, 3)}, true))
@@ -96,9 +96,9 @@
 		before := mustRun(t, "state", "show", dir)
 		disk, err := storage.OpenDir(dir)
 		require.NoError(t, err)
-		log, found, err := storage.Open(disk, &statepb.Life{Incarnation: 1, UnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
+		log, found, err := storage.Open(disk, &statepb.Incarnation{Number: 1, StartedUnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
 		require.NoError(t, err)
-		assert.EqualValues(t, 6, found.Incarnation.GetIncarnation())
+		assert.EqualValues(t, 6, found.Incarnation.GetNumber())
 		require.NoError(t, log.Close())
 		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s, after the next incarnation began", stored)
 	}
--- a/internal/daemon/bindstore.go
+++ b/internal/daemon/bindstore.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	incarnation := &statepb.Life{Incarnation: fc.Incarnation, UnixMs: unixMillis(began)}
+	incarnation := &statepb.Incarnation{Number: fc.Incarnation, StartedUnixMs: unixMillis(began)}
 	l, contents, err := storage.Open(disk, incarnation, storage.DefaultMaxLogSize, unixNow)
 	if err != nil {
 		return nil, fmt.Errorf("state directory %s: %w", c.Dir, err)
@@ -45,7 +45,7 @@
 	log.Info("state directory read", "dir", c.Dir, "keys", len(contents.LiveBinds), "truncated_bytes", contents.TruncatedBytes,
 		"took", time.Since(began))
 	s := &BindStore{writer: storage.NewWriter(l, syncPolicies[c.Sync]), loop: loop}
-	fc.Incarnation = incarnation.Incarnation
+	fc.Incarnation = incarnation.Number
 	fc.Journal = s
 	fc.RecoveredBinds = storage.RecoveredBinds(contents)
 	fc.AtMostOnceRetention = c.Retention
--- a/internal/simulation/journal.go
+++ b/internal/simulation/journal.go
@@ -40,7 +40,7 @@
 	j.disk.Recover()
 	j.queue, j.busy = nil, false
 	j.life++
-	log, found, err := storage.Open(j.disk, &statepb.Life{Incarnation: c.Incarnation}, 1<<14, func() float64 { return float64(j.now()) })
+	log, found, err := storage.Open(j.disk, &statepb.Incarnation{Number: c.Incarnation}, 1<<14, func() float64 { return float64(j.now()) })
 	if err != nil {
 		return err
 	}
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -24,7 +24,7 @@
 // replaced by snapshots, and a second incarnation.
 func playHistory(d Disk, observer historyObserver) error {
 	for i := range uint64(2) {
-		l, _, err := Open(d, &statepb.Life{Incarnation: testIncarnation + i, UnixMs: nowUnixMs}, crashLogSize, unixMs)
+		l, _, err := Open(d, &statepb.Incarnation{Number: testIncarnation + i, StartedUnixMs: nowUnixMs}, crashLogSize, unixMs)
 		if err != nil {
 			return err
 		}
--- a/internal/storage/entries.go
+++ b/internal/storage/entries.go
@@ -9,7 +9,7 @@
 func BindEntry(b recovery.Bind) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bind{Bind: &statepb.Bind{
 		Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number,
-		UntilMs: b.ExpiresAt,
+		ExpiresUnixMs: b.ExpiresAt,
 	}}}
 }
 
@@ -26,7 +26,7 @@
 	for i, b := range c.LiveBinds {
 		binds[i] = recovery.Bind{
 			Key: b.Key, Group: b.Group, Node: b.Node, Incarnation: b.Incarnation, Workload: b.Workload, Number: b.Number,
-			ExpiresAt: b.UntilMs,
+			ExpiresAt: b.ExpiresUnixMs,
 		}
 	}
 	return binds
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestDecodeSnapshot_Corrupt_ReturnsCause(t *testing.T) {
-	whole, err := encodeSnapshot(7, &statepb.Life{Incarnation: 5}, liveBinds{1: bindEntry(1, 0).GetBind()})
+	whole, err := encodeSnapshot(7, &statepb.Incarnation{Number: 5}, liveBinds{1: bindEntry(1, 0).GetBind()})
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		data   []byte
--- a/internal/storage/helpers_test.go
+++ b/internal/storage/helpers_test.go
@@ -25,7 +25,7 @@
 func bindEntry(key uint64, number uint32) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bind{Bind: &statepb.Bind{
 		Key: key, Group: "once", Node: uint32(key % 7), Incarnation: testIncarnation, Workload: key, Number: number,
-		UntilMs: nowUnixMs + dayMs,
+		ExpiresUnixMs: nowUnixMs + dayMs,
 	}}}
 }
 
@@ -34,7 +34,7 @@
 }
 
 func openLog(t require.TestingT, d Disk, maxSize int) (*Log, *Contents) {
-	l, c, err := Open(d, &statepb.Life{Incarnation: testIncarnation, UnixMs: nowUnixMs}, maxSize, unixMs)
+	l, c, err := Open(d, &statepb.Incarnation{Number: testIncarnation, StartedUnixMs: nowUnixMs}, maxSize, unixMs)
 	require.NoError(t, err)
 	return l, c
 }
@@ -53,7 +53,7 @@
 func describe(binds []*statepb.Bind) string {
 	var b bytes.Buffer
 	for _, k := range binds {
-		fmt.Fprintln(&b, k.Key, k.Number, k.UntilMs)
+		fmt.Fprintln(&b, k.Key, k.Number, k.ExpiresUnixMs)
 	}
 	return b.String()
 }
--- a/internal/storage/inspect.go
+++ b/internal/storage/inspect.go
@@ -4,10 +4,10 @@
 
 // Contents is what a directory holds.
 type Contents struct {
-	Incarnation    *statepb.Life   // the latest; nil in a new directory
-	LiveBinds      []*statepb.Bind // the last bind of each key that is known, in the order of keys
-	Files          []string        // in the order in which they were read
-	TruncatedBytes int             // at the ends of logs, which a crash left incomplete
+	Incarnation    *statepb.Incarnation // the latest; nil in a new directory
+	LiveBinds      []*statepb.Bind      // the last bind of each key that is known, in the order of keys
+	Files          []string             // in the order in which they were read
+	TruncatedBytes int                  // at the ends of logs, which a crash left incomplete
 }
 
 // Inspect reads a directory without changing or locking it. It returns a *CorruptionError, a *VersionError or a
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	r.contents.Incarnation = s.Life
+	r.contents.Incarnation = s.Incarnation
 	for _, l := range s.LiveBinds {
 		if b := l.GetBind(); b != nil {
 			r.live[b.Key] = b
@@ -89,8 +89,8 @@
 		return err
 	}
 	truncated, err := decodeLog(name, data, number, func(e *statepb.Entry) {
-		if life := e.GetLife(); life != nil {
-			r.contents.Incarnation = life
+		if incarnation := e.GetIncarnation(); incarnation != nil {
+			r.contents.Incarnation = incarnation
 		}
 		r.live.apply(e)
 	})
--- a/internal/storage/livebinds.go
+++ b/internal/storage/livebinds.go
@@ -26,7 +26,7 @@
 // dropExpired forgets the binds that have expired.
 func (l liveBinds) dropExpired(nowUnixMs float64) {
 	for key, b := range l {
-		if b.UntilMs <= nowUnixMs {
+		if b.ExpiresUnixMs <= nowUnixMs {
 			delete(l, key)
 		}
 	}
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -20,7 +20,7 @@
 	disk        Disk
 	maxSize     int            // of a log in bytes
 	unixMs      func() float64 // the present time
-	incarnation *statepb.Life
+	incarnation *statepb.Incarnation
 	live        liveBinds
 
 	number  uint64 // of the current snapshot and log
@@ -36,7 +36,7 @@
 //
 // The contents are those from before the call. A truncated log is accepted. Other errors are ErrInUse, a
 // *CorruptionError or a *VersionError, which leave the directory unchanged, and a *DiskError.
-func Open(d Disk, incarnation *statepb.Life, maxLogSize int, unixMs func() float64) (*Log, *Contents, error) {
+func Open(d Disk, incarnation *statepb.Incarnation, maxLogSize int, unixMs func() float64) (*Log, *Contents, error) {
 	if err := d.Lock(); err != nil {
 		return nil, nil, err
 	}
@@ -44,9 +44,9 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, d.Unlock())
 	}
-	if previous := r.contents.Incarnation; previous != nil && incarnation.Incarnation <= previous.Incarnation {
+	if previous := r.contents.Incarnation; previous != nil && incarnation.Number <= previous.Number {
 		// The clock was set back, or two incarnations began at once. Nodes reject offers of an earlier incarnation.
-		incarnation.Incarnation = previous.Incarnation + 1
+		incarnation.Number = previous.Number + 1
 	}
 	l := &Log{
 		disk: d, maxSize: maxLogSize, unixMs: unixMs, incarnation: incarnation, live: r.live, number: r.last,
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -21,8 +21,8 @@
 	require.NoError(t, l.Close())
 	l, c = openLog(t, d, unlimited)
 	assert.Equal(t, "2 1 1.0000864e+12\n3 0 1.0000864e+12\n", describe(c.LiveBinds))
-	assert.EqualValues(t, testIncarnation, c.Incarnation.Incarnation)
-	assert.EqualValues(t, testIncarnation+1, l.incarnation.Incarnation, "a later incarnation has a higher number, whatever the clock says")
+	assert.EqualValues(t, testIncarnation, c.Incarnation.Number)
+	assert.EqualValues(t, testIncarnation+1, l.incarnation.Number, "a later incarnation has a higher number, whatever the clock says")
 }
 
 func TestOpen_DirectoryInUse_LeavesItAlone(t *testing.T) {
@@ -32,7 +32,7 @@
 	l, _ := openLog(t, d, unlimited)
 	other, err := OpenDir(path)
 	require.NoError(t, err)
-	_, _, err = Open(other, &statepb.Life{Incarnation: 9}, unlimited, unixMs)
+	_, _, err = Open(other, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
 	require.ErrorIs(t, err, ErrInUse)
 	require.ErrorContains(t, err, path)
 	require.NoError(t, l.Commit([]*statepb.Entry{bindEntry(1, 0)}, true))
@@ -47,7 +47,7 @@
 	require.NoError(t, l.Close())
 	name := snapshotName(l.number)
 	d.visible[name].data[versionOffset] = 2
-	_, _, err := Open(d, &statepb.Life{Incarnation: 9}, unlimited, unixMs)
+	_, _, err := Open(d, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
 	var later *VersionError
 	require.ErrorAs(t, err, &later)
 	require.ErrorContains(t, err, name+" is of version 2 and this program reads up to 1")
@@ -70,7 +70,7 @@
 				}
 				return nil
 			}
-			_, _, err := Open(d, &statepb.Life{Incarnation: 9}, unlimited, unixMs)
+			_, _, err := Open(d, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
 			var failed *DiskError
 			require.ErrorAs(t, err, &failed)
 			assert.Equal(t, step, failed.Step)
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -30,7 +30,7 @@
 	require.NoError(t, err)
 	b[headerSize+200] ^= 1
 	require.NoError(t, os.WriteFile(log, b, 0o600))
-	_, _, err = Open(d, &statepb.Life{Incarnation: 9}, unlimited, unixMs)
+	_, _, err = Open(d, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
 	var corruption *CorruptionError
 	require.ErrorAs(t, err, &corruption)
 	require.ErrorContains(t, err, logName(l.number)+" is damaged at byte ")
--- a/internal/storage/rotate_test.go
+++ b/internal/storage/rotate_test.go
@@ -37,7 +37,7 @@
 func TestOpen_SyncAndCloseFail_ReportsBoth(t *testing.T) {
 	for _, name := range []string{snapshotName(1) + temporaryExtension, logName(1)} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := Open(faultyDisk{NewMemoryDisk(1), name}, &statepb.Life{Incarnation: 1}, unlimited, unixMs)
+			_, _, err := Open(faultyDisk{NewMemoryDisk(1), name}, &statepb.Incarnation{Number: 1}, unlimited, unixMs)
 			require.ErrorIs(t, err, errSync)
 			require.ErrorIs(t, err, errClose)
 		})
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -9,8 +9,8 @@
 )
 
 // encodeSnapshot returns the file of a snapshot with a number. Equal contents give equal bytes.
-func encodeSnapshot(number uint64, incarnation *statepb.Life, live liveBinds) ([]byte, error) {
-	s := &statepb.Snapshot{Life: incarnation}
+func encodeSnapshot(number uint64, incarnation *statepb.Incarnation, live liveBinds) ([]byte, error) {
+	s := &statepb.Snapshot{Incarnation: incarnation}
 	for _, b := range live.sorted() {
 		s.LiveBinds = append(s.LiveBinds, &statepb.LiveBind{Bind: b})
 	}
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -22,11 +22,11 @@
 var storedBinds = []*statepb.Bind{
 	{
 		Key: 3, Group: "once", Node: 3, Incarnation: 5, Workload: 3, Number: 1,
-		UntilMs: nowUnixMs + dayMs,
+		ExpiresUnixMs: nowUnixMs + dayMs,
 	},
 	{
 		Key: 1<<63 + 7, Group: "Prüfung", Node: 4_000_000_000, Incarnation: 6, Workload: 1<<63 + 7, Number: 4,
-		UntilMs: nowUnixMs + dayMs,
+		ExpiresUnixMs: nowUnixMs + dayMs,
 	},
 }
 
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	c, err := Inspect(d)
 	require.NoError(t, err)
-	assert.EqualValues(t, 6, c.Incarnation.Incarnation)
+	assert.EqualValues(t, 6, c.Incarnation.Number)
 	assert.Equal(t, []string{snapshotName(storedNumber), logName(storedNumber)}, c.Files)
 	assert.Equal(t, storedTruncated, c.TruncatedBytes)
 	require.Len(t, c.LiveBinds, len(storedBinds))
@@ -49,10 +49,10 @@
 	require.NoError(t, os.CopyFS(path, os.DirFS(storedDirectory)))
 	d, err := OpenDir(path)
 	require.NoError(t, err)
-	incarnation := &statepb.Life{Incarnation: 1}
+	incarnation := &statepb.Incarnation{Number: 1}
 	l, c, err := Open(d, incarnation, unlimited, unixMs)
 	require.NoError(t, err)
-	assert.EqualValues(t, 7, incarnation.Incarnation)
+	assert.EqualValues(t, 7, incarnation.Number)
 	assert.Len(t, c.LiveBinds, len(storedBinds))
 	require.NoError(t, l.Close())
 	c, err = Inspect(d)
@@ -72,7 +72,7 @@
 	for _, l := range s.LiveBinds {
 		live[l.Bind.Key] = l.Bind
 	}
-	again, err := encodeSnapshot(storedNumber, s.Life, live)
+	again, err := encodeSnapshot(storedNumber, s.Incarnation, live)
 	require.NoError(t, err)
 	assert.Equal(t, stored, again)
 
