--- /dev/null
+++ b/internal/transport/listener.go
@@ -0,0 +1,119 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// acceptPause is how long a listener waits after a connection could not be accepted, mostly for want of a descriptor.
+const acceptPause = 10 * time.Millisecond
+
+// listener accepts a worker's incoming connections.
+type listener struct {
+	net.Listener
+	worker   *worker
+	newCodec func() Codec
+	open     atomic.Int64 // incoming connections
+
+	// slots holds a value for each incoming connection and for the one that is to be accepted next. It is nil where
+	// connections over the limit are rejected.
+	slots chan struct{}
+}
+
+// newListener opens a listener for a worker; port 0 has the system choose one.
+func newListener(addr string, w *worker, newCodec func() Codec) (*listener, error) {
+	// Whether to keep idle connections is the handler's decision, so TCP's keep-alive is off.
+	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("listen on %s: %w", addr, err)
+	}
+	l := &listener{Listener: ln, worker: w, newCodec: newCodec}
+	if w.limits.PauseAcceptAtLimit {
+		l.slots = make(chan struct{}, w.limits.MaxConnections)
+	}
+	return l, nil
+}
+
+// serve accepts connections until the worker is closed. While there is no slot or no descriptor for one more, it waits, and
+// connections wait in the backlog: to stop listening would leave a process that serves nobody. It returns an error if
+// the listener was closed by anything else.
+func (l *listener) serve() error {
+	for l.acquireSlot() {
+		socket, err := l.Accept()
+		if err == nil {
+			l.admit(socket)
+			continue
+		}
+		l.releaseSlot()
+		if l.worker.queue.isClosed() {
+			return nil
+		}
+		if errors.Is(err, net.ErrClosed) {
+			return err
+		}
+		l.log().Warn("connection not accepted", "error", err)
+		time.Sleep(acceptPause)
+	}
+	return nil
+}
+
+// admit hands a connection to the event loop, or rejects it.
+func (l *listener) admit(socket net.Conn) {
+	c := &connection{worker: l.worker, class: classIncoming, codec: l.newCodec()}
+	limit := l.worker.limits.MaxConnections
+	if n := l.open.Add(1); l.slots == nil && n > int64(limit) {
+		l.worker.loop.Stats.RejectedConnections.Add(1)
+		l.reject(socket, c.codec, fmt.Sprintf("%d connections stand, the most there may be; come again later", limit))
+		l.connectionEnded()
+		return
+	}
+	if err := l.worker.loops.register(socket, c); err != nil {
+		l.log().Warn("connection not registered", "error", err)
+		_ = socket.Close() // nothing was written to it, and the attempt may have closed it
+		l.connectionEnded()
+	}
+}
+
+// reject closes a connection with a refusal. Codecs without such a message only close it.
+func (l *listener) reject(socket net.Conn, codec Codec, reason string) {
+	if out, err := codec.Append(nil, RefusalFrame(reason)); err == nil {
+		if _, err := socket.Write(out); err != nil {
+			l.log().Debug("refusal not sent", "peer", socket.RemoteAddr(), "error", err)
+		}
+	}
+	if err := socket.Close(); err != nil {
+		l.log().Warn("connection not closed", "peer", socket.RemoteAddr(), "error", err)
+	}
+}
+
+// connectionEnded makes room for the next incoming connection.
+func (l *listener) connectionEnded() {
+	l.open.Add(-1)
+	l.releaseSlot()
+}
+
+// acquireSlot waits until one more connection may be accepted, and reports false if the worker is closed meanwhile.
+func (l *listener) acquireSlot() bool {
+	if l.slots == nil {
+		return true
+	}
+	select {
+	case l.slots <- struct{}{}:
+		return true
+	case <-l.worker.queue.closed:
+		return false
+	}
+}
+
+func (l *listener) releaseSlot() {
+	if l.slots != nil {
+		<-l.slots
+	}
+}
+
+func (l *listener) log() *slog.Logger { return l.worker.loop.log }
--- /dev/null
+++ b/internal/transport/listener_test.go
@@ -0,0 +1,25 @@
+package transport
+
+import (
+	"net"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// failingConn is a connection on which writing and closing fail.
+type failingConn struct{ net.Conn }
+
+func (failingConn) Write([]byte) (int, error) { return 0, errTestSocket }
+func (failingConn) Close() error              { return errTestSocket }
+func (failingConn) RemoteAddr() net.Addr      { return &net.TCPAddr{Port: 7} }
+
+func TestListener_FailedRefusalAndCloseAreLogged(t *testing.T) {
+	w, log := loggedWorker(Limits{MaxConnections: 0})
+	l := &listener{worker: w, newCodec: func() Codec { return frameCodec{1000} }}
+	l.admit(failingConn{})
+	assert.Contains(t, log.String(), `level=DEBUG msg="refusal not sent" peer=:7 error="the socket fails"`)
+	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="the socket fails"`)
+	assert.Equal(t, uint64(1), w.loop.Stats.RejectedConnections.Load())
+	assert.Zero(t, l.open.Load())
+}
