--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -93,3 +93,13 @@
 	assert.Empty(t, r.nodes.byName["s-01"].workloads)
 	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 7))
 }
+
+func TestBinder_OfferIsNotSentAfterItsDeadline(t *testing.T) {
+	r := newRig(t)
+	r.close(r.node, errClosed)
+	r.receive(r.client, request(7))
+	dialed := r.fake.lastTo(nodeAddr)
+	r.at += 3000 // without a wake-up, in which the bind would time out
+	r.Opened(r.at, dialed)
+	assert.Empty(t, r.sentAbout(dialed, 7))
+}
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -120,3 +120,15 @@
 	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 8))
 	assert.Empty(t, r.clients.conns)
 }
+
+func TestClientConns_ClientOfWhomNothingWasPlacedIsNotNotified(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	r.Opened(r.at, 2000)
+	r.close(r.client, errClosed)
+	r.receive(r.node, codec.NewTermination(7, codec.CauseNormal))
+	assert.Empty(t, r.sentAbout(2000, 7), "as long as it has sent nothing")
+	assert.Len(t, r.clients.undelivered, 1)
+	r.receive(2000, request(8))
+	assert.Equal(t, []string{"termination 16"}, r.sentAbout(2000, 7))
+}
--- a/internal/frontend/platform/endpoints_test.go
+++ b/internal/frontend/platform/endpoints_test.go
@@ -83,3 +83,17 @@
 	r.receive(r.client, codec.NewHealthCheck(1))
 	assert.Len(t, r.fake.sent[r.client], 1, "the service was heard")
 }
+
+// A workload is adopted before the list names its node. What the list says first is neither a restart nor the node's end.
+func TestEndpointList_NodeNotListedBeforeHasNotRestarted(t *testing.T) {
+	r := newRig(t)
+	r.receive(r.client, runningOn(7, extraNode(0)))
+	r.pass(100)
+	r.publish(2, fmt.Appendf(nil, `{"hosts":{"snapshot":true,"endpoints":[{"name":"s-01","address":%q,"zone":"z","type":"small",`+
+		`"status":"Ready","room":[20,40]}]}}`, nodeAddr))
+	assert.Empty(t, r.sentAbout(r.client, 7), "a list that does not name it yet")
+	r.publish(3, fmt.Appendf(nil, `{"hosts":{"endpoints":[{"name":%q,"address":"127.0.1.0:5080","zone":"z","type":"small",`+
+		`"status":"Ready","since_ms":%f,"room":[20,40]}]}}`, extraNode(0), float64(r.endpoints.unixTime())))
+	assert.Empty(t, r.sentAbout(r.client, 7))
+	assert.NotZero(t, r.fake.lastTo("127.0.1.0:5080"))
+}
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/frontend/platform/codec"
+	"grebeglade/internal/transport"
 	"grebeglade/placement"
 )
 
@@ -176,3 +177,125 @@
 	}
 	assert.Len(t, n.pendingReleases, maxPendingReleases)
 }
+
+// idleRig is a rig whose node is about to close its connection, which was idle for long. No wake-up has come since.
+func idleRig(t *testing.T) *rig {
+	t.Helper()
+	r := newRig(t)
+	r.config.Settings.IdleTimeout = 5000
+	r.start(6)
+	r.at += 5000
+	return r
+}
+
+func TestNodeConns_NothingIsSentOnAnIdleConnection(t *testing.T) {
+	t.Run("offer", func(t *testing.T) {
+		r := idleRig(t)
+		w := &recordingWaiter{}
+		r.host.Begin(r.at)
+		r.nodeConns.await(r.nodes.byName["s-01"], w)
+		assert.Nil(t, w.conn)
+		again := r.fake.lastTo(nodeAddr)
+		require.Greater(t, again, r.node)
+		r.Opened(r.at, again)
+		require.NotNil(t, w.conn)
+		assert.Equal(t, again, w.conn.id)
+	})
+	t.Run("release", func(t *testing.T) {
+		r := idleRig(t)
+		r.receive(r.client, codec.NewTermination(6, codec.CauseNormal))
+		assert.Equal(t, []string{"offer"}, r.sentAbout(r.node, 6))
+		again := r.fake.lastTo(nodeAddr)
+		require.Greater(t, again, r.node)
+		r.Opened(r.at, again)
+		assert.Equal(t, []string{"termination 16"}, r.sentAbout(again, 6))
+	})
+}
+
+func TestNodeConns_ConnectionWithAnOfferIsNeitherIdleNorEvicted(t *testing.T) {
+	r := newRig(t)
+	r.config.Settings.IdleTimeout = 5000
+	r.publishNodes(1)
+	r.receive(r.client, request(7))
+	c := r.nodeConns.get(r.node)
+	if len(c.offers) == 0 {
+		r.openNodeConns()
+		c = r.workloads.tagged(7).bind.conn
+	}
+	c.lastSent, c.lastReceived = -6000, -6000
+	r.nodeConns.closeIdle(r.at)
+	assert.False(t, r.fake.closed[c.id])
+	for _, other := range r.nodeConns.conns {
+		if other != c {
+			r.close(other.id, errClosed)
+		}
+	}
+	assert.False(t, r.nodeConns.evictConnection(r.at, &node{}))
+	r.nodeConns.replaceSilent(r.at, c, r.at)
+	r.openNodeConns()
+	r.nodeConns.closeReplaced(c)
+	r.host.Flush(r.at)
+	assert.False(t, r.fake.closed[c.id], "its reply may come yet")
+	r.receive(c.id, confirmation(7))
+	assert.True(t, r.fake.closed[c.id])
+}
+
+func TestNodeConns_EvictedNodeIsDialedAgainOnlyLaterOrToSendSomething(t *testing.T) {
+	evicted := func(t *testing.T) *rig {
+		t.Helper()
+		r := newRig(t)
+		r.start(6)
+		require.True(t, r.nodeConns.evictConnection(r.at, &node{}))
+		require.True(t, r.fake.closed[r.node])
+		r.publish(2, nodeEvent(2, "Ready", 0))
+		assert.Equal(t, r.node, r.fake.lastTo(nodeAddr), "the list alone has it not dialed")
+		return r
+	}
+	t.Run("later", func(t *testing.T) {
+		r := evicted(t)
+		n := r.nodes.byName["s-01"]
+		assert.False(t, n.dialing.scheduled)
+		r.pass(revisitAfter - 100)
+		assert.True(t, n.dialing.evicted)
+		r.pass(200)
+		assert.False(t, n.dialing.evicted)
+		assert.Greater(t, r.fake.lastTo(nodeAddr), r.node)
+	})
+	t.Run("to send something", func(t *testing.T) {
+		r := evicted(t)
+		r.receive(r.client, codec.NewTermination(6, codec.CauseNormal))
+		assert.Greater(t, r.fake.lastTo(nodeAddr), r.node)
+	})
+}
+
+func TestNodeConns_DialHistory(t *testing.T) {
+	r := newRig(t)
+	r.start(6)
+	n := r.nodes.byName["s-01"]
+	redialed := func() transport.ConnID {
+		t.Helper()
+		before := r.fake.lastTo(nodeAddr)
+		timers := r.host.PendingTimers()
+		r.nodeConns.redial(r.at, n)
+		assert.Equal(t, timers, r.host.PendingTimers(), "a node is dialed by one timer at a time")
+		for range 100 {
+			if r.pass(10); r.fake.lastTo(nodeAddr) != before {
+				break
+			}
+		}
+		require.Greater(t, r.fake.lastTo(nodeAddr), before)
+		return r.fake.lastTo(nodeAddr)
+	}
+	r.close(r.node, errReset)
+	r.close(redialed(), errRefused)
+	assert.Equal(t, 1, n.dialing.failures)
+	assert.True(t, n.dialing.refusing)
+	r.close(redialed(), transport.ErrDialFailed)
+	assert.Equal(t, 2, n.dialing.failures)
+	assert.False(t, n.dialing.refusing, "somebody may listen")
+	r.close(redialed(), errRefused)
+	r.Opened(r.at, redialed())
+	assert.Zero(t, n.dialing.failures)
+	assert.False(t, n.dialing.refusing)
+	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 6), "its workload runs on")
+}
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 
@@ -161,3 +162,29 @@
 	assert.Equal(t, []string{"offer"}, r.sentAbout(r.node, 7), "the platform ends it at its node")
 	assert.Empty(t, r.workloads.byID)
 }
+
+func TestRequestHandler_ExhaustedIDsReject(t *testing.T) {
+	r := newRig(t)
+	r.workloads.lastID = math.MaxUint32
+	r.receive(r.client, request(7))
+	r.receive(r.client, runningOn(8, "s-01"))
+	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 7))
+	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 8))
+	assert.Empty(t, r.workloads.byID)
+}
+
+func TestRequestHandler_TagOfARunningWorkloadIsRejected(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	r.receive(r.client, request(7))
+	assert.Equal(t, []string{"confirmation", "termination 88"}, r.sentAbout(r.client, 7))
+	assert.False(t, r.fake.closed[r.client])
+	assert.Len(t, r.workloads.byID, 1)
+}
+
+func TestRequestHandler_PlacedAndAdoptedWorkloadsCountForTheirConnection(t *testing.T) {
+	r := newRig(t)
+	r.start(7)
+	r.receive(r.client, runningOn(8, "s-01"))
+	assert.Equal(t, 2, r.clients.get(r.client).placed)
+}
--- a/internal/frontend/platform/subscription_test.go
+++ b/internal/frontend/platform/subscription_test.go
@@ -85,3 +85,13 @@
 	}
 	assert.InDelta(t, 22, attempts, 5, "about every 0.5 s in the end")
 }
+
+func TestSubscription_EventOrNewAddressEndsARowOfFailures(t *testing.T) {
+	r := newRig(t)
+	r.subscription.failures = 5
+	r.publishNode(2, "Ready")
+	assert.Zero(t, r.subscription.failures)
+	r.subscription.failures = 5
+	r.Reload(r.at, "127.0.0.7:7070")
+	assert.Zero(t, r.subscription.failures)
+}
