--- a/internal/frontend/native/binds_test.go
+++ b/internal/frontend/native/binds_test.go
@@ -4,11 +4,10 @@
 	"errors"
 	"testing"
 
-	"grebeglade/internal/transport"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -5,11 +5,10 @@
 	"math"
 	"testing"
 
-	"grebeglade/internal/transport"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -3,10 +3,9 @@
 import (
 	"testing"
 
-	"grebeglade/placement"
-
 	"github.com/stretchr/testify/assert"
 
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -3,13 +3,12 @@
 import (
 	"testing"
 
-	"grebeglade/internal/recovery"
-	"grebeglade/internal/transport"
-	"grebeglade/placement"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/recovery"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -7,6 +7,12 @@
 // service, and the gangs. Frontend puts them together and hands each event to the part that it concerns. Where a workload
 // goes is decided by the engine's placement module alone.
 //
+// A request takes this way: Frontend.Received hands the client's frame to requests, which rejects it or gives it an id in
+// the workload table and schedules it with the engine. The engine calls actions.Bind, and binds sends the offer, after the
+// journal has it where it must be durable. The node's answer reaches nodeSessions, which tells the engine, and the engine
+// calls actions.Answer, from which requests answers the client. What an action has to tell the engine is deferred until the
+// engine is idle.
+//
 // Times are milliseconds on a clock that never steps back. A Frontend belongs to one goroutine.
 package native
 
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"testing"
 
-	"grebeglade/internal/transport"
-	"grebeglade/placement"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -13,7 +13,8 @@
 // maxNodes is how many nodes are kept: under half of the numbers that zones and cells have.
 const maxNodes = 1 << 15
 
-// node is a node that the discovery service has named.
+// node is a node that the discovery service has named. membership changes what that service says of it, nodeSessions its
+// session and what the node says of itself.
 type node struct {
 	id          placement.NodeID
 	entry       placement.Node // of the discovery service
--- a/internal/frontend/native/status_test.go
+++ b/internal/frontend/native/status_test.go
@@ -3,11 +3,10 @@
 import (
 	"testing"
 
-	"grebeglade/internal/transport"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/frontend/native/workloads.go
+++ b/internal/frontend/native/workloads.go
@@ -66,7 +66,8 @@
 	bindStopRequested                  // the engine called it off
 )
 
-// workload is one workload that the engine holds.
+// workload is one workload that the engine holds. The table changes its state, binds its binds, and the gangs which gang it
+// is of.
 type workload struct {
 	id         placement.WorkloadID
 	client     string
--- a/internal/frontend/native/workloads_test.go
+++ b/internal/frontend/native/workloads_test.go
@@ -3,10 +3,9 @@
 import (
 	"testing"
 
-	"grebeglade/internal/allocator"
-
 	"github.com/stretchr/testify/assert"
 
+	"grebeglade/internal/allocator"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -5,14 +5,14 @@
 	"slices"
 	"testing"
 
-	"grebeglade/placement"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"grebeglade/placement"
 )
 
 // model is a small cluster: two gangs of two parts at allocators that share nothing, and two nodes with capacity for one
-// part each. TestGang_RunsWholeOrNotAtAllInEveryOrderOfEvents visits every state that it can come to.
+// part each. TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll visits every state that it can come to.
 type model struct {
 	gangs     [2]Gang
 	now       [2]placement.Millis
@@ -40,10 +40,10 @@
 // attempts are what can come of an attempt: nothing is sent, or each part is offered to one of the nodes.
 var attempts = [][]int{nil, {0, 1}, {1, 0}}
 
-func newModel(effect placement.Idempotency) model {
+func newModel(idempotency placement.Idempotency) model {
 	var m model
 	for g := range 2 {
-		request := Request{Parts: []Part{{Idempotency: effect}, {Idempotency: effect}}, MinParts: 2, PendingTimeout: 1500}
+		request := Request{Parts: []Part{{Idempotency: idempotency}, {Idempotency: idempotency}}, MinParts: 2, PendingTimeout: 1500}
 		m.gangs[g] = *New(0, request, uint64(g))
 		m.nodes[g] = [2]int{noNode, noNode}
 	}
@@ -214,9 +214,9 @@
 }
 
 // Every order of everything that can happen to two gangs of two parts on two nodes, with one fault.
-func TestGang_RunsWholeOrNotAtAllInEveryOrderOfEvents(t *testing.T) {
-	for _, effect := range []placement.Idempotency{placement.Idempotent, placement.AtMostOnce} {
-		seen, open, final, run := map[string]bool{}, []model{newModel(effect)}, 0, 0
+func TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll(t *testing.T) {
+	for _, idempotency := range []placement.Idempotency{placement.Idempotent, placement.AtMostOnce} {
+		seen, open, final, run := map[string]bool{}, []model{newModel(idempotency)}, 0, 0
 		for len(open) > 0 {
 			m := open[len(open)-1]
 			open = open[:len(open)-1]
@@ -235,7 +235,7 @@
 			}
 		}
 		assert.NotZero(t, run)
-		t.Logf("effect %d: %d states, %d of them final, %d gangs run", effect, len(seen), final, run)
+		t.Logf("idempotency %d: %d states, %d of them final, %d gangs run", idempotency, len(seen), final, run)
 		assert.Greater(t, len(seen), 1000)
 	}
 }
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -14,7 +14,8 @@
 	Ended                    // none of its parts is left
 )
 
-// String returns the state's name, as it is shown in traces and to operators.
+// String returns the state's name in traces and for operators. The names are older than the constants' and stay, since
+// stored traces hold them.
 func (s State) String() string {
 	return [...]string{"pending", "starting", "standing", "undoing", "given up"}[s]
 }
