--- a/config/arguments.go
+++ b/config/arguments.go
@@ -25,7 +25,7 @@
 	}
 	v, diagnostics := a.Expr.Value(nil)
 	if diagnostics.HasErrors() {
-		b.AddProblem(name, name+" cannot be worked out: "+asClause(diagnostics[0].Summary), "write "+wanted)
+		b.AddProblem(name, name+" cannot be evaluated: "+asClause(diagnostics[0].Summary), "write "+wanted)
 		return cty.NilVal, false
 	}
 	converted, err := convert.Convert(v, as)
@@ -175,7 +175,7 @@
 	for _, e := range v.AsValueSlice() {
 		pair, ok := positivePair(e)
 		if !ok {
-			b.AddProblem(name, name+" holds what is no pair of numbers above 0", "write pairs such as [[0.5, 1], [1, 2]]")
+			b.AddProblem(name, name+" has an element that is no pair of numbers above 0", "write pairs such as [[0.5, 1], [1, 2]]")
 			return otherwise
 		}
 		pairs = append(pairs, pair)
--- a/config/block.go
+++ b/config/block.go
@@ -15,7 +15,7 @@
 type Block struct {
 	Name     string // its label, or ""
 	body     *hclsyntax.Body
-	known    map[string]bool // arguments and types of blocks that were asked for
+	known    map[string]bool // arguments and types of blocks that were read
 	file     string
 	line     int
 	problems *Problems // of the whole file
@@ -139,7 +139,7 @@
 		case n.Name == "":
 			n.AddProblem("", "a "+kind+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, kind))
 		case duplicate:
-			n.AddProblem("", fmt.Sprintf("%s %q stands already in line %d", kind, n.Name, line), "give it another name")
+			n.AddProblem("", fmt.Sprintf("%s %q is already defined in line %d", kind, n.Name, line), "give it another name")
 		default:
 			lines[n.Name] = n.line
 		}
--- a/config/block_test.go
+++ b/config/block_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := parse(t, "pairs = "+value)
 			assert.Nil(t, b.FloatPairs("pairs", nil))
-			assert.ErrorContains(t, b.Finish(), "f.hcl:1: pairs holds what is no pair of numbers above 0")
+			assert.ErrorContains(t, b.Finish(), "f.hcl:1: pairs has an element that is no pair of numbers above 0")
 		})
 	}
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -67,7 +67,7 @@
 		"word":           {`"deduplicated"`, `"keyed"`, `a.hcl:23: effect is "keyed"; write one of ["restartable" "deduplicated" "run-once"]`},
 		"needs more":     {`dedup_window = "5s"`, ``, `a.hcl:23: group "check" is deduplicated and does not say where and for how long; add dedup_scope`},
 		"unknown kind":   {`kind   = "small"`, `kind = "big"`, `a.hcl:20: kind "big" is not known; write one of ["small"]`},
-		"twice":          {`group "check"`, `group "serve"`, `a.hcl:22: group "serve" stands already in line 18; give it another name`},
+		"twice":          {`group "check"`, `group "serve"`, `a.hcl:22: group "serve" is already defined in line 18; give it another name`},
 		"no name":        {`group "check"`, `group`, `a.hcl:22: a group without a name; write group "NAME" { … }`},
 		"not HCL":        {`allocator {`, `allocator (`, `a.hcl:2: `},
 		"not a number":   {`cores  = 24`, `cores = [1]`, `a.hcl:15: cores is not a number; write a number`},
--- a/config/placement.go
+++ b/config/placement.go
@@ -93,7 +93,7 @@
 	}
 	checkIdempotency(b, &g)
 	if g.SpreadScope == placement.ScopeNone && b.Has("spread_most") {
-		b.AddProblem("spread_most", "spread_most stands without spread", `add spread = "node", "cell" or "zone"`)
+		b.AddProblem("spread_most", "spread_most is given without spread", `add spread = "node", "cell" or "zone"`)
 	}
 	return g
 }
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -47,6 +47,7 @@
 	if err != nil {
 		return runError{err}
 	}
+	defer d.Close()
 	<-c.Context().Done()
 	if unanswered := o.drain(d); unanswered > 0 {
 		c.PrintErrf("left without an answer: %d workloads\n", unanswered)
@@ -55,11 +56,11 @@
 	return nil
 }
 
-// drain stops the daemon within the grace period, or at once at a further signal.
+// drain drains the daemon for the grace period at most, or until a further signal.
 func (o *serveOptions) drain(d *daemon.Daemon) (unanswered int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, o.grace)
 	defer cancel()
-	return d.Stop(ctx)
+	return d.Drain(ctx)
 }
--- a/internal/daemon/bindstore.go
+++ b/internal/daemon/bindstore.go
@@ -55,7 +55,7 @@
 
 func unixNow() float64 { return unixMillis(time.Now()) }
 
-// Attach sets the frontend that is told when a bind is durable. It must be called before the frontend runs.
+// Attach sets the frontend that is notified when a bind is durable. It must be called before the frontend runs.
 func (s *BindStore) Attach(f *native.Frontend) { s.frontend = f }
 
 // Close makes everything written durable and releases the directory.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon assembles a running allocator from its configuration: frontend, event loop, durable binds and trace. It
-// starts them in order, drains and stops them.
+// starts them in order, drains and closes them.
 package daemon
 
 import (
@@ -99,16 +99,21 @@
 	}, log)
 }
 
-// Stop rejects new requests, waits until pending ones are answered or ctx ends, and stops the allocator. Placed
-// workloads keep running. It returns the number of workloads without an answer.
-func (d *Daemon) Stop(ctx context.Context) (unanswered int) {
+// Drain rejects new requests and waits until pending ones are answered or ctx ends. It returns the number of workloads
+// without an answer. Placed workloads keep running. Close must follow.
+func (d *Daemon) Drain(ctx context.Context) (unanswered int) {
 	d.loop.Call(d.frontend, func(placement.Millis) { d.frontend.Drain() })
 	unanswered = d.awaitAnswers(ctx)
+	d.log.Info("drained", "unanswered", unanswered)
+	return unanswered
+}
+
+// Close stops the allocator at once. Requests that are still pending get no answer; placed workloads keep running.
+func (d *Daemon) Close() {
 	d.close()
 	c := d.frontend.Counters
-	d.log.Info("stopped", "unanswered", unanswered, "requests", c.Requests, "placed", c.Placed, "rejected", c.Rejected,
+	d.log.Info("stopped", "requests", c.Requests, "placed", c.Placed, "rejected", c.Rejected,
 		"not_admitted", c.NotAdmitted, "unschedulable", c.Unschedulable, "withdrawn", c.Withdrawn)
-	return unanswered
 }
 
 // awaitAnswers returns the number of pending workloads once it is 0 or ctx has ended.
@@ -133,7 +138,7 @@
 	return n
 }
 
-// close stops the event loop, then what it writes to.
+// close stops the event loop, then closes what it writes to.
 func (d *Daemon) close() {
 	d.loop.Close()
 	if d.recorder != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -75,10 +75,11 @@
 	for r := range results {
 		assert.Equal(t, "REJECTEDno node is known<nil>", r)
 	}
-	assert.Zero(t, d.Stop(context.Background()))
+	assert.Zero(t, d.Drain(context.Background()))
+	d.Close()
 }
 
-func TestDaemonStop_AnswersPendingRequestsAndRejectsNewOnes(t *testing.T) {
+func TestDaemonDrain_AnswersPendingRequestsAndRejectsNewOnes(t *testing.T) {
 	d := startWithoutNodes(t)
 	pending := make(chan string, 1)
 	go func() {
@@ -86,28 +87,33 @@
 		pending <- fmt.Sprint(a.GetReason(), err)
 	}()
 	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
-	stopped := make(chan int, 1)
-	go func() { stopped <- d.Stop(context.Background()) }()
+	unanswered := make(chan int, 1)
+	go func() {
+		n := d.Drain(context.Background())
+		d.Close()
+		unanswered <- n
+	}()
 	a, err := request(d.Addr, 2)
 	if err == nil { // unless it had stopped by then
 		assert.Equal(t, "the allocator is stopping; ask another", a.GetReason())
 	}
 	assert.Equal(t, "no node is known<nil>", <-pending)
-	assert.Zero(t, <-stopped)
+	assert.Zero(t, <-unanswered)
 }
 
-func TestDaemonStop_EndedContextReturnsNumberOfUnanswered(t *testing.T) {
+func TestDaemonDrain_EndedContextReturnsNumberOfUnanswered(t *testing.T) {
 	d := startWithoutNodes(t)
 	go func() { _, _ = request(d.Addr, 1) }() // it gets no answer
 	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.Equal(t, 1, d.Stop(ctx))
+	assert.Equal(t, 1, d.Drain(ctx))
+	d.Close()
 }
 
 func TestStart_FailedListenReleasesStateDirectory(t *testing.T) {
 	d := startWithoutNodes(t)
-	defer d.Stop(context.Background())
+	defer d.Close()
 	c := minimalConfig(t.TempDir())
 	c.ListenAddress = d.Addr // in use
 
@@ -117,7 +123,7 @@
 	c.ListenAddress = "127.0.0.1:0"
 	other, err := Start(c, NewLogger(c.Log, io.Discard))
 	require.NoError(t, err)
-	assert.Zero(t, other.Stop(context.Background()))
+	other.Close()
 }
 
 func TestStart_StateDirectoryInUseIsAnError(t *testing.T) {
--- a/trace/export.go
+++ b/trace/export.go
@@ -8,7 +8,8 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Row is one decision as Parquet holds it: a step that the module returned, and the call that it came from.
+// Row is one decision as Parquet holds it: a step that the module returned, and the call that it came from. It has a
+// field for each column.
 type Row struct {
 	AtUnixMs       float64 `parquet:"at_unix_ms"`
 	Allocator      string  `parquet:"allocator,dict"`
