--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Classes of reasons for which a connection ends. The reason given to Closed matches at most one of them with errors.Is;
-// its text says what went wrong in detail.
+// Classes of reasons for which a connection ends. The reason that a handler's Closed gets matches at most one of them
+// with errors.Is; its text says what went wrong in detail. Frontends and simulated networks have reasons of their own, too.
 var (
 	// ErrConnectionRefused means that nothing listens at the dialled address: no byte of any message was sent.
 	ErrConnectionRefused = errors.New("connection refused")
@@ -20,9 +20,9 @@
 	// ErrMalformedMessage means that the codec could not decode what the peer sent.
 	ErrMalformedMessage = errors.New("malformed message")
 	// ErrMessageTimeout means that a message was not complete within Limits.MessageTimeout.
-	ErrMessageTimeout = errors.New("a message was not whole")
+	ErrMessageTimeout = errors.New("message not complete")
 	// ErrSlowPeer means that more than Limits.MaxWriteBuffer bytes waited for the peer to read them.
-	ErrSlowPeer = errors.New("the peer does not read")
+	ErrSlowPeer = errors.New("peer does not read")
 )
 
 // closeError is an error of a class, with the text of its cause.
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -132,7 +132,7 @@
 
 func (c *connection) failSlowPeer() {
 	c.worker.loop.Stats.SlowPeers.Add(1)
-	c.fail(fmt.Errorf("%w: over %d bytes wait for it", ErrSlowPeer, c.worker.limits.MaxWriteBuffer))
+	c.fail(fmt.Errorf("%w: over %d bytes wait to be written", ErrSlowPeer, c.worker.limits.MaxWriteBuffer))
 }
 
 // closeSocket has the event loop close the socket after what was flushed. An error means that the socket stays open.
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -59,7 +59,8 @@
 	return l.listen(h, frameHandler{h, codec}, func() Codec { return codec }, addr, limits)
 }
 
-// AddHandler adds a handler at a port of loopback that the system chooses, with DefaultLimits.
+// AddHandler adds a handler at a port of loopback that the system chooses, with DefaultLimits. The second argument is the
+// zone, which a simulated network has and sockets have not.
 func (l *Loop) AddHandler(h FrameHandler, _ string) (string, error) {
 	return l.ListenFrames(h, "127.0.0.1:0", DefaultLimits)
 }
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	reasons := e.closeReasons(t, 1)
 	require.ErrorIs(t, reasons[0], ErrMessageTimeout)
-	require.EqualError(t, reasons[0], "a message was not whole after 50 ms")
+	require.EqualError(t, reasons[0], "message not complete after 50 ms")
 	_, err = read(incomplete)
 	require.Error(t, err)
 	for _, c := range []net.Conn{idle, inTime} {
@@ -84,7 +84,7 @@
 	flood.GetAsk().Key, flood.GetAsk().Group = 300, string(make([]byte, 60000))
 	write(t, slow, flood)
 	reasons := e.closeReasons(t, 1)
-	require.EqualError(t, reasons[0], "the peer does not read: over 262144 bytes wait for it")
+	require.EqualError(t, reasons[0], "peer does not read: over 262144 bytes wait to be written")
 	require.ErrorIs(t, reasons[0], ErrSlowPeer)
 	assert.NotZero(t, l.Stats.SlowPeers.Load())
 	write(t, quick, sampleRequest())
