--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -100,3 +100,14 @@
 	r.pass(readyTimeout)
 	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, r.fake.sent[r.client])
 }
+
+func TestLifecycle_HealthCheckWaitsForWhatFollowsTheFirstMessage(t *testing.T) {
+	r := newRig(t)
+	r.receive(r.client, codec.NewHealthCheck(1))
+	r.Received(r.at, r.fake.lastTo(discoveryAddr), &codec.EventBatch{})
+	assert.Empty(t, r.fake.sent[r.client], "events that were missed may follow")
+	r.pass(readyDelay - 10)
+	assert.Empty(t, r.fake.sent[r.client])
+	r.pass(20)
+	assert.Len(t, r.fake.sent[r.client], 1)
+}
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -5,6 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/placement"
 )
 
@@ -54,3 +55,22 @@
 	assert.False(t, table.holds(n))
 	assert.Empty(t, table.byName)
 }
+
+func TestNode_NeededForWorkloadsReleasesAndWaiters(t *testing.T) {
+	assert.False(t, (&node{}).needed())
+	assert.True(t, (&node{workloads: map[placement.WorkloadID]*workload{1: {}}}).needed())
+	assert.True(t, (&node{pendingReleases: []codec.Tag{1}}).needed())
+	assert.True(t, (&node{waiters: []connWaiter{unused{}}}).needed())
+}
+
+func TestNodeTable_ReleasesToAnUnreachableNodeAreNotPending(t *testing.T) {
+	table := newNodeTable()
+	n := table.intern("s-01")
+	assert.False(t, table.releasesPending())
+	n.pendingReleases = []codec.Tag{1}
+	assert.False(t, table.releasesPending(), "it is gone")
+	n.entry.State = placement.Draining
+	assert.False(t, table.releasesPending(), "it has no address")
+	table.assignAddr(n, "a")
+	assert.True(t, table.releasesPending())
+}
