--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"bytes"
 	"flag"
-	"grebeglade/internal/command"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"grebeglade/internal/command"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
 	"grebeglade/internal/benchmark"
 	"grebeglade/internal/loadgen"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
 	"grebeglade/trace"
-	"os"
-	"reflect"
-	"strings"
-	"testing"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/compatibility/operator_test.go
+++ b/internal/compatibility/operator_test.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"grebeglade/internal/transport"
 	"net"
 	"path/filepath"
 	"testing"
 	"time"
 
+	"grebeglade/internal/transport"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
--- a/internal/compatibility/platform_process_test.go
+++ b/internal/compatibility/platform_process_test.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"grebeglade/internal/command"
 	"io"
 	"net"
 	"net/http"
@@ -18,6 +17,8 @@
 	"testing"
 	"time"
 
+	"grebeglade/internal/command"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/hex"
 	"fmt"
+	"strings"
+	"testing"
+
 	"grebeglade/internal/storage/statepb"
 	"grebeglade/internal/transport"
 	"grebeglade/trace/tracepb"
-	"strings"
-	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
--- a/internal/compatibility/simulator_test.go
+++ b/internal/compatibility/simulator_test.go
@@ -5,10 +5,11 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"grebeglade/internal/frontend/simulator"
 	"strings"
 	"testing"
 
+	"grebeglade/internal/frontend/simulator"
+
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -1,13 +1,14 @@
 package compatibility_test
 
 import (
-	"grebeglade/internal/recovery"
-	"grebeglade/internal/storage"
-	"grebeglade/internal/storage/statepb"
 	"os"
 	"path/filepath"
 	"testing"
 
+	"grebeglade/internal/recovery"
+	"grebeglade/internal/storage"
+	"grebeglade/internal/storage/statepb"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
--- a/internal/compatibility/trace_test.go
+++ b/internal/compatibility/trace_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
-	"grebeglade/trace"
 	"os"
 	"path/filepath"
 	"testing"
 
+	"grebeglade/trace"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
