--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -250,6 +250,28 @@
 	x.receive(c, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
 }
 
+// answers are the answers that the client was sent since the last call, in order.
+func (x *fixture) answers() []*pb.Answer {
+	var answers []*pb.Answer
+	for _, f := range x.network.take(clientConn) {
+		if a := f.GetAnswer(); a != nil {
+			answers = append(answers, a)
+		}
+	}
+	return answers
+}
+
+// stops are the binds whose stop was sent to a node since the last call, in order.
+func (x *fixture) stops(c transport.ConnID) []*pb.BindID {
+	var stops []*pb.BindID
+	for _, f := range x.network.take(c) {
+		if s := f.GetStop(); s != nil {
+			stops = append(stops, s.Bind)
+		}
+	}
+	return stops
+}
+
 // verdicts are the answers that the client was sent since the last call, by request.
 func (x *fixture) verdicts() map[uint64]pb.Verdict {
 	got := map[uint64]pb.Verdict{}
--- a/internal/frontend/native/gangs_test.go
+++ b/internal/frontend/native/gangs_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -115,3 +116,95 @@
 		})
 	}
 }
+
+// runGang requests a gang and has its two parts run.
+func (x *fixture) runGang(n transport.ConnID, change ...func(*pb.GangAsk)) []*pb.Offer {
+	x.Helper()
+	x.requestGang(1, change...)
+	offers := x.offers(n)
+	require.Len(x, offers, 2)
+	for _, o := range offers {
+		x.startWorkload(n, o.Bind)
+	}
+	require.Equal(x, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, x.verdicts())
+	x.network.take(n)
+	return offers
+}
+
+func TestGang_RunningEnds_ClientNotified(t *testing.T) {
+	t.Run("all parts finished", func(t *testing.T) {
+		x := newFixture(t)
+		n := x.node(1)
+		for _, o := range x.runGang(n) {
+			x.endWorkload(n, o.Bind, pb.Why_FINISHED)
+		}
+		assert.Equal(t, pb.Why_FINISHED, x.network.take(clientConn)[0].GetOver().GetWhy())
+		assert.Empty(t, x.f.gangs.byRequest)
+	})
+	t.Run("a part lost", func(t *testing.T) {
+		x := newFixture(t)
+		n := x.node(1)
+		offers := x.runGang(n)
+		x.endWorkload(n, offers[0].Bind, pb.Why_LOST)
+		assert.Equal(t, pb.Why_LOST, x.network.take(clientConn)[0].GetOver().GetWhy())
+		assert.Equal(t, []*pb.BindID{offers[1].Bind}, x.stops(n))
+		x.endWorkload(n, offers[1].Bind, pb.Why_STOPPED)
+		assert.Empty(t, x.f.gangs.byRequest)
+	})
+}
+
+func TestGang_PartLostToBeReplaced_OfferedAgain(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	offers := x.runGang(n, func(a *pb.GangAsk) { a.Replace, a.ReplaceWithinMs = true, 3000 })
+	x.endWorkload(n, offers[0].Bind, pb.Why_LOST)
+	replacement := x.offer(n)
+	assert.Equal(t, offers[0].Gang.Part, replacement.Gang.Part)
+	assert.InDelta(t, 3000+float64(leaseMargin), replacement.Gang.LeaseMs, 1e-6)
+	x.startWorkload(n, replacement.Bind)
+	confirmed := x.network.take(n)
+	require.Len(t, confirmed, 2)
+	assert.Equal(t, replacement.Bind, confirmed[0].GetKeep().GetBind())
+	assert.Empty(t, x.network.take(clientConn), "the client hears nothing of it")
+}
+
+func TestGang_AtMostOncePartUnanswered_Unschedulable(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.requestGang(1, func(a *pb.GangAsk) { a.Parts[0].Group = "once" })
+	offers := x.offers(n)
+	require.Len(t, offers, 2)
+	x.startWorkload(n, offers[1].Bind)
+	x.runUntil(6000)
+	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, x.verdicts())
+	assert.Contains(t, x.stops(n), offers[0].Bind, "it may run, and nothing of the gang may")
+}
+
+func TestGang_ClientDisconnected_WithdrawnIfUnanswered(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.requestGang(1)
+	offers := x.offers(n)
+	x.startWorkload(n, offers[0].Bind)
+	x.disconnect(clientConn)
+	assert.Equal(t, uint64(1), x.f.Counters.Withdrawn)
+	for _, b := range x.stops(n) {
+		x.endWorkload(n, b, pb.Why_STOPPED)
+	}
+	assert.Empty(t, x.f.gangs.byRequest)
+	assert.Zero(t, x.f.WorkloadCount())
+	assert.Zero(t, x.f.Pending())
+}
+
+func TestGang_PartFoundTwiceAfterRestart_SecondStopped(t *testing.T) {
+	x := newFixture(t)
+	part := func(workload uint64) *pb.Standing {
+		return &pb.Standing{Running: true, Kept: true, Offer: &pb.Offer{
+			Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: workload}, Owner: "o",
+			Ask:  &pb.Ask{Ask: 7, Key: 70 + workload, Service: 1, Group: "serve", Cores: 1, Memory: 1},
+			Gang: &pb.GangPart{Part: 0, Of: 1, Need: 1},
+		}}
+	}
+	n := x.node(1, part(1), part(2))
+	assert.Equal(t, []*pb.BindID{part(2).Offer.Bind}, x.stops(n))
+}
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -170,3 +170,30 @@
 	x.snapshot(entries[maxNodes:]...)
 	assert.Len(t, x.knownNodes(), 5, "the others are removed")
 }
+
+func TestNode_NotConnectedInTime_DialedAgain(t *testing.T) {
+	x := newFixture(t)
+	x.update(1, pb.NodeEntry_READY, 1, -1)
+	first := x.network.dialed[address(1)]
+	x.runUntil(connectTimeout - 1)
+	assert.False(t, x.network.closed[first])
+	x.runUntil(connectTimeout)
+	assert.True(t, x.network.closed[first])
+	x.runUntil(connectTimeout + 125)
+	assert.NotEqual(t, first, x.network.dialed[address(1)])
+}
+
+func TestHealthCheck_SentToConnectedNode(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.network.take(n)
+	x.f.nodes.checkHealth(1)
+	check := x.network.take(n)[0].GetProbe()
+	require.NotNil(t, check)
+	assert.Equal(t, 1, x.f.nodes.healthChecks.Len())
+	x.receive(n, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: check.Id}}})
+	assert.Zero(t, x.f.nodes.healthChecks.Len())
+	x.f.nodes.checkHealth(2)
+	assert.Zero(t, x.f.nodes.healthChecks.Len(), "an unknown node fails it at once")
+	assert.Equal(t, 1, x.f.core.DeferredCalls())
+}
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -4,7 +4,9 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/recovery"
 	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -127,3 +129,31 @@
 	}
 	assert.Len(t, x.f.clients.byName["o"].transit, maxTransitTimes)
 }
+
+func TestRequest_KeyKnownToJournal_AnsweredAtOnce(t *testing.T) {
+	known := recovery.Bind{Key: 101, Group: "once", Incarnation: 4, ExpiresAt: 1e6}
+	x := newFixture(t, func(c *Config) {
+		c.Journal, c.RecoveredBinds, c.MaxDurableKeys = &slowJournal{}, []recovery.Bind{known}, 1
+	})
+	x.node(1)
+	x.request(1, "once")
+	x.request(2, "once")
+	x.requestGang(3, func(a *pb.GangAsk) { a.Parts[1].Key = known.Key })
+	answers := x.answers()
+	require.Len(t, answers, 3)
+	assert.Equal(t, pb.Verdict_UNSCHEDULABLE, answers[0].Verdict)
+	assert.Equal(t, reasonKeyBound, answers[0].Reason)
+	assert.Equal(t, pb.Verdict_REJECTED, answers[1].Verdict)
+	assert.Equal(t, reasonRegistryFull, answers[1].Reason)
+	assert.Equal(t, pb.Verdict_UNSCHEDULABLE, answers[2].Verdict)
+	assert.Equal(t, reasonPartKeyBound, answers[2].Reason)
+	assert.Equal(t, uint64(3), x.f.Counters.AnsweredFromJournal)
+	assert.Zero(t, x.f.WorkloadCount())
+}
+
+func TestRequest_UnknownFrameOfClient_Refused(t *testing.T) {
+	x := newFixture(t)
+	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}})
+	assert.True(t, x.network.closed[clientConn])
+	assert.Contains(t, x.network.take(clientConn)[0].GetRefusal().GetReason(), "Frame_Probe")
+}
--- a/internal/frontend/native/status_test.go
+++ b/internal/frontend/native/status_test.go
@@ -32,3 +32,20 @@
 	assert.Equal(t, []uint32{1, 1}, []uint32{nodes[0].Residents, nodes[0].BindsOut})
 	assert.Equal(t, "open", nodes[0].Connection)
 }
+
+func TestStatus_ShowsGangs(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.requestGang(1)
+	x.startWorkload(n, x.offers(n)[0].Bind)
+	x.f.Opened(x.now, operatorConn)
+	x.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
+	x.network.take(operatorConn)
+	x.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: pb.Query_GANGS}}})
+	gangs := x.network.take(operatorConn)[0].GetState().Gangs
+	require.Len(t, gangs, 1)
+	g := gangs[0]
+	assert.Equal(t, "starting", g.State)
+	assert.Equal(t, []uint32{2, 2, 1, 1}, []uint32{g.Parts, g.Need, g.Running, g.Tries})
+	assert.Len(t, g.Workloads, 2)
+}
