--- a/internal/frontend/native/gangs_test.go
+++ b/internal/frontend/native/gangs_test.go
@@ -208,3 +208,43 @@
 	n := x.node(1, part(1), part(2))
 	assert.Equal(t, []*pb.BindID{part(2).Offer.Bind}, x.stops(n))
 }
+
+func TestGang_ConnectionLostBeforeAnswer_Unschedulable(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.requestGang(1, func(a *pb.GangAsk) { a.Parts[0].Group = "once" })
+	require.Len(t, x.offers(n), 2)
+	x.disconnect(n)
+	answers := x.answers()
+	require.Len(t, answers, 1)
+	assert.Equal(t, pb.Verdict_UNSCHEDULABLE, answers[0].Verdict)
+	assert.Equal(t, reasonPartMayHaveRun, answers[0].Reason)
+	assert.Empty(t, x.f.gangs.byRequest)
+}
+
+func TestGang_AcceptanceMeansRunning_PlacedOnAcceptance(t *testing.T) {
+	x := newFixture(t, func(c *Config) { c.Settings.ConfirmsRunning = true })
+	n := x.node(1)
+	x.requestGang(1)
+	for _, o := range x.offers(n) {
+		x.answerOffer(n, o.Bind, true, 0)
+	}
+	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, x.verdicts())
+}
+
+func TestGang_RejectedByNodes_RejectedAfterAllAttempts(t *testing.T) {
+	x := newFixture(t)
+	n := x.node(1)
+	x.requestGang(1)
+	for x.f.Pending() > 0 && x.now < 6000 {
+		for _, o := range x.offers(n) {
+			x.answerOffer(n, o.Bind, false, pb.Why_NOT_HERE)
+		}
+		x.runUntil(x.now + 100)
+	}
+	answers := x.answers()
+	require.Len(t, answers, 1)
+	assert.Equal(t, pb.Verdict_REJECTED, answers[0].Verdict)
+	assert.Regexp(t, "it fell apart, [123] times begun", answers[0].Reason)
+	assert.Empty(t, x.f.gangs.byRequest)
+}
