--- a/internal/benchmark/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -47,7 +47,7 @@
 
 func config(list string, most int) native.Config {
 	return native.Config{
-		Name: "bench", Incarnation: 2, Seed: 1, Settings: settings(1), Groups: []string{"g"}, Kinds: []string{"k"},
+		Name: "bench", Incarnation: 2, Seed: 1, Settings: settings(1), GroupNames: []string{"g"}, KindNames: []string{"k"},
 		DiscoveryAddress: list, EventLogSize: 1 << 14, MaxWorkloads: most,
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,8 +59,8 @@
 func (d *Daemon) frontendConfig(c *config.Allocator, seed uint64) *native.Config {
 	now := time.Now()
 	return &native.Config{
-		Name: c.Name, Incarnation: uint64(now.UnixNano()), Seed: seed, Settings: c.Settings, Groups: c.GroupNames,
-		Kinds: c.KindNames, Zone: c.Zone, DiscoveryAddress: c.DiscoveryAddress, MaxWorkloads: c.Limits.MaxWorkloads, Log: d.log,
+		Name: c.Name, Incarnation: uint64(now.UnixNano()), Seed: seed, Settings: c.Settings, GroupNames: c.GroupNames,
+		KindNames: c.KindNames, Zone: c.Zone, DiscoveryAddress: c.DiscoveryAddress, MaxWorkloads: c.Limits.MaxWorkloads, Log: d.log,
 		WallClockOffset: unixMillis(now) - float64(d.loop.Now()),
 	}
 }
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -18,8 +18,8 @@
 }
 
 func newCatalog(c Config) *catalog {
-	t := &catalog{settings: c.Settings, groupNames: c.Groups, kindNames: c.Kinds, groups: make(map[string]int, len(c.Groups))}
-	for i, name := range c.Groups {
+	t := &catalog{settings: c.Settings, groupNames: c.GroupNames, kindNames: c.KindNames, groups: make(map[string]int, len(c.GroupNames))}
+	for i, name := range c.GroupNames {
 		t.groups[name] = i
 	}
 	return t
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -19,8 +19,8 @@
 	if c.Journal == nil {
 		return &durableBinds{}
 	}
-	rules := make(map[string]recovery.GroupPolicy, len(c.Groups))
-	for i, name := range c.Groups {
+	rules := make(map[string]recovery.GroupPolicy, len(c.GroupNames))
+	for i, name := range c.GroupNames {
 		rules[name] = recovery.GroupPolicy{Idempotency: c.Settings.Groups[i].Idempotency, KeyWindow: c.Settings.Groups[i].KeyWindow}
 	}
 	settings := recovery.Settings{Groups: rules, Retention: c.AtMostOnceRetention, MaxEntries: c.MaxDurableKeys}
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -70,7 +70,7 @@
 	once.Idempotency = placement.AtMostOnce
 	dedup.Idempotency, dedup.KeyScope, dedup.KeyWindow = placement.IdempotentByKey, placement.ScopeCell, 5000
 	c := Config{
-		Name: "a", Incarnation: 5, Seed: 1, Groups: []string{"serve", "once", "check"}, Kinds: []string{"k"},
+		Name: "a", Incarnation: 5, Seed: 1, GroupNames: []string{"serve", "once", "check"}, KindNames: []string{"k"},
 		DiscoveryAddress: discoveryAddress,
 		Settings: placement.Settings{
 			Allocators: 1, Groups: []placement.Group{group, once, dedup}, NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}},
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -117,7 +117,7 @@
 	if c.Trace != nil {
 		recorder := replay.NewRecorder(replay.RecorderConfig{
 			Source:   &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset},
-			Settings: settings, Seed: c.Seed, GroupNames: groupNamesWithVariants(c.Groups), KindNames: c.Kinds, ZoneNames: []string{c.Zone},
+			Settings: settings, Seed: c.Seed, GroupNames: groupNamesWithVariants(c.GroupNames), KindNames: c.KindNames, ZoneNames: []string{c.Zone},
 		}, c.Trace)
 		shared.recorder.recorder = recorder
 		options.Module = recorder
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -221,7 +221,7 @@
 	loop := transport.NewLoop(nil)
 	defer loop.Close()
 	p := native.New(native.Config{
-		Name: "a", Incarnation: 1, Groups: []string{"g"}, Kinds: []string{"k"},
+		Name: "a", Incarnation: 1, GroupNames: []string{"g"}, KindNames: []string{"k"},
 		Settings: placement.Settings{
 			Allocators: 1, Groups: []placement.Group{{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}}, NodeKinds: []placement.NodeKind{{Cores: 2, Memory: 2}}, MaxBinds: 3,
 		},
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -271,7 +271,7 @@
 	gate = NewGate(name, pb.Role_ALLOCATOR, i, d.w, func(inc uint64) transport.FrameHandler {
 		c := native.Config{
 			Name: name, Incarnation: inc, Seed: hashOf(d.opts.Seed, uint64(i)<<20|inc), Settings: settings,
-			Groups: s.Groups, Kinds: s.Kinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
+			GroupNames: s.Groups, KindNames: s.Kinds, Zone: d.zone(i), DiscoveryAddress: list, MaxWorkloads: s.Limits.MaxWorkloads,
 			Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wall,
 		}
 		if d.opts.Trace != "" {
