--- a/internal/frontend/native/config.go
+++ b/internal/frontend/native/config.go
@@ -15,8 +15,8 @@
 	Incarnation      uint64 // grows with each start of the allocator
 	Seed             uint64 // of the placement module, of backoff and of gangs
 	Settings         placement.Settings
-	GroupNames           []string // names of Settings.Groups, in their order
-	KindNames            []string // names of Settings.Kinds, in their order
+	GroupNames       []string // names of Settings.Groups, in their order
+	KindNames        []string // names of Settings.Kinds, in their order
 	Zone             string   // where the allocator runs
 	DiscoveryAddress string   // of the discovery service; "" for none
 	MaxWorkloads     int      // pending and placed workloads; 0 for no limit
