--- a/internal/allocator/engine_test.go
+++ b/internal/allocator/engine_test.go
@@ -45,6 +45,28 @@
 	assert.Empty(t, h.take())
 }
 
+func TestEngine_PlacedWorkloadDoesNotTimeOut(t *testing.T) {
+	e, h := newTestEngine(1)
+	e.Schedule(0, request(7, idempotent))
+	e.BindConfirmed(5, 7, 0, nil)
+	h.take()
+	e.Tick(9000)
+	assert.Empty(t, h.take())
+	assert.True(t, e.IsPlaced(7, 0))
+}
+
+func TestEngine_ConnectionLostTellsTheModuleWhetherAnAnswerIsStillWanted(t *testing.T) {
+	e, _, m := newTestEngineWithFakeModule(1)
+	e.Schedule(0, request(7, idempotent))
+	e.Schedule(0, request(8, idempotent))
+	e.Withdraw(5, 8)
+	m.results = nil
+	e.ConnectionLost(10, 1)
+	assert.Equal(t, []placement.Result{
+		{Kind: placement.OutcomeUnknown}, {Kind: placement.OutcomeUnknown, Final: true},
+	}, m.results)
+}
+
 func TestEngine_AtMostOnceWorkloadThatMayHaveRunIsUnschedulableAndNotStopped(t *testing.T) {
 	e, h := newTestEngine(3)
 	e.Schedule(0, request(7, atMostOnce))
@@ -89,7 +111,9 @@
 	e.Schedule(1200, request(8, idempotent))
 	e.Withdraw(1210, 8)
 	e.Tick(9000)
-	assert.NotContains(t, fmt.Sprint(h.take()), "answer 8")
+	actions := fmt.Sprint(h.take())
+	assert.NotContains(t, actions, "answer 8")
+	assert.NotContains(t, actions, "stop 8", "no bind of it is open")
 }
 
 func TestEngine_NodeLostEndsWhatIsPlacedAndRetriesWhatIsInFlight(t *testing.T) {
--- a/internal/allocator/fakes_test.go
+++ b/internal/allocator/fakes_test.go
@@ -56,10 +56,48 @@
 	}
 }
 
+// fakeModule is the placement module with the results of its steps written down, and with maintenance to order.
+type fakeModule struct {
+	Module
+	results     []placement.Result
+	maintenance placement.Maintenance
+}
+
+func (m *fakeModule) Schedule(now placement.Millis, w placement.Workload) placement.Step {
+	return m.record(m.Module.Schedule(now, w))
+}
+
+func (m *fakeModule) record(s placement.Step) placement.Step {
+	if next := s.NextStep; next != nil {
+		s.NextStep = func(now placement.Millis, r placement.Result) placement.Step {
+			m.results = append(m.results, r)
+			return m.record(next(now, r))
+		}
+	}
+	return s
+}
+
+func (m *fakeModule) Maintain(now placement.Millis) placement.Maintenance {
+	maintenance := m.maintenance
+	maintenance.NextAt = now + 1000
+	return maintenance
+}
+
 // newTestEngine returns a started engine that knows that many empty nodes of 10 cores.
 func newTestEngine(nodes int) (*Engine, *fakeHost) {
+	return startTestEngine(nodes, nil)
+}
+
+// newTestEngineWithFakeModule is newTestEngine on a fake module.
+func newTestEngineWithFakeModule(nodes int) (*Engine, *fakeHost, *fakeModule) {
+	m := &fakeModule{Module: placement.New(testSettings(), 1)}
+	e, h := startTestEngine(nodes, m)
+	return e, h, m
+}
+
+func startTestEngine(nodes int, m Module) (*Engine, *fakeHost) {
 	h := &fakeHost{}
-	e := New(testSettings(), 1, h, Options{EnforceTimeouts: true, Log: eventlog.New(100)})
+	e := New(testSettings(), 1, h, Options{EnforceTimeouts: true, Log: eventlog.New(100), Module: m})
 	e.Start(0)
 	var entries []placement.Node
 	for i := range nodes {
--- a/internal/allocator/gang_test.go
+++ b/internal/allocator/gang_test.go
@@ -24,8 +24,10 @@
 }
 
 func TestEngine_ScheduleGangOffersNoneWhereTooFewHaveANode(t *testing.T) {
-	e, h := newTestEngine(2)
+	e, h, m := newTestEngineWithFakeModule(2)
 	offered := e.ScheduleGang(10, []placement.Workload{large(1), large(2), large(3)}, 3)
+	notAttempted := placement.Result{Kind: placement.NotAttempted, Final: true}
+	assert.Equal(t, []placement.Result{notAttempted, notAttempted}, m.results)
 	assert.Equal(t, []bool{false, false, false}, offered)
 	assert.Empty(t, h.take())
 	assert.Zero(t, e.WorkloadCount())
--- a/internal/allocator/timers_test.go
+++ b/internal/allocator/timers_test.go
@@ -40,3 +40,25 @@
 	e.Tick(at + 200e3 - 20)
 	assert.Contains(t, h.take(), fmt.Sprintf("answer %d unschedulable", last+1))
 }
+
+func TestTimers_NextTickIsAskedForOnce(t *testing.T) {
+	var ts timers
+	ask := func(now placement.Millis) []placement.Millis {
+		if at, needed := ts.nextTick(now); needed {
+			return []placement.Millis{at}
+		}
+		return nil
+	}
+	assert.Empty(t, ask(0), "there is no timer")
+	ts.setMaintenance(100)
+	assert.Equal(t, []placement.Millis{100}, ask(0))
+	assert.Empty(t, ask(1), "it was asked for")
+	ts.setMaintenance(120)
+	assert.Empty(t, ask(2), "an earlier one was asked for")
+	ts.setMaintenance(50)
+	assert.Equal(t, []placement.Millis{50}, ask(3))
+	ts.ticked(49)
+	assert.Empty(t, ask(49), "that tick was another")
+	ts.ticked(60)
+	assert.Equal(t, []placement.Millis{60}, ask(60), "not before now")
+}
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -142,6 +142,18 @@
 		h.Flush(100)
 		assert.Equal(t, []placement.Millis{100}, waker.take())
 	})
+	t.Run("an overdue request of the engine asks for now and no earlier time", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		(&engineHost{host: h}).Wake(50)
+		h.Flush(100)
+		assert.Equal(t, []placement.Millis{100}, waker.take())
+	})
+	t.Run("it is set anew where it came early", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		h.Wake(900)
+		assert.Equal(t, []placement.Millis{1100, 1900}, waker.take())
+	})
 	t.Run("it is set anew after it came", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		h.Flush(100)
@@ -215,6 +227,7 @@
 		{2550, 0, "what is handled now came after it"},
 	} {
 		h.Begin(event.at)
+		h.Begin(event.at) // an event within the event is no stall, and does not end one
 		assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
 		h.Flush(event.at)
 	}
