--- a/internal/frontend/backoff.go
+++ b/internal/frontend/backoff.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 
-	"grebeglade/internal/timerqueue"
 	"grebeglade/placement"
 )
 
@@ -20,19 +19,3 @@
 func (b Backoff) Delay(failures int) placement.Millis {
 	return min(b.Max, b.Initial*placement.Millis(math.Exp2(float64(min(failures, maxDoublings)))))
 }
-
-// Jitter spreads delays by a quarter either way, so that processes that failed together do not retry together. Its draws
-// are a function of the seed and of how many were made before. Each call of Apply is one draw.
-type Jitter struct {
-	seed  uint64
-	draws uint64
-}
-
-// NewJitter returns a source of jitter for the seed.
-func NewJitter(seed uint64) *Jitter { return &Jitter{seed: seed} }
-
-// Apply returns d times a factor from 0.75 up to 1.25.
-func (j *Jitter) Apply(d placement.Millis) placement.Millis {
-	j.draws++
-	return timerqueue.Jitter(d, j.seed, j.draws)
-}
