--- a/internal/allocator/actions.go
+++ b/internal/allocator/actions.go
@@ -35,9 +35,9 @@
 	Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis)
 	// Stop stops a bind, whether it is unanswered or placed. With onlyPending, a node that has accepted the workload keeps it.
 	Stop(id placement.WorkloadID, bind int, node placement.NodeID, reason StopReason, onlyPending bool)
-	// CheckHealth asks the node for a sign of life and a load report; Engine.HealthChecked takes the result.
+	// CheckHealth sends the node a health check. Its result goes to Engine.HealthChecked.
 	CheckHealth(node placement.NodeID)
-	// SubscribeNodes asks node discovery for changes from now on; Engine.UpdateNodes takes them.
+	// SubscribeNodes subscribes to node discovery's changes. They go to Engine.UpdateNodes.
 	SubscribeNodes()
 	// Answer sends the client the final answer. The node is that of the bind for Placed, and 0 otherwise. Nothing more is
 	// sent for the workload after Rejected or Unschedulable.
@@ -48,10 +48,10 @@
 	Forget(id placement.WorkloadID)
 }
 
-// Host is what an engine runs in: it carries out the engine's actions and calls Engine.Tick when asked to.
+// Host is what an engine runs in: it carries out the engine's actions and calls Engine.Tick on request.
 type Host interface {
 	Actions
-	// Wake asks for a call of Engine.Tick at the given time. An earlier request that is still open remains valid.
+	// Wake requests a call of Engine.Tick at the given time. An earlier request that is still open remains valid.
 	Wake(at placement.Millis)
 }
 
--- a/internal/allocator/bind.go
+++ b/internal/allocator/bind.go
@@ -6,7 +6,7 @@
 )
 
 // BindConfirmed handles a node's reply that it has accepted a bind. For a bind that has ended meanwhile only the load report
-// counts: the node has been told of the end.
+// counts: the node has been notified of the end.
 func (e *Engine) BindConfirmed(now placement.Millis, id placement.WorkloadID, bind int, load *placement.LoadReport) {
 	w := e.workloads[id]
 	if w == nil {
@@ -81,7 +81,7 @@
 		return
 	}
 	if w.wanted() {
-		// What may run at most once and has been accepted must not be stopped: its client is told that it may run.
+		// What may run at most once and has been accepted must not be stopped: its client is answered that it may have run.
 		e.host.Stop(w.id, w.bind(), w.node, TimedOut, e.atMostOnce(w.group))
 	}
 	e.complete(now, w, placement.Result{Kind: placement.TimedOut})
@@ -144,7 +144,7 @@
 	e.host.Answer(w.id, v, 0)
 }
 
-// reportLoad hands on the load report, if there is one, of a reply that itself comes too late.
+// reportLoad passes on the load report, if there is one, of a reply that itself comes too late.
 func (e *Engine) reportLoad(now placement.Millis, node placement.NodeID, load *placement.LoadReport) {
 	if load != nil {
 		e.module.ReportLoad(now, node, *load)
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -62,14 +62,14 @@
 }
 
 // StopsDuplicates tells whether a copy of a workload of the group that nobody waits for any more is to be stopped. One that
-// must run at most once is left alone, since its client was told that it may run.
+// must run at most once is left alone, since its client was answered that it may have run.
 func (e *Engine) StopsDuplicates(g placement.GroupID) bool { return !e.atMostOnce(g) }
 
 func (e *Engine) atMostOnce(g placement.GroupID) bool {
 	return int(g) < len(e.groups) && e.groups[g].Idempotency == placement.AtMostOnce
 }
 
-// Schedule takes a client's request for a workload, under an id that was never used before.
+// Schedule handles a client's request for a workload, whose id must never have been used before.
 func (e *Engine) Schedule(now placement.Millis, w placement.Workload) {
 	e.logRequest(now, w)
 	e.execute(now, e.workloads.add(w), e.module.Schedule(now, w))
@@ -84,7 +84,7 @@
 	entry.step = e.module.Adopt(now, w, node)
 }
 
-// Withdraw takes a client's notice that it no longer wants the workload. The client gets no answer after it.
+// Withdraw handles a client's notice that it no longer wants the workload. The client gets no answer after it.
 func (e *Engine) Withdraw(now placement.Millis, id placement.WorkloadID) {
 	w := e.workloads[id]
 	if w == nil || !w.wanted() {
@@ -98,25 +98,25 @@
 	e.execute(now, w, w.step.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true}))
 }
 
-// UpdateNodes takes a message of node discovery. Messages must come in the order in which discovery sent them.
+// UpdateNodes handles a message of node discovery. Messages must come in the order in which discovery sent them.
 func (e *Engine) UpdateNodes(now placement.Millis, kind placement.NodeUpdateKind, nodes []placement.Node) {
 	e.log.Add(eventlog.Event{At: now, Kind: eventlog.NodesUpdated, Detail: uint8(kind), Bind: int32(len(nodes))})
 	e.module.UpdateNodes(now, kind, nodes)
 }
 
-// ReportLoad takes a load report that a node sent by itself.
+// ReportLoad handles a load report that came neither with a reply to a bind nor with one to a health check.
 func (e *Engine) ReportLoad(now placement.Millis, node placement.NodeID, load placement.LoadReport) {
 	e.module.ReportLoad(now, node, load)
 }
 
-// ReportUsage takes what a node reports of a workload. It is ignored where it is not about the workload's last bind.
+// ReportUsage handles what a node reports of a workload. It is ignored where it is not about the workload's last bind.
 func (e *Engine) ReportUsage(now placement.Millis, id placement.WorkloadID, bind int, kind placement.UsageKind, value float64) {
 	if w := e.workloads[id]; w != nil && w.isOpen(bind) {
 		e.module.ReportUsage(now, id, kind, value)
 	}
 }
 
-// HealthChecked takes the result of a health check: a reply with an optional load report, or that there was none.
+// HealthChecked handles the result of a health check. The load report that came with a reply may be nil.
 func (e *Engine) HealthChecked(now placement.Millis, node placement.NodeID, answered bool, load *placement.LoadReport) {
 	e.module.HealthChecked(now, node, answered, load)
 }
@@ -134,7 +134,7 @@
 	e.requestTick(now)
 }
 
-// requestTick asks the host for a tick by the time of the first timer.
+// requestTick has the host call Tick by the time of the first timer.
 func (e *Engine) requestTick(now placement.Millis) {
 	if at, needed := e.timers.nextTick(now); needed {
 		e.host.Wake(at)
--- a/internal/allocator/gang.go
+++ b/internal/allocator/gang.go
@@ -5,9 +5,9 @@
 	"grebeglade/placement"
 )
 
-// ScheduleGang takes workloads that are wanted together. It asks the module for all of them, and where at least need of them
-// have a node, offers these. Otherwise no bind is sent and the module takes all of them back. It returns which workloads
-// were offered; the others are forgotten without an answer.
+// ScheduleGang handles a request for workloads that are wanted together. The module schedules each of them; where at least
+// need of them get a node, these are offered. Otherwise no bind is sent, and all are undone in the module. It
+// returns which workloads were offered; the others are forgotten without an answer.
 func (e *Engine) ScheduleGang(now placement.Millis, gang []placement.Workload, need int) []bool {
 	steps, binds := make([]placement.Step, len(gang)), 0
 	for i, w := range gang {
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -19,12 +19,12 @@
 	workload    placement.WorkloadID // where it is not for maintenance
 }
 
-// timers are the timers of an engine, and the one tick that it has asked its host for. A timer stays in the queue until it
+// timers are the timers of an engine, and the tick that it has requested of its host. A timer stays in the queue until it
 // fires; that of a workload counts only if the workload still names its number.
 type timers struct {
-	queue  timerqueue.Queue[timer]
-	tickAt placement.Millis // earliest tick that was asked for and has not come
-	asked  bool             // whether there is such a tick
+	queue     timerqueue.Queue[timer]
+	tickAt    placement.Millis // earliest tick that was requested and has not come
+	requested bool             // whether there is such a tick
 }
 
 // setMaintenance sets a timer for maintenance.
@@ -36,14 +36,14 @@
 	w.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{workload: w.id})
 }
 
-// ticked notes a tick, which may be the one that was asked for.
+// ticked notes a tick, which may be the one that was requested.
 func (t *timers) ticked(now placement.Millis) {
-	if t.asked && t.tickAt <= now+clockGrain {
-		t.asked = false
+	if t.requested && t.tickAt <= now+clockGrain {
+		t.requested = false
 	}
 }
 
-// popDue takes out the first timer that is due, if there is one, and returns it with its number.
+// popDue removes the first timer that is due, if there is one, and returns it with its number.
 func (t *timers) popDue(now placement.Millis) (fired timer, number uint64, ok bool) {
 	if at, pending := t.queue.NextTime(); !pending || at > now+clockGrain {
 		return timer{}, noTimer, false
@@ -52,13 +52,13 @@
 	return fired, number, true
 }
 
-// nextTick returns the time of the tick that the first timer needs, and notes it as asked for. It returns false where no
-// tick is needed, or one that is early enough was asked for before.
+// nextTick returns the time of the tick that the first timer needs, and notes it as requested. It returns false where no
+// tick is needed, or one that is early enough was requested before.
 func (t *timers) nextTick(now placement.Millis) (placement.Millis, bool) {
 	at, ok := t.queue.NextTime()
-	if !ok || t.asked && t.tickAt <= at {
+	if !ok || t.requested && t.tickAt <= at {
 		return 0, false
 	}
-	t.tickAt, t.asked = max(now, at), true
+	t.tickAt, t.requested = max(now, at), true
 	return t.tickAt, true
 }
--- a/internal/allocator/timers_test.go
+++ b/internal/allocator/timers_test.go
@@ -41,24 +41,24 @@
 	assert.Contains(t, h.take(), fmt.Sprintf("answer %d unschedulable", last+1))
 }
 
-func TestTimers_NextTickIsAskedForOnce(t *testing.T) {
+func TestTimers_NextTickIsRequestedOnce(t *testing.T) {
 	var ts timers
-	ask := func(now placement.Millis) []placement.Millis {
+	next := func(now placement.Millis) []placement.Millis {
 		if at, needed := ts.nextTick(now); needed {
 			return []placement.Millis{at}
 		}
 		return nil
 	}
-	assert.Empty(t, ask(0), "there is no timer")
+	assert.Empty(t, next(0), "there is no timer")
 	ts.setMaintenance(100)
-	assert.Equal(t, []placement.Millis{100}, ask(0))
-	assert.Empty(t, ask(1), "it was asked for")
+	assert.Equal(t, []placement.Millis{100}, next(0))
+	assert.Empty(t, next(1), "it was requested")
 	ts.setMaintenance(120)
-	assert.Empty(t, ask(2), "an earlier one was asked for")
+	assert.Empty(t, next(2), "an earlier one was requested")
 	ts.setMaintenance(50)
-	assert.Equal(t, []placement.Millis{50}, ask(3))
+	assert.Equal(t, []placement.Millis{50}, next(3))
 	ts.ticked(49)
-	assert.Empty(t, ask(49), "that tick was another")
+	assert.Empty(t, next(49), "that tick was another")
 	ts.ticked(60)
-	assert.Equal(t, []placement.Millis{60}, ask(60), "not before now")
+	assert.Equal(t, []placement.Millis{60}, next(60), "not before now")
 }
--- a/internal/allocator/workload.go
+++ b/internal/allocator/workload.go
@@ -20,7 +20,7 @@
 
 const (
 	pending   state = iota // without a final answer: it waits, or a bind of it is in flight
-	placed                 // on a node, and its client has been told so
+	placed                 // on a node, and its client has the answer
 	migrating              // placed, and stopped so that it is placed anew
 	cancelled              // withdrawn before it was placed; its last bind may still be in flight
 	stopping               // withdrawn, and on a node until that confirms its end
@@ -41,7 +41,7 @@
 	due   placement.Millis // when that step is due; its timer may be set for an earlier time
 }
 
-// confirm moves the workload to the node that has confirmed its last bind.
+// confirm notes that a node has confirmed the workload's last bind.
 func (w *workload) confirm() {
 	switch w.state {
 	case pending:
@@ -51,7 +51,7 @@
 	}
 }
 
-// withdraw takes the workload's client away.
+// withdraw notes that the workload's client no longer wants it.
 func (w *workload) withdraw() {
 	switch w.state {
 	case pending:
@@ -61,7 +61,7 @@
 	}
 }
 
-// migrate marks a placed workload as one that ends in order to be placed anew.
+// migrate notes that a placed workload is stopped in order to be placed anew.
 func (w *workload) migrate() {
 	if w.state == placed {
 		w.state = migrating
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,4 +1,4 @@
-// Package eventlog keeps, in order and by revision, what an allocator was asked, decided and saw.
+// Package eventlog keeps, in order and by revision, what an allocator was requested to do, decided and observed.
 //
 // Revisions begin at 1 and have no gaps. A log holds the latest events up to its capacity and drops the oldest ones, which
 // Since reports. Times are milliseconds on the allocator's own clock. A log belongs to one goroutine.
--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -4,7 +4,7 @@
 
 // Counters are what every frontend counts since its start. A frontend embeds them in its own.
 //
-// The Host counts binds, migrations and health checks as the engine asks for them. The frontend counts requests and
+// The Host counts binds, migrations and health checks as the engine starts them. The frontend counts requests and
 // withdrawals where it decodes them, and final answers with CountAnswer where it sends them: what one answer to a client
 // is differs between protocols, since a gang's parts have no answers of their own.
 type Counters struct {
--- a/internal/frontend/enginehost.go
+++ b/internal/frontend/enginehost.go
@@ -30,4 +30,4 @@
 	e.Actions.CheckHealth(node)
 }
 
-func (e *engineHost) Wake(at placement.Millis) { e.host.wakeup.askTick(at) }
+func (e *engineHost) Wake(at placement.Millis) { e.host.wakeup.requestTick(at) }
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -2,8 +2,8 @@
 
 import "grebeglade/placement"
 
-// HealthChecks are the health checks of nodes that have been begun and have no result yet. Each has a number of its own,
-// which the node's reply carries back. Exactly one result of each check reaches the engine.
+// HealthChecks are the health checks of nodes that have begun and have no result yet. Each has a number of its own, which
+// the node's reply carries back. Exactly one result of each check reaches the engine.
 type HealthChecks struct {
 	host    *Host
 	timeout placement.Millis
@@ -34,10 +34,10 @@
 // Len returns how many checks have no result yet.
 func (c *HealthChecks) Len() int { return len(c.pending) }
 
-// Complete hands the engine the reply to a check, with the load report that came along or nil. It returns false, and does
-// nothing, where the node has no such check pending.
+// Complete passes the reply to a check to the engine, with the load report that came along or nil. It returns false, and
+// does nothing, where the node has no such check pending.
 func (c *HealthChecks) Complete(now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport) bool {
-	if asked, pending := c.pending[check]; !pending || asked != node {
+	if checked, pending := c.pending[check]; !pending || checked != node {
 		return false
 	}
 	delete(c.pending, check)
@@ -50,7 +50,8 @@
 	c.host.Defer(func(now placement.Millis) { c.fail(now, check) })
 }
 
-// FailUnsent is Fail for a node that is known beforehand to be out of reach, without a check of its own.
+// FailUnsent reports a failed check of a node that cannot be reached, without a check having begun. The engine hears of it at
+// the next Flush.
 func (c *HealthChecks) FailUnsent(node placement.NodeID) {
 	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -12,7 +12,7 @@
 	Seed     uint64 // of the placement module and of the jitter
 	Engine   allocator.Options
 	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not call
-	// the engine back, but hand over what it is to hear with Host.Defer.
+	// the engine back, and use Host.Defer for what the engine is to hear.
 	Actions allocator.Actions
 	// MaxWakeInterval is the longest time between two wake-ups, in ms, also where no timer is due.
 	MaxWakeInterval placement.Millis
@@ -30,7 +30,7 @@
 // and that is handled like a close by the peer; the inner Flush then runs all calls deferred so far.
 type Host struct {
 	engine   *allocator.Engine
-	jitter   *Jitter
+	jitter   *jitter
 	counters *Counters
 	now      placement.Millis // of the event being handled
 	deferred []func(now placement.Millis)
@@ -45,7 +45,7 @@
 // NewHost makes a host and its engine. Attach must be called before anything else.
 func NewHost(c Config) *Host {
 	h := &Host{
-		jitter: NewJitter(c.Seed), counters: c.Counters, periodic: c.Periodic,
+		jitter: newJitter(c.Seed), counters: c.Counters, periodic: c.Periodic,
 		wakeup: wakeup{maxInterval: c.MaxWakeInterval},
 	}
 	if h.counters == nil {
@@ -96,7 +96,7 @@
 		h.lastPeriodic = now
 		h.periodic(now)
 	}
-	if h.wakeup.takeTick(now) {
+	if h.wakeup.popTick(now) {
 		h.engine.Tick(now)
 	}
 	h.Flush(now)
@@ -121,7 +121,7 @@
 // RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
 // Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) placement.Millis {
-	return h.jitter.Apply(b.Delay(failures))
+	return h.jitter.apply(b.Delay(failures))
 }
 
 // RecentStall returns for how long, at most, the process was stopped before the event being handled, in ms, if that was
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fakeWaker keeps the times that a host asked to be woken at.
+// fakeWaker keeps the times for which a host set its wake-up.
 type fakeWaker struct{ set []placement.Millis }
 
 func (w *fakeWaker) WakeAt(at placement.Millis) { w.set = append(w.set, at) }
@@ -132,17 +132,17 @@
 		h.Flush(100)
 		e := &engineHost{host: h}
 		e.Wake(500)
-		e.Wake(700) // the earlier request stands
+		e.Wake(700) // the earlier request remains
 		h.Flush(100)
 		assert.Equal(t, []placement.Millis{1100, 500}, waker.take())
 	})
-	t.Run("an overdue timer asks for now and no earlier time", func(t *testing.T) {
+	t.Run("an overdue timer sets it for now and no earlier time", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		h.Schedule(50, func(placement.Millis) {})
 		h.Flush(100)
 		assert.Equal(t, []placement.Millis{100}, waker.take())
 	})
-	t.Run("an overdue request of the engine asks for now and no earlier time", func(t *testing.T) {
+	t.Run("an overdue request of the engine sets it for now and no earlier time", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		(&engineHost{host: h}).Wake(50)
 		h.Flush(100)
@@ -204,7 +204,7 @@
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
 		set := waker.take()
-		if !assert.NotEmpty(t, set, "the engine waits for a tick that nothing asks for") {
+		if !assert.NotEmpty(t, set, "the engine waits for a tick for which no wake-up is set") {
 			return
 		}
 		h.Wake(set[len(set)-1])
--- a/internal/frontend/jitter.go
+++ b/internal/frontend/jitter.go
@@ -10,23 +10,23 @@
 // jitterSteps is how many different factors a draw may give.
 const jitterSteps = 1000
 
-// Jitter spreads delays by a quarter either way, so that processes that failed together do not retry together. A draw
+// jitter spreads delays by a quarter either way, so that processes that failed together do not retry together. A draw
 // depends on the seed and on how many were made before, so that a run in virtual time repeats.
-type Jitter struct {
+type jitter struct {
 	seed  uint64
 	draws uint64
 }
 
-// NewJitter returns a source of jitter for the seed.
-func NewJitter(seed uint64) *Jitter { return &Jitter{seed: seed} }
+// newJitter returns a source of jitter for the seed.
+func newJitter(seed uint64) *jitter { return &jitter{seed: seed} }
 
-// Apply returns d times a factor from 0.75 up to 1.25. Each call is one draw.
-func (j *Jitter) Apply(d placement.Millis) placement.Millis {
+// apply returns d times a factor from 0.75 up to 1.25. Each call is one draw.
+func (j *jitter) apply(d placement.Millis) placement.Millis {
 	j.draws++
 	return d * j.factor()
 }
 
-func (j *Jitter) factor() placement.Millis {
+func (j *jitter) factor() placement.Millis {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], j.seed)
 	binary.BigEndian.PutUint64(b[8:], j.draws)
--- a/internal/frontend/jitter_test.go
+++ b/internal/frontend/jitter_test.go
@@ -11,9 +11,9 @@
 
 func TestJitter_StaysWithinAQuarterAndRepeatsBySeed(t *testing.T) {
 	draw := func(seed uint64) []placement.Millis {
-		j, draws := NewJitter(seed), make([]placement.Millis, 2000)
+		j, draws := newJitter(seed), make([]placement.Millis, 2000)
 		for i := range draws {
-			draws[i] = j.Apply(1000)
+			draws[i] = j.apply(1000)
 		}
 		return draws
 	}
@@ -29,10 +29,10 @@
 
 // Virtual runs repeat only as long as these do not change.
 func TestJitter_DrawsArePinned(t *testing.T) {
-	j, h := NewJitter(7), &Host{jitter: NewJitter(7)}
+	j, h := newJitter(7), &Host{jitter: newJitter(7)}
 	var draws, delays []placement.Millis
 	for range 3 {
-		draws = append(draws, j.Apply(1000))
+		draws = append(draws, j.apply(1000))
 		delays = append(delays, h.RetryDelay(Backoff{Initial: 1000, Max: 1000}, 5))
 	}
 	assert.Equal(t, []placement.Millis{1032.5, 988.4999999999999, 944.5}, draws)
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -16,14 +16,14 @@
 	WakeAt(at placement.Millis)
 }
 
-// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine asked for, and
+// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine requested, and
 // the longest interval between two wake-ups.
 type wakeup struct {
-	waker       Waker
-	maxInterval placement.Millis
-	at          placement.Millis // that it was set for last, or the time of a later event; 0 until it is set
-	tickAt      placement.Millis // earliest tick that the engine asked for and has not had
-	tickAsked   bool             // whether there is such a tick
+	waker         Waker
+	maxInterval   placement.Millis
+	at            placement.Millis // that it was set for last, or the time of a later event; 0 until it is set
+	tickAt        placement.Millis // earliest tick that the engine requested and has not had
+	tickRequested bool             // whether there is such a tick
 }
 
 // set sets the wake-up anew, unless it is set for a time that is early enough.
@@ -32,7 +32,7 @@
 	if at, ok := timers.Next(); ok {
 		next = min(next, max(at, now))
 	}
-	if w.tickAsked {
+	if w.tickRequested {
 		next = min(next, max(w.tickAt, now))
 	}
 	if w.at > now && w.at <= next {
@@ -51,19 +51,19 @@
 // fired notes that the wake-up has come: whatever it was set for, none is set any more.
 func (w *wakeup) fired(now placement.Millis) { w.at = now }
 
-// askTick notes that the engine wants a tick at the given time. An earlier one that it asked for remains.
-func (w *wakeup) askTick(at placement.Millis) {
-	if !w.tickAsked || at < w.tickAt {
-		w.tickAt, w.tickAsked = at, true
+// requestTick notes that the engine wants a tick at the given time. An earlier request remains.
+func (w *wakeup) requestTick(at placement.Millis) {
+	if !w.tickRequested || at < w.tickAt {
+		w.tickAt, w.tickRequested = at, true
 	}
 }
 
-// takeTick tells whether the tick that the engine asked for is due, and if so takes it as done.
-func (w *wakeup) takeTick(now placement.Millis) bool {
-	if !w.tickAsked || w.tickAt > now {
+// popTick tells whether the tick that the engine requested is due. If so, the request is done.
+func (w *wakeup) popTick(now placement.Millis) bool {
+	if !w.tickRequested || w.tickAt > now {
 		return false
 	}
-	w.tickAsked = false
+	w.tickRequested = false
 	return true
 }
 
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -35,7 +35,7 @@
 	return q.items[0].at, true
 }
 
-// Pop takes out the first value and returns it with its time and its number. It panics where the queue is empty.
+// Pop removes the first value and returns it with its time and its number. It panics where the queue is empty.
 func (q *Queue[T]) Pop() (at placement.Millis, number uint64, value T) {
 	first, last := q.items[0], len(q.items)-1
 	q.items[0] = q.items[last]
