--- a/internal/frontend/platform/actions.go
+++ b/internal/frontend/platform/actions.go
@@ -29,7 +29,7 @@
 // CheckHealth sends a health check to a node.
 func (a engineActions) CheckHealth(node placement.NodeID) { a.healthChecks.check(node) }
 
-// SubscribeNodes does nothing: the subscription to the discovery service stands at all times.
+// SubscribeNodes does nothing: the frontend always keeps a subscription to the discovery service.
 func (a engineActions) SubscribeNodes() {}
 
 // Answer sends a client the final answer to its request.
--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -8,7 +8,7 @@
 	"grebeglade/placement"
 )
 
-// bindState is where the last bind of a workload stands. The transitions are the methods of workload in this file:
+// bindState is the state of the last bind of a workload. The transitions are the methods of workload in this file:
 //
 //	beginBind   any but running  -> bindConnecting
 //	markSent    bindConnecting   -> bindSent
@@ -20,11 +20,11 @@
 type bindState uint8
 
 const (
-	bindNone       bindState = iota // none was made, or the last one ended before the node confirmed it
-	bindConnecting                  // it waits for a connection to its node
-	bindSent                        // the offer has left and has no reply
+	bindNone       bindState = iota // no bind was made, or the last one ended unconfirmed
+	bindConnecting                  // the offer waits for a connection to the node
+	bindSent                        // the offer was sent and has no reply yet
 	bindRunning                     // the workload runs on the node
-	bindMigrating                   // likewise, and its client was told that it will be placed anew
+	bindMigrating                   // the workload runs, and its client was notified that it will be placed anew
 )
 
 // bind is the last bind of a workload.
@@ -32,12 +32,12 @@
 	state        bindState
 	number       int // the engine's
 	node         *node
-	conn         *nodeConn // that the offer left on, also after its end; nil before
+	conn         *nodeConn // on which the offer was sent; nil before, and kept after the end of the bind
 	sentAt       placement.Millis
 	runningSince placement.Millis
 	// abandonedOn are the connections on which this bind or earlier ones were abandoned.
 	abandonedOn []transport.ConnID
-	endCause    codec.Cause // of the end of the running workload, where its node or the loss of it gave one
+	endCause    codec.Cause // of the workload's end; CauseNone while it has none
 }
 
 // running tells whether the workload runs on its node.
@@ -50,7 +50,7 @@
 	return w.bind.state == bindConnecting && w.bind.number == number
 }
 
-// beginBind begins a bind to a node, which may be nil if it is not known any more.
+// beginBind begins a bind to a node, or to nil if the node was removed in the meantime.
 func (w *workload) beginBind(number int, n *node) {
 	w.bind.state, w.bind.number, w.bind.node, w.bind.conn = bindConnecting, number, n, nil
 	if n != nil {
@@ -58,13 +58,13 @@
 	}
 }
 
-// markSent notes that the offer has left on the connection.
+// markSent records that the offer was sent on the connection.
 func (w *workload) markSent(now placement.Millis, c *nodeConn) {
 	w.bind.state, w.bind.conn, w.bind.sentAt = bindSent, c, now
 	c.offers[w.id] = w
 }
 
-// endBind ends a bind that is not confirmed. It does nothing for a running workload, whose bind has no offer out.
+// endBind ends a bind that is not confirmed. It does nothing for a running workload.
 func (w *workload) endBind() {
 	if w.running() {
 		return
@@ -72,26 +72,26 @@
 	w.detach()
 }
 
-// confirm notes the node's confirmation of the offer that is out.
+// confirm records the node's confirmation of the offer.
 func (w *workload) confirm(now placement.Millis) {
 	w.removeOffer()
 	w.bind.state, w.bind.runningSince = bindRunning, now
 }
 
-// adopt notes that the workload runs on a node already.
+// adopt records that the workload already runs on a node.
 func (w *workload) adopt(now placement.Millis, n *node) {
 	w.bind.state, w.bind.node, w.bind.runningSince = bindRunning, n, now
 	n.workloads[w.id] = w
 }
 
-// migrate notes that the client was told of the migration.
+// migrate records that the client was notified of the migration.
 func (w *workload) migrate() {
 	if w.running() {
 		w.bind.state = bindMigrating
 	}
 }
 
-// detach removes the workload, which has ended, from its node and connection.
+// detach removes the workload from its node and connection.
 func (w *workload) detach() {
 	w.removeOffer()
 	if w.bind.node != nil {
@@ -106,10 +106,10 @@
 	}
 }
 
-// concernedBy tells whether a message about the workload on a connection is about its last bind. A node sends it on the
-// connection of the offer, or on another one if it has lost that, which may not be known here. Where an earlier bind to
-// the same node was abandoned on the connection, the message is about that one: its reply, or the end that abandoning it
-// made.
+// concernedBy reports whether a message about the workload that came on the connection is about its last bind. A node sends
+// such a message on the connection of the offer or, if it has lost that one, on any other; this side may still see the lost
+// connection as open. If an earlier bind to the same node was abandoned on the connection, the message is about the earlier
+// bind: a late reply, or the end that abandoning it caused.
 func (w *workload) concernedBy(c *nodeConn) bool {
 	return w.bind.node == c.node && (w.bind.conn == c || !slices.Contains(w.bind.abandonedOn, c.id))
 }
--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// binder carries out binds: it offers workloads to nodes, and abandons and ends them there. It tells the engine of the ends
-// of binds that no message of a node reports.
+// binder carries out binds: it offers workloads to nodes, abandons offers and stops workloads. It reports to the engine the
+// ends of binds that no message of a node reports.
 type binder struct {
 	*environment
 	workloads *workloadTable
@@ -40,7 +40,7 @@
 	}
 	now := o.binder.host.Now()
 	if c.node.entry.State != placement.Ready || o.deadline <= now {
-		o.binder.notDelivered(o.workload) // the node drains, or time is over
+		o.binder.notDelivered(o.workload) // the node drains, or the deadline has passed
 		return
 	}
 	o.binder.send(now, o, c)
@@ -61,7 +61,7 @@
 	})
 }
 
-// notDelivered tells the engine, once it is idle, that the offer of a bind was not sent.
+// notDelivered reports to the engine, once it is idle, that the offer of a bind was not sent.
 func (b *binder) notDelivered(w *workload) {
 	bind := w.bind.number
 	b.host.Defer(func(now placement.Millis) {
@@ -72,7 +72,7 @@
 	})
 }
 
-// settle tells the engine how the last bind of a workload ended.
+// settle reports to the engine how the last bind of a workload ended.
 func (b *binder) settle(now placement.Millis, w *workload, r placement.Result) {
 	var id placement.NodeID
 	if w.bind.node != nil {
@@ -81,8 +81,8 @@
 	b.host.Engine().BindEnded(now, w.id, w.bind.number, id, r)
 }
 
-// abandon tells a node that nobody waits for the reply to an offer any more. After a timeout the engine goes on by itself;
-// for a workload that was withdrawn this is the end of its bind.
+// abandon withdraws an offer from a node. After a timeout the engine has ended the bind itself; for a workload that was
+// withdrawn, the end is reported to it here.
 func (b *binder) abandon(w *workload, timedOut bool) {
 	c, sent := w.bind.conn, w.bind.state == bindSent
 	w.endBind()
@@ -108,8 +108,7 @@
 	})
 }
 
-// stop ends a running workload at its node, which then confirms the end. Without a confirmation it counts as ended after a
-// while.
+// stop ends a running workload at its node, which confirms the end. Without a confirmation it counts as ended after endGrace.
 func (b *binder) stop(w *workload) {
 	b.conns.release(w)
 	b.host.Schedule(b.host.Now()+endGrace, func(now placement.Millis) {
@@ -119,7 +118,7 @@
 	})
 }
 
-// adopt takes over a workload that runs on a node, which is dialed to hear its end.
+// adopt takes over a workload that runs on a node, which is dialed so that it can report the end.
 func (b *binder) adopt(now placement.Millis, w *workload, task placement.Workload, name string) {
 	n := b.nodes.intern(name)
 	w.adopt(now, n)
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// clientShare is the share of the descriptors for clients' connections: clients keep to a third, the rest is for those
-	// that do not. What is left is for nodes, the discovery service, the listener and the event loops.
+	// clientShare is the share of the file descriptors for clients' connections. Clients are to use a third; the margin is
+	// for those that use more. The rest is for nodes, the discovery service, the listener and the event loops.
 	clientShare = 0.4
 	// extraClientConns is how many connections more are accepted, so that there is a choice which one is closed.
 	extraClientConns = 8
-	// firstMessageTimeout is for how long, in ms, a connection may stay without a message; the platform wants a reply
+	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a reply
 	// within 3 s.
 	firstMessageTimeout = placement.Millis(2000)
 	// maxUndelivered bounds the notifications that wait for a connection of a client.
 	maxUndelivered = 4096
-	// undeliveredTTL is for how long, in ms, they wait.
+	// undeliveredTTL is how long, in ms, they wait.
 	undeliveredTTL = 10 * endGrace
 )
 
@@ -28,7 +28,7 @@
 type clientConn struct {
 	id           transport.ConnID
 	active       bool // a message has come
-	placed       int  // workloads of its client that were placed
+	placed       int  // workloads placed or adopted for it
 	lastReceived placement.Millis
 	unanswered   map[placement.WorkloadID]*workload // requests of this connection without a final answer
 }
@@ -75,8 +75,8 @@
 	})
 }
 
-// evictConnection closes the first connection of the eviction order among those that have no request open. It guards
-// against clients that open connections by the thousand and keep them. Where all carry requests, the latest is closed.
+// evictConnection closes the first connection in the eviction order among those without an unanswered request. It guards
+// against clients that open connections by the thousand and keep them. If all have requests, the latest is closed.
 func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
 	var first *clientConn
 	for _, c := range cs.conns {
@@ -90,8 +90,8 @@
 	cs.disconnect(now, first)
 }
 
-// evictedBefore is the eviction order: a connection that never carried a message before one that did, that of a client of
-// whom less was placed before one of whom more was, and of these the one that was silent for longer.
+// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads, then
+// those that were silent for longer.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	switch {
 	case c.active != other.active:
@@ -116,9 +116,9 @@
 	cs.requests.cancelAll(now, c.unanswered)
 }
 
-// notify sends a message about a workload on the connection of its request. If that has ended, it goes on the connection of
-// whose client most was placed: that is a client that stays, not one that sent a single request. Without any, the message
-// waits for one.
+// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection with
+// the most placed workloads: that is a client that stays, not one that sends a single request. Without any, the message
+// waits for a connection.
 func (cs *clientConns) notify(w *workload, m codec.Message) {
 	if cs.conns[w.client] != nil {
 		cs.net.Send(w.client, m)
@@ -134,7 +134,7 @@
 	cs.undelivered = append(cs.undelivered, notification{m, cs.host.Now() + undeliveredTTL})
 }
 
-// mostPlaced returns the last connection of the eviction order among those of whose clients something was placed, or nil.
+// mostPlaced returns the last connection in the eviction order among those with placed workloads, or nil.
 func (cs *clientConns) mostPlaced() *clientConn {
 	var last *clientConn
 	for _, c := range cs.conns {
--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -41,7 +41,7 @@
 // options are the options of a line that the allocator knows, as text; an absent one is empty.
 type options struct{ class, left, key, retry, extras string }
 
-// field returns where the option of that name is kept, or nil for an unknown one.
+// field returns the option of that name, or nil for an unknown name.
 func (o *options) field(name string) *string {
 	switch name {
 	case "class":
@@ -155,7 +155,7 @@
 	return &PlaceRequest{Header: h, Task: task, Timeout: placement.Millis(timeout)}
 }
 
-// decodeTask returns the workload of a request and, where a node runs it already, the node's name.
+// decodeTask returns the workload of a request and, if a node runs it already, the node's name.
 func decodeTask(o options, description *string) (t Task, node string, err error) {
 	if description == nil {
 		return t, "", &FieldError{Field: "blob", Want: "the description of the workload"}
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s is %.40q; it must be %s", e.Field, e.Value, e.Want)
 }
 
-// Tag identifies a workload, or a health check, in all messages about it. Whoever asks for it chooses its tag.
+// Tag identifies a workload, or a health check, in all messages about it. The side that requests it chooses the tag.
 type Tag uint64
 
 // String returns the tag as 16 hexadecimal digits.
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -28,8 +28,8 @@
 	After uint64
 }
 
-// EventBatch is what was read from the discovery service at once: complete events, or none where it only showed that it
-// is there.
+// EventBatch holds the complete events of one read from the discovery service. An empty batch only shows that the service
+// is alive.
 type EventBatch struct{ Events []Event }
 
 // Event is one numbered change.
@@ -159,7 +159,7 @@
 	return batch, used, nil
 }
 
-// addLine adds a line that is not empty. Comments and unknown fields are passed over.
+// addLine adds a line that is not empty. Comments and unknown fields are ignored.
 func (e *pendingEvent) addLine(l []byte) error {
 	name, value, _ := bytes.Cut(l, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/frontend/platform/codec/endpoints.go
+++ b/internal/frontend/platform/codec/endpoints.go
@@ -21,8 +21,8 @@
 	Kind       string
 	Cell       uint16
 	State      placement.NodeState
-	StartedAt  placement.Millis // Unix time in ms; 0 where it has run for long
-	FreeCores  float64          // that nobody has asked for; 0 where the event does not say
+	StartedAt  placement.Millis // Unix time in ms; 0 if it has run for long
+	FreeCores  float64          // not requested by any workload; 0 if the event does not state it
 	FreeMemory float64
 }
 
@@ -36,7 +36,7 @@
 
 var nodeStates = map[string]placement.NodeState{"Ready": placement.Ready, "Terminating": placement.Draining, "Gone": placement.Removed}
 
-// DecodeEndpoints decodes the data of an Event. It returns false where the event is about something else than nodes.
+// DecodeEndpoints decodes the data of an Event. It returns false if the event is not about nodes.
 func DecodeEndpoints(data []byte) (update EndpointUpdate, ok bool, err error) {
 	var event struct {
 		Hosts *struct {
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -11,7 +11,7 @@
 // Header is what every message has.
 type Header struct {
 	Tag Tag
-	// Load is the load report that a node attached to the message, or nil. Encoders pass over it.
+	// Load is the load report that a node attached to the message, or nil. Encoders ignore it.
 	Load *placement.LoadReport
 }
 
@@ -25,12 +25,12 @@
 // The causes. Their numbers are fixed by the protocol.
 const (
 	CauseNone         Cause = 0
-	CauseNormal       Cause = 16  // it came to its end, or nobody wants it any more
+	CauseNormal       Cause = 16  // it has finished, or is not wanted any more
 	CauseCancelled    Cause = 31  // migrated, or ended by its own client
 	CauseNoCapacity   Cause = 34  // rejected; it never ran
 	CauseReset        Cause = 41  // cut, or lost; before the answer it may have run
 	CauseError        Cause = 47  // the node failed to start it
-	CauseInvalid      Cause = 88  // no request that can be taken
+	CauseInvalid      Cause = 88  // the request breaks the protocol
 	CauseNotDelivered Cause = 102 // it never left
 )
 
@@ -51,7 +51,7 @@
 	Class       string
 	Key         string // idempotency key: 1 to 64 bytes
 	Description string // passed on to the node unchanged
-	Service     uint64 // 0 where the request names none
+	Service     uint64 // 0 if the request names none
 	Cores       float64
 	Memory      float64
 	Retried     bool // the client has requested it before
@@ -71,7 +71,7 @@
 	Node string // the node's name
 }
 
-// Offer is a bind on the wire: it asks a node to run a workload.
+// Offer requests that a node run a workload.
 type Offer struct {
 	Header
 	Class       string
@@ -87,17 +87,17 @@
 }
 
 // Termination ends a workload or the request for it. A client cancels either with it; a node rejects a bind or reports the
-// end of a workload; a client is told that its request was rejected or has failed, or that its workload has ended.
+// end of a workload; a client is notified that its request was rejected or has failed, or that its workload has ended.
 type Termination struct {
 	Header
 	Cause  Cause
-	Reason placement.Reason // what a node states beside the cause; encoders pass over it
+	Reason placement.Reason // what a node states beside the cause; encoders ignore it
 }
 
-// Migration tells a client that its workload ends so that it can be placed anew.
+// Migration notifies a client that its workload ends so that it can be placed anew.
 type Migration struct{ Header }
 
-// HealthCheck asks for a HealthReply.
+// HealthCheck requests a HealthReply.
 type HealthCheck struct{ Header }
 
 // HealthReply is the reply to a health check, which has the same tag.
--- a/internal/frontend/platform/codec/node.go
+++ b/internal/frontend/platform/codec/node.go
@@ -146,7 +146,7 @@
 	return checkUTF8(text)
 }
 
-// offer is what a node receives; an allocator that receives one passes over it, so what cannot be used is no error.
+// offer is what a node receives. An allocator ignores offers, so one that cannot be used is no error.
 func (p *parameters) offer(h Header) Message {
 	timeout, err := strconv.Atoi(p.left)
 	description, present := p.description.Text()
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -78,8 +78,8 @@
 	moved := n.addr != "" && n.addr != addr
 	restarted := n.listed && n.entry.StartedAt != entry.StartedAt
 	n.entry, n.listed = entry, true
-	// The node that had the address is no more, also where the list is yet to say so: an offer for it must not reach the
-	// one that is there now.
+	// The node that had the address has ended, even if the list does not say so yet: an offer for it must not reach the
+	// one that has the address now.
 	if displaced := l.nodes.assignAddr(n, addr); displaced != nil {
 		l.conns.disconnectNode(now, displaced, errAddressTaken)
 		l.binder.processEnded(now, displaced)
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,5 @@
 // Package platform is the allocator's frontend on the users' platform: clients send lines of JSON, nodes are sent binary
-// messages, and a discovery service tells which nodes there are.
+// messages, and a discovery service lists the nodes.
 //
 // A Frontend wires together the types that own its state:
 //
@@ -30,9 +30,9 @@
 const (
 	// maxWakeInterval is the longest time between two wake-ups, in ms.
 	maxWakeInterval = placement.Millis(1000)
-	// endGrace is for how long, in ms, a node may take to confirm an end or to reply to a health check.
+	// endGrace is how long, in ms, a node may take to confirm an end or to reply to a health check.
 	endGrace = placement.Millis(3000)
-	// messageTimeout is for how long, in ms, a message may take from its first byte to its last.
+	// messageTimeout is how long, in ms, a message may take from its first byte to its last.
 	messageTimeout = placement.Millis(1000)
 	// maxWriteBuffer bounds what waits for a peer that does not read, in bytes.
 	maxWriteBuffer = 256 << 10
@@ -136,13 +136,13 @@
 	f.host.Flush(now)
 }
 
-// Drain begins a graceful shutdown: health checks fail, and requests are served for a little longer, then rejected.
-// Running workloads run on.
+// Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected. Running
+// workloads are left running.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
 
-// Drained tells whether, after a Drain, every request has its answer. Releases that wait for a connection to their node
-// are given a while. Notifications that wait for a connection of a client are left to the allocator that adopts the
-// workload next.
+// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that wait for
+// a connection to their node were sent or given enough time. Notifications that wait for a connection of a client are left
+// to the allocator that adopts the workload next.
 func (f *Frontend) Drained(now placement.Millis) bool {
 	if f.workloads.unanswered > 0 {
 		return false
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	readyTimeout     = placement.Millis(500)  // ms after the start by which health checks pass without the discovery service
+	readyTimeout     = placement.Millis(500)  // ms after the start at which health checks pass without the discovery service
 	drainTimeout     = placement.Millis(750)  // ms of a shutdown in which requests are served
 	releaseTimeout   = placement.Millis(1000) // ms after that for releases that wait; the platform gives 3.7 s from SIGTERM on
 	maxPendingChecks = 64                     // health checks of clients that wait for readiness
@@ -17,7 +17,7 @@
 type lifecycleState uint8
 
 const (
-	lifecycleStarting lifecycleState = iota // health checks wait: what the discovery service told before the start is not known
+	lifecycleStarting lifecycleState = iota // health checks wait for the events published before the start
 	lifecycleReady
 	lifecycleDraining // health checks fail; requests are served, and after a while rejected
 )
@@ -26,7 +26,7 @@
 type lifecycle struct {
 	*environment
 	state         lifecycleState
-	drainingSince placement.Millis // where draining
+	drainingSince placement.Millis // if draining
 	pendingChecks []pendingReply
 }
 
@@ -52,8 +52,8 @@
 	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
 }
 
-// markReady replies to the health checks that came before the discovery service was heard. What it told between the
-// configuration and the start applies: no workload may be requested, and placed by a list that is behind, before that.
+// markReady replies to the health checks that came before the first message of the discovery service. Events published
+// between the configuration and the start count: until they are applied, no workload may be placed by the older list.
 func (l *lifecycle) markReady(placement.Millis) {
 	if l.state == lifecycleStarting {
 		l.state = lifecycleReady
@@ -72,12 +72,12 @@
 	}
 }
 
-// rejecting tells whether further requests are rejected.
+// rejecting reports whether further requests are rejected.
 func (l *lifecycle) rejecting(now placement.Millis) bool {
 	return l.state == lifecycleDraining && now-l.drainingSince > drainTimeout
 }
 
-// drainedBy tells whether the shutdown may end where all requests have their answers, while releases still wait or not.
+// drainedBy reports whether the shutdown may end at the given time, if all requests have their answers.
 func (l *lifecycle) drainedBy(now placement.Millis, releasesPending bool) bool {
 	if !l.rejecting(now) {
 		return false
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -9,13 +9,13 @@
 	"grebeglade/placement"
 )
 
-// A node is dialed once something is to be sent to it or heard from it: there may be more nodes than descriptors, and
+// A node is dialed once there is something to send to it or to receive from it: there may be more nodes than descriptors, and
 // dialing all of them at once would cost a start on a part of a core more than it can spare.
 
 const (
-	defaultConnectTimeout = placement.Millis(250)  // ms, where the settings give none
-	nodeDownAfter         = placement.Millis(600)  // ms for which nobody listens at an address until what ran there counts as lost
-	revisitAfter          = placement.Millis(3000) // ms until an evicted node is heard again; clients are notified within 8 s
+	defaultConnectTimeout = placement.Millis(250)  // ms, if the settings state none
+	nodeDownAfter         = placement.Millis(600)  // ms of refused connections until the workloads there count as lost
+	revisitAfter          = placement.Millis(3000) // ms until an evicted node is dialed again; ends are to be notified within 8 s
 	idleShare             = 0.9                    // of the settings' idle timeout, so that no offer crosses the node's own close
 	maxPendingReleases    = 4096                   // for each node
 )
@@ -25,7 +25,7 @@
 // they are handed to their event loops.
 const reservedSockets = 18
 
-// redialBackoff ends at 2 s, so that the ends of workloads are heard within the 8 s in which clients are notified.
+// redialBackoff ends at 2 s, so that the ends of workloads are received within the 8 s in which clients are to be notified.
 var redialBackoff = frontend.Backoff{Initial: 50, Max: 2000}
 
 // Reasons why a connection to a node is closed from our side.
@@ -44,13 +44,13 @@
 	return max(1, c.Limits.Sockets-c.maxClientConns()-extraClientConns-reservedSockets)
 }
 
-// connState is where a connection to a node stands. It only goes forward, and from any state to connClosed.
+// connState is the state of a connection to a node. It only goes forward, and from any state to connClosed.
 type connState uint8
 
 const (
 	connDialing connState = iota
 	connOpen              // new offers take it
-	connRetired           // no new offers take it; it is closed once none is out on it and its successor is open
+	connRetired           // replaced: closed once it has no open offer and its successor is open
 	connClosed
 )
 
@@ -61,10 +61,10 @@
 	state        connState
 	lastSent     placement.Millis // or dialed
 	lastReceived placement.Millis
-	offers       map[placement.WorkloadID]*workload // offers that are out on it
+	offers       map[placement.WorkloadID]*workload // sent on it and without a reply
 }
 
-// isOpen tells whether messages can be sent on the connection.
+// isOpen reports whether messages can be sent on the connection.
 func (c *nodeConn) isOpen() bool { return c.state == connOpen || c.state == connRetired }
 
 // retire has the node's new offers take another connection.
@@ -72,7 +72,7 @@
 	c.state, c.node.conn = connRetired, nil
 }
 
-// nodeEvents are told what becomes of the workloads of connections and nodes.
+// nodeEvents handles what the end of a connection or of a node means for workloads.
 type nodeEvents interface {
 	// offersLost handles the end of a connection with its offers: they may have run.
 	offersLost(now placement.Millis, c *nodeConn)
@@ -80,8 +80,8 @@
 	processEnded(now placement.Millis, n *node)
 }
 
-// nodeConns holds the connections to nodes. They keep to their share of the descriptors: where it is used up, one is
-// evicted for the next.
+// nodeConns holds the connections to nodes. They keep to their share of the descriptors: beyond it, one is evicted for
+// the next.
 type nodeConns struct {
 	*environment
 	nodes          *nodeTable
@@ -105,7 +105,7 @@
 // get returns the connection of that id, or nil.
 func (nc *nodeConns) get(id transport.ConnID) *nodeConn { return nc.conns[id] }
 
-// await calls the waiter with the connection to a node, at once or when it opens, or that there is none.
+// await calls the waiter once: with the connection to the node, at once or when it opens, or without if there is none.
 func (nc *nodeConns) await(n *node, w connWaiter) {
 	if n == nil {
 		w.unreachable()
@@ -123,7 +123,7 @@
 	nc.connect(nc.host.Now(), n)
 }
 
-// connect dials a node if there is something to send to it or to hear.
+// connect dials a node if it is needed.
 func (nc *nodeConns) connect(now placement.Millis, n *node) {
 	if n.needed() {
 		nc.dial(now, n)
@@ -156,8 +156,8 @@
 	d.scheduled = true
 	at := now + nc.host.RetryDelay(redialBackoff, d.failures)
 	if d.refusing {
-		// Nothing is to be learnt before the node counts as down. Where a zone was lost, dialing its nodes more often took
-		// all that a part of a core can do, and answers were late by half a second.
+		// An earlier attempt shows nothing new. When a zone was lost, dialing its nodes more often took all that a part
+		// of a core can do, and answers were late by half a second.
 		at = max(at, d.refusedSince+nodeDownAfter)
 	}
 	nc.host.Schedule(at, func(now placement.Millis) {
@@ -168,9 +168,9 @@
 	})
 }
 
-// evictConnection closes the first connection of the eviction order for one to another node, and returns whether there was
-// one. Connections with an offer out are never evicted. A node tells the ends of workloads on its next connection, so it
-// is dialed again after a while.
+// evictConnection closes the first connection in the eviction order to make way for one to another node, and reports
+// whether there was one. Connections with an open offer are never evicted. A node reports the ends of workloads on its
+// next connection, so it is dialed again after revisitAfter.
 func (nc *nodeConns) evictConnection(now placement.Millis, successor *node) bool {
 	var first *nodeConn
 	for _, c := range nc.conns {
@@ -197,8 +197,7 @@
 	return true
 }
 
-// evictedBefore is the eviction order: a connection to a node without workloads before one that may tell the end of one,
-// and of these the one unused for longer.
+// evictedBefore is the eviction order: connections to nodes without workloads first, then those unused for longer.
 func (c *nodeConn) evictedBefore(other *nodeConn) bool {
 	if empty := len(c.node.workloads) == 0; empty != (len(other.node.workloads) == 0) {
 		return empty
@@ -268,7 +267,7 @@
 	nc.redial(now, n)
 }
 
-// dialFailed notes that a node could not be dialed. Where nobody has listened for long enough, its process has ended.
+// dialFailed records that a node could not be dialed. If connections were refused for nodeDownAfter, its process has ended.
 func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason error) {
 	d := &n.dialing
 	d.failures++
@@ -282,8 +281,8 @@
 	}
 }
 
-// release has a node end a workload. It goes on the connection of its offer where that is open, else on the node's own,
-// and waits where there is none.
+// release has a node end a workload. The message is sent on the connection of the offer if that is open, else on the node's
+// current one; without any it waits.
 func (nc *nodeConns) release(w *workload) {
 	now, n, c := nc.host.Now(), w.bind.node, w.bind.conn
 	if !nc.usable(now, c) {
@@ -300,13 +299,13 @@
 	nc.net.Send(c.id, codec.NewTermination(w.tag, codec.CauseNormal))
 }
 
-// usable tells whether a message sent on the connection will reach the node.
+// usable reports whether a message sent on the connection will reach the node.
 func (nc *nodeConns) usable(now placement.Millis, c *nodeConn) bool {
 	return c != nil && c.isOpen() && !nc.idle(now, c)
 }
 
-// replaceSilent dials another connection for new offers where nothing has come on this one since the given time: it may
-// have swallowed what was sent.
+// replaceSilent dials another connection for new offers if nothing was received on this one since the given time: it may
+// have lost what was sent.
 func (nc *nodeConns) replaceSilent(now placement.Millis, c *nodeConn, since placement.Millis) {
 	if c.lastReceived < since && c.node.conn == c {
 		c.retire()
@@ -314,7 +313,7 @@
 	}
 }
 
-// closeReplaced closes a connection that was replaced, once no offer is out on it and its successor is open.
+// closeReplaced closes a connection that was replaced, once it has no open offer and its successor is open.
 func (nc *nodeConns) closeReplaced(c *nodeConn) {
 	if c.state != connRetired || len(c.offers) > 0 || c.node.openConn() == nil {
 		return
@@ -326,7 +325,7 @@
 	})
 }
 
-// idle tells whether a connection has carried nothing for so long that the node is about to close it.
+// idle reports whether a connection has been unused for so long that the node is about to close it.
 func (nc *nodeConns) idle(now placement.Millis, c *nodeConn) bool {
 	timeout := nc.config.Settings.IdleTimeout
 	return timeout > 0 && now-max(c.lastSent, c.lastReceived) > timeout*idleShare
--- a/internal/frontend/platform/nodehealth.go
+++ b/internal/frontend/platform/nodehealth.go
@@ -25,7 +25,7 @@
 	h.conns.await(h.nodes.get(id), &pendingCheck{h, h.pending.Begin(id)})
 }
 
-// completed hands the engine the reply to a health check. It returns false where the node has no such check pending.
+// completed hands the engine the reply to a health check. It reports whether the node had such a check pending.
 func (h *healthChecker) completed(now placement.Millis, n *node, m *codec.HealthReply) bool {
 	return h.pending.Complete(now, uint64(m.Tag), n.id, m.Load)
 }
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -11,7 +11,7 @@
 type node struct {
 	id        placement.NodeID
 	name      string
-	addr      string // empty where none is known, or another node has it now
+	addr      string // empty if none is known or another node has it now
 	entry     placement.Node
 	listed    bool                               // the list of nodes has named it
 	workloads map[placement.WorkloadID]*workload // bound to it or running there
@@ -24,11 +24,11 @@
 
 // dialHistory decides when a node is dialed again.
 type dialHistory struct {
-	failures     int // in a row
-	refusing     bool
-	refusedSince placement.Millis // where refusing: since when nobody listens at the node's address
+	failures     int              // in a row
+	refusing     bool             // the last connections were refused
+	refusedSince placement.Millis // if refusing: when the first of these connections was refused
 	scheduled    bool             // a timer dials it
-	evicted      bool             // its connection was evicted: until a timer ends this, it is dialed only to send something
+	evicted      bool             // its connection was evicted; until a timer resets this, it is dialed only to send something
 }
 
 // connWaiter waits for a connection to a node. Exactly one of its methods is called.
@@ -37,10 +37,10 @@
 	unreachable()
 }
 
-// reachable tells whether there is an address to dial.
+// reachable reports whether there is an address to dial.
 func (n *node) reachable() bool { return n.addr != "" && n.entry.State != placement.Removed }
 
-// needed tells whether there is something to send to the node or to hear from it.
+// needed reports whether there is something to send to the node or to receive from it.
 func (n *node) needed() bool {
 	return len(n.workloads) > 0 || len(n.pendingReleases) > 0 || len(n.waiters) > 0
 }
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// failWaiters tells those who wait for the connection that there will be none.
+// failWaiters ends all waiting for a connection without one.
 func (n *node) failWaiters() {
 	waiters := n.waiters
 	n.waiters = nil
@@ -76,7 +76,7 @@
 // get returns the node of that id, or nil.
 func (t *nodeTable) get(id placement.NodeID) *node { return t.byID[id] }
 
-// holds tells whether the node has not been removed.
+// holds reports whether the node has not been removed.
 func (t *nodeTable) holds(n *node) bool { return t.byID[n.id] == n }
 
 // intern returns the node of that name, and makes it if it is new. Its id depends on its name alone, so that all allocators
@@ -114,7 +114,7 @@
 	return displaced
 }
 
-// removable tells whether a node is gone and holds nothing.
+// removable reports whether a node is gone and has no workloads.
 func (t *nodeTable) removable(n *node) bool {
 	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// releasesPending tells whether a release waits for the connection to a node that can be reached.
+// releasesPending reports whether a release waits for the connection to a node that can be reached.
 func (t *nodeTable) releasesPending() bool {
 	for _, n := range t.byID {
 		if len(n.pendingReleases) > 0 && n.reachable() {
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -14,7 +14,7 @@
 	checks    *healthChecker
 }
 
-// received handles a message of a node.
+// received handles a message from a node.
 func (h *replyHandler) received(now placement.Millis, c *nodeConn, m codec.Message) {
 	if invalid, ok := m.(*codec.Invalid); ok {
 		h.conns.disconnect(now, c, invalid.Err)
@@ -35,7 +35,7 @@
 	}
 	w := h.workloads.tagged(m.Envelope().Tag)
 	if w == nil || !w.concernedBy(c) {
-		return false // its end was handled before, or it is nobody's
+		return false // unknown, ended before, or about an abandoned bind
 	}
 	switch m := m.(type) {
 	case *codec.Confirmation:
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -16,7 +16,7 @@
 	errTagInUse     = errors.New("the tag is that of another request on this connection")
 )
 
-// requestHandler does what clients ask for, and tells them what becomes of it.
+// requestHandler handles the messages of clients, and sends them answers and notifications.
 type requestHandler struct {
 	*environment
 	clients   *clientConns
@@ -39,7 +39,7 @@
 	return h
 }
 
-// received handles a message of a client.
+// received handles a message from a client.
 func (h *requestHandler) received(now placement.Millis, c *clientConn, m codec.Message) {
 	c.active = true
 	tag := m.Envelope().Tag
@@ -118,7 +118,7 @@
 	}
 }
 
-// rejectTag rejects a request under the tag of another one. On the same connection nobody could tell their answers apart, so
+// rejectTag rejects a request under the tag of another one. On the same connection their answers could not be told apart, so
 // it is closed.
 func (h *requestHandler) rejectTag(now placement.Millis, c *clientConn, held *workload) {
 	if held.client == c.id && !held.answered {
@@ -152,14 +152,14 @@
 	}
 }
 
-// withdraw ends a workload that its client does not want any more.
+// withdraw ends a workload or the request for it, as its client wants.
 func (h *requestHandler) withdraw(now placement.Millis, w *workload) {
 	h.counters.Withdrawn++
 	h.markAnswered(w)
 	h.host.Engine().Withdraw(now, w.id)
 }
 
-// markAnswered notes that nothing is owed for a request any more.
+// markAnswered records that a request needs no answer any more.
 func (h *requestHandler) markAnswered(w *workload) {
 	if c := h.clients.get(w.client); c != nil {
 		delete(c.unanswered, w.id)
@@ -184,13 +184,14 @@
 	}
 }
 
-// notifyMigration tells a client that its workload is migrated. The platform ends it at its node too, which then says so.
+// notifyMigration notifies a client that its workload is migrated. The platform ends the workload at its node too, and the
+// node then reports the end.
 func (h *requestHandler) notifyMigration(w *workload) {
 	w.migrate()
 	h.clients.notify(w, codec.NewMigration(w.tag))
 }
 
-// notifyEnd tells a client that its workload has ended, unless it was told of the migration or ended it itself.
+// notifyEnd notifies a client that its workload has ended, unless it was notified of a migration or ended it itself.
 func (h *requestHandler) notifyEnd(w *workload) {
 	cause := w.bind.endCause
 	if cause == codec.CauseNone {
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -14,7 +14,7 @@
 	discoveryConnectTimeout = placement.Millis(500)  // ms
 	// readyDelay is how long after the discovery service's first message, in ms, all that was missed has come.
 	readyDelay = placement.Millis(50)
-	// maxMalformed is how often one event that cannot be decoded is read, before it is passed over.
+	// maxMalformed is how often an event that cannot be decoded is read before it is skipped.
 	maxMalformed = 3
 )
 
@@ -25,10 +25,10 @@
 	errMalformedEvent = errors.New("an event cannot be decoded")
 )
 
-// subscribeBackoff ends at 0.5 s: what the discovery service has to tell counts as told 2 s after a break.
+// subscribeBackoff ends at 0.5 s: events count as delivered 2 s after a break.
 var subscribeBackoff = frontend.Backoff{Initial: 50, Max: 500}
 
-// subscriptionState is where the connection to the discovery service stands.
+// subscriptionState is the state of the connection to the discovery service.
 type subscriptionState uint8
 
 const (
@@ -50,7 +50,7 @@
 	addr         string
 	state        subscriptionState
 	conn         transport.ConnID // unless the subscription is down
-	revision     uint64           // of the last event that was applied or passed over
+	revision     uint64           // of the last event that was applied or skipped
 	lastReceived placement.Millis
 	failures     int // in a row
 	malformed    int // how often the next event could not be decoded
@@ -62,7 +62,7 @@
 	}
 }
 
-// owns tells whether the connection is that to the discovery service.
+// owns reports whether the connection is the one to the discovery service.
 func (s *subscription) owns(id transport.ConnID) bool {
 	return s.state != subscriptionDown && s.conn == id
 }
@@ -137,7 +137,7 @@
 	s.lifecycle.markReady(now)
 }
 
-// applied applies an event unless that was done, and returns false where it is to be read once more.
+// applied applies an event, unless its revision was applied before. It returns false if the event is to be read once more.
 func (s *subscription) applied(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -16,7 +16,7 @@
 	id     placement.WorkloadID
 	tag    codec.Tag
 	client transport.ConnID // that the request came on; it may have ended
-	// answered is whether nothing is owed for the request: it has its final answer, was withdrawn, or wanted none.
+	// answered is whether the request needs no answer any more: it has its final one, was withdrawn, or expected none.
 	answered         bool
 	class            string
 	key              string // idempotency key
@@ -46,13 +46,13 @@
 // tagged returns the workload of that tag, or nil.
 func (t *workloadTable) tagged(tag codec.Tag) *workload { return t.byTag[tag] }
 
-// full tells whether there is no memory for another request.
+// full reports whether there is no memory for another request.
 func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
 
-// idsExhausted tells whether every id was given out. Ids are never used again.
+// idsExhausted reports whether all ids were used. An id is never used twice.
 func (t *workloadTable) idsExhausted() bool { return t.lastID == math.MaxUint32 }
 
-// holds tells whether the engine still holds the workload.
+// holds reports whether the engine still holds the workload.
 func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
 
 // addRequest adds the workload of a request, which is to be answered.
@@ -74,7 +74,7 @@
 	return w
 }
 
-// markAnswered notes that nothing is owed for the request any more.
+// markAnswered records that the request needs no answer any more.
 func (t *workloadTable) markAnswered(w *workload) {
 	if !w.answered {
 		w.answered = true
