--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -37,7 +37,7 @@
 	runningSince placement.Millis
 	// abandonedOn are the connections on which this bind or earlier ones were abandoned.
 	abandonedOn []transport.ConnID
-	endCause    codec.Cause // of the workload's end; CauseNone while it has none
+	endCause    codec.Cause // of the end of the running workload; CauseNone if its node stated none
 }
 
 // running tells whether the workload runs on its node.
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -44,34 +44,6 @@
 	return max(1, c.Limits.Sockets-c.maxClientConns()-extraClientConns-reservedSockets)
 }
 
-// connState is the state of a connection to a node. It only goes forward, and from any state to connClosed.
-type connState uint8
-
-const (
-	connDialing connState = iota
-	connOpen              // new offers take it
-	connRetired           // replaced: closed once it has no open offer and its successor is open
-	connClosed
-)
-
-// nodeConn is a connection to a node.
-type nodeConn struct {
-	id           transport.ConnID
-	node         *node
-	state        connState
-	lastSent     placement.Millis // or dialed
-	lastReceived placement.Millis
-	offers       map[placement.WorkloadID]*workload // sent on it and without a reply
-}
-
-// isOpen reports whether messages can be sent on the connection.
-func (c *nodeConn) isOpen() bool { return c.state == connOpen || c.state == connRetired }
-
-// retire has the node's new offers take another connection.
-func (c *nodeConn) retire() {
-	c.state, c.node.conn = connRetired, nil
-}
-
 // nodeEvents handles what the end of a connection or of a node means for workloads.
 type nodeEvents interface {
 	// offersLost handles the end of a connection with its offers: they may have run.
@@ -197,14 +169,6 @@
 	return true
 }
 
-// evictedBefore is the eviction order: connections to nodes without workloads first, then those unused for longer.
-func (c *nodeConn) evictedBefore(other *nodeConn) bool {
-	if empty := len(c.node.workloads) == 0; empty != (len(other.node.workloads) == 0) {
-		return empty
-	}
-	return c.lastSent < other.lastSent || c.lastSent == other.lastSent && c.id < other.id
-}
-
 // opened handles a dialed connection that is up.
 func (nc *nodeConns) opened(now placement.Millis, c *nodeConn) {
 	n := c.node
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -67,11 +67,14 @@
 
 func (h *replyHandler) terminated(now placement.Millis, w *workload, m *codec.Termination) bool {
 	running := w.running()
-	if !running && w.bind.state != bindSent {
+	switch {
+	case running:
+		w.bind.endCause = m.Cause
+	case w.bind.state == bindSent:
+		w.endBind()
+	default:
 		return false
 	}
-	w.endBind()
-	w.bind.endCause = m.Cause
 	h.binder.settle(now, w, placement.Result{Kind: resultOf(m.Cause), Reason: m.Reason, Final: running, Load: m.Load})
 	return true
 }
