--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		return err
 	}
-	if _, refusal := transport.CheckHello(f); refusal != "" {
-		return runError{fmt.Errorf("%s: %s", address, refusal)}
+	if _, err := transport.CheckHello(f); err != nil {
+		return runError{fmt.Errorf("%s: %w", address, err)}
 	}
 	return nil
 }
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -57,18 +57,18 @@
 	t.closed(c, reason)
 }
 
-// refuse ends a connection and tells the peer why.
+// refuse ends a connection after sending the peer the reason.
 func (t *connections) refuse(c transport.ConnID, reason error) {
 	t.log.Warn("connection rejected", "reason", reason)
 	t.network.Send(c, transport.RefusalFrame(reason.Error()))
 	t.disconnect(c, reason)
 }
 
-// helloOf returns the hello that is a peer's first frame, or why it is none that accepts lets pass.
+// helloOf returns the hello that is a peer's first frame. The error is one of transport.CheckHello or of accepts.
 func helloOf(f *pb.Frame, accepts func(*pb.Hello) error) (*pb.Hello, error) {
-	h, refusal := transport.CheckHello(f)
-	if refusal != "" {
-		return nil, errors.New(refusal)
+	h, err := transport.CheckHello(f)
+	if err != nil {
+		return nil, err
 	}
 	return h, accepts(h)
 }
--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -174,9 +174,7 @@
 		f, err = receive(in)
 	}
 	if err == nil {
-		if _, refusal := transport.CheckHello(f); refusal != "" {
-			err = errors.New(refusal)
-		}
+		_, err = transport.CheckHello(f)
 	}
 	if err == nil {
 		err = conn.SetReadDeadline(time.Time{})
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -124,10 +124,10 @@
 }
 
 func (l *List) greet(now placement.Millis, c transport.ConnID, r *reader, f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
+	h, err := transport.CheckHello(f)
 	switch {
-	case refusal != "":
-		l.net.Send(c, transport.RefusalFrame(refusal))
+	case err != nil:
+		l.net.Send(c, transport.RefusalFrame(err.Error()))
 		l.net.Close(c)
 		delete(l.readers, c)
 	case h.Role == pb.Role_NODE:
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"math"
 	"slices"
 
@@ -18,6 +19,9 @@
 	crowdedSlow  = 4.0                   // times slower that starts get while the cores are asked for twice over
 )
 
+// errNotAllocator rejects a hello that is not an allocator's.
+var errNotAllocator = errors.New("a node serves allocators")
+
 // NodeModel is how the nodes of a day behave.
 type NodeModel struct {
 	OverCores, OverMemory float64          // asks are accepted up to so many times the node's size
@@ -219,12 +223,12 @@
 
 // greet tells an allocator what of its workloads stands here.
 func (n *Node) greet(c transport.ConnID, f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
-	if refusal == "" && h.Role != pb.Role_ALLOCATOR {
-		refusal = "a node serves allocators"
+	h, err := transport.CheckHello(f)
+	if err == nil && h.Role != pb.Role_ALLOCATOR {
+		err = errNotAllocator
 	}
-	if refusal != "" {
-		n.net.Send(c, transport.RefusalFrame(refusal))
+	if err != nil {
+		n.net.Send(c, transport.RefusalFrame(err.Error()))
 		n.net.Close(c)
 		delete(n.peers, c)
 		return
--- a/internal/transport/hello.go
+++ b/internal/transport/hello.go
@@ -1,11 +1,38 @@
 package transport
 
 import (
+	"errors"
 	"fmt"
 
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
+// Errors of CheckHello. The peer reads their texts in the Refusal that rejects it.
+var (
+	// ErrNotHello means that the first frame of a connection is neither a hello nor a refusal.
+	ErrNotHello = errors.New("the first frame must be a hello")
+	// ErrNoRole means that a hello lacks the role of its sender.
+	ErrNoRole = errors.New("the hello names no role")
+	// ErrNoName means that a hello lacks the name of its sender, which only operators may do.
+	ErrNoName = errors.New("the hello names no name")
+)
+
+// VersionError means that a peer speaks another major version of the protocol than this build.
+type VersionError struct {
+	Major, Minor uint32 // of the peer
+}
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("version %d.%d is not spoken here; this side speaks %d.x", e.Major, e.Minor, pb.Major)
+}
+
+// RefusedError means that the peer has rejected the hello of this side.
+type RefusedError struct {
+	Reason string // as the peer states it
+}
+
+func (e *RefusedError) Error() string { return "the peer refused: " + e.Reason }
+
 // HelloFrame makes the first frame of a connection, with the protocol version of this build.
 func HelloFrame(h *pb.Hello) *pb.Frame {
 	h.Major, h.Minor = pb.Major, pb.Minor
@@ -17,21 +44,21 @@
 	return &pb.Frame{Body: &pb.Frame_Refusal{Refusal: &pb.Refusal{Reason: reason}}}
 }
 
-// CheckHello checks that the first frame of a connection is a hello of a version that this build speaks. It returns the
-// hello, or the reason with which to refuse the peer.
-func CheckHello(f *pb.Frame) (h *pb.Hello, refusal string) {
-	h = f.GetHello()
+// CheckHello returns the hello that is the first frame of a connection. The error is a *RefusedError, ErrNotHello, a
+// *VersionError, ErrNoRole or ErrNoName; its text is the reason with which to reject the peer.
+func CheckHello(f *pb.Frame) (*pb.Hello, error) {
+	h := f.GetHello()
 	switch {
 	case f.GetRefusal() != nil:
-		return nil, "the peer refused: " + f.GetRefusal().Reason
+		return nil, &RefusedError{Reason: f.GetRefusal().Reason}
 	case h == nil:
-		return nil, "the first frame must be a hello"
+		return nil, ErrNotHello
 	case h.Major != pb.Major:
-		return nil, fmt.Sprintf("version %d.%d is not spoken here; this side speaks %d.x", h.Major, h.Minor, pb.Major)
+		return nil, &VersionError{Major: h.Major, Minor: h.Minor}
 	case h.Role == pb.Role_ROLE_UNSPECIFIED:
-		return nil, "the hello names no role"
+		return nil, ErrNoRole
 	case h.Name == "" && h.Role != pb.Role_OPERATOR:
-		return nil, "the hello names no name"
+		return nil, ErrNoName
 	}
-	return h, ""
+	return h, nil
 }
