--- a/internal/simulation/harden_test.go
+++ b/internal/simulation/harden_test.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "grebeglade/internal/simulation/scenario"
+
 import (
 	"fmt"
 	"path/filepath"
@@ -8,13 +10,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/simulation/observer"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // decode reads a day from its text.
-func decode(t *testing.T, text string) *Script {
+func decode(t *testing.T, text string) *scenario.Script {
 	t.Helper()
-	s, err := DecodeScript("day.hcl", []byte(text))
+	s, err := scenario.DecodeText("day.hcl", []byte(text))
 	require.NoError(t, err)
 	return s
 }
@@ -53,7 +56,7 @@
 }
 `
 	for seed := range uint64(20) {
-		assert.Empty(t, play(t, decode(t, text), Options{Seed: 114914427 + seed}).Broken, "seed %d", seed)
+		assert.Empty(t, play(t, decode(t, text), Options{Seed: 114914427 + seed}).Violations, "seed %d", seed)
 	}
 }
 
@@ -113,7 +116,7 @@
 			for _, list := range []string{"", "list-late", "list-empty", "list-overrun"} {
 				for seed := range uint64(4) {
 					r := play(t, decode(t, emptyStart(part, state, list)), Options{Seed: seed + 1})
-					assert.EqualValues(t, 4+4*part, r.Lives)
+					assert.EqualValues(t, 4+4*part, r.AllocatorIncarnations)
 					kept(t, r)
 				}
 			}
@@ -127,21 +130,21 @@
 	sums, days := make([]float64, 28), make([]float64, 28)
 	for seed := range seeds {
 		file := filepath.Join(t.TempDir(), "history")
-		play(t, decode(t, day), Options{Seed: seed + 1, History: file})
+		play(t, decode(t, day), Options{Seed: seed + 1, HistoryFile: file})
 		h := readBack(t, file)
 		type ref struct {
 			owner string
 			ask   uint64
 		}
 		sent, asked, placed := map[ref]int{}, make([]float64, 28), make([]float64, 28)
-		for _, s := range h.sights {
-			if a := s.frame.GetAsk(); a != nil && s.what == sends {
-				slot := min(27, int((s.at-begins)/half))
-				sent[ref{s.gate.Name, a.Ask}] = slot
+		for _, s := range h.Events() {
+			if a := s.Frame.GetAsk(); a != nil && s.Kind == observer.FrameSent {
+				slot := min(27, int((s.At-begins)/half))
+				sent[ref{s.Process.Name, a.Ask}] = slot
 				asked[slot]++
 			}
-			if a := s.frame.GetAnswer(); a != nil && s.what == gets && a.Verdict == pb.Verdict_PLACED {
-				placed[sent[ref{s.gate.Name, a.Ask}]]++
+			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived && a.Verdict == pb.Verdict_PLACED {
+				placed[sent[ref{s.Process.Name, a.Ask}]]++
 			}
 		}
 		for i := range sums {
@@ -236,8 +239,8 @@
 		file := filepath.Join(t.TempDir(), "history")
 		s := decode(t, allRetry)
 		require.Equal(t, binds, s.Settings.MaxBinds)
-		require.Equal(t, tries, s.Owner.Tries)
-		kept(t, play(t, s, Options{Seed: seed + 1, History: file}))
+		require.Equal(t, tries, s.Client.MaxAttempts)
+		kept(t, play(t, s, Options{Seed: seed + 1, HistoryFile: file}))
 		h := readBack(t, file)
 		type ref struct {
 			who string
@@ -250,19 +253,19 @@
 			}
 			count[what][ref{who, no}]++
 		}
-		for _, s := range h.sights {
-			if a := s.frame.GetAnswer(); a != nil && s.what == gets {
-				add("answers to an ask", s.gate.Name, a.Ask)
+		for _, s := range h.Events() {
+			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived {
+				add("answers to an ask", s.Process.Name, a.Ask)
 			}
-			if s.what != sends || s.gate.Role == pb.Role_NODE {
+			if s.Kind != observer.FrameSent || s.Process.Role == pb.Role_NODE {
 				continue
 			}
-			switch b := s.frame.Body.(type) {
+			switch b := s.Frame.Body.(type) {
 			case *pb.Frame_Ask:
-				add("asks of a workload", s.gate.Name, b.Ask.Key)
+				add("asks of a workload", s.Process.Name, b.Ask.Key)
 			case *pb.Frame_Offer:
 				o := b.Offer
-				add("sendings of a bind", fmt.Sprint(bindText(o.Bind)), 0)
+				add("sendings of a bind", observer.KeyOf(o.Bind).String(), 0)
 				if o.Gang != nil {
 					add("binds of a part", o.Owner, o.Ask.Key)
 				} else {
@@ -270,11 +273,11 @@
 					add("binds of a workload", o.Owner, o.Ask.Key)
 				}
 			case *pb.Frame_Stop:
-				add("stops of a bind", bindText(b.Stop.Bind), 0)
+				add("stops of a bind", observer.KeyOf(b.Stop.Bind).String(), 0)
 			case *pb.Frame_ListCall:
-				add("list calls of an allocator", s.gate.Name, 0)
+				add("list calls of an allocator", s.Process.Name, 0)
 			case *pb.Frame_Probe:
-				add("probes of an allocator", s.gate.Name, 0)
+				add("probes of an allocator", s.Process.Name, 0)
 			}
 		}
 		for what, each := range count {
@@ -313,7 +316,7 @@
 	} {
 		t.Run(known.name, func(t *testing.T) {
 			r := play(t, open(t, filepath.Join("testdata", "known", known.name+".hcl")), Options{Seed: known.seed})
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				if b.Rule == known.rule {
 					t.Skip(known.why)
 				}
