--- a/internal/replay/encode.go
+++ b/internal/replay/encoding.go
@@ -1,7 +1,3 @@
-// Package replay stands between an engine and the module: Tap writes down every call and what came of it, Run
-// feeds the calls of a trace to a module again and compares every step.
-//
-// Times are milliseconds. Taps and runs belong to one goroutine.
 package replay
 
 import (
@@ -20,15 +16,19 @@
 		e.Kinds = append(e.Kinds, &tracepb.Size{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range s.Groups {
-		e.Groups = append(e.Groups, &tracepb.Group{
-			Target: float64(g.LatencyObjective), Utility: g.PriorityWeight, Effect: uint32(g.Idempotency), DedupScope: uint32(g.KeyScope),
-			DedupWindow: float64(g.KeyWindow), Spread: uint32(g.SpreadScope), SpreadMost: int64(g.MaxPerScope), Calm: g.FullServiceUtilization,
-			Fade: g.DegradationRange, Kind: int64(g.RequiredKind),
-		})
+		e.Groups = append(e.Groups, encodeGroup(g))
 	}
 	return e
 }
 
+func encodeGroup(g placement.Group) *tracepb.Group {
+	return &tracepb.Group{
+		Target: float64(g.LatencyObjective), Utility: g.PriorityWeight, Effect: uint32(g.Idempotency), DedupScope: uint32(g.KeyScope),
+		DedupWindow: float64(g.KeyWindow), Spread: uint32(g.SpreadScope), SpreadMost: int64(g.MaxPerScope), Calm: g.FullServiceUtilization,
+		Fade: g.DegradationRange, Kind: int64(g.RequiredKind),
+	}
+}
+
 func decodeSettings(e *tracepb.Settings) placement.Settings {
 	s := placement.Settings{
 		Allocators: int(e.GetAllocators()), Ordinal: int(e.GetOrdinal()),
@@ -41,15 +41,19 @@
 		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range e.GetGroups() {
-		s.Groups = append(s.Groups, placement.Group{
-			LatencyObjective: placement.Millis(g.Target), PriorityWeight: g.Utility, Idempotency: placement.Idempotency(g.Effect),
-			KeyScope: placement.Scope(g.DedupScope), KeyWindow: placement.Millis(g.DedupWindow), SpreadScope: placement.Scope(g.Spread),
-			MaxPerScope: int(g.SpreadMost), FullServiceUtilization: g.Calm, DegradationRange: g.Fade, RequiredKind: int(g.Kind),
-		})
+		s.Groups = append(s.Groups, decodeGroup(g))
 	}
 	return s
 }
 
+func decodeGroup(g *tracepb.Group) placement.Group {
+	return placement.Group{
+		LatencyObjective: placement.Millis(g.Target), PriorityWeight: g.Utility, Idempotency: placement.Idempotency(g.Effect),
+		KeyScope: placement.Scope(g.DedupScope), KeyWindow: placement.Millis(g.DedupWindow), SpreadScope: placement.Scope(g.Spread),
+		MaxPerScope: int(g.SpreadMost), FullServiceUtilization: g.Calm, DegradationRange: g.Fade, RequiredKind: int(g.Kind),
+	}
+}
+
 func encodeWorkload(w placement.Workload) *tracepb.Workload {
 	return &tracepb.Workload{
 		Id: uint32(w.ID), Service: uint64(w.Service), Group: uint32(w.Group), Cores: w.Cores, Memory: w.Memory,
@@ -64,6 +68,19 @@
 	}
 }
 
+func encodeResult(id placement.WorkloadID, r placement.Result) *tracepb.Next {
+	return &tracepb.Next{
+		Workload: uint32(id), Kind: uint32(r.Kind), Reason: uint32(r.Reason), Over: r.Final, Load: encodeLoad(r.Load),
+	}
+}
+
+func decodeResult(n *tracepb.Next) placement.Result {
+	return placement.Result{
+		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Final: n.Over, Load: decodeLoad(n.Load),
+	}
+}
+
+// encodeLoad returns nil for no report, as in placement.Result.
 func encodeLoad(l *placement.LoadReport) *tracepb.Load {
 	if l == nil {
 		return nil
@@ -73,6 +90,7 @@
 	}
 }
 
+// decodeLoad returns nil for no report, as in placement.Result.
 func decodeLoad(e *tracepb.Load) *placement.LoadReport {
 	if e == nil {
 		return nil
@@ -111,7 +129,7 @@
 	}
 }
 
-func encodeChores(c placement.Maintenance) *tracepb.Chores {
+func encodeMaintenance(c placement.Maintenance) *tracepb.Chores {
 	e := &tracepb.Chores{Watch: c.Subscribe, Again: float64(c.NextAt)}
 	for _, id := range c.Migrations {
 		e.Moves = append(e.Moves, uint32(id))
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,18 +19,19 @@
 	"grebeglade/trace/tracepb"
 )
 
-// traced plays a script in virtual time and returns the traces of each allocator.
-func traced(t *testing.T, name string) map[string][]*trace.Reader {
+// recordScenario runs a scenario in virtual time and returns the trace files of each allocator.
+func recordScenario(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
 	s, err := simulation.Open(name)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
 	require.NoError(t, err)
-	return open(t, dir)
+	return openTraces(t, dir)
 }
 
-func open(t *testing.T, dir string) map[string][]*trace.Reader {
+// openTraces opens the trace files of each allocator that has a directory in dir.
+func openTraces(t *testing.T, dir string) map[string][]*trace.Reader {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -40,7 +41,7 @@
 		for _, n := range names {
 			r, err := trace.Open(n)
 			require.NoError(t, err)
-			t.Cleanup(func() { r.Close() })
+			t.Cleanup(func() { assert.NoError(t, r.Close()) })
 			all[e.Name()] = append(all[e.Name()], r)
 		}
 	}
@@ -48,7 +49,8 @@
 	return all
 }
 
-func identical(t *testing.T, traces map[string][]*trace.Reader) {
+// requireIdentical replays traces and checks that every decision is as recorded.
+func requireIdentical(t *testing.T, traces map[string][]*trace.Reader) {
 	t.Helper()
 	for name, files := range traces {
 		reports, err := replay.Files(files, replay.Options{})
@@ -60,16 +62,16 @@
 	}
 }
 
-func TestEveryScriptIsDecidedAgainAlike(t *testing.T) {
+func TestFiles_VirtualScenario_Identical(t *testing.T) {
 	for _, name := range simulation.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			identical(t, traced(t, name))
+			requireIdentical(t, recordScenario(t, name))
 		})
 	}
 }
 
-func TestADayOverSocketsIsDecidedAgainAlike(t *testing.T) {
+func TestFiles_SocketScenario_Identical(t *testing.T) {
 	s, err := simulation.Open("rough")
 	require.NoError(t, err)
 	s.Stretch(4000)
@@ -77,11 +79,10 @@
 	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, Trace: dir}, nil)
 	require.NoError(t, err)
 	assert.Empty(t, r.Broken)
-	identical(t, open(t, dir))
+	requireIdentical(t, openTraces(t, dir))
 }
 
-// Recording must not change what is decided.
-func TestADayWithATraceIsTheSameDay(t *testing.T) {
+func TestRecorder_DecisionsUnchanged(t *testing.T) {
 	s, err := simulation.Open("rough")
 	require.NoError(t, err)
 	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, Trace: t.TempDir()})
@@ -93,12 +94,12 @@
 	assert.Equal(t, without.Digest, with.Digest)
 }
 
-func TestAModuleThatIsChangedIsCaughtAtItsFirstOtherDecision(t *testing.T) {
-	files := traced(t, "full")["allocator-1"]
+func TestFiles_ChangedModule_ReportsFirstDivergence(t *testing.T) {
+	files := recordScenario(t, "full")["allocator-1"]
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = append([]placement.Group(nil), s.Groups...)
 		for i := range s.Groups {
-			s.Groups[i].FullServiceUtilization = 0.35 // a lower cap on ρ
+			s.Groups[i].FullServiceUtilization = 0.35 // a lower load cap
 		}
 		return placement.New(s, seed)
 	}
@@ -108,7 +109,7 @@
 	require.NotNil(t, d)
 	assert.NotEqual(t, d.Recorded, d.Decided)
 	assert.NotEmpty(t, d.Before)
-	// All before it is decided alike: with one call less than that, nothing differs.
+	// All decisions before it are the same.
 	records := 0
 	for r, err := range files[0].Records(trace.Span{}) {
 		require.NoError(t, err)
@@ -119,8 +120,8 @@
 	assert.Equal(t, records, reports[0].Same)
 }
 
-func TestOtherSettingsAreComparedByTheirAsks(t *testing.T) {
-	files := traced(t, "full")["allocator-1"]
+func TestFiles_OtherSettings_CountsRequests(t *testing.T) {
+	files := recordScenario(t, "full")["allocator-1"]
 	reports, err := replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
 	require.NoError(t, err)
 	w := reports[0].WhatIf
@@ -138,54 +139,83 @@
 	assert.Equal(t, w.Asks, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
 }
 
-func TestATraceWithoutItsBeginningIsNotDecidedAgain(t *testing.T) {
-	files := traced(t, "quiet")["allocator-1"]
-	var cut bytes.Buffer
-	header := trace.CopyHeader(files[0].Header)
-	w, err := trace.NewWriter(&cut, header)
+// rewrite returns a trace of records, read back from its bytes.
+func rewrite(t *testing.T, header *tracepb.Header, records ...*trace.Record) *trace.Reader {
+	t.Helper()
+	var b bytes.Buffer
+	w, err := trace.NewWriter(&b, trace.CopyHeader(header))
 	require.NoError(t, err)
-	for r, err := range files[0].Records(trace.Span{}) {
-		require.NoError(t, err)
-		if r.Revision == 50 {
-			r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
-			r.Step, r.Chores = nil, nil
-		}
+	for _, r := range records {
 		require.NoError(t, w.Append(r))
 	}
 	require.NoError(t, w.Close())
-	r, err := trace.NewReader(bytes.NewReader(cut.Bytes()), int64(cut.Len()))
+	r, err := trace.NewReader(bytes.NewReader(b.Bytes()), int64(b.Len()))
 	require.NoError(t, err)
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorContains(t, err, "1 records are missing here (the queue was full)")
-	r.Header.Anonymised = true
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorIs(t, err, replay.ErrAnonymised)
-	var none bytes.Buffer
-	w, err = trace.NewWriter(&none, header)
-	require.NoError(t, err)
-	require.NoError(t, w.Append(&trace.Record{Revision: 2, Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}}))
-	require.NoError(t, w.Close())
-	r, err = trace.NewReader(bytes.NewReader(none.Bytes()), int64(none.Len()))
-	require.NoError(t, err)
-	_, err = replay.Files([]*trace.Reader{r}, replay.Options{})
-	assert.ErrorIs(t, err, replay.ErrNoStart)
+	return r
+}
+
+func readAll(t *testing.T, file *trace.Reader) (records []*trace.Record) {
+	t.Helper()
+	for r, err := range file.Records(trace.Span{}) {
+		require.NoError(t, err)
+		records = append(records, r)
+	}
+	return records
+}
+
+func TestFiles_IncompleteTrace_ReturnsTypedError(t *testing.T) {
+	file := recordScenario(t, "quiet")["allocator-1"][0]
+	t.Run("gap", func(t *testing.T) {
+		records := readAll(t, file)
+		for _, r := range records {
+			if r.Revision == 50 {
+				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
+				r.Step, r.Chores = nil, nil
+			}
+		}
+		_, err := replay.Files([]*trace.Reader{rewrite(t, file.Header, records...)}, replay.Options{})
+		require.ErrorContains(t, err, "1 records are missing here (the queue was full)")
+		var gap replay.GapError
+		require.ErrorAs(t, err, &gap)
+		assert.Equal(t, replay.GapError{Missing: 1, Reason: "the queue was full"}, gap)
+	})
+	t.Run("missing revision", func(t *testing.T) {
+		records := readAll(t, file)
+		records = append(records[:10:10], records[11:]...)
+		_, err := replay.Files([]*trace.Reader{rewrite(t, file.Header, records...)}, replay.Options{})
+		var missing replay.RevisionError
+		require.ErrorAs(t, err, &missing)
+		assert.Equal(t, replay.RevisionError{Previous: records[9].Revision}, missing)
+	})
+	t.Run("anonymised", func(t *testing.T) {
+		r := rewrite(t, file.Header, readAll(t, file)...)
+		r.Header.Anonymised = true
+		_, err := replay.Files([]*trace.Reader{r}, replay.Options{})
+		require.ErrorIs(t, err, replay.ErrAnonymised)
+	})
+	t.Run("no start", func(t *testing.T) {
+		r := rewrite(t, file.Header, &trace.Record{Revision: 2, Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}})
+		_, err := replay.Files([]*trace.Reader{r}, replay.Options{})
+		require.ErrorIs(t, err, replay.ErrNoStart)
+	})
 }
 
-func TestADecisionIsExtractedWithTheFewCallsThatItRestsOn(t *testing.T) {
-	files := traced(t, "rough")["allocator-1"]
+func TestExtractFiles_FewCallsReproduceDecision(t *testing.T) {
+	files := recordScenario(t, "rough")["allocator-1"]
 	x, err := replay.ExtractFiles(files, 60)
 	require.NoError(t, err)
-	assert.Less(t, len(x.Calls), x.All/5)
+	assert.Less(t, len(x.Calls), x.Preceding/5)
 	var b strings.Builder
 	require.NoError(t, x.Print(&b))
 	assert.Contains(t, b.String(), "s := a.Schedule(")
 	assert.NotContains(t, b.String(), "NaN)")
 	_, err = replay.ExtractFiles(files, 999999)
-	assert.ErrorContains(t, err, "no ask of workload 999999")
+	require.ErrorContains(t, err, "no request of workload 999999")
+	require.ErrorIs(t, err, replay.NoRequestError{Workload: 999999})
 }
 
-func TestRecordsAreFilteredByWhomTheyConcern(t *testing.T) {
-	file := traced(t, "quiet")["allocator-1"][0]
+func TestFilter_SelectsConcernedRecords(t *testing.T) {
+	file := recordScenario(t, "quiet")["allocator-1"][0]
 	count := func(f replay.Filter) (n int) {
 		match := f.Matcher()
 		for r, err := range file.Records(trace.Span{}) {
