--- /dev/null
+++ b/internal/benchmark/cluster.go
@@ -0,0 +1,193 @@
+package benchmark
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"time"
+
+	"grebeglade/config"
+	"grebeglade/internal/daemon"
+	"grebeglade/internal/frontend/native"
+	"grebeglade/internal/replay"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+const (
+	loopback         = "127.0.0.1:0"
+	adoptionTimeout  = 10 * time.Second // until every resident is adopted
+	adoptionInterval = 5 * time.Millisecond
+	clientBufferSize = 1 << 16
+)
+
+// clusterOptions say what is measured besides placing workloads. The zero value adds nothing.
+type clusterOptions struct {
+	trace      replay.Sink                // records the calls to the module; nil for no trace
+	state      config.State               // where binds are persisted, if it has a directory
+	atMostOnce bool                       // the idempotency of every workload; so it is with state
+	onOffer    func(requestNumber uint64) // called when a node receives a bind; nil for no calls
+}
+
+// cluster is an allocator on loopback sockets, with nodes that accept every bind at once, and a client's connection to it.
+type cluster struct {
+	fleet     Fleet
+	options   clusterOptions
+	loop      *transport.Loop
+	frontend  *native.Frontend
+	bindStore *daemon.BindStore // nil without state
+	closers   []io.Closer       // of the sockets
+	client    net.Conn
+	in        *bufio.Reader // from the client's connection
+}
+
+// startCluster returns a cluster whose allocator has adopted every resident.
+func startCluster(f Fleet, o clusterOptions) (*cluster, error) {
+	c := &cluster{fleet: f, options: o, loop: transport.NewLoop(nil)}
+	if err := c.start(); err != nil {
+		return nil, errors.Join(err, c.close())
+	}
+	return c, nil
+}
+
+func (c *cluster) start() error {
+	entries, err := c.startNodes()
+	if err != nil {
+		return err
+	}
+	discovery, err := c.startDiscovery(entries)
+	if err != nil {
+		return err
+	}
+	address, err := c.startAllocator(discovery)
+	if err != nil {
+		return err
+	}
+	if err := c.awaitResidents(); err != nil {
+		return err
+	}
+	return c.connectClient(address)
+}
+
+func (c *cluster) close() error {
+	var errs []error
+	for _, x := range c.closers {
+		errs = append(errs, x.Close())
+	}
+	c.loop.Close()
+	if c.bindStore != nil {
+		errs = append(errs, c.bindStore.Close())
+	}
+	return errors.Join(errs...)
+}
+
+// startNodes starts the nodes and returns their entries in the node list.
+func (c *cluster) startNodes() ([]*pb.NodeEntry, error) {
+	var entries []*pb.NodeEntry
+	for i := range c.fleet.Nodes {
+		address, err := c.serve(func(conn net.Conn) { c.serveNode(conn, i) })
+		if err != nil {
+			return nil, err
+		}
+		entries = append(entries, nodeEntry(i, freeShare, address))
+	}
+	return entries, nil
+}
+
+// startDiscovery starts a discovery service that sends the node list once.
+func (c *cluster) startDiscovery(entries []*pb.NodeEntry) (address string, err error) {
+	update := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1, Entries: entries}
+	return c.serve(func(conn net.Conn) {
+		w := &frameWriter{w: conn}
+		w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+		w.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: update}})
+		_, _ = io.Copy(io.Discard, conn) // until the allocator closes the connection
+	})
+}
+
+// serve listens on a port of its own and serves each connection with a function, which the connection ends with.
+func (c *cluster) serve(serve func(net.Conn)) (address string, err error) {
+	l, err := net.Listen("tcp", loopback)
+	if err != nil {
+		return "", err
+	}
+	c.closers = append(c.closers, l)
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				serve(conn)
+				_ = conn.Close() // nobody reads from it any more
+			}()
+		}
+	}()
+	return l.Addr().String(), nil
+}
+
+func frontendConfig(discovery string) native.Config {
+	return native.Config{
+		Name: allocatorName, Incarnation: 2, Seed: 1, Settings: settings(), Groups: []string{groupName}, Kinds: []string{kindName},
+		DiscoveryAddress: discovery, EventLogSize: eventLogSize,
+	}
+}
+
+// startAllocator starts the allocator and returns its address.
+func (c *cluster) startAllocator(discovery string) (address string, err error) {
+	fc := frontendConfig(discovery)
+	fc.Trace = c.options.trace
+	persistent := c.options.state.Dir != ""
+	if persistent || c.options.atMostOnce {
+		fc.Settings.Groups[0].Idempotency = placement.AtMostOnce
+	}
+	if persistent {
+		c.bindStore, err = daemon.OpenBindStore(c.options.state, &fc, c.loop, slog.New(slog.DiscardHandler))
+		if err != nil {
+			return "", err
+		}
+	}
+	c.frontend = native.New(fc)
+	if c.bindStore != nil {
+		c.bindStore.Attach(c.frontend)
+	}
+	address, err = c.loop.ListenFrames(c.frontend, loopback, transport.DefaultLimits)
+	if err != nil {
+		return "", err
+	}
+	c.loop.Run()
+	return address, nil
+}
+
+// awaitResidents waits until the allocator has adopted every resident.
+func (c *cluster) awaitResidents() error {
+	want := c.fleet.Nodes * c.fleet.Residents
+	for deadline := time.Now().Add(adoptionTimeout); ; time.Sleep(adoptionInterval) {
+		adopted := 0
+		c.loop.Call(c.frontend, func(placement.Millis) { adopted = c.frontend.WorkloadCount() })
+		if adopted == want {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("only %d of %d residents adopted", adopted, want)
+		}
+	}
+}
+
+func (c *cluster) connectClient(address string) error {
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		return err
+	}
+	c.closers = append(c.closers, conn)
+	c.client, c.in = conn, bufio.NewReaderSize(conn, clientBufferSize)
+	w := &frameWriter{w: conn}
+	w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
+	_, err = receive(c.in)
+	return err
+}
--- /dev/null
+++ b/internal/benchmark/tracecost.go
@@ -0,0 +1,278 @@
+package benchmark
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protojson"
+	"google.golang.org/protobuf/proto"
+
+	"grebeglade/internal/simulation"
+	"grebeglade/trace"
+	"grebeglade/trace/tracepb"
+)
+
+// TraceCost is what traces cost: bytes, time, and throughput of the allocator that is recorded.
+type TraceCost struct {
+	Script      string  `json:"script"`
+	Records     int     `json:"records"`
+	Decisions   int     `json:"decisions"`
+	Each        float64 `json:"bytes_a_decision"`
+	JSONRatio   float64 `json:"json_lines_ratio"`            // size of plain JSON lines to that of the file
+	PlainRatio  float64 `json:"uncompressed_protobuf_ratio"` // size of the encoded records to that of the file
+	WritePerSec float64 `json:"records_written_per_second"`
+	ReadPerSec  float64 `json:"records_read_per_second"`
+	On          float64 `json:"placed_per_second_recording"`
+	Off         float64 `json:"placed_per_second_not_recording"`
+	OnOff       float64 `json:"recording_ratio"` // median of the ratios of pairs
+	Lost        uint64  `json:"records_lost"`
+	P99On       float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of the rate without recording
+	P99Off      float64 `json:"ask_to_offer_p99_ms_not_recording"`
+	FileBytes   int64   `json:"look_up_file_bytes"`
+	LookUpMs    float64 `json:"look_up_ms"` // to find the records of a minute by the index
+	ScanMs      float64 `json:"scan_ms"`    // to find them without it
+	LookedUp    int     `json:"looked_up_records"`
+}
+
+// Trace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in a file of
+// about fileBytes, or none for 0. Each of the measurements over sockets takes length.
+func Trace(script string, f Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
+	dir, err := os.MkdirTemp("", "grebeglade-bench")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	recorded, err := recordScenario(script, dir)
+	if err != nil {
+		return nil, err
+	}
+	c := &TraceCost{Script: script}
+	if err := c.measureEncoding(recorded); err != nil {
+		return nil, err
+	}
+	if err := c.measureRecording(f, length, dir); err != nil {
+		return nil, err
+	}
+	if fileBytes > 0 {
+		if err := c.measureLookUp(recorded, fileBytes, dir); err != nil {
+			return nil, err
+		}
+	}
+	return c, nil
+}
+
+// recording is the records of one allocator.
+type recording struct {
+	records []*trace.Record
+	sources []*tracepb.Source
+}
+
+// recordScenario runs a scenario in virtual time and returns the records of its first allocator.
+func recordScenario(script, dir string) (*recording, error) {
+	s, err := simulation.Open(script)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir}); err != nil {
+		return nil, err
+	}
+	r := &recording{}
+	err = withTraces(filepath.Join(dir, "allocator-1"), func(files []*trace.Reader) error {
+		for _, f := range files {
+			r.sources = f.Header.Sources
+			for record, err := range f.Records(trace.Span{}) {
+				if err != nil {
+					return err
+				}
+				r.records = append(r.records, record)
+			}
+		}
+		return nil
+	})
+	return r, err
+}
+
+// withTraces calls use with the trace files of a directory, and closes them.
+func withTraces(dir string, use func(files []*trace.Reader) error) (err error) {
+	names, _, _ := trace.ListFiles(dir)
+	var files []*trace.Reader
+	defer func() {
+		for _, f := range files {
+			err = errors.Join(err, f.Close())
+		}
+	}()
+	for _, name := range names {
+		f, err := trace.Open(name)
+		if err != nil {
+			return err
+		}
+		files = append(files, f)
+	}
+	return use(files)
+}
+
+// lastMs returns the time of the last record.
+func (r *recording) lastMs() float64 { return r.records[len(r.records)-1].AtMs }
+
+// write writes a trace that repeats the records, each time later.
+func (r *recording) write(w io.Writer, times int) error {
+	t, err := trace.NewWriter(w, &tracepb.Header{Sources: r.sources})
+	if err != nil {
+		return err
+	}
+	length := r.lastMs() + 1
+	for i := range times {
+		for _, record := range r.records {
+			at := record.AtMs
+			record.AtMs += float64(i) * length
+			err := t.Append(record)
+			record.AtMs = at
+			if err != nil {
+				return err
+			}
+		}
+	}
+	return t.Close()
+}
+
+// measureEncoding measures the size of a trace, and how fast it is written and read.
+func (c *TraceCost) measureEncoding(r *recording) error {
+	c.Records = len(r.records)
+	plain, jsonLines, err := c.countDecisions(r)
+	if err != nil {
+		return err
+	}
+	size := 0
+	var writes, reads []float64
+	for range rounds {
+		var b bytes.Buffer
+		start := time.Now()
+		if err := r.write(&b, 1); err != nil {
+			return err
+		}
+		writes = append(writes, float64(len(r.records))/time.Since(start).Seconds())
+		size = b.Len()
+		rate, err := readRate(b.Bytes())
+		if err != nil {
+			return err
+		}
+		reads = append(reads, rate)
+	}
+	c.Each = float64(size) / float64(max(1, c.Decisions))
+	c.JSONRatio, c.PlainRatio = float64(jsonLines)/float64(size), float64(plain)/float64(size)
+	c.WritePerSec, c.ReadPerSec = median(writes), median(reads)
+	return nil
+}
+
+// countDecisions counts the decisions, and returns the bytes of all records as protobuf and as JSON lines.
+func (c *TraceCost) countDecisions(r *recording) (plain, jsonLines int, err error) {
+	for _, record := range r.records {
+		if record.Step != nil {
+			c.Decisions++
+		}
+		plain += proto.Size(record)
+		line, err := protojson.Marshal(record)
+		if err != nil {
+			return 0, 0, err
+		}
+		jsonLines += len(line) + len("\n")
+	}
+	return plain, jsonLines, nil
+}
+
+// readRate returns how many records of a trace are read a second.
+func readRate(file []byte) (perSecond float64, err error) {
+	start := time.Now()
+	r, err := trace.NewReader(bytes.NewReader(file), int64(len(file)))
+	if err != nil {
+		return 0, err
+	}
+	defer func() { err = errors.Join(err, r.Close()) }()
+	n := 0
+	for _, err := range r.Records(trace.Span{}) {
+		if err != nil {
+			return 0, err
+		}
+		n++
+	}
+	return float64(n) / time.Since(start).Seconds(), nil
+}
+
+// measureRecording measures over sockets, alternating with and without a trace.
+func (c *TraceCost) measureRecording(f Fleet, length time.Duration, dir string) error {
+	var on, off, ratios []float64
+	for i := range rounds {
+		traceDir := filepath.Join(dir, fmt.Sprint("on", i))
+		with, err := recordingThroughput(f, length, traceDir)
+		if err != nil {
+			return err
+		}
+		without, err := throughput(f, clusterOptions{}, length)
+		if err != nil {
+			return err
+		}
+		on, off, ratios = append(on, with), append(off, without), append(ratios, with/without)
+		if err := c.countLost(traceDir); err != nil {
+			return err
+		}
+	}
+	c.On, c.Off, c.OnOff = median(on), median(off), median(ratios)
+	return c.measureRecordingLatency(f, length, dir)
+}
+
+func (c *TraceCost) measureRecordingLatency(f Fleet, length time.Duration, dir string) error {
+	perSecond := c.Off / 4
+	var on, off []float64
+	for i := range rounds {
+		with, err := recordingLatency(f, length, perSecond, filepath.Join(dir, fmt.Sprint("p", i)))
+		if err != nil {
+			return err
+		}
+		without, err := measureLatency(f, clusterOptions{}, length, perSecond)
+		if err != nil {
+			return err
+		}
+		on, off = append(on, with.p99Ms), append(off, without.p99Ms)
+	}
+	c.P99On, c.P99Off = median(on), median(off)
+	return nil
+}
+
+func newRecorder(dir string) (*trace.Recorder, error) {
+	return trace.NewRecorder(dir, &tracepb.Source{Allocator: allocatorName, Incarnation: 2}, trace.DefaultLimits, nil)
+}
+
+func recordingThroughput(f Fleet, length time.Duration, dir string) (float64, error) {
+	r, err := newRecorder(dir)
+	if err != nil {
+		return 0, err
+	}
+	defer r.Close()
+	return throughput(f, clusterOptions{trace: r}, length)
+}
+
+func recordingLatency(f Fleet, length time.Duration, perSecond float64, dir string) (offerLatency, error) {
+	r, err := newRecorder(dir)
+	if err != nil {
+		return offerLatency{}, err
+	}
+	defer r.Close()
+	return measureLatency(f, clusterOptions{trace: r}, length, perSecond)
+}
+
+// countLost counts the records that are missing in the traces of a directory.
+func (c *TraceCost) countLost(dir string) error {
+	return withTraces(dir, func(files []*trace.Reader) error {
+		s, err := trace.Summarise(files)
+		if err != nil {
+			return err
+		}
+		c.Lost += s.Missing
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/benchmark/tracelookup.go
@@ -0,0 +1,71 @@
+package benchmark
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"grebeglade/trace"
+)
+
+const lookUpLengthMs = 60e3 // of the part of the trace that is looked up
+
+// measureLookUp finds the records of one minute in a large file, by its index and by reading all of it.
+func (c *TraceCost) measureLookUp(r *recording, fileBytes int64, dir string) error {
+	name := filepath.Join(dir, "large"+trace.FileExtension)
+	recordingBytes := c.Each * float64(c.Decisions)
+	times := float64(fileBytes) / recordingBytes
+	if err := r.writeFile(name, max(1, int(times))); err != nil {
+		return err
+	}
+	info, err := os.Stat(name)
+	if err != nil {
+		return err
+	}
+	c.FileBytes = info.Size()
+	middle := r.sources[0].WallMs + r.lastMs()*times/2
+	minute := trace.Span{FromMs: middle, ToMs: middle + lookUpLengthMs}
+	found, lookUpMs, err := countRecords(name, minute, minute)
+	if err != nil {
+		return err
+	}
+	scanned, scanMs, err := countRecords(name, trace.Span{}, minute)
+	if err != nil {
+		return err
+	}
+	if found != scanned || found == 0 {
+		return fmt.Errorf("the index finds %d records of that minute, a scan %d", found, scanned)
+	}
+	c.LookedUp, c.LookUpMs, c.ScanMs = found, lookUpMs, scanMs
+	return nil
+}
+
+func (r *recording) writeFile(name string, times int) (err error) {
+	out, err := os.Create(name)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, out.Close()) }()
+	return r.write(out, times)
+}
+
+// countRecords reads a span of a file, and returns how many of its records are within another span, and how long it took.
+func countRecords(name string, read, within trace.Span) (n int, ms float64, err error) {
+	start := time.Now()
+	r, err := trace.Open(name)
+	if err != nil {
+		return 0, 0, err
+	}
+	defer func() { err = errors.Join(err, r.Close()) }()
+	for record, err := range r.Records(read) {
+		if err != nil {
+			return 0, 0, err
+		}
+		if at := r.UnixMillis(record); at >= within.FromMs && at <= within.ToMs {
+			n++
+		}
+	}
+	return n, float64(time.Since(start)) / float64(time.Millisecond), nil
+}
