--- /dev/null
+++ b/internal/experiment/build.go
@@ -0,0 +1,148 @@
+package experiment
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+
+	"grebeglade/internal/simulation"
+)
+
+const maxErrorLines = 10 // of a command's standard error
+
+var errNoRevision = errors.New("it is no revision")
+
+// builds are programs of other revisions of this repository, each built once.
+type builds struct {
+	dir      string            // "" if there are none
+	programs map[string]string // paths by revision
+}
+
+// makeBuilds builds the revisions that levels name. The result must be removed after an error too.
+func (p *Plan) makeBuilds(ctx context.Context) (*builds, error) {
+	b := &builds{programs: map[string]string{}}
+	for _, f := range p.Factors {
+		for _, l := range f.Levels {
+			if l.Build == "" || b.programs[l.Build] != "" {
+				continue
+			}
+			if err := b.add(ctx, l.Build); err != nil {
+				return b, fmt.Errorf("level %q: %w", l.Name, err)
+			}
+		}
+	}
+	return b, nil
+}
+
+func (b *builds) remove() error {
+	if b.dir == "" {
+		return nil
+	}
+	return os.RemoveAll(b.dir)
+}
+
+// add checks out a revision of the repository around the working directory, beside that, and builds its program.
+func (b *builds) add(ctx context.Context, revision string) error {
+	if strings.HasPrefix(revision, "-") {
+		return fmt.Errorf("%q: %w", revision, errNoRevision)
+	}
+	if b.dir == "" {
+		dir, err := os.MkdirTemp("", "grebeglade-build-")
+		if err != nil {
+			return err
+		}
+		b.dir = dir
+	}
+	number := len(b.programs)
+	source := filepath.Join(b.dir, fmt.Sprint("src", number))
+	program := filepath.Join(b.dir, fmt.Sprint("grebeglade", number))
+	if err := os.MkdirAll(source, directoryMode); err != nil {
+		return err
+	}
+	if err := build(ctx, revision, source, program); err != nil {
+		return err
+	}
+	b.programs[revision] = program
+	return nil
+}
+
+func build(ctx context.Context, revision, source, program string) error {
+	repository, err := output(ctx, "", "git", "rev-parse", "--show-toplevel")
+	if err != nil {
+		return fmt.Errorf("a build of a revision needs the repository around it: %w", err)
+	}
+	archive := source + ".tar"
+	for _, step := range []struct {
+		dir     string
+		command []string
+	}{
+		{strings.TrimSpace(repository), []string{"git", "archive", "--format=tar", "--output", archive, revision}},
+		{source, []string{"tar", "-xf", archive}},
+		{source, []string{"go", "build", "-o", program, "./cmd/grebeglade"}},
+	} {
+		if _, err := output(ctx, step.dir, step.command...); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// output runs a command and returns its standard output, also together with an error.
+func output(ctx context.Context, dir string, command ...string) (string, error) {
+	c := exec.CommandContext(ctx, command[0], command[1:]...)
+	c.Dir = dir
+	var stderr bytes.Buffer
+	c.Stderr = &stderr
+	out, err := c.Output()
+	if err != nil {
+		err = CommandError{
+			Command: strings.Join(command, " "), Err: err, Output: firstLines(strings.TrimSpace(stderr.String()), maxErrorLines),
+		}
+	}
+	return string(out), err
+}
+
+// simulate runs the scenario of a job by the command of another build, which takes the script and the levels' sizes.
+func (b *builds) simulate(ctx context.Context, revision string, p *Plan, j job) (*simulation.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
+	defer cancel()
+	command := []string{
+		b.programs[revision], "lab", "play", p.scriptName(j.cell), "--virtual", "--json", "--seed", fmt.Sprint(j.seed),
+	}
+	for _, l := range j.cell.Levels {
+		command = append(command, l.arguments()...)
+	}
+	out, err := output(ctx, "", command...)
+	var r simulation.Result
+	if jsonErr := json.Unmarshal([]byte(out), &r); jsonErr != nil {
+		if err == nil {
+			err = jsonErr
+		}
+		return nil, fmt.Errorf("build %s: %w", revision, err)
+	}
+	return &r, nil // an exit status of 1 means that a rule broke, which the result shows
+}
+
+// arguments returns the arguments of 'lab play' for a level.
+func (l *Level) arguments() (arguments []string) {
+	for _, flag := range []struct {
+		name  string
+		value float64
+	}{
+		{"--nodes", float64(l.Nodes)}, {"--allocators", float64(l.Allocators)}, {"--rate", l.Rate}, {"--load", l.Load},
+	} {
+		if flag.value > 0 {
+			arguments = append(arguments, flag.name, fmt.Sprint(flag.value))
+		}
+	}
+	if l.Length > 0 {
+		arguments = append(arguments, "--for", toDuration(l.Length).String())
+	}
+	return arguments
+}
--- /dev/null
+++ b/internal/experiment/decode.go
@@ -0,0 +1,103 @@
+package experiment
+
+import (
+	"fmt"
+	"path/filepath"
+	"runtime"
+	"strings"
+
+	"grebeglade/config"
+)
+
+const (
+	defaultScript    = "quiet"
+	defaultRepeats   = 10
+	defaultTimeoutMs = 120e3
+	defaultBudgetMs  = 3600e3
+	maxCells         = 10000
+	planExtension    = ".hcl"
+)
+
+// Decode decodes the text of a plan.
+func Decode(file string, source []byte) (*Plan, error) {
+	b, err := config.Parse(file, source)
+	if err != nil {
+		return nil, err
+	}
+	p := &Plan{
+		Name: strings.TrimSuffix(filepath.Base(file), planExtension), About: b.String("about", ""),
+		Script: b.String("script", defaultScript), Repeats: b.Int("repeats", defaultRepeats, 1, 10000),
+		Seed:    uint64(b.Int("seed", 1, 1, 1<<30)),
+		Workers: b.Int("workers", runtime.GOMAXPROCS(0), 1, 1024),
+		Timeout: toDuration(b.Duration("each", defaultTimeoutMs)), Budget: toDuration(b.Duration("budget", defaultBudgetMs)),
+		Oracle: b.Bool("oracle", false), file: file, source: source,
+	}
+	d := factorDecoder{}
+	for _, f := range b.Named("factor") {
+		p.Factors = append(p.Factors, d.factor(f))
+	}
+	d.reportConflicts()
+	if p.Timeout <= 0 || p.Budget <= 0 {
+		b.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
+	}
+	if err := b.Finish(); err != nil {
+		return nil, err
+	}
+	if err := p.checkCells(); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// factorDecoder decodes factors, and notes what cannot be used together.
+type factorDecoder struct {
+	hasBuild  bool
+	dayBlocks []*config.Block
+}
+
+func (d *factorDecoder) factor(b *config.Block) Factor {
+	f := Factor{Name: b.Name}
+	for _, l := range b.Named("level") {
+		f.Levels = append(f.Levels, d.level(l))
+	}
+	if len(f.Levels) == 0 {
+		b.AddProblem("", fmt.Sprintf("factor %q has no level", b.Name), `write level "NAME" { … }`)
+	}
+	return f
+}
+
+func (d *factorDecoder) level(b *config.Block) Level {
+	if days := b.Blocks("day"); len(days) > 0 {
+		b.Block("day").Skip() // it is decoded with the scenario of a cell
+		d.dayBlocks = append(d.dayBlocks, days[0])
+	}
+	d.hasBuild = d.hasBuild || b.Has("build")
+	return Level{
+		Name: b.Name, Build: b.String("build", ""), Nodes: b.Int("nodes", 0, 0, 1e6),
+		Allocators: b.Int("allocators", 0, 0, 5000), Load: b.Float("load", 0, 0, 100), Rate: b.Float("rate", 0, 0, 1e6),
+		Length: b.Duration("length", 0), Script: b.String("script", ""),
+	}
+}
+
+func (d *factorDecoder) reportConflicts() {
+	if !d.hasBuild || len(d.dayBlocks) == 0 {
+		return
+	}
+	last := d.dayBlocks[len(d.dayBlocks)-1]
+	last.AddProblem("", "a day block beside a level with a build", "another build plays scripts as they are; "+
+		"put what the day block says into a script file and name that with script =")
+}
+
+// checkCells checks the number of cells and decodes the scenario of each.
+func (p *Plan) checkCells() error {
+	cells := p.Cells()
+	if len(cells) > maxCells {
+		return config.Problems{{File: p.file, Line: 1, What: fmt.Sprintf("%d cells are too many", len(cells)), Fix: "leave levels out"}}
+	}
+	for _, c := range cells {
+		if _, err := p.Scenario(c); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/experiment/findings.go
@@ -0,0 +1,97 @@
+package experiment
+
+import (
+	"fmt"
+	"slices"
+)
+
+// effect is how a level of a factor differs from the factor's first level in a measure.
+type effect struct {
+	difference Difference
+	comparison string // of the two levels
+}
+
+// findings returns a sentence for each significant effect of a factor.
+func (r *Result) findings() (sentences []string) {
+	effects := r.effects()
+	if len(effects) == 0 {
+		return nil
+	}
+	differences := make([]Difference, len(effects))
+	for i := range effects {
+		differences[i] = effects[i].difference
+	}
+	judge(differences)
+	for i := range differences {
+		d := &differences[i]
+		if d.Sure && !d.IsEqual() && d.Measure != costMeasure {
+			sentences = append(sentences, d.sentence(effects[i].comparison))
+		}
+	}
+	if len(sentences) == 0 {
+		return []string{"No significant difference was seen. The tables say how small a difference would have been."}
+	}
+	return sentences
+}
+
+func (d *Difference) sentence(comparison string) string {
+	m, _ := MeasureOf(d.Measure)
+	return fmt.Sprintf("%s: %s is %s, by %s %s (95%%: %s to %s) from %s.", comparison, m.About, d.Verdict,
+		formatFigure(d.More.Mean), m.Unit, formatFigure(d.More.Low), formatFigure(d.More.High), formatFigure(d.A))
+}
+
+// effects returns the effects of each factor's levels, in which all else is equal.
+func (r *Result) effects() (all []effect) {
+	for f, factor := range r.Plan.Factors {
+		for _, level := range factor.Levels[1:] {
+			comparison := fmt.Sprintf("%s %q against %q", factor.Name, level.Name, factor.Levels[0].Name)
+			for _, m := range Measures {
+				d, ok := r.effect(f, level, m)
+				if ok {
+					all = append(all, effect{d, comparison})
+				}
+			}
+		}
+	}
+	return all
+}
+
+// effect compares the cells of a factor's level with those of its first level and the same levels of all other factors.
+// Seed by seed, it takes the mean over these pairs of cells. It returns false if there are fewer than two seeds.
+func (r *Result) effect(factor int, level Level, m Measure) (d Difference, ok bool) {
+	sums, counts := seedValues{}, seedValues{}
+	firstSum := 0.0
+	cells := r.Plan.Cells()
+	for _, c := range cells {
+		if c.Levels[factor].Name != level.Name {
+			continue
+		}
+		first := r.values(r.withFirstLevel(cells, c, factor), m.Name)
+		values := r.values(c, m.Name)
+		for _, seed := range values.seeds() {
+			if v, both := first[seed]; both {
+				sums[seed] += values[seed] - v
+				counts[seed]++
+				firstSum += v
+			}
+		}
+	}
+	if len(sums) < 2 {
+		return Difference{}, false
+	}
+	n := 0.0
+	means := seedValues{}
+	for _, seed := range sums.seeds() {
+		means[seed] = sums[seed] / counts[seed]
+		n += counts[seed]
+	}
+	return Difference{Measure: m.Name, A: firstSum / n, More: estimate(means.inOrder())}, true
+}
+
+// withFirstLevel returns the cell that differs from c only in that it has the factor's first level.
+func (r *Result) withFirstLevel(cells []Cell, c Cell, factor int) Cell {
+	names := c.levelNames()
+	names[factor] = r.Plan.Factors[factor].Levels[0].Name
+	i := slices.IndexFunc(cells, func(other Cell) bool { return slices.Equal(other.levelNames(), names) })
+	return cells[i]
+}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,38 +1,31 @@
-// Package experiment plays days in virtual time again and again with something varied, keeps what came out in a
-// directory that an interrupted run is resumed from, and says what difference it made and with which certainty.
-//
-// A plan crosses the levels of its factors; every crossing (a cell) is played with the same seeds, so that cells are
-// compared in pairs: the same workloads wanted at the same times, and the same chance in the faults.
 package experiment
 
 import (
 	"fmt"
 	"os"
-	"path/filepath"
-	"runtime"
 	"strings"
 	"time"
 
-	"grebeglade/config"
-	"grebeglade/internal/simulation"
+	"github.com/cespare/xxhash/v2"
+
 	"grebeglade/placement"
 )
 
-// Plan is an experiment as its file says it.
+// Plan is an experiment as its file describes it.
 type Plan struct {
 	Name    string
 	About   string
-	Script  string        // whose day is played
+	Script  string        // scenario that is varied
 	Repeats int           // seeds of each cell
 	Seed    uint64        // the first of them
-	Workers int           // days played at a time
-	Each    time.Duration // a day that takes longer is given up
-	Budget  time.Duration // no day is begun after that
-	Oracle  bool
+	Workers int           // concurrent runs
+	Timeout time.Duration // of a run
+	Budget  time.Duration // after which no run is begun
+	Oracle  bool          // also compute what could have run at best
 	Factors []Factor
 
-	file string
-	src  []byte
+	file   string
+	source []byte // text of the file
 }
 
 // Factor is something that is varied.
@@ -41,112 +34,72 @@
 	Levels []Level
 }
 
-// Level is one way in which a factor is set.
+// Level is one setting of a factor. Zero fields leave the scenario as it is.
 type Level struct {
 	Name       string
-	Build      string // git revision whose program plays the day, "" for this one
+	Build      string // git revision whose program makes the run; "" for this program
 	Nodes      int
 	Allocators int
-	Load       float64
-	Rate       float64
+	Load       float64 // share of the fleet's cores that is wanted
+	Rate       float64 // requests a second
 	Length     placement.Millis
 	Script     string
 }
 
-// Cell is one crossing of levels, named by factor.
+// Cell is one crossing of levels.
 type Cell struct {
-	No     int
-	Levels []Level
+	Index  int
+	Levels []Level // one of each factor
 }
 
-// Name is the cell's levels in a line.
+const levelSeparator = " / "
+
+// Name returns the names of the cell's levels.
 func (c Cell) Name() string {
-	names := make([]string, len(c.Levels))
-	for i, l := range c.Levels {
-		names[i] = l.Name
-	}
-	if len(names) == 0 {
+	if len(c.Levels) == 0 {
 		return "all"
 	}
-	return strings.Join(names, " / ")
+	return strings.Join(c.levelNames(), levelSeparator)
 }
 
-// Open reads a plan and tries each cell's day, so that what is wrong is told before anything is played.
-func Open(file string) (*Plan, error) {
-	src, err := os.ReadFile(file)
-	if err != nil {
-		return nil, err
+func (c Cell) levelNames() []string {
+	var names []string
+	for _, l := range c.Levels {
+		names = append(names, l.Name)
 	}
-	return Decode(file, src)
+	return names
 }
 
-// Decode reads a plan's text.
-func Decode(file string, src []byte) (*Plan, error) {
-	b, err := config.Parse(file, src)
-	if err != nil {
-		return nil, err
-	}
-	p := &Plan{
-		Name: strings.TrimSuffix(filepath.Base(file), ".hcl"), About: b.String("about", ""), Script: b.String("script", "quiet"),
-		Repeats: b.Int("repeats", 10, 1, 10000), Seed: uint64(b.Int("seed", 1, 1, 1<<30)),
-		Workers: b.Int("workers", runtime.GOMAXPROCS(0), 1, 1024),
-		Each:    toDuration(b.Duration("each", 120e3)), Budget: toDuration(b.Duration("budget", 3600e3)),
-		Oracle: b.Bool("oracle", false), file: file, src: src,
-	}
-	var dayed *config.Block
-	built := false
-	for _, f := range b.Named("factor") {
-		factor := Factor{Name: f.Name}
-		for _, l := range f.Named("level") {
-			factor.Levels = append(factor.Levels, Level{
-				Name: l.Name, Build: l.String("build", ""), Nodes: l.Int("nodes", 0, 0, 1e6),
-				Allocators: l.Int("allocators", 0, 0, 5000), Load: l.Float("load", 0, 0, 100), Rate: l.Float("rate", 0, 0, 1e6),
-				Length: l.Duration("length", 0), Script: l.String("script", ""),
-			})
-			if days := l.Blocks("day"); len(days) > 0 {
-				l.Block("day").Skip() // read with its cell
-				dayed = days[0]
-			}
-			if l.Has("build") {
-				built = true
-			}
-		}
-		if len(factor.Levels) == 0 {
-			f.AddProblem("", fmt.Sprintf("factor %q has no level", f.Name), `write level "NAME" { … }`)
+// build returns the revision whose program makes the cell's runs, or "" for this program.
+func (c Cell) build() (revision string) {
+	for _, l := range c.Levels {
+		if l.Build != "" {
+			revision = l.Build
 		}
-		p.Factors = append(p.Factors, factor)
-	}
-	if built && dayed != nil {
-		dayed.AddProblem("", "a day block beside a level with a build", "another build plays scripts as they are; "+
-			"put what the day block says into a script file and name that with script =")
-	}
-	if p.Each <= 0 || p.Budget <= 0 {
-		b.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
 	}
-	if err := b.Finish(); err != nil {
+	return revision
+}
+
+// Open reads a plan and decodes the scenario of each cell, so that errors are found before anything is run.
+func Open(file string) (*Plan, error) {
+	source, err := os.ReadFile(file)
+	if err != nil {
 		return nil, err
 	}
-	if cells := len(p.Cells()); cells > 10000 {
-		return nil, config.Problems{{File: file, Line: 1, What: fmt.Sprintf("%d cells are too many", cells), Fix: "leave levels out"}}
-	}
-	for _, c := range p.Cells() {
-		if _, err := p.Day(c); err != nil {
-			return nil, err
-		}
-	}
-	return p, nil
+	return Decode(file, source)
 }
 
-func toDuration(t placement.Millis) time.Duration { return time.Duration(float64(t) * 1e6) }
+// digest identifies the plan's text.
+func (p *Plan) digest() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.source)) }
 
-// Cells are all crossings; the last factor changes first.
+// Cells returns all crossings of levels. The last factor changes first.
 func (p *Plan) Cells() []Cell {
 	cells := []Cell{{}}
 	for _, f := range p.Factors {
 		var next []Cell
 		for _, c := range cells {
 			for _, l := range f.Levels {
-				next = append(next, Cell{No: len(next), Levels: append(append([]Level{}, c.Levels...), l)})
+				next = append(next, Cell{Index: len(next), Levels: append(append([]Level{}, c.Levels...), l)})
 			}
 		}
 		cells = next
@@ -154,56 +107,6 @@
 	return cells
 }
 
-// Day is the script of a cell: what its levels' day blocks say, then the script that they or the plan name. Where two
-// levels set the same, the one of the factor that stands first counts.
-func (p *Plan) Day(c Cell) (*simulation.Script, error) {
-	b, err := config.Parse(p.file, p.src)
-	if err != nil {
-		return nil, err
-	}
-	base, day := p.Script, (*config.Block)(nil)
-	for i, f := range b.Named("factor") {
-		for _, l := range f.Named("level") {
-			if l.Name != c.Levels[i].Name {
-				continue
-			}
-			if s := c.Levels[i].Script; s != "" {
-				base = s
-			}
-			if own := l.Block("day"); day == nil {
-				day = own
-			} else {
-				day.Inherit(own)
-			}
-		}
-	}
-	from, err := simulation.Parse(base)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", p.file, err)
-	}
-	if day == nil {
-		day = from
-	} else {
-		day.Inherit(from)
-	}
-	s, err := simulation.Decode(day)
-	if err != nil {
-		return nil, err
-	}
-	s.Name = base
-	for _, l := range c.Levels {
-		s.Resize(l.Allocators, l.Nodes)
-	}
-	for _, l := range c.Levels {
-		if l.Length > 0 {
-			s.Stretch(l.Length)
-		}
-		if l.Rate > 0 {
-			s.Owner.Rate = l.Rate
-		}
-		if l.Load > 0 {
-			s.Load(l.Load)
-		}
-	}
-	return s, nil
+func toDuration(t placement.Millis) time.Duration {
+	return time.Duration(float64(t) * float64(time.Millisecond))
 }
--- /dev/null
+++ b/internal/experiment/result.go
@@ -0,0 +1,72 @@
+package experiment
+
+import (
+	"cmp"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+)
+
+// Result is what an experiment's directory holds.
+type Result struct {
+	Plan *Plan
+	Dir  string
+	Runs []Run // by cell and seed
+}
+
+// Read reads a directory that Plan.Do has written, whether or not the experiment is complete.
+func Read(dir string) (*Result, error) {
+	p, err := Open(filepath.Join(dir, planFile))
+	if os.IsNotExist(err) {
+		return nil, NoExperimentError{Dir: dir}
+	}
+	if err != nil {
+		return nil, err
+	}
+	runs, _, err := readRuns(filepath.Join(dir, runsFile))
+	if err != nil {
+		return nil, err
+	}
+	cells := len(p.Cells())
+	for i := range runs {
+		r := &runs[i]
+		if r.Plan != p.digest() || r.Cell < 0 || r.Cell >= cells {
+			return nil, ForeignRunError{Dir: dir, Cell: r.Cell, Seed: r.Seed}
+		}
+	}
+	slices.SortStableFunc(runs, func(x, y Run) int { return cmp.Or(cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.Seed, y.Seed)) })
+	p.Name = filepath.Base(dir)
+	return &Result{p, dir, runs}, nil
+}
+
+// seedValues are values by seed.
+type seedValues map[uint64]float64
+
+func (v seedValues) seeds() []uint64 { return slices.Sorted(maps.Keys(v)) }
+
+// inOrder returns the values in the order of their seeds.
+func (v seedValues) inOrder() []float64 {
+	values := make([]float64, 0, len(v))
+	for _, seed := range v.seeds() {
+		values = append(values, v[seed])
+	}
+	return values
+}
+
+// values returns a measure's values in the runs of a cell that did not fail.
+func (r *Result) values(cell Cell, measure string) seedValues {
+	found := seedValues{}
+	for i := range r.Runs {
+		run := &r.Runs[i]
+		if v, ok := run.Values[measure]; ok && run.Cell == cell.Index && run.Error == "" {
+			found[run.Seed] = v
+		}
+	}
+	return found
+}
+
+// Estimate returns the estimate of a measure in a cell.
+func (r *Result) Estimate(cell Cell, measure string) Estimate {
+	return estimate(r.values(cell, measure).inOrder())
+}
