--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -133,7 +133,7 @@
 
 func frontendConfig(discovery string) native.Config {
 	return native.Config{
-		Name: allocatorName, Incarnation: 2, Seed: 1, Settings: settings(), Groups: []string{groupName}, Kinds: []string{kindName},
+		Name: allocatorName, Incarnation: 2, Seed: 1, Settings: settings(), GroupNames: []string{groupName}, KindNames: []string{kindName},
 		DiscoveryAddress: discovery, EventLogSize: eventLogSize,
 	}
 }
--- a/internal/benchmark/statecost.go
+++ b/internal/benchmark/statecost.go
@@ -117,7 +117,7 @@
 		return r, err
 	}
 	start := time.Now()
-	l, contents, err := storage.Open(d, &statepb.Life{Incarnation: 2}, storage.DefaultMaxLogSize, fixedClock)
+	l, contents, err := storage.Open(d, &statepb.Incarnation{Number: 2}, storage.DefaultMaxLogSize, fixedClock)
 	if err != nil {
 		return r, err
 	}
@@ -129,7 +129,7 @@
 // writeHistory writes binds of ten times as many keys, and that all but the first ones are forgotten.
 func writeHistory(d storage.Disk, keys int) error {
 	const historyFactor, farFuture = 10, 1e15
-	l, _, err := storage.Open(d, &statepb.Life{Incarnation: 1}, storage.DefaultMaxLogSize, fixedClock)
+	l, _, err := storage.Open(d, &statepb.Incarnation{Number: 1}, storage.DefaultMaxLogSize, fixedClock)
 	if err != nil {
 		return err
 	}
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -13,6 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
@@ -74,11 +75,11 @@
 
 // recordScenario runs a scenario in virtual time and returns the records of its first allocator.
 func recordScenario(script, dir string) (*recording, error) {
-	s, err := simulation.Open(script)
+	s, err := scenario.Open(script)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir}); err != nil {
+	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir}); err != nil {
 		return nil, err
 	}
 	r := &recording{}
--- a/internal/command/platform_harness_test.go
+++ b/internal/command/platform_harness_test.go
@@ -129,7 +129,7 @@
 			return received, true
 		}
 		received = received[used:]
-		if message := m.(*codec.Message); message.Verb == codec.Start && !n.accept(c, message.Tag) {
+		if offer, ok := m.(*codec.Offer); ok && !n.accept(c, offer.Tag) {
 			return nil, false
 		}
 	}
@@ -142,8 +142,7 @@
 	if n.release != nil {
 		<-n.release
 	}
-	text := "taken by a node"
-	out, err := codec.NodeCodec{}.Append(nil, &codec.Message{Verb: codec.Started, Tag: tag, Description: &text})
+	out, err := codec.NodeCodec{}.Append(nil, codec.NewConfirmation(tag, "taken by a node"))
 	if err != nil {
 		return false
 	}
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
 	"grebeglade/internal/benchmark"
 	"grebeglade/internal/loadgen"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
 	"grebeglade/trace"
-	"os"
-	"reflect"
-	"strings"
-	"testing"
 
 	"github.com/stretchr/testify/require"
 )
@@ -56,7 +57,7 @@
 		"bench-trace":   benchmark.TraceCost{},
 		"lab-load":      loadgen.Result{},
 		"lab-play":      simulation.Result{},
-		"lab-hunt":      simulation.HuntReport{},
+		"lab-hunt":      simulation.SearchReport{},
 		"trace-summary": trace.Summary{},
 		"trace-verify":  trace.Check{},
 		"trace-merge":   trace.MergeReport{},
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -113,7 +113,7 @@
 	},
 	{
 		brokenMeasure, "", "broken rules", lowerIsBetter,
-		func(r *simulation.Result) (float64, bool) { return float64(len(r.Broken) + r.MoreBroken), true },
+		func(r *simulation.Result) (float64, bool) { return float64(len(r.Violations) + r.MoreViolations), true },
 	},
 	{
 		"oracle_best", "%", "core time that is known to have been possible", neitherIsBetter,
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -205,7 +205,7 @@
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	return simulation.PlayVirtual(s, simulation.Options{Seed: j.seed, Oracle: e.plan.Oracle, Until: deadline, Stopped: ctx.Err})
+	return simulation.PlayVirtual(s, simulation.Options{Seed: j.seed, Oracle: e.plan.Oracle, Deadline: deadline, Cancelled: ctx.Err})
 }
 
 func (e *execution) whyIncomplete(ctx context.Context) string {
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -27,8 +27,8 @@
 	}
 	scenario, err := p.Scenario(p.Cells()[3])
 	require.NoError(t, err)
-	assert.Equal(t, 8, scenario.Nodes())
-	assert.Equal(t, "crash", scenario.Faults[0].Kind)
+	assert.Equal(t, 8, scenario.NodeCount())
+	assert.Equal(t, "crash", string(scenario.Faults[0].Kind))
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, parquetFile))
 	require.NoError(t, err)
 	assert.Greater(t, len(rows), 12*8)
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -4,22 +4,22 @@
 	"fmt"
 
 	"grebeglade/config"
-	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 )
 
 // Scenario returns the scenario of a cell: what the day blocks of its levels say, on top of the script that they or the
 // plan name. Where two levels set the same, the one of the earlier factor counts.
-func (p *Plan) Scenario(c Cell) (*simulation.Script, error) {
+func (p *Plan) Scenario(c Cell) (*scenario.Script, error) {
 	days, err := p.dayBlocks(c)
 	if err != nil {
 		return nil, err
 	}
 	name := p.scriptName(c)
-	script, err := simulation.Parse(name)
+	script, err := scenario.Parse(name)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.file, err)
 	}
-	s, err := simulation.Decode(overlay(append(days, script)))
+	s, err := scenario.Decode(overlay(append(days, script)))
 	if err != nil {
 		return nil, err
 	}
@@ -65,19 +65,19 @@
 }
 
 // applyLevels changes the size of a scenario before its length, rate and load, which depend on it.
-func applyLevels(s *simulation.Script, levels []Level) {
+func applyLevels(s *scenario.Script, levels []Level) {
 	for _, l := range levels {
 		s.Resize(l.Allocators, l.Nodes)
 	}
 	for _, l := range levels {
 		if l.Length > 0 {
-			s.Stretch(l.Length)
+			s.SetLength(l.Length)
 		}
 		if l.Rate > 0 {
-			s.Owner.Rate = l.Rate
+			s.Client.Rate = l.Rate
 		}
 		if l.Load > 0 {
-			s.Load(l.Load)
+			s.SetLoad(l.Load)
 		}
 	}
 }
--- a/internal/loadgen/fromtrace_test.go
+++ b/internal/loadgen/fromtrace_test.go
@@ -8,15 +8,16 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/trace"
 )
 
 func TestFromTrace_KeepsRecordedTimes(t *testing.T) {
 	dir := t.TempDir()
-	s, err := simulation.Open("quiet")
+	s, err := scenario.Open("quiet")
 	require.NoError(t, err)
-	s.Stretch(4000)
-	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
+	s.SetLength(4000)
+	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
 	names, _, _ := trace.ListFiles(dir + "/allocator-1")
 	require.NotEmpty(t, names)
--- a/internal/replay/describe.go
+++ b/internal/replay/describe.go
@@ -8,68 +8,35 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Names of the numbers in records, as descriptions show them.
 var (
-	stepNames   = []string{"bind", "wait", "resident", "rejected", "unschedulable", "done"}
-	resultNames = []string{
-		"confirmed", "declined", "unreachable", "not sent", "unclear", "timed out", "ended", "withdrawn", "due",
-	}
 	verdictNames    = []string{"", "placed", "rejected", "unschedulable"}
 	nodeUpdateNames = []string{"changes", "whole", "cached", "failed"}
-	reasonNames     = []string{
-		"", "no cores", "no memory", "too many waiting", "not here", "evicted", "pushed out", "sent away",
-	}
-	usageNames = []string{"running", "cores used", "memory used", "served share", "memory filled"}
+	usageNames      = []string{"running", "cores used", "memory used", "served share", "memory filled"}
 )
 
-// nameOf returns the name of a number. Later versions may have added numbers without a name here.
-func nameOf(names []string, number uint32) string {
-	if int(number) < len(names) {
-		return names[number]
-	}
-	return fmt.Sprintf("kind %d", number)
-}
-
-func stepText(s *tracepb.Step) string {
-	switch {
-	case s == nil:
-		return "nothing"
-	case placement.StepKind(s.Kind) == placement.Bind:
-		return fmt.Sprintf("bind to node %d for %.3f ms", s.Node, s.Timeout)
-	case placement.StepKind(s.Kind) == placement.Wait:
-		return fmt.Sprintf("wait until %.3f ms", s.Until)
-	}
-	return nameOf(stepNames, s.Kind)
-}
-
-func maintenanceText(c *tracepb.Chores) string {
-	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms", c.GetMoves(), c.GetProbes(), c.GetWatch(), c.GetAgain())
-}
-
-// Describe returns a line of text for a record: its revision, its time, what it records, and what was decided.
+// Describe describes a record in one line.
 func Describe(r *trace.Record) string {
-	text := fmt.Sprintf("%d at %.3f ms: ", r.Revision, r.AtMs)
-	if isCall(r) {
-		text += describeCall(r)
-	} else {
-		text += describeEvent(r)
+	text := describeCall(r)
+	if text == "" {
+		text = describeEvent(r)
 	}
+	text = fmt.Sprintf("%d at %.3f ms: %s", r.Revision, r.AtMs, text)
 	if r.Step != nil {
-		text += " -> " + stepText(r.Step)
+		text += " -> " + describeStep(r.Step)
 	}
 	if r.Chores != nil {
-		text += " -> " + maintenanceText(r.Chores)
+		text += " -> " + describeMaintenance(r.Chores)
 	}
 	return text
 }
 
-// describeCall describes a call to the module.
+// describeCall describes a call of the module, "" for other records.
 func describeCall(r *trace.Record) string {
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Place:
 		w := b.Place.Workload
-		return fmt.Sprintf("place workload %d of service %d, group %d, %g cores, %g memory, %.0f ms left", w.GetId(), w.GetService(),
-			w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetLeft())
+		return fmt.Sprintf("place workload %d of service %d, group %d, %g cores, %g memory, %.0f ms left",
+			w.GetId(), w.GetService(), w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetLeft())
 	case *tracepb.Record_Adopt:
 		return fmt.Sprintf("adopt workload %d on node %d", b.Adopt.Workload.GetId(), b.Adopt.Node)
 	case *tracepb.Record_Next:
@@ -88,15 +55,7 @@
 	return ""
 }
 
-func describeResult(n *tracepb.Next) string {
-	text := fmt.Sprintf("workload %d %s", n.Workload, nameOf(resultNames, n.Kind))
-	if n.Reason > 0 {
-		text += fmt.Sprintf(" (%s)", nameOf(reasonNames, n.Reason))
-	}
-	return text
-}
-
-// describeEvent describes a record that is not a call to the module.
+// describeEvent describes what went on around the module, "" for kinds that a later version has added.
 func describeEvent(r *trace.Record) string {
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Start:
@@ -120,3 +79,37 @@
 	}
 	return ""
 }
+
+func describeResult(n *tracepb.Next) string {
+	text := fmt.Sprintf("workload %d %s", n.Workload, trace.ResultName(n.Kind, unnamed(n.Kind)))
+	if n.Reason > 0 {
+		text += fmt.Sprintf(" (%s)", trace.RejectionName(n.Reason, unnamed(n.Reason)))
+	}
+	return text
+}
+
+func describeStep(s *tracepb.Step) string {
+	switch {
+	case s == nil:
+		return "nothing"
+	case placement.StepKind(s.Kind) == placement.Bind:
+		return fmt.Sprintf("bind to node %d for %.3f ms", s.Node, s.Timeout)
+	case placement.StepKind(s.Kind) == placement.Wait:
+		return fmt.Sprintf("wait until %.3f ms", s.Until)
+	}
+	return trace.StepName(s.Kind, unnamed(s.Kind))
+}
+
+func describeMaintenance(m *tracepb.Chores) string {
+	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms", m.GetMoves(), m.GetProbes(), m.GetWatch(), m.GetAgain())
+}
+
+func nameOf(names []string, number uint32) string {
+	if int(number) < len(names) {
+		return names[number]
+	}
+	return unnamed(number)
+}
+
+// unnamed describes a kind that a later version has added.
+func unnamed(number uint32) string { return fmt.Sprintf("kind %d", number) }
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -1,6 +1,8 @@
 package replay
 
 import (
+	"slices"
+
 	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
@@ -13,30 +15,28 @@
 	Node     uint32
 }
 
-// workloadKey names a workload of one allocator of a trace.
-type workloadKey struct{ source, workload uint32 }
-
-// Matcher returns a function that tells whether the filter selects a record. It must be given all records of a file in
-// their order, since it takes the services of workloads from the requests for them.
+// Matcher returns a function that reports whether a record is selected. It must be called for all records of one file
+// in their order: which workloads belong to a service is known from their requests.
 func (f Filter) Matcher() func(*trace.Record) bool {
-	services := map[workloadKey]uint64{}
+	type key struct{ source, workload uint32 }
+	inService := map[key]bool{}
 	return func(r *trace.Record) bool {
-		id, known := workloadOf(r)
-		key := workloadKey{r.Source, id}
+		id, ofWorkload := workloadID(r)
 		if w := requestedWorkload(r); w != nil {
-			services[key] = w.Service
+			inService[key{r.Source, id}] = w.Service == f.Service
 		}
 		switch {
-		case f.Workload != 0 && (!known || id != f.Workload),
-			f.Service != 0 && (!known || services[key] != f.Service),
-			f.Node != 0 && !concernsNode(r, f.Node):
+		case f.Workload != 0 && (!ofWorkload || id != f.Workload):
+			return false
+		case f.Service != 0 && (!ofWorkload || !inService[key{r.Source, id}]):
 			return false
+		default:
+			return f.Node == 0 || concernsNode(r, f.Node)
 		}
-		return true
 	}
 }
 
-// requestedWorkload returns the workload that a record schedules or adopts, or nil if it does neither.
+// requestedWorkload returns the workload that a record schedules or adopts, nil for other records.
 func requestedWorkload(r *trace.Record) *tracepb.Workload {
 	if p := r.GetPlace(); p != nil {
 		return p.Workload
@@ -44,8 +44,8 @@
 	return r.GetAdopt().GetWorkload()
 }
 
-// workloadOf returns the id of the workload that a record is about.
-func workloadOf(r *trace.Record) (uint32, bool) {
+// workloadID returns the workload that a record concerns.
+func workloadID(r *trace.Record) (id uint32, ok bool) {
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Place:
 		return b.Place.GetWorkload().GetId(), true
@@ -65,9 +65,8 @@
 	return 0, false
 }
 
-// concernsNode tells whether a record is about a node, or binds a workload to it.
 func concernsNode(r *trace.Record, node uint32) bool {
-	if r.Step != nil && placement.StepKind(r.Step.Kind) == placement.Bind && r.Step.Node == node {
+	if s := r.Step; s != nil && placement.StepKind(s.Kind) == placement.Bind && s.Node == node {
 		return true
 	}
 	switch b := r.Body.(type) {
@@ -82,11 +81,7 @@
 	case *tracepb.Record_Refused:
 		return b.Refused.Node == node
 	case *tracepb.Record_List:
-		for _, n := range b.List.Nodes {
-			if n.Id == node {
-				return true
-			}
-		}
+		return slices.ContainsFunc(b.List.Nodes, func(n *tracepb.Node) bool { return n.Id == node })
 	}
 	return false
 }
--- a/internal/replay/recorder.go
+++ b/internal/replay/recorder.go
@@ -6,49 +6,50 @@
 	"grebeglade/trace/tracepb"
 )
 
-// maxBatch is how many records are handed to the sink at a time, at most.
+// maxBatch is how many records are handed over at a time; Maintain hands over whatever there is.
 const maxBatch = 64
 
-// Sink takes records. Put must not block.
+// Sink takes records. It must not keep the caller waiting.
 type Sink interface{ Put(records []*trace.Record) }
 
-// RecorderConfig describes the allocator whose calls are recorded.
+// RecorderConfig is what an allocator starts with.
 type RecorderConfig struct {
-	Source                           *tracepb.Source
-	Settings                         placement.Settings
-	Seed                             uint64
-	GroupNames, KindNames, ZoneNames []string // by their numbers
+	Source     *tracepb.Source
+	Settings   placement.Settings
+	Seed       uint64
+	GroupNames []string
+	KindNames  []string
+	ZoneNames  []string
 }
 
-// Recorder is a placement module that records each call and its outcome. It has the methods of the module, and others
-// that record events around it.
+// Recorder is a placement module whose calls are recorded with their outcomes. It has the module's methods, and a few
+// for what goes on around it.
 type Recorder struct {
 	module   *placement.Scheduler
 	sink     Sink
 	revision uint64
-	records  []*trace.Record // not handed to the sink yet
+	records  []*trace.Record // not handed over yet
 }
 
-// NewRecorder returns a new module whose calls are recorded into the sink.
-func NewRecorder(config RecorderConfig, sink Sink) *Recorder {
-	r := &Recorder{module: placement.New(config.Settings, config.Seed), sink: sink}
+// NewRecorder returns a module whose calls go to a sink, and records its start.
+func NewRecorder(c RecorderConfig, sink Sink) *Recorder {
+	r := &Recorder{module: placement.New(c.Settings, c.Seed), sink: sink}
 	r.add(0, &trace.Record{Body: &tracepb.Record_Start{Start: &tracepb.Start{
-		Source: config.Source, Settings: encodeSettings(config.Settings), Seed: config.Seed,
-		Groups: config.GroupNames, Kinds: config.KindNames, Zones: config.ZoneNames,
+		Source: c.Source, Settings: encodeSettings(c.Settings), Seed: c.Seed, Groups: c.GroupNames, Kinds: c.KindNames,
+		Zones: c.ZoneNames,
 	}}})
 	return r
 }
 
-func (r *Recorder) add(now placement.Millis, record *trace.Record) {
+func (r *Recorder) add(now placement.Millis, rec *trace.Record) {
 	r.revision++
-	record.AtMs, record.Revision = float64(now), r.revision
-	r.records = append(r.records, record)
-	if len(r.records) >= maxBatch {
+	rec.AtMs, rec.Revision = float64(now), r.revision
+	if r.records = append(r.records, rec); len(r.records) >= maxBatch {
 		r.Flush()
 	}
 }
 
-// Flush hands the records so far to the sink.
+// Flush hands over the records that have not been yet.
 func (r *Recorder) Flush() {
 	if len(r.records) > 0 {
 		r.sink.Put(r.records)
@@ -56,46 +57,48 @@
 	}
 }
 
-// addStep records a call with the step that it returned, and returns the step with a NextStep that is recorded too.
-func (r *Recorder) addStep(now placement.Millis, id placement.WorkloadID, record *trace.Record, s placement.Step) placement.Step {
-	record.Step = encodeStep(s)
-	r.add(now, record)
-	if next := s.NextStep; next != nil {
-		s.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
-			record := &trace.Record{Body: &tracepb.Record_Next{Next: encodeResult(id, result)}}
-			return r.addStep(now, id, record, next(now, result))
-		}
+// recordStep records a step with the call that returned it, and makes its continuation record the next one.
+func (r *Recorder) recordStep(now placement.Millis, id placement.WorkloadID, rec *trace.Record, s placement.Step) placement.Step {
+	rec.Step = encodeStep(s)
+	r.add(now, rec)
+	next := s.NextStep
+	if next == nil {
+		return s
+	}
+	s.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
+		call := &trace.Record{Body: &tracepb.Record_Next{Next: encodeResult(id, result)}}
+		return r.recordStep(now, id, call, next(now, result))
 	}
 	return s
 }
 
-// Schedule calls the method of the same name of placement.Scheduler and records it.
+// Schedule calls the module's Schedule.
 func (r *Recorder) Schedule(now placement.Millis, w placement.Workload) placement.Step {
-	return r.addStep(now, w.ID, &trace.Record{Body: &tracepb.Record_Place{Place: &tracepb.Place{
-		Workload: encodeWorkload(w),
-	}}}, r.module.Schedule(now, w))
+	call := &trace.Record{Body: &tracepb.Record_Place{Place: &tracepb.Place{Workload: encodeWorkload(w)}}}
+	return r.recordStep(now, w.ID, call, r.module.Schedule(now, w))
 }
 
-// Adopt calls the method of the same name of placement.Scheduler and records it.
+// Adopt calls the module's Adopt.
 func (r *Recorder) Adopt(now placement.Millis, w placement.Workload, node placement.NodeID) placement.Step {
-	return r.addStep(now, w.ID, &trace.Record{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{
+	call := &trace.Record{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{
 		Workload: encodeWorkload(w), Node: uint32(node),
-	}}}, r.module.Adopt(now, w, node))
+	}}}
+	return r.recordStep(now, w.ID, call, r.module.Adopt(now, w, node))
 }
 
-// UpdateNodes calls the method of the same name of placement.Scheduler and records it.
+// UpdateNodes calls the module's UpdateNodes.
 func (r *Recorder) UpdateNodes(now placement.Millis, k placement.NodeUpdateKind, nodes []placement.Node) {
 	r.module.UpdateNodes(now, k, nodes)
 	r.add(now, &trace.Record{Body: &tracepb.Record_List{List: &tracepb.List{Kind: uint32(k), Nodes: encodeNodes(nodes)}}})
 }
 
-// ReportLoad calls the method of the same name of placement.Scheduler and records it.
+// ReportLoad calls the module's ReportLoad.
 func (r *Recorder) ReportLoad(now placement.Millis, id placement.NodeID, l placement.LoadReport) {
 	r.module.ReportLoad(now, id, l)
 	r.add(now, &trace.Record{Body: &tracepb.Record_Report{Report: &tracepb.Report{Node: uint32(id), Load: encodeLoad(&l)}}})
 }
 
-// HealthChecked calls the method of the same name of placement.Scheduler and records it.
+// HealthChecked calls the module's HealthChecked.
 func (r *Recorder) HealthChecked(now placement.Millis, id placement.NodeID, answered bool, l *placement.LoadReport) {
 	r.module.HealthChecked(now, id, answered, l)
 	r.add(now, &trace.Record{Body: &tracepb.Record_Probed{Probed: &tracepb.Probed{
@@ -103,7 +106,7 @@
 	}}})
 }
 
-// ReportUsage calls the method of the same name of placement.Scheduler and records it.
+// ReportUsage calls the module's ReportUsage.
 func (r *Recorder) ReportUsage(now placement.Millis, id placement.WorkloadID, k placement.UsageKind, value float64) {
 	r.module.ReportUsage(now, id, k, value)
 	r.add(now, &trace.Record{Body: &tracepb.Record_Note{Note: &tracepb.Note{
@@ -111,22 +114,22 @@
 	}}})
 }
 
-// Maintain calls the method of the same name of placement.Scheduler and records it, and flushes.
+// Maintain calls the module's Maintain, and hands over what has been recorded.
 func (r *Recorder) Maintain(now placement.Millis) placement.Maintenance {
-	c := r.module.Maintain(now)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}, Chores: encodeMaintenance(c)})
+	m := r.module.Maintain(now)
+	r.add(now, &trace.Record{Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}, Chores: encodeMaintenance(m)})
 	r.Flush()
-	return c
+	return m
 }
 
-// RecordRequest records the client and the request of a workload, before it is scheduled or adopted.
+// RecordRequest records whose a workload is, before it is scheduled or adopted.
 func (r *Recorder) RecordRequest(now placement.Millis, id placement.WorkloadID, client string, request, key uint64) {
 	r.add(now, &trace.Record{Body: &tracepb.Record_Asked{Asked: &tracepb.Asked{
 		Workload: uint32(id), Owner: client, Ask: request, Key: key,
 	}}})
 }
 
-// RecordAnswer records the final answer to a client, with an allocator.Verdict.
+// RecordAnswer records what a client was answered.
 func (r *Recorder) RecordAnswer(now placement.Millis, id placement.WorkloadID, verdict uint8, node placement.NodeID, text string) {
 	r.add(now, &trace.Record{Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{
 		Workload: uint32(id), Verdict: uint32(verdict), Node: uint32(node), Text: text,
@@ -140,19 +143,19 @@
 	}}})
 }
 
-// RecordListRevision records the revision of the node list that was received.
+// RecordListRevision records which revision of the endpoint list was received.
 func (r *Recorder) RecordListRevision(now placement.Millis, epoch, revision uint64) {
 	r.add(now, &trace.Record{Body: &tracepb.Record_Heard{Heard: &tracepb.Heard{Epoch: epoch, Revision: revision}}})
 }
 
-// RecordGangRequest records the request of a gang, of which need parts must run together.
-func (r *Recorder) RecordGangRequest(now placement.Millis, client string, request uint64, parts, need int, pendingTimeout placement.Millis) {
+// RecordGangRequest records that the workloads of a request belong together, before each of them.
+func (r *Recorder) RecordGangRequest(now placement.Millis, client string, request uint64, parts, need int, pending placement.Millis) {
 	r.add(now, &trace.Record{Body: &tracepb.Record_GangAsked{GangAsked: &tracepb.GangAsked{
-		Owner: client, Ask: request, Parts: uint32(parts), Need: uint32(need), Left: float64(pendingTimeout),
+		Owner: client, Ask: request, Parts: uint32(parts), Need: uint32(need), Left: float64(pending),
 	}}})
 }
 
-// RecordGangState records a new state of a gang.
+// RecordGangState records the progress of a gang, with the workloads of its parts, 0 for one that is not requested.
 func (r *Recorder) RecordGangState(now placement.Millis, client string, request uint64, state string, parts []placement.WorkloadID) {
 	g := &tracepb.GangState{Owner: client, Ask: request, State: state}
 	for _, id := range parts {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,166 +1,66 @@
+// Package replay records the calls of an allocator's placement module, and makes recorded calls again.
+//
+// A Recorder is the module with every call and its outcome written to a trace. Run and RunFiles make the calls of a
+// trace on a module again and compare every decision. A Reproduction is the few calls that one decision rests on. Times
+// are milliseconds. Recorders and runs are for use by one goroutine each.
 package replay
 
 import (
-	"fmt"
-	"iter"
-	"maps"
-	"slices"
-
-	"google.golang.org/protobuf/proto"
+	"errors"
 
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
-	"grebeglade/trace"
-	"grebeglade/trace/tracepb"
 )
 
-// Options configure a replay. The zero value replays with the recorded settings.
-type Options struct {
-	// Settings, if not nil, returns the settings to use instead of the recorded ones. Every decision may differ then, and
-	// the replay goes on past differences.
-	Settings func(placement.Settings) (placement.Settings, error)
-	// Module, if not nil, makes the module to use instead of placement.New, for tests of the comparison.
-	Module func(settings placement.Settings, seed uint64) allocator.Module
-}
-
-func (o *Options) newModule(settings placement.Settings, seed uint64) allocator.Module {
-	if o.Module != nil {
-		return o.Module(settings, seed)
-	}
-	return placement.New(settings, seed)
-}
-
-// whatIf tells whether the replay is made with other settings than the recorded ones.
-func (o *Options) whatIf() bool { return o.Settings != nil }
-
-// Run makes the calls of records to a module and compares each decision. Records of several allocators, whose names are
-// in sources, may be mixed: each has a replay and a report of its own. Run ends at damage. With the recorded settings the
-// replay of an allocator ends at its first divergence, since what follows was recorded after another decision.
-func Run(records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, o Options) ([]*Report, error) {
-	replays := map[uint32]*replay{}
-	for r, err := range records {
-		if err != nil {
-			return nil, err
-		}
-		one := replays[r.Source]
-		if one == nil {
-			if r.GetStart() == nil {
-				return nil, ErrNoStart
-			}
-			one = &replay{options: o, nextRevision: r.Revision}
-			one.report.Source = sourceName(sources, r.Source)
-			replays[r.Source] = one
-		}
-		if err := one.add(r); err != nil {
-			return nil, fmt.Errorf("%s, revision %d: %w", one.report.Source, r.Revision, err)
-		}
-	}
-	if len(replays) == 0 {
-		return nil, ErrNoStart
-	}
-	var reports []*Report
-	for _, source := range slices.Sorted(maps.Keys(replays)) {
-		reports = append(reports, &replays[source].report)
-	}
-	return reports, nil
-}
-
-func sourceName(sources []*tracepb.Source, i uint32) string {
-	if int(i) < len(sources) {
-		return fmt.Sprintf("%s.%d", sources[i].Allocator, sources[i].Incarnation)
-	}
-	return fmt.Sprintf("source %d", i)
-}
-
-// replay is the replay of one incarnation of an allocator.
-type replay struct {
-	reporter
-	options      Options
-	session      *session // from the record of the start on
-	nextRevision uint64
-}
-
-// ended tells whether the replay has ended at a divergence.
-func (p *replay) ended() bool { return p.report.Differ != nil && !p.options.whatIf() }
+var (
+	// ErrNoStart means that the first part of a trace is missing: the module's state at its beginning is not known.
+	ErrNoStart = errors.New("the trace does not begin with the allocator's start, so the module's state is not known; " +
+		"give the earlier files of the same allocator too")
+	// ErrAnonymised means that a trace is under pseudonyms: some choices rest on the ids themselves.
+	ErrAnonymised = errors.New("the trace is under pseudonyms and cannot be decided again: some choices rest on the ids " +
+		"themselves; replay the original")
+	// ErrOtherDecision means that the module decides otherwise than recorded, so that there is nothing to reproduce.
+	ErrOtherDecision = errors.New(
+		"this program's module decides otherwise on the same calls; see 'grebeglade trace replay'")
+)
 
-func (p *replay) add(r *trace.Record) error {
-	if p.ended() {
-		return nil
-	}
-	if gap := r.GetGap(); gap != nil {
-		return GapError{Missing: gap.Missing, Reason: gap.Why}
-	}
-	if r.Revision != p.nextRevision {
-		return RevisionError{Previous: p.nextRevision - 1}
-	}
-	p.nextRevision++
-	if s := r.GetStart(); s != nil {
-		return p.start(s)
-	}
-	p.call(r)
-	return nil
+// Options are what a run is made with. The zero value makes the calls on this program's module.
+type Options struct {
+	// Settings replaces the settings of the trace, nil for none. Every decision may differ then, and the run goes on.
+	Settings func(recorded placement.Settings) (placement.Settings, error)
+	// Module replaces the module, for tests of the comparison; nil for none.
+	Module func(s placement.Settings, seed uint64) allocator.Module
 }
 
-func (p *replay) start(s *tracepb.Start) error {
-	settings := decodeSettings(s.Settings)
-	if p.options.whatIf() {
-		var err error
-		if settings, err = p.options.Settings(settings); err != nil {
-			return err
-		}
-		p.report.WhatIf = &WhatIf{}
-	}
-	p.session = newSession(p.options.newModule(settings, s.Seed))
-	return nil
+// Report is the outcome of a run for one incarnation of an allocator.
+type Report struct {
+	Source    string      `json:"source"`
+	Calls     int         `json:"calls"`
+	Decisions int         `json:"decisions"` // steps and maintenance that were compared
+	Same      int         `json:"same"`
+	Differ    *Divergence `json:"differ,omitempty"` // the first
+	WhatIf    *WhatIf     `json:"what_if,omitempty"`
 }
 
-// call makes the call of a record and compares its outcome.
-func (p *replay) call(r *trace.Record) {
-	switch o := p.session.call(r); o.kind {
-	case notCalled:
-		return
-	case nothingReturned:
-	case stepReturned:
-		if p.options.whatIf() {
-			p.compareWhatIf(r, o)
-		} else {
-			p.compareStep(r, o)
-		}
-	case maintenanceReturned:
-		p.compare(r, proto.Equal(o.maintenance, r.Chores), maintenanceText(r.Chores), maintenanceText(o.maintenance))
-	case workloadUnknown:
-		if !p.options.whatIf() {
-			p.compare(r, false, stepText(r.Step), "nothing: the workload was let go of before")
-		}
-	}
-	p.countCall(r)
-}
+// Identical reports whether the module decided everything as recorded.
+func (r *Report) Identical() bool { return r.Differ == nil && r.Same == r.Decisions }
 
-func (p *replay) compareStep(r *trace.Record, o outcome) {
-	p.session.follow(o.workload, o.step)
-	decided := encodeStep(o.step)
-	p.compare(r, proto.Equal(decided, r.Step), stepText(r.Step), stepText(decided))
+// Divergence is the first decision that differs.
+type Divergence struct {
+	AtMs     float64  `json:"at_ms"`
+	Revision uint64   `json:"revision"`
+	Call     string   `json:"call"`
+	Recorded string   `json:"recorded"`
+	Decided  string   `json:"decided"`
+	Before   []string `json:"before"` // the last calls before it
 }
 
-// compareWhatIf compares a step that was decided with other settings. Where it is of the recorded kind, the recorded
-// results are taken for its own, whichever node it names. Where it is not, its results are unknown: its bind is withdrawn
-// and the workload abandoned.
-func (p *replay) compareWhatIf(r *trace.Record, o outcome) {
-	decided := encodeStep(o.step)
-	sameKind := r.Step.GetKind() == decided.Kind
-	p.report.Decisions++
-	if sameKind && r.Step.GetNode() == decided.Node {
-		p.report.Same++
-	}
-	if r.GetPlace() != nil {
-		p.report.WhatIf.count(r.Step, decided)
-	}
-	if sameKind {
-		p.session.follow(o.workload, o.step)
-		return
-	}
-	p.session.abandon(o.workload)
-	if o.step.NextStep != nil && (o.step.Kind == placement.Bind || o.step.Kind == placement.AwaitEnd) {
-		o.step.NextStep(placement.Millis(r.AtMs), placement.Result{Kind: placement.NotAttempted, Final: true})
-	}
+// WhatIf counts how other settings would have decided the requests.
+type WhatIf struct {
+	Requests      int `json:"asks"`
+	SameNode      int `json:"same_node"`
+	OtherNode     int `json:"other_node"`
+	NowRejected   int `json:"now_rejected"`   // recorded as bound
+	NowBound      int `json:"now_bound"`      // recorded as rejected
+	StillRejected int `json:"still_rejected"` // both times
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -3,8 +3,13 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -14,24 +19,24 @@
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
 
-// recordScenario runs a scenario in virtual time and returns the trace files of each allocator.
-func recordScenario(t *testing.T, name string) map[string][]*trace.Reader {
+// traced runs a scenario in virtual time and returns the traces of each allocator.
+func traced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
-	s, err := simulation.Open(name)
+	s, err := scenario.Open(name)
 	require.NoError(t, err)
 	dir := t.TempDir()
-	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, Trace: dir})
+	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
-	return openTraces(t, dir)
+	return open(t, dir)
 }
 
-// openTraces opens the trace files of each allocator that has a directory in dir.
-func openTraces(t *testing.T, dir string) map[string][]*trace.Reader {
+func open(t *testing.T, dir string) map[string][]*trace.Reader {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -41,7 +46,7 @@
 		for _, n := range names {
 			r, err := trace.Open(n)
 			require.NoError(t, err)
-			t.Cleanup(func() { assert.NoError(t, r.Close()) })
+			t.Cleanup(func() { require.NoError(t, r.Close()) })
 			all[e.Name()] = append(all[e.Name()], r)
 		}
 	}
@@ -49,11 +54,10 @@
 	return all
 }
 
-// requireIdentical replays traces and checks that every decision is as recorded.
-func requireIdentical(t *testing.T, traces map[string][]*trace.Reader) {
+func identical(t *testing.T, traces map[string][]*trace.Reader) {
 	t.Helper()
 	for name, files := range traces {
-		reports, err := replay.Files(files, replay.Options{})
+		reports, err := replay.RunFiles(files, replay.Options{})
 		require.NoError(t, err, name)
 		for _, r := range reports {
 			assert.True(t, r.Identical(), "%s: %+v", r.Source, r.Differ)
@@ -62,48 +66,48 @@
 	}
 }
 
-func TestFiles_VirtualScenario_Identical(t *testing.T) {
-	for _, name := range simulation.Names() {
+func TestRunFiles_EveryScenarioIsIdentical(t *testing.T) {
+	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			requireIdentical(t, recordScenario(t, name))
+			identical(t, traced(t, name))
 		})
 	}
 }
 
-func TestFiles_SocketScenario_Identical(t *testing.T) {
-	s, err := simulation.Open("rough")
+func TestRunFiles_ScenarioOverSocketsIsIdentical(t *testing.T) {
+	s, err := scenario.Open("rough")
 	require.NoError(t, err)
-	s.Stretch(4000)
+	s.SetLength(4000)
 	dir := t.TempDir()
-	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, Trace: dir}, nil)
+	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, TraceDirectory: dir}, nil)
 	require.NoError(t, err)
-	assert.Empty(t, r.Broken)
-	requireIdentical(t, openTraces(t, dir))
+	assert.Empty(t, r.Violations)
+	identical(t, open(t, dir))
 }
 
-func TestRecorder_DecisionsUnchanged(t *testing.T) {
-	s, err := simulation.Open("rough")
+func TestRecorder_DoesNotChangeDecisions(t *testing.T) {
+	s, err := scenario.Open("rough")
 	require.NoError(t, err)
-	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, Trace: t.TempDir()})
+	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, TraceDirectory: t.TempDir()})
 	require.NoError(t, err)
-	s, err = simulation.Open("rough")
+	s, err = scenario.Open("rough")
 	require.NoError(t, err)
 	without, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5})
 	require.NoError(t, err)
 	assert.Equal(t, without.Digest, with.Digest)
 }
 
-func TestFiles_ChangedModule_ReportsFirstDivergence(t *testing.T) {
-	files := recordScenario(t, "full")["allocator-1"]
+func TestRunFiles_ChangedModuleIsReportedAtFirstDivergence(t *testing.T) {
+	files := traced(t, "full")["allocator-1"]
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = append([]placement.Group(nil), s.Groups...)
 		for i := range s.Groups {
-			s.Groups[i].FullServiceUtilization = 0.35 // a lower load cap
+			s.Groups[i].FullServiceUtilization = 0.35 // a lower cap on ρ
 		}
 		return placement.New(s, seed)
 	}
-	reports, err := replay.Files(files, replay.Options{Module: changed})
+	reports, err := replay.RunFiles(files, replay.Options{Module: changed})
 	require.NoError(t, err)
 	d := reports[0].Differ
 	require.NotNil(t, d)
@@ -120,13 +124,13 @@
 	assert.Equal(t, records, reports[0].Same)
 }
 
-func TestFiles_OtherSettings_CountsRequests(t *testing.T) {
-	files := recordScenario(t, "full")["allocator-1"]
-	reports, err := replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
+func TestRunFiles_OtherSettingsAreComparedByRequest(t *testing.T) {
+	files := traced(t, "full")["allocator-1"]
+	reports, err := replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
 	require.NoError(t, err)
 	w := reports[0].WhatIf
-	assert.Equal(t, w.Asks, w.SameNode+w.StillRejected, "the same settings decide alike")
-	reports, err = replay.Files(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
+	assert.Equal(t, w.Requests, w.SameNode+w.StillRejected, "the same settings decide the same")
+	reports, err = replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
 		s.NodeKinds = append([]placement.NodeKind(nil), s.NodeKinds...)
 		for i := range s.NodeKinds {
 			s.NodeKinds[i].Cores /= 4
@@ -136,86 +140,119 @@
 	require.NoError(t, err)
 	w = reports[0].WhatIf
 	assert.NotZero(t, w.NowRejected)
-	assert.Equal(t, w.Asks, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
+	assert.Equal(t, w.Requests, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
 }
 
-// rewrite returns a trace of records, read back from its bytes.
-func rewrite(t *testing.T, header *tracepb.Header, records ...*trace.Record) *trace.Reader {
+// rewritten returns a file with the records that edit keeps, as it leaves them.
+func rewritten(t *testing.T, file *trace.Reader, edit func(*trace.Record) (keep bool)) *trace.Reader {
 	t.Helper()
-	var b bytes.Buffer
-	w, err := trace.NewWriter(&b, trace.CopyHeader(header))
+	var out bytes.Buffer
+	w, err := trace.NewWriter(&out, trace.CopyHeader(file.Header))
 	require.NoError(t, err)
-	for _, r := range records {
-		require.NoError(t, w.Append(r))
+	for r, err := range file.Records(trace.Span{}) {
+		require.NoError(t, err)
+		if edit(r) {
+			require.NoError(t, w.Append(r))
+		}
 	}
 	require.NoError(t, w.Close())
-	r, err := trace.NewReader(bytes.NewReader(b.Bytes()), int64(b.Len()))
+	r, err := trace.NewReader(bytes.NewReader(out.Bytes()), int64(out.Len()))
 	require.NoError(t, err)
 	return r
 }
 
-func readAll(t *testing.T, file *trace.Reader) (records []*trace.Record) {
-	t.Helper()
-	for r, err := range file.Records(trace.Span{}) {
-		require.NoError(t, err)
-		records = append(records, r)
-	}
-	return records
-}
-
-func TestFiles_IncompleteTrace_ReturnsTypedError(t *testing.T) {
-	file := recordScenario(t, "quiet")["allocator-1"][0]
+func TestRunFiles_IncompleteTraceIsAnError(t *testing.T) {
+	file := traced(t, "quiet")["allocator-1"][0]
 	t.Run("gap", func(t *testing.T) {
-		records := readAll(t, file)
-		for _, r := range records {
+		_, err := replay.RunFiles([]*trace.Reader{rewritten(t, file, func(r *trace.Record) bool {
 			if r.Revision == 50 {
 				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
 				r.Step, r.Chores = nil, nil
 			}
-		}
-		_, err := replay.Files([]*trace.Reader{rewrite(t, file.Header, records...)}, replay.Options{})
-		require.ErrorContains(t, err, "1 records are missing here (the queue was full)")
-		var gap replay.GapError
-		require.ErrorAs(t, err, &gap)
-		assert.Equal(t, replay.GapError{Missing: 1, Reason: "the queue was full"}, gap)
-	})
-	t.Run("missing revision", func(t *testing.T) {
-		records := readAll(t, file)
-		records = append(records[:10:10], records[11:]...)
-		_, err := replay.Files([]*trace.Reader{rewrite(t, file.Header, records...)}, replay.Options{})
-		var missing replay.RevisionError
-		require.ErrorAs(t, err, &missing)
-		assert.Equal(t, replay.RevisionError{Previous: records[9].Revision}, missing)
+			return true
+		})}, replay.Options{})
+		assert.ErrorContains(t, err, "1 records are missing here (the queue was full)")
 	})
-	t.Run("anonymised", func(t *testing.T) {
-		r := rewrite(t, file.Header, readAll(t, file)...)
-		r.Header.Anonymised = true
-		_, err := replay.Files([]*trace.Reader{r}, replay.Options{})
-		require.ErrorIs(t, err, replay.ErrAnonymised)
+	t.Run("missing record", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(r *trace.Record) bool { return r.Revision != 50 }),
+		}, replay.Options{})
+		assert.ErrorContains(t, err, "revision 51: the record before has revision 49; a file is missing between them")
 	})
 	t.Run("no start", func(t *testing.T) {
-		r := rewrite(t, file.Header, &trace.Record{Revision: 2, Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}})
-		_, err := replay.Files([]*trace.Reader{r}, replay.Options{})
-		require.ErrorIs(t, err, replay.ErrNoStart)
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(r *trace.Record) bool { return r.GetUpkeep() != nil }),
+		}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrNoStart)
+	})
+	t.Run("no records", func(t *testing.T) {
+		_, err := replay.RunFiles([]*trace.Reader{
+			rewritten(t, file, func(*trace.Record) bool { return false }),
+		}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrNoStart)
+	})
+	t.Run("pseudonyms", func(t *testing.T) {
+		anonymised := rewritten(t, file, func(*trace.Record) bool { return true })
+		anonymised.Header.Anonymised = true
+		_, err := replay.RunFiles([]*trace.Reader{anonymised}, replay.Options{})
+		assert.ErrorIs(t, err, replay.ErrAnonymised)
+	})
+}
+
+func TestReproduceFiles_FindsFewCalls(t *testing.T) {
+	files := traced(t, "rough")["allocator-1"]
+	r, err := replay.ReproduceFiles(files, 60)
+	require.NoError(t, err)
+	assert.Less(t, len(r.Calls), r.CallsBefore/5)
+	var source strings.Builder
+	require.NoError(t, r.Print(&source))
+	assert.Contains(t, source.String(), "s := a.Schedule(")
+	assert.NotContains(t, source.String(), "NaN)")
+	assertCallsModule(t, source.String())
+}
+
+// assertCallsModule checks that a printed test calls only methods that the module has, with as many arguments.
+func assertCallsModule(t *testing.T, source string) {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), "", "package p\n"+source, 0)
+	require.NoError(t, err)
+	module := reflect.TypeFor[*placement.Scheduler]()
+	calls := 0
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		if f, ok := call.Fun.(*ast.SelectorExpr); ok && fmt.Sprint(f.X) == "a" {
+			calls++
+			method, found := module.MethodByName(f.Sel.Name)
+			if assert.True(t, found, f.Sel.Name) {
+				assert.Len(t, call.Args, method.Type.NumIn()-1, f.Sel.Name) // without the receiver
+			}
+		}
+		return true
 	})
+	assert.NotZero(t, calls)
 }
 
-func TestExtractFiles_FewCallsReproduceDecision(t *testing.T) {
-	files := recordScenario(t, "rough")["allocator-1"]
-	x, err := replay.ExtractFiles(files, 60)
-	require.NoError(t, err)
-	assert.Less(t, len(x.Calls), x.Preceding/5)
-	var b strings.Builder
-	require.NoError(t, x.Print(&b))
-	assert.Contains(t, b.String(), "s := a.Schedule(")
-	assert.NotContains(t, b.String(), "NaN)")
-	_, err = replay.ExtractFiles(files, 999999)
-	require.ErrorContains(t, err, "no request of workload 999999")
-	require.ErrorIs(t, err, replay.NoRequestError{Workload: 999999})
+func TestReproduceFiles_UnknownWorkloadIsAnError(t *testing.T) {
+	_, err := replay.ReproduceFiles(traced(t, "quiet")["allocator-1"], 999999)
+	assert.ErrorContains(t, err, "no ask of workload 999999")
+}
+
+func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
+	file := rewritten(t, traced(t, "quiet")["allocator-1"][0], func(r *trace.Record) bool {
+		if r.GetPlace() != nil {
+			r.Step.Node += 1000
+		}
+		return true
+	})
+	_, err := replay.ReproduceFiles([]*trace.Reader{file}, 60)
+	assert.ErrorIs(t, err, replay.ErrOtherDecision)
 }
 
-func TestFilter_SelectsConcernedRecords(t *testing.T) {
-	file := recordScenario(t, "quiet")["allocator-1"][0]
+func TestFilter_SelectsRecordsByWhatTheyConcern(t *testing.T) {
+	file := traced(t, "quiet")["allocator-1"][0]
 	count := func(f replay.Filter) (n int) {
 		match := f.Matcher()
 		for r, err := range file.Records(trace.Span{}) {
@@ -228,7 +265,7 @@
 	}
 	all, one := count(replay.Filter{}), count(replay.Filter{Workload: 3})
 	assert.Greater(t, all, 500)
-	assert.GreaterOrEqual(t, one, 4, "asked, placed, confirmed, answered")
+	assert.GreaterOrEqual(t, one, 4, "requested, scheduled, confirmed, answered")
 	assert.Less(t, one, 30)
 	assert.Zero(t, count(replay.Filter{Workload: 3, Node: 1}))
 }
