--- /dev/null
+++ b/internal/replay/gosource_test.go
@@ -0,0 +1,67 @@
+package replay_test
+
+import (
+	"fmt"
+	"go/ast"
+	"go/importer"
+	"go/parser"
+	"go/token"
+	"go/types"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/internal/replay"
+)
+
+// packages imports the real packages that a printed test uses, and declarations in place of the test libraries, whose
+// sources take long to check.
+type packages struct {
+	fset    *token.FileSet
+	sources types.Importer
+}
+
+func newPackages() *packages {
+	fset := token.NewFileSet()
+	return &packages{fset, importer.ForCompiler(fset, "source", nil)}
+}
+
+func (p *packages) Import(path string) (*types.Package, error) {
+	switch path {
+	case "testing":
+		return p.check(path, "package testing\ntype T struct{}")
+	case "github.com/stretchr/testify/assert":
+		return p.check(path, "package assert\nfunc Equal(t, expected, actual any, msgAndArgs ...any) bool { return true }")
+	}
+	return p.sources.Import(path)
+}
+
+func (p *packages) check(path, source string) (*types.Package, error) {
+	file, err := parser.ParseFile(p.fset, path+".go", source, parser.SkipObjectResolution)
+	if err != nil {
+		return nil, err
+	}
+	configuration := types.Config{Importer: p}
+	return configuration.Check(path, p.fset, []*ast.File{file}, nil)
+}
+
+func TestReproduction_PrintedTestCompiles(t *testing.T) {
+	files := traced(t, "rough")["allocator-1"]
+	p := newPackages()
+	for _, workload := range []uint32{1, 60, 120} {
+		t.Run(fmt.Sprint(workload), func(t *testing.T) {
+			x, err := replay.ReproduceFiles(files, workload)
+			require.NoError(t, err)
+			var b strings.Builder
+			require.NoError(t, x.Print(&b))
+			imports := []string{"testing", "github.com/stretchr/testify/assert", "grebeglade/placement"}
+			if strings.Contains(b.String(), "math.") {
+				imports = append(imports, "math")
+			}
+			source := fmt.Sprintf("package extracted\nimport (\n\"%s\"\n)\n%s", strings.Join(imports, "\"\n\""), b.String())
+			_, err = p.check("extracted", source)
+			require.NoError(t, err, source)
+		})
+	}
+}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -6,24 +6,10 @@
 package replay
 
 import (
-	"errors"
-
 	"grebeglade/internal/allocator"
 	"grebeglade/placement"
 )
 
-var (
-	// ErrNoStart means that the first part of a trace is missing: the module's state at its beginning is not known.
-	ErrNoStart = errors.New("the trace does not begin with the allocator's start, so the module's state is not known; " +
-		"give the earlier files of the same allocator too")
-	// ErrAnonymised means that a trace is under pseudonyms: some choices rest on the ids themselves.
-	ErrAnonymised = errors.New("the trace is under pseudonyms and cannot be decided again: some choices rest on the ids " +
-		"themselves; replay the original")
-	// ErrOtherDecision means that the module decides otherwise than recorded, so that there is nothing to reproduce.
-	ErrOtherDecision = errors.New(
-		"this program's module decides otherwise on the same calls; see 'grebeglade trace replay'")
-)
-
 // Options are what a run is made with. The zero value makes the calls on this program's module.
 type Options struct {
 	// Settings replaces the settings of the trace, nil for none. Every decision may differ then, and the run goes on.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -171,13 +171,19 @@
 			}
 			return true
 		})}, replay.Options{})
-		assert.ErrorContains(t, err, "1 records are missing here (the queue was full)")
+		require.ErrorContains(t, err, "1 records are missing here (the queue was full)")
+		var gap replay.GapError
+		require.ErrorAs(t, err, &gap)
+		assert.Equal(t, replay.GapError{Missing: 1, Reason: "the queue was full"}, gap)
 	})
 	t.Run("missing record", func(t *testing.T) {
 		_, err := replay.RunFiles([]*trace.Reader{
 			rewritten(t, file, func(r *trace.Record) bool { return r.Revision != 50 }),
 		}, replay.Options{})
-		assert.ErrorContains(t, err, "revision 51: the record before has revision 49; a file is missing between them")
+		require.ErrorContains(t, err, "revision 51: the record before has revision 49; a file is missing between them")
+		var missing replay.RevisionError
+		require.ErrorAs(t, err, &missing)
+		assert.Equal(t, replay.RevisionError{Previous: 49}, missing)
 	})
 	t.Run("no start", func(t *testing.T) {
 		_, err := replay.RunFiles([]*trace.Reader{
@@ -237,7 +243,8 @@
 
 func TestReproduceFiles_UnknownWorkloadIsAnError(t *testing.T) {
 	_, err := replay.ReproduceFiles(traced(t, "quiet")["allocator-1"], 999999)
-	assert.ErrorContains(t, err, "no ask of workload 999999")
+	require.ErrorContains(t, err, "no request of workload 999999")
+	require.ErrorIs(t, err, replay.NoRequestError{Workload: 999999})
 }
 
 func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -78,10 +78,10 @@
 // add takes the next record, which must follow the one before without a gap.
 func (r *run) add(rec *trace.Record) error {
 	if g := rec.GetGap(); g != nil {
-		return fmt.Errorf("%d records are missing here (%s); what follows cannot be decided again", g.Missing, g.Why)
+		return GapError{Missing: g.Missing, Reason: g.Why}
 	}
 	if rec.Revision != r.nextRevision {
-		return fmt.Errorf("the record before has revision %d; a file is missing between them", r.nextRevision-1)
+		return RevisionError{Previous: r.nextRevision - 1}
 	}
 	r.nextRevision++
 	if s := rec.GetStart(); s != nil {
