--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"os"
 	"path/filepath"
+	"syscall"
 	"testing"
 	"time"
 
@@ -89,3 +90,11 @@
 	require.ErrorContains(t, err, `level "then"`)
 	assert.Less(t, p.Timeout, time.Hour)
 }
+
+func TestDo_RunFileCannotBeWritten_ReturnsError(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, os.Symlink("/dev/full", filepath.Join(dir, runsFile)))
+	r, err := decodePlan(t, smallPlan).Do(context.Background(), dir, nil)
+	require.ErrorIs(t, err, syscall.ENOSPC)
+	assert.Zero(t, r.Done, "a run that is not written is not done")
+}
