--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -18,13 +18,6 @@
 	maxFrameSize     = 16 << 20
 )
 
-// HandshakeError means that the allocator's first frame is not a hello that this client accepts.
-type HandshakeError struct {
-	Reason string
-}
-
-func (e HandshakeError) Error() string { return e.Reason }
-
 // requestState is the state of a request that was sent.
 type requestState uint8
 
@@ -86,7 +79,7 @@
 		return err
 	}
 	if _, err := transport.CheckHello(f); err != nil {
-		return HandshakeError{Reason: err.Error()}
+		return err
 	}
 	return c.conn.SetDeadline(time.Time{})
 }
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -162,7 +162,7 @@
 	assert.Zero(t, r.Due)
 }
 
-func TestRun_PeerIsNoAllocator_ReturnsHandshakeError(t *testing.T) {
+func TestRun_PeerRefusesHello_ReturnsItsReason(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, l.Close()) }()
@@ -172,9 +172,9 @@
 		}
 	}()
 	_, err = Run(context.Background(), &fixedSchedule{}, Options{Target: l.Addr().String(), Conns: 1})
-	var refused HandshakeError
+	var refused *transport.RefusedError
 	require.ErrorAs(t, err, &refused)
-	assert.Contains(t, refused.Reason, "not here")
+	assert.Equal(t, "not here", refused.Reason)
 	assert.ErrorContains(t, err, l.Addr().String())
 }
 
