--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -16,7 +16,7 @@
 var smallFleet = Fleet{Nodes: 4, Residents: 2}
 
 func TestMeasure_SmallFleet_FillsAllRates(t *testing.T) {
-	r, err := Measure(smallFleet, shortLength, true)
+	r, err := MeasureRates(smallFleet, shortLength, true)
 	require.NoError(t, err)
 	assert.Equal(t, 4, r.Nodes)
 	assert.Equal(t, 2, r.Residents)
@@ -30,7 +30,7 @@
 }
 
 func TestMeasure_WithoutSockets_LeavesThemOut(t *testing.T) {
-	r, err := Measure(smallFleet, time.Millisecond, false)
+	r, err := MeasureRates(smallFleet, time.Millisecond, false)
 	require.NoError(t, err)
 	assert.Positive(t, r.EngineRatio)
 	assert.Zero(t, r.Sockets)
@@ -39,14 +39,14 @@
 
 func TestHeld_CountsEveryResident(t *testing.T) {
 	for _, residents := range []int{1, 999, 2500} {
-		m, err := Held(residents)
+		m, err := MeasureMemory(residents)
 		require.NoError(t, err)
 		assert.Equal(t, residents, m.Residents)
 	}
 }
 
 func TestTrace_Scenario_FillsCosts(t *testing.T) {
-	c, err := Trace("quiet", smallFleet, shortLength, mib)
+	c, err := MeasureTrace("quiet", smallFleet, shortLength, mib)
 	require.NoError(t, err)
 	assert.Equal(t, "quiet", c.Script)
 	assert.Greater(t, c.Records, c.Decisions)
@@ -54,12 +54,12 @@
 	assert.Greater(t, c.PlainRatio, 1.0, "files are compressed")
 	assert.InDelta(t, mib, c.FileBytes, mib/2)
 	assert.Positive(t, c.LookedUp)
-	assert.Positive(t, c.OnOff)
+	assert.Positive(t, c.RecordingRatio)
 	assert.Zero(t, c.Lost)
 }
 
 func TestTrace_UnknownScenario_ReturnsError(t *testing.T) {
-	_, err := Trace("no-such-scenario", smallFleet, shortLength, 0)
+	_, err := MeasureTrace("no-such-scenario", smallFleet, shortLength, 0)
 	assert.ErrorContains(t, err, "no-such-scenario")
 }
 
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -17,13 +17,13 @@
 
 // Memory is the heap that an allocator needs for placed workloads.
 type Memory struct {
-	Residents int     `json:"residents"`
-	Bytes     uint64  `json:"bytes"`
-	Each      float64 `json:"bytes_each"`
+	Residents        int     `json:"residents"`
+	Bytes            uint64  `json:"bytes"`
+	BytesPerResident float64 `json:"bytes_each"`
 }
 
-// Held measures the memory of placed workloads, with what the native frontend keeps of them.
-func Held(residents int) (Memory, error) {
+// MeasureMemory measures the memory of placed workloads, with what the native frontend keeps of them.
+func MeasureMemory(residents int) (Memory, error) {
 	before := heapSize()
 	frontend := frontendWith(residents)
 	after := heapSize()
@@ -32,7 +32,7 @@
 	}
 	runtime.KeepAlive(frontend)
 	m := Memory{Residents: residents, Bytes: after - min(before, after)}
-	m.Each = float64(m.Bytes) / float64(residents)
+	m.BytesPerResident = float64(m.Bytes) / float64(residents)
 	return m, nil
 }
 
--- a/internal/benchmark/rates.go
+++ b/internal/benchmark/rates.go
@@ -22,8 +22,8 @@
 	LateSends     int     `json:"late_sends"`                       // requests that the benchmark sent over 1 ms late
 }
 
-// Measure measures the rates with a fleet. Each of the measurements takes length.
-func Measure(f Fleet, length time.Duration, sockets bool) (Rates, error) {
+// MeasureRates measures the rates with a fleet. Each of the measurements takes length.
+func MeasureRates(f Fleet, length time.Duration, sockets bool) (Rates, error) {
 	r := Rates{Nodes: f.Nodes, Residents: f.Residents}
 	var modules, engines, overSockets, engineRatios, socketRatios []float64
 	for range rounds {
--- a/internal/benchmark/statecost.go
+++ b/internal/benchmark/statecost.go
@@ -46,9 +46,9 @@
 	Reads []StateRead `json:"reads"`
 }
 
-// State measures the cost of state in a directory, which should lie on the disk in question, and leaves it as it was. Each
+// MeasureState measures the cost of state in a directory, which should lie on the disk in question, and leaves it as it was. Each
 // of the measurements takes length.
-func State(dir string, f Fleet, length time.Duration) (result *StateResult, err error) {
+func MeasureState(dir string, f Fleet, length time.Duration) (result *StateResult, err error) {
 	dir, err = os.MkdirTemp(dir, "state-bench-")
 	if err != nil {
 		return nil, err
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -20,29 +20,29 @@
 
 // TraceCost is what traces cost: bytes, time, and throughput of the allocator that is recorded.
 type TraceCost struct {
-	Script      string  `json:"script"`
-	Records     int     `json:"records"`
-	Decisions   int     `json:"decisions"`
-	Each        float64 `json:"bytes_a_decision"`
-	JSONRatio   float64 `json:"json_lines_ratio"`            // size of plain JSON lines to that of the file
-	PlainRatio  float64 `json:"uncompressed_protobuf_ratio"` // size of the encoded records to that of the file
-	WritePerSec float64 `json:"records_written_per_second"`
-	ReadPerSec  float64 `json:"records_read_per_second"`
-	On          float64 `json:"placed_per_second_recording"`
-	Off         float64 `json:"placed_per_second_not_recording"`
-	OnOff       float64 `json:"recording_ratio"` // median of the ratios of pairs
-	Lost        uint64  `json:"records_lost"`
-	P99On       float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of the rate without recording
-	P99Off      float64 `json:"ask_to_offer_p99_ms_not_recording"`
-	FileBytes   int64   `json:"look_up_file_bytes"`
-	LookUpMs    float64 `json:"look_up_ms"` // to find the records of a minute by the index
-	ScanMs      float64 `json:"scan_ms"`    // to find them without it
-	LookedUp    int     `json:"looked_up_records"`
+	Script           string  `json:"script"`
+	Records          int     `json:"records"`
+	Decisions        int     `json:"decisions"`
+	BytesPerDecision float64 `json:"bytes_a_decision"`
+	JSONRatio        float64 `json:"json_lines_ratio"`            // size of plain JSON lines to that of the file
+	PlainRatio       float64 `json:"uncompressed_protobuf_ratio"` // size of the encoded records to that of the file
+	WritePerSec      float64 `json:"records_written_per_second"`
+	ReadPerSec       float64 `json:"records_read_per_second"`
+	RateRecording    float64 `json:"placed_per_second_recording"`
+	RateNotRecording float64 `json:"placed_per_second_not_recording"`
+	RecordingRatio   float64 `json:"recording_ratio"` // median of the ratios of pairs
+	Lost             uint64  `json:"records_lost"`
+	P99Recording     float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of the rate without recording
+	P99NotRecording  float64 `json:"ask_to_offer_p99_ms_not_recording"`
+	FileBytes        int64   `json:"look_up_file_bytes"`
+	LookUpMs         float64 `json:"look_up_ms"` // to find the records of a minute by the index
+	ScanMs           float64 `json:"scan_ms"`    // to find them without it
+	LookedUp         int     `json:"looked_up_records"`
 }
 
-// Trace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in a file of
+// MeasureTrace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in a file of
 // about fileBytes, or none for 0. Each of the measurements over sockets takes length.
-func Trace(script string, f Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
+func MeasureTrace(script string, f Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
 	dir, err := os.MkdirTemp("", "grebeglade-bench")
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 		}
 		reads = append(reads, rate)
 	}
-	c.Each = float64(size) / float64(max(1, c.Decisions))
+	c.BytesPerDecision = float64(size) / float64(max(1, c.Decisions))
 	c.JSONRatio, c.PlainRatio = float64(jsonLines)/float64(size), float64(plain)/float64(size)
 	c.WritePerSec, c.ReadPerSec = median(writes), median(reads)
 	return nil
@@ -222,12 +222,12 @@
 			return err
 		}
 	}
-	c.On, c.Off, c.OnOff = median(on), median(off), median(ratios)
+	c.RateRecording, c.RateNotRecording, c.RecordingRatio = median(on), median(off), median(ratios)
 	return c.measureRecordingLatency(f, length, dir)
 }
 
 func (c *TraceCost) measureRecordingLatency(f Fleet, length time.Duration, dir string) error {
-	perSecond := c.Off / 4
+	perSecond := c.RateNotRecording / 4
 	var on, off []float64
 	for i := range rounds {
 		with, err := recordingLatency(f, length, perSecond, filepath.Join(dir, fmt.Sprint("p", i)))
@@ -240,7 +240,7 @@
 		}
 		on, off = append(on, with.p99Ms), append(off, without.p99Ms)
 	}
-	c.P99On, c.P99Off = median(on), median(off)
+	c.P99Recording, c.P99NotRecording = median(on), median(off)
 	return nil
 }
 
--- a/internal/benchmark/tracelookup.go
+++ b/internal/benchmark/tracelookup.go
@@ -15,7 +15,7 @@
 // measureLookUp finds the records of one minute in a large file, by its index and by reading all of it.
 func (c *TraceCost) measureLookUp(r *recording, fileBytes int64, dir string) error {
 	name := filepath.Join(dir, "large"+trace.FileExtension)
-	recordingBytes := c.Each * float64(c.Decisions)
+	recordingBytes := c.BytesPerDecision * float64(c.Decisions)
 	times := float64(fileBytes) / recordingBytes
 	if err := r.writeFile(name, max(1, int(times))); err != nil {
 		return err
--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -63,14 +63,14 @@
 		if n < 1 || n > maxBenchNodes || o.residents < 0 || o.length <= 0 {
 			return errBenchFlags
 		}
-		rates, err := benchmark.Measure(benchmark.Fleet{Nodes: n, Residents: o.residents}, o.length, o.sockets)
+		rates, err := benchmark.MeasureRates(benchmark.Fleet{Nodes: n, Residents: o.residents}, o.length, o.sockets)
 		if err != nil {
 			return runError{err}
 		}
 		result.Rates = append(result.Rates, rates)
 	}
 	if o.held > 0 {
-		memory, err := benchmark.Held(o.held)
+		memory, err := benchmark.MeasureMemory(o.held)
 		if err != nil {
 			return runError{err}
 		}
@@ -98,7 +98,7 @@
 		return err
 	}
 	if m := result.Memory; m != nil {
-		c.Printf("%d residents hold %.1f MiB, %.0f bytes each\n", o.held, float64(m.Bytes)/bytesPerMiB, m.Each)
+		c.Printf("%d residents hold %.1f MiB, %.0f bytes each\n", o.held, float64(m.Bytes)/bytesPerMiB, m.BytesPerResident)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 	if o.fleet.Nodes < 1 || o.fleet.Residents < 0 || o.length <= 0 || o.fileMiB < 0 {
 		return errors.New("--nodes takes 1 or more, --residents and --file-mib 0 or more, --for a time above 0")
 	}
-	t, err := benchmark.Trace(o.script, o.fleet, o.length, o.fileMiB*bytesPerMiB)
+	t, err := benchmark.MeasureTrace(o.script, o.fleet, o.length, o.fileMiB*bytesPerMiB)
 	if err != nil {
 		return runError{err}
 	}
@@ -142,10 +142,10 @@
 	}
 	c.Printf("Scenario %q, one allocator: %d records, %d decisions, %.1f bytes a decision; plain JSON lines take %.1f times\n"+
 		"as much, uncompressed protobuf %.1f times. Written at %.0f records a second, read at %.0f.\n", t.Script, t.Records,
-		t.Decisions, t.Each, t.JSONRatio, t.PlainRatio, t.WritePerSec, t.ReadPerSec)
+		t.Decisions, t.BytesPerDecision, t.JSONRatio, t.PlainRatio, t.WritePerSec, t.ReadPerSec)
 	c.Printf("Over sockets, %d nodes: %.0f placed a second with a trace, %.0f without; ratio %.3f, %d records lost.\n"+
-		"Request to offer, 99th percentile at a quarter of that rate: %.2f ms with, %.2f ms without.\n", o.fleet.Nodes, t.On, t.Off,
-		t.OnOff, t.Lost, t.P99On, t.P99Off)
+		"Request to offer, 99th percentile at a quarter of that rate: %.2f ms with, %.2f ms without.\n", o.fleet.Nodes, t.RateRecording, t.RateNotRecording,
+		t.RecordingRatio, t.Lost, t.P99Recording, t.P99NotRecording)
 	if t.FileBytes > 0 {
 		c.Printf("A minute of %d records in a file of %.0f MiB: %.0f ms by the index, %.0f ms by a scan.\n", t.LookedUp,
 			float64(t.FileBytes)/bytesPerMiB, t.LookUpMs, t.ScanMs)
@@ -181,7 +181,7 @@
 	if o.fleet.Nodes < 1 || o.length <= 0 {
 		return errors.New("--nodes takes 1 or more, --for a time above 0")
 	}
-	costs, err := benchmark.State(o.dir, o.fleet, o.length)
+	costs, err := benchmark.MeasureState(o.dir, o.fleet, o.length)
 	if err != nil {
 		return runError{err}
 	}
--- a/internal/command/lab_experiment.go
+++ b/internal/command/lab_experiment.go
@@ -10,11 +10,7 @@
 	"grebeglade/internal/experiment"
 )
 
-const (
-	progressInterval = 20 // runs between two lines of progress
-	verdictWorse     = "worse"
-	verdictEqual     = "the same in every pair"
-)
+const progressInterval = 20 // runs between two lines of progress
 
 type experimentOptions struct {
 	dir     string
@@ -52,7 +48,7 @@
 	if o.workers > 0 {
 		plan.Workers = o.workers
 	}
-	report, err := plan.Do(c.Context(), o.dir, func(r experiment.Run, done, of int) { printRun(c, r, done, of) })
+	report, err := plan.Run(c.Context(), o.dir, func(r experiment.Run, done, of int) { printRun(c, r, done, of) })
 	if err != nil {
 		return runError{err}
 	}
@@ -80,9 +76,9 @@
 
 func printExperiment(c *cobra.Command, r *experiment.Report, dir string) {
 	c.Printf("%d of %d runs are done (%d of them before), in %.0f s; %d failed, in %d a rule broke.\n",
-		r.Done, r.Of, r.Earlier, r.Seconds, r.Failed, r.Broken)
-	if r.Why != "" {
-		c.Printf("It is not complete: %s.\n", r.Why)
+		r.Done, r.Total, r.Earlier, r.Seconds, r.Failed, r.Broken)
+	if r.StopReason != "" {
+		c.Printf("It is not complete: %s.\n", r.StopReason)
 	}
 	c.Printf("Read it: grebeglade lab report %s\n", dir)
 }
@@ -124,8 +120,8 @@
 
 func newComparison(d *experiment.Difference) comparison {
 	return comparison{
-		Cell: d.Cell, Measure: d.Measure, A: d.A, B: d.B, Mean: d.More.Mean, Low: finite(d.More.Low),
-		High: finite(d.More.High), Smallest: finite(d.More.Sees), Pairs: d.More.N, Sure: d.Sure, Verdict: d.Verdict,
+		Cell: d.Cell, Measure: d.Measure, A: d.A, B: d.B, Mean: d.Delta.Mean, Low: finite(d.Delta.Low),
+		High: finite(d.Delta.High), Smallest: finite(d.Delta.SmallestDetectable), Pairs: d.Delta.N, Sure: d.Significant, Verdict: d.Verdict,
 	}
 }
 
@@ -167,7 +163,7 @@
 		return err
 	}
 	for i := range differences {
-		if differences[i].Verdict == verdictWorse {
+		if differences[i].IsWorse() {
 			return errProblemFound
 		}
 	}
@@ -180,7 +176,7 @@
 	for i := range differences {
 		d := &differences[i]
 		comparisons = append(comparisons, newComparison(d))
-		if o.showEqual || d.Verdict != verdictEqual {
+		if o.showEqual || !d.IsEqual() {
 			rows = append(rows, differenceRow(d))
 		}
 	}
@@ -192,8 +188,8 @@
 
 func differenceRow(d *experiment.Difference) []string {
 	return []string{
-		d.Cell, d.Measure, formatShort(d.A), formatShort(d.B), formatShort(d.More.Mean), formatShort(d.More.Low),
-		formatShort(d.More.High), fmt.Sprint(d.More.N), d.Verdict,
+		d.Cell, d.Measure, formatShort(d.A), formatShort(d.B), formatShort(d.Delta.Mean), formatShort(d.Delta.Low),
+		formatShort(d.Delta.High), fmt.Sprint(d.Delta.N), d.Verdict,
 	}
 }
 
--- a/internal/command/lab_load.go
+++ b/internal/command/lab_load.go
@@ -41,7 +41,7 @@
 	}
 	f := c.Flags()
 	f.StringVar(&o.run.Target, "target", defaultAllocator(), "address of the allocator")
-	f.IntVar(&o.run.Conns, "connections", 2, "connections, each a client of its own")
+	f.IntVar(&o.run.Connections, "connections", 2, "connections, each a client of its own")
 	f.StringVar(&o.run.Name, "name", "load", "name of the clients")
 	f.Float64Var(&o.rate.From, "rate", 50, "requests a second")
 	f.Float64Var(&o.ramp, "ramp-to", 0, "let the rate grow, or fall, evenly to this one")
@@ -54,8 +54,8 @@
 	f.Float64Var(&o.shape.Cores, "cores", 0.5, "that each requests")
 	f.Float64Var(&o.shape.Memory, "memory", 1, "that each requests")
 	f.IntVar(&o.shape.Services, "services", 10, "services that they belong to")
-	f.DurationVar(&o.shape.Pending, "pending", 6*time.Second, "pending timeout of a request")
-	f.DurationVar(&o.shape.Life, "life", 5*time.Second, "how long each runs")
+	f.DurationVar(&o.shape.PendingTimeout, "pending", 6*time.Second, "pending timeout of a request")
+	f.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each runs")
 	f.StringSliceVar(&o.traces, "trace", nil, "send what this trace, a file or directory, recorded, at its times; several for several allocators")
 	f.Float64Var(&o.speed, "speed", 1, "times as fast as the trace")
 	f.Uint64Var(&o.seed, "seed", 1, "seed of the times and services")
@@ -65,7 +65,7 @@
 
 func (o *loadOptions) check() error {
 	s := &o.shape
-	if o.run.Conns < 1 || s.Services < 1 || !(s.Cores > 0) || s.Memory < 0 || s.Pending <= 0 || s.Life < 0 {
+	if o.run.Connections < 1 || s.Services < 1 || !(s.Cores > 0) || s.Memory < 0 || s.PendingTimeout <= 0 || s.RunTime < 0 {
 		return errLoadFlags
 	}
 	return nil
@@ -81,7 +81,7 @@
 	}
 	defer closeSchedule()
 	if !o.asJSON {
-		o.run.Told = func(p loadgen.Progress) {
+		o.run.OnProgress = func(p loadgen.Progress) {
 			c.PrintErrf("%3.0f s: %d requests sent, %d answered, %d placed\n", p.At.Seconds(), p.Sent, p.Answered, p.Placed)
 		}
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err = loadgen.FromTrace(files, o.speed, o.shape.Life)
+	s, err = loadgen.FromTrace(files, o.speed, o.shape.RunTime)
 	if err != nil {
 		files.close()
 		return nil, nil, err
@@ -128,7 +128,7 @@
 	if err := o.rate.Check(); err != nil {
 		return nil, err
 	}
-	return loadgen.Make(o.rate, o.shape, o.seed), nil
+	return loadgen.NewRandom(o.rate, o.shape, o.seed), nil
 }
 
 func printLoad(c *cobra.Command, r *loadgen.Result) {
@@ -138,14 +138,14 @@
 	if r.Overrun {
 		c.Printf("THE TOOL DID NOT KEEP UP: it sent half of the requests up to %.1f ms and one in a hundred %.1f ms or more late. What\n"+
 			"follows is the tool's own delay and not the allocator's; request less, or from more than one machine.\n",
-			r.SentLate.Median, r.SentLate.P99)
+			r.SendDelay.Median, r.SendDelay.P99)
 	}
 	// As with everything else printed here, a reader who went away is no failure.
 	_ = printTable(c, [][]string{
 		{"MS FROM WHEN IT WAS DUE", "COUNT", "50%", "90%", "99%", "99.9%", "MOST"},
-		latencyRow("to any answer", r.All),
-		latencyRow("to a yes", r.PlacedIn),
-		latencyRow("until it was sent", r.SentLate),
+		latencyRow("to any answer", r.Latency),
+		latencyRow("to a yes", r.PlacedLatency),
+		latencyRow("until it was sent", r.SendDelay),
 	})
 	for _, reason := range byFrequency(r.Reasons) {
 		c.Printf("%d times: %s\n", r.Reasons[reason], reason)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -88,13 +88,13 @@
 
 // Difference is how a measure differs between two sides, in pairs of the same seed.
 type Difference struct {
-	Measure string   `json:"measure"`
-	Cell    string   `json:"cell"`
-	A       float64  `json:"a"` // mean
-	B       float64  `json:"b"` // mean
-	More    Estimate `json:"b_minus_a"`
-	Sure    bool     `json:"sure"` // significant by Holm's correction for all differences that were computed together
-	Verdict string   `json:"verdict"`
+	Measure     string   `json:"measure"`
+	Cell        string   `json:"cell"`
+	A           float64  `json:"a"` // mean
+	B           float64  `json:"b"` // mean
+	Delta       Estimate `json:"b_minus_a"`
+	Significant bool     `json:"sure"` // significant by Holm's correction for all differences that were computed together
+	Verdict     string   `json:"verdict"`
 
 	finding finding
 }
@@ -140,5 +140,5 @@
 		sumA, sumB = sumA+a[seed], sumB+b[seed]
 	}
 	n := float64(len(more))
-	return Difference{A: sumA / n, B: sumB / n, More: estimate(more.inOrder())}, true
+	return Difference{A: sumA / n, B: sumB / n, Delta: estimate(more.inOrder())}, true
 }
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -22,11 +22,11 @@
 	for _, d := range all {
 		found[d.Measure] = d
 	}
-	assert.Equal(t, 8, found["core_time"].More.N)
+	assert.Equal(t, 8, found["core_time"].Delta.N)
 	worse := found["core_time"]
 	assert.Equal(t, "worse", worse.Verdict)
 	assert.True(t, worse.IsWorse())
-	assert.Less(t, found["core_time"].More.High, 0.0)
+	assert.Less(t, found["core_time"].Delta.High, 0.0)
 	self, err := Compare(a, a)
 	require.NoError(t, err)
 	for _, d := range self {
--- a/internal/experiment/estimate.go
+++ b/internal/experiment/estimate.go
@@ -17,19 +17,19 @@
 
 // Estimate is a mean with its 95% confidence interval, by Student's t.
 type Estimate struct {
-	Mean  float64 `json:"mean"`
-	Low   float64 `json:"low"`
-	High  float64 `json:"high"`
-	N     int     `json:"n"`
-	Sees  float64 `json:"smallest_seen"` // the smallest difference from 0 that as many values show with a power of 80%
-	P     float64 `json:"p"`             // probability of a mean as far from 0 if the true one is 0
-	Alike bool    `json:"alike"`         // all values are equal
+	Mean               float64 `json:"mean"`
+	Low                float64 `json:"low"`
+	High               float64 `json:"high"`
+	N                  int     `json:"n"`
+	SmallestDetectable float64 `json:"smallest_seen"` // the smallest difference from 0 that as many values show with a power of 80%
+	P                  float64 `json:"p"`             // probability of a mean as far from 0 if the true one is 0
+	Alike              bool    `json:"alike"`         // all values are equal
 }
 
 // estimate returns the estimate of values. With fewer than two there is no interval: Low and High are infinite. Without
 // any the mean is NaN.
 func estimate(values []float64) Estimate {
-	e := Estimate{N: len(values), Low: math.Inf(-1), High: math.Inf(1), Sees: math.Inf(1), P: 1}
+	e := Estimate{N: len(values), Low: math.Inf(-1), High: math.Inf(1), SmallestDetectable: math.Inf(1), P: 1}
 	if e.N == 0 {
 		e.Mean = math.NaN()
 		return e
@@ -46,7 +46,7 @@
 	standardError := deviation / math.Sqrt(float64(e.N))
 	half := t.Quantile((1+confidence)/2) * standardError
 	e.Low, e.High = mean-half, mean+half
-	e.Sees = half + t.Quantile(power)*standardError
+	e.SmallestDetectable = half + t.Quantile(power)*standardError
 	e.P = 2 * (1 - t.CDF(math.Abs(mean)/standardError))
 	return e
 }
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -34,7 +34,7 @@
 	assert.InDelta(t, 0.95, float64(held)/times, 0.015)
 	assert.InDelta(t, 0.8, float64(seen)/times, 0.05)
 	e := estimate([]float64{-1, 1, -1, 1, -1, 1, -1, 1})
-	assert.InDelta(t, 1.15, e.Sees, 0.15)
+	assert.InDelta(t, 1.15, e.SmallestDetectable, 0.15)
 }
 
 func TestEstimate_FewValues_NoInterval(t *testing.T) {
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -24,7 +24,7 @@
 	judge(differences)
 	for i := range differences {
 		d := &differences[i]
-		if d.Sure && !d.IsEqual() && d.Measure != costMeasure {
+		if d.Significant && !d.IsEqual() && d.Measure != costMeasure {
 			sentences = append(sentences, d.sentence(effects[i].comparison))
 		}
 	}
@@ -37,7 +37,7 @@
 func (d *Difference) sentence(comparison string) string {
 	m, _ := MeasureOf(d.Measure)
 	return fmt.Sprintf("%s: %s is %s, by %s %s (95%%: %s to %s) from %s.", comparison, m.About, d.Verdict,
-		formatFigure(d.More.Mean), m.Unit, formatFigure(d.More.Low), formatFigure(d.More.High), formatFigure(d.A))
+		formatFigure(d.Delta.Mean), m.Unit, formatFigure(d.Delta.Low), formatFigure(d.Delta.High), formatFigure(d.A))
 }
 
 // effects returns the effects of each factor's levels, in which all else is equal.
@@ -85,7 +85,7 @@
 		means[seed] = sums[seed] / counts[seed]
 		n += counts[seed]
 	}
-	return Difference{Measure: m.Name, A: firstSum / n, More: estimate(means.inOrder())}, true
+	return Difference{Measure: m.Name, A: firstSum / n, Delta: estimate(means.inOrder())}, true
 }
 
 // withFirstLevel returns the cell that differs from c only in that it has the factor's first level.
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -49,7 +49,7 @@
 
 func doPlan(t *testing.T, p *Plan, dir string) *Report {
 	t.Helper()
-	r, err := p.Do(context.Background(), dir, nil)
+	r, err := p.Run(context.Background(), dir, nil)
 	require.NoError(t, err)
 	return r
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -29,13 +29,13 @@
 
 // Report is how far an experiment has come.
 type Report struct {
-	Of      int     `json:"of"`   // runs of the experiment
-	Done    int     `json:"done"` // runs that are done, with the earlier ones
-	Earlier int     `json:"earlier"`
-	Failed  int     `json:"failed"`
-	Broken  int     `json:"days_that_broke_a_rule"`
-	Seconds float64 `json:"seconds"`
-	Why     string  `json:"stopped,omitempty"` // why it is not complete
+	Total      int     `json:"of"`   // runs of the experiment
+	Done       int     `json:"done"` // runs that are done, with the earlier ones
+	Earlier    int     `json:"earlier"`
+	Failed     int     `json:"failed"`
+	Broken     int     `json:"days_that_broke_a_rule"`
+	Seconds    float64 `json:"seconds"`
+	StopReason string  `json:"stopped,omitempty"` // why it is not complete
 }
 
 func (r *Report) count(run *Run) {
@@ -48,10 +48,10 @@
 	}
 }
 
-// Do makes the runs that a directory does not hold yet, and calls progress, if it is not nil, after each. Every run is
+// Run makes the runs that a directory does not hold yet, and calls progress, if it is not nil, after each. Every run is
 // written to the directory at once, so that an experiment that was stopped or killed is resumed. Runs are made seed by
 // seed, so that the cells have equally many whenever it stops.
-func (p *Plan) Do(ctx context.Context, dir string, progress func(r Run, done, of int)) (report *Report, err error) {
+func (p *Plan) Run(ctx context.Context, dir string, progress func(r Run, done, of int)) (report *Report, err error) {
 	start := time.Now()
 	earlier, err := p.claim(dir)
 	if err != nil {
@@ -65,7 +65,7 @@
 	e := &execution{plan: p, builds: builds, start: start, progress: progress, runs: earlier}
 	jobs := e.resume()
 	err = e.execute(ctx, filepath.Join(dir, runsFile), jobs)
-	e.report.Why = e.whyIncomplete(ctx)
+	e.report.StopReason = e.whyIncomplete(ctx)
 	e.report.Seconds = time.Since(start).Seconds()
 	return &e.report, errors.Join(err, writeParquet(filepath.Join(dir, parquetFile), e.runs))
 }
@@ -103,7 +103,7 @@
 	for i := range e.plan.Repeats {
 		seed := e.plan.Seed + uint64(i)
 		for _, c := range cells {
-			e.report.Of++
+			e.report.Total++
 			if !done[key{c.Index, seed}] {
 				jobs = append(jobs, job{c, seed})
 			}
@@ -130,7 +130,7 @@
 		e.runs = append(e.runs, r)
 		e.report.count(&r)
 		if e.progress != nil {
-			e.progress(r, e.report.Done, e.report.Of)
+			e.progress(r, e.report.Done, e.report.Total)
 		}
 	}
 	return err
@@ -210,7 +210,7 @@
 
 func (e *execution) whyIncomplete(ctx context.Context) string {
 	switch {
-	case e.report.Done == e.report.Of:
+	case e.report.Done == e.report.Total:
 		return ""
 	case ctx.Err() != nil:
 		return "it was stopped; the same command goes on"
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -18,10 +18,10 @@
 	dir := t.TempDir()
 	p := decodePlan(t, smallPlan)
 	r := doPlan(t, p, dir)
-	assert.Equal(t, 12, r.Of)
+	assert.Equal(t, 12, r.Total)
 	assert.Equal(t, 12, r.Done)
 	assert.Zero(t, r.Failed+r.Broken)
-	assert.Empty(t, r.Why)
+	assert.Empty(t, r.StopReason)
 	got := readResult(t, dir)
 	for _, c := range p.Cells() {
 		assert.Len(t, got.values(c, "core_time"), 3, c.Name())
@@ -57,11 +57,11 @@
 		assert.Equal(t, reproducible(readResult(t, complete)), reproducible(readResult(t, dir)))
 	}
 	assert.Equal(t, 12, doPlan(t, p, dir).Earlier, "a complete experiment makes no run")
-	_, err = decodePlan(t, smallPlan+"\n").Do(context.Background(), dir, nil)
+	_, err = decodePlan(t, smallPlan+"\n").Run(context.Background(), dir, nil)
 	require.ErrorContains(t, err, "holds another experiment")
 	require.ErrorIs(t, err, OtherExperimentError{Dir: dir})
 	require.NoError(t, os.WriteFile(filepath.Join(dir, runsFile), []byte("{}x\n"), 0o644))
-	_, err = p.Do(context.Background(), dir, nil)
+	_, err = p.Run(context.Background(), dir, nil)
 	require.ErrorContains(t, err, "runs.jsonl:1: no run")
 	var malformed MalformedRunError
 	require.ErrorAs(t, err, &malformed)
@@ -73,20 +73,20 @@
 	p.Budget = 1
 	r := doPlan(t, p, t.TempDir())
 	assert.Zero(t, r.Done)
-	assert.Contains(t, r.Why, "budget")
+	assert.Contains(t, r.StopReason, "budget")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	dir := t.TempDir()
-	r, err := decodePlan(t, smallPlan).Do(ctx, dir, nil)
+	r, err := decodePlan(t, smallPlan).Run(ctx, dir, nil)
 	require.NoError(t, err)
-	assert.Contains(t, r.Why, "stopped")
+	assert.Contains(t, r.StopReason, "stopped")
 	assert.Less(t, r.Done, 12)
 	assert.Equal(t, 12, doPlan(t, decodePlan(t, smallPlan), dir).Done)
 }
 
 func TestDo_UnknownRevision_ReturnsError(t *testing.T) {
 	p := decodePlan(t, "factor \"program\" {\n level \"now\" {}\n level \"then\" {\n build = \"no-such-revision\"\n }\n}")
-	_, err := p.Do(context.Background(), t.TempDir(), nil)
+	_, err := p.Run(context.Background(), t.TempDir(), nil)
 	require.ErrorContains(t, err, `level "then"`)
 	assert.Less(t, p.Timeout, time.Hour)
 }
@@ -94,7 +94,7 @@
 func TestDo_RunFileCannotBeWritten_ReturnsError(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.Symlink("/dev/full", filepath.Join(dir, runsFile)))
-	r, err := decodePlan(t, smallPlan).Do(context.Background(), dir, nil)
+	r, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
 	require.ErrorIs(t, err, syscall.ENOSPC)
 	assert.Zero(t, r.Done, "a run that is not written is not done")
 }
--- a/internal/experiment/verdict.go
+++ b/internal/experiment/verdict.go
@@ -33,11 +33,11 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(all[x].More.P, all[y].More.P) })
+	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(all[x].Delta.P, all[y].Delta.P) })
 	significant := true
 	for rank, i := range order {
-		significant = significant && all[i].More.P <= significance/float64(len(all)-rank)
-		all[i].Sure = significant
+		significant = significant && all[i].Delta.P <= significance/float64(len(all)-rank)
+		all[i].Significant = significant
 	}
 	for i := range all {
 		all[i].finding = all[i].find()
@@ -48,19 +48,19 @@
 func (d *Difference) find() finding {
 	m, _ := MeasureOf(d.Measure)
 	switch {
-	case d.More.N < 2:
+	case d.Delta.N < 2:
 		return tooFewPairs
-	case d.More.Alike && d.More.Mean == 0:
+	case d.Delta.Alike && d.Delta.Mean == 0:
 		return equalPairs
-	case !d.Sure && d.More.P <= significance:
+	case !d.Significant && d.Delta.P <= significance:
 		return notSignificant
-	case !d.Sure:
+	case !d.Significant:
 		return noneSeen
-	case m.preference == neitherIsBetter && d.More.Mean > 0:
+	case m.preference == neitherIsBetter && d.Delta.Mean > 0:
 		return moreFound
 	case m.preference == neitherIsBetter:
 		return lessFound
-	case (d.More.Mean < 0) == (m.preference == lowerIsBetter):
+	case (d.Delta.Mean < 0) == (m.preference == lowerIsBetter):
 		return betterFound
 	}
 	return worseFound
@@ -75,7 +75,7 @@
 	case notSignificant:
 		return "perhaps; not beyond chance among so many comparisons"
 	case noneSeen:
-		return fmt.Sprintf("none seen; one under %s would not have been", formatFigure(d.More.Sees))
+		return fmt.Sprintf("none seen; one under %s would not have been", formatFigure(d.Delta.SmallestDetectable))
 	case moreFound:
 		return "more"
 	case lessFound:
--- a/internal/loadgen/random.go
+++ b/internal/loadgen/random.go
@@ -8,11 +8,11 @@
 
 // Shape is what the requests of a random schedule are for.
 type Shape struct {
-	Group         string
-	Cores, Memory float64
-	Services      int           // among which the workloads are spread evenly
-	Pending       time.Duration // pending timeout
-	Life          time.Duration // how long a workload runs
+	Group          string
+	Cores, Memory  float64
+	Services       int           // among which the workloads are spread evenly
+	PendingTimeout time.Duration // pending timeout
+	RunTime        time.Duration // how long a workload runs
 }
 
 // Rate is how many requests a second are due.
@@ -65,8 +65,8 @@
 	due    float64 // requests due by now and not returned yet, if they come at even intervals
 }
 
-// Make returns a random schedule. It depends on its arguments only.
-func Make(r Rate, s Shape, seed uint64) Schedule {
+// NewRandom returns a random schedule. It depends on its arguments only.
+func NewRandom(r Rate, s Shape, seed uint64) Schedule {
 	return &randomSchedule{rate: r, shape: s, random: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
@@ -80,7 +80,7 @@
 	}
 	return Request{
 		At: s.at, Service: s.random.Uint64N(uint64(max(1, s.shape.Services))) + 1, Group: s.shape.Group,
-		Cores: s.shape.Cores, Memory: s.shape.Memory, PendingTimeout: s.shape.Pending, RunTime: s.shape.Life,
+		Cores: s.shape.Cores, Memory: s.shape.Memory, PendingTimeout: s.shape.PendingTimeout, RunTime: s.shape.RunTime,
 	}, true
 }
 
--- a/internal/loadgen/random_test.go
+++ b/internal/loadgen/random_test.go
@@ -24,23 +24,23 @@
 	return n
 }
 
-var shape = Shape{Group: "serve", Cores: 1, Services: 5, Pending: time.Second, Life: time.Second}
+var shape = Shape{Group: "serve", Cores: 1, Services: 5, PendingTimeout: time.Second, RunTime: time.Second}
 
 func TestMake_KeepsRate(t *testing.T) {
-	requests := allRequests(Make(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1))
+	requests := allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1))
 	assert.InDelta(t, 2000, len(requests), 4*45)
-	assert.Equal(t, requests, allRequests(Make(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1)), "the same seed")
-	assert.NotEqual(t, requests, allRequests(Make(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 2)))
+	assert.Equal(t, requests, allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1)), "the same seed")
+	assert.NotEqual(t, requests, allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 2)))
 
-	even := allRequests(Make(Rate{From: 200, To: 200, For: 10 * time.Second, Evenly: true}, shape, 1))
+	even := allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second, Evenly: true}, shape, 1))
 	assert.InDelta(t, 2000, len(even), 1)
 	assert.InDelta(t, 5, float64(even[101].At-even[100].At)/1e6, 0.2)
 
-	ramp := allRequests(Make(Rate{From: 0, To: 400, For: 10 * time.Second}, shape, 1))
+	ramp := allRequests(NewRandom(Rate{From: 0, To: 400, For: 10 * time.Second}, shape, 1))
 	assert.InDelta(t, 2000, len(ramp), 4*45)
 	assert.InDelta(t, 500, countBetween(ramp, 0, 5*time.Second), 4*23)
 
-	burst := allRequests(Make(Rate{
+	burst := allRequests(NewRandom(Rate{
 		From: 100, To: 100, For: 10 * time.Second, Burst: 5, BurstFor: time.Second, Every: 5 * time.Second,
 	}, shape, 1))
 	assert.InDelta(t, 1000, countBetween(burst, 0, time.Second)+countBetween(burst, 5*time.Second, 6*time.Second), 4*32)
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -45,9 +45,9 @@
 	Seconds       float64        `json:"seconds"`
 	DuePerSec     float64        `json:"due_per_second"`
 	SentPerSec    float64        `json:"sent_per_second"`
-	All           Latency        `json:"latency"`        // from when a request was due to its answer
-	PlacedIn      Latency        `json:"placed_latency"` // of the requests that were placed
-	SentLate      Latency        `json:"sent_late"`      // from when a request was due to when it was sent
+	Latency       Latency        `json:"latency"`        // from when a request was due to its answer
+	PlacedLatency Latency        `json:"placed_latency"` // of the requests that were placed
+	SendDelay     Latency        `json:"sent_late"`      // from when a request was due to when it was sent
 	Overrun       bool           `json:"tool_overrun"`   // the generator did not keep up: the latencies are its own
 	Broken        string         `json:"connection_lost,omitempty"`
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -14,10 +14,10 @@
 
 // Options configure a load.
 type Options struct {
-	Target string         // address of the allocator
-	Conns  int            // connections, each a client of its own; at least one is used
-	Name   string         // that the clients' names begin with
-	Told   func(Progress) // called once a second while requests are sent; nil for no calls
+	Target      string         // address of the allocator
+	Connections int            // connections, each a client of its own; at least one is used
+	Name        string         // that the clients' names begin with
+	OnProgress  func(Progress) // called once a second while requests are sent; nil for no calls
 }
 
 // Run sends the requests of a schedule, and returns when the last is answered or its pending timeout has passed. If the
@@ -51,7 +51,7 @@
 // client and number as those of an earlier run for repeated ones.
 func (r *runner) connect() error {
 	run := time.Now().UnixNano()
-	for i := range max(1, r.options.Conns) {
+	for i := range max(1, r.options.Connections) {
 		c, err := connect(r.options.Target, fmt.Sprintf("%s-%x-%d", r.options.Name, run, i+1))
 		if err != nil {
 			return err
@@ -160,7 +160,7 @@
 
 // reportProgress calls Options.Told once a second until the returned function is called.
 func (r *runner) reportProgress() (stop func()) {
-	if r.options.Told == nil {
+	if r.options.OnProgress == nil {
 		return func() {}
 	}
 	done := make(chan struct{})
@@ -173,7 +173,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				r.options.Told(r.tally.progress(time.Since(r.start)))
+				r.options.OnProgress(r.tally.progress(time.Since(r.start)))
 			}
 		}
 	})
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -69,7 +69,7 @@
 
 func run(t *testing.T, target string, conns int, requests ...Request) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), &fixedSchedule{requests: requests}, Options{Target: target, Conns: conns, Name: "t"})
+	r, err := Run(context.Background(), &fixedSchedule{requests: requests}, Options{Target: target, Connections: conns, Name: "t"})
 	require.NoError(t, err)
 	return r
 }
@@ -108,8 +108,8 @@
 	assert.Equal(t, n/5*4, r.Placed)
 	assert.Equal(t, n/5, r.Rejected)
 	assert.Equal(t, map[string]int{"so": n / 5}, r.Reasons)
-	assert.GreaterOrEqual(t, r.All.Max, 2.0*(n-1), "from when it was due")
-	assert.EqualValues(t, n, r.All.Count)
+	assert.GreaterOrEqual(t, r.Latency.Max, 2.0*(n-1), "from when it was due")
+	assert.EqualValues(t, n, r.Latency.Count)
 	assert.Zero(t, r.Unanswered)
 	assert.Empty(t, r.Wrong)
 }
@@ -134,7 +134,7 @@
 	target := fakeAllocator(t, func(p *peer) { p.receiveRequest(); p.receiveRequest() })
 	r := run(t, target, 1, Request{Group: "g", PendingTimeout: 10 * time.Millisecond})
 	assert.Equal(t, 1, r.Unanswered)
-	assert.Zero(t, r.All.Count, "what has no answer has no latency")
+	assert.Zero(t, r.Latency.Count, "what has no answer has no latency")
 }
 
 // All requests are late already when the load begins.
@@ -151,11 +151,11 @@
 	r := run(t, target, 4, requests...)
 	assert.True(t, r.Overrun)
 	assert.False(t, r.Good())
-	assert.Greater(t, r.SentLate.Median, 900.0)
+	assert.Greater(t, r.SendDelay.Median, 900.0)
 }
 
 func TestRun_ConnectionFails_ErrorNamesTarget(t *testing.T) {
-	_, err := Run(context.Background(), &fixedSchedule{}, Options{Target: "127.0.0.1:1", Conns: 1})
+	_, err := Run(context.Background(), &fixedSchedule{}, Options{Target: "127.0.0.1:1", Connections: 1})
 	require.ErrorContains(t, err, "no allocator at 127.0.0.1:1")
 	target := fakeAllocator(t, func(*peer) {})
 	r := run(t, target, 1)
@@ -171,7 +171,7 @@
 			(&peer{conn: conn}).send(transport.RefusalFrame("not here"))
 		}
 	}()
-	_, err = Run(context.Background(), &fixedSchedule{}, Options{Target: l.Addr().String(), Conns: 1})
+	_, err = Run(context.Background(), &fixedSchedule{}, Options{Target: l.Addr().String(), Connections: 1})
 	var refused *transport.RefusedError
 	require.ErrorAs(t, err, &refused)
 	assert.Equal(t, "not here", refused.Reason)
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -164,7 +164,7 @@
 	if r.Seconds > 0 {
 		r.DuePerSec, r.SentPerSec = float64(r.Due)/r.Seconds, float64(r.Sent)/r.Seconds
 	}
-	r.All, r.PlacedIn, r.SentLate = t.latency.latency(), t.placedLatency.latency(), t.sendDelay.latency()
+	r.Latency, r.PlacedLatency, r.SendDelay = t.latency.latency(), t.placedLatency.latency(), t.sendDelay.latency()
 	r.Overrun = float64(t.sendDelay.countAbove(maxSendDelay)) > maxLateShare*float64(max(1, r.Sent))
 	return &r
 }
