--- a/config/block.go
+++ b/config/block.go
@@ -162,12 +162,12 @@
 func (b *Block) reportUnknown() {
 	for name, a := range b.body.Attributes {
 		if !b.known[name] {
-			b.report(a.SrcRange.Filename, a.SrcRange.Start.Line, name+" is not known here", b.suggestion(name))
+			b.report(a.SrcRange.Filename, a.SrcRange.Start.Line, name+" is not a known argument", b.suggestion(name))
 		}
 	}
 	for _, n := range b.body.Blocks {
 		if !b.known[n.Type] {
-			what := "a block " + n.Type + " is not known here"
+			what := n.Type + " is not a known block"
 			b.report(n.TypeRange.Filename, n.TypeRange.Start.Line, what, b.suggestion(n.Type))
 		}
 	}
--- a/config/block_test.go
+++ b/config/block_test.go
@@ -103,7 +103,7 @@
 
 	b = parse(t, src)
 	b.Block("rules")
-	assert.ErrorContains(t, b.Finish(), "f.hcl:2: other is not known here")
+	assert.ErrorContains(t, b.Finish(), "f.hcl:2: other is not a known argument")
 }
 
 func TestBlockBlock_SecondBlockIsAProblem(t *testing.T) {
--- a/config/config.go
+++ b/config/config.go
@@ -164,7 +164,7 @@
 	return t
 }
 
-// checkLoopback rejects addresses beyond this machine: connections are not encrypted.
+// checkLoopback rejects addresses that are not on the loopback interface: connections are not encrypted.
 func checkLoopback(b *Block, name, address string) {
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
@@ -172,7 +172,7 @@
 	case err != nil:
 		b.AddProblem(name, fmt.Sprintf("%s is %q, no address with a port", name, address), `write one such as "127.0.0.1:7070"`)
 	case host != "localhost" && (ip == nil || !ip.IsLoopback()):
-		b.AddProblem(name, fmt.Sprintf("%s is %q, beyond this machine", name, address),
+		b.AddProblem(name, fmt.Sprintf("%s is %q, which is not a loopback address", name, address),
 			`write a loopback address such as "127.0.0.1:7070": connections are not encrypted yet`)
 	}
 }
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -55,14 +55,14 @@
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (e *Engine) WorkloadCount() int { return len(e.workloads) }
 
-// IsPlaced tells whether that bind is the workload's last one and placed.
+// IsPlaced reports whether that bind is the workload's last one and placed.
 func (e *Engine) IsPlaced(id placement.WorkloadID, bind int) bool {
 	w := e.workloads[id]
 	return w != nil && w.onNode() && w.isOpen(bind)
 }
 
-// StopsDuplicates tells whether a copy of a workload of the group that nobody waits for any more is to be stopped. One that
-// must run at most once is left alone, since its client was answered that it may have run.
+// StopsDuplicates reports whether a surplus copy of a workload of the group is stopped. One that must run at most once is
+// not, since its client was answered that it may have run.
 func (e *Engine) StopsDuplicates(g placement.GroupID) bool { return !e.atMostOnce(g) }
 
 func (e *Engine) atMostOnce(g placement.GroupID) bool {
--- a/internal/allocator/workload.go
+++ b/internal/allocator/workload.go
@@ -68,21 +68,21 @@
 	}
 }
 
-// onNode tells whether a node has confirmed the workload and not ended it.
+// onNode reports whether a node has confirmed the workload and not ended it.
 func (w *workload) onNode() bool {
 	return w.state == placed || w.state == migrating || w.state == stopping
 }
 
-// wanted tells whether the workload has a client that is to be answered and notified.
+// wanted reports whether the workload has a client that is to be answered and notified.
 func (w *workload) wanted() bool { return w.state != cancelled && w.state != stopping }
 
-// bindOpen tells whether the last bind is in flight or placed. There is none while the workload waits for its next one.
+// bindOpen reports whether the last bind is in flight or placed. There is none while the workload waits for its next one.
 func (w *workload) bindOpen() bool { return w.binds > 0 && w.step.Kind != placement.Wait }
 
 // bind is the number of the last bind.
 func (w *workload) bind() int { return w.binds - 1 }
 
-// isOpen tells whether the bind of that number is the last one and still open.
+// isOpen reports whether the bind of that number is the last one and still open.
 func (w *workload) isOpen(bind int) bool { return bind == w.bind() && w.bindOpen() }
 
 // workloads are the workloads of an engine, by id.
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -78,7 +78,7 @@
 	return f, nil
 }
 
-// close ends the connection. All replies that matter have been read, so an error says nothing.
+// close ends the connection. All replies have been read, so an error does not matter.
 func (c *client) close() { _ = c.conn.Close() }
 
 // toFlag adds the flag that names the allocator to talk to.
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -31,7 +31,7 @@
 func (e runError) Error() string { return e.err.Error() }
 func (e runError) Unwrap() error { return e.err }
 
-// inputError is what a command says about its input, as opposed to what cobra says about the command line.
+// inputError is a command's error about its input, as opposed to cobra's errors about the command line.
 type inputError struct{ err error }
 
 func (e inputError) Error() string { return e.err.Error() }
@@ -85,7 +85,7 @@
 	return root
 }
 
-// markInputErrors wraps the commands below c so that errors of their own can be told from cobra's.
+// markInputErrors wraps the commands below c so that their own errors can be distinguished from cobra's.
 func markInputErrors(c *cobra.Command) {
 	if run := c.RunE; run != nil {
 		c.RunE = func(c *cobra.Command, args []string) error {
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -26,7 +26,7 @@
 			if asJSON {
 				return printJSON(c, configuration)
 			}
-			c.Printf("%s is good: allocator %s, number %d of %d, listens on %s, list at %s, %d groups, %d kinds of nodes\n",
+			c.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, %d groups, %d node kinds\n",
 				args[0], configuration.Name, configuration.Settings.Ordinal, configuration.Settings.Allocators,
 				configuration.ListenAddress, configuration.DiscoveryAddress, len(configuration.GroupNames), len(configuration.KindNames))
 			return nil
--- a/internal/command/lab_fleet.go
+++ b/internal/command/lab_fleet.go
@@ -43,7 +43,7 @@
 		return runError{err}
 	}
 	defer loop.Close()
-	c.Printf("%d nodes run; the machine list answers at %s\n", s.NodeCount(), address)
+	c.Printf("%d nodes run; the discovery service listens on %s\n", s.NodeCount(), address)
 	<-c.Context().Done()
 	return nil
 }
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -76,7 +76,7 @@
 	return c
 }
 
-// queryState asks an allocator for its state, at most so many entries of it.
+// queryState returns the state of an allocator, with at most so many entries.
 func queryState(to string, what pb.Query_What, most uint32) (*pb.State, error) {
 	c, err := dial(to, pb.Role_OPERATOR, "")
 	if err != nil {
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -53,7 +53,7 @@
 	return files, nil
 }
 
-// close closes the files. They were only read, so an error says nothing.
+// close closes the files. They were only read, so an error does not matter.
 func (files traceFiles) close() {
 	for _, r := range files {
 		_ = r.Close()
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -25,7 +25,7 @@
 	return check
 }
 
-// Pending tells whether the check has no result yet.
+// Pending reports whether the check has no result yet.
 func (c *HealthChecks) Pending(check uint64) bool {
 	_, pending := c.pending[check]
 	return pending
@@ -45,13 +45,13 @@
 	return true
 }
 
-// Fail ends a check that could not be sent. The engine hears of it at the next Flush.
+// Fail ends a check that could not be sent. The engine is notified at the next Flush.
 func (c *HealthChecks) Fail(check uint64) {
 	c.host.Defer(func(now placement.Millis) { c.fail(now, check) })
 }
 
-// FailUnsent reports a failed check of a node that cannot be reached, without a check having begun. The engine hears of it at
-// the next Flush.
+// FailUnsent reports a failed check of a node that cannot be reached, without a check having begun. The engine is
+// notified at the next Flush.
 func (c *HealthChecks) FailUnsent(node placement.NodeID) {
 	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -6,13 +6,13 @@
 	"grebeglade/placement"
 )
 
-// Config says how a Host is made.
+// Config holds the parameters of a Host.
 type Config struct {
 	Settings placement.Settings
 	Seed     uint64 // of the placement module and of the jitter
 	Engine   allocator.Options
 	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not call
-	// the engine back, and use Host.Defer for what the engine is to hear.
+	// the engine back, and report results to it with Host.Defer.
 	Actions allocator.Actions
 	// MaxWakeInterval is the longest time between two wake-ups, in ms, also where no timer is due.
 	MaxWakeInterval placement.Millis
--- a/internal/frontend/native/actions.go
+++ b/internal/frontend/native/actions.go
@@ -6,8 +6,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// actions carries out what the engine decides, as allocator.Actions says. Its methods are called while the engine is at
-// work; what the engine is to hear of them is deferred.
+// actions implements allocator.Actions. The engine calls its methods while it handles a call itself, so that they defer
+// each result that they report back to it.
 type actions struct {
 	*core
 	workloads *workloadTable
--- a/internal/frontend/native/binds.go
+++ b/internal/frontend/native/binds.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// finishPersisting ends the time in which a bind is written to the journal. It tells whether its offer may be sent: whether
-// nothing that the placement was decided by has changed.
+// finishPersisting ends the time in which a bind is written to the journal. It reports whether the placement
+// decision still holds, so that the offer may be sent.
 func (b *binds) finishPersisting(wl *workload, bind int, node placement.NodeID, incarnation uint64) bool {
 	if wl.lastBind() != bind {
 		return false // a later bind of the workload is on its way
@@ -90,8 +90,8 @@
 	b.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
 }
 
-// notSent takes back a bind whose offer was never sent. The engine hears of it once it is idle. The workload may have been
-// bound again meanwhile, or this bind called off: its state is another one's then, or stays.
+// notSent undoes a bind whose offer was never sent. The engine is notified once it is idle. The state of the bind does not
+// change if it was cancelled meanwhile, or if the workload has a later bind.
 func (b *binds) notSent(wl *workload, bind int, node placement.NodeID, id *pb.BindID) {
 	if wl.lastBind() == bind && wl.bindState != bindStopRequested {
 		wl.bindState = bindNotSent
@@ -102,7 +102,7 @@
 	})
 }
 
-// rejected takes back a bind that its node rejected.
+// rejected undoes a bind that its node rejected.
 func (b *binds) rejected(wl *workload, id *pb.BindID) { b.durable.forget(wl, id) }
 
 // callOff carries out the engine's stop of a workload's last bind. With onlyWaiting, a node that has accepted it keeps it.
@@ -121,7 +121,7 @@
 	}
 }
 
-// confirmGang tells a node that the gang of a part there runs, so that the part's lease no longer applies.
+// confirmGang notifies a node that the gang of one of its parts runs, so that the part's lease no longer applies.
 func (b *binds) confirmGang(node placement.NodeID, id *pb.BindID) {
 	if n, known := b.nodes.get(node); known && n.connected() {
 		b.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: id}}})
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -25,7 +25,7 @@
 	return t
 }
 
-// hasGroup tells whether a priority group is configured.
+// hasGroup reports whether a priority group is configured.
 func (t *catalog) hasGroup(name string) bool {
 	_, ok := t.groups[name]
 	return ok
@@ -71,7 +71,7 @@
 	return part
 }
 
-// fitsSomeKind tells whether a request is within the size of any kind of node.
+// fitsSomeKind reports whether a request is within the size of any kind of node.
 func (t *catalog) fitsSomeKind(r *pb.Ask) bool {
 	return slices.ContainsFunc(t.settings.NodeKinds, func(k placement.NodeKind) bool {
 		return r.Cores <= k.Cores && r.Memory <= k.Memory
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// withdrew tells whether a client has withdrawn a request in its present session.
+// withdrew reports whether a client has withdrawn a request in its present session.
 func (s *clientSessions) withdrew(name string, request uint64) bool {
 	session, ok := s.byName[name]
 	return ok && session.history.withdrawn(request)
--- a/internal/frontend/native/config.go
+++ b/internal/frontend/native/config.go
@@ -36,7 +36,7 @@
 	// PersistBind writes a bind. It calls done once on the frontend's goroutine: with nil when the bind is durable, or with
 	// the error that kept it from being written.
 	PersistBind(b recovery.Bind, done func(now placement.Millis, err error))
-	// ForgetBind takes back a bind that its node never accepted. Nobody waits until that is durable.
+	// ForgetBind removes a bind that its node never accepted. Nobody waits until that is durable.
 	ForgetBind(key, incarnation uint64, number uint32)
 }
 
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -73,7 +73,7 @@
 	return h, accepts(h)
 }
 
-// awaitsHello tells whether a connection is open and its peer has sent no hello.
+// awaitsHello reports whether a connection is open and its peer has sent no hello.
 func (t *connections) awaitsHello(c transport.ConnID) bool {
 	conn, open := t.get(c)
 	return open && conn.role == pb.Role_ROLE_UNSPECIFIED
--- a/internal/frontend/native/core.go
+++ b/internal/frontend/native/core.go
@@ -21,7 +21,7 @@
 	eventLog *eventlog.Log
 	recorder traceRecorder
 	counters *Counters
-	// interrupted tells whether the ends that the engine reports now are not the workloads' own; see reportEnds.
+	// interrupted reports whether the ends that the engine reports now are not the workloads' own; see reportEnds.
 	interrupted bool
 }
 
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -6,7 +6,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// discovery is the subscription to the discovery service. The engine asks for it when it has heard nothing for too long.
+// discovery is the subscription to the discovery service. The engine requests it when no update has come for too long.
 type discovery struct {
 	*core
 	address     string
@@ -16,14 +16,13 @@
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
 	failures int              // dials that failed since the last hello
-	// unanswered tells whether the engine has asked for the subscription and heard nothing since. The call waits for the
-	// hello, or for its answer.
+	// unanswered is set while the subscription that the engine requested has no reply. The call is sent after the hello.
 	unanswered bool
 	epoch      uint64 // of the last update
 	revision   uint64 // of the last update; 0 for none of this epoch
 }
 
-// owns tells whether a connection is the one to the discovery service.
+// owns reports whether a connection is the one to the discovery service.
 func (d *discovery) owns(c transport.ConnID) bool {
 	return d.state != sessionDisconnected && c == d.conn
 }
@@ -55,11 +54,11 @@
 	d.Schedule(now+delay, d.dial)
 }
 
-// subscribe asks for what has changed since the last update, and for updates from then on.
+// subscribe requests the changes since the last update, and further ones as they come.
 func (d *discovery) subscribe() {
 	d.unanswered = true
 	if d.state != sessionConnected {
-		return // the hello brings it about
+		return // handshake calls subscribe again
 	}
 	d.counters.DiscoveryCalls++
 	d.network.Send(d.conn, &pb.Frame{Body: &pb.Frame_ListCall{ListCall: &pb.ListCall{
@@ -106,7 +105,7 @@
 	sameEpoch, snapshot := u.Epoch == d.epoch, u.Kind == pb.ListUpdate_WHOLE
 	switch {
 	case !sameEpoch && !snapshot:
-		// Changes since a restart of the service mean nothing on top of what it said before.
+		// A delta cannot be applied to a revision from before a restart of the service.
 		d.revision = 0
 		d.subscribe()
 		return
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -6,8 +6,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// durableBinds keeps what the next incarnation must know of this one's binds: it asks the registry which binds must be
-// durable, and has the journal write them. Without a journal no bind is durable, and nothing is known of earlier ones.
+// durableBinds keeps what the next incarnation must know of this one's binds: the registry decides which binds must be
+// durable, and the journal writes them. Without a journal no bind is durable, and nothing is known of earlier ones.
 type durableBinds struct {
 	enabled         bool
 	journal         BindJournal
@@ -35,7 +35,7 @@
 	return d.wallClockOffset + float64(now)
 }
 
-// admit tells what the binds that are known of a request's key allow.
+// admit returns what the binds that are known of a request's key allow.
 func (d *durableBinds) admit(now placement.Millis, r *pb.Ask) recovery.Admission {
 	if !d.enabled {
 		return recovery.Admit
@@ -43,12 +43,12 @@
 	return d.registry.CheckAdmission(d.unixTime(now), r.Key, r.Group)
 }
 
-// boundBefore tells whether an earlier incarnation left a bind of a key.
+// boundBefore reports whether an earlier incarnation left a bind of a key.
 func (d *durableBinds) boundBefore(now placement.Millis, key uint64) bool {
 	return d.enabled && d.registry.KnownBeforeRestart(d.unixTime(now), key)
 }
 
-// required tells whether the binds of a group must be durable before their offers are sent.
+// required reports whether the binds of a group must be durable before their offers are sent.
 func (d *durableBinds) required(group string) bool {
 	return d.enabled && d.registry.RequiresDurability(group)
 }
@@ -64,7 +64,7 @@
 	d.journal.PersistBind(bind, done)
 }
 
-// forget takes back a bind that its node never accepted, if that settles its key.
+// forget removes a bind that its node never accepted, if no other bind of the key is in doubt.
 func (d *durableBinds) forget(wl *workload, id *pb.BindID) {
 	if d.enabled && d.registry.Forget(wl.request.Key, id.Incarnation, id.Number) {
 		d.journal.ForgetBind(wl.request.Key, id.Incarnation, id.Number)
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -9,9 +9,9 @@
 //
 // A request takes this way: Frontend.Received hands the client's frame to requests, which rejects it or gives it an id in
 // the workload table and schedules it with the engine. The engine calls actions.Bind, and binds sends the offer, after the
-// journal has it where it must be durable. The node's answer reaches nodeSessions, which tells the engine, and the engine
-// calls actions.Answer, from which requests answers the client. What an action has to tell the engine is deferred until the
-// engine is idle.
+// journal has it where it must be durable. The node's answer reaches nodeSessions, which notifies the engine, and the
+// engine calls actions.Answer, from which requests answers the client. What an action reports to the engine is deferred
+// until the engine is idle.
 //
 // Times are milliseconds on a clock that never steps back. A Frontend belongs to one goroutine.
 package native
@@ -33,8 +33,8 @@
 
 const (
 	defaultEventLogSize = 1 << 14
-	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot tell that it was
-	// stopped.
+	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect that it
+	// was stopped.
 	maxWakeInterval = placement.Millis(20)
 )
 
@@ -140,7 +140,7 @@
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (f *Frontend) WorkloadCount() int { return f.workloads.count() }
 
-// Drain has every further request rejected. What is pending is still answered; Pending tells when all is.
+// Drain has every further request rejected. What is pending is still answered; Pending returns how much is left.
 func (f *Frontend) Drain() { f.requests.draining = true }
 
 // Start begins to work on a network. It is called once, before any other event.
@@ -169,7 +169,7 @@
 	f.core.Flush(now)
 }
 
-// accepted handles a connection from a peer that is yet to say who it is.
+// accepted handles a connection from a peer that has not sent its hello.
 func (f *Frontend) accepted(now placement.Millis, c transport.ConnID) {
 	f.connections.add(c, &connection{})
 	f.core.Schedule(now+helloTimeout, func(placement.Millis) {
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -22,18 +22,18 @@
 	receivedAt  placement.Millis
 	expires     placement.Millis // when the client gives up
 	answerDue   bool             // the client waits for its final answer
-	confirmed   bool             // of one that is recovering: a part was told before that the gang runs
+	confirmed   bool             // of one that is recovering: a part's node knew that the gang runs
 	tracedState gang.State       // the last one that the trace has
 }
 
-// recovering tells whether parts of the gang were found on nodes after a restart, and others may follow.
+// recovering reports whether parts of the gang were found on nodes after a restart, and others may follow.
 func (g *gangRequest) recovering() bool { return g.state == nil }
 
-// runs tells whether enough of the gang's parts run, and its client has its answer.
+// runs reports whether enough of the gang's parts run, and its client has its answer.
 func (g *gangRequest) runs() bool { return !g.recovering() && g.state.State == gang.Running }
 
-// offerPart is what the offer of a part says of its gang. The node ends the part after its lease, unless the gang is
-// confirmed by then.
+// offerPart is the description of the gang in the offer of a part. The node ends the part after its lease, unless the
+// gang is confirmed by then.
 func (g *gangRequest) offerPart(now placement.Millis, part int) *pb.GangPart {
 	lease := max(0, g.expires-now) + leaseMargin
 	if g.runs() {
@@ -56,7 +56,7 @@
 	return n
 }
 
-// endReason is what the client is told of why its running gang has ended.
+// endReason is the reason that the client gets for the end of its running gang.
 func (g *gangRequest) endReason() pb.Why {
 	if slices.ContainsFunc(g.state.Parts, func(s gang.PartState) bool { return s != gang.PartFinished }) {
 		return pb.Why_LOST
--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -31,7 +31,7 @@
 
 func (t *gangs) add(g *gangRequest) { t.byRequest[g.id] = g }
 
-// holds tells whether a gang is still held: another may have come under its request since.
+// holds reports whether a gang is still held: another may have come under its request since.
 func (t *gangs) holds(g *gangRequest) bool { return t.byRequest[g.id] == g }
 
 // sorted returns the gangs in the order of their clients and requests.
@@ -155,7 +155,7 @@
 	}
 }
 
-// confirmParts tells the nodes of the running parts that their gang runs.
+// confirmParts notifies the nodes of the running parts that their gang runs.
 func (t *gangs) confirmParts(g *gangRequest) {
 	for part, id := range g.parts {
 		if wl, held := t.workloads.get(id); held && g.state.Parts[part] == gang.PartRunning {
@@ -164,8 +164,8 @@
 	}
 }
 
-// repeatConfirmation tells a node again that a part's gang runs, where the node does not know it: that was lost with its
-// last connection.
+// repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
+// connection.
 func (t *gangs) repeatConfirmation(n *node, wl *workload, r *pb.Standing) {
 	if wl.gang != nil && !r.Kept && wl.gang.runs() {
 		t.binds.confirmGang(n.id, r.Offer.Bind)
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -5,7 +5,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// membership keeps the node table as the discovery service says, and has its nodes dialled and removed.
+// membership applies the updates of the discovery service to the node table, and has nodes dialled and removed.
 type membership struct {
 	*core
 	table       *nodeTable
@@ -32,7 +32,7 @@
 		}
 	}
 	if excess := len(u.Entries) - len(updated); excess > 0 {
-		m.log.Warn("nodes not used", "reason", "more than are kept", "kept", m.table.count(), "unused", excess)
+		m.log.Warn("node table full, nodes ignored", "nodes", m.table.count(), "ignored", excess)
 	}
 	m.Engine().UpdateNodes(now, kind, entries)
 	for _, n := range updated {
@@ -61,7 +61,7 @@
 	}
 	kind, configured := m.catalog.kindID(e.Kind)
 	if !configured && !known {
-		m.log.Warn("node not used", "node", id, "reason", "unknown kind", "kind", e.Kind, "known", m.catalog.kindNames)
+		m.log.Warn("node kind unknown, node gets no binds", "node", id, "kind", e.Kind, "known", m.catalog.kindNames)
 	}
 	m.table.describe(n, e, kind)
 	return n, true
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -117,7 +117,7 @@
 	})
 	if err != nil {
 		n.lastRefusal = err.Error()
-		s.log.Warn("node not used", "node", n.id, "address", n.address, "reason", err)
+		s.log.Warn("node handshake failed", "node", n.id, "address", n.address, "reason", err)
 		s.connections.disconnect(c, err)
 		return
 	}
@@ -128,7 +128,7 @@
 func (s *nodeSessions) helloReceived(now placement.Millis, n *node, h *pb.Hello) {
 	n.session.state, n.session.failures, n.lastRefusal = sessionConnected, 0, ""
 	s.eventLog.Add(eventlog.Event{At: now, Kind: eventlog.NodeConnection, Detail: nodeConnected, Node: n.id})
-	// A restarted node says so itself, long before the discovery service does. Without that it would be offered workloads
+	// A restarted node reports that itself, long before the discovery service does. Without that it would be offered workloads
 	// beyond its warm-up budget meanwhile.
 	if h.Incarnation > n.incarnation {
 		n.setIncarnation(now, h.Incarnation, h.UpForMs)
@@ -148,7 +148,7 @@
 	s.updatePlacement(now, n)
 }
 
-// updatePlacement hands the engine what a node said of itself.
+// updatePlacement passes the entry of a node, with what the node reported itself, to the engine.
 func (s *nodeSessions) updatePlacement(now placement.Millis, n *node) {
 	s.Engine().UpdateNodes(now, placement.Delta, []placement.Node{n.placementEntry()})
 }
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -13,8 +13,8 @@
 // maxNodes is how many nodes are kept: under half of the numbers that zones and cells have.
 const maxNodes = 1 << 15
 
-// node is a node that the discovery service has named. membership changes what that service says of it, nodeSessions its
-// session and what the node says of itself.
+// node is a node that the discovery service has listed. membership changes what comes from that service, nodeSessions the
+// session and what the node reports itself.
 type node struct {
 	id          placement.NodeID
 	entry       placement.Node // of the discovery service
@@ -23,7 +23,7 @@
 	cell        string // with its zone in front
 	address     string
 	incarnation uint64
-	updatedAt   placement.Millis // when the discovery service last named it
+	updatedAt   placement.Millis // when the discovery service last listed it
 	draining    bool             // by its own account
 	lastRefusal string           // of a connection or a bind, for operators
 	session     nodeSession
@@ -49,7 +49,7 @@
 func (n *node) connected() bool { return n.session.state == sessionConnected }
 
 // state is the node's state for placement. Its own account of draining counts before the entry of the discovery service,
-// which is later, until the node says otherwise or is restarted.
+// which is later, until the node reports otherwise or is restarted.
 func (n *node) state() placement.NodeState {
 	if n.draining && n.entry.State == placement.Ready {
 		return placement.Draining
@@ -145,8 +145,8 @@
 	return n, true
 }
 
-// describe takes over an entry of the discovery service. Cells are told apart by their zone too: two zones may each have a
-// cell of one name, and an idempotency key that is known in one of them is not known in the other.
+// describe takes over an entry of the discovery service. Cells are distinguished by their zone too: two zones may each
+// have a cell of one name, and an idempotency key that is known in one of them is not known in the other.
 func (t *nodeTable) describe(n *node, e *pb.NodeEntry, kind placement.KindID) {
 	n.address, n.zone, n.cell, n.kind = e.Address, e.Zone, e.Zone+"/"+e.Cell, e.Kind
 	n.entry = placement.Node{
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -32,8 +32,8 @@
 	return placement.ReasonUnspecified
 }
 
-// endReasonOf is what a client is told of why its workload no longer runs. A workload that ended for no reason of the
-// node's has finished, unless the end was not its own.
+// endReasonOf returns the reason that a client gets for the end of its workload. Where the node gives none, the workload
+// has finished, unless it was interrupted.
 func endReasonOf(r placement.Reason, migrating, interrupted bool) pb.Why {
 	switch {
 	case migrating:
@@ -50,7 +50,7 @@
 	return pb.Why_FINISHED
 }
 
-// interrupts tells whether an end that a node reports was not the workload's own: its node stopped or lost it, or ended
+// interrupts reports whether an end that a node reports was not the workload's own: its node stopped or lost it, or ended
 // its lease.
 func interrupts(w pb.Why) bool {
 	return w == pb.Why_LOST || w == pb.Why_STOPPED || w == pb.Why_LEASE_OVER
@@ -66,7 +66,7 @@
 	return placement.Removed
 }
 
-// noteKindOf translates the kind of a note; kinds that the engine takes no notice of are not ok.
+// noteKindOf translates the kind of a note; kinds that the engine ignores are not ok.
 func noteKindOf(k pb.Note_Kind) (kind placement.UsageKind, ok bool) {
 	switch k {
 	case pb.Note_RUNNING:
@@ -87,7 +87,7 @@
 	return pb.Verdict_UNSCHEDULABLE
 }
 
-// loadOf translates a load report. It returns nil where there is none, or one too old to tell anything; values that the
+// loadOf translates a load report. It returns nil where there is none, or one older than maxReportAge; values that the
 // report lacks are NaN.
 func loadOf(l *pb.Load) *placement.LoadReport {
 	if l == nil || !(placement.Millis(l.AgeMs) < maxReportAge) {
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -5,7 +5,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// reconciler compares what a node says at its hello with what the engine holds there.
+// reconciler compares the workloads in a node's hello with those that the engine holds there.
 type reconciler struct {
 	*core
 	workloads *workloadTable
@@ -71,7 +71,7 @@
 	r.adopt(now, n, s)
 }
 
-// unwanted tells whether a workload that the engine does not hold is to be stopped:
+// unwanted reports whether a workload that the engine does not hold is to be stopped:
 //   - its client withdrew it, and the stop was lost with the connection;
 //   - it is a copy that this incarnation gave up, or of a workload that is held elsewhere, and it is part of a gang, which
 //     must not run in part, or a stop can still limit its effect.
--- a/internal/frontend/native/requesthistory.go
+++ b/internal/frontend/native/requesthistory.go
@@ -32,11 +32,11 @@
 	h.oldest = (h.oldest + 1) % maxHistory
 }
 
-// contains tells whether a request has ended.
+// contains reports whether a request has ended.
 func (h *requestHistory) contains(request uint64) bool {
 	_, ok := h.ended[request]
 	return ok
 }
 
-// withdrawn tells whether a request was withdrawn.
+// withdrawn reports whether a request was withdrawn.
 func (h *requestHistory) withdrawn(request uint64) bool { return h.ended[request] }
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -14,7 +14,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Reasons for which a request is not admitted, whatever it asks for. Their texts are the reasons of the answers.
+// Reasons for which any request may be rejected, whatever its contents. Their texts are the reasons of the answers.
 var (
 	errDraining     = errors.New("the allocator is stopping; ask another")
 	errKeyHeld      = errors.New("a workload of that key is held here already")
@@ -99,8 +99,8 @@
 	r.clients.answer(session.name, &pb.Answer{Ask: a.Ask, Verdict: v, Reason: reason})
 }
 
-// answeredFromJournal answers a request whose key the journal knows, or that it has no room for, and tells whether it did.
-// Nothing is gained by waiting: nobody can find out what became of an earlier bind.
+// answeredFromJournal answers a request whose key the journal knows, or that it has no capacity for, and reports whether it
+// did. The answer is final at once, since the outcome of an earlier bind cannot be found out.
 func (r *requests) answeredFromJournal(now placement.Millis, session *clientSession, a *pb.Ask) bool {
 	var verdict pb.Verdict
 	var reason string
--- a/internal/frontend/native/spread.go
+++ b/internal/frontend/native/spread.go
@@ -12,7 +12,7 @@
 	scope placement.Scope
 }
 
-// spreadScopes are the scopes that a gang may ask for. Each group of the settings has a variant for each of them, so that
+// spreadScopes are the scopes that a gang may request. Each group of the settings has a variant for each of them, so that
 // the placement module needs no notion of gangs.
 var spreadScopes = []spreadScope{{"node", placement.ScopeNode}, {"cell", placement.ScopeCell}, {"zone", placement.ScopeZone}}
 
@@ -46,7 +46,7 @@
 	return group + placement.GroupID((i+1)*groups)
 }
 
-// validSpread tells whether a gang may ask for that scope.
+// validSpread reports whether a gang may request that scope.
 func validSpread(name string) bool {
 	return name == "" || slices.ContainsFunc(spreadScopes, func(s spreadScope) bool { return s.name == name })
 }
--- a/internal/frontend/native/workloads.go
+++ b/internal/frontend/native/workloads.go
@@ -41,10 +41,10 @@
 	return workloadCancelling
 }
 
-// withdrawn tells whether nobody wants the workload any more.
+// withdrawn reports whether the client has withdrawn the workload.
 func (s workloadState) withdrawn() bool { return s == workloadCancelling || s == workloadStopping }
 
-// accepted tells whether the workload was placed on the node of its last bind.
+// accepted reports whether the workload was placed on the node of its last bind.
 func (s workloadState) accepted() bool { return s == workloadPlaced || s == workloadStopping }
 
 // bindState is what has become of a workload's last bind on its way to the node. Each bind begins as not sent:
@@ -52,7 +52,7 @@
 //	notSent -> persisting -> sent       if the journal must have it first
 //	notSent -> sent                     if not
 //	persisting -> outdated -> notSent   if the decision no longer holds
-//	any -> stopRequested                if the engine calls it off
+//	any -> stopRequested                if the engine cancels it
 //
 // Type binds makes these transitions.
 type bindState uint8
@@ -102,7 +102,7 @@
 	return cmp.Or(cmp.Compare(x.client, y.client), cmp.Compare(x.request, y.request))
 }
 
-// adoptedBind names the bind of an adopted workload: one of an earlier incarnation, or one that this one had given up.
+// adoptedBind names the bind of an adopted workload: one of an earlier incarnation, or one that this one had abandoned.
 type adoptedBind struct {
 	node        placement.NodeID
 	incarnation uint64
@@ -115,7 +115,7 @@
 }
 
 // workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and by bind.
-// It is what tells a repeated request from a new one.
+// With it, requests distinguishes a repeated request from a new one.
 type workloadTable struct {
 	allocator   string // by which nodes know our binds
 	incarnation uint64
@@ -148,13 +148,13 @@
 // held returns a workload that the engine names, and that is held for that reason.
 func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
 
-// hasKey tells whether a workload of that idempotency key is held.
+// hasKey reports whether a workload of that idempotency key is held.
 func (t *workloadTable) hasKey(key uint64) bool {
 	_, ok := t.byKey[key]
 	return ok
 }
 
-// hasRequest tells whether a workload of that request is held.
+// hasRequest reports whether a workload of that request is held.
 func (t *workloadTable) hasRequest(id requestID) bool {
 	_, ok := t.byRequest[id]
 	return ok
@@ -168,10 +168,10 @@
 	return nil, false
 }
 
-// idsExhausted tells whether no id is left for requests.
+// idsExhausted reports whether no id is left for requests.
 func (t *workloadTable) idsExhausted() bool { return t.lastID >= maxRequestedID }
 
-// adoptionIDsExhausted tells whether no id at all is left.
+// adoptionIDsExhausted reports whether no id at all is left.
 func (t *workloadTable) adoptionIDsExhausted() bool { return t.lastID == math.MaxUint32 }
 
 // add gives the workload of a new request the next id.
--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -40,12 +40,12 @@
 	endCause    codec.Cause // of the end of the running workload; CauseNone if its node stated none
 }
 
-// running tells whether the workload runs on its node.
+// running reports whether the workload runs on its node.
 func (w *workload) running() bool {
 	return w.bind.state == bindRunning || w.bind.state == bindMigrating
 }
 
-// connecting tells whether the bind of that number waits for its connection.
+// connecting reports whether the bind of that number waits for its connection.
 func (w *workload) connecting(number int) bool {
 	return w.bind.state == bindConnecting && w.bind.number == number
 }
--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -29,7 +29,7 @@
 	b.conns.await(n, &pendingOffer{b, w, bind, deadline})
 }
 
-// waits tells whether the bind has not ended in the meantime.
+// waits reports whether the bind has not ended in the meantime.
 func (o *pendingOffer) waits() bool {
 	return o.binder.workloads.holds(o.workload) && o.workload.connecting(o.bind)
 }
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -3,7 +3,7 @@
 //
 // Each message is decoded once, into a struct of named and checked fields. What cannot be framed is an error, after
 // which nothing that follows on the connection can be trusted. A message that is framed correctly and whose content
-// breaks the protocol is decoded into an Invalid, so that the receiver can say which workload it refuses.
+// breaks the protocol is decoded into an Invalid, so that the receiver can name the workload that it rejects.
 //
 // ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds is
 // bounded.
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -22,7 +22,7 @@
 	ErrStreamEnded = errors.New("the stream of events has ended")
 )
 
-// Subscribe asks the discovery service for the events after a revision.
+// Subscribe requests the events after a revision from the discovery service.
 type Subscribe struct {
 	Host  string
 	After uint64
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -18,12 +18,12 @@
 	codeSettled   requestCode = 5  // a bind has ended
 	codeStanding  requestCode = 6  // the instance takes charge of a workload that is running
 	codeSheet     requestCode = 7  // a numbered list of nodes, for all instances
-	codeHint      requestCode = 8  // news of a bind
-	codeDirectory requestCode = 9  // news of node discovery
+	codeHint      requestCode = 8  // a report on a bind
+	codeDirectory requestCode = 9  // a report of node discovery
 	codeDropped   requestCode = 10 // a client has withdrawn its workload
 	codeLanded    requestCode = 11 // a node has confirmed a bind
 	codePowerOff  requestCode = 12 // an instance is killed
-	codeWakeup    requestCode = 13 // a time that the instance asked for has come
+	codeWakeup    requestCode = 13 // a timer of the instance has fired
 	lastKnownCode             = codeWakeup
 )
 
@@ -121,7 +121,7 @@
 	}
 }
 
-// nodeUpdate tells an instance which list of nodes holds, or that discovery has failed.
+// nodeUpdate notifies an instance of the node list that is current, or that discovery has failed.
 type nodeUpdate struct {
 	kind  placement.NodeUpdateKind
 	known bool // whether the kind is one that is known
@@ -194,7 +194,7 @@
 	return m, r.err
 }
 
-// usageReport is what a running workload says of itself.
+// usageReport is what a running workload reports of its usage.
 type usageReport struct {
 	workload placement.WorkloadID
 	bind     int
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -42,7 +42,7 @@
 	w.waker.WakeAt(next)
 }
 
-// isLate tells whether the wake-up should have come well before now: the process was stopped meanwhile.
+// isLate reports whether the wake-up should have come well before now: the process was stopped meanwhile.
 func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > lateWakeup }
 
 // passed notes the time of an event, so that a wake-up that is due then is not late to the events after it.
@@ -58,7 +58,7 @@
 	}
 }
 
-// popTick tells whether the tick that the engine requested is due. If so, the request is done.
+// popTick reports whether the tick that the engine requested is due. If so, the request is done.
 func (w *wakeup) popTick(now placement.Millis) bool {
 	if !w.tickRequested || w.tickAt > now {
 		return false
--- a/internal/gang/action.go
+++ b/internal/gang/action.go
@@ -2,7 +2,7 @@
 
 import "grebeglade/placement"
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
@@ -13,8 +13,8 @@
 	AnswerPlaced                          // answer the client that the gang runs
 	AnswerRejected                        // answer that a retry does no harm
 	AnswerUnschedulable                   // answer that a part may have run
-	ConfirmParts                          // tell the nodes of the running parts that the gang runs
-	ReportEnd                             // tell the client that the running gang has ended
+	ConfirmParts                          // notify the nodes of the running parts that the gang runs
+	ReportEnd                             // notify the client that the running gang has ended
 	SetTimer                              // call TimerFired at At
 	Forget                                // the gang is called no more
 )
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,8 +1,8 @@
 // Package gang decides about groups of workloads that start together or not at all.
 //
-// A Gang is the state machine of one group, without I/O: each call tells it what happened and when, and returns what is to
-// be done. Where a part is placed is not decided here. A gang that does not fit as a whole, as far as is known, is rejected
-// at once, and none of its parts is sent.
+// A Gang is the state machine of one group, without I/O: each call reports an event and its time, and returns the
+// actions to take. Where a part is placed is not decided here. A gang that does not fit as a whole, as far as is known,
+// is rejected at once, and none of its parts is sent.
 //
 // The calls are Start, then AttemptResult with what came of an Attempt; PartStarted, PartFailed and PartEnded for its
 // parts; Withdraw; and TimerFired at the time of a SetTimer. A gang that has returned Forget is called no more. Times are
@@ -113,7 +113,8 @@
 	return g.expires - max(minAnswerMargin, placement.Millis(answerMarginShare)*g.request.PendingTimeout)
 }
 
-// AttemptResult tells which parts were offered to nodes. Either these are enough for the gang, or none was sent.
+// AttemptResult handles the result of an Attempt: which parts were offered to nodes. Either these are enough for the gang,
+// or none was sent.
 func (g *Gang) AttemptResult(offered []bool) []Action {
 	if g.State != Starting {
 		return nil
@@ -129,10 +130,10 @@
 	return g.end() // it does not fit as a whole, as far as is known
 }
 
-// PartStarted tells that a part runs.
+// PartStarted handles the start of a part.
 func (g *Gang) PartStarted(part int) []Action {
 	if g.Parts[part] != PartRequested {
-		return nil // it was called off meanwhile
+		return nil // it was cancelled meanwhile
 	}
 	g.Parts[part] = PartRunning
 	switch g.State {
@@ -162,7 +163,7 @@
 	return []Action{{Kind: ReportEnd}, {Kind: Forget}}
 }
 
-// PartFailed tells that a part was not placed, and whether it may run all the same.
+// PartFailed handles a part that was not placed; mayRun is set if it may run all the same.
 func (g *Gang) PartFailed(now placement.Millis, part int, mayRun bool) []Action {
 	if mayRun && g.request.Parts[part].Idempotency != placement.Idempotent {
 		g.mayHaveEffect = true
@@ -175,7 +176,7 @@
 	return g.continueWithout(now, before)
 }
 
-// PartEnded tells that a part runs no more: it finished, or was stopped, evicted or lost.
+// PartEnded handles the end of a running part: it has finished, or was stopped, evicted or lost.
 func (g *Gang) PartEnded(now placement.Millis, part int, finished bool) []Action {
 	before := g.Parts[part]
 	switch {
@@ -253,7 +254,7 @@
 	return append(actions, g.completeRollback(now)...)
 }
 
-// cannotRepeat tells whether a part in that state keeps its gang from being started again. One that finished has had its
+// cannotRepeat reports whether a part in that state keeps its gang from being started again. One that finished has had its
 // effect: even where a repeat is dropped by its idempotency key, that holds only on some nodes and for some time.
 func (g *Gang) cannotRepeat(s PartState, effect placement.Idempotency) bool {
 	switch s {
@@ -313,7 +314,7 @@
 	return []Action{{Kind: AnswerRejected}}
 }
 
-// Withdraw tells that the client no longer wants the gang. It gets no answer after that.
+// Withdraw handles the client's withdrawal of the gang. The client gets no answer after it.
 func (g *Gang) Withdraw(now placement.Millis) []Action {
 	g.answered, g.retry = true, false
 	switch g.State {
@@ -325,7 +326,7 @@
 	return nil
 }
 
-// TimerFired tells that the time of a SetTimer has come. Timers of a state that has passed do nothing.
+// TimerFired handles the time of a SetTimer. Timers of an earlier state do nothing.
 func (g *Gang) TimerFired(now placement.Millis) []Action {
 	switch g.State {
 	case Pending:
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -57,7 +57,7 @@
 	return m
 }
 
-// occupied tells whether a part uses the capacity of a node.
+// occupied reports whether a part uses the capacity of a node.
 func (m *model) occupied(node int) bool {
 	for g := range m.nodes {
 		for p := range m.nodes[g] {
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -28,8 +28,8 @@
 	PartIdle      PartState = iota // never offered, or known never to have run
 	PartRequested                  // to be placed, or on its way to a node
 	PartRunning
-	PartFinished // it ran to its own end
-	PartStopping // called off, and its end is not known yet
+	PartFinished // it completed by itself
+	PartStopping // being stopped; its end is not confirmed yet
 	PartLost     // it ended before its time, or may have run and is out of reach
 )
 
@@ -48,7 +48,7 @@
 	Size        float64 // share of a node; larger parts are requested first
 }
 
-// Request is what a client asks for.
+// Request is a client's request for a gang.
 type Request struct {
 	Parts          []Part
 	MinParts       int              // parts that must run, at least
--- a/internal/oracle/events.go
+++ b/internal/oracle/events.go
@@ -45,7 +45,7 @@
 	return q.events[q.next-1], true
 }
 
-// hasNextAt tells whether the next event is at a time, or before it.
+// hasNextAt reports whether the next event is at a time, or before it.
 func (q *eventQueue) hasNextAt(t placement.Millis) bool {
 	return q.next < len(q.events) && q.events[q.next].at <= t
 }
--- a/internal/oracle/machine.go
+++ b/internal/oracle/machine.go
@@ -44,7 +44,7 @@
 
 func (s *size) add(cores, memory float64) { s.cores, s.memory = s.cores+cores, s.memory+memory }
 
-// fitsWithin tells whether there is capacity for an addition.
+// fitsWithin reports whether there is capacity for an addition.
 func (s size) fitsWithin(cores, memory, maxCores, maxMemory float64) bool {
 	return s.cores+cores <= maxCores+roundingSlack && s.memory+memory <= maxMemory+roundingSlack
 }
@@ -73,7 +73,7 @@
 	return lost
 }
 
-// fits tells whether the machine accepts a workload and has the capacity for it.
+// fits reports whether the machine accepts a workload and has the capacity for it.
 func (m *machine) fits(w *Want) bool {
 	return m.state == machineReady && m.requested.fitsWithin(w.Cores, w.Memory, m.AskCores, m.AskMemory) &&
 		m.used.fitsWithin(w.UsesCores, w.UsesMemory, m.Cores, m.Memory)
@@ -109,7 +109,7 @@
 	return n
 }
 
-// sharesScope tells whether two machines are in the same scope.
+// sharesScope reports whether two machines are in the same scope.
 func (m *machine) sharesScope(o *machine, s placement.Scope) bool {
 	switch s {
 	case placement.ScopeNode:
--- a/internal/oracle/place.go
+++ b/internal/oracle/place.go
@@ -133,7 +133,7 @@
 	return p.rules == nil || p.withinWarmUpBudget(now, m) && p.withinSpread(m, w)
 }
 
-// withinWarmUpBudget tells whether a machine may be sent another workload so soon after its start.
+// withinWarmUpBudget reports whether a machine may be sent another workload so soon after its start.
 func (p *placer) withinWarmUpBudget(now placement.Millis, m *machine) bool {
 	if p.rules.Bears == nil || m.firstStart {
 		return true
@@ -142,7 +142,7 @@
 	return budget < 0 || float64(m.placedSince(now-p.rules.Window)+1) <= budget
 }
 
-// withinSpread tells whether another workload of the service may be placed in the machine's scope.
+// withinSpread reports whether another workload of the service may be placed in the machine's scope.
 func (p *placer) withinSpread(m *machine, w *Want) bool {
 	if w.Spread == placement.ScopeNone {
 		return true
--- a/internal/replay/gosource.go
+++ b/internal/replay/gosource.go
@@ -32,7 +32,7 @@
 func (r *Reproduction) goTest() string {
 	before, last := r.Calls[:len(r.Calls)-1], r.Calls[len(r.Calls)-1]
 	lines := []string{
-		fmt.Sprintf("// %d of %d calls of %s before the decision on one ask.", len(before), r.CallsBefore, r.Source),
+		fmt.Sprintf("// %d of %d calls of %s before the decision on one request.", len(before), r.CallsBefore, r.Source),
 		"func TestExtracted(t *testing.T) {",
 		fmt.Sprintf("a := placement.New(%#v, %d)", decodeSettings(r.Start.Settings), r.Start.Seed),
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -237,7 +237,7 @@
 
 func TestReproduceFiles_UnknownWorkloadIsAnError(t *testing.T) {
 	_, err := replay.ReproduceFiles(traced(t, "quiet")["allocator-1"], 999999)
-	assert.ErrorContains(t, err, "no ask of workload 999999")
+	assert.ErrorContains(t, err, "no request for workload 999999")
 }
 
 func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -61,7 +61,7 @@
 			return &Reproduction{Start: starts[rec.Source], Decision: rec.Step}, calls[rec.Source], nil
 		}
 	}
-	return nil, nil, fmt.Errorf("the trace has no ask of workload %d", workload)
+	return nil, nil, fmt.Errorf("the trace has no request for workload %d", workload)
 }
 
 // isCall reports whether a record is a call of the module.
--- a/internal/simulation/scenario/decode_test.go
+++ b/internal/simulation/scenario/decode_test.go
@@ -18,8 +18,8 @@
 		"fault \"stall\" {\n every = \"0s\"\n}":                   "x.hcl:4: every is no time",
 		"length = \"0s\"":                                         "x.hcl:3: the day has no length",
 		"load {\n rate = \"fast\"\n}":                             "x.hcl:4: rate is not a number",
-		"fault \"crash\" {}\nfault \"crash\" {}":                  `x.hcl:4: fault "crash" stands already in line 3`,
-		"fault \"second\" {\n kind = \"crash\"\n atx = \"5s\"\n}": "x.hcl:5: atx is not known here; did you mean at?",
+		"fault \"crash\" {}\nfault \"crash\" {}":                  `x.hcl:4: fault "crash" is already defined in line 3; give it another name`,
+		"fault \"second\" {\n kind = \"crash\"\n atx = \"5s\"\n}": "x.hcl:5: atx is not a known argument; did you mean at?",
 	} {
 		_, err := DecodeText("x.hcl", []byte(base+src))
 		require.ErrorContains(t, err, want, src)
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// commitBatch commits entries in the groups that the policy asks for.
+// commitBatch commits entries in the groups that the policy prescribes.
 func (w *Writer) commitBatch(batch []queuedEntry) {
 	if w.policy != SyncPerEntry {
 		w.commitGroup(batch)
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -35,10 +35,10 @@
 	worker *worker
 	class  priorityClass
 	codec  Codec
-	socket gnet.Conn // set by the event loop before the worker hears of the connection
+	socket gnet.Conn // set by the event loop before it notifies the worker
 
 	// Of the worker's goroutine.
-	id          ConnID // zero until the worker has heard of an incoming connection
+	id          ConnID // zero until the worker is notified of an incoming connection
 	state       connState
 	cancelDial  context.CancelFunc // of dialled connections
 	writeBuffer []byte             // encoded messages, not flushed yet
@@ -151,7 +151,7 @@
 }
 
 // watchMessage ends the connection if a message that the peer has begun is not complete within the limit. The event loop
-// calls it after each read: decoded tells whether a message was complete, begun whether the beginning of one is left.
+// calls it after each read: decoded reports whether a message was complete, begun whether the beginning of one is left.
 func (c *connection) watchMessage(decoded, begun bool) {
 	if decoded || !begun {
 		c.incomplete.Store(0)
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -13,8 +13,8 @@
 	Opened(now placement.Millis, c ConnID)
 	// Received hands over a message, in the order in which the peer sent them.
 	Received(now placement.Millis, c ConnID, m any)
-	// Closed reports that a connection has ended, or that dialling it has failed. The reason is never nil; errors.Is tells
-	// its class, one of this package's errors. It does not follow the handler's own Close.
+	// Closed reports that a connection has ended, or that dialling it has failed. The reason is never nil, and
+	// matches with errors.Is the one of this package's errors that is its class. It does not follow the handler's own Close.
 	Closed(now placement.Millis, c ConnID, reason error)
 	// Wake is called once the time given to WakeAt has come.
 	Wake(now placement.Millis)
@@ -28,7 +28,7 @@
 	Send(c ConnID, m any)
 	// Close ends a connection once what was sent on it is on its way, or gives up dialling it.
 	Close(c ConnID)
-	// IsClosed tells whether a connection has ended, even if the handler is yet to be notified.
+	// IsClosed reports whether a connection has ended, even if the handler is yet to be notified.
 	IsClosed(c ConnID) bool
 	// WakeAt sets the handler's only wake-up; another call replaces it.
 	WakeAt(t placement.Millis)
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -26,7 +26,7 @@
 	call    func(now placement.Millis)
 }
 
-// isUrgent tells whether an event is handled before all that are not.
+// isUrgent reports whether an event is handled before all that are not.
 func (e *event) isUrgent() bool { return e.conn != nil && e.conn.class == classUrgent }
 
 // eventQueue holds the events of one worker until it takes them. Events of one connection stay in their order. Any goroutine
--- a/internal/transport/worker.go
+++ b/internal/transport/worker.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// wait blocks until there is something to do, and tells whether the queue is closed.
+// wait blocks until there is something to do, and reports whether the queue is closed.
 func (w *worker) wait(timer *time.Timer) (closed bool) {
 	select {
 	case <-w.queue.closed:
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -114,7 +114,7 @@
 	return resources{n.size.Cores - ours.Cores*allocators, n.size.Memory - ours.Memory*allocators}
 }
 
-// usedCores returns the cores in use on n, if a fresh report tells. Later changes count at the usage share.
+// usedCores returns the cores in use on n, if a report is fresh. Later changes count at the usage share.
 func (c *capacityEstimator) usedCores(now Millis, n *node) (float64, bool) {
 	r, ok := n.reports.latest(now)
 	if !ok || math.IsNaN(r.used.Cores) {
@@ -123,7 +123,7 @@
 	return max(0, r.used.Cores+n.changes.since(r.at-reportLag).Cores*c.usageShare), true
 }
 
-// usedMemory returns the memory in use on n, or 0 where no fresh report tells.
+// usedMemory returns the memory in use on n, or 0 without a fresh report.
 func (c *capacityEstimator) usedMemory(now Millis, n *node) float64 {
 	r, ok := n.reports.latest(now)
 	if !ok || math.IsNaN(r.used.Memory) {
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -6,7 +6,7 @@
 // New makes a [Scheduler] from its settings and a seed. Schedule takes a workload and returns a [Step]:
 // execute it and pass the result to its NextStep, which returns the step after that, until a step has no
 // NextStep. Adopt does the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and
-// ReportUsage take what is observed meanwhile. Maintain, called at the time that it last asked for, returns
+// ReportUsage take what is observed meanwhile. Maintain, called at the time that it last requested, returns
 // migrations, health checks and whether to subscribe to the node list. The types of these calls are in
 // types.go.
 //
