--- a/config/block.go
+++ b/config/block.go
@@ -15,7 +15,7 @@
 type Block struct {
 	Name     string // its label, or ""
 	body     *hclsyntax.Body
-	known    map[string]bool // arguments and types of blocks that were asked for
+	known    map[string]bool // arguments and types of blocks that were read
 	file     string
 	line     int
 	problems *Problems // of the whole file
@@ -139,7 +139,7 @@
 		case n.Name == "":
 			n.AddProblem("", "a "+kind+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, kind))
 		case duplicate:
-			n.AddProblem("", fmt.Sprintf("%s %q stands already in line %d", kind, n.Name, line), "give it another name")
+			n.AddProblem("", fmt.Sprintf("%s %q is already defined in line %d", kind, n.Name, line), "give it another name")
 		default:
 			lines[n.Name] = n.line
 		}
@@ -162,12 +162,12 @@
 func (b *Block) reportUnknown() {
 	for name, a := range b.body.Attributes {
 		if !b.known[name] {
-			b.report(a.SrcRange.Filename, a.SrcRange.Start.Line, name+" is not known here", b.suggestion(name))
+			b.report(a.SrcRange.Filename, a.SrcRange.Start.Line, name+" is not a known argument", b.suggestion(name))
 		}
 	}
 	for _, n := range b.body.Blocks {
 		if !b.known[n.Type] {
-			what := "a block " + n.Type + " is not known here"
+			what := n.Type + " is not a known block"
 			b.report(n.TypeRange.Filename, n.TypeRange.Start.Line, what, b.suggestion(n.Type))
 		}
 	}
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		return err
 	}
-	if _, refusal := transport.CheckHello(f); refusal != "" {
-		return runError{fmt.Errorf("%s: %s", address, refusal)}
+	if _, err := transport.CheckHello(f); err != nil {
+		return runError{fmt.Errorf("%s: %w", address, err)}
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 	return f, nil
 }
 
-// close ends the connection. All replies that matter have been read, so an error says nothing.
+// close ends the connection. All replies have been read, so an error does not matter.
 func (c *client) close() { _ = c.conn.Close() }
 
 // toFlag adds the flag that names the allocator to talk to.
--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"bytes"
 	"flag"
-	"grebeglade/internal/command"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"grebeglade/internal/command"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
@@ -20,6 +21,7 @@
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
+		require.Empty(t, os.Getenv("CI"), "stored files are compared in CI, not rewritten")
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
 		return
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -2,16 +2,17 @@
 
 import (
 	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
 	"grebeglade/internal/benchmark"
 	"grebeglade/internal/loadgen"
 	"grebeglade/internal/replay"
 	"grebeglade/internal/simulation"
-	"grebeglade/trace"
 	"grebeglade/internal/simulation/search"
-	"os"
-	"reflect"
-	"strings"
-	"testing"
+	"grebeglade/trace"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fakeWaker keeps the times that a host asked to be woken at.
+// fakeWaker keeps the times for which a host set its wake-up.
 type fakeWaker struct{ set []placement.Millis }
 
 func (w *fakeWaker) WakeAt(at placement.Millis) { w.set = append(w.set, at) }
@@ -132,16 +132,28 @@
 		h.Flush(100)
 		e := &engineHost{host: h}
 		e.Wake(500)
-		e.Wake(700) // the earlier request stands
+		e.Wake(700) // the earlier request remains
 		h.Flush(100)
 		assert.Equal(t, []placement.Millis{1100, 500}, waker.take())
 	})
-	t.Run("an overdue timer asks for now and no earlier time", func(t *testing.T) {
+	t.Run("an overdue timer sets it for now and no earlier time", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		h.Schedule(50, func(placement.Millis) {})
 		h.Flush(100)
 		assert.Equal(t, []placement.Millis{100}, waker.take())
 	})
+	t.Run("an overdue request of the engine sets it for now and no earlier time", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		(&engineHost{host: h}).Wake(50)
+		h.Flush(100)
+		assert.Equal(t, []placement.Millis{100}, waker.take())
+	})
+	t.Run("it is set anew where it came early", func(t *testing.T) {
+		h, _, waker := newTestHost(t, nil)
+		h.Flush(100)
+		h.Wake(900)
+		assert.Equal(t, []placement.Millis{1100, 1900}, waker.take())
+	})
 	t.Run("it is set anew after it came", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		h.Flush(100)
@@ -192,7 +204,7 @@
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
 		set := waker.take()
-		if !assert.NotEmpty(t, set, "the engine waits for a tick that nothing asks for") {
+		if !assert.NotEmpty(t, set, "the engine waits for a tick for which no wake-up is set") {
 			return
 		}
 		h.Wake(set[len(set)-1])
@@ -215,6 +227,7 @@
 		{2550, 0, "what is handled now came after it"},
 	} {
 		h.Begin(event.at)
+		h.Begin(event.at) // an event within the event is no stall, and does not end one
 		assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
 		h.Flush(event.at)
 	}
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -3,13 +3,12 @@
 import (
 	"testing"
 
-	"grebeglade/internal/recovery"
-	"grebeglade/internal/transport"
-	"grebeglade/placement"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/recovery"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -71,7 +70,7 @@
 	once.Idempotency = placement.AtMostOnce
 	dedup.Idempotency, dedup.KeyScope, dedup.KeyWindow = placement.IdempotentByKey, placement.ScopeCell, 5000
 	c := Config{
-		Name: "a", Incarnation: 5, Seed: 1, Groups: []string{"serve", "once", "check"}, Kinds: []string{"k"},
+		Name: "a", Incarnation: 5, Seed: 1, GroupNames: []string{"serve", "once", "check"}, KindNames: []string{"k"},
 		DiscoveryAddress: discoveryAddress,
 		Settings: placement.Settings{
 			Allocators: 1, Groups: []placement.Group{group, once, dedup}, NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}},
@@ -251,6 +250,28 @@
 	x.receive(c, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
 }
 
+// answers are the answers that the client was sent since the last call, in order.
+func (x *fixture) answers() []*pb.Answer {
+	var answers []*pb.Answer
+	for _, f := range x.network.take(clientConn) {
+		if a := f.GetAnswer(); a != nil {
+			answers = append(answers, a)
+		}
+	}
+	return answers
+}
+
+// stops are the binds whose stop was sent to a node since the last call, in order.
+func (x *fixture) stops(c transport.ConnID) []*pb.BindID {
+	var stops []*pb.BindID
+	for _, f := range x.network.take(c) {
+		if s := f.GetStop(); s != nil {
+			stops = append(stops, s.Bind)
+		}
+	}
+	return stops
+}
+
 // verdicts are the answers that the client was sent since the last call, by request.
 func (x *fixture) verdicts() map[uint64]pb.Verdict {
 	got := map[uint64]pb.Verdict{}
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -3,7 +3,7 @@
 //
 // Each message is decoded once, into a struct of named and checked fields. What cannot be framed is an error, after
 // which nothing that follows on the connection can be trusted. A message that is framed correctly and whose content
-// breaks the protocol is decoded into an Invalid, so that the receiver can say which workload it refuses.
+// breaks the protocol is decoded into an Invalid, so that the receiver can name the workload that it rejects.
 //
 // ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds is
 // bounded.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s is %.40q; it must be %s", e.Field, e.Value, e.Want)
 }
 
-// Tag identifies a workload, or a health check, in all messages about it. Whoever asks for it chooses its tag.
+// Tag identifies a workload, or a health check, in all messages about it. The side that requests it chooses the tag.
 type Tag uint64
 
 // String returns the tag as 16 hexadecimal digits.
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -14,7 +14,7 @@
 	checks    *healthChecker
 }
 
-// received handles a message of a node.
+// received handles a message from a node.
 func (h *replyHandler) received(now placement.Millis, c *nodeConn, m codec.Message) {
 	if invalid, ok := m.(*codec.Invalid); ok {
 		h.conns.disconnect(now, c, invalid.Err)
@@ -35,7 +35,7 @@
 	}
 	w := h.workloads.tagged(m.Envelope().Tag)
 	if w == nil || !w.concernedBy(c) {
-		return false // its end was handled before, or it is nobody's
+		return false // unknown, ended before, or about an abandoned bind
 	}
 	switch m := m.(type) {
 	case *codec.Confirmation:
@@ -67,11 +67,14 @@
 
 func (h *replyHandler) terminated(now placement.Millis, w *workload, m *codec.Termination) bool {
 	running := w.running()
-	if !running && w.bind.state != bindSent {
+	switch {
+	case running:
+		w.bind.endCause = m.Cause
+	case w.bind.state == bindSent:
+		w.endBind()
+	default:
 		return false
 	}
-	w.endBind()
-	w.bind.endCause = m.Cause
 	h.binder.settle(now, w, placement.Result{Kind: resultOf(m.Cause), Reason: m.Reason, Final: running, Load: m.Load})
 	return true
 }
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -14,7 +14,8 @@
 	Ended                    // none of its parts is left
 )
 
-// String returns the state's name, as it is shown in traces and to operators.
+// String returns the state's name in traces and for operators. The names are older than the constants' and stay, since
+// stored traces hold them.
 func (s State) String() string {
 	return [...]string{"pending", "starting", "standing", "undoing", "given up"}[s]
 }
@@ -27,8 +28,8 @@
 	PartIdle      PartState = iota // never offered, or known never to have run
 	PartRequested                  // to be placed, or on its way to a node
 	PartRunning
-	PartFinished // it ran to its own end
-	PartStopping // called off, and its end is not known yet
+	PartFinished // it completed by itself
+	PartStopping // being stopped; its end is not confirmed yet
 	PartLost     // it ended before its time, or may have run and is out of reach
 )
 
@@ -47,7 +48,7 @@
 	Size        float64 // share of a node; larger parts are requested first
 }
 
-// Request is what a client asks for.
+// Request is a client's request for a gang.
 type Request struct {
 	Parts          []Part
 	MinParts       int              // parts that must run, at least
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -123,10 +123,10 @@
 }
 
 func (l *DiscoveryService) handshake(now placement.Millis, c transport.ConnID, r *subscriber, f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
+	h, err := transport.CheckHello(f)
 	switch {
-	case refusal != "":
-		l.net.Send(c, transport.RefusalFrame(refusal))
+	case err != nil:
+		l.net.Send(c, transport.RefusalFrame(err.Error()))
 		l.net.Close(c)
 		delete(l.subscribers, c)
 	case h.Role == pb.Role_NODE:
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -3,6 +3,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"math"
 	"slices"
 
@@ -21,6 +22,9 @@
 	contentionSlowdown    = 4.0                   // factor by which starts take longer if demand is twice the cores
 )
 
+// errNotAllocator rejects a hello that is not an allocator's.
+var errNotAllocator = errors.New("a node serves allocators")
+
 // UsageSurge is resource use far above what was requested.
 type UsageSurge struct {
 	Group  string  // "" for every group
@@ -190,12 +194,12 @@
 
 // greet tells an allocator what of its workloads stands here.
 func (n *Node) handshake(c transport.ConnID, f *pb.Frame) {
-	h, refusal := transport.CheckHello(f)
-	if refusal == "" && h.Role != pb.Role_ALLOCATOR {
-		refusal = "a node serves allocators"
+	h, err := transport.CheckHello(f)
+	if err == nil && h.Role != pb.Role_ALLOCATOR {
+		err = errNotAllocator
 	}
-	if refusal != "" {
-		n.net.Send(c, transport.RefusalFrame(refusal))
+	if err != nil {
+		n.net.Send(c, transport.RefusalFrame(err.Error()))
 		n.net.Close(c)
 		delete(n.peers, c)
 		return
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -246,7 +246,7 @@
 	}
 	return native.Config{
 		Name: name, Incarnation: incarnation, Seed: mixHash(d.opts.Seed, uint64(i)<<20|incarnation), Settings: settings,
-		Groups: s.Groups, Kinds: s.NodeKinds, Zone: d.zone(i), DiscoveryAddress: discoveryAddress,
+		GroupNames: s.Groups, KindNames: s.NodeKinds, Zone: d.zone(i), DiscoveryAddress: discoveryAddress,
 		MaxWorkloads: s.Limits.MaxWorkloads, Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wallClockOffset,
 	}
 }
