--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -62,7 +62,7 @@
 // ErrDeadline is returned for a run that was given up at its deadline.
 var ErrDeadline = errors.New("the day took too long and was given up")
 
-// late tells whether the day's time is over; it looks at the clock once in a while.
+// late returns a function that tells whether the run's deadline is over. It looks at the clock once in a while.
 func (o *Options) late() func() bool {
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
@@ -88,7 +88,7 @@
 	began := time.Now()
 	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
 	loop := transport.NewLoop(o.Log)
-	defer loop.Close()
+	defer loop.Close() //nolint:contextcheck // what was sent must leave also where ctx has ended
 	seen := observer.NewHistory(s.Terms())
 	d, err := NewRun(s, o, loop, seen, loop.Now())
 	if err != nil {
@@ -115,7 +115,7 @@
 		return nil, ctx.Err()
 	case <-time.After(time.Duration(float64(settleTime) * 1e6)):
 	}
-	loop.Close()
+	loop.Close() //nolint:contextcheck // as above
 	if err := d.closeTraces(); err != nil {
 		return nil, err
 	}
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -231,80 +231,93 @@
 }
 `
 
-// The worst product over all layers, counted from traffic: an ask has four binds here, an owner asks six times for a
-// workload, a group is begun three times. No layer multiplies what another has counted.
+// retryKey names what is counted: a process or client, and a number of its own, or 0.
+type retryKey struct {
+	name   string
+	number uint64
+}
+
+// retryCounts counts the frames of a run by what they repeat.
+type retryCounts map[string]map[retryKey]int
+
+func (c retryCounts) add(what, name string, number uint64) {
+	if c[what] == nil {
+		c[what] = map[retryKey]int{}
+	}
+	c[what][retryKey{name, number}]++
+}
+
+// frameSent counts a frame that a client or an allocator sent.
+func (c retryCounts) frameSent(sender string, f *pb.Frame) {
+	switch b := f.Body.(type) {
+	case *pb.Frame_Ask:
+		c.add("requests of a workload", sender, b.Ask.Key)
+	case *pb.Frame_Offer:
+		o := b.Offer
+		c.add("offers of a bind", observer.KeyOf(o.Bind).String(), 0)
+		if o.Gang != nil {
+			c.add("binds of a part", o.Owner, o.Ask.Key)
+		} else {
+			c.add("binds of a request", o.Owner, o.Ask.Ask)
+			c.add("binds of a workload", o.Owner, o.Ask.Key)
+		}
+	case *pb.Frame_Stop:
+		c.add("stops of a bind", observer.KeyOf(b.Stop.Bind).String(), 0)
+	case *pb.Frame_ListCall:
+		c.add("polls of an allocator", sender, 0)
+	case *pb.Frame_Probe:
+		c.add("health checks of an allocator", sender, 0)
+	}
+}
+
+func countRetries(h *observer.History) retryCounts {
+	counts := retryCounts{}
+	for _, event := range h.Events() {
+		if answer := event.Frame.GetAnswer(); answer != nil && event.Kind == observer.FrameReceived {
+			counts.add("answers to a request", event.Process.Name, answer.Ask)
+		}
+		if event.Kind == observer.FrameSent && event.Process.Role != pb.Role_NODE {
+			counts.frameSent(event.Process.Name, event.Frame)
+		}
+	}
+	return counts
+}
+
+// The worst product over all layers, counted from traffic: a request has four binds here, a client requests a workload six
+// times, a gang is begun three times. No layer multiplies what another has counted.
 func TestRetries_AllLayersWithinBounds(t *testing.T) {
-	const binds, tries, begun = 4, 6, 3
+	const binds, attempts, begun = 4, 6, 3
 	worst := map[string]int{}
 	for seed := range uint64(20) {
 		file := filepath.Join(t.TempDir(), "history")
 		s := decode(t, allRetry)
 		require.Equal(t, binds, s.Settings.MaxBinds)
-		require.Equal(t, tries, s.Client.MaxAttempts)
+		require.Equal(t, attempts, s.Client.MaxAttempts)
 		kept(t, play(t, s, Options{Seed: seed + 1, HistoryFile: file}))
-		h := readBack(t, file)
-		type ref struct {
-			who string
-			no  uint64
-		}
-		count := map[string]map[ref]int{}
-		add := func(what, who string, no uint64) {
-			if count[what] == nil {
-				count[what] = map[ref]int{}
-			}
-			count[what][ref{who, no}]++
-		}
-		for _, s := range h.Events() {
-			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived {
-				add("answers to an ask", s.Process.Name, a.Ask)
-			}
-			if s.Kind != observer.FrameSent || s.Process.Role == pb.Role_NODE {
-				continue
-			}
-			switch b := s.Frame.Body.(type) {
-			case *pb.Frame_Ask:
-				add("asks of a workload", s.Process.Name, b.Ask.Key)
-			case *pb.Frame_Offer:
-				o := b.Offer
-				add("sendings of a bind", observer.KeyOf(o.Bind).String(), 0)
-				if o.Gang != nil {
-					add("binds of a part", o.Owner, o.Ask.Key)
-				} else {
-					add("binds of an ask", o.Owner, o.Ask.Ask)
-					add("binds of a workload", o.Owner, o.Ask.Key)
-				}
-			case *pb.Frame_Stop:
-				add("stops of a bind", observer.KeyOf(b.Stop.Bind).String(), 0)
-			case *pb.Frame_ListCall:
-				add("list calls of an allocator", s.Process.Name, 0)
-			case *pb.Frame_Probe:
-				add("probes of an allocator", s.Process.Name, 0)
-			}
-		}
-		for what, each := range count {
-			for _, n := range each {
+		for what, counts := range countRetries(readBack(t, file)) {
+			for _, n := range counts {
 				worst[what] = max(worst[what], n)
 			}
 		}
 	}
 	t.Log(worst)
 	for what, most := range map[string]int{
-		"asks of a workload": tries, "answers to an ask": 1, "sendings of a bind": 1, "binds of an ask": binds,
-		"binds of a workload": tries * binds, "binds of a part": begun * binds,
+		"requests of a workload": attempts, "answers to a request": 1, "offers of a bind": 1, "binds of a request": binds,
+		"binds of a workload": attempts * binds, "binds of a part": begun * binds,
 		// One when it times out or is withdrawn, and one at each connection at which the node still names it; a part's every 2 s.
 		"stops of a bind": 8,
-		// A call every 1.5 s at first, later ones further apart, and one at each connection to the list.
-		"list calls of an allocator": 16,
-		"probes of an allocator":     9 + 14*14,
+		// A poll every 1.5 s at first, later ones further apart, and one at each connection to the discovery service.
+		"polls of an allocator":         16,
+		"health checks of an allocator": 9 + 14*14,
 	} {
 		assert.LessOrEqual(t, worst[what], most, what)
 		assert.NotZero(t, worst[what], "%s: nothing is shown", what)
 	}
-	assert.Greater(t, worst["binds of an ask"], 1)
+	assert.Greater(t, worst["binds of a request"], 1)
 }
 
-// Days on which a rule breaks and no allocator could keep it, by the numbers of docs/review-findings.md. Each is played; as
-// long as it breaks it is skipped with its number, and once it does not the mark must go.
+// Scenario runs in which a rule breaks and no allocator could keep it, by the numbers of docs/review-findings.md. Each is played;
+// as long as the rule breaks it is skipped with its number, and once it does not the mark must go.
 func TestKnownViolations_StillOccur(t *testing.T) {
 	for _, known := range []struct {
 		name string
