--- a/internal/simulation/observer/file_test.go
+++ b/internal/simulation/observer/file_test.go
@@ -58,3 +58,12 @@
 	require.NoError(t, h.Write(&again))
 	assert.Equal(t, strings.TrimSpace(text.String()), strings.TrimSpace(again.String()), "what is read is what was written")
 }
+
+func TestHistoryWriteFile_DiskFullIsReported(t *testing.T) {
+	const full = "/dev/full" // takes a file's bytes and fails when they are written
+	if _, err := os.Stat(full); err != nil {
+		require.ErrorIs(t, err, os.ErrNotExist)
+		return
+	}
+	require.Error(t, recorded(t, "honest").WriteFile(full))
+}
