--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -15,10 +15,17 @@
 const (
 	// RetryAfterUnknown is how long a client waits before it retries a workload that may have run, in ms.
 	RetryAfterUnknown = placement.Millis(3e3)
-	quickRetry        = placement.Millis(40)  // ms; the longest delay of a withdrawal right after a request
+	quickWithdrawal   = placement.Millis(40)  // ms; the longest delay of a withdrawal right after a request
+	noAllocatorDelay  = placement.Millis(200) // ms after which a client without an allocator tries again
 	minRemaining      = placement.Millis(500) // ms of remaining lifetime below which a workload is not requested again
 )
 
+// Parameters of the 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
 // Tally counts what a client has seen of its requests.
 type Tally struct {
 	Requests, FirstRequests, Placed, Rejected, Unschedulable int
@@ -41,13 +48,13 @@
 	model     *scenario.ClientModel
 	rng       *rand.Rand // for its reactions
 	demandRNG *rand.Rand // for its demand, which does not depend on what happens
-	net       transport.FrameNetwork
+	network   transport.FrameNetwork
 	timers    transport.Timers
 	now       placement.Millis
 
 	connections     []transport.ConnID // by allocator; 0 while there is none
 	allocatorByConn map[transport.ConnID]int
-	requests        map[uint64]*clientRequest // that have not ended, by number
+	requests        map[uint64]*clientRequest // that have not ended, by request ID
 	lastRequest     uint64
 
 	incarnations []uint64 // of the allocators, by their last hello
@@ -70,7 +77,7 @@
 	conn              transport.ConnID
 	allocator         int // index
 	placed            bool
-	gone              bool
+	withdrawn         bool
 	gang              *clientGang // of which it is a part, or nil
 	part              int
 	want              *Want
@@ -86,358 +93,363 @@
 }
 
 // recordWant records a workload that is wanted for the first time.
-func (o *Client) recordWant(now placement.Millis, w *clientRequest) {
-	w.want = &Want{now, w.endsAt, w.service, w.demand.Name, w.shape[0], w.shape[1]}
-	o.Tally.Wants = append(o.Tally.Wants, w.want)
+func (c *Client) recordWant(now placement.Millis, request *clientRequest) {
+	request.want = &Want{now, request.endsAt, request.service, request.demand.Name, request.shape[0], request.shape[1]}
+	c.Tally.Wants = append(c.Tally.Wants, request.want)
 }
 
-// NewClient returns a client. Its number keeps its workload keys apart from those of other clients.
-func NewClient(name string, no int, m *scenario.ClientModel, seed uint64) *Client {
+// NewClient returns a client. The index keeps its workload keys apart from those of other clients.
+func NewClient(name string, index int, m *scenario.ClientModel, seed uint64) *Client {
 	return &Client{
-		name: name, index: no, model: m, rng: rand.New(rand.NewPCG(seed, uint64(no)+1)),
-		demandRNG:   rand.New(rand.NewPCG(seed, uint64(no)<<32+2)),
-		connections: make([]transport.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)), allocatorByConn: map[transport.ConnID]int{}, requests: map[uint64]*clientRequest{},
+		name: name, index: index, model: m, rng: rand.New(rand.NewPCG(seed, uint64(index)+1)),
+		demandRNG:   rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
+		connections: make([]transport.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)),
+		allocatorByConn: map[transport.ConnID]int{}, requests: map[uint64]*clientRequest{},
 		RateFactor: 1, Tally: Tally{Ended: map[pb.Why]int{}},
 	}
 }
 
 // Start implements transport.FrameHandler.
-func (o *Client) Start(now placement.Millis, net transport.FrameNetwork) {
-	o.now, o.net = now, net
-	for i := range o.connections {
-		o.dial(i)
+func (c *Client) Start(now placement.Millis, network transport.FrameNetwork) {
+	c.now, c.network = now, network
+	for i := range c.connections {
+		c.dial(i)
 	}
-	o.timers.Schedule(max(now, o.model.From)+o.gap(), o.next)
-	for i := range o.model.Gangs {
-		o.timers.Schedule(max(now, o.model.From)+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
+	c.timers.Schedule(max(now, c.model.From)+c.requestInterval(), c.requestNext)
+	for i := range c.model.Gangs {
+		c.timers.Schedule(max(now, c.model.From)+c.gangInterval(i), func(now placement.Millis) { c.requestNextGang(now, i) })
 	}
-	o.wake()
+	c.wake()
 }
 
-func (o *Client) dial(i int) {
-	o.connections[i] = o.net.Dial(o.model.Allocators[i])
+// dial connects to an allocator, by index.
+func (c *Client) dial(i int) {
+	c.connections[i] = c.network.Dial(c.model.Allocators[i])
 }
 
-func (o *Client) wake() {
-	if at, ok := o.timers.Next(); ok {
-		o.net.WakeAt(at)
+func (c *Client) wake() {
+	if at, ok := c.timers.Next(); ok {
+		c.network.WakeAt(at)
 	}
 }
 
 // Wake implements transport.FrameHandler.
-func (o *Client) Wake(now placement.Millis) {
-	o.now = now
-	o.timers.RunDue(now)
-	o.wake()
+func (c *Client) Wake(now placement.Millis) {
+	c.now = now
+	c.timers.RunDue(now)
+	c.wake()
 }
 
 // Opened implements transport.FrameHandler.
-func (o *Client) Opened(now placement.Millis, c transport.ConnID) {
-	o.now = now
-	o.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: o.name, Incarnation: 1, SentMs: float64(now)}))
-	o.wake()
+func (c *Client) Opened(now placement.Millis, conn transport.ConnID) {
+	c.now = now
+	c.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: c.name, Incarnation: 1, SentMs: float64(now)}))
+	c.wake()
 }
 
 // Closed implements transport.FrameHandler.
-func (o *Client) Closed(now placement.Millis, c transport.ConnID, _ error) {
-	o.now = now
-	delete(o.allocatorByConn, c)
-	i := slices.Index(o.connections, c)
+func (c *Client) Closed(now placement.Millis, conn transport.ConnID, _ error) {
+	c.now = now
+	delete(c.allocatorByConn, conn)
+	i := slices.Index(c.connections, conn)
 	if i < 0 {
 		return
 	}
-	for _, no := range o.on(c) {
-		w := o.requests[no]
-		if w.placed {
-			continue // it runs on; the allocator says more when it is back
+	for _, id := range c.requestsOn(conn) {
+		request := c.requests[id]
+		if request.placed {
+			continue // it keeps running; the allocator reports its state after reconnecting
 		}
-		o.Tally.Disconnected++
-		delete(o.requests, no)
+		c.Tally.Disconnected++
+		delete(c.requests, id)
 		switch {
-		case w.gang != nil:
-			o.retryGang(now, w, true)
-		case o.model.RetriesAfterDisconnect && w.demand.Idempotency == placement.AtMostOnce:
-			w.requiredAllocator = w.allocator + 1 // it knows whether the workload may have run
-			o.again(now, w, false)
+		case request.gang != nil:
+			c.retryGang(now, request, true)
+		case c.model.RetriesAfterDisconnect && request.demand.Idempotency == placement.AtMostOnce:
+			request.requiredAllocator = request.allocator + 1 // only this allocator knows whether the workload may have run
+			c.retry(now, request, false)
 		default:
-			o.again(now, w, true)
+			c.retry(now, request, true)
 		}
 	}
-	o.connections[i] = 0
-	o.timers.Schedule(now+placement.Millis(200+o.rng.Float64()*600), func(placement.Millis) { o.dial(i) })
-	o.wake()
+	c.connections[i] = 0
+	c.timers.Schedule(now+placement.Millis(200+c.rng.Float64()*600), func(placement.Millis) { c.dial(i) })
+	c.wake()
 }
 
-// on returns the asks that went over a connection and are not over, oldest first.
-func (o *Client) on(c transport.ConnID) (asks []uint64) {
-	for no, w := range o.requests {
-		if w.conn == c {
-			asks = append(asks, no)
+// requestsOn returns the IDs of the requests that were sent over a connection and have not ended, oldest first.
+func (c *Client) requestsOn(conn transport.ConnID) (ids []uint64) {
+	for id, request := range c.requests {
+		if request.conn == conn {
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(asks)
-	return asks
+	slices.Sort(ids)
+	return ids
 }
 
 // Received implements transport.FrameHandler.
-func (o *Client) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
-	o.now = now
+func (c *Client) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
+	c.now = now
 	switch b := f.Body.(type) {
 	case *pb.Frame_Hello:
-		o.back(now, c, b.Hello)
+		c.handleHello(now, conn, b.Hello)
 	case *pb.Frame_Answer:
-		o.answered(now, b.Answer)
+		c.handleAnswer(now, b.Answer)
 	case *pb.Frame_Over:
-		if w := o.requests[b.Over.Ask]; w != nil && w.placed && w.gang != nil {
-			delete(o.requests, b.Over.Ask)
-			o.gangEnded(w, b.Over.Why)
-		} else if w != nil && w.placed {
-			delete(o.requests, b.Over.Ask)
-			o.Tally.Ended[b.Over.Why]++
+		if request := c.requests[b.Over.Ask]; request != nil && request.placed && request.gang != nil {
+			delete(c.requests, b.Over.Ask)
+			c.gangEnded(request, b.Over.Why)
+		} else if request != nil && request.placed {
+			delete(c.requests, b.Over.Ask)
+			c.Tally.Ended[b.Over.Why]++
 			if b.Over.Why != pb.Why_FINISHED {
-				o.again(now, w, true)
+				c.retry(now, request, true)
 			}
 		}
 	}
-	o.wake()
+	c.wake()
 }
 
-// back takes an allocator's hello: what it does not name of what it placed is lost. One that has started anew
-// may not have found all of it yet, so nothing is concluded then.
-func (o *Client) back(now placement.Millis, c transport.ConnID, h *pb.Hello) {
-	i := slices.Index(o.connections, c)
-	o.allocatorByConn[c] = i
-	same := o.incarnations[i] == h.Incarnation
-	o.incarnations[i] = h.Incarnation
-	named := map[uint64]bool{}
+// handleHello handles an allocator's hello. Workloads that it placed and does not list are lost, unless it is a new incarnation, which
+// may not have recovered all of them yet.
+func (c *Client) handleHello(now placement.Millis, conn transport.ConnID, h *pb.Hello) {
+	i := slices.Index(c.connections, conn)
+	c.allocatorByConn[conn] = i
+	sameIncarnation := c.incarnations[i] == h.Incarnation
+	c.incarnations[i] = h.Incarnation
+	reported := map[uint64]bool{}
 	for _, s := range h.Standing {
-		if no := s.Offer.Ask.Ask; !named[no] {
-			named[no] = true
-			if o.requests[no] == nil { // it was withdrawn while the allocator was away
-				o.net.Send(c, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: no}}})
+		if id := s.Offer.Ask.Ask; !reported[id] {
+			reported[id] = true
+			if c.requests[id] == nil { // it was withdrawn while the allocator was away
+				c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: id}}})
 			}
 		}
 	}
-	for _, no := range slices.Sorted(maps.Keys(o.requests)) {
-		w := o.requests[no]
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		request := c.requests[id]
 		switch {
-		case !w.placed || w.allocator != i:
-		case named[no] || !same:
-			w.conn = c
+		case !request.placed || request.allocator != i:
+		case reported[id] || !sameIncarnation:
+			request.conn = conn
 		default:
-			delete(o.requests, no)
-			o.Tally.Ended[pb.Why_LOST]++
-			if w.gang == nil {
-				o.again(now, w, true)
+			delete(c.requests, id)
+			c.Tally.Ended[pb.Why_LOST]++
+			if request.gang == nil {
+				c.retry(now, request, true)
 			}
 		}
 	}
 }
 
-func (o *Client) answered(now placement.Millis, a *pb.Answer) {
-	w := o.requests[a.Ask]
-	if w == nil || w.placed {
+// handleAnswer handles the answer to a request. Answers to ended or placed requests are ignored.
+func (c *Client) handleAnswer(now placement.Millis, a *pb.Answer) {
+	request := c.requests[a.Ask]
+	if request == nil || request.placed {
 		return
 	}
-	if w.gang != nil {
-		o.gangAnswered(now, w, a)
+	if request.gang != nil {
+		c.handleGangAnswer(now, request, a)
 		return
 	}
 	switch a.Verdict {
 	case pb.Verdict_PLACED:
-		o.Tally.Placed++
-		if w.attempts == 1 {
-			o.Tally.SinglesPlaced++
+		c.Tally.Placed++
+		if request.attempts == 1 {
+			c.Tally.SinglesPlaced++
 		}
-		o.Tally.Waits = append(o.Tally.Waits, float64(now-w.requestedAt))
-		w.placed = true
+		c.Tally.Waits = append(c.Tally.Waits, float64(now-request.requestedAt))
+		request.placed = true
 	case pb.Verdict_REJECTED:
-		o.Tally.Rejected++
-		delete(o.requests, a.Ask)
-		o.again(now, w, false)
+		c.Tally.Rejected++
+		delete(c.requests, a.Ask)
+		c.retry(now, request, false)
 	default:
-		o.Tally.Unschedulable++
-		delete(o.requests, a.Ask)
-		o.again(now, w, true)
+		c.Tally.Unschedulable++
+		delete(c.requests, a.Ask)
+		c.retry(now, request, true)
 	}
 }
 
-// gap is the time until the next first ask.
-func (o *Client) gap() placement.Millis {
-	return placement.Millis(min(60e3, o.demandRNG.ExpFloat64()*1000/max(1e-6, o.model.Rate*o.RateFactor)))
+// requestInterval draws the time until the next new request.
+func (c *Client) requestInterval() placement.Millis {
+	return placement.Millis(min(60e3, c.demandRNG.ExpFloat64()*1000/max(1e-6, c.model.Rate*c.RateFactor)))
 }
 
-// next asks for a new workload and comes again.
-func (o *Client) next(now placement.Millis) {
-	if now >= o.model.Until {
+// requestNext requests a new workload and schedules the next one.
+func (c *Client) requestNext(now placement.Millis) {
+	if now >= c.model.Until {
 		return
 	}
-	o.timers.Schedule(now+o.gap(), o.next)
-	d := o.demand()
-	service := o.demandRNG.IntN(d.Services)
-	o.keys++
-	w := &clientRequest{
-		key: uint64(o.index)<<40 | o.keys, service: serviceID(d.Name, service), demand: d,
-		shape: d.Shapes[service%len(d.Shapes)], endsAt: now + o.life(d),
+	c.timers.Schedule(now+c.requestInterval(), c.requestNext)
+	demand := c.drawDemand()
+	service := c.demandRNG.IntN(demand.Services)
+	c.keys++
+	request := &clientRequest{
+		key: uint64(c.index)<<40 | c.keys, service: serviceID(demand.Name, service), demand: demand,
+		shape: demand.Shapes[service%len(demand.Shapes)], endsAt: now + c.drawLifetime(demand),
 	}
-	o.Tally.FirstRequests++
-	o.Tally.SinglesFirst++
-	o.recordWant(now, w)
-	o.ask(now, w)
-	if o.demandRNG.Float64() < o.model.WithdrawShare {
-		// Every other time so soon that the answer is on its way.
-		within := quickRetry
-		if o.demandRNG.IntN(2) == 0 {
-			within = d.Lifetime
+	c.Tally.FirstRequests++
+	c.Tally.SinglesFirst++
+	c.recordWant(now, request)
+	c.send(now, request)
+	if c.demandRNG.Float64() < c.model.WithdrawShare {
+		// Half of the withdrawals come so early that the answer may still be in transit.
+		within := quickWithdrawal
+		if c.demandRNG.IntN(2) == 0 {
+			within = demand.Lifetime
 		}
-		o.timers.Schedule(now+within*placement.Millis(o.demandRNG.Float64()), func(now placement.Millis) { o.withdraw(now, w) })
+		c.timers.Schedule(now+within*placement.Millis(c.demandRNG.Float64()), func(now placement.Millis) { c.withdraw(now, request) })
 	}
 }
 
-func (o *Client) demand() *scenario.Demand {
-	at, sum := o.demandRNG.Float64(), 0.0
-	for i := range o.model.Demand {
-		if sum += o.model.Demand[i].Share; at < sum {
-			return &o.model.Demand[i]
+// drawDemand draws a kind of demand by its share.
+func (c *Client) drawDemand() *scenario.Demand {
+	quantile, sum := c.demandRNG.Float64(), 0.0
+	for i := range c.model.Demand {
+		if sum += c.model.Demand[i].Share; quantile < sum {
+			return &c.model.Demand[i]
 		}
 	}
-	return &o.model.Demand[len(o.model.Demand)-1]
+	return &c.model.Demand[len(c.model.Demand)-1]
 }
 
-// life is log-normal, long for a few.
-func (o *Client) life(d *scenario.Demand) placement.Millis {
-	return max(minRemaining, d.Lifetime*placement.Millis(math.Exp(o.demandRNG.NormFloat64()*0.8-0.32)))
+// drawLifetime draws a lifetime from a log-normal distribution.
+func (c *Client) drawLifetime(demand *scenario.Demand) placement.Millis {
+	return max(minRemaining, demand.Lifetime*placement.Millis(math.Exp(c.demandRNG.NormFloat64()*0.8-0.32)))
 }
 
-// serviceID names a service alike at all owners.
-func serviceID(group string, no int) uint64 {
-	h := uint64(14695981039346656037)
+// serviceID returns the ID of a service, the same at all clients: an FNV-1a hash of the group and the index.
+func serviceID(group string, index int) uint64 {
+	h := uint64(fnvOffset)
 	for _, b := range []byte(group) {
-		h = (h ^ uint64(b)) * 1099511628211
+		h = (h ^ uint64(b)) * fnvPrime
 	}
-	return (h^uint64(no))*1099511628211 | 1
+	return (h^uint64(index))*fnvPrime | 1
 }
 
-// ask asks an allocator that is there; with none, later.
-func (o *Client) ask(now placement.Millis, w *clientRequest) {
-	if w.gone {
+// send sends a request to a connected allocator, or tries again later if there is none.
+func (c *Client) send(now placement.Millis, request *clientRequest) {
+	if request.withdrawn {
 		return
 	}
-	var there []transport.ConnID
-	for i, c := range o.connections {
-		if _, ok := o.allocatorByConn[c]; ok && (w.requiredAllocator == 0 || w.requiredAllocator == i+1) {
-			there = append(there, c)
+	var connected []transport.ConnID
+	for i, conn := range c.connections {
+		if _, ok := c.allocatorByConn[conn]; ok && (request.requiredAllocator == 0 || request.requiredAllocator == i+1) {
+			connected = append(connected, conn)
 		}
 	}
-	if len(there) == 0 {
-		o.timers.Schedule(now+200, func(now placement.Millis) {
-			if now < min(w.endsAt, o.model.Until) {
-				o.ask(now, w)
+	if len(connected) == 0 {
+		c.timers.Schedule(now+noAllocatorDelay, func(now placement.Millis) {
+			if now < min(request.endsAt, c.model.Until) {
+				c.send(now, request)
 			}
 		})
 		return
 	}
-	c := there[o.rng.IntN(len(there))]
-	if o.rng.Float64() < o.FirstAllocatorShare {
-		c = there[0]
+	conn := connected[c.rng.IntN(len(connected))]
+	if c.rng.Float64() < c.FirstAllocatorShare {
+		conn = connected[0]
 	}
-	o.lastRequest++
-	no := o.lastRequest
-	w.attempts++
-	w.requestedAt, w.conn, w.allocator, w.placed = now, c, o.allocatorByConn[c], false
-	o.requests[no] = w
-	o.Tally.Requests++
-	o.net.Send(c, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: no, Key: w.key, Service: w.service, Group: w.demand.Name, Cores: w.shape[0], Memory: w.shape[1],
-		LeftMs: float64(w.demand.PendingTimeout), RunsForMs: float64(w.endsAt - now), Again: w.attempts > 1,
+	c.lastRequest++
+	id := c.lastRequest
+	request.attempts++
+	request.requestedAt, request.conn, request.allocator, request.placed = now, conn, c.allocatorByConn[conn], false
+	c.requests[id] = request
+	c.Tally.Requests++
+	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+		Ask: id, Key: request.key, Service: request.service, Group: request.demand.Name, Cores: request.shape[0], Memory: request.shape[1],
+		LeftMs: float64(request.demand.PendingTimeout), RunsForMs: float64(request.endsAt - now), Again: request.attempts > 1,
 		SentMs: float64(now),
 	}}})
-	o.timers.Schedule(now+w.demand.PendingTimeout+o.model.AnswerSlack, func(now placement.Millis) { o.giveUp(now, no, w) })
+	c.timers.Schedule(now+request.demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
 }
 
-func (o *Client) giveUp(now placement.Millis, no uint64, w *clientRequest) {
-	if o.requests[no] != w || w.placed {
+// answerTimedOut withdraws and retries a request that has no answer.
+func (c *Client) answerTimedOut(now placement.Millis, id uint64, request *clientRequest) {
+	if c.requests[id] != request || request.placed {
 		return
 	}
-	o.Tally.Unanswered++
-	o.drop(no, w)
-	if w.gang != nil {
-		o.retryGang(now, w, true)
+	c.Tally.Unanswered++
+	c.withdrawRequest(id, request)
+	if request.gang != nil {
+		c.retryGang(now, request, true)
 		return
 	}
-	o.again(now, w, true)
+	c.retry(now, request, true)
 }
 
-// drop takes an ask back.
-func (o *Client) drop(no uint64, w *clientRequest) {
-	delete(o.requests, no)
-	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: no}}})
+// withdrawRequest removes a request and sends its withdrawal.
+func (c *Client) withdrawRequest(id uint64, request *clientRequest) {
+	delete(c.requests, id)
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: id}}})
 }
 
-// withdraw ends what the owner no longer wants, wherever it stands.
-func (o *Client) withdraw(now placement.Millis, w *clientRequest) {
-	w.gone = true
-	if w.want != nil {
-		w.want.Until = min(w.want.Until, now)
+// withdraw ends a workload that is no longer wanted, pending or placed.
+func (c *Client) withdraw(now placement.Millis, request *clientRequest) {
+	request.withdrawn = true
+	if request.want != nil {
+		request.want.Until = min(request.want.Until, now)
 	}
-	for _, no := range slices.Sorted(maps.Keys(o.requests)) {
-		if o.requests[no] == w {
-			if !w.placed {
-				o.Tally.Withdrawn++
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		if c.requests[id] == request {
+			if !request.placed {
+				c.Tally.Withdrawn++
 			}
-			o.drop(no, w)
+			c.withdrawRequest(id, request)
 		}
 	}
 }
 
-// again asks once more while there is life left to run. What may have run is asked for again only where that
-// is harmless, and once it has settled.
-func (o *Client) again(now placement.Millis, w *clientRequest, mayHaveRun bool) {
-	wait := o.model.RetryDelay * placement.Millis(0.75+o.rng.Float64()/2)
-	if mayHaveRun && w.demand.Idempotency == placement.AtMostOnce {
+// retry requests a workload again while enough of its lifetime remains. One that may have run is retried only if it is idempotent; by
+// key only after a delay.
+func (c *Client) retry(now placement.Millis, request *clientRequest, mayHaveRun bool) {
+	wait := c.model.RetryDelay * placement.Millis(0.75+c.rng.Float64()/2)
+	if mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
 		return
 	}
-	if mayHaveRun && w.demand.Idempotency == placement.IdempotentByKey {
+	if mayHaveRun && request.demand.Idempotency == placement.IdempotentByKey {
 		wait = max(wait, RetryAfterUnknown)
 	}
-	if w.attempts >= o.model.MaxAttempts || now+wait+minRemaining > min(w.endsAt, o.model.Until) {
+	if request.attempts >= c.model.MaxAttempts || now+wait+minRemaining > min(request.endsAt, c.model.Until) {
 		return
 	}
-	o.timers.Schedule(now+wait, func(now placement.Millis) { o.ask(now, w) })
+	c.timers.Schedule(now+wait, func(now placement.Millis) { c.send(now, request) })
 }
 
 // Restart stops a share of the client's services and requests all their workloads again, within the given time.
-func (o *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
-	o.now = now
+func (c *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
+	c.now = now
 	done := map[*clientRequest]bool{}
-	for _, no := range slices.Sorted(maps.Keys(o.requests)) {
-		w := o.requests[no]
-		if w == nil || done[w] || w.gone || w.gang != nil || ServiceFactor(w.service+3)-0.5 >= share {
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		request := c.requests[id]
+		if request == nil || done[request] || request.withdrawn || request.gang != nil || ServiceFactor(request.service+3)-0.5 >= share {
 			continue
 		}
-		done[w] = true
-		o.withdraw(now, w)
-		o.keys++
-		fresh := &clientRequest{
-			key: uint64(o.index)<<40 | o.keys, service: w.service, demand: w.demand, shape: w.shape, endsAt: w.endsAt,
+		done[request] = true
+		c.withdraw(now, request)
+		c.keys++
+		replacement := &clientRequest{
+			key: uint64(c.index)<<40 | c.keys, service: request.service, demand: request.demand, shape: request.shape, endsAt: request.endsAt,
 		}
-		o.timers.Schedule(now+within*placement.Millis(o.rng.Float64()), func(now placement.Millis) {
-			if now+minRemaining < min(fresh.endsAt, o.model.Until) {
-				o.Tally.FirstRequests++
-				o.Tally.SinglesFirst++
-				o.recordWant(now, fresh)
-				o.ask(now, fresh)
+		c.timers.Schedule(now+within*placement.Millis(c.rng.Float64()), func(now placement.Millis) {
+			if now+minRemaining < min(replacement.endsAt, c.model.Until) {
+				c.Tally.FirstRequests++
+				c.Tally.SinglesFirst++
+				c.recordWant(now, replacement)
+				c.send(now, replacement)
 			}
 		})
 	}
-	o.wake()
+	c.wake()
 }
 
 // Open returns the number of requests that wait for an answer.
-func (o *Client) Open() int {
+func (c *Client) Open() int {
 	n := 0
-	for _, w := range o.requests {
-		if !w.placed {
+	for _, request := range c.requests {
+		if !request.placed {
 			n++
 		}
 	}
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -12,233 +12,245 @@
 // gangStopTimeout is how long, in ms, a client that requests parts independently waits for all of them before it stops the others.
 const gangStopTimeout = placement.Millis(5e3)
 
+// eagerRetryDelay is the time in ms between attempts of a client that retries gangs until they are placed.
+const eagerRetryDelay = placement.Millis(100)
+
 // clientGang is a gang that a client wants.
 type clientGang struct {
 	demand      *scenario.GangDemand
 	keys        []uint64
 	service     uint64
-	requestedAt placement.Millis // asked for
-	until       placement.Millis // when it is no use any more
+	requestedAt placement.Millis // time of the first request
+	until       placement.Millis // no attempt starts after this time
 	attempts    int
 	started     bool
-	placed      map[int]*clientRequest // parts asked for by themselves
+	placed      map[int]*clientRequest // placed parts, if they are requested independently
 	ended       bool
 }
 
-func (o *Client) gangGap(i int) placement.Millis {
-	return placement.Millis(min(60e3, o.demandRNG.ExpFloat64()*1000/max(1e-6, o.model.Gangs[i].Rate*o.RateFactor)))
+// gangInterval draws the time until the next new gang.
+func (c *Client) gangInterval(i int) placement.Millis {
+	return placement.Millis(min(60e3, c.demandRNG.ExpFloat64()*1000/max(1e-6, c.model.Gangs[i].Rate*c.RateFactor)))
 }
 
-// nextGang requests a new gang and schedules the next one.
-func (o *Client) nextGang(now placement.Millis, i int) {
-	if now >= o.model.Until {
+// requestNextGang requests a new gang and schedules the next one.
+func (c *Client) requestNextGang(now placement.Millis, i int) {
+	if now >= c.model.Until {
 		return
 	}
-	o.timers.Schedule(now+o.gangGap(i), func(now placement.Millis) { o.nextGang(now, i) })
-	d := &o.model.Gangs[i]
-	g := &clientGang{
-		demand: d, requestedAt: now, until: min(now+2*d.PendingTimeout, o.model.Until), service: serviceID(d.Group+" gang", i),
+	c.timers.Schedule(now+c.gangInterval(i), func(now placement.Millis) { c.requestNextGang(now, i) })
+	demand := &c.model.Gangs[i]
+	gang := &clientGang{
+		demand: demand, requestedAt: now, until: min(now+2*demand.PendingTimeout, c.model.Until), service: serviceID(demand.Group+" gang", i),
 		placed: map[int]*clientRequest{},
 	}
-	o.Tally.Gangs++
-	if o.model.GangPolicy == scenario.Independent {
-		o.requestParts(now, g)
+	c.Tally.Gangs++
+	if c.model.GangPolicy == scenario.Independent {
+		c.requestParts(now, gang)
 		return
 	}
-	o.requestGang(now, g)
+	c.requestGang(now, gang)
 }
 
-func (o *Client) newKeys(n int) (keys []uint64) {
+// newKeys returns that many unused workload keys.
+func (c *Client) newKeys(n int) (keys []uint64) {
 	for range n {
-		o.keys++
-		keys = append(keys, uint64(o.index)<<40|o.keys)
+		c.keys++
+		keys = append(keys, uint64(c.index)<<40|c.keys)
 	}
 	return keys
 }
 
-// there are the connections to allocators that have said hello.
-func (o *Client) connectedAllocators() (conns []int) {
-	for i, c := range o.connections {
-		if _, ok := o.allocatorByConn[c]; ok {
-			conns = append(conns, i)
+// connectedAllocators returns the indices of the allocators whose hello was received.
+func (c *Client) connectedAllocators() (indices []int) {
+	for i, conn := range c.connections {
+		if _, ok := c.allocatorByConn[conn]; ok {
+			indices = append(indices, i)
 		}
 	}
-	return conns
+	return indices
 }
 
-func (g *clientGang) part(i int) *pb.Ask {
-	d := g.demand
+// partRequest returns the request for one part.
+func (g *clientGang) partRequest(i int) *pb.Ask {
+	demand := g.demand
 	return &pb.Ask{
-		Key: g.keys[i], Service: g.service, Group: d.Group, Cores: d.Shape[0], Memory: d.Shape[1], RunsForMs: float64(d.Lifetime),
-		Again: g.attempts > 1,
+		Key: g.keys[i], Service: g.service, Group: demand.Group, Cores: demand.Shape[0], Memory: demand.Shape[1],
+		RunsForMs: float64(demand.Lifetime), Again: g.attempts > 1,
 	}
 }
 
 // requestGang sends one request for a whole gang. Each attempt has new keys, as parts of an earlier one may still run.
-func (o *Client) requestGang(now placement.Millis, g *clientGang) {
-	there := o.connectedAllocators()
-	if len(there) == 0 {
-		o.retryGang(now, &clientRequest{gang: g}, false)
+func (c *Client) requestGang(now placement.Millis, gang *clientGang) {
+	connected := c.connectedAllocators()
+	if len(connected) == 0 {
+		c.retryGang(now, &clientRequest{gang: gang}, false)
 		return
 	}
-	d := g.demand
-	g.attempts++
-	if g.keys == nil || d.Idempotency != placement.AtMostOnce {
-		g.keys = o.newKeys(d.Parts)
+	demand := gang.demand
+	gang.attempts++
+	if gang.keys == nil || demand.Idempotency != placement.AtMostOnce {
+		gang.keys = c.newKeys(demand.Parts)
 	}
-	at := there[o.rng.IntN(len(there))]
-	o.lastRequest++
-	no := o.lastRequest
-	w := &clientRequest{key: g.keys[0], requestedAt: now, conn: o.connections[at], allocator: at, gang: g, endsAt: now + d.Lifetime}
-	o.requests[no] = w
-	o.Tally.Requests++
-	a := &pb.GangAsk{
-		Ask: no, Need: uint32(d.MinParts), LeftMs: float64(d.PendingTimeout), Spread: d.SpreadScope, Replace: d.Replace,
-		ReplaceWithinMs: float64(d.ReplaceTimeout), SentMs: float64(now),
+	at := connected[c.rng.IntN(len(connected))]
+	c.lastRequest++
+	id := c.lastRequest
+	request := &clientRequest{key: gang.keys[0], requestedAt: now, conn: c.connections[at], allocator: at, gang: gang, endsAt: now + demand.Lifetime}
+	c.requests[id] = request
+	c.Tally.Requests++
+	message := &pb.GangAsk{
+		Ask: id, Need: uint32(demand.MinParts), LeftMs: float64(demand.PendingTimeout), Spread: demand.SpreadScope, Replace: demand.Replace,
+		ReplaceWithinMs: float64(demand.ReplaceTimeout), SentMs: float64(now),
 	}
-	for i := range d.Parts {
-		a.Parts = append(a.Parts, g.part(i))
+	for i := range demand.Parts {
+		message.Parts = append(message.Parts, gang.partRequest(i))
 	}
-	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: a}})
-	o.timers.Schedule(now+d.PendingTimeout+o.model.AnswerSlack, func(now placement.Millis) { o.giveUp(now, no, w) })
-	if o.rng.Float64() < o.model.WithdrawShare {
-		o.timers.Schedule(now+placement.Millis(o.rng.Float64())*d.Lifetime/4, func(now placement.Millis) { o.gangWithdraw(now, no, w) })
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: message}})
+	c.timers.Schedule(now+demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+	if c.rng.Float64() < c.model.WithdrawShare {
+		c.timers.Schedule(now+placement.Millis(c.rng.Float64())*demand.Lifetime/4, func(now placement.Millis) { c.withdrawGang(now, id, request) })
 	}
 }
 
-// gangWithdraw takes a group back, in the middle of whatever it is at.
-func (o *Client) gangWithdraw(_ placement.Millis, no uint64, w *clientRequest) {
-	if o.requests[no] != w {
+// withdrawGang withdraws a gang, pending or placed.
+func (c *Client) withdrawGang(_ placement.Millis, id uint64, request *clientRequest) {
+	if c.requests[id] != request {
 		return
 	}
-	if !w.placed {
-		o.Tally.Withdrawn++
+	if !request.placed {
+		c.Tally.Withdrawn++
 	}
-	o.drop(no, w)
-	o.abandonGang(w.gang)
+	c.withdrawRequest(id, request)
+	c.abandonGang(request.gang)
 }
 
-func (o *Client) gangAnswered(now placement.Millis, w *clientRequest, a *pb.Answer) {
-	g := w.gang
+// handleGangAnswer handles the answer to the request for a gang or for one of its parts.
+func (c *Client) handleGangAnswer(now placement.Millis, request *clientRequest, a *pb.Answer) {
+	gang := request.gang
 	switch a.Verdict {
 	case pb.Verdict_PLACED:
-		o.Tally.Placed++
-		w.placed = true
-		w.requestedAt = now // from here on it takes room
-		if g.placed[w.part] = w; o.model.GangPolicy == scenario.Independent {
-			o.checkGangComplete(now, g)
+		c.Tally.Placed++
+		request.placed = true
+		request.requestedAt = now // from here on it holds capacity
+		if gang.placed[request.part] = request; c.model.GangPolicy == scenario.Independent {
+			c.checkGangComplete(now, gang)
 			return
 		}
-		o.gangStarted(now, g)
+		c.gangStarted(now, gang)
 	case pb.Verdict_REJECTED:
-		o.Tally.Rejected++
-		delete(o.requests, a.Ask)
-		o.retryGang(now, w, false)
+		c.Tally.Rejected++
+		delete(c.requests, a.Ask)
+		c.retryGang(now, request, false)
 	default:
-		o.Tally.Unschedulable++
-		delete(o.requests, a.Ask)
-		o.retryGang(now, w, true)
+		c.Tally.Unschedulable++
+		delete(c.requests, a.Ask)
+		c.retryGang(now, request, true)
 	}
 }
 
-func (o *Client) gangStarted(now placement.Millis, g *clientGang) {
-	if !g.started {
-		g.started = true
-		o.Tally.GangsStarted++
-		o.Tally.GangWaits = append(o.Tally.GangWaits, float64(now-g.requestedAt))
+// gangStarted counts the start of a gang once.
+func (c *Client) gangStarted(now placement.Millis, gang *clientGang) {
+	if !gang.started {
+		gang.started = true
+		c.Tally.GangsStarted++
+		c.Tally.GangWaits = append(c.Tally.GangWaits, float64(now-gang.requestedAt))
 	}
 }
 
 // retryGang requests a gang again while there is time.
-func (o *Client) retryGang(now placement.Millis, w *clientRequest, mayHaveRun bool) {
-	g := w.gang
-	if o.model.GangPolicy == scenario.Independent {
-		o.retryPart(now, w, mayHaveRun)
+func (c *Client) retryGang(now placement.Millis, request *clientRequest, mayHaveRun bool) {
+	gang := request.gang
+	if c.model.GangPolicy == scenario.Independent {
+		c.retryPart(now, request, mayHaveRun)
 		return
 	}
-	wait := o.model.RetryDelay * placement.Millis(0.75+o.rng.Float64()/2)
-	if o.model.GangPolicy == scenario.UntilPlaced {
-		wait = 100
+	wait := c.model.RetryDelay * placement.Millis(0.75+c.rng.Float64()/2)
+	if c.model.GangPolicy == scenario.UntilPlaced {
+		wait = eagerRetryDelay
 	}
-	if mayHaveRun && g.demand.Idempotency == placement.AtMostOnce || now+wait > g.until {
-		o.abandonGang(g)
+	if mayHaveRun && gang.demand.Idempotency == placement.AtMostOnce || now+wait > gang.until {
+		c.abandonGang(gang)
 		return
 	}
-	o.timers.Schedule(now+wait, func(now placement.Millis) { o.requestGang(now, g) })
+	c.timers.Schedule(now+wait, func(now placement.Millis) { c.requestGang(now, gang) })
 }
 
-func (o *Client) abandonGang(g *clientGang) {
-	if !g.ended && !g.started {
-		o.Tally.GangsAbandoned++
+// abandonGang ends a gang, and counts it as abandoned if it never started.
+func (c *Client) abandonGang(gang *clientGang) {
+	if !gang.ended && !gang.started {
+		c.Tally.GangsAbandoned++
 	}
-	g.ended = true
+	gang.ended = true
 }
 
-// gangOver takes the end of a group that stood.
-func (o *Client) gangEnded(w *clientRequest, why pb.Why) {
-	o.Tally.Ended[why]++
-	w.gang.ended = true
+// gangEnded records the end of a placed gang.
+func (c *Client) gangEnded(request *clientRequest, why pb.Why) {
+	c.Tally.Ended[why]++
+	request.gang.ended = true
 }
 
 // requestParts requests each part independently, and stops them if the gang is incomplete after a timeout.
-func (o *Client) requestParts(now placement.Millis, g *clientGang) {
-	g.keys = o.newKeys(g.demand.Parts)
-	for i := range g.demand.Parts {
-		o.requestPart(now, g, i)
+func (c *Client) requestParts(now placement.Millis, gang *clientGang) {
+	gang.keys = c.newKeys(gang.demand.Parts)
+	for i := range gang.demand.Parts {
+		c.requestPart(now, gang, i)
 	}
-	o.timers.Schedule(now+gangStopTimeout, func(now placement.Millis) { o.stopIncompleteGang(now, g) })
+	c.timers.Schedule(now+gangStopTimeout, func(now placement.Millis) { c.stopIncompleteGang(now, gang) })
 }
 
-func (o *Client) requestPart(now placement.Millis, g *clientGang, i int) {
-	there := o.connectedAllocators()
-	if g.ended || len(there) == 0 {
+// requestPart requests one part of a gang from any connected allocator.
+func (c *Client) requestPart(now placement.Millis, gang *clientGang, i int) {
+	connected := c.connectedAllocators()
+	if gang.ended || len(connected) == 0 {
 		return
 	}
-	at := there[o.rng.IntN(len(there))]
-	o.lastRequest++
-	no := o.lastRequest
-	w := &clientRequest{key: g.keys[i], requestedAt: now, conn: o.connections[at], allocator: at, gang: g, part: i, endsAt: now + g.demand.Lifetime}
-	o.requests[no] = w
-	o.Tally.Requests++
-	a := g.part(i)
-	a.Ask, a.LeftMs = no, float64(g.demand.PendingTimeout)
-	o.net.Send(w.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: a}})
-	o.timers.Schedule(now+g.demand.PendingTimeout+o.model.AnswerSlack, func(now placement.Millis) { o.giveUp(now, no, w) })
-}
-
-func (o *Client) retryPart(now placement.Millis, w *clientRequest, mayHaveRun bool) {
-	g := w.gang
-	if g.ended || mayHaveRun && g.demand.Idempotency == placement.AtMostOnce {
+	at := connected[c.rng.IntN(len(connected))]
+	c.lastRequest++
+	id := c.lastRequest
+	request := &clientRequest{key: gang.keys[i], requestedAt: now, conn: c.connections[at], allocator: at, gang: gang, part: i, endsAt: now + gang.demand.Lifetime}
+	c.requests[id] = request
+	c.Tally.Requests++
+	message := gang.partRequest(i)
+	message.Ask, message.LeftMs = id, float64(gang.demand.PendingTimeout)
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: message}})
+	c.timers.Schedule(now+gang.demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+}
+
+// retryPart requests one part again after the retry delay.
+func (c *Client) retryPart(now placement.Millis, request *clientRequest, mayHaveRun bool) {
+	gang := request.gang
+	if gang.ended || mayHaveRun && gang.demand.Idempotency == placement.AtMostOnce {
 		return
 	}
-	o.timers.Schedule(now+o.model.RetryDelay, func(now placement.Millis) { o.requestPart(now, g, w.part) })
+	c.timers.Schedule(now+c.model.RetryDelay, func(now placement.Millis) { c.requestPart(now, gang, request.part) })
 }
 
-func (o *Client) checkGangComplete(now placement.Millis, g *clientGang) {
-	if len(g.placed) >= g.demand.MinParts && !g.started {
-		o.Tally.Used += float64(g.demand.Lifetime) / 1000 * g.demand.Shape[0] * float64(len(g.placed))
-		o.gangStarted(now, g)
+// checkGangComplete starts a gang once enough of its independently requested parts are placed.
+func (c *Client) checkGangComplete(now placement.Millis, gang *clientGang) {
+	if len(gang.placed) >= gang.demand.MinParts && !gang.started {
+		c.Tally.Used += float64(gang.demand.Lifetime) / 1000 * gang.demand.Shape[0] * float64(len(gang.placed))
+		c.gangStarted(now, gang)
 	}
 }
 
-// gangLate stops the parts of a group that is not whole, and begins it anew while there is time.
-func (o *Client) stopIncompleteGang(now placement.Millis, g *clientGang) {
-	if g.started || g.ended {
+// stopIncompleteGang stops the parts of an incomplete gang, and requests the gang again while there is time.
+func (c *Client) stopIncompleteGang(now placement.Millis, gang *clientGang) {
+	if gang.started || gang.ended {
 		return
 	}
-	for _, no := range slices.Sorted(maps.Keys(o.requests)) {
-		if w := o.requests[no]; w.gang == g {
-			if !w.placed {
-				o.Tally.Withdrawn++
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		if request := c.requests[id]; request.gang == gang {
+			if !request.placed {
+				c.Tally.Withdrawn++
 			} else {
-				o.Tally.Wasted += float64(now-w.requestedAt) / 1000 * g.demand.Shape[0]
+				c.Tally.Wasted += float64(now-request.requestedAt) / 1000 * gang.demand.Shape[0]
 			}
-			o.drop(no, w)
+			c.withdrawRequest(id, request)
 		}
 	}
-	if g.placed = map[int]*clientRequest{}; now+gangStopTimeout > g.until || g.demand.Idempotency == placement.AtMostOnce {
-		o.abandonGang(g)
+	if gang.placed = map[int]*clientRequest{}; now+gangStopTimeout > gang.until || gang.demand.Idempotency == placement.AtMostOnce {
+		c.abandonGang(gang)
 		return
 	}
-	o.requestParts(now, g)
+	c.requestParts(now, gang)
 }
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -11,269 +11,283 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// callCost is the fixed cost of a call, in entries.
+// callCost is the fixed cost of a poll, in entries.
 const callCost = 40
 
 // DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. Faults set its
 // exported fields.
 type DiscoveryService struct {
-	model  *scenario.DiscoveryModel
-	epoch  uint64
-	net    transport.FrameNetwork
-	timers transport.Timers
+	model   *scenario.DiscoveryModel
+	epoch   uint64
+	network transport.FrameNetwork
+	timers  transport.Timers
 
-	entries        map[uint32]*nodeRecord
+	records        map[uint32]*nodeRecord
 	revision       uint64
 	subscribers    map[transport.ConnID]*subscriber
-	nodes          map[transport.ConnID]uint32
+	nodeByConn     map[transport.ConnID]uint32
 	queue          []queuedCall
 	busy           bool
-	Slowdown       float64 // divides the entries a second
-	ExtraLag       placement.Millis
-	stale          bool     // registrations are deferred
-	deferred       []func() // registrations
-	capacityFactor float64  // multiplies free capacity, 0 for 1
-	empty          bool     // it lists no nodes
+	Slowdown       float64          // divides the rate at which entries are sent
+	ExtraLag       placement.Millis // added to the time until a registration takes effect
+	stale          bool             // changes are deferred
+	deferred       []func()         // changes, in the order of their arrival
+	capacityFactor float64          // multiplies the free capacity; 0 for no change
+	empty          bool             // updates list no nodes
 }
 
+// nodeRecord is the registered state of a node.
 type nodeRecord struct {
 	pb.NodeEntry
-	since    placement.Millis // when up_for_ms was told
+	since    placement.Millis // when UpForMs was reported
 	revision uint64
 	conn     transport.ConnID
 }
 
+// subscriber is a connection to the service. Only a watching one receives updates as they occur.
 type subscriber struct {
-	hello    bool
-	watching bool
-	revision uint64
+	helloReceived bool
+	watching      bool
+	revision      uint64 // of the last update sent
 }
 
+// queuedCall is a poll that has not been answered.
 type queuedCall struct {
-	from transport.ConnID
-	c    *pb.ListCall
-	at   placement.Millis
+	from    transport.ConnID
+	poll    *pb.ListCall
+	arrived placement.Millis
 }
 
 // NewDiscoveryService returns a service that knows no nodes.
 func NewDiscoveryService(m *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
 	return &DiscoveryService{
-		model: m, epoch: epoch, entries: map[uint32]*nodeRecord{}, subscribers: map[transport.ConnID]*subscriber{},
-		nodes: map[transport.ConnID]uint32{}, Slowdown: 1,
+		model: m, epoch: epoch, records: map[uint32]*nodeRecord{}, subscribers: map[transport.ConnID]*subscriber{},
+		nodeByConn: map[transport.ConnID]uint32{}, Slowdown: 1,
 	}
 }
 
 // Start implements transport.FrameHandler.
-func (l *DiscoveryService) Start(now placement.Millis, net transport.FrameNetwork) {
-	l.net = net
-	l.timers.Schedule(now+l.model.PushInterval, l.push)
-	l.wake()
+func (s *DiscoveryService) Start(now placement.Millis, network transport.FrameNetwork) {
+	s.network = network
+	s.timers.Schedule(now+s.model.PushInterval, s.push)
+	s.wake()
 }
 
-func (l *DiscoveryService) wake() {
-	if at, ok := l.timers.Next(); ok {
-		l.net.WakeAt(at)
+func (s *DiscoveryService) wake() {
+	if at, ok := s.timers.Next(); ok {
+		s.network.WakeAt(at)
 	}
 }
 
 // Wake implements transport.FrameHandler.
-func (l *DiscoveryService) Wake(now placement.Millis) {
-	l.timers.RunDue(now)
-	l.wake()
+func (s *DiscoveryService) Wake(now placement.Millis) {
+	s.timers.RunDue(now)
+	s.wake()
 }
 
 // Opened implements transport.FrameHandler.
-func (l *DiscoveryService) Opened(now placement.Millis, c transport.ConnID) {
-	l.subscribers[c] = &subscriber{}
+func (s *DiscoveryService) Opened(now placement.Millis, conn transport.ConnID) {
+	s.subscribers[conn] = &subscriber{}
 }
 
 // Closed implements transport.FrameHandler.
-func (l *DiscoveryService) Closed(now placement.Millis, c transport.ConnID, _ error) {
-	delete(l.subscribers, c)
-	if id, ok := l.nodes[c]; ok {
-		delete(l.nodes, c)
-		l.timers.Schedule(now+l.model.RemovalDelay, func(now placement.Millis) {
-			l.applyOrDefer(func() {
-				if e := l.entries[id]; e != nil && e.conn == c {
-					l.change(e, func() { e.State = pb.NodeEntry_GONE })
+func (s *DiscoveryService) Closed(now placement.Millis, conn transport.ConnID, _ error) {
+	delete(s.subscribers, conn)
+	if id, ok := s.nodeByConn[conn]; ok {
+		delete(s.nodeByConn, conn)
+		s.timers.Schedule(now+s.model.RemovalDelay, func(now placement.Millis) {
+			s.applyOrDefer(func() {
+				if record := s.records[id]; record != nil && record.conn == conn {
+					s.change(record, func() { record.State = pb.NodeEntry_GONE })
 				}
 			})
 		})
 	}
-	l.wake()
+	s.wake()
 }
 
 // Received implements transport.FrameHandler.
-func (l *DiscoveryService) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
-	r := l.subscribers[c]
+func (s *DiscoveryService) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
+	sub := s.subscribers[conn]
 	switch {
-	case r == nil:
-	case !r.hello:
-		l.handshake(now, c, r, f)
+	case sub == nil:
+	case !sub.helloReceived:
+		s.handshake(now, conn, sub, f)
 	case f.GetRegister() != nil:
-		e := f.GetRegister()
-		l.timers.Schedule(now+l.model.Lag+l.ExtraLag, func(placement.Millis) {
-			l.applyOrDefer(func() { l.register(now, c, e) })
+		entry := f.GetRegister()
+		s.timers.Schedule(now+s.model.Lag+s.ExtraLag, func(placement.Millis) {
+			s.applyOrDefer(func() { s.register(now, conn, entry) })
 		})
 	case f.GetListCall() != nil:
-		l.queue = append(l.queue, queuedCall{c, f.GetListCall(), now})
-		l.serve(now)
+		s.queue = append(s.queue, queuedCall{conn, f.GetListCall(), now})
+		s.serve(now)
 	}
-	l.wake()
+	s.wake()
 }
 
-func (l *DiscoveryService) handshake(now placement.Millis, c transport.ConnID, r *subscriber, f *pb.Frame) {
+// handshake handles the first frame of a connection.
+func (s *DiscoveryService) handshake(now placement.Millis, conn transport.ConnID, sub *subscriber, f *pb.Frame) {
 	h, err := transport.CheckHello(f)
 	switch {
 	case err != nil:
-		l.net.Send(c, transport.RefusalFrame(err.Error()))
-		l.net.Close(c)
-		delete(l.subscribers, c)
+		s.network.Send(conn, transport.RefusalFrame(err.Error()))
+		s.network.Close(conn)
+		delete(s.subscribers, conn)
 	case h.Role == pb.Role_NODE:
-		r.hello = true
-		l.nodes[c] = h.Node
+		sub.helloReceived = true
+		s.nodeByConn[conn] = h.Node
 	default:
-		r.hello = true
-		l.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: l.epoch}))
-		if !l.model.Polled {
-			r.watching, r.revision = true, l.revision
-			l.net.Send(c, l.update(now, pb.ListUpdate_WHOLE, 0))
+		sub.helloReceived = true
+		s.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: s.epoch}))
+		if !s.model.Polled {
+			sub.watching, sub.revision = true, s.revision
+			s.network.Send(conn, s.newUpdate(now, pb.ListUpdate_WHOLE, 0))
 		}
 	}
 }
 
-func (l *DiscoveryService) change(e *nodeRecord, how func()) {
-	how()
-	l.revision++
-	e.revision = l.revision
+// change applies a change to a record and gives it the next revision.
+func (s *DiscoveryService) change(record *nodeRecord, apply func()) {
+	apply()
+	s.revision++
+	record.revision = s.revision
 }
 
-// register takes what a node said of itself at that time.
-func (l *DiscoveryService) register(at placement.Millis, c transport.ConnID, said *pb.NodeEntry) {
-	e := l.entries[said.Id]
-	if e == nil {
-		e = &nodeRecord{}
-		l.entries[said.Id] = e
+// register records the state that a node reported over a connection. Earlier incarnations and unchanged entries are ignored.
+func (s *DiscoveryService) register(at placement.Millis, conn transport.ConnID, entry *pb.NodeEntry) {
+	record := s.records[entry.Id]
+	if record == nil {
+		record = &nodeRecord{}
+		s.records[entry.Id] = record
 	}
-	if said.Boot < e.Boot || e.Id != 0 && e.Boot == said.Boot && e.conn == c && e.State == said.State &&
-		e.FreeCores == said.FreeCores && e.FreeMemory == said.FreeMemory {
+	if entry.Boot < record.Boot || record.Id != 0 && record.Boot == entry.Boot && record.conn == conn && record.State == entry.State &&
+		record.FreeCores == entry.FreeCores && record.FreeMemory == entry.FreeMemory {
 		return
 	}
-	l.change(e, func() {
-		e.Id, e.State, e.Kind, e.Zone, e.Cell = said.Id, said.State, said.Kind, said.Zone, said.Cell
-		e.Boot, e.UpForMs, e.Address = said.Boot, said.UpForMs, said.Address
-		e.FreeCores, e.FreeMemory = said.FreeCores, said.FreeMemory
-		e.since, e.conn = at, c
+	s.change(record, func() {
+		record.Id, record.State, record.Kind, record.Zone, record.Cell = entry.Id, entry.State, entry.Kind, entry.Zone, entry.Cell
+		record.Boot, record.UpForMs, record.Address = entry.Boot, entry.UpForMs, entry.Address
+		record.FreeCores, record.FreeMemory = entry.FreeCores, entry.FreeMemory
+		record.since, record.conn = at, conn
 	})
 }
 
-// update is what changed after a revision, or all that is not gone.
-func (l *DiscoveryService) update(now placement.Millis, k pb.ListUpdate_Kind, after uint64) *pb.Frame {
-	u := &pb.ListUpdate{Kind: k, Epoch: l.epoch, Revision: l.revision}
-	if l.empty {
+// newUpdate returns the records that changed after a revision or, in a snapshot, all nodes that have not been removed.
+func (s *DiscoveryService) newUpdate(now placement.Millis, kind pb.ListUpdate_Kind, after uint64) *pb.Frame {
+	u := &pb.ListUpdate{Kind: kind, Epoch: s.epoch, Revision: s.revision}
+	if s.empty {
 		u.Kind = pb.ListUpdate_WHOLE
 		return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}}
 	}
-	room := 1.0
-	if l.capacityFactor > 0 {
-		room = l.capacityFactor
+	factor := 1.0
+	if s.capacityFactor > 0 {
+		factor = s.capacityFactor
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
-		e := l.entries[id]
-		if e.revision <= after || k == pb.ListUpdate_WHOLE && e.State == pb.NodeEntry_GONE {
+	for _, id := range slices.Sorted(maps.Keys(s.records)) {
+		record := s.records[id]
+		if record.revision <= after || kind == pb.ListUpdate_WHOLE && record.State == pb.NodeEntry_GONE {
 			continue
 		}
-		up := e.UpForMs
+		up := record.UpForMs
 		if up >= 0 {
-			up += float64(now - e.since)
+			up += float64(now - record.since)
 		}
 		u.Entries = append(u.Entries, &pb.NodeEntry{
-			Id: e.Id, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Boot: e.Boot, UpForMs: up,
-			FreeCores: e.FreeCores * room, FreeMemory: e.FreeMemory * room, Address: e.Address,
+			Id: record.Id, State: record.State, Kind: record.Kind, Zone: record.Zone, Cell: record.Cell, Boot: record.Boot, UpForMs: up,
+			FreeCores: record.FreeCores * factor, FreeMemory: record.FreeMemory * factor, Address: record.Address,
 		})
 	}
 	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}}
 }
 
-// hear takes news, or keeps it until the list takes news again.
-func (l *DiscoveryService) applyOrDefer(news func()) {
-	if l.stale {
-		l.deferred = append(l.deferred, news)
+// applyOrDefer applies a change, or defers it while the service is stale.
+func (s *DiscoveryService) applyOrDefer(apply func()) {
+	if s.stale {
+		s.deferred = append(s.deferred, apply)
 		return
 	}
-	news()
+	apply()
 }
 
-// SetStale stops the service from taking registrations, or has it take all that it has missed.
-func (l *DiscoveryService) SetStale(_ placement.Millis, stale bool) {
-	l.stale = stale
-	for _, news := range l.deferred {
-		news()
+// SetStale starts to defer changes, or stops and applies the deferred ones.
+func (s *DiscoveryService) SetStale(_ placement.Millis, stale bool) {
+	s.stale = stale
+	for _, apply := range s.deferred {
+		apply()
 	}
-	l.deferred = nil
+	s.deferred = nil
 }
 
 // Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with the next push.
-func (l *DiscoveryService) Misreport(_ placement.Millis, room float64, empty bool) {
-	l.capacityFactor, l.empty = room, empty
-	l.revision++
-	for _, e := range l.entries {
-		e.revision = l.revision
+func (s *DiscoveryService) Misreport(_ placement.Millis, factor float64, empty bool) {
+	s.capacityFactor, s.empty = factor, empty
+	s.revision++
+	for _, record := range s.records {
+		record.revision = s.revision
 	}
 }
 
-// push sends each watcher what it has not been sent; those that hold the same revision get the same frame.
-func (l *DiscoveryService) push(now placement.Millis) {
+// push sends each watching subscriber the changes since its last update. Those at the same revision get the same frame.
+func (s *DiscoveryService) push(now placement.Millis) {
 	frames := map[uint64]*pb.Frame{}
-	for _, c := range slices.Sorted(maps.Keys(l.subscribers)) {
-		r := l.subscribers[c]
-		if !r.watching || r.revision == l.revision {
+	for _, conn := range slices.Sorted(maps.Keys(s.subscribers)) {
+		sub := s.subscribers[conn]
+		if !sub.watching || sub.revision == s.revision {
 			continue
 		}
-		if frames[r.revision] == nil {
-			frames[r.revision] = l.update(now, pb.ListUpdate_CHANGES, r.revision)
+		if frames[sub.revision] == nil {
+			frames[sub.revision] = s.newUpdate(now, pb.ListUpdate_CHANGES, sub.revision)
 		}
-		l.net.Send(c, frames[r.revision])
-		r.revision = l.revision
+		s.network.Send(conn, frames[sub.revision])
+		sub.revision = s.revision
 	}
-	l.timers.Schedule(now+l.model.PushInterval, l.push)
+	s.timers.Schedule(now+s.model.PushInterval, s.push)
 }
 
-// serve answers calls in turn, as fast as the list can.
-func (l *DiscoveryService) serve(now placement.Millis) {
-	if l.busy || len(l.queue) == 0 {
+// serve answers polls in order, one at a time, at the rate of the model.
+func (s *DiscoveryService) serve(now placement.Millis) {
+	if s.busy || len(s.queue) == 0 {
 		return
 	}
-	c := l.queue[0]
-	l.queue = l.queue[1:]
-	r := l.subscribers[c.from]
-	if r == nil {
-		l.serve(now)
+	call := s.queue[0]
+	s.queue = s.queue[1:]
+	sub := s.subscribers[call.from]
+	if sub == nil {
+		s.serve(now)
 		return
 	}
-	if now-c.at > l.model.CallTimeout {
-		l.net.Send(c.from, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-			Kind: pb.ListUpdate_FAILED, Epoch: l.epoch, Reason: "the list is overrun",
+	if now-call.arrived > s.model.CallTimeout {
+		s.network.Send(call.from, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
+			Kind: pb.ListUpdate_FAILED, Epoch: s.epoch, Reason: "the list is overrun",
 		}}})
-		l.serve(now)
+		s.serve(now)
 		return
 	}
-	kind, after := pb.ListUpdate_CHANGES, c.c.Have
-	if c.c.Epoch != l.epoch || !c.c.Watch || after > l.revision {
-		kind, after = pb.ListUpdate_WHOLE, 0
+	f := s.pollUpdate(now, call.poll)
+	duration := s.sendDuration(len(f.GetListUpdate().Entries))
+	if call.poll.Watch {
+		sub.watching, sub.revision = true, s.revision
 	}
-	f := l.update(now, kind, after)
-	took := placement.Millis(0)
-	if l.model.EntriesPerSecond > 0 {
-		took = placement.Millis(math.Ceil(float64(callCost+len(f.GetListUpdate().Entries)) / l.model.EntriesPerSecond * 1000 * l.Slowdown))
+	s.busy = true
+	s.timers.Schedule(now+duration, func(now placement.Millis) {
+		s.busy = false
+		s.network.Send(call.from, f)
+		s.serve(now)
+	})
+}
+
+// pollUpdate returns the answer to a poll: changes where the poller subscribes and its revision is of this epoch, else a snapshot.
+func (s *DiscoveryService) pollUpdate(now placement.Millis, poll *pb.ListCall) *pb.Frame {
+	if poll.Epoch != s.epoch || !poll.Watch || poll.Have > s.revision {
+		return s.newUpdate(now, pb.ListUpdate_WHOLE, 0)
 	}
-	if c.c.Watch {
-		r.watching, r.revision = true, l.revision
+	return s.newUpdate(now, pb.ListUpdate_CHANGES, poll.Have)
+}
+
+// sendDuration returns the time that an answer with that many entries takes, or 0 if the model sets no rate.
+func (s *DiscoveryService) sendDuration(entries int) placement.Millis {
+	if s.model.EntriesPerSecond <= 0 {
+		return 0
 	}
-	l.busy = true
-	l.timers.Schedule(now+took, func(now placement.Millis) {
-		l.busy = false
-		l.net.Send(c.from, f)
-		l.serve(now)
-	})
+	return placement.Millis(math.Ceil(float64(callCost+entries) / s.model.EntriesPerSecond * 1000 * s.Slowdown))
 }
--- a/internal/simulation/emulator/emulator_test.go
+++ b/internal/simulation/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNet is the net of one node under test.
+// fakeNet is the network of one handler under test.
 type fakeNet struct {
 	now  placement.Millis
 	wake placement.Millis
@@ -32,8 +32,8 @@
 	w.now = until
 }
 
-// said are the node's answers to offers, in words.
-func (w *fakeNet) said() (all []string) {
+// offerAnswers returns the node's answers to offers as text, and forgets the frames sent.
+func (w *fakeNet) offerAnswers() (all []string) {
 	for _, f := range w.sent {
 		if a := f.GetOfferAnswer(); a != nil {
 			all = append(all, fmt.Sprintf("%d %v %s", a.Bind.Workload, a.Accepted, a.Text))
@@ -64,9 +64,9 @@
 	}
 	offer(1)
 	w.run(n, 20)
-	offer(1) // again, as a network may bring it
+	offer(1) // a duplicate, as a network may deliver it
 	w.run(n, 40)
-	assert.Equal(t, []string{"1 true ", "1 true "}, w.said())
+	assert.Equal(t, []string{"1 true ", "1 true "}, w.offerAnswers())
 	assert.Len(t, n.tasks, 1)
 	offer(2, func(o *pb.Offer) { o.Bind.Incarnation = 4 })
 	offer(3, func(o *pb.Offer) { o.Ask.Key = 1 })
@@ -81,15 +81,15 @@
 	assert.Equal(t, []string{
 		"5 false too many offers wait", "2 false from an earlier incarnation of the allocator",
 		"3 false a copy stands here", "4 false no cores left", "6 false no memory left", "7 false too late", "8 false ",
-	}, w.said())
-	// Called off or draining while it waits in line: refused, and nothing of it stands.
+	}, w.offerAnswers())
+	// Cancelled or draining while queued: rejected, and no task is added.
 	offer(9, func(o *pb.Offer) { o.Ask.Cores = 1 })
 	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 9}, OnlyWaiting: true}}})
 	offer(10, func(o *pb.Offer) { o.Ask.Cores = 1 })
 	n.Drain(w.now, true)
 	w.run(n, 300)
-	assert.Equal(t, []string{"9 false called off", "10 false draining"}, w.said())
-	// What was accepted is not called off where only what waits may be.
+	assert.Equal(t, []string{"9 false called off", "10 false draining"}, w.offerAnswers())
+	// A stop for queued offers only does not end an accepted task.
 	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 1}, OnlyWaiting: true}}})
 	assert.Len(t, n.tasks, 1)
 }
@@ -109,45 +109,45 @@
 	n.UnblockStarts(50)
 	w.run(n, 100)
 	assert.True(t, n.tasks[0].running)
-	told := *n.load.SpareCores
-	assert.Less(t, told, 10.0)
+	reported := *n.load.SpareCores
+	assert.Less(t, reported, 10.0)
 	n.UnderreportedShare = 1
 	w.run(n, 150)
 	assert.InDelta(t, 10.0, *n.load.SpareCores, 0)
-	assert.Greater(t, *n.load.SpareCores, told)
+	assert.Greater(t, *n.load.SpareCores, reported)
 }
 
 func TestDiscoveryService_StaleWrongAndEmpty(t *testing.T) {
-	l := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
+	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
 	w := &fakeNet{}
-	l.Start(0, w)
-	l.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Boot: 1, FreeCores: 4})
-	tells := func() []*pb.NodeEntry { return l.update(0, pb.ListUpdate_WHOLE, 0).GetListUpdate().Entries }
-	l.SetStale(0, true)
-	l.applyOrDefer(func() { l.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Boot: 1, FreeCores: 4}) })
-	assert.Equal(t, pb.NodeEntry_READY, tells()[0].State)
-	l.SetStale(0, false)
-	assert.Equal(t, pb.NodeEntry_DRAINING, tells()[0].State)
-	l.Misreport(0, 3, false)
-	assert.InDelta(t, 12.0, tells()[0].FreeCores, 0)
-	before := l.revision
-	l.Misreport(0, 1, true)
-	assert.Empty(t, tells())
-	assert.Greater(t, l.revision, before, "watchers are told")
+	s.Start(0, w)
+	s.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Boot: 1, FreeCores: 4})
+	listed := func() []*pb.NodeEntry { return s.newUpdate(0, pb.ListUpdate_WHOLE, 0).GetListUpdate().Entries }
+	s.SetStale(0, true)
+	s.applyOrDefer(func() { s.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Boot: 1, FreeCores: 4}) })
+	assert.Equal(t, pb.NodeEntry_READY, listed()[0].State)
+	s.SetStale(0, false)
+	assert.Equal(t, pb.NodeEntry_DRAINING, listed()[0].State)
+	s.Misreport(0, 3, false)
+	assert.InDelta(t, 12.0, listed()[0].FreeCores, 0)
+	before := s.revision
+	s.Misreport(0, 1, true)
+	assert.Empty(t, listed())
+	assert.Greater(t, s.revision, before, "subscribers receive the change")
 }
 
 func TestDiscoveryService_ExtraLagDelaysRegistration(t *testing.T) {
-	l := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
+	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
 	w := &fakeNet{}
-	l.Start(0, w)
-	l.Opened(0, 1)
-	l.subscribers[1].hello = true
-	l.ExtraLag = 500
-	l.Received(0, 1, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}}})
-	l.Wake(400)
-	assert.Empty(t, l.entries, "the list hears of it later")
-	l.Wake(501)
-	assert.Len(t, l.entries, 1)
+	s.Start(0, w)
+	s.Opened(0, 1)
+	s.subscribers[1].helloReceived = true
+	s.ExtraLag = 500
+	s.Received(0, 1, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}}})
+	s.Wake(400)
+	assert.Empty(t, s.records, "the registration takes effect later")
+	s.Wake(501)
+	assert.Len(t, s.records, 1)
 }
 
 func TestNode_FaultsRaiseCoresUsed(t *testing.T) {
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -13,6 +13,9 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
+// reconnectDelay is the time in ms after which a node dials a lost discovery service again.
+const reconnectDelay = placement.Millis(500)
+
 // errNotAllocator rejects a hello that is not an allocator's.
 var errNotAllocator = errors.New("a node serves allocators")
 
@@ -25,23 +28,23 @@
 	incarnation uint64
 	startedAt   placement.Millis
 
-	net    transport.FrameNetwork
-	timers transport.Timers
-	now    placement.Millis
+	network transport.FrameNetwork
+	timers  transport.Timers
+	now     placement.Millis
 
-	list               transport.ConnID
-	peers              map[transport.ConnID]string // allocator's name, "" before its hello
-	conns              map[string]transport.ConnID
-	latestIncarnation  map[string]uint64 // latest incarnation met of each allocator
+	discovery          transport.ConnID
+	allocatorByConn    map[transport.ConnID]string // name, "" before its hello
+	connByAllocator    map[string]transport.ConnID
+	latestIncarnation  map[string]uint64 // by allocator, as its hellos reported it
 	queue              []*queuedFrame
 	admitting          bool
 	tasks              []*Task // in the order of their acceptance
 	byBind             map[observer.BindKey]*Task
-	answered           map[observer.BindKey]*pb.OfferAnswer
-	answeredOrder      []observer.BindKey // of answered
-	toStart            []*Task
-	starting           int
-	programs           []uint64 // cached, latest last
+	answers            map[observer.BindKey]*pb.OfferAnswer
+	answerOrder        []observer.BindKey // keys of answers, oldest first
+	pendingStarts      []*Task
+	startsInProgress   int
+	cachedPrograms     []uint64 // by service, most recently used last
 	load               *pb.Load
 	loadAt             placement.Millis
 	arrivals           []placement.Millis // of offers while warming up
@@ -51,10 +54,10 @@
 	NeighbourShare     float64 // share of the machine that another program takes
 	ThrottledGroup     string  // group whose offers are rejected without a reason
 	Surge              UsageSurge
-	UnderreportedShare float64                  // share of its load that it does not report
-	StartsBlocked      bool                     // it accepts offers, and starts nothing
-	Leaves             bool                     // it registers as gone for good
-	OnOverload         func()                   // called when too many offers while warming up made it fail
+	UnderreportedShare float64                  // share of the load that is left out of reports
+	StartsBlocked      bool                     // offers are accepted, but nothing is started
+	Leaves             bool                     // the node registers as removed
+	OnOverload         func()                   // called when too many offers during warm-up made the node fail
 	OnRunning          func(t *Task, runs bool) // called when a workload starts and when it ends
 }
 
@@ -69,31 +72,32 @@
 	CoreTime      float64 // core milliseconds for which single workloads ran while clients sent requests
 }
 
-// NewNode returns a node without workloads. In its first incarnation it has been up for long.
-func NewNode(spec *NodeSpec, m *scenario.NodeModel, boot uint64) *Node {
+// NewNode returns a node without workloads. In its first incarnation its uptime is unknown, and it does not warm up.
+func NewNode(spec *NodeSpec, m *scenario.NodeModel, incarnation uint64) *Node {
 	return &Node{
-		id: spec.ID, spec: spec, model: m, incarnation: boot, startedAt: placement.DistantPast, peers: map[transport.ConnID]string{},
-		conns: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*Task{},
-		answered: map[observer.BindKey]*pb.OfferAnswer{}, Slowdown: 1,
+		id: spec.ID, spec: spec, model: m, incarnation: incarnation, startedAt: placement.DistantPast, allocatorByConn: map[transport.ConnID]string{},
+		connByAllocator: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*Task{},
+		answers: map[observer.BindKey]*pb.OfferAnswer{}, Slowdown: 1,
 	}
 }
 
 // Start implements transport.FrameHandler.
-func (n *Node) Start(now placement.Millis, net transport.FrameNetwork) {
-	n.net, n.now = net, now
+func (n *Node) Start(now placement.Millis, network transport.FrameNetwork) {
+	n.network, n.now = network, now
 	if n.incarnation > 1 {
 		n.startedAt = now
 	}
-	n.dialList(now)
+	n.dialDiscovery(now)
 	n.report(now)
 	n.wake()
 }
 
-func (n *Node) dialList(placement.Millis) { n.list = n.net.Dial(n.spec.ListAddr) }
+// dialDiscovery connects to the discovery service.
+func (n *Node) dialDiscovery(placement.Millis) { n.discovery = n.network.Dial(n.spec.ListAddr) }
 
 func (n *Node) wake() {
 	if at, ok := n.timers.Next(); ok {
-		n.net.WakeAt(at)
+		n.network.WakeAt(at)
 	}
 }
 
@@ -105,92 +109,92 @@
 }
 
 // Opened implements transport.FrameHandler.
-func (n *Node) Opened(now placement.Millis, c transport.ConnID) {
+func (n *Node) Opened(now placement.Millis, conn transport.ConnID) {
 	n.now = now
-	if c == n.list {
-		n.net.Send(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.incarnation}))
+	if conn == n.discovery {
+		n.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.incarnation}))
 		n.register(now)
 	} else {
-		n.peers[c] = ""
+		n.allocatorByConn[conn] = ""
 	}
 	n.wake()
 }
 
 // Closed implements transport.FrameHandler.
-func (n *Node) Closed(now placement.Millis, c transport.ConnID, _ error) {
+func (n *Node) Closed(now placement.Millis, conn transport.ConnID, _ error) {
 	n.now = now
-	if c == n.list {
-		n.timers.Schedule(now+500, n.dialList)
+	if conn == n.discovery {
+		n.timers.Schedule(now+reconnectDelay, n.dialDiscovery)
 	} else {
-		if name := n.peers[c]; n.conns[name] == c {
-			delete(n.conns, name)
+		if name := n.allocatorByConn[conn]; n.connByAllocator[name] == conn {
+			delete(n.connByAllocator, name)
 		}
-		delete(n.peers, c)
+		delete(n.allocatorByConn, conn)
 	}
 	n.wake()
 }
 
 // Received implements transport.FrameHandler.
-func (n *Node) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
+func (n *Node) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
 	n.now = now
-	name, known := n.peers[c]
+	name, known := n.allocatorByConn[conn]
 	switch {
 	case !known:
 	case name == "":
-		n.handshake(c, f)
+		n.handshake(conn, f)
 	default:
 		switch b := f.Body.(type) {
 		case *pb.Frame_Offer:
-			n.offered(now, c, b.Offer)
+			n.handleOffer(now, conn, b.Offer)
 		case *pb.Frame_Stop:
-			n.stopped(now, b.Stop)
+			n.handleStop(now, b.Stop)
 		case *pb.Frame_Keep:
 			if t := n.byBind[observer.KeyOf(b.Keep.Bind)]; t != nil {
 				t.confirmed = true
 			}
 		case *pb.Frame_Probe:
-			n.enqueue(now, &queuedFrame{probe: b.Probe.Id, from: c, arrived: now})
+			n.enqueue(now, &queuedFrame{probe: b.Probe.Id, from: conn, arrived: now})
 		}
 	}
 	n.wake()
 }
 
-// greet tells an allocator what of its workloads stands here.
-func (n *Node) handshake(c transport.ConnID, f *pb.Frame) {
+// handshake handles an allocator's hello, and answers with the workloads that the node runs for it.
+func (n *Node) handshake(conn transport.ConnID, f *pb.Frame) {
 	h, err := transport.CheckHello(f)
 	if err == nil && h.Role != pb.Role_ALLOCATOR {
 		err = errNotAllocator
 	}
 	if err != nil {
-		n.net.Send(c, transport.RefusalFrame(err.Error()))
-		n.net.Close(c)
-		delete(n.peers, c)
+		n.network.Send(conn, transport.RefusalFrame(err.Error()))
+		n.network.Close(conn)
+		delete(n.allocatorByConn, conn)
 		return
 	}
-	n.peers[c], n.conns[h.Name] = h.Name, c
+	n.allocatorByConn[conn], n.connByAllocator[h.Name] = h.Name, conn
 	n.latestIncarnation[h.Name] = max(n.latestIncarnation[h.Name], h.Incarnation)
 	hello := &pb.Hello{
 		Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.incarnation,
-		ConfirmsRunning: n.model.ConfirmsRunning, Draining: n.draining, UpForMs: n.upFor(n.now),
+		ConfirmsRunning: n.model.ConfirmsRunning, Draining: n.draining, UpForMs: n.uptime(n.now),
 	}
 	for _, t := range n.tasks {
 		if t.Offer.Bind.Allocator == h.Name && (t.running || !n.model.ConfirmsRunning) {
 			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.Offer, Running: t.running, Kept: t.confirmed})
 		}
 	}
-	n.net.Send(c, transport.HelloFrame(hello))
+	n.network.Send(conn, transport.HelloFrame(hello))
 }
 
-// tell sends to an allocator if it is connected.
+// sendTo sends a frame to an allocator if it is connected.
 func (n *Node) sendTo(allocator string, f *pb.Frame) {
-	if c, ok := n.conns[allocator]; ok {
-		n.net.Send(c, f)
+	if conn, ok := n.connByAllocator[allocator]; ok {
+		n.network.Send(conn, f)
 	}
 }
 
 // register sends the node's state and unrequested capacity to the discovery service.
 func (n *Node) register(now placement.Millis) {
-	cores, memory := n.requested()
+	cores, memory := n.requestedCapacity()
 	state := pb.NodeEntry_READY
 	switch {
 	case n.Leaves:
@@ -198,25 +202,25 @@
 	case n.draining:
 		state = pb.NodeEntry_DRAINING
 	}
-	n.net.Send(n.list, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{
-		Id: n.id, State: state, Kind: n.spec.Kind, Zone: n.spec.Zone, Cell: n.spec.Cell, Boot: n.incarnation, UpForMs: n.upFor(now),
+	n.network.Send(n.discovery, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{
+		Id: n.id, State: state, Kind: n.spec.Kind, Zone: n.spec.Zone, Cell: n.spec.Cell, Boot: n.incarnation, UpForMs: n.uptime(now),
 		FreeCores: n.spec.Cores - cores, FreeMemory: n.spec.Memory - memory, Address: n.spec.Addr,
 	}}})
 }
 
-// upFor returns the time since the node's start in ms, or -1 if it is not known.
-func (n *Node) upFor(now placement.Millis) float64 {
+// uptime returns the time since the node's start in ms, or -1 if it is not known.
+func (n *Node) uptime(now placement.Millis) float64 {
 	if math.IsInf(float64(n.startedAt), -1) {
 		return -1
 	}
 	return float64(now - n.startedAt)
 }
 
-// allocators are the connections to allocators that have said who they are, oldest first.
-func (n *Node) allocators() (conns []transport.ConnID) {
-	for c, name := range n.peers {
+// allocatorConns returns the connections to allocators whose hello was received, oldest first.
+func (n *Node) allocatorConns() (conns []transport.ConnID) {
+	for conn, name := range n.allocatorByConn {
 		if name != "" {
-			conns = append(conns, c)
+			conns = append(conns, conn)
 		}
 	}
 	slices.Sort(conns)
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -11,18 +11,19 @@
 // pacedEvictionInterval is the time in ms between the evictions of a paced drain.
 const pacedEvictionInterval = placement.Millis(300)
 
-// UsageSurge is resource use far above what was requested.
+// UsageSurge is a fault: some services use far more than they requested.
 type UsageSurge struct {
 	Group  string  // "" for every group
-	Share  float64 // of the services, that surge
-	Factor float64 // of their usual use
+	Share  float64 // share of the services that surge
+	Factor float64 // multiplies their usual use
 }
 
-// excess is how many times its usual use a workload now has.
+// surgeFactor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
 func (n *Node) surgeFactor(t *Task) float64 {
-	w, a := n.Surge, t.Offer.Ask
-	if w.Factor > 1 && (w.Group == "" || w.Group == a.Group) && ServiceFactor(a.Service+2)-0.5 < w.Share {
-		return w.Factor
+	surge, request := n.Surge, t.Offer.Ask
+	affected := (surge.Group == "" || surge.Group == request.Group) && ServiceFactor(request.Service+2)-0.5 < surge.Share
+	if surge.Factor > 1 && affected {
+		return surge.Factor
 	}
 	return 1
 }
@@ -33,8 +34,8 @@
 	n.draining = draining
 	n.register(now)
 	if n.model.AnnouncesDrain {
-		for _, c := range n.allocators() {
-			n.net.Send(c, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
+		for _, conn := range n.allocatorConns() {
+			n.network.Send(conn, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
 		}
 	}
 	if draining && n.model.DrainMode != scenario.DrainKeeps {
@@ -43,9 +44,10 @@
 	n.wake()
 }
 
+// evictAll evicts all tasks of a draining node, at once or one by one as its model says.
 func (n *Node) evictAll(now placement.Millis) {
 	for n.draining && len(n.tasks) > 0 {
-		n.end(now, n.tasks[0], pb.Why_SENT_AWAY)
+		n.endTask(now, n.tasks[0], pb.Why_SENT_AWAY)
 		if n.model.DrainMode == scenario.DrainPaced {
 			n.timers.Schedule(now+pacedEvictionInterval, n.evictAll)
 			return
@@ -53,14 +55,14 @@
 	}
 }
 
-// UnblockStarts starts what was accepted while starts were blocked.
+// UnblockStarts starts the tasks that were accepted while starts were blocked.
 func (n *Node) UnblockStarts(now placement.Millis) {
 	n.now, n.StartsBlocked = now, false
 	n.startNext(now)
 	n.wake()
 }
 
-// DropCachedPrograms drops that share of the cached programs.
+// DropCachedPrograms drops a share of the cached programs, the least recently used first.
 func (n *Node) DropCachedPrograms(share float64) {
-	n.programs = n.programs[int(math.Ceil(share*float64(len(n.programs)))):]
+	n.cachedPrograms = n.cachedPrograms[int(math.Ceil(share*float64(len(n.cachedPrograms)))):]
 }
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -8,25 +8,25 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// report measures the load every ReportEvery, evicts where memory has run out, and tells the list.
+// report evicts tasks while memory is exceeded, measures the load, registers it, and repeats after the report interval.
 func (n *Node) report(now placement.Millis) {
 	for used := n.memoryUsed(); used > n.spec.Memory && len(n.tasks) > 0; used = n.memoryUsed() {
-		n.end(now, n.evictionCandidate(), pb.Why_EVICTED)
+		n.endTask(now, n.evictionCandidate(), pb.Why_EVICTED)
 	}
 	cores := n.coresUsed()
 	spare, memory := n.spec.Cores-cores, n.spec.Memory-n.memoryUsed()
-	backlog, util := float64(len(n.queue)+len(n.toStart)+n.starting), min(1, n.coreDemand())
+	backlog, utilization := float64(len(n.queue)+len(n.pendingStarts)+n.startsInProgress), min(1, n.coreDemand())
 	if n.UnderreportedShare > 0 {
 		spare, memory = spare+n.UnderreportedShare*(n.spec.Cores-spare), memory+n.UnderreportedShare*(n.spec.Memory-memory)
-		backlog, util = backlog*(1-n.UnderreportedShare), util*(1-n.UnderreportedShare)
+		backlog, utilization = backlog*(1-n.UnderreportedShare), utilization*(1-n.UnderreportedShare)
 	}
-	n.load = &pb.Load{SpareCores: &spare, SpareMemory: &memory, Backlog: &backlog, Utilization: &util}
+	n.load = &pb.Load{SpareCores: &spare, SpareMemory: &memory, Backlog: &backlog, Utilization: &utilization}
 	n.loadAt = now
 	n.register(now)
 	n.timers.Schedule(now+n.model.ReportInterval, n.report)
 }
 
-// loadNow is the last report with its age.
+// loadNow returns the last load report with its age, or nil before the first one.
 func (n *Node) loadNow(now placement.Millis) *pb.Load {
 	if n.load == nil {
 		return nil
@@ -37,8 +37,8 @@
 	}
 }
 
-// requested returns the cores and memory that the accepted workloads request.
-func (n *Node) requested() (cores, memory float64) {
+// requestedCapacity returns the cores and memory that the accepted tasks request.
+func (n *Node) requestedCapacity() (cores, memory float64) {
 	for _, t := range n.tasks {
 		cores += t.Offer.Ask.Cores
 		memory += t.Offer.Ask.Memory
@@ -46,23 +46,25 @@
 	return cores, memory
 }
 
+// coresUsed returns the cores in use, at most those of the machine.
 func (n *Node) coresUsed() float64 {
-	used := n.NeighbourShare*n.spec.Cores + float64(n.starting)
+	used := n.NeighbourShare*n.spec.Cores + float64(n.startsInProgress)
 	for _, t := range n.tasks {
 		used += t.cores * n.surgeFactor(t)
 	}
 	return min(used, n.spec.Cores)
 }
 
-// busy is the cores that are wanted over those that are there; over 1 nobody gets all that it wants.
+// coreDemand returns the ratio of the cores that tasks demand to those available to them. Above 1 they contend.
 func (n *Node) coreDemand() float64 {
-	wanted := float64(n.starting)
+	demand := float64(n.startsInProgress)
 	for _, t := range n.tasks {
-		wanted += t.cores * n.surgeFactor(t)
+		demand += t.cores * n.surgeFactor(t)
 	}
-	return wanted / max(0.1, n.spec.Cores*(1-n.NeighbourShare))
+	return demand / max(0.1, n.spec.Cores*(1-n.NeighbourShare))
 }
 
+// memoryUsed returns the memory in use, which may exceed that of the machine.
 func (n *Node) memoryUsed() float64 {
 	used := 0.0
 	for _, t := range n.tasks {
@@ -71,6 +73,7 @@
 	return used
 }
 
+// evictionCandidate returns the task to evict first: of the lowest rank, then of the highest use above its request.
 func (n *Node) evictionCandidate() *Task {
 	return slices.MinFunc(n.tasks, func(x, y *Task) int {
 		return cmp.Or(cmp.Compare(x.group.EvictionRank, y.group.EvictionRank),
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -21,149 +21,167 @@
 	cancelled bool // by a stop
 }
 
-// offered puts an offer in line. Too many at a cold node push it over.
-func (n *Node) offered(now placement.Millis, c transport.ConnID, o *pb.Offer) {
+// handleOffer queues an offer for admission. Repeated offers are ignored, or answered as before. Too many offers during warm-up make
+// the node fail.
+func (n *Node) handleOffer(now placement.Millis, conn transport.ConnID, offer *pb.Offer) {
 	if n.overloaded {
 		return
 	}
-	if a := n.answered[observer.KeyOf(o.Bind)]; a != nil {
-		n.net.Send(c, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: a}})
+	if answer := n.answers[observer.KeyOf(offer.Bind)]; answer != nil {
+		n.network.Send(conn, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: answer}})
 		return
 	}
-	if n.byBind[observer.KeyOf(o.Bind)] != nil || slices.ContainsFunc(n.queue, func(w *queuedFrame) bool {
-		return w.offer != nil && observer.KeyOf(w.offer.Bind) == observer.KeyOf(o.Bind)
+	if n.byBind[observer.KeyOf(offer.Bind)] != nil || slices.ContainsFunc(n.queue, func(frame *queuedFrame) bool {
+		return frame.offer != nil && observer.KeyOf(frame.offer.Bind) == observer.KeyOf(offer.Bind)
 	}) {
-		return // it came twice, and is answered once
+		return // a duplicate of an offer that is answered only once
 	}
-	if pace, cold := n.warmUpRate(now); cold {
-		arrived := now
-		if g, ok := n.net.(interface{ Arrived() placement.Millis }); ok {
-			arrived = g.Arrived()
-		}
-		n.arrivals = append(n.arrivals, arrived)
-		n.arrivals = slices.DeleteFunc(n.arrivals, func(at placement.Millis) bool { return at < now-n.model.OverloadWindow })
-		if float64(len(n.arrivals)) > n.model.BindLimit(pace) {
-			n.overloaded = true
-			n.timers.Schedule(now, func(placement.Millis) { n.OnOverload() })
-			return
-		}
+	if n.overloads(now) {
+		n.overloaded = true
+		n.timers.Schedule(now, func(placement.Millis) { n.OnOverload() })
+		return
+	}
+	n.enqueue(now, &queuedFrame{offer: offer, from: conn, arrived: now})
+}
+
+// overloads counts the arrival of an offer during warm-up, and reports whether it exceeds the limit of the overload window.
+func (n *Node) overloads(now placement.Millis) bool {
+	rate, warmingUp := n.warmUpRate(now)
+	if !warmingUp {
+		return false
+	}
+	arrived := now
+	if network, ok := n.network.(interface{ Arrived() placement.Millis }); ok {
+		arrived = network.Arrived()
 	}
-	n.enqueue(now, &queuedFrame{offer: o, from: c, arrived: now})
+	n.arrivals = append(n.arrivals, arrived)
+	n.arrivals = slices.DeleteFunc(n.arrivals, func(at placement.Millis) bool { return at < now-n.model.OverloadWindow })
+	return float64(len(n.arrivals)) > n.model.BindLimit(rate)
 }
 
-// stopped takes a bind back, from the line or, unless only that was wanted, from the node.
-func (n *Node) stopped(now placement.Millis, s *pb.Stop) {
-	k := observer.KeyOf(s.Bind)
-	for _, w := range n.queue {
-		if w.offer != nil && observer.KeyOf(w.offer.Bind) == k {
-			w.cancelled = true
+// handleStop cancels a queued offer or, unless the stop is for queued offers only, ends the task.
+func (n *Node) handleStop(now placement.Millis, s *pb.Stop) {
+	key := observer.KeyOf(s.Bind)
+	for _, frame := range n.queue {
+		if frame.offer != nil && observer.KeyOf(frame.offer.Bind) == key {
+			frame.cancelled = true
 			return
 		}
 	}
-	switch t := n.byBind[k]; {
-	case t == nil: // it ended before, and word of that may have been lost
+	switch t := n.byBind[key]; {
+	case t == nil: // it ended before, and the notification may have been lost
 		n.sendTo(s.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: s.Bind, Why: pb.Why_STOPPED}}})
 	case !s.OnlyWaiting:
-		n.end(now, t, pb.Why_STOPPED)
+		n.endTask(now, t, pb.Why_STOPPED)
 	}
 }
 
-func (n *Node) enqueue(now placement.Millis, w *queuedFrame) {
+// enqueue adds an offer or a health check to the admission queue, or rejects it if the queue is full.
+func (n *Node) enqueue(now placement.Millis, frame *queuedFrame) {
 	if len(n.queue) >= n.model.QueueLimit {
-		n.decline(now, w, pb.Why_TOO_MANY_WAITING, "too many offers wait")
+		n.reject(now, frame, pb.Why_TOO_MANY_WAITING, "too many offers wait")
 		return
 	}
-	n.queue = append(n.queue, w)
+	n.queue = append(n.queue, frame)
 	n.admitNext(now)
 }
 
-// look takes the first of the line, if nothing is looked at.
+// admitNext starts the admission of the first queued frame, unless one is in progress.
 func (n *Node) admitNext(now placement.Millis) {
 	if n.admitting || len(n.queue) == 0 {
 		return
 	}
 	n.admitting = true
-	w := n.queue[0]
+	frame := n.queue[0]
 	n.timers.Schedule(now+n.model.AdmissionTime*placement.Millis(n.Slowdown), func(now placement.Millis) {
 		n.admitting = false
 		n.queue = n.queue[1:]
-		n.decide(now, w)
+		n.decide(now, frame)
 		n.admitNext(now)
 	})
 }
 
-func (n *Node) decide(now placement.Millis, w *queuedFrame) {
-	if w.offer == nil {
-		n.net.Send(w.from, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: w.probe, Load: n.loadNow(now)}}})
+// decide answers a health check, and accepts or rejects an offer.
+func (n *Node) decide(now placement.Millis, frame *queuedFrame) {
+	if frame.offer == nil {
+		n.network.Send(frame.from, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: frame.probe, Load: n.loadNow(now)}}})
 		return
 	}
-	o := w.offer
-	cores, memory := n.requested()
+	offer := frame.offer
+	cores, memory := n.requestedCapacity()
 	switch {
-	case w.cancelled:
-		n.decline(now, w, pb.Why_NOT_HERE, "called off")
-	case now-w.arrived > placement.Millis(o.AcceptWithinMs):
-		n.decline(now, w, pb.Why_NOT_HERE, "too late")
-	case o.Bind.Incarnation < n.latestIncarnation[o.Bind.Allocator]:
-		n.decline(now, w, pb.Why_NOT_HERE, "from an earlier incarnation of the allocator")
+	case frame.cancelled:
+		n.reject(now, frame, pb.Why_NOT_HERE, "called off")
+	case now-frame.arrived > placement.Millis(offer.AcceptWithinMs):
+		n.reject(now, frame, pb.Why_NOT_HERE, "too late")
+	case offer.Bind.Incarnation < n.latestIncarnation[offer.Bind.Allocator]:
+		n.reject(now, frame, pb.Why_NOT_HERE, "from an earlier incarnation of the allocator")
 	case n.draining:
-		n.decline(now, w, pb.Why_NOT_HERE, "draining")
-	case n.ThrottledGroup == o.Ask.Group:
-		n.decline(now, w, pb.Why_WHY_UNSPECIFIED, "")
-	case n.hasWorkload(o):
-		n.decline(now, w, pb.Why_NOT_HERE, "a copy stands here")
-	case cores+o.Ask.Cores > n.model.CoreOvercommit*n.spec.Cores:
-		n.decline(now, w, pb.Why_NO_CORES, "no cores left")
-	case memory+o.Ask.Memory > n.model.MemoryOvercommit*n.spec.Memory:
-		n.decline(now, w, pb.Why_NO_MEMORY, "no memory left")
+		n.reject(now, frame, pb.Why_NOT_HERE, "draining")
+	case n.ThrottledGroup == offer.Ask.Group:
+		n.reject(now, frame, pb.Why_WHY_UNSPECIFIED, "")
+	case n.runsWorkload(offer):
+		n.reject(now, frame, pb.Why_NOT_HERE, "a copy stands here")
+	case cores+offer.Ask.Cores > n.model.CoreOvercommit*n.spec.Cores:
+		n.reject(now, frame, pb.Why_NO_CORES, "no cores left")
+	case memory+offer.Ask.Memory > n.model.MemoryOvercommit*n.spec.Memory:
+		n.reject(now, frame, pb.Why_NO_MEMORY, "no memory left")
 	default:
-		n.accept(now, o)
+		n.accept(now, offer)
 	}
 }
 
-func (n *Node) decline(now placement.Millis, w *queuedFrame, why pb.Why, text string) {
-	if w.offer == nil {
-		return // a probe that finds no place is not answered
+// reject answers an offer with a reason.
+func (n *Node) reject(now placement.Millis, frame *queuedFrame, why pb.Why, text string) {
+	if frame.offer == nil {
+		return // a health check that finds the queue full is not answered
 	}
-	n.answer(now, w.offer.Bind, &pb.OfferAnswer{Bind: w.offer.Bind, Why: why, Text: text, Load: n.loadNow(now)})
+	n.answer(now, frame.offer.Bind, &pb.OfferAnswer{Bind: frame.offer.Bind, Why: why, Text: text, Load: n.loadNow(now)})
 }
 
-// answer gives a bind its one answer, and remembers it in case the offer comes again.
-func (n *Node) answer(_ placement.Millis, b *pb.BindID, a *pb.OfferAnswer) {
-	k := observer.KeyOf(b)
-	n.answered[k] = a
-	if n.answeredOrder = append(n.answeredOrder, k); len(n.answeredOrder) > maxAnswered {
-		delete(n.answered, n.answeredOrder[0])
-		n.answeredOrder = n.answeredOrder[1:]
+// answer sends the answer to an offer, and remembers it for duplicates of the offer.
+func (n *Node) answer(_ placement.Millis, b *pb.BindID, answer *pb.OfferAnswer) {
+	key := observer.KeyOf(b)
+	n.answers[key] = answer
+	if n.answerOrder = append(n.answerOrder, key); len(n.answerOrder) > maxAnswered {
+		delete(n.answers, n.answerOrder[0])
+		n.answerOrder = n.answerOrder[1:]
 	}
-	n.sendTo(b.Allocator, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: a}})
+	n.sendTo(b.Allocator, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: answer}})
 }
 
-func (n *Node) accept(now placement.Millis, o *pb.Offer) {
-	t := &Task{Offer: o, group: n.model.Groups[o.Ask.Group]}
+// accept adds a task for an offer and starts it when its turn comes.
+func (n *Node) accept(now placement.Millis, offer *pb.Offer) {
+	t := &Task{Offer: offer, group: n.model.Groups[offer.Ask.Group]}
 	n.tasks = append(n.tasks, t)
-	n.byBind[observer.KeyOf(o.Bind)] = t
+	n.byBind[observer.KeyOf(offer.Bind)] = t
 	if !n.model.ConfirmsRunning {
-		n.answer(now, o.Bind, &pb.OfferAnswer{Bind: o.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, offer.Bind, &pb.OfferAnswer{Bind: offer.Bind, Accepted: true, Load: n.loadNow(now)})
 	}
-	n.toStart = append(n.toStart, t)
+	n.pendingStarts = append(n.pendingStarts, t)
 	n.startNext(now)
-	// A part that nobody declared standing ends by itself, by this node's own clock: its allocator may be no more.
-	if g := o.Gang; g != nil {
-		n.timers.Schedule(now+placement.Millis(g.LeaseMs), func(now placement.Millis) {
-			if !t.confirmed {
-				n.end(now, t, pb.Why_LEASE_OVER)
-			}
-		})
+	if offer.Gang != nil {
+		n.scheduleLeaseEnd(now, t)
 	}
 }
 
-func (n *Node) hasWorkload(o *pb.Offer) bool {
-	return slices.ContainsFunc(n.tasks, func(t *Task) bool { return t.Offer.Ask.Key == o.Ask.Key })
+// scheduleLeaseEnd ends a gang part after its lease unless its allocator has confirmed it by then. The node's own clock decides, as the
+// allocator may have failed.
+func (n *Node) scheduleLeaseEnd(now placement.Millis, t *Task) {
+	n.timers.Schedule(now+placement.Millis(t.Offer.Gang.LeaseMs), func(now placement.Millis) {
+		if !t.confirmed {
+			n.endTask(now, t, pb.Why_LEASE_OVER)
+		}
+	})
+}
+
+// runsWorkload reports whether a task with the same workload key was accepted and has not ended.
+func (n *Node) runsWorkload(offer *pb.Offer) bool {
+	return slices.ContainsFunc(n.tasks, func(t *Task) bool { return t.Offer.Ask.Key == offer.Ask.Key })
 }
 
-// cold tells whether the node is, and at which share of its pace it then starts workloads.
-func (n *Node) warmUpRate(now placement.Millis) (pace float64, cold bool) {
+// warmUpRate returns the share of its full rate at which the node starts tasks, and whether it is warming up.
+func (n *Node) warmUpRate(now placement.Millis) (rate float64, warmingUp bool) {
 	up := now - n.startedAt
 	if up >= n.model.WarmUpDuration {
 		return 1, false
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -12,97 +12,98 @@
 const (
 	usageNoteInterval  = placement.Millis(5e3) // ms between the usage notes of a workload
 	firstUsageNote     = placement.Millis(800) // ms from a workload's start to its first usage note
-	contentionSlowdown = 4.0                   // added to the factor on start times for each time that demand exceeds the cores
+	contentionSlowdown = 4.0                   // relative increase of start times for each unit of core demand above 1
 )
 
-// Task is a workload that was accepted.
+// Task is an accepted workload.
 type Task struct {
 	Offer        *pb.Offer
 	group        *scenario.GroupModel
 	running      bool
 	ended        bool
-	confirmed    bool // its gang has started
+	confirmed    bool // its allocator has confirmed that the gang runs
 	RunningSince placement.Millis
 	cores        float64 // in use while it runs
 	memory       float64
 }
 
+// startNext starts pending tasks up to the limit of concurrent starts.
 func (n *Node) startNext(now placement.Millis) {
-	for n.starting < n.model.ConcurrentStarts && len(n.toStart) > 0 && !n.StartsBlocked {
-		t := n.toStart[0]
-		n.toStart = n.toStart[1:]
+	for n.startsInProgress < n.model.ConcurrentStarts && len(n.pendingStarts) > 0 && !n.StartsBlocked {
+		t := n.pendingStarts[0]
+		n.pendingStarts = n.pendingStarts[1:]
 		if t.ended {
 			continue
 		}
-		n.starting++
+		n.startsInProgress++
 		n.timers.Schedule(now+n.startTime(now, t), func(now placement.Millis) {
-			n.starting--
+			n.startsInProgress--
 			if !t.ended {
-				n.started(now, t)
+				n.taskStarted(now, t)
 			}
 			n.startNext(now)
 		})
 	}
 }
 
+// startTime returns how long a start takes, which depends on the program cache, the warm-up and the contention for cores.
 func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
-	s := t.Offer.Ask.Service
-	if !slices.Contains(n.programs, s) &&
-		!slices.ContainsFunc(n.tasks, func(o *Task) bool { return o.running && o.Offer.Ask.Service == s }) {
+	service := t.Offer.Ask.Service
+	runs := func(other *Task) bool { return other.running && other.Offer.Ask.Service == service }
+	if !slices.Contains(n.cachedPrograms, service) && !slices.ContainsFunc(n.tasks, runs) {
 		work *= n.model.UncachedStartFactor
 	}
-	pace, _ := n.warmUpRate(now)
+	rate, _ := n.warmUpRate(now)
 	work *= 1 + contentionSlowdown*max(0, n.coreDemand()-1)
-	return placement.Millis(work / pace)
+	return placement.Millis(work / rate)
 }
 
-func (n *Node) started(now placement.Millis, t *Task) {
+// taskStarted marks a task as running, notifies its allocator, and schedules its end.
+func (n *Node) taskStarted(now placement.Millis, t *Task) {
 	t.running = true
 	if n.OnRunning != nil {
 		n.OnRunning(t, true)
 	}
 	t.cores = t.Offer.Ask.Cores * t.group.CoreUse * ServiceFactor(t.Offer.Ask.Service)
 	t.memory = t.Offer.Ask.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Ask.Service+1)
-	n.programs = slices.DeleteFunc(n.programs, func(s uint64) bool { return s == t.Offer.Ask.Service })
+	n.removeCachedProgram(t.Offer.Ask.Service)
 	if n.model.ConfirmsRunning {
 		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Accepted: true, Load: n.loadNow(now)})
 	} else {
-		n.note(t, pb.Note_RUNNING, 1)
+		n.sendNote(t, pb.Note_RUNNING, 1)
 	}
-	n.timers.Schedule(now+placement.Millis(t.Offer.Ask.RunsForMs), func(now placement.Millis) { n.end(now, t, pb.Why_FINISHED) })
-	n.timers.Schedule(now+firstUsageNote, func(now placement.Millis) { n.noteUse(now, t) })
+	n.timers.Schedule(now+placement.Millis(t.Offer.Ask.RunsForMs), func(now placement.Millis) { n.endTask(now, t, pb.Why_FINISHED) })
+	n.timers.Schedule(now+firstUsageNote, func(now placement.Millis) { n.sendUsageNote(now, t) })
 }
 
-func (n *Node) note(t *Task, k pb.Note_Kind, value float64) {
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.Offer.Bind, Kind: k, Value: value}}})
+// sendNote sends a note about a task to its allocator.
+func (n *Node) sendNote(t *Task, kind pb.Note_Kind, value float64) {
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.Offer.Bind, Kind: kind, Value: value}}})
 }
 
-func (n *Node) noteUse(now placement.Millis, t *Task) {
+// sendUsageNote reports the cores that a task uses, and repeats until the task ends.
+func (n *Node) sendUsageNote(now placement.Millis, t *Task) {
 	if t.ended {
 		return
 	}
-	n.note(t, pb.Note_CORES_USED, t.cores*n.surgeFactor(t))
-	n.timers.Schedule(now+usageNoteInterval, func(now placement.Millis) { n.noteUse(now, t) })
+	n.sendNote(t, pb.Note_CORES_USED, t.cores*n.surgeFactor(t))
+	n.timers.Schedule(now+usageNoteInterval, func(now placement.Millis) { n.sendUsageNote(now, t) })
 }
 
-// end takes a workload off the node.
-func (n *Node) end(now placement.Millis, t *Task, why pb.Why) {
+// endTask removes a task from the node and notifies its allocator.
+func (n *Node) endTask(now placement.Millis, t *Task, why pb.Why) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	n.tasks = slices.DeleteFunc(n.tasks, func(o *Task) bool { return o == t })
+	n.tasks = slices.DeleteFunc(n.tasks, func(other *Task) bool { return other == t })
 	delete(n.byBind, observer.KeyOf(t.Offer.Bind))
 	if t.running && n.OnRunning != nil {
 		n.OnRunning(t, false)
 	}
 	if t.running && n.model.CachedPrograms > 0 {
-		s := t.Offer.Ask.Service
-		n.programs = slices.DeleteFunc(n.programs, func(o uint64) bool { return o == s })
-		if n.programs = append(n.programs, s); len(n.programs) > n.model.CachedPrograms {
-			n.programs = n.programs[1:]
-		}
+		n.cacheProgram(t.Offer.Ask.Service)
 	}
 	if !t.running && n.model.ConfirmsRunning {
 		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Why: why, Text: "ended before it ran", Load: n.loadNow(now)})
@@ -111,7 +112,19 @@
 	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.Offer.Bind, Why: why, Load: n.loadNow(now)}}})
 }
 
-// Stop ends the accounting of what runs on the node.
+// cacheProgram makes a service's program the most recently used one, and drops the least recently used beyond the limit.
+func (n *Node) cacheProgram(service uint64) {
+	n.removeCachedProgram(service)
+	if n.cachedPrograms = append(n.cachedPrograms, service); len(n.cachedPrograms) > n.model.CachedPrograms {
+		n.cachedPrograms = n.cachedPrograms[1:]
+	}
+}
+
+func (n *Node) removeCachedProgram(service uint64) {
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(cached uint64) bool { return cached == service })
+}
+
+// Stop ends the accounting of running tasks.
 func (n *Node) Stop() {
 	for _, t := range n.tasks {
 		if t.running && n.OnRunning != nil {
