--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -15,7 +15,7 @@
 const callCost = 40
 
 // DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. Faults set its
-// exported fields.
+// exported fields. It has more than fifteen fields, as these faults change registrations, polls and updates alike.
 type DiscoveryService struct {
 	model   *scenario.DiscoveryModel
 	epoch   uint64
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -67,7 +67,7 @@
 	Kind          string
 	Zone, Cell    string
 	Cores, Memory float64
-	ListAddr      string
+	DiscoveryAddr string
 	Addr          string
 	CoreTime      float64 // core milliseconds for which single workloads ran while clients sent requests
 }
@@ -93,7 +93,7 @@
 }
 
 // dialDiscovery connects to the discovery service.
-func (n *Node) dialDiscovery(placement.Millis) { n.discovery = n.network.Dial(n.spec.ListAddr) }
+func (n *Node) dialDiscovery(placement.Millis) { n.discovery = n.network.Dial(n.spec.DiscoveryAddr) }
 
 func (n *Node) wake() {
 	if at, ok := n.timers.Next(); ok {
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -48,146 +48,153 @@
 	delayed    []delayedFrame
 }
 
+// delayedFrame is a frame that is sent at a later time.
 type delayedFrame struct {
 	at placement.Millis
 	c  transport.ConnID
 	f  *pb.Frame
 }
 
-// wrap returns the handler changed as the mutant says. Mutants that need other settings leave it as it is.
-func (s Mutant) wrap(p transport.FrameHandler) transport.FrameHandler {
-	if s == NoMutant || s == IgnoresSpread || s == IgnoresStorage || s == NeverSyncs || s == ExceedsMaxBinds {
+// wrap returns the handler changed as the mutant says, or the handler itself if the mutant changes only settings.
+func (m Mutant) wrap(p transport.FrameHandler) transport.FrameHandler {
+	if m == NoMutant || m == IgnoresSpread || m == IgnoresStorage || m == NeverSyncs || m == ExceedsMaxBinds {
 		return p
 	}
-	return &mutantHandler{FrameHandler: p, mutant: s}
+	return &mutantHandler{FrameHandler: p, mutant: m}
 }
 
-func (s *mutantHandler) Start(now placement.Millis, net transport.FrameNetwork) {
-	s.net = net
-	s.FrameHandler.Start(now, s)
+func (h *mutantHandler) Start(now placement.Millis, net transport.FrameNetwork) {
+	h.net = net
+	h.FrameHandler.Start(now, h)
 }
 
-func (s *mutantHandler) Dial(addr string) transport.ConnID { return s.net.Dial(addr) }
-func (s *mutantHandler) Close(c transport.ConnID)          { s.net.Close(c) }
-func (s *mutantHandler) WakeAt(t placement.Millis)         { s.net.WakeAt(t) }
-func (s *mutantHandler) Now() placement.Millis             { return s.net.Now() }
-func (s *mutantHandler) Wake(now placement.Millis)         { s.sendDelayed(now); s.FrameHandler.Wake(now) }
+func (h *mutantHandler) Dial(addr string) transport.ConnID { return h.net.Dial(addr) }
+func (h *mutantHandler) Close(c transport.ConnID)          { h.net.Close(c) }
+func (h *mutantHandler) WakeAt(t placement.Millis)         { h.net.WakeAt(t) }
+func (h *mutantHandler) Now() placement.Millis             { return h.net.Now() }
+func (h *mutantHandler) Wake(now placement.Millis)         { h.sendDelayed(now); h.FrameHandler.Wake(now) }
 
-func (s *mutantHandler) mutateNext() bool { s.count++; return s.count%mutationInterval == 0 }
+// mutateNext counts a frame, and reports whether it is one to change.
+func (h *mutantHandler) mutateNext() bool {
+	h.count++
+	return h.count%mutationInterval == 0
+}
 
-func (s *mutantHandler) Closed(now placement.Millis, c transport.ConnID, reason error) {
-	for i, n := range s.nodes {
+func (h *mutantHandler) Closed(now placement.Millis, c transport.ConnID, reason error) {
+	for i, n := range h.nodes {
 		if n == c {
-			s.nodes = append(s.nodes[:i], s.nodes[i+1:]...)
+			h.nodes = append(h.nodes[:i], h.nodes[i+1:]...)
 			break
 		}
 	}
-	s.FrameHandler.Closed(now, c, reason)
+	h.FrameHandler.Closed(now, c, reason)
 }
 
-func (s *mutantHandler) sendDelayed(now placement.Millis) {
-	for len(s.delayed) > 0 && s.delayed[0].at <= now {
-		s.net.Send(s.delayed[0].c, s.delayed[0].f)
-		s.delayed = s.delayed[1:]
+// sendDelayed sends the delayed frames that are due.
+func (h *mutantHandler) sendDelayed(now placement.Millis) {
+	for len(h.delayed) > 0 && h.delayed[0].at <= now {
+		h.net.Send(h.delayed[0].c, h.delayed[0].f)
+		h.delayed = h.delayed[1:]
 	}
 }
 
-func (s *mutantHandler) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
+func (h *mutantHandler) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Hello:
 		if b.Hello.Role == pb.Role_NODE {
-			s.nodes = append(s.nodes, c)
-			if s.mutant == IgnoresDrain || s.mutant == IgnoresWarmUp {
-				told := &pb.Hello{
+			h.nodes = append(h.nodes, c)
+			if h.mutant == IgnoresDrain || h.mutant == IgnoresWarmUp {
+				changed := &pb.Hello{
 					Role: pb.Role_NODE, Name: b.Hello.Name, Node: b.Hello.Node, Incarnation: b.Hello.Incarnation,
-					Standing: b.Hello.Standing, Draining: b.Hello.Draining && s.mutant != IgnoresDrain, UpForMs: b.Hello.UpForMs,
+					Standing: b.Hello.Standing, Draining: b.Hello.Draining && h.mutant != IgnoresDrain, UpForMs: b.Hello.UpForMs,
 				}
-				if s.mutant == IgnoresWarmUp {
-					told.UpForMs = -1
+				if h.mutant == IgnoresWarmUp {
+					changed.UpForMs = -1
 				}
-				f = transport.HelloFrame(told)
+				f = transport.HelloFrame(changed)
 			}
 		}
 	case *pb.Frame_Drain:
-		if s.mutant == IgnoresDrain {
+		if h.mutant == IgnoresDrain {
 			return
 		}
 	case *pb.Frame_OfferAnswer:
-		if s.mutant == LeavesGangParts && b.OfferAnswer.Accepted {
-			s.net.Send(c, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: b.OfferAnswer.Bind}}})
+		if h.mutant == LeavesGangParts && b.OfferAnswer.Accepted {
+			h.net.Send(c, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: b.OfferAnswer.Bind}}})
 		}
 	case *pb.Frame_ListUpdate:
-		f = s.changeUpdate(b.ListUpdate)
+		f = h.changeUpdate(b.ListUpdate)
 	}
-	s.FrameHandler.Received(now, c, f)
+	h.FrameHandler.Received(now, c, f)
 }
 
 // changeUpdate returns a discovery update with other contents.
-func (s *mutantHandler) changeUpdate(u *pb.ListUpdate) *pb.Frame {
-	told := &pb.ListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
+func (h *mutantHandler) changeUpdate(u *pb.ListUpdate) *pb.Frame {
+	changed := &pb.ListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
 	for _, e := range u.Entries {
 		other := &pb.NodeEntry{
 			Id: e.Id, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Boot: e.Boot, UpForMs: e.UpForMs,
 			FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Address: e.Address,
 		}
-		if s.mutant == IgnoresDrain && e.State == pb.NodeEntry_DRAINING {
+		if h.mutant == IgnoresDrain && e.State == pb.NodeEntry_DRAINING {
 			other.State = pb.NodeEntry_READY
 		}
-		if s.mutant == IgnoresWarmUp {
+		if h.mutant == IgnoresWarmUp {
 			other.UpForMs = -1
 		}
-		told.Entries = append(told.Entries, other)
+		changed.Entries = append(changed.Entries, other)
 	}
-	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: told}}
+	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: changed}}
 }
 
-func (s *mutantHandler) Send(c transport.ConnID, f *pb.Frame) {
+func (h *mutantHandler) Send(c transport.ConnID, f *pb.Frame) {
 	switch b := f.Body.(type) {
 	case *pb.Frame_Answer:
-		s.answer(c, f, b.Answer)
+		h.answer(c, f, b.Answer)
 		return
 	case *pb.Frame_Stop:
-		switch s.mutant {
+		switch h.mutant {
 		case LeavesGangParts:
 			return
 		case StopsTwice:
-			s.net.Send(c, f)
+			h.net.Send(c, f)
 		}
 	case *pb.Frame_Offer:
-		s.net.Send(c, f)
-		if s.mutant == TwoBinds && s.mutateNext() {
+		h.net.Send(c, f)
+		if h.mutant == TwoBinds && h.mutateNext() {
 			second := &pb.Offer{Bind: &pb.BindID{
 				Allocator: b.Offer.Bind.Allocator, Incarnation: b.Offer.Bind.Incarnation,
 				Workload: b.Offer.Bind.Workload, Number: b.Offer.Bind.Number + 1,
 			}, Owner: b.Offer.Owner, Ask: b.Offer.Ask, AcceptWithinMs: b.Offer.AcceptWithinMs, Gang: b.Offer.Gang}
-			s.net.Send(s.nodes[s.count/mutationInterval%len(s.nodes)], &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
+			h.net.Send(h.nodes[h.count/mutationInterval%len(h.nodes)], &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
 		}
-		if s.mutant == OffersAfterAnswer && s.firstOffer == nil {
-			s.firstOffer = f
+		if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
+			h.firstOffer = f
 		}
 		return
 	}
-	s.net.Send(c, f)
+	h.net.Send(c, f)
 }
 
-func (s *mutantHandler) answer(c transport.ConnID, f *pb.Frame, a *pb.Answer) {
+// answer sends an answer as the mutant changes it.
+func (h *mutantHandler) answer(c transport.ConnID, f *pb.Frame, a *pb.Answer) {
 	switch {
-	case s.mutant == NoAnswer && s.mutateNext():
+	case h.mutant == NoAnswer && h.mutateNext():
 		return
-	case s.mutant == TwoAnswers && s.mutateNext():
-		s.net.Send(c, f)
-	case s.mutant == LateAnswer && a.Verdict != pb.Verdict_PLACED:
-		s.delayed = append(s.delayed, delayedFrame{s.net.Now() + 15e3, c, f})
+	case h.mutant == TwoAnswers && h.mutateNext():
+		h.net.Send(c, f)
+	case h.mutant == LateAnswer && a.Verdict != pb.Verdict_PLACED:
+		h.delayed = append(h.delayed, delayedFrame{h.net.Now() + 15e3, c, f})
 		return
-	case s.mutant == RejectsUnknownOutcome && a.Verdict == pb.Verdict_UNSCHEDULABLE:
+	case h.mutant == RejectsUnknownOutcome && a.Verdict == pb.Verdict_UNSCHEDULABLE:
 		f = &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{Ask: a.Ask, Verdict: pb.Verdict_REJECTED}}}
-	case s.mutant == OffersAfterAnswer && s.firstOffer != nil && len(s.nodes) > 0:
-		s.net.Send(c, f)
-		if o := s.firstOffer.GetOffer(); o.Ask.Ask == a.Ask {
-			s.net.Send(s.nodes[0], s.firstOffer)
-			s.firstOffer = nil
+	case h.mutant == OffersAfterAnswer && h.firstOffer != nil && len(h.nodes) > 0:
+		h.net.Send(c, f)
+		if o := h.firstOffer.GetOffer(); o.Ask.Ask == a.Ask {
+			h.net.Send(h.nodes[0], h.firstOffer)
+			h.firstOffer = nil
 		}
 		return
 	}
-	s.net.Send(c, f)
+	h.net.Send(c, f)
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -59,10 +59,10 @@
 	return r, nil
 }
 
-// ErrDeadline is returned for a run that was given up at its deadline.
+// ErrDeadline is returned for a run that was abandoned at its deadline or cancelled.
 var ErrDeadline = errors.New("the day took too long and was given up")
 
-// late returns a function that tells whether the run's deadline is over. It looks at the clock once in a while.
+// late returns a function that reports whether the run is past its deadline or cancelled. It reads the clock only once in 4096 calls.
 func (o *Options) late() func() bool {
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
@@ -82,13 +82,13 @@
 	Requests, Placed, Rejected, Unschedulable, Pending int
 }
 
-// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Progress, if not nil, is called once
-// a second. If the context ends, the run is given up and not audited.
-func PlaySockets(ctx context.Context, s *scenario.Script, o Options, told func(Progress)) (*Result, error) {
+// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Function notify, if not nil, is called once
+// a second. If the context ends, the run is abandoned and not audited.
+func PlaySockets(ctx context.Context, s *scenario.Script, o Options, notify func(Progress)) (*Result, error) {
 	began := time.Now()
 	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
 	loop := transport.NewLoop(o.Log)
-	defer loop.Close() //nolint:contextcheck // what was sent must leave also where ctx has ended
+	defer loop.Close() //nolint:contextcheck // pending writes are flushed even after ctx has ended
 	seen := observer.NewHistory(s.Terms())
 	d, err := NewRun(s, o, loop, seen, loop.Now())
 	if err != nil {
@@ -104,8 +104,8 @@
 		case <-tick.C:
 		}
 		now := loop.Now()
-		if p := d.progress(loop); told != nil && n%5 == 0 {
-			told(p)
+		if p := d.progress(loop); notify != nil && n%5 == 0 {
+			notify(p)
 		} else if now > d.Deadline() || now > d.RequestsEnd() && p.Pending == 0 {
 			break
 		}
@@ -140,7 +140,7 @@
 			p.Placed += o.Tally.Placed
 			p.Rejected += o.Tally.Rejected
 			p.Unschedulable += o.Tally.Unschedulable
-			p.Pending += o.Open()
+			p.Pending += o.PendingRequests()
 		})
 	}
 	return p
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -20,8 +20,8 @@
 	Virtual               bool           `json:"virtual"`
 	Allocators            int            `json:"allocators"`
 	Nodes                 int            `json:"nodes"`
-	AllocatorIncarnations int            `json:"allocator_lives"` // processes of allocators, those that came back counted anew
-	Workloads             int            `json:"workloads"`       // asks, those that came again too
+	AllocatorIncarnations int            `json:"allocator_lives"` // allocator processes, restarts included
+	Workloads             int            `json:"workloads"`       // requests, retries included
 	FirstRequests         int            `json:"firsts"`
 	Placed                int            `json:"placed"`
 	Rejected              int            `json:"rejected"`
@@ -35,31 +35,31 @@
 	ListCalls             uint64         `json:"list_calls"`
 	Duplicates            uint64         `json:"duplicates"`
 	UnmatchedReplies      uint64         `json:"stray"`
-	AnsweredFromStorage   uint64         `json:"known_before"` // asks answered by what was written down before
+	AnsweredFromStorage   uint64         `json:"known_before"` // requests answered from the journal
 	Ended                 map[string]int `json:"ended"`
-	WaitMedian            float64        `json:"wait_median_ms"` // from ask to yes
+	WaitMedian            float64        `json:"wait_median_ms"` // from the request to its placement
 	Wait99                float64        `json:"wait_p99_ms"`
-	OverloadedNodes       int            `json:"fell"` // cold nodes pushed over
+	OverloadedNodes       int            `json:"fell"` // nodes that failed from too many offers while warming up
 
-	Ran            float64           `json:"core_time_share"` // of the core time that single workloads wanted while owners asked
-	ListEntries    uint64            `json:"list_entries"`    // that allocators were told
+	Ran            float64           `json:"core_time_share"` // of the core time that single workloads wanted until clients stopped sending requests
+	ListEntries    uint64            `json:"list_entries"`    // sent to allocators
 	Oracle         *Oracle           `json:"oracle,omitempty"`
-	FirstPlaced    float64           `json:"singles_placed_at_first"` // share of workloads in no group that their first ask placed
-	Gangs          int               `json:"gangs"`                   // that owners wanted
-	GangsStood     int               `json:"gangs_standing"`          // that stood at some time
-	GangsGivenUp   int               `json:"gangs_given_up"`          // that never did, and are not asked for any more
-	PartialLeft    int               `json:"partial_groups_left"`     // by the auditor, after the settle time
-	GangMedian     float64           `json:"gang_wait_median_ms"`     // from a group's first ask until it stood
-	GangWasted     float64           `json:"gang_wasted_share"`       // of the core time of parts, that of groups that did not stand
-	GangStops      uint64            `json:"gang_stops"`              // parts that allocators stopped
+	FirstPlaced    float64           `json:"singles_placed_at_first"` // share of single workloads that their first request placed
+	Gangs          int               `json:"gangs"`                   // that clients wanted
+	GangsStood     int               `json:"gangs_standing"`          // that started
+	GangsGivenUp   int               `json:"gangs_given_up"`          // that never started and are no longer requested
+	PartialLeft    int               `json:"partial_groups_left"`     // incomplete gangs that the auditor found after the settle time
+	GangMedian     float64           `json:"gang_wait_median_ms"`     // from a gang's first request until it started
+	GangWasted     float64           `json:"gang_wasted_share"`       // share of the parts' core time that gangs which did not start took
+	GangStops      uint64            `json:"gang_stops"`              // gang parts that allocators stopped
 	Frames         int               `json:"frames"`
 	DaySeconds     float64           `json:"day_seconds"`
 	RanSeconds     float64           `json:"ran_seconds"`
-	Nearest        audit.LimitUse    `json:"nearest"` // how near to its limits it came
+	Nearest        audit.LimitUse    `json:"nearest"` // the highest use of each limit
 	Digest         string            `json:"digest"`
 	Violations     []audit.Violation `json:"broken"`
 	MoreViolations int               `json:"more_broken,omitempty"`
-	Singles        int               `json:"singles"` // workloads wanted that are in no group
+	Singles        int               `json:"singles"` // workloads that belong to no gang
 }
 
 // SinglesWanted reports whether workloads outside gangs were wanted.
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -110,7 +110,7 @@
 			i := len(d.specs)
 			d.specs = append(d.specs, &emulator.NodeSpec{
 				ID: uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.NodeKinds[k],
-				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, ListAddr: list,
+				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, DiscoveryAddr: list,
 			})
 		}
 	}
@@ -336,7 +336,7 @@
 func (d *Run) PendingRequests() (n int) {
 	for _, g := range d.clients {
 		if o, ok := g.Handler().(*emulator.Client); ok {
-			n += o.Open()
+			n += o.PendingRequests()
 		}
 	}
 	return n
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -6,21 +6,21 @@
 	"grebeglade/placement"
 )
 
-// Oracle is how far a day was from the best, in shares of the core time that was wanted while owners asked. The best
-// lies between Best and Bound. What the day lacks of Best is the sum of Rules, Asking, Decisions and Knowledge.
+// Oracle compares a scenario run with the optimum, in shares of the core time that clients wanted until they stopped sending requests.
+// The optimum lies between Best and Bound. The run falls short of Best by the sum of Rules, Asking, Decisions and Knowledge.
 type Oracle struct {
-	Bound     float64 `json:"bound"`     // no scheduler runs more
-	Best      float64 `json:"best"`      // the most that is known to have been possible
-	Rules     float64 `json:"rules"`     // that keeping spread and cold budgets costs the best placing
-	Asking    float64 `json:"asking"`    // that owners who ask again late, or must not, for what a machine lost cost it
-	Decisions float64 `json:"decisions"` // the rest, with the true state at hand: the engine's choices, and programs that take time to start
-	Knowledge float64 `json:"knowledge"` // that the engine loses by knowing late, and by allocators not knowing of each other
+	Bound     float64 `json:"bound"`     // upper bound for any scheduler
+	Best      float64 `json:"best"`      // highest share that is known to be feasible
+	Rules     float64 `json:"rules"`     // lost by the best placement to spread limits and warm-up budgets
+	Asking    float64 `json:"asking"`    // lost to clients that retry after a delay, or must not retry, what a node lost
+	Decisions float64 `json:"decisions"` // the rest, with full knowledge: the engine's choices and the start times of programs
+	Knowledge float64 `json:"knowledge"` // lost to stale state, and to allocators not knowing of each other's binds
 }
 
-// atOnce is how old the news may be on a day on which the engine sees the true state, in ms.
+// freshDelay is the interval in ms of discovery updates and load reports in a run with full knowledge.
 const freshDelay = placement.Millis(10)
 
-// oracle works out what the best could have run of what was wanted on this day.
+// oracle compares the share of core time that ran with what the best placement of the same demand could have run.
 func (d *Run) oracle(ran float64) (*Oracle, error) {
 	machines, wants, end := d.machines(), d.oracleWants(), d.RequestsEnd()
 	wanted := d.wantedCores()
@@ -34,22 +34,22 @@
 		}
 		return m.BindLimit(m.InitialRate + (1-m.InitialRate)*float64(up/m.WarmUpDuration))
 	}}
-	free := oracle.Place(machines, wants, end, nil) / wanted
-	ruled := oracle.Place(machines, wants, end, rules) / wanted
+	unconstrained := oracle.Place(machines, wants, end, nil) / wanted
+	constrained := oracle.Place(machines, wants, end, rules) / wanted
 	rules.Asked = true
-	asked := oracle.Place(machines, wants, end, rules) / wanted
-	seeing, err := d.playWithFullKnowledge()
+	retried := oracle.Place(machines, wants, end, rules) / wanted
+	informed, err := d.playWithFullKnowledge()
 	if err != nil {
 		return nil, err
 	}
-	o := &Oracle{Bound: oracle.Bound(machines, wants, end) / wanted, Best: max(free, ruled, seeing, ran)}
-	o.Knowledge = seeing - ran
-	o.Rules, o.Asking = free-ruled, ruled-asked
-	o.Decisions = o.Best - o.Rules - o.Asking - seeing
+	o := &Oracle{Bound: oracle.Bound(machines, wants, end) / wanted, Best: max(unconstrained, constrained, informed, ran)}
+	o.Knowledge = informed - ran
+	o.Rules, o.Asking = unconstrained-constrained, constrained-retried
+	o.Decisions = o.Best - o.Rules - o.Asking - informed
 	return o, nil
 }
 
-// seeing plays the day again with one allocator that knows of everything at once.
+// playWithFullKnowledge repeats the run with one allocator and without delays of its state, and returns the share that ran.
 func (d *Run) playWithFullKnowledge() (float64, error) {
 	s := *d.script
 	s.Allocators, s.Discovery.Lag, s.Discovery.PushInterval, s.Discovery.EntriesPerSecond = 1, 0, freshDelay, 0
@@ -61,7 +61,7 @@
 	return r.Ran, nil
 }
 
-// again is how long an owner waits, in the mean, before it asks again for what was lost.
+// meanRetryDelay returns the mean delay before a client retries a lost workload, or -1 if it never does.
 func (d *Run) meanRetryDelay(e placement.Idempotency) placement.Millis {
 	switch e {
 	case placement.AtMostOnce:
@@ -72,6 +72,7 @@
 	return d.script.Client.RetryDelay
 }
 
+// machines returns the nodes of the run as the oracle's machines.
 func (d *Run) machines() []oracle.Machine {
 	var all []oracle.Machine
 	for i, g := range d.nodes {
@@ -85,6 +86,7 @@
 	return all
 }
 
+// oracleWants returns the workloads that clients wanted, with their actual resource use.
 func (d *Run) oracleWants() []oracle.Want {
 	terms := d.script.Terms()
 	var all []oracle.Want
