--- a/internal/simulation/emulator/client_demand.go
+++ b/internal/simulation/emulator/client_demand.go
@@ -38,15 +38,11 @@
 	c.timers.Schedule(now+c.requestInterval(), c.requestNext)
 	demand := c.drawDemand()
 	service := c.demandRNG.IntN(demand.Services)
-	c.keys++
 	request := &clientRequest{
-		key: uint64(c.index)<<40 | c.keys, service: serviceID(demand.Name, service), demand: demand,
+		key: c.newKey(), service: serviceID(demand.Name, service), demand: demand,
 		shape: demand.Shapes[service%len(demand.Shapes)], endsAt: now + c.drawLifetime(demand),
 	}
-	c.Tally.FirstRequests++
-	c.Tally.SinglesFirst++
-	c.recordWant(now, request)
-	c.send(now, request)
+	c.sendFirst(now, request)
 	if c.demandRNG.Float64() < c.model.WithdrawShare {
 		// Half of the withdrawals come so early that the answer may still be in transit.
 		within := quickWithdrawal
@@ -86,3 +82,9 @@
 	}
 	return (h^uint64(index))*fnvPrime | 1
 }
+
+// newKey returns an unused workload key.
+func (c *Client) newKey() uint64 {
+	c.keys++
+	return uint64(c.index)<<40 | c.keys
+}
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -55,8 +55,7 @@
 // newKeys returns that many unused workload keys.
 func (c *Client) newKeys(n int) (keys []uint64) {
 	for range n {
-		c.keys++
-		keys = append(keys, uint64(c.index)<<40|c.keys)
+		keys = append(keys, c.newKey())
 	}
 	return keys
 }
@@ -92,12 +91,9 @@
 	if gang.keys == nil || demand.Idempotency != placement.AtMostOnce {
 		gang.keys = c.newKeys(demand.Parts)
 	}
-	at := connected[c.rng.IntN(len(connected))]
-	c.lastRequest++
-	id := c.lastRequest
-	request := &clientRequest{key: gang.keys[0], requestedAt: now, conn: c.connections[at], allocator: at, gang: gang, endsAt: now + demand.Lifetime}
-	c.requests[id] = request
-	c.Tally.Requests++
+	allocator := connected[c.rng.IntN(len(connected))]
+	request := &clientRequest{key: gang.keys[0], requestedAt: now, conn: c.connections[allocator], allocator: allocator, gang: gang, endsAt: now + demand.Lifetime}
+	id := c.addRequest(request)
 	message := &pb.GangAsk{
 		Ask: id, Need: uint32(demand.MinParts), LeftMs: float64(demand.PendingTimeout), Spread: demand.SpreadScope, Replace: demand.Replace,
 		ReplaceWithinMs: float64(demand.ReplaceTimeout), SentMs: float64(now),
@@ -106,7 +102,7 @@
 		message.Parts = append(message.Parts, gang.partRequest(i))
 	}
 	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: message}})
-	c.timers.Schedule(now+demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+	c.scheduleAnswerTimeout(now, demand.PendingTimeout, id, request)
 	if c.rng.Float64() < c.model.WithdrawShare {
 		c.timers.Schedule(now+placement.Millis(c.rng.Float64())*demand.Lifetime/4, func(now placement.Millis) { c.withdrawGang(now, id, request) })
 	}
@@ -204,16 +200,16 @@
 	if gang.ended || len(connected) == 0 {
 		return
 	}
-	at := connected[c.rng.IntN(len(connected))]
-	c.lastRequest++
-	id := c.lastRequest
-	request := &clientRequest{key: gang.keys[i], requestedAt: now, conn: c.connections[at], allocator: at, gang: gang, part: i, endsAt: now + gang.demand.Lifetime}
-	c.requests[id] = request
-	c.Tally.Requests++
+	allocator := connected[c.rng.IntN(len(connected))]
+	request := &clientRequest{
+		key: gang.keys[i], requestedAt: now, conn: c.connections[allocator], allocator: allocator, gang: gang, part: i,
+		endsAt: now + gang.demand.Lifetime,
+	}
+	id := c.addRequest(request)
 	message := gang.partRequest(i)
 	message.Ask, message.LeftMs = id, float64(gang.demand.PendingTimeout)
 	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: message}})
-	c.timers.Schedule(now+gang.demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+	c.scheduleAnswerTimeout(now, gang.demand.PendingTimeout, id, request)
 }
 
 // retryPart requests one part again after the retry delay.
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -36,6 +36,14 @@
 	requiredAllocator int // the only allocator that may be used, counted from 1; 0 for any
 }
 
+// sendFirst sends the first request for a single workload.
+func (c *Client) sendFirst(now placement.Millis, request *clientRequest) {
+	c.Tally.FirstRequests++
+	c.Tally.SinglesFirst++
+	c.recordWant(now, request)
+	c.send(now, request)
+}
+
 // send sends a request to a connected allocator, or tries again later if there is none.
 func (c *Client) send(now placement.Millis, request *clientRequest) {
 	if request.withdrawn {
@@ -59,18 +67,28 @@
 	if c.rng.Float64() < c.FirstAllocatorShare {
 		conn = connected[0]
 	}
-	c.lastRequest++
-	id := c.lastRequest
 	request.attempts++
 	request.requestedAt, request.conn, request.allocator, request.placed = now, conn, c.allocatorByConn[conn], false
-	c.requests[id] = request
-	c.Tally.Requests++
+	id := c.addRequest(request)
 	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
 		Ask: id, Key: request.key, Service: request.service, Group: request.demand.Name, Cores: request.shape[0], Memory: request.shape[1],
 		LeftMs: float64(request.demand.PendingTimeout), RunsForMs: float64(request.endsAt - now), Again: request.attempts > 1,
 		SentMs: float64(now),
 	}}})
-	c.timers.Schedule(now+request.demand.PendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+	c.scheduleAnswerTimeout(now, request.demand.PendingTimeout, id, request)
+}
+
+// addRequest adds an open request and returns its ID.
+func (c *Client) addRequest(request *clientRequest) uint64 {
+	c.lastRequest++
+	c.requests[c.lastRequest] = request
+	c.Tally.Requests++
+	return c.lastRequest
+}
+
+// scheduleAnswerTimeout gives an allocator the pending timeout, and some slack for the network, to answer a request.
+func (c *Client) scheduleAnswerTimeout(now, pendingTimeout placement.Millis, id uint64, request *clientRequest) {
+	c.timers.Schedule(now+pendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
 }
 
 // handleAnswer handles the answer to a request. Answers to ended or placed requests are ignored.
@@ -165,16 +183,12 @@
 		}
 		done[request] = true
 		c.withdraw(now, request)
-		c.keys++
 		replacement := &clientRequest{
-			key: uint64(c.index)<<40 | c.keys, service: request.service, demand: request.demand, shape: request.shape, endsAt: request.endsAt,
+			key: c.newKey(), service: request.service, demand: request.demand, shape: request.shape, endsAt: request.endsAt,
 		}
 		c.timers.Schedule(now+within*placement.Millis(c.rng.Float64()), func(now placement.Millis) {
 			if now+minRemaining < min(replacement.endsAt, c.model.Until) {
-				c.Tally.FirstRequests++
-				c.Tally.SinglesFirst++
-				c.recordWant(now, replacement)
-				c.send(now, replacement)
+				c.sendFirst(now, replacement)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/simulation/emulator/fake_network_test.go
@@ -0,0 +1,42 @@
+package emulator
+
+import (
+	"fmt"
+
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// fakeNetwork is the network of one handler under test.
+type fakeNetwork struct {
+	now  placement.Millis
+	wake placement.Millis
+	sent []*pb.Frame
+}
+
+func (n *fakeNetwork) Dial(string) transport.ConnID { return 1 }
+func (n *fakeNetwork) Send(c transport.ConnID, f *pb.Frame) {
+	n.sent = append(n.sent, f)
+}
+func (n *fakeNetwork) Close(transport.ConnID)    {}
+func (n *fakeNetwork) WakeAt(t placement.Millis) { n.wake = t }
+func (n *fakeNetwork) Now() placement.Millis     { return n.now }
+func (n *fakeNetwork) run(node *Node, until placement.Millis) {
+	for n.wake <= until {
+		n.now = n.wake
+		node.Wake(n.now)
+	}
+	n.now = until
+}
+
+// offerAnswers returns the node's answers to offers as text, and forgets the frames sent.
+func (n *fakeNetwork) offerAnswers() (all []string) {
+	for _, f := range n.sent {
+		if a := f.GetOfferAnswer(); a != nil {
+			all = append(all, fmt.Sprintf("%d %v %s", a.Bind.Workload, a.Accepted, a.Text))
+		}
+	}
+	n.sent = nil
+	return all
+}
--- a/internal/simulation/emulator/emulator_test.go
+++ b/internal/simulation/emulator/node_test.go
@@ -1,55 +1,22 @@
 package emulator
 
 import (
-	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
-	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNet is the network of one handler under test.
-type fakeNet struct {
-	now  placement.Millis
-	wake placement.Millis
-	sent []*pb.Frame
-}
-
-func (w *fakeNet) Dial(string) transport.ConnID         { return 1 }
-func (w *fakeNet) Send(c transport.ConnID, f *pb.Frame) { w.sent = append(w.sent, f) }
-func (w *fakeNet) Close(transport.ConnID)               {}
-func (w *fakeNet) WakeAt(t placement.Millis)            { w.wake = t }
-func (w *fakeNet) Now() placement.Millis                { return w.now }
-func (w *fakeNet) run(n *Node, until placement.Millis) {
-	for w.wake <= until {
-		w.now = w.wake
-		n.Wake(w.now)
-	}
-	w.now = until
-}
-
-// offerAnswers returns the node's answers to offers as text, and forgets the frames sent.
-func (w *fakeNet) offerAnswers() (all []string) {
-	for _, f := range w.sent {
-		if a := f.GetOfferAnswer(); a != nil {
-			all = append(all, fmt.Sprintf("%d %v %s", a.Bind.Workload, a.Accepted, a.Text))
-		}
-	}
-	w.sent = nil
-	return all
-}
-
 func TestNode_AnswersOffers(t *testing.T) {
-	w := &fakeNet{}
+	network := &fakeNetwork{}
 	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, &scenario.NodeModel{
 		CoreOvercommit: 1, MemoryOvercommit: 1, AdmissionTime: 10, QueueLimit: 3, ConcurrentStarts: 1, UncachedStartFactor: 2, ReportInterval: 1000, DrainMode: "keeps",
 		Groups: map[string]*scenario.GroupModel{"g": {StartTime: 50, CoreUse: 1, MemoryUse: 1}, "t": {StartTime: 50}},
 	}, 1)
-	n.Start(0, w)
+	n.Start(0, network)
 	n.Opened(0, 2)
 	n.Received(0, 2, transport.HelloFrame(&pb.Hello{Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 5}))
 	offer := func(id uint64, change ...func(*pb.Offer)) {
@@ -60,37 +27,37 @@
 		for _, f := range change {
 			f(o)
 		}
-		n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
+		n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
 	}
 	offer(1)
-	w.run(n, 20)
+	network.run(n, 20)
 	offer(1) // a duplicate, as a network may deliver it
-	w.run(n, 40)
-	assert.Equal(t, []string{"1 true ", "1 true "}, w.offerAnswers())
+	network.run(n, 40)
+	assert.Equal(t, []string{"1 true ", "1 true "}, network.offerAnswers())
 	assert.Len(t, n.tasks, 1)
 	offer(2, func(o *pb.Offer) { o.Bind.Incarnation = 4 })
 	offer(3, func(o *pb.Offer) { o.Ask.Key = 1 })
 	offer(4, func(o *pb.Offer) { o.Ask.Cores = 7 })
 	offer(5)
-	w.run(n, 200)
+	network.run(n, 200)
 	offer(6, func(o *pb.Offer) { o.Ask.Memory, o.Ask.Cores = 7, 1 })
 	offer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
 	n.ThrottledGroup = "t"
 	offer(8, func(o *pb.Offer) { o.Ask.Group = "t" })
-	w.run(n, 240)
+	network.run(n, 240)
 	assert.Equal(t, []string{
 		"5 false too many offers wait", "2 false from an earlier incarnation of the allocator",
 		"3 false a copy stands here", "4 false no cores left", "6 false no memory left", "7 false too late", "8 false ",
-	}, w.offerAnswers())
+	}, network.offerAnswers())
 	// Cancelled or draining while queued: rejected, and no task is added.
 	offer(9, func(o *pb.Offer) { o.Ask.Cores = 1 })
-	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 9}, OnlyWaiting: true}}})
+	n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 9}, OnlyWaiting: true}}})
 	offer(10, func(o *pb.Offer) { o.Ask.Cores = 1 })
-	n.Drain(w.now, true)
-	w.run(n, 300)
-	assert.Equal(t, []string{"9 false called off", "10 false draining"}, w.offerAnswers())
+	n.Drain(network.now, true)
+	network.run(n, 300)
+	assert.Equal(t, []string{"9 false called off", "10 false draining"}, network.offerAnswers())
 	// A stop for queued offers only does not end an accepted task.
-	n.Received(w.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 1}, OnlyWaiting: true}}})
+	n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 1}, OnlyWaiting: true}}})
 	assert.Len(t, n.tasks, 1)
 }
 
@@ -99,57 +66,24 @@
 		CoreOvercommit: 1, MemoryOvercommit: 1, AdmissionTime: 1, QueueLimit: 3, ConcurrentStarts: 1, UncachedStartFactor: 1, ReportInterval: 10, DrainMode: "keeps",
 		Groups: map[string]*scenario.GroupModel{"g": {StartTime: 5, CoreUse: 1, MemoryUse: 1}},
 	}
-	w := &fakeNet{}
+	network := &fakeNetwork{}
 	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, m, 1)
-	n.Start(0, w)
+	n.Start(0, network)
 	n.StartsBlocked = true
 	n.accept(0, &pb.Offer{Bind: &pb.BindID{Workload: 1}, Ask: &pb.Ask{Group: "g", Cores: 4, Memory: 4, RunsForMs: 1e5}})
-	w.run(n, 50)
+	network.run(n, 50)
 	assert.False(t, n.tasks[0].running)
 	n.UnblockStarts(50)
-	w.run(n, 100)
+	network.run(n, 100)
 	assert.True(t, n.tasks[0].running)
 	reported := *n.load.SpareCores
 	assert.Less(t, reported, 10.0)
 	n.UnderreportedShare = 1
-	w.run(n, 150)
+	network.run(n, 150)
 	assert.InDelta(t, 10.0, *n.load.SpareCores, 0)
 	assert.Greater(t, *n.load.SpareCores, reported)
 }
 
-func TestDiscoveryService_StaleWrongAndEmpty(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
-	w := &fakeNet{}
-	s.Start(0, w)
-	s.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Boot: 1, FreeCores: 4})
-	listed := func() []*pb.NodeEntry { return s.newUpdate(0, pb.ListUpdate_WHOLE, 0).GetListUpdate().Entries }
-	s.SetStale(0, true)
-	s.applyOrDefer(func() { s.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Boot: 1, FreeCores: 4}) })
-	assert.Equal(t, pb.NodeEntry_READY, listed()[0].State)
-	s.SetStale(0, false)
-	assert.Equal(t, pb.NodeEntry_DRAINING, listed()[0].State)
-	s.Misreport(0, 3, false)
-	assert.InDelta(t, 12.0, listed()[0].FreeCores, 0)
-	before := s.revision
-	s.Misreport(0, 1, true)
-	assert.Empty(t, listed())
-	assert.Greater(t, s.revision, before, "subscribers receive the change")
-}
-
-func TestDiscoveryService_ExtraLagDelaysRegistration(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
-	w := &fakeNet{}
-	s.Start(0, w)
-	s.Opened(0, 1)
-	s.subscribers[1].helloReceived = true
-	s.ExtraLag = 500
-	s.Received(0, 1, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}}})
-	s.Wake(400)
-	assert.Empty(t, s.records, "the registration takes effect later")
-	s.Wake(501)
-	assert.Len(t, s.records, 1)
-}
-
 func TestNode_FaultsRaiseCoresUsed(t *testing.T) {
 	for name, set := range map[string]func(*Node){
 		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 }, "hot": func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
