--- a/internal/command/lab_play.go
+++ b/internal/command/lab_play.go
@@ -160,7 +160,7 @@
 		how = "in virtual time"
 	}
 	c.Printf("Scenario %q (%s), seed %d, %s: %d allocators, %d nodes, %.0f s, run in %.1f s.\n",
-		r.Name, r.About, r.Seed, how, r.Allocators, r.Nodes, r.DaySeconds, r.RanSeconds)
+		r.Name, r.About, r.Seed, how, r.Allocators, r.Nodes, r.ScenarioSeconds, r.RanSeconds)
 	c.Printf("Clients sent %d requests for %d workloads. Placed %d, rejected %d, unschedulable %d, withdrawn %d, lost with their "+
 		"allocator or connection %d, without an answer %d.\n", r.Workloads, r.FirstRequests, r.Placed, r.Rejected,
 		r.Unschedulable, r.Withdrawn, r.Disconnected, r.Unanswered)
@@ -168,7 +168,7 @@
 		r.Binds, r.Migrations, r.WaitMedian, r.Wait99)
 	if r.Gangs > 0 {
 		c.Printf("Of %d gangs %d were placed, half of them within %.0f ms, and %d were abandoned; %.1f%% of the parts' core time went to "+
-			"gangs that were not placed. Parts left of incomplete gangs: %d.\n", r.Gangs, r.GangsStood, r.GangMedian, r.GangsGivenUp,
+			"gangs that were not placed. Parts left of incomplete gangs: %d.\n", r.Gangs, r.GangsPlaced, r.GangMedian, r.GangsAbandoned,
 			100*r.GangWasted, r.PartialLeft)
 	}
 	var ends []string
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -56,7 +56,7 @@
 var Measures = []Measure{
 	{
 		"core_time", "%", "core time that ran, of what was wanted while clients were requesting", higherIsBetter,
-		func(r *simulation.Result) (float64, bool) { return 100 * r.Ran, r.SinglesWanted() },
+		func(r *simulation.Result) (float64, bool) { return 100 * r.CoreTimeShare, r.SinglesWanted() },
 	},
 	{
 		"placed_at_first", "%", "workloads that were placed at their first request", higherIsBetter,
@@ -94,13 +94,15 @@
 	},
 	{
 		"probes", "a workload", "health checks sent to nodes", neitherIsBetter,
-		func(r *simulation.Result) (float64, bool) { return ratio(float64(r.Probes), float64(r.Workloads)) },
+		func(r *simulation.Result) (float64, bool) {
+			return ratio(float64(r.HealthChecks), float64(r.Workloads))
+		},
 	},
 	{
 		"list_entries", "a workload", "entries of the node list that allocators received", neitherIsBetter,
 		func(r *simulation.Result) (float64, bool) { // earlier builds do not count them
-			v, ok := ratio(float64(r.ListEntries), float64(r.Workloads))
-			return v, ok && r.ListEntries > 0
+			v, ok := ratio(float64(r.DiscoveryEntries), float64(r.Workloads))
+			return v, ok && r.DiscoveryEntries > 0
 		},
 	},
 	{
@@ -130,7 +132,7 @@
 	{
 		"behind_best", "points", "core time below the best known", lowerIsBetter,
 		func(r *simulation.Result) (float64, bool) {
-			return oraclePercent(r, func(o *simulation.Oracle) float64 { return o.Best - r.Ran })
+			return oraclePercent(r, func(o *simulation.Oracle) float64 { return o.Best - r.CoreTimeShare })
 		},
 	},
 	{
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -51,7 +51,7 @@
 	r := d.Result(a)
 	r.Virtual = true
 	if o.Oracle {
-		if r.Oracle, err = d.oracle(r.Ran); err != nil {
+		if r.Oracle, err = d.oracle(r.CoreTimeShare); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -31,8 +31,8 @@
 	Unanswered            int            `json:"unanswered"`
 	Binds                 uint64         `json:"binds"`
 	Migrations            uint64         `json:"moves"`
-	Probes                uint64         `json:"probes"`
-	ListCalls             uint64         `json:"list_calls"`
+	HealthChecks          uint64         `json:"probes"`
+	DiscoveryCalls        uint64         `json:"list_calls"`
 	Duplicates            uint64         `json:"duplicates"`
 	UnmatchedReplies      uint64         `json:"stray"`
 	AnsweredFromStorage   uint64         `json:"known_before"` // requests answered from the journal
@@ -41,25 +41,25 @@
 	Wait99                float64        `json:"wait_p99_ms"`
 	OverloadedNodes       int            `json:"fell"` // nodes that failed from too many offers while warming up
 
-	Ran            float64           `json:"core_time_share"` // of the core time that single workloads wanted until clients stopped sending requests
-	ListEntries    uint64            `json:"list_entries"`    // sent to allocators
-	Oracle         *Oracle           `json:"oracle,omitempty"`
-	FirstPlaced    float64           `json:"singles_placed_at_first"` // share of single workloads that their first request placed
-	Gangs          int               `json:"gangs"`                   // that clients wanted
-	GangsStood     int               `json:"gangs_standing"`          // that started
-	GangsGivenUp   int               `json:"gangs_given_up"`          // that never started and are no longer requested
-	PartialLeft    int               `json:"partial_groups_left"`     // incomplete gangs that the auditor found after the settle time
-	GangMedian     float64           `json:"gang_wait_median_ms"`     // from a gang's first request until it started
-	GangWasted     float64           `json:"gang_wasted_share"`       // share of the parts' core time that gangs which did not start took
-	GangStops      uint64            `json:"gang_stops"`              // gang parts that allocators stopped
-	Frames         int               `json:"frames"`
-	DaySeconds     float64           `json:"day_seconds"`
-	RanSeconds     float64           `json:"ran_seconds"`
-	Nearest        audit.LimitUse    `json:"nearest"` // the highest use of each limit
-	Digest         string            `json:"digest"`
-	Violations     []audit.Violation `json:"broken"`
-	MoreViolations int               `json:"more_broken,omitempty"`
-	Singles        int               `json:"singles"` // workloads that belong to no gang
+	CoreTimeShare    float64           `json:"core_time_share"` // of the core time that single workloads wanted until clients stopped sending requests
+	DiscoveryEntries uint64            `json:"list_entries"`    // sent to allocators
+	Oracle           *Oracle           `json:"oracle,omitempty"`
+	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of single workloads that their first request placed
+	Gangs            int               `json:"gangs"`                   // that clients wanted
+	GangsPlaced      int               `json:"gangs_standing"`          // that started
+	GangsAbandoned   int               `json:"gangs_given_up"`          // that never started and are no longer requested
+	PartialLeft      int               `json:"partial_groups_left"`     // incomplete gangs that the auditor found after the settle time
+	GangMedian       float64           `json:"gang_wait_median_ms"`     // from a gang's first request until it started
+	GangWasted       float64           `json:"gang_wasted_share"`       // share of the parts' core time that gangs which did not start took
+	GangStops        uint64            `json:"gang_stops"`              // gang parts that allocators stopped
+	Frames           int               `json:"frames"`
+	ScenarioSeconds  float64           `json:"day_seconds"`
+	RanSeconds       float64           `json:"ran_seconds"`
+	LimitUse         audit.LimitUse    `json:"nearest"` // the highest use of each limit
+	Digest           string            `json:"digest"`
+	Violations       []audit.Violation `json:"broken"`
+	MoreViolations   int               `json:"more_broken,omitempty"`
+	Singles          int               `json:"singles"` // workloads that belong to no gang
 }
 
 // SinglesWanted reports whether workloads outside gangs were wanted.
@@ -71,7 +71,7 @@
 	r := &Result{
 		Name: s.Name, About: s.About, Seed: d.opts.Seed, Allocators: s.Allocators, Nodes: len(d.nodes),
 		Ended: map[string]int{}, Frames: a.Frames, Violations: a.Violations, MoreViolations: a.MoreViolations,
-		OverloadedNodes: len(d.overloads), Nearest: a.LimitUse, DaySeconds: float64(s.Length) / 1000,
+		OverloadedNodes: len(d.overloads), LimitUse: a.LimitUse, ScenarioSeconds: float64(s.Length) / 1000,
 		PartialLeft: a.IncompleteGangs(), GangWasted: a.WastedCoreShare(),
 	}
 	if r.Violations == nil {
@@ -116,8 +116,8 @@
 	r.Unanswered += t.Unanswered
 	r.Singles += t.SinglesFirst
 	r.Gangs += t.Gangs
-	r.GangsStood += t.GangsStarted
-	r.GangsGivenUp += t.GangsAbandoned
+	r.GangsPlaced += t.GangsStarted
+	r.GangsAbandoned += t.GangsAbandoned
 	for reason, n := range t.Ended {
 		r.Ended[reason.String()] += n
 	}
@@ -129,10 +129,10 @@
 		if n, ok := g.Handler().(*emulator.Node); ok {
 			n.Stop()
 		}
-		r.Ran += d.specs[i].CoreTime
+		r.CoreTimeShare += d.specs[i].CoreTime
 	}
 	if wanted := d.wantedCores(); wanted > 0 {
-		r.Ran /= wanted
+		r.CoreTimeShare /= wanted
 	}
 }
 
@@ -144,9 +144,9 @@
 		for _, p := range incarnations {
 			r.Binds += p.Counters.Binds
 			r.Migrations += p.Counters.Migrations
-			r.Probes += p.Counters.HealthChecks
-			r.ListCalls += p.Counters.DiscoveryCalls
-			r.ListEntries += p.Counters.DiscoveryEntries
+			r.HealthChecks += p.Counters.HealthChecks
+			r.DiscoveryCalls += p.Counters.DiscoveryCalls
+			r.DiscoveryEntries += p.Counters.DiscoveryEntries
 			r.GangStops += p.Counters.GangPartStops
 			r.Duplicates += p.Counters.DuplicateRequests
 			r.UnmatchedReplies += p.Counters.UnmatchedReplies
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -89,7 +89,7 @@
 		r := play(t, s, Options{Seed: 1})
 		kept(t, r)
 		assert.Zero(t, r.PartialLeft)
-		assert.NotZero(t, r.GangsStood, "%d allocators", allocators)
+		assert.NotZero(t, r.GangsPlaced, "%d allocators", allocators)
 	}
 }
 
@@ -104,12 +104,12 @@
 		return r
 	}
 	larger := day(func(g *scenario.GangDemand) { g.Parts, g.MinParts = 50, 50 })
-	assert.Zero(t, larger.GangsStood)
+	assert.Zero(t, larger.GangsPlaced)
 	assert.Zero(t, larger.GangStops, "nothing of it was ever sent")
 	one := day(func(g *scenario.GangDemand) {
 		g.Parts, g.MinParts, g.Shape, g.SpreadScope = 3, 3, [2]float64{13, 20}, ""
 	})
-	assert.NotZero(t, one.GangsStood)
+	assert.NotZero(t, one.GangsPlaced)
 }
 
 // single is a small day with one group after another on four nodes.
@@ -169,7 +169,7 @@
 	r, err := PlaySockets(context.Background(), s, Options{Seed: 1}, nil)
 	require.NoError(t, err)
 	kept(t, r)
-	assert.NotZero(t, r.GangsStood)
+	assert.NotZero(t, r.GangsPlaced)
 	assert.Zero(t, r.PartialLeft)
 }
 
--- a/internal/simulation/search/search.go
+++ b/internal/simulation/search/search.go
@@ -312,7 +312,7 @@
 	for _, f := range o.script.faults {
 		r.Faults[string(f.Kind)]++
 	}
-	r.Nearest.RaiseTo(o.result.Nearest)
+	r.Nearest.RaiseTo(o.result.LimitUse)
 }
 
 // keep adds one run of each kind of violation, reduced, and the worst runs. Violations are of one kind if the rule and the
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return r.Ran, nil
+	return r.CoreTimeShare, nil
 }
 
 // meanRetryDelay returns the mean delay before a client retries a lost workload, or -1 if it never does.
