--- a/internal/allocator/actions.go
+++ b/internal/allocator/actions.go
@@ -33,18 +33,20 @@
 type Actions interface {
 	// Bind offers the workload to the node, which may accept it until the timeout, in ms, has passed.
 	Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis)
-	// Stop stops a bind, whether it is unanswered or placed. With onlyPending, a node that has accepted the workload keeps it.
+	// Stop stops a bind, whether it is in flight or placed. With onlyPending, a node that has accepted the workload
+	// keeps it.
 	Stop(id placement.WorkloadID, bind int, node placement.NodeID, reason StopReason, onlyPending bool)
 	// CheckHealth sends the node a health check. Its result goes to Engine.HealthChecked.
 	CheckHealth(node placement.NodeID)
 	// SubscribeNodes subscribes to node discovery's changes. They go to Engine.UpdateNodes.
 	SubscribeNodes()
-	// Answer sends the client the final answer. The node is that of the bind for Placed, and 0 otherwise. Nothing more is
-	// sent for the workload after Rejected or Unschedulable.
-	Answer(id placement.WorkloadID, v Verdict, node placement.NodeID)
-	// NotifyEnded tells the client that a placed workload no longer runs.
+	// Answer sends the client the final answer. The node is that of the bind for Placed, and 0 otherwise. Nothing more
+	// is sent for the workload after Rejected or Unschedulable.
+	Answer(id placement.WorkloadID, verdict Verdict, node placement.NodeID)
+	// NotifyEnded notifies the client that a placed workload no longer runs. With migrating, the client is to request
+	// it anew.
 	NotifyEnded(id placement.WorkloadID, node placement.NodeID, migrating bool, reason placement.Reason)
-	// Forget says that the engine no longer knows the workload. Its id is not used again.
+	// Forget releases what the host keeps for the workload, which has left the engine. Its id is not used again.
 	Forget(id placement.WorkloadID)
 }
 
@@ -55,10 +57,11 @@
 	Wake(at placement.Millis)
 }
 
-// Module decides where workloads go. It is a placement.Scheduler, or a recorder around one. See there for the contracts.
+// Module decides where workloads go. It is a placement.Scheduler, or a recorder around one. The contracts of its methods
+// are those of placement.Scheduler.
 type Module interface {
-	Schedule(now placement.Millis, w placement.Workload) placement.Step
-	Adopt(now placement.Millis, w placement.Workload, node placement.NodeID) placement.Step
+	Schedule(now placement.Millis, workload placement.Workload) placement.Step
+	Adopt(now placement.Millis, workload placement.Workload, node placement.NodeID) placement.Step
 	UpdateNodes(now placement.Millis, kind placement.NodeUpdateKind, nodes []placement.Node)
 	ReportLoad(now placement.Millis, node placement.NodeID, load placement.LoadReport)
 	HealthChecked(now placement.Millis, node placement.NodeID, answered bool, load *placement.LoadReport)
--- a/internal/allocator/bind.go
+++ b/internal/allocator/bind.go
@@ -5,59 +5,61 @@
 	"grebeglade/placement"
 )
 
-// BindConfirmed handles a node's reply that it has accepted a bind. For a bind that has ended meanwhile only the load report
-// counts: the node has been notified of the end.
-func (e *Engine) BindConfirmed(now placement.Millis, id placement.WorkloadID, bind int, load *placement.LoadReport) {
-	w := e.workloads[id]
-	if w == nil {
+// BindConfirmed handles a node's reply that it has accepted a bind. For a bind that has ended meanwhile only the load
+// report counts: the node has been notified of the end.
+func (e *Engine) BindConfirmed(
+	now placement.Millis, id placement.WorkloadID, bind int, load *placement.LoadReport,
+) {
+	entry := e.workloads[id]
+	if entry == nil {
 		return
 	}
-	if w.onNode() || !w.isOpen(bind) {
-		e.reportLoad(now, w.node, load)
+	if entry.onNode() || !entry.isOpen(bind) {
+		e.reportLoad(now, entry.node, load)
 		return
 	}
-	w.confirm()
-	w.timer = noTimer
-	e.logOutcome(now, w, placement.Confirmed, placement.ReasonUnspecified)
-	if w.wanted() {
-		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Answered, Detail: uint8(Placed), Workload: id, Node: w.node})
-		e.host.Answer(id, Placed, w.node)
+	entry.confirm()
+	entry.timer = noTimer
+	e.logOutcome(now, entry, placement.Confirmed, placement.ReasonUnspecified)
+	if entry.wanted() {
+		e.answerPlaced(now, entry)
 	}
-	e.execute(now, w, w.step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: load}))
+	e.execute(now, entry, entry.step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: load}))
 }
 
-// BindEnded handles the end of a bind. Where it was in flight, r.Kind says how it ended; a placed workload has ended,
-// whatever r.Kind is. For a bind that ended before only the load report counts.
+// BindEnded handles the end of a bind. Where it was in flight, result.Kind says how it ended; a placed workload has
+// ended, whatever result.Kind is. For a bind that ended before only the load report counts.
 func (e *Engine) BindEnded(
-	now placement.Millis, id placement.WorkloadID, bind int, node placement.NodeID, r placement.Result,
+	now placement.Millis, id placement.WorkloadID, bind int, node placement.NodeID, result placement.Result,
 ) {
-	w := e.workloads[id]
-	if w == nil || !w.isOpen(bind) {
-		e.reportLoad(now, node, r.Load)
+	entry := e.workloads[id]
+	if entry == nil || !entry.isOpen(bind) {
+		e.reportLoad(now, node, result.Load)
 		return
 	}
-	e.complete(now, w, r)
+	e.complete(now, entry, result)
 	e.requestTick(now)
 }
 
-// ConnectionLost handles the loss of the connection to a node. What was in flight there may have run; what is placed there
-// still runs, as far as anyone knows.
+// ConnectionLost handles the loss of the connection to a node. What was in flight there may have run; what is placed
+// there is taken to run on.
 func (e *Engine) ConnectionLost(now placement.Millis, node placement.NodeID) {
-	for _, w := range e.workloads.on(node) {
-		if !w.onNode() {
-			e.complete(now, w, placement.Result{Kind: placement.OutcomeUnknown, Final: !w.wanted()})
+	for _, entry := range e.workloads.on(node) {
+		if !entry.onNode() {
+			e.complete(now, entry, placement.Result{Kind: placement.OutcomeUnknown, Final: !entry.wanted()})
 		}
 	}
 	e.requestTick(now)
 }
 
-// ReconcileNode handles a node's own list of our workloads there: the placed ones for which runs returns false have ended.
+// ReconcileNode handles a node's own list of our workloads there: the placed ones for which runs returns false have
+// ended.
 func (e *Engine) ReconcileNode(
 	now placement.Millis, node placement.NodeID, runs func(id placement.WorkloadID, bind int) bool,
 ) {
-	for _, w := range e.workloads.on(node) {
-		if w.onNode() && !runs(w.id, w.bind()) {
-			e.complete(now, w, placement.Result{Kind: placement.Ended, Final: true})
+	for _, entry := range e.workloads.on(node) {
+		if entry.onNode() && !runs(entry.id, entry.bind()) {
+			e.complete(now, entry, placement.Result{Kind: placement.Ended, Final: true})
 		}
 	}
 	e.requestTick(now)
@@ -69,79 +71,96 @@
 	e.ReconcileNode(now, node, func(placement.WorkloadID, int) bool { return false })
 }
 
-// timerFired handles the timer of a workload's step: the end of a wait, or the timeout of a bind.
-func (e *Engine) timerFired(now placement.Millis, w *workload) {
-	if w.due > now+clockGrain {
-		e.timers.set(now, w, w.due)
+// stepDue handles the timer of a workload's step: the end of a wait, or the timeout of a bind.
+func (e *Engine) stepDue(now placement.Millis, entry *workload) {
+	if entry.due > now+clockGrain {
+		e.timers.setStep(now, entry, entry.due)
 		return
 	}
-	w.timer = noTimer
-	if w.step.Kind == placement.Wait {
-		e.execute(now, w, w.step.NextStep(now, placement.Result{Kind: placement.TimerFired}))
+	entry.timer = noTimer
+	if entry.step.Kind == placement.Wait {
+		e.execute(now, entry, entry.step.NextStep(now, placement.Result{Kind: placement.TimerFired}))
 		return
 	}
-	if w.wanted() {
-		// What may run at most once and has been accepted must not be stopped: its client is answered that it may have run.
-		e.host.Stop(w.id, w.bind(), w.node, TimedOut, e.atMostOnce(w.group))
+	if entry.wanted() {
+		// What may run at most once and has been accepted must not be stopped: its client is answered that it may have
+		// run.
+		e.host.Stop(entry.id, entry.bind(), entry.node, TimedOut, e.atMostOnce(entry.group))
 	}
-	e.complete(now, w, placement.Result{Kind: placement.TimedOut})
+	e.complete(now, entry, placement.Result{Kind: placement.TimedOut})
 }
 
-// complete ends the open bind of a workload and executes what the module wants next.
-func (e *Engine) complete(now placement.Millis, w *workload, r placement.Result) {
-	if w.onNode() {
-		r.Kind = placement.Ended
-		e.log.Add(eventlog.Event{At: now, Kind: eventlog.Ended, Workload: w.id, Node: w.node, Reason: r.Reason})
-		if w.wanted() {
-			e.host.NotifyEnded(w.id, w.node, w.state == migrating, r.Reason)
+// complete ends the open bind of a workload and executes the module's next step.
+func (e *Engine) complete(now placement.Millis, entry *workload, result placement.Result) {
+	if entry.onNode() {
+		result.Kind = placement.Ended
+		e.logEnded(now, entry, result.Reason)
+		if entry.wanted() {
+			e.host.NotifyEnded(entry.id, entry.node, entry.state == migrating, result.Reason)
 		}
 	} else {
-		e.logOutcome(now, w, r.Kind, r.Reason)
+		e.logOutcome(now, entry, result.Kind, result.Reason)
 	}
-	w.timer = noTimer
-	e.execute(now, w, w.step.NextStep(now, r))
+	entry.timer = noTimer
+	e.execute(now, entry, entry.step.NextStep(now, result))
 }
 
 // execute does what a step says and keeps it for its result. A workload without a next step is forgotten.
-func (e *Engine) execute(now placement.Millis, w *workload, s placement.Step) {
-	w.step = s
-	switch s.Kind {
+func (e *Engine) execute(now placement.Millis, entry *workload, step placement.Step) {
+	entry.step = step
+	switch step.Kind {
 	case placement.Bind:
-		e.bind(now, w, s)
+		e.bind(now, entry, step)
 	case placement.Wait:
-		e.timers.set(now, w, max(s.WakeAt, now))
+		e.timers.setStep(now, entry, max(step.WakeAt, now))
 	case placement.Rejected:
-		e.answer(now, w, Rejected)
+		e.answerNotPlaced(now, entry, Rejected)
 	case placement.Unschedulable:
-		e.answer(now, w, Unschedulable)
+		e.answerNotPlaced(now, entry, Unschedulable)
 	case placement.AwaitEnd, placement.Done: // nothing to do
 	}
-	if s.NextStep == nil {
-		delete(e.workloads, w.id)
-		e.host.Forget(w.id)
+	if step.NextStep == nil {
+		delete(e.workloads, entry.id)
+		e.host.Forget(entry.id)
 	}
 }
 
 // bind offers the workload to the step's node.
-func (e *Engine) bind(now placement.Millis, w *workload, s placement.Step) {
-	w.node = s.Node
-	w.binds++
-	e.log.Add(eventlog.Event{
-		At: now, Kind: eventlog.Bound, Workload: w.id, Node: w.node, Bind: int32(w.bind()), Group: w.group,
-	})
+func (e *Engine) bind(now placement.Millis, entry *workload, step placement.Step) {
+	entry.node = step.Node
+	entry.binds++
+	e.logBound(now, entry)
 	if e.enforceTimeouts {
-		e.timers.set(now, w, now+s.Timeout)
+		e.timers.setStep(now, entry, now+step.Timeout)
 	}
-	e.host.Bind(w.id, w.bind(), w.node, s.Timeout)
+	e.host.Bind(entry.id, entry.bind(), entry.node, step.Timeout)
+}
+
+// answerPlaced answers the client of a workload that its node has confirmed.
+func (e *Engine) answerPlaced(now placement.Millis, entry *workload) {
+	e.log.Add(eventlog.Event{
+		At:       now,
+		Kind:     eventlog.Answered,
+		Detail:   uint8(Placed),
+		Workload: entry.id,
+		Node:     entry.node,
+	})
+	e.host.Answer(entry.id, Placed, entry.node)
 }
 
-// answer gives the client of a workload that is not placed its final answer.
-func (e *Engine) answer(now placement.Millis, w *workload, v Verdict) {
-	if !w.wanted() {
+// answerNotPlaced gives the client of a workload that is not placed its final answer, if it still wants one.
+func (e *Engine) answerNotPlaced(now placement.Millis, entry *workload, verdict Verdict) {
+	if !entry.wanted() {
 		return
 	}
-	e.log.Add(eventlog.Event{At: now, Kind: eventlog.Answered, Detail: uint8(v), Workload: w.id, Group: w.group})
-	e.host.Answer(w.id, v, 0)
+	e.log.Add(eventlog.Event{
+		At:       now,
+		Kind:     eventlog.Answered,
+		Detail:   uint8(verdict),
+		Workload: entry.id,
+		Group:    entry.group,
+	})
+	e.host.Answer(entry.id, verdict, 0)
 }
 
 // reportLoad passes on the load report, if there is one, of a reply that itself comes too late.
@@ -150,10 +169,3 @@
 		e.module.ReportLoad(now, node, *load)
 	}
 }
-
-func (e *Engine) logOutcome(now placement.Millis, w *workload, kind placement.ResultKind, reason placement.Reason) {
-	e.log.Add(eventlog.Event{
-		At: now, Kind: eventlog.BindOutcome, Detail: uint8(kind), Reason: reason, Workload: w.id, Node: w.node,
-		Bind: int32(w.bind()), Group: w.group,
-	})
-}
--- a/internal/allocator/gang.go
+++ b/internal/allocator/gang.go
@@ -1,44 +1,43 @@
 package allocator
 
-import (
-	"grebeglade/internal/eventlog"
-	"grebeglade/placement"
-)
+import "grebeglade/placement"
 
-// ScheduleGang handles a request for workloads that are wanted together. The module schedules each of them; where at least
-// need of them get a node, these are offered. Otherwise no bind is sent, and all are undone in the module. It
-// returns which workloads were offered; the others are forgotten without an answer.
-func (e *Engine) ScheduleGang(now placement.Millis, gang []placement.Workload, need int) []bool {
-	steps, binds := make([]placement.Step, len(gang)), 0
-	for i, w := range gang {
-		e.logRequest(now, w)
-		steps[i] = e.module.Schedule(now, w)
+// ScheduleGang handles a request for workloads that are to start together. The module schedules each of them; where at
+// least minParts of them get a node, these are offered. Otherwise no bind is sent, and every step is undone in the
+// module. It returns which workloads were offered; the others are forgotten without an answer.
+func (e *Engine) ScheduleGang(now placement.Millis, parts []placement.Workload, minParts int) []bool {
+	steps := make([]placement.Step, len(parts))
+	feasible := 0
+	for i, part := range parts {
+		e.logRequested(now, part)
+		steps[i] = e.module.Schedule(now, part)
 		if steps[i].Kind == placement.Bind {
-			binds++
+			feasible++
 		}
 	}
-	offered := make([]bool, len(gang))
-	for i, w := range gang {
-		if binds >= need && steps[i].Kind == placement.Bind {
+	offered := make([]bool, len(parts))
+	for i, part := range parts {
+		if feasible >= minParts && steps[i].Kind == placement.Bind {
 			offered[i] = true
-			e.execute(now, e.workloads.add(w), steps[i])
+			e.execute(now, e.workloads.add(part), steps[i])
 		} else {
-			e.takeBack(now, w, steps[i])
+			e.undo(now, part, steps[i])
 		}
 	}
 	e.requestTick(now)
 	return offered
 }
 
-// takeBack undoes a first step that is not executed.
-func (e *Engine) takeBack(now placement.Millis, w placement.Workload, s placement.Step) {
-	switch s.Kind {
+// undo cancels a workload's first step, which was not executed, in the module.
+func (e *Engine) undo(now placement.Millis, part placement.Workload, step placement.Step) {
+	switch step.Kind {
 	case placement.Bind:
-		s.NextStep(now, placement.Result{Kind: placement.NotAttempted, Final: true})
+		step.NextStep(now, placement.Result{Kind: placement.NotAttempted, Final: true})
 	case placement.Wait:
-		s.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true})
-	default: // a final step has no next one
+		step.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true})
+	case placement.Rejected, placement.Unschedulable, placement.Done: // the module has no next step to undo
+	case placement.AwaitEnd: // never a first step: it follows a confirmed bind
 	}
-	e.log.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted, Workload: w.ID, Group: w.Group})
-	e.host.Forget(w.ID)
+	e.logNotAdmitted(now, part)
+	e.host.Forget(part.ID)
 }
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -5,12 +5,13 @@
 	"grebeglade/placement"
 )
 
-// clockGrain is how far apart two times may be and still count as the same, in ms: clocks outside count nanoseconds, and a
-// time that was rounded down must not miss its timer.
+// clockGrain is how far apart two times may be and still count as the same, in ms: a host's clock counts nanoseconds,
+// and a time that was rounded down must not miss its timer.
 const clockGrain = placement.Millis(1e-6)
 
-// MaxTimerDelay is the longest time for which a timer is set, in ms; what is due later is set again when it fires. A timer
-// cannot be cancelled, and clients may wait for weeks: so the number of timers is bounded by what came within this time.
+// MaxTimerDelay is the longest time for which a timer is set, in ms; what is due later is set again when it fires. A
+// timer cannot be cancelled, and clients may wait for weeks: so the number of timers is bounded by the requests within
+// this time.
 const MaxTimerDelay = placement.Millis(60e3)
 
 // timer is one entry of the queue: maintenance, or the step of a workload.
@@ -19,8 +20,8 @@
 	workload    placement.WorkloadID // where it is not for maintenance
 }
 
-// timers are the timers of an engine, and the tick that it has requested of its host. A timer stays in the queue until it
-// fires; that of a workload counts only if the workload still names its number.
+// timers are the timers of an engine, and the tick that it has requested of its host. A timer stays in the queue until
+// it fires; that of a workload counts only if the workload still names its number.
 type timers struct {
 	queue     timerqueue.Queue[timer]
 	tickAt    placement.Millis // earliest tick that was requested and has not come
@@ -30,10 +31,10 @@
 // setMaintenance sets a timer for maintenance.
 func (t *timers) setMaintenance(at placement.Millis) { t.queue.Push(at, timer{maintenance: true}) }
 
-// set sets the timer of a workload's step.
-func (t *timers) set(now placement.Millis, w *workload, due placement.Millis) {
-	w.due = due
-	w.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{workload: w.id})
+// setStep sets the timer of a workload's step. An earlier timer of the workload no longer counts.
+func (t *timers) setStep(now placement.Millis, entry *workload, due placement.Millis) {
+	entry.due = due
+	entry.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{workload: entry.id})
 }
 
 // ticked notes a tick, which may be the one that was requested.
@@ -44,21 +45,22 @@
 }
 
 // popDue removes the first timer that is due, if there is one, and returns it with its number.
-func (t *timers) popDue(now placement.Millis) (fired timer, number uint64, ok bool) {
+func (t *timers) popDue(now placement.Millis) (due timer, number uint64, ok bool) {
 	if at, pending := t.queue.NextTime(); !pending || at > now+clockGrain {
 		return timer{}, noTimer, false
 	}
-	_, number, fired = t.queue.Pop()
-	return fired, number, true
+	_, number, due = t.queue.Pop()
+	return due, number, true
 }
 
-// nextTick returns the time of the tick that the first timer needs, and notes it as requested. It returns false where no
-// tick is needed, or one that is early enough was requested before.
+// nextTick returns the time of the tick that the first timer needs, and notes it as requested. It returns false where
+// no tick is needed, or one that is early enough was requested before.
 func (t *timers) nextTick(now placement.Millis) (placement.Millis, bool) {
 	at, ok := t.queue.NextTime()
 	if !ok || t.requested && t.tickAt <= at {
 		return 0, false
 	}
-	t.tickAt, t.requested = max(now, at), true
+	t.tickAt = max(now, at)
+	t.requested = true
 	return t.tickAt, true
 }
