--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -15,7 +15,7 @@
 
 var smallFleet = Fleet{Nodes: 4, Residents: 2}
 
-func TestMeasure_SmallFleet_FillsAllRates(t *testing.T) {
+func TestMeasureRates_SmallFleet_FillsAllRates(t *testing.T) {
 	r, err := MeasureRates(smallFleet, shortLength, true)
 	require.NoError(t, err)
 	assert.Equal(t, 4, r.Nodes)
@@ -29,7 +29,7 @@
 	assert.GreaterOrEqual(t, r.Offer99Ms, r.OfferMedianMs)
 }
 
-func TestMeasure_WithoutSockets_LeavesThemOut(t *testing.T) {
+func TestMeasureRates_WithoutSockets_LeavesThemOut(t *testing.T) {
 	r, err := MeasureRates(smallFleet, time.Millisecond, false)
 	require.NoError(t, err)
 	assert.Positive(t, r.EngineRatio)
@@ -37,7 +37,7 @@
 	assert.Zero(t, r.OfferMedianMs)
 }
 
-func TestHeld_CountsEveryResident(t *testing.T) {
+func TestMeasureMemory_CountsEveryResident(t *testing.T) {
 	for _, residents := range []int{1, 999, 2500} {
 		m, err := MeasureMemory(residents)
 		require.NoError(t, err)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestTrace_Scenario_FillsCosts(t *testing.T) {
+func TestMeasureTrace_Scenario_FillsCosts(t *testing.T) {
 	c, err := MeasureTrace("quiet", smallFleet, shortLength, mib)
 	require.NoError(t, err)
 	assert.Equal(t, "quiet", c.Script)
@@ -58,7 +58,7 @@
 	assert.Zero(t, c.Lost)
 }
 
-func TestTrace_UnknownScenario_ReturnsError(t *testing.T) {
+func TestMeasureTrace_UnknownScenario_ReturnsError(t *testing.T) {
 	_, err := MeasureTrace("no-such-scenario", smallFleet, shortLength, 0)
 	assert.ErrorContains(t, err, "no-such-scenario")
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestMeasureRecovery_FindsTheKeysThatWereNotForgotten(t *testing.T) {
+func TestMeasureRecovery_History_FindsTheKeysThatWereNotForgotten(t *testing.T) {
 	r, err := measureRecovery(t.TempDir(), 100)
 	require.NoError(t, err)
 	assert.Equal(t, 100, r.Keys)
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -33,7 +33,8 @@
 	onOffer    func(requestNumber uint64) // called when a node receives a bind; nil for no calls
 }
 
-// cluster is an allocator on loopback sockets, with nodes that accept every bind at once, and a client's connection to it.
+// cluster is an allocator on loopback sockets, with nodes that accept every bind at once, and a client's connection to
+// it.
 type cluster struct {
 	fleet     Fleet
 	options   clusterOptions
@@ -42,18 +43,23 @@
 	bindStore *daemon.BindStore // nil without state
 	closers   []io.Closer       // of the sockets
 	client    net.Conn
-	in        *bufio.Reader // from the client's connection
+	received  *bufio.Reader // from the client's connection
 }
 
 // startCluster returns a cluster whose allocator has adopted every resident.
 func startCluster(f Fleet, o clusterOptions) (*cluster, error) {
-	c := &cluster{fleet: f, options: o, loop: transport.NewLoop(nil)}
+	c := &cluster{
+		fleet:   f,
+		options: o,
+		loop:    transport.NewLoop(nil),
+	}
 	if err := c.start(); err != nil {
 		return nil, errors.Join(err, c.close())
 	}
 	return c, nil
 }
 
+// start starts the nodes, the discovery service, the allocator and the client, in this order.
 func (c *cluster) start() error {
 	entries, err := c.startNodes()
 	if err != nil {
@@ -73,10 +79,11 @@
 	return c.connectClient(address)
 }
 
+// close stops everything that has been started.
 func (c *cluster) close() error {
 	var errs []error
-	for _, x := range c.closers {
-		errs = append(errs, x.Close())
+	for _, closer := range c.closers {
+		errs = append(errs, closer.Close())
 	}
 	c.loop.Close()
 	if c.bindStore != nil {
@@ -100,25 +107,43 @@
 
 // startDiscovery starts a discovery service that sends the node list once.
 func (c *cluster) startDiscovery(entries []*pb.NodeEntry) (address string, err error) {
-	update := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1, Entries: entries}
 	return c.serve(func(conn net.Conn) {
-		w := &frameWriter{w: conn}
-		w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
-		w.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: update}})
+		out := &frameWriter{out: conn}
+		out.send(transport.HelloFrame(discoveryHello()))
+		out.send(snapshotFrame(entries))
 		_, _ = io.Copy(io.Discard, conn) // until the allocator closes the connection
 	})
 }
 
+// discoveryHello returns the hello of the discovery service.
+func discoveryHello() *pb.Hello {
+	return &pb.Hello{
+		Role:        pb.Role_LIST,
+		Name:        "list",
+		Incarnation: 1,
+	}
+}
+
+// snapshotFrame returns the discovery service's first update, with all nodes.
+func snapshotFrame(entries []*pb.NodeEntry) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
+		Kind:     pb.ListUpdate_WHOLE,
+		Epoch:    1,
+		Revision: 1,
+		Entries:  entries,
+	}}}
+}
+
 // serve listens on a port of its own and serves each connection with a function, which the connection ends with.
 func (c *cluster) serve(serve func(net.Conn)) (address string, err error) {
-	l, err := net.Listen("tcp", loopback)
+	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("listen for the allocator: %w", err)
 	}
-	c.closers = append(c.closers, l)
+	c.closers = append(c.closers, listener)
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -128,31 +153,39 @@
 			}()
 		}
 	}()
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
+// frontendConfig returns the configuration of an allocator without state or traces.
 func frontendConfig(discovery string) native.Config {
 	return native.Config{
-		Name: allocatorName, Incarnation: 2, Seed: 1, Settings: settings(), GroupNames: []string{groupName}, KindNames: []string{kindName},
-		DiscoveryAddress: discovery, EventLogSize: eventLogSize,
+		Name:             allocatorName,
+		Incarnation:      2,
+		Seed:             1,
+		Settings:         settings(),
+		GroupNames:       []string{groupName},
+		KindNames:        []string{kindName},
+		DiscoveryAddress: discovery,
+		EventLogSize:     eventLogSize,
 	}
 }
 
 // startAllocator starts the allocator and returns its address.
 func (c *cluster) startAllocator(discovery string) (address string, err error) {
-	fc := frontendConfig(discovery)
-	fc.Trace = c.options.trace
+	allocatorConfig := frontendConfig(discovery)
+	allocatorConfig.Trace = c.options.trace
 	persistent := c.options.state.Dir != ""
 	if persistent || c.options.atMostOnce {
-		fc.Settings.Groups[0].Idempotency = placement.AtMostOnce
+		allocatorConfig.Settings.Groups[0].Idempotency = placement.AtMostOnce
 	}
 	if persistent {
-		c.bindStore, err = daemon.OpenBindStore(c.options.state, &fc, c.loop, slog.New(slog.DiscardHandler))
+		discard := slog.New(slog.DiscardHandler)
+		c.bindStore, err = daemon.OpenBindStore(c.options.state, &allocatorConfig, c.loop, discard)
 		if err != nil {
 			return "", err
 		}
 	}
-	c.frontend = native.New(fc)
+	c.frontend = native.New(allocatorConfig)
 	if c.bindStore != nil {
 		c.bindStore.Attach(c.frontend)
 	}
@@ -179,15 +212,21 @@
 	}
 }
 
+// connectClient opens the client's connection to the allocator, and exchanges the hellos.
 func (c *cluster) connectClient(address string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return err
+		return fmt.Errorf("connect to the allocator: %w", err)
 	}
 	c.closers = append(c.closers, conn)
-	c.client, c.in = conn, bufio.NewReaderSize(conn, clientBufferSize)
-	w := &frameWriter{w: conn}
-	w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
-	_, err = receive(c.in)
+	c.client = conn
+	c.received = bufio.NewReaderSize(conn, clientBufferSize)
+	out := &frameWriter{out: conn}
+	out.send(transport.HelloFrame(&pb.Hello{
+		Role:        pb.Role_OWNER,
+		Name:        "owner",
+		Incarnation: 1,
+	}))
+	_, err = receive(c.received)
 	return err
 }
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -7,7 +7,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Fleet is the nodes that are measured with, and how many workloads of this allocator run on each.
+// Fleet is the nodes that are measured with, and how many workloads of the allocator run on each from the start.
 type Fleet struct {
 	Nodes, Residents int
 }
@@ -25,19 +25,39 @@
 )
 
 // loadReport is what each node reports at any time.
-var loadReport = placement.LoadReport{SpareCores: nodeCores * 0.6, SpareMemory: nodeMemory * 0.6, Utilization: 0.4}
+var loadReport = placement.LoadReport{
+	SpareCores:  nodeCores * 0.6,
+	SpareMemory: nodeMemory * 0.6,
+	Utilization: 0.4,
+}
 
+// protobufLoad returns loadReport as nodes send it.
 func protobufLoad() *pb.Load {
 	l := loadReport
-	return &pb.Load{SpareCores: &l.SpareCores, SpareMemory: &l.SpareMemory, Utilization: &l.Utilization}
+	return &pb.Load{
+		SpareCores:  &l.SpareCores,
+		SpareMemory: &l.SpareMemory,
+		Utilization: &l.Utilization,
+	}
 }
 
+// settings returns those of the placement module, with one group and one kind of node.
 func settings() placement.Settings {
 	return placement.Settings{
-		Allocators: 1, NodeKinds: []placement.NodeKind{{Cores: nodeCores, Memory: nodeMemory}}, MaxBinds: 3,
-		EntriesCarryCapacity: true, ReportsUsage: true, WarmUpDuration: 15e3, WarmUpBudget: 24, OverloadWindow: 2e3,
+		Allocators:           1,
+		NodeKinds:            []placement.NodeKind{{Cores: nodeCores, Memory: nodeMemory}},
+		MaxBinds:             3,
+		EntriesCarryCapacity: true,
+		ReportsUsage:         true,
+		WarmUpDuration:       15e3,
+		WarmUpBudget:         24,
+		OverloadWindow:       2e3,
 		Groups: []placement.Group{{
-			LatencyObjective: 1e3, PriorityWeight: 1, FullServiceUtilization: 0.8, DegradationRange: 0.2, RequiredKind: -1,
+			LatencyObjective:       1e3,
+			PriorityWeight:         1,
+			FullServiceUtilization: 0.8,
+			DegradationRange:       0.2,
+			RequiredKind:           placement.AnyKind,
 		}},
 	}
 }
@@ -47,8 +67,11 @@
 	nodes := make([]placement.Node, f.Nodes)
 	for i := range nodes {
 		nodes[i] = placement.Node{
-			ID: placement.NodeID(i + 1), Cell: placement.CellID(i / nodesPerCell), StartedAt: placement.DistantPast,
-			FreeCores: nodeCores * freeShare, FreeMemory: nodeMemory * freeShare,
+			ID:         placement.NodeID(i + 1),
+			Cell:       placement.CellID(i / nodesPerCell),
+			StartedAt:  placement.DistantPast,
+			FreeCores:  nodeCores * freeShare,
+			FreeMemory: nodeMemory * freeShare,
 		}
 	}
 	return nodes
@@ -57,14 +80,25 @@
 // nodeEntry returns the entry of the i-th node in the node list of the native protocol.
 func nodeEntry(i int, freeShare float64, address string) *pb.NodeEntry {
 	return &pb.NodeEntry{
-		Id: uint32(i + 1), Kind: kindName, Zone: "z", Cell: fmt.Sprint(i / nodesPerCell), Boot: 1, UpForMs: -1,
-		FreeCores: nodeCores * freeShare, FreeMemory: nodeMemory * freeShare, Address: address,
+		Id:         uint32(i + 1),
+		Kind:       kindName,
+		Zone:       "z",
+		Cell:       fmt.Sprint(i / nodesPerCell),
+		Boot:       1,
+		UpForMs:    -1,
+		FreeCores:  nodeCores * freeShare,
+		FreeMemory: nodeMemory * freeShare,
+		Address:    address,
 	}
 }
 
+// workload returns a small workload, as clients request it and residents are.
 func workload(id placement.WorkloadID) placement.Workload {
 	return placement.Workload{
-		ID: id, Service: placement.ServiceID(id % services), Cores: workloadCores, Memory: workloadMemory,
+		ID:             id,
+		Service:        placement.ServiceID(id % services),
+		Cores:          workloadCores,
+		Memory:         workloadMemory,
 		PendingTimeout: pendingTimeout,
 	}
 }
@@ -72,10 +106,20 @@
 // resident returns a workload that runs on a node when the allocator connects to it.
 func resident(id uint64, client string, timeoutMs float64) *pb.Standing {
 	return &pb.Standing{Running: true, Offer: &pb.Offer{
-		Bind: &pb.BindID{Allocator: allocatorName, Incarnation: 1, Workload: id}, Owner: client,
+		Bind: &pb.BindID{
+			Allocator:   allocatorName,
+			Incarnation: 1,
+			Workload:    id,
+		},
+		Owner: client,
 		Ask: &pb.Ask{
-			Ask: id, Key: id, Service: id % services, Group: groupName, Cores: workloadCores, Memory: workloadMemory,
-			LeftMs: timeoutMs,
+			Ask:     id,
+			Key:     id,
+			Service: id % services,
+			Group:   groupName,
+			Cores:   workloadCores,
+			Memory:  workloadMemory,
+			LeftMs:  timeoutMs,
 		},
 	}}
 }
--- a/internal/benchmark/frames.go
+++ b/internal/benchmark/frames.go
@@ -8,35 +8,37 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func receive(r *bufio.Reader) (*pb.Frame, error) {
-	return transport.ReadFrame(r, transport.DefaultLimits.MaxFrameSize)
+// receive reads one frame.
+func receive(in *bufio.Reader) (*pb.Frame, error) {
+	return transport.ReadFrame(in, transport.DefaultLimits.MaxFrameSize)
 }
 
-// frameWriter writes frames, one by one or many at once. After an error it writes nothing more: what was not sent shows
-// in what does not come back.
+// frameWriter writes frames, one by one or many at once. After an error it writes nothing more: the benchmark notices
+// by the answers that do not come.
 type frameWriter struct {
-	w   io.Writer
-	b   []byte
-	err error
+	out    io.Writer
+	buffer []byte // encoded frames that wait for flush
+	err    error  // the first one
 }
 
 // add puts a frame behind those that wait for flush.
-func (w *frameWriter) add(f *pb.Frame) {
+func (w *frameWriter) add(frame *pb.Frame) {
 	if w.err == nil {
-		w.b, w.err = transport.AppendFrame(w.b, f)
+		w.buffer, w.err = transport.AppendFrame(w.buffer, frame)
 	}
 }
 
+// flush writes the frames that were added since the last flush.
 func (w *frameWriter) flush() {
-	if w.err == nil && len(w.b) > 0 {
-		_, w.err = w.w.Write(w.b)
-		w.b = w.b[:0]
+	if w.err == nil && len(w.buffer) > 0 {
+		_, w.err = w.out.Write(w.buffer)
+		w.buffer = w.buffer[:0]
 	}
 }
 
 // send writes a frame at once.
-func (w *frameWriter) send(f *pb.Frame) {
-	w.add(f)
+func (w *frameWriter) send(frame *pb.Frame) {
+	w.add(frame)
 	w.flush()
 }
 
@@ -44,7 +46,13 @@
 func requestFrame(number uint64) *pb.Frame {
 	const keySpace = 1 << 40 // apart from the keys of residents
 	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: number, Key: keySpace | number, Service: number % services, Group: groupName, Cores: workloadCores,
-		Memory: workloadMemory, LeftMs: pendingTimeout, RunsForMs: 1000,
+		Ask:       number,
+		Key:       keySpace | number,
+		Service:   number % services,
+		Group:     groupName,
+		Cores:     workloadCores,
+		Memory:    workloadMemory,
+		LeftMs:    pendingTimeout,
+		RunsForMs: 1000,
 	}}}
 }
--- a/internal/benchmark/inprocess.go
+++ b/internal/benchmark/inprocess.go
@@ -14,65 +14,110 @@
 	eventLogSize        = 1 << 14
 )
 
-// moduleRate returns how many decisions a second the placement module makes.
-func (f Fleet) moduleRate(length time.Duration) float64 {
-	m := placement.New(settings(), 1)
-	m.UpdateNodes(0, placement.Snapshot, f.nodes())
-	last := f.adoptResidents(func(w placement.Workload, node placement.NodeID) { m.Adopt(0, w, node) })
-	decide := func(now placement.Millis, id placement.WorkloadID) {
-		step := m.Schedule(now, workload(id))
-		load := loadReport
-		if step.Kind == placement.Bind {
-			step = step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: &load})
-			step.NextStep(now, placement.Result{Kind: placement.Ended})
-		}
+// inProcess is what is measured without sockets: the placement module alone, or the engine around one.
+type inProcess interface {
+	// decide carries a new workload from its request to its end.
+	decide(now placement.Millis, id placement.WorkloadID)
+	// maintain does what is due beside the decisions.
+	maintain(now placement.Millis)
+}
+
+// bareModule is the placement module without an engine.
+type bareModule struct{ scheduler *placement.Scheduler }
+
+// startModule returns the placement module, which knows the fleet and has adopted its residents.
+func (f Fleet) startModule() *bareModule {
+	scheduler := placement.New(settings(), 1)
+	scheduler.UpdateNodes(0, placement.Snapshot, f.nodes())
+	f.adoptResidents(func(w placement.Workload, node placement.NodeID) { scheduler.Adopt(0, w, node) })
+	return &bareModule{scheduler: scheduler}
+}
+
+func (m *bareModule) decide(now placement.Millis, id placement.WorkloadID) {
+	step := m.scheduler.Schedule(now, workload(id))
+	load := loadReport
+	if step.Kind == placement.Bind {
+		step = step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: &load})
+		step.NextStep(now, placement.Result{Kind: placement.Ended})
 	}
-	return decisionRate(length, last, decide, func(now placement.Millis) { m.Maintain(now) })
 }
 
-// engineRate returns how many decisions a second the engine makes, with its timers and its event log.
-func (f Fleet) engineRate(length time.Duration) float64 {
+func (m *bareModule) maintain(now placement.Millis) { m.scheduler.Maintain(now) }
+
+// wholeEngine is the engine with its timers and its event log.
+type wholeEngine struct {
+	engine *allocator.Engine
+	host   *lastBind
+}
+
+// startEngine returns an engine, which knows the fleet and has adopted its residents.
+func (f Fleet) startEngine() *wholeEngine {
 	host := &lastBind{}
-	e := allocator.New(settings(), 1, host, allocator.Options{EnforceTimeouts: true, Log: eventlog.New(eventLogSize)})
-	e.Start(0)
-	e.UpdateNodes(0, placement.Snapshot, f.nodes())
-	last := f.adoptResidents(func(w placement.Workload, node placement.NodeID) { e.Adopt(0, w, node) })
-	decide := func(now placement.Millis, id placement.WorkloadID) {
-		load := loadReport
-		e.Schedule(now, workload(id))
-		e.BindConfirmed(now, id, host.bind, &load)
-		e.BindEnded(now, id, host.bind, host.node, placement.Result{Kind: placement.Ended})
-	}
-	return decisionRate(length, last, decide, e.Tick)
+	engine := allocator.New(settings(), 1, host, allocator.Options{
+		EnforceTimeouts: true,
+		Log:             eventlog.New(eventLogSize),
+	})
+	engine.Start(0)
+	engine.UpdateNodes(0, placement.Snapshot, f.nodes())
+	f.adoptResidents(func(w placement.Workload, node placement.NodeID) { engine.Adopt(0, w, node) })
+	return &wholeEngine{engine: engine, host: host}
+}
+
+func (e *wholeEngine) decide(now placement.Millis, id placement.WorkloadID) {
+	load := loadReport
+	e.engine.Schedule(now, workload(id))
+	e.engine.BindConfirmed(now, id, e.host.bind, &load)
+	e.engine.BindEnded(now, id, e.host.bind, e.host.node, placement.Result{Kind: placement.Ended})
 }
 
-// adoptResidents adopts the residents of each node, and returns the id of the last.
-func (f Fleet) adoptResidents(adopt func(placement.Workload, placement.NodeID)) (last placement.WorkloadID) {
-	for n := range f.Nodes {
+func (e *wholeEngine) maintain(now placement.Millis) { e.engine.Tick(now) }
+
+// adoptResidents adopts the residents of each node. Their ids are those up to lastResident.
+func (f Fleet) adoptResidents(adopt func(placement.Workload, placement.NodeID)) {
+	var last placement.WorkloadID
+	for i := range f.Nodes {
 		for range f.Residents {
 			last++
-			adopt(workload(last), placement.NodeID(n+1))
+			adopt(workload(last), placement.NodeID(i+1))
 		}
 	}
-	return last
 }
 
-// decisionRate calls decide for one workload after the other, from the one after last on and a millisecond of the module's
-// time apart, and returns how many a second it gets through.
-func decisionRate(
-	length time.Duration, last placement.WorkloadID,
-	decide func(placement.Millis, placement.WorkloadID), maintain func(placement.Millis),
-) float64 {
-	start, decisions := time.Now(), 0
-	for now := placement.Millis(0); ; now++ {
-		if int(now)%maintenanceInterval == 0 {
-			maintain(now)
-		}
-		last++
-		decisions++
-		decide(now, last)
-		if decisions%clockCheckInterval == 0 && time.Since(start) > length {
-			return float64(decisions) / time.Since(start).Seconds()
+// lastResident returns the highest id of a resident.
+func (f Fleet) lastResident() placement.WorkloadID {
+	return placement.WorkloadID(f.Nodes * f.Residents)
+}
+
+// decisions is a sequence of decisions that are a millisecond of the module's time apart, with the maintenance between
+// them.
+type decisions struct {
+	subject inProcess
+	now     placement.Millis
+	last    placement.WorkloadID // id of the latest workload
+}
+
+// decisions returns the sequence that begins once the subject has adopted the fleet's residents.
+func (f Fleet) decisions(subject inProcess) *decisions {
+	return &decisions{subject: subject, last: f.lastResident()}
+}
+
+// next makes one decision.
+func (d *decisions) next() {
+	if int(d.now)%maintenanceInterval == 0 {
+		d.subject.maintain(d.now)
+	}
+	d.last++
+	d.subject.decide(d.now, d.last)
+	d.now++
+}
+
+// rate makes decisions for that long, and returns how many a second it gets through.
+func (d *decisions) rate(length time.Duration) float64 {
+	start := time.Now()
+	for made := 1; ; made++ {
+		d.next()
+		if made%clockCheckInterval == 0 && time.Since(start) > length {
+			return float64(made) / time.Since(start).Seconds()
 		}
 	}
 }
@@ -84,7 +129,8 @@
 }
 
 func (h *lastBind) Bind(_ placement.WorkloadID, bind int, node placement.NodeID, _ placement.Millis) {
-	h.bind, h.node = bind, node
+	h.node = node
+	h.bind = bind
 }
 
 func (*lastBind) Stop(placement.WorkloadID, int, placement.NodeID, allocator.StopReason, bool) {}
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -22,7 +22,7 @@
 	BytesPerResident float64 `json:"bytes_each"`
 }
 
-// MeasureMemory measures the memory of placed workloads, with what the native frontend keeps of them.
+// MeasureMemory measures the memory of placed workloads in the engine, the placement module and the native frontend.
 func MeasureMemory(residents int) (Memory, error) {
 	before := heapSize()
 	frontend := frontendWith(residents)
@@ -31,9 +31,9 @@
 		return Memory{}, fmt.Errorf("%d of %d workloads are held", held, residents)
 	}
 	runtime.KeepAlive(frontend)
-	m := Memory{Residents: residents, Bytes: after - min(before, after)}
-	m.BytesPerResident = float64(m.Bytes) / float64(residents)
-	return m, nil
+	memory := Memory{Residents: residents, Bytes: after - min(before, after)}
+	memory.BytesPerResident = float64(memory.Bytes) / float64(residents)
+	return memory, nil
 }
 
 // heapSize returns the bytes of reachable objects. The second collection frees what finalizers released in the first.
@@ -52,19 +52,20 @@
 	frontend.Start(0, network)
 	discovery := network.last
 	frontend.Opened(0, discovery)
-	frontend.Received(0, discovery, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
-	update := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
+	frontend.Received(0, discovery, transport.HelloFrame(discoveryHello()))
+	var entries []*pb.NodeEntry
 	for i := range memoryNodes {
-		update.Entries = append(update.Entries, nodeEntry(i, 1, fmt.Sprint(i)))
+		entries = append(entries, nodeEntry(i, 1, fmt.Sprint(i)))
 	}
-	frontend.Received(0, discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: update}})
+	frontend.Received(0, discovery, snapshotFrame(entries))
 	perNode := (residents + memoryNodes - 1) / memoryNodes
 	for i := range memoryNodes {
 		first := min(i*perNode, residents)
 		afterLast := min(first+perNode, residents)
-		hello := &pb.Hello{Role: pb.Role_NODE, Name: "n", Node: uint32(i + 1), Incarnation: 1, UpForMs: -1}
+		hello := nodeHello(i)
 		for id := uint64(first) + 1; id <= uint64(afterLast); id++ {
-			hello.Standing = append(hello.Standing, resident(id, fmt.Sprintf("owner-%d", id%memoryClients), pendingTimeout))
+			client := fmt.Sprintf("owner-%d", id%memoryClients)
+			hello.Standing = append(hello.Standing, resident(id, client, pendingTimeout))
 		}
 		conn := discovery + 1 + transport.ConnID(i)
 		frontend.Opened(0, conn)
@@ -73,8 +74,8 @@
 	return frontend
 }
 
-// silentNetwork takes frames and sends none.
-type silentNetwork struct{ last transport.ConnID }
+// silentNetwork is a frontend's network that drops what is sent and on which nothing arrives.
+type silentNetwork struct{ last transport.ConnID } // dialed
 
 func (n *silentNetwork) Dial(string) transport.ConnID {
 	n.last++
--- a/internal/benchmark/node.go
+++ b/internal/benchmark/node.go
@@ -11,38 +11,69 @@
 // serveNode serves the allocator's connection to the i-th node. The node confirms every bind, and ends its workload at
 // once.
 func (c *cluster) serveNode(conn net.Conn, i int) {
-	in, out := bufio.NewReader(conn), &frameWriter{w: conn}
-	if _, err := receive(in); err != nil {
+	requests := bufio.NewReader(conn)
+	replies := &frameWriter{out: conn}
+	if _, err := receive(requests); err != nil { // the allocator's hello
 		return
 	}
-	out.send(transport.HelloFrame(c.nodeHello(i)))
+	replies.send(transport.HelloFrame(c.helloWithResidents(i)))
 	load := protobufLoad()
 	for {
-		f, err := receive(in)
+		frame, err := receive(requests)
 		if err != nil {
 			return
 		}
-		if offer := f.GetOffer(); offer != nil {
+		if offer := frame.GetOffer(); offer != nil {
 			if c.options.onOffer != nil {
 				c.options.onOffer(offer.Ask.Ask)
 			}
-			out.add(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: offer.Bind, Accepted: true, Load: load}}})
-			out.add(&pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: offer.Bind, Why: pb.Why_FINISHED}}})
+			replies.add(acceptedFrame(offer.Bind, load))
+			replies.add(finishedFrame(offer.Bind))
 		}
-		if probe := f.GetProbe(); probe != nil {
-			out.add(&pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: probe.Id, Load: load}}})
+		if check := frame.GetProbe(); check != nil {
+			replies.add(healthyFrame(check.Id, load))
 		}
-		if in.Buffered() == 0 {
-			out.flush()
+		if requests.Buffered() == 0 {
+			replies.flush()
 		}
 	}
 }
 
-// nodeHello returns the hello of the i-th node, with its residents.
-func (c *cluster) nodeHello(i int) *pb.Hello {
-	hello := &pb.Hello{Role: pb.Role_NODE, Name: "n", Node: uint32(i + 1), Incarnation: 1, UpForMs: -1}
+// helloWithResidents returns the hello of the i-th node of the fleet, with its residents.
+func (c *cluster) helloWithResidents(i int) *pb.Hello {
+	hello := nodeHello(i)
 	for n := range c.fleet.Residents {
 		hello.Standing = append(hello.Standing, resident(uint64(i*c.fleet.Residents+n), "other", 0))
 	}
 	return hello
 }
+
+// nodeHello returns the hello of the i-th node, on which nothing runs.
+func nodeHello(i int) *pb.Hello {
+	return &pb.Hello{
+		Role:        pb.Role_NODE,
+		Name:        "n",
+		Node:        uint32(i + 1),
+		Incarnation: 1,
+		UpForMs:     -1,
+	}
+}
+
+// acceptedFrame returns a node's reply that it has accepted a bind.
+func acceptedFrame(bind *pb.BindID, load *pb.Load) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{
+		Bind:     bind,
+		Accepted: true,
+		Load:     load,
+	}}}
+}
+
+// finishedFrame returns a node's notice that a workload has finished.
+func finishedFrame(bind *pb.BindID) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Why: pb.Why_FINISHED}}}
+}
+
+// healthyFrame returns a node's reply to a health check.
+func healthyFrame(id uint64, load *pb.Load) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: id, Load: load}}}
+}
--- a/internal/benchmark/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -21,33 +21,34 @@
 var errNoOffer = errors.New("no offer arrived")
 
 // throughput returns how many workloads a second are placed if a fixed number of requests is pending at any time.
-func throughput(f Fleet, o clusterOptions, length time.Duration) (perSecond float64, err error) {
-	c, err := startCluster(f, o)
+func throughput(fleet Fleet, options clusterOptions, length time.Duration) (perSecond float64, err error) {
+	cluster, err := startCluster(fleet, options)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { err = errors.Join(err, c.close()) }()
-	out := &frameWriter{w: c.client}
+	defer func() { err = errors.Join(err, cluster.close()) }()
+	out := &frameWriter{out: cluster.client}
 	number := uint64(0)
 	for range maxPending {
 		number++
 		out.add(requestFrame(number))
 	}
 	out.flush()
-	start, placed := time.Now(), 0
+	placed := 0
+	start := time.Now()
 	for time.Since(start) < length {
-		frame, err := receive(c.in)
+		frame, err := receive(cluster.received)
 		if err != nil {
 			return 0, err
 		}
-		if a := frame.GetAnswer(); a != nil {
-			if a.Verdict == pb.Verdict_PLACED {
+		if answer := frame.GetAnswer(); answer != nil {
+			if answer.Verdict == pb.Verdict_PLACED {
 				placed++
 			}
 			number++
 			out.add(requestFrame(number))
 		}
-		if c.in.Buffered() == 0 {
+		if cluster.received.Buffered() == 0 {
 			out.flush()
 		}
 	}
@@ -61,25 +62,27 @@
 }
 
 // measureLatency sends requests at a steady rate, whether or not answers come.
-func measureLatency(f Fleet, o clusterOptions, length time.Duration, perSecond float64) (l offerLatency, err error) {
+func measureLatency(
+	fleet Fleet, options clusterOptions, length time.Duration, perSecond float64,
+) (latency offerLatency, err error) {
 	delays := newOfferDelays(perSecond)
-	o.onOffer = delays.add
-	c, err := startCluster(f, o)
+	options.onOffer = delays.add
+	cluster, err := startCluster(fleet, options)
 	if err != nil {
-		return l, err
+		return latency, err
 	}
-	defer func() { err = errors.Join(err, c.close()) }()
-	go c.discardAnswers()
-	l.lateSends = c.sendSteadily(delays.start(), delays.interval, length)
+	defer func() { err = errors.Join(err, cluster.close()) }()
+	go cluster.discardAnswers()
+	latency.lateSends = cluster.sendSteadily(delays.start(), delays.interval, length)
 	time.Sleep(lastOfferGrace)
-	l.medianMs, l.p99Ms, err = delays.percentiles()
-	return l, err
+	latency.medianMs, latency.p99Ms, err = delays.percentiles()
+	return latency, err
 }
 
 // discardAnswers reads until the client's connection ends.
 func (c *cluster) discardAnswers() {
 	for {
-		if _, err := receive(c.in); err != nil {
+		if _, err := receive(c.received); err != nil {
 			return
 		}
 	}
@@ -87,7 +90,7 @@
 
 // sendSteadily sends the n-th request n intervals after the start, and returns how many were late.
 func (c *cluster) sendSteadily(start time.Time, interval, length time.Duration) (late int) {
-	out := &frameWriter{w: c.client}
+	out := &frameWriter{out: c.client}
 	defer out.flush()
 	for number := uint64(1); ; number++ {
 		due := time.Duration(number) * interval
@@ -112,6 +115,7 @@
 	histogram *hdrhistogram.Histogram // in microseconds, guarded by mu
 }
 
+// newOfferDelays returns delays of requests at a steady rate, from start on.
 func newOfferDelays(perSecond float64) *offerDelays {
 	return &offerDelays{
 		interval:  time.Duration(float64(time.Second) / max(1, perSecond)),
@@ -136,6 +140,7 @@
 	_ = d.histogram.RecordValue(min(max(delay, time.Microsecond), maxOfferDelay).Microseconds())
 }
 
+// percentiles returns the median and the 99th percentile of the delays.
 func (d *offerDelays) percentiles() (medianMs, p99Ms float64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/benchmark/statecost.go
+++ b/internal/benchmark/statecost.go
@@ -28,9 +28,11 @@
 type StateCost struct {
 	Sync   string  `json:"sync"` // a value of config.State.Sync, or "off" for no state
 	Placed float64 `json:"placed_per_second"`
-	Ratio  float64 `json:"ratio"`               // of Placed to that without state
-	Median float64 `json:"ask_to_offer_p50_ms"` // at a quarter of the rate without state, or half of its own if that is less
-	P99    float64 `json:"ask_to_offer_p99_ms"`
+	Ratio  float64 `json:"ratio"` // of Placed to that without state
+	// Median is the time from a request to its bind, at a quarter of the rate without state, or at half of Placed if
+	// that is less.
+	Median float64 `json:"ask_to_offer_p50_ms"`
+	P99    float64 `json:"ask_to_offer_p99_ms"` // 99th percentile of the same
 }
 
 // StateRead is how long a start takes that recovers a number of keys.
@@ -46,49 +48,42 @@
 	Reads []StateRead `json:"reads"`
 }
 
-// MeasureState measures the cost of state in a directory, which should lie on the disk in question, and leaves it as it was. Each
-// of the measurements takes length.
-func MeasureState(dir string, f Fleet, length time.Duration) (result *StateResult, err error) {
+// MeasureState measures the cost of state in a directory, which should lie on the disk in question, and leaves the
+// directory as it was. Each of the measurements takes length.
+func MeasureState(dir string, fleet Fleet, length time.Duration) (result *StateResult, err error) {
 	dir, err = os.MkdirTemp(dir, "state-bench-")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create a directory for state: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	r := &StateResult{}
+	measured := &StateResult{}
 	baseline := 0.0 // placed a second without state
 	for _, sync := range []string{noState, config.SyncNone, config.SyncGroup, config.SyncEach} {
-		cost, err := measureState(dir, sync, f, length, baseline)
+		cost, err := measureState(dir, sync, fleet, length, baseline)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("measure the cost of state with sync %q: %w", sync, err)
 		}
 		if sync == noState {
 			baseline = cost.Placed
 		}
-		r.Costs = append(r.Costs, cost)
+		measured.Costs = append(measured.Costs, cost)
 	}
 	for _, keys := range measuredKeys {
 		read, err := measureRecovery(filepath.Join(dir, fmt.Sprint(keys)), keys)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("measure the recovery of %d keys: %w", keys, err)
 		}
-		r.Reads = append(r.Reads, read)
+		measured.Reads = append(measured.Reads, read)
 	}
-	return r, nil
+	return measured, nil
 }
 
-// measureState measures one way of syncing. The baseline is what is placed a second without state, or 0 for a measurement
-// that is itself the baseline.
-func measureState(dir, sync string, f Fleet, length time.Duration, baseline float64) (cost StateCost, err error) {
-	options := func(name string) clusterOptions {
-		o := clusterOptions{atMostOnce: true}
-		if sync != noState {
-			o.state = config.State{Dir: filepath.Join(dir, name), Retention: stateRetention, MaxEntries: maxStateEntries, Sync: sync}
-		}
-		return o
-	}
+// measureState measures one way of syncing. The baseline is what is placed a second without state, or 0 for a
+// measurement that is itself the baseline.
+func measureState(dir, sync string, fleet Fleet, length time.Duration, baseline float64) (cost StateCost, err error) {
 	var rates []float64
 	for i := range rounds {
-		rate, err := throughput(f, options(fmt.Sprint(sync, i)), length)
+		rate, err := throughput(fleet, stateOptions(dir, fmt.Sprint(sync, i), sync), length)
 		if err != nil {
 			return cost, err
 		}
@@ -99,67 +94,97 @@
 		baseline = cost.Placed
 	}
 	cost.Ratio = cost.Placed / baseline
-	l, err := measureLatency(f, options(sync+"-latency"), length, min(baseline/4, cost.Placed/2))
-	cost.Median, cost.P99 = l.medianMs, l.p99Ms
+	rate := min(baseline/4, cost.Placed/2)
+	latency, err := measureLatency(fleet, stateOptions(dir, sync+"-latency", sync), length, rate)
+	cost.Median = latency.medianMs
+	cost.P99 = latency.p99Ms
 	return cost, err
 }
 
+// stateOptions returns the options of a cluster that keeps its state in a directory of that name below dir, or keeps
+// none.
+func stateOptions(dir, name, sync string) clusterOptions {
+	options := clusterOptions{atMostOnce: true}
+	if sync != noState {
+		options.state = config.State{
+			Dir:        filepath.Join(dir, name),
+			Retention:  stateRetention,
+			MaxEntries: maxStateEntries,
+			Sync:       sync,
+		}
+	}
+	return options
+}
+
 // measureRecovery measures how long a start takes on a directory with keys, and a history ten times as long.
-func measureRecovery(path string, keys int) (r StateRead, err error) {
-	d, err := storage.OpenDir(path)
+func measureRecovery(path string, keys int) (read StateRead, err error) {
+	disk, err := storage.OpenDir(path)
 	if err != nil {
-		return r, err
+		return read, err
 	}
-	if err := writeHistory(d, keys); err != nil {
-		return r, err
+	if err := writeHistory(disk, keys); err != nil {
+		return read, err
 	}
-	if r.MiB, err = directoryMiB(path); err != nil {
-		return r, err
+	if read.MiB, err = directoryMiB(path); err != nil {
+		return read, err
 	}
 	start := time.Now()
-	l, contents, err := storage.Open(d, &statepb.Incarnation{Number: 2}, storage.DefaultMaxLogSize, fixedClock)
+	log, contents, err := storage.Open(disk, &statepb.Incarnation{Number: 2}, storage.DefaultMaxLogSize, fixedClock)
 	if err != nil {
-		return r, err
+		return read, err
 	}
 	registry := recovery.New(recovery.Settings{}, storage.RecoveredBinds(contents), 1)
-	r.Keys, r.Ms = registry.Len(), float64(time.Since(start))/float64(time.Millisecond)
-	return r, l.Close()
+	read.Keys = registry.Len()
+	read.Ms = float64(time.Since(start)) / float64(time.Millisecond)
+	return read, log.Close()
 }
 
 // writeHistory writes binds of ten times as many keys, and that all but the first ones are forgotten.
-func writeHistory(d storage.Disk, keys int) error {
-	const historyFactor, farFuture = 10, 1e15
-	l, _, err := storage.Open(d, &statepb.Incarnation{Number: 1}, storage.DefaultMaxLogSize, fixedClock)
+func writeHistory(disk storage.Disk, keys int) error {
+	const (
+		historyFactor = 10
+		farFuture     = 1e15 // ms
+	)
+	log, _, err := storage.Open(disk, &statepb.Incarnation{Number: 1}, storage.DefaultMaxLogSize, fixedClock)
 	if err != nil {
 		return err
 	}
 	for i := range historyFactor * keys {
-		b := recovery.Bind{Key: uint64(i), Group: groupName, Node: 1, Incarnation: 1, Workload: uint64(i), ExpiresAt: farFuture}
-		entries := []*statepb.Entry{storage.BindEntry(b)}
+		bind := recovery.Bind{
+			Key:         uint64(i),
+			Group:       groupName,
+			Node:        1,
+			Incarnation: 1,
+			Workload:    uint64(i),
+			ExpiresAt:   farFuture,
+		}
+		entries := []*statepb.Entry{storage.BindEntry(bind)}
 		if i >= keys {
-			entries = append(entries, storage.ForgetEntry(b.Key, 1, 0))
+			entries = append(entries, storage.ForgetEntry(bind.Key, 1, 0))
 		}
-		if err := l.Commit(entries, false); err != nil {
-			return errors.Join(err, l.Close())
+		if err := log.Commit(entries, false); err != nil {
+			return errors.Join(err, log.Close())
 		}
 	}
-	return l.Close()
+	return log.Close()
 }
 
 // fixedClock is a Unix time in ms at which nothing has expired.
 func fixedClock() float64 { return 1 }
 
+// directoryMiB returns the size of the files in a directory.
 func directoryMiB(path string) (mib float64, err error) {
+	const bytesPerMiB = 1 << 20
 	files, err := os.ReadDir(path)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("list the state files: %w", err)
 	}
-	for _, f := range files {
-		info, err := f.Info()
+	for _, file := range files {
+		info, err := file.Info()
 		if err != nil {
-			return 0, err
+			return 0, fmt.Errorf("read the size of a state file: %w", err)
 		}
-		mib += float64(info.Size()) / (1 << 20)
+		mib += float64(info.Size()) / bytesPerMiB
 	}
 	return mib, nil
 }
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -18,7 +18,8 @@
 	"grebeglade/trace/tracepb"
 )
 
-// TraceCost is what traces cost: bytes, time, and throughput of the allocator that is recorded.
+// TraceCost is what traces cost: bytes, time, and throughput of the allocator that is recorded. All fields stand in one
+// struct because they are one flat JSON document.
 type TraceCost struct {
 	Script           string  `json:"script"`
 	Records          int     `json:"records"`
@@ -40,31 +41,31 @@
 	LookedUp         int     `json:"looked_up_records"`
 }
 
-// MeasureTrace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in a file of
-// about fileBytes, or none for 0. Each of the measurements over sockets takes length.
-func MeasureTrace(script string, f Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
+// MeasureTrace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in
+// a file of about fileBytes, or none for 0. Each of the measurements over sockets takes length.
+func MeasureTrace(script string, fleet Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
 	dir, err := os.MkdirTemp("", "grebeglade-bench")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create a directory for traces: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	recorded, err := recordScenario(script, dir)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("record scenario %q: %w", script, err)
 	}
-	c := &TraceCost{Script: script}
-	if err := c.measureEncoding(recorded); err != nil {
-		return nil, err
+	measured := &TraceCost{Script: script}
+	if err := measured.measureEncoding(recorded); err != nil {
+		return nil, fmt.Errorf("measure the encoding of traces: %w", err)
 	}
-	if err := c.measureRecording(f, length, dir); err != nil {
-		return nil, err
+	if err := measured.measureRecording(fleet, length, dir); err != nil {
+		return nil, fmt.Errorf("measure recording over sockets: %w", err)
 	}
 	if fileBytes > 0 {
-		if err := c.measureLookUp(recorded, fileBytes, dir); err != nil {
-			return nil, err
+		if err := measured.measureLookUp(recorded, fileBytes, dir); err != nil {
+			return nil, fmt.Errorf("measure a look-up: %w", err)
 		}
 	}
-	return c, nil
+	return measured, nil
 }
 
 // recording is the records of one allocator.
@@ -75,27 +76,30 @@
 
 // recordScenario runs a scenario in virtual time and returns the records of its first allocator.
 func recordScenario(script, dir string) (*recording, error) {
-	s, err := scenario.Open(script)
+	opened, err := scenario.Open(script)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir}); err != nil {
+	if _, err := simulation.PlayVirtual(opened, simulation.Options{Seed: 1, TraceDirectory: dir}); err != nil {
 		return nil, err
 	}
-	r := &recording{}
-	err = withTraces(filepath.Join(dir, "allocator-1"), func(files []*trace.Reader) error {
-		for _, f := range files {
-			r.sources = f.Header.Sources
-			for record, err := range f.Records(trace.Span{}) {
-				if err != nil {
-					return err
-				}
-				r.records = append(r.records, record)
+	recorded := &recording{}
+	err = withTraces(filepath.Join(dir, "allocator-1"), recorded.read)
+	return recorded, err
+}
+
+// read adds the records of trace files.
+func (r *recording) read(files []*trace.Reader) error {
+	for _, file := range files {
+		r.sources = file.Header.Sources
+		for record, err := range file.Records(trace.Span{}) {
+			if err != nil {
+				return err
 			}
+			r.records = append(r.records, record)
 		}
-		return nil
-	})
-	return r, err
+	}
+	return nil
 }
 
 // withTraces calls use with the trace files of a directory, and closes them.
@@ -103,16 +107,16 @@
 	names, _, _ := trace.ListFiles(dir)
 	var files []*trace.Reader
 	defer func() {
-		for _, f := range files {
-			err = errors.Join(err, f.Close())
+		for _, file := range files {
+			err = errors.Join(err, file.Close())
 		}
 	}()
 	for _, name := range names {
-		f, err := trace.Open(name)
+		file, err := trace.Open(name)
 		if err != nil {
 			return err
 		}
-		files = append(files, f)
+		files = append(files, file)
 	}
 	return use(files)
 }
@@ -121,8 +125,8 @@
 func (r *recording) lastMs() float64 { return r.records[len(r.records)-1].AtMs }
 
 // write writes a trace that repeats the records, each time later.
-func (r *recording) write(w io.Writer, times int) error {
-	t, err := trace.NewWriter(w, &tracepb.Header{Sources: r.sources})
+func (r *recording) write(out io.Writer, times int) error {
+	writer, err := trace.NewWriter(out, &tracepb.Header{Sources: r.sources})
 	if err != nil {
 		return err
 	}
@@ -131,55 +135,57 @@
 		for _, record := range r.records {
 			at := record.AtMs
 			record.AtMs += float64(i) * length
-			err := t.Append(record)
+			err := writer.Append(record)
 			record.AtMs = at
 			if err != nil {
 				return err
 			}
 		}
 	}
-	return t.Close()
+	return writer.Close()
 }
 
 // measureEncoding measures the size of a trace, and how fast it is written and read.
-func (c *TraceCost) measureEncoding(r *recording) error {
-	c.Records = len(r.records)
-	plain, jsonLines, err := c.countDecisions(r)
+func (c *TraceCost) measureEncoding(recorded *recording) error {
+	c.Records = len(recorded.records)
+	plain, jsonLines, err := c.countDecisions(recorded)
 	if err != nil {
 		return err
 	}
-	size := 0
+	var size int
 	var writes, reads []float64
 	for range rounds {
-		var b bytes.Buffer
+		var file bytes.Buffer
 		start := time.Now()
-		if err := r.write(&b, 1); err != nil {
+		if err := recorded.write(&file, 1); err != nil {
 			return err
 		}
-		writes = append(writes, float64(len(r.records))/time.Since(start).Seconds())
-		size = b.Len()
-		rate, err := readRate(b.Bytes())
+		writes = append(writes, float64(len(recorded.records))/time.Since(start).Seconds())
+		size = file.Len()
+		rate, err := readRate(file.Bytes())
 		if err != nil {
 			return err
 		}
 		reads = append(reads, rate)
 	}
 	c.BytesPerDecision = float64(size) / float64(max(1, c.Decisions))
-	c.JSONRatio, c.PlainRatio = float64(jsonLines)/float64(size), float64(plain)/float64(size)
-	c.WritePerSec, c.ReadPerSec = median(writes), median(reads)
+	c.JSONRatio = float64(jsonLines) / float64(size)
+	c.PlainRatio = float64(plain) / float64(size)
+	c.WritePerSec = median(writes)
+	c.ReadPerSec = median(reads)
 	return nil
 }
 
 // countDecisions counts the decisions, and returns the bytes of all records as protobuf and as JSON lines.
-func (c *TraceCost) countDecisions(r *recording) (plain, jsonLines int, err error) {
-	for _, record := range r.records {
+func (c *TraceCost) countDecisions(recorded *recording) (plain, jsonLines int, err error) {
+	for _, record := range recorded.records {
 		if record.Step != nil {
 			c.Decisions++
 		}
 		plain += proto.Size(record)
 		line, err := protojson.Marshal(record)
 		if err != nil {
-			return 0, 0, err
+			return 0, 0, fmt.Errorf("encode a record as JSON: %w", err)
 		}
 		jsonLines += len(line) + len("\n")
 	}
@@ -189,91 +195,102 @@
 // readRate returns how many records of a trace are read a second.
 func readRate(file []byte) (perSecond float64, err error) {
 	start := time.Now()
-	r, err := trace.NewReader(bytes.NewReader(file), int64(len(file)))
+	reader, err := trace.NewReader(bytes.NewReader(file), int64(len(file)))
 	if err != nil {
 		return 0, err
 	}
-	defer func() { err = errors.Join(err, r.Close()) }()
-	n := 0
-	for _, err := range r.Records(trace.Span{}) {
+	defer func() { err = errors.Join(err, reader.Close()) }()
+	count := 0
+	for _, err := range reader.Records(trace.Span{}) {
 		if err != nil {
 			return 0, err
 		}
-		n++
+		count++
 	}
-	return float64(n) / time.Since(start).Seconds(), nil
+	return float64(count) / time.Since(start).Seconds(), nil
 }
 
 // measureRecording measures over sockets, alternating with and without a trace.
-func (c *TraceCost) measureRecording(f Fleet, length time.Duration, dir string) error {
+func (c *TraceCost) measureRecording(fleet Fleet, length time.Duration, dir string) error {
 	var on, off, ratios []float64
 	for i := range rounds {
 		traceDir := filepath.Join(dir, fmt.Sprint("on", i))
-		with, err := recordingThroughput(f, length, traceDir)
+		with, err := recordingThroughput(fleet, length, traceDir)
 		if err != nil {
 			return err
 		}
-		without, err := throughput(f, clusterOptions{}, length)
+		without, err := throughput(fleet, clusterOptions{}, length)
 		if err != nil {
 			return err
 		}
-		on, off, ratios = append(on, with), append(off, without), append(ratios, with/without)
+		on = append(on, with)
+		off = append(off, without)
+		ratios = append(ratios, with/without)
 		if err := c.countLost(traceDir); err != nil {
 			return err
 		}
 	}
-	c.RateRecording, c.RateNotRecording, c.RecordingRatio = median(on), median(off), median(ratios)
-	return c.measureRecordingLatency(f, length, dir)
+	c.RateRecording = median(on)
+	c.RateNotRecording = median(off)
+	c.RecordingRatio = median(ratios)
+	return c.measureRecordingLatency(fleet, length, dir)
 }
 
-func (c *TraceCost) measureRecordingLatency(f Fleet, length time.Duration, dir string) error {
+// measureRecordingLatency measures the latency at a quarter of the rate without a trace, alternating with and without
+// one.
+func (c *TraceCost) measureRecordingLatency(fleet Fleet, length time.Duration, dir string) error {
 	perSecond := c.RateNotRecording / 4
 	var on, off []float64
 	for i := range rounds {
-		with, err := recordingLatency(f, length, perSecond, filepath.Join(dir, fmt.Sprint("p", i)))
+		with, err := recordingLatency(fleet, length, perSecond, filepath.Join(dir, fmt.Sprint("p", i)))
 		if err != nil {
 			return err
 		}
-		without, err := measureLatency(f, clusterOptions{}, length, perSecond)
+		without, err := measureLatency(fleet, clusterOptions{}, length, perSecond)
 		if err != nil {
 			return err
 		}
-		on, off = append(on, with.p99Ms), append(off, without.p99Ms)
+		on = append(on, with.p99Ms)
+		off = append(off, without.p99Ms)
 	}
-	c.P99Recording, c.P99NotRecording = median(on), median(off)
+	c.P99Recording = median(on)
+	c.P99NotRecording = median(off)
 	return nil
 }
 
+// newRecorder returns a recorder that writes the allocator's trace to a directory.
 func newRecorder(dir string) (*trace.Recorder, error) {
 	return trace.NewRecorder(dir, &tracepb.Source{Allocator: allocatorName, Incarnation: 2}, trace.DefaultLimits, nil)
 }
 
-func recordingThroughput(f Fleet, length time.Duration, dir string) (float64, error) {
-	r, err := newRecorder(dir)
+// recordingThroughput is throughput with a trace.
+func recordingThroughput(fleet Fleet, length time.Duration, dir string) (float64, error) {
+	recorder, err := newRecorder(dir)
 	if err != nil {
 		return 0, err
 	}
-	defer r.Close()
-	return throughput(f, clusterOptions{trace: r}, length)
+	defer recorder.Close()
+	return throughput(fleet, clusterOptions{trace: recorder}, length)
 }
 
-func recordingLatency(f Fleet, length time.Duration, perSecond float64, dir string) (offerLatency, error) {
-	r, err := newRecorder(dir)
+// recordingLatency is measureLatency with a trace.
+func recordingLatency(fleet Fleet, length time.Duration, perSecond float64, dir string) (offerLatency, error) {
+	recorder, err := newRecorder(dir)
 	if err != nil {
 		return offerLatency{}, err
 	}
-	defer r.Close()
-	return measureLatency(f, clusterOptions{trace: r}, length, perSecond)
+	defer recorder.Close()
+	return measureLatency(fleet, clusterOptions{trace: recorder}, length, perSecond)
 }
 
 // countLost counts the records that are missing in the traces of a directory.
 func (c *TraceCost) countLost(dir string) error {
 	return withTraces(dir, func(files []*trace.Reader) error {
-		s, err := trace.Summarise(files)
+		summary, err := trace.Summarise(files)
 		if err != nil {
 			return err
 		}
-		c.Lost += s.Missing
+		c.Lost += summary.Missing
 		return nil
 	})
 }
--- a/internal/benchmark/tracelookup.go
+++ b/internal/benchmark/tracelookup.go
@@ -13,19 +13,19 @@
 const lookUpLengthMs = 60e3 // of the part of the trace that is looked up
 
 // measureLookUp finds the records of one minute in a large file, by its index and by reading all of it.
-func (c *TraceCost) measureLookUp(r *recording, fileBytes int64, dir string) error {
+func (c *TraceCost) measureLookUp(recorded *recording, fileBytes int64, dir string) error {
 	name := filepath.Join(dir, "large"+trace.FileExtension)
 	recordingBytes := c.BytesPerDecision * float64(c.Decisions)
 	times := float64(fileBytes) / recordingBytes
-	if err := r.writeFile(name, max(1, int(times))); err != nil {
+	if err := recorded.writeFile(name, max(1, int(times))); err != nil {
 		return err
 	}
 	info, err := os.Stat(name)
 	if err != nil {
-		return err
+		return fmt.Errorf("read the size of the trace: %w", err)
 	}
 	c.FileBytes = info.Size()
-	middle := r.sources[0].WallMs + r.lastMs()*times/2
+	middle := recorded.sources[0].WallMs + recorded.lastMs()*times/2
 	minute := trace.Span{FromMs: middle, ToMs: middle + lookUpLengthMs}
 	found, lookUpMs, err := countRecords(name, minute, minute)
 	if err != nil {
@@ -38,34 +38,38 @@
 	if found != scanned || found == 0 {
 		return fmt.Errorf("the index finds %d records of that minute, a scan %d", found, scanned)
 	}
-	c.LookedUp, c.LookUpMs, c.ScanMs = found, lookUpMs, scanMs
+	c.LookedUp = found
+	c.LookUpMs = lookUpMs
+	c.ScanMs = scanMs
 	return nil
 }
 
+// writeFile writes a trace file that repeats the records, each time later.
 func (r *recording) writeFile(name string, times int) (err error) {
 	out, err := os.Create(name)
 	if err != nil {
-		return err
+		return fmt.Errorf("create a trace: %w", err)
 	}
 	defer func() { err = errors.Join(err, out.Close()) }()
 	return r.write(out, times)
 }
 
-// countRecords reads a span of a file, and returns how many of its records are within another span, and how long it took.
-func countRecords(name string, read, within trace.Span) (n int, ms float64, err error) {
+// countRecords reads a span of a file, and returns how many of its records are within another span, and how long it
+// took.
+func countRecords(name string, read, within trace.Span) (count int, ms float64, err error) {
 	start := time.Now()
-	r, err := trace.Open(name)
+	reader, err := trace.Open(name)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { err = errors.Join(err, r.Close()) }()
-	for record, err := range r.Records(read) {
+	defer func() { err = errors.Join(err, reader.Close()) }()
+	for record, err := range reader.Records(read) {
 		if err != nil {
 			return 0, 0, err
 		}
-		if at := r.UnixMillis(record); at >= within.FromMs && at <= within.ToMs {
-			n++
+		if at := reader.UnixMillis(record); at >= within.FromMs && at <= within.ToMs {
+			count++
 		}
 	}
-	return n, float64(time.Since(start)) / float64(time.Millisecond), nil
+	return count, float64(time.Since(start)) / float64(time.Millisecond), nil
 }
