--- a/internal/allocator/actions.go
+++ b/internal/allocator/actions.go
@@ -57,8 +57,8 @@
 	Wake(at placement.Millis)
 }
 
-// Module decides where workloads go. It is a placement.Scheduler, or a recorder around one. The contracts of its methods
-// are those of placement.Scheduler.
+// Module decides where workloads go. It is a placement.Scheduler, or a recorder around one. The contracts of its
+// methods are those of placement.Scheduler.
 type Module interface {
 	Schedule(now placement.Millis, workload placement.Workload) placement.Step
 	Adopt(now placement.Millis, workload placement.Workload, node placement.NodeID) placement.Step
--- a/internal/allocator/fakes_test.go
+++ b/internal/allocator/fakes_test.go
@@ -1,118 +1,215 @@
 package allocator
 
 import (
-	"fmt"
-
 	"grebeglade/internal/eventlog"
 	"grebeglade/placement"
 )
 
-// fakeHost is a host that writes down what the engine wants.
-type fakeHost struct{ actions []string }
+// The actions that a fakeHost records, one type for each method of Actions that the tests look at.
+type (
+	// bound is a call of Bind.
+	bound struct {
+		workload placement.WorkloadID
+		bind     int
+		node     placement.NodeID
+	}
+	// stopped is a call of Stop.
+	stopped struct {
+		workload    placement.WorkloadID
+		bind        int
+		reason      StopReason
+		onlyPending bool
+	}
+	// healthChecked is a call of CheckHealth.
+	healthChecked struct{ node placement.NodeID }
+	// subscribed is a call of SubscribeNodes.
+	subscribed struct{}
+	// answered is a call of Answer.
+	answered struct {
+		workload placement.WorkloadID
+		verdict  Verdict
+	}
+	// notifiedEnded is a call of NotifyEnded.
+	notifiedEnded struct {
+		workload  placement.WorkloadID
+		migrating bool
+		reason    placement.Reason
+	}
+)
 
-func (h *fakeHost) add(format string, args ...any) {
-	h.actions = append(h.actions, fmt.Sprintf(format, args...))
-}
+// fakeHost is a host that records the engine's actions.
+type fakeHost struct{ actions []any }
+
+func (h *fakeHost) record(action any) { h.actions = append(h.actions, action) }
 
-func (h *fakeHost) Bind(id placement.WorkloadID, bind int, n placement.NodeID, _ placement.Millis) {
-	h.add("bind %d.%d to %d", id, bind, n)
+func (h *fakeHost) Bind(id placement.WorkloadID, bind int, node placement.NodeID, _ placement.Millis) {
+	h.record(bound{
+		workload: id,
+		bind:     bind,
+		node:     node,
+	})
 }
 
-func (h *fakeHost) Stop(id placement.WorkloadID, bind int, _ placement.NodeID, r StopReason, onlyPending bool) {
-	h.add("stop %d.%d %d %v", id, bind, r, onlyPending)
+func (h *fakeHost) Stop(
+	id placement.WorkloadID, bind int, _ placement.NodeID, reason StopReason, onlyPending bool,
+) {
+	h.record(stopped{
+		workload:    id,
+		bind:        bind,
+		reason:      reason,
+		onlyPending: onlyPending,
+	})
 }
-func (h *fakeHost) CheckHealth(n placement.NodeID) { h.add("health check %d", n) }
-func (h *fakeHost) SubscribeNodes()                { h.add("subscribe") }
-func (h *fakeHost) Answer(id placement.WorkloadID, v Verdict, _ placement.NodeID) {
-	h.add("answer %d %s", id, v)
+
+func (h *fakeHost) CheckHealth(node placement.NodeID) { h.record(healthChecked{node: node}) }
+
+func (h *fakeHost) SubscribeNodes() { h.record(subscribed{}) }
+
+func (h *fakeHost) Answer(id placement.WorkloadID, verdict Verdict, _ placement.NodeID) {
+	h.record(answered{workload: id, verdict: verdict})
 }
 
-func (h *fakeHost) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, migrating bool, r placement.Reason) {
-	h.add("ended %d %v %d", id, migrating, r)
+func (h *fakeHost) NotifyEnded(
+	id placement.WorkloadID, _ placement.NodeID, migrating bool, reason placement.Reason,
+) {
+	h.record(notifiedEnded{
+		workload:  id,
+		migrating: migrating,
+		reason:    reason,
+	})
 }
+
 func (h *fakeHost) Forget(placement.WorkloadID) {}
 func (h *fakeHost) Wake(placement.Millis)       {}
 
-// take returns what was wanted since the last call.
-func (h *fakeHost) take() []string {
+// take returns the actions since the last call.
+func (h *fakeHost) take() []any {
 	actions := h.actions
 	h.actions = nil
 	return actions
 }
 
+// actionsOf returns the actions of one type.
+func actionsOf[T any](actions []any) []T {
+	var found []T
+	for _, action := range actions {
+		if one, ok := action.(T); ok {
+			found = append(found, one)
+		}
+	}
+	return found
+}
+
 // The groups of the test engines' settings.
 const (
 	idempotent placement.GroupID = iota
 	atMostOnce
 )
 
+// pendingTimeout is how long the clients of request wait, in ms.
+const pendingTimeout = placement.Millis(6000)
+
+// answerMargin is how long before the end of the pending timeout the module gives its final answer, in ms.
+const answerMargin = placement.Millis(20)
+
+// testNode is what a node of the test engines has.
+var testNode = placement.NodeKind{Cores: 10, Memory: 20}
+
 func testSettings() placement.Settings {
-	group := placement.Group{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}
+	group := placement.Group{
+		LatencyObjective: 1000,
+		PriorityWeight:   1,
+		RequiredKind:     placement.AnyKind,
+	}
 	once := group
 	once.Idempotency = placement.AtMostOnce
 	return placement.Settings{
-		Allocators: 1, Groups: []placement.Group{group, once}, NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}},
-		MaxBinds: 3, EntriesCarryCapacity: true, ReportsUsage: true,
+		Allocators:           1,
+		Groups:               []placement.Group{group, once},
+		NodeKinds:            []placement.NodeKind{testNode},
+		MaxBinds:             3,
+		EntriesCarryCapacity: true,
+		ReportsUsage:         true,
 	}
 }
 
-// fakeModule is the placement module with the results of its steps written down, and with maintenance to order.
+// fakeModule is the placement module with the results of its steps recorded, and with the test's maintenance actions.
 type fakeModule struct {
 	Module
 	results     []placement.Result
 	maintenance placement.Maintenance
 }
 
-func (m *fakeModule) Schedule(now placement.Millis, w placement.Workload) placement.Step {
-	return m.record(m.Module.Schedule(now, w))
+// fakeMaintenanceInterval is how often a fakeModule wants maintenance, in ms.
+const fakeMaintenanceInterval = placement.Millis(1000)
+
+func (m *fakeModule) Schedule(now placement.Millis, requested placement.Workload) placement.Step {
+	return m.recordResults(m.Module.Schedule(now, requested))
 }
 
-func (m *fakeModule) record(s placement.Step) placement.Step {
-	if next := s.NextStep; next != nil {
-		s.NextStep = func(now placement.Millis, r placement.Result) placement.Step {
-			m.results = append(m.results, r)
-			return m.record(next(now, r))
+// recordResults returns the step, and has its result recorded and those of all steps after it.
+func (m *fakeModule) recordResults(step placement.Step) placement.Step {
+	if next := step.NextStep; next != nil {
+		step.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
+			m.results = append(m.results, result)
+			return m.recordResults(next(now, result))
 		}
 	}
-	return s
+	return step
 }
 
 func (m *fakeModule) Maintain(now placement.Millis) placement.Maintenance {
 	maintenance := m.maintenance
-	maintenance.NextAt = now + 1000
+	maintenance.NextAt = now + fakeMaintenanceInterval
 	return maintenance
 }
 
-// newTestEngine returns a started engine that knows that many empty nodes of 10 cores.
+// newTestEngine returns a started engine that knows that many empty nodes, whose ids begin at 1.
 func newTestEngine(nodes int) (*Engine, *fakeHost) {
 	return startTestEngine(nodes, nil)
 }
 
 // newTestEngineWithFakeModule is newTestEngine on a fake module.
 func newTestEngineWithFakeModule(nodes int) (*Engine, *fakeHost, *fakeModule) {
-	m := &fakeModule{Module: placement.New(testSettings(), 1)}
-	e, h := startTestEngine(nodes, m)
-	return e, h, m
+	module := &fakeModule{Module: placement.New(testSettings(), 1)}
+	engine, host := startTestEngine(nodes, module)
+	return engine, host, module
 }
 
-func startTestEngine(nodes int, m Module) (*Engine, *fakeHost) {
-	h := &fakeHost{}
-	e := New(testSettings(), 1, h, Options{EnforceTimeouts: true, Log: eventlog.New(100), Module: m})
-	e.Start(0)
+// startTestEngine returns a started engine on a module, or on the placement module for nil.
+func startTestEngine(nodes int, module Module) (*Engine, *fakeHost) {
+	host := &fakeHost{}
+	engine := New(testSettings(), 1, host, Options{
+		EnforceTimeouts: true,
+		Log:             eventlog.New(100),
+		Module:          module,
+	})
+	engine.Start(0)
 	var entries []placement.Node
 	for i := range nodes {
 		entries = append(entries, placement.Node{
-			ID: placement.NodeID(i + 1), Cell: placement.CellID(i), StartedAt: placement.DistantPast,
-			FreeCores: 10, FreeMemory: 20,
+			ID:         placement.NodeID(i + 1),
+			Cell:       placement.CellID(i),
+			StartedAt:  placement.DistantPast,
+			FreeCores:  testNode.Cores,
+			FreeMemory: testNode.Memory,
 		})
 	}
-	e.UpdateNodes(0, placement.Snapshot, entries)
-	return e, h
+	engine.UpdateNodes(0, placement.Snapshot, entries)
+	return engine, host
 }
 
-// request returns a small workload whose client waits for 6 s.
-func request(id placement.WorkloadID, g placement.GroupID) placement.Workload {
-	return placement.Workload{ID: id, Service: 1, Group: g, Cores: 1, Memory: 1, PendingTimeout: 6000}
+// request returns a small workload.
+func request(id placement.WorkloadID, group placement.GroupID) placement.Workload {
+	return placement.Workload{
+		ID:             id,
+		Service:        1,
+		Group:          group,
+		Cores:          1,
+		Memory:         1,
+		PendingTimeout: pendingTimeout,
+	}
 }
 
+// ended returns the result of a placed workload's end.
 func ended() placement.Result { return placement.Result{Kind: placement.Ended} }
--- a/internal/allocator/workload_test.go
+++ b/internal/allocator/workload_test.go
@@ -9,56 +9,62 @@
 )
 
 func TestWorkload_States(t *testing.T) {
-	confirm, withdraw, migrate := (*workload).confirm, (*workload).withdraw, (*workload).migrate
-	for _, c := range []struct {
-		name           string
-		events         []func(*workload)
-		want           state
-		onNode, wanted bool
+	type event = func(*workload)
+	confirm := (*workload).confirm
+	withdraw := (*workload).withdraw
+	migrate := (*workload).migrate
+	for _, test := range []struct {
+		name   string
+		events []event
+		want   state
+		onNode bool
+		wanted bool
 	}{
 		{"a new one is pending", nil, pending, false, true},
-		{"confirmed", []func(*workload){confirm}, placed, true, true},
-		{"confirmed twice", []func(*workload){confirm, confirm}, placed, true, true},
-		{"migrating", []func(*workload){confirm, migrate}, migrating, true, true},
-		{"a pending one does not migrate", []func(*workload){migrate}, pending, false, true},
-		{"withdrawn before it is confirmed", []func(*workload){withdraw}, cancelled, false, false},
-		{"confirmed after it was withdrawn", []func(*workload){withdraw, confirm}, stopping, true, false},
-		{"withdrawn once placed", []func(*workload){confirm, withdraw}, stopping, true, false},
-		{"withdrawn while it migrates", []func(*workload){confirm, migrate, withdraw}, stopping, true, false},
-		{"one that stops does not migrate", []func(*workload){confirm, withdraw, migrate}, stopping, true, false},
+		{"confirmed", []event{confirm}, placed, true, true},
+		{"confirmed twice", []event{confirm, confirm}, placed, true, true},
+		{"migrating", []event{confirm, migrate}, migrating, true, true},
+		{"a pending one does not migrate", []event{migrate}, pending, false, true},
+		{"withdrawn before it is confirmed", []event{withdraw}, cancelled, false, false},
+		{"confirmed after it was withdrawn", []event{withdraw, confirm}, stopping, true, false},
+		{"withdrawn once placed", []event{confirm, withdraw}, stopping, true, false},
+		{"withdrawn while it migrates", []event{confirm, migrate, withdraw}, stopping, true, false},
+		{"one that stops does not migrate", []event{confirm, withdraw, migrate}, stopping, true, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			w := &workload{}
-			for _, event := range c.events {
-				event(w)
+		t.Run(test.name, func(t *testing.T) {
+			entry := &workload{}
+			for _, apply := range test.events {
+				apply(entry)
 			}
-			assert.Equal(t, c.want, w.state)
-			assert.Equal(t, c.onNode, w.onNode())
-			assert.Equal(t, c.wanted, w.wanted())
+			assert.Equal(t, test.want, entry.state)
+			assert.Equal(t, test.onNode, entry.onNode())
+			assert.Equal(t, test.wanted, entry.wanted())
 		})
 	}
 }
 
 func TestWorkload_OnlyTheLastBindIsOpen(t *testing.T) {
-	w := &workload{}
-	assert.False(t, w.bindOpen(), "none was made")
-	w.binds, w.step = 2, placement.Step{Kind: placement.Bind}
-	assert.False(t, w.isOpen(0))
-	assert.True(t, w.isOpen(1))
-	w.step = placement.Step{Kind: placement.Wait}
-	assert.False(t, w.isOpen(1), "it waits for its next one")
+	entry := &workload{}
+	assert.False(t, entry.bindOpen(), "none was made")
+	entry.binds = 2
+	entry.step = placement.Step{Kind: placement.Bind}
+	assert.False(t, entry.isOpen(0))
+	assert.True(t, entry.isOpen(1))
+	entry.step = placement.Step{Kind: placement.Wait}
+	assert.False(t, entry.isOpen(1), "it waits for its next one")
 }
 
 func TestWorkloads_OnANodeAreInTheOrderOfTheirIDs(t *testing.T) {
 	table := workloads{}
 	for _, id := range []placement.WorkloadID{3, 1 << 31, 1, 2} {
-		w := table.add(placement.Workload{ID: id})
-		w.binds, w.node = 1, 5
+		entry := table.add(placement.Workload{ID: id})
+		entry.binds = 1
+		entry.node = 5
 	}
 	table[2].node = 6
 	var ids []placement.WorkloadID
-	for _, w := range table.on(5) {
-		ids = append(ids, w.id)
+	for _, entry := range table.on(5) {
+		ids = append(ids, entry.id)
 	}
 	assert.Equal(t, []placement.WorkloadID{1, 3, 1 << 31}, ids)
 }
