--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -6,16 +6,16 @@
 	"syscall"
 )
 
-// Classes of reasons for which a connection ends. The reason that a handler's Closed gets matches at most one of them
-// with errors.Is; its text says what went wrong in detail. Frontends and simulated networks have reasons of their own, too.
+// Classes of the reasons for which a connection ends. The reason passed to a handler's Closed matches at most one of
+// them with errors.Is; its text gives the details. Frontends and simulated networks add reasons of their own.
 var (
 	// ErrConnectionRefused means that nothing listens at the dialled address: no byte of any message was sent.
 	ErrConnectionRefused = errors.New("connection refused")
-	// ErrDialFailed means that a dialled connection was not established for another reason, a timeout among them.
+	// ErrDialFailed means that a dialled connection was not established for another reason, such as a timeout.
 	ErrDialFailed = errors.New("dialling failed")
 	// ErrClosedByPeer means that the peer has closed the connection.
 	ErrClosedByPeer = errors.New("closed by the peer")
-	// ErrConnectionLost means that reading or writing has failed, as after a reset.
+	// ErrConnectionLost means that reading or writing has failed, for example after a reset.
 	ErrConnectionLost = errors.New("connection lost")
 	// ErrMalformedMessage means that the codec could not decode what the peer sent.
 	ErrMalformedMessage = errors.New("malformed message")
@@ -25,7 +25,7 @@
 	ErrSlowPeer = errors.New("peer does not read")
 )
 
-// closeError is an error of a class, with the text of its cause.
+// closeError is an error of one of the classes above, with the text of its cause.
 type closeError struct {
 	class error
 	cause error
@@ -35,7 +35,7 @@
 
 func (e *closeError) Unwrap() []error { return []error{e.class, e.cause} }
 
-// dialError classifies why dialling has failed.
+// dialError classifies the error with which dialling has failed.
 func dialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrConnectionRefused
@@ -43,7 +43,7 @@
 	return &closeError{class: ErrDialFailed, cause: err}
 }
 
-// socketError classifies the error with which an event loop has closed a connection; nil is for an orderly close.
+// socketError classifies the error with which an event loop has closed a connection; nil means an orderly close.
 func socketError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/transport/closereason_test.go
+++ b/internal/transport/closereason_test.go
@@ -13,27 +13,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCloseReason_Class checks that each cause belongs to one class, and that its text stays the cause's own.
-func TestCloseReason_Class(t *testing.T) {
+func TestDialError_Class(t *testing.T) {
+	t.Run("refused", func(t *testing.T) {
+		err := dialError(fmt.Errorf("dial tcp: %w", syscall.ECONNREFUSED))
+		assertClass(t, err, ErrConnectionRefused, "connection refused")
+	})
+	t.Run("timeout", func(t *testing.T) {
+		err := dialError(context.DeadlineExceeded)
+		assertClass(t, err, ErrDialFailed, "context deadline exceeded")
+	})
+}
+
+func TestSocketError_Class(t *testing.T) {
+	t.Run("orderly close", func(t *testing.T) {
+		assertClass(t, socketError(nil), ErrClosedByPeer, "closed by the peer")
+	})
+	t.Run("end of the input", func(t *testing.T) {
+		err := socketError(os.NewSyscallError("read", io.EOF))
+		assertClass(t, err, ErrClosedByPeer, "read: EOF")
+	})
+	t.Run("reset", func(t *testing.T) {
+		err := socketError(os.NewSyscallError("read", syscall.ECONNRESET))
+		assertClass(t, err, ErrConnectionLost, "read: connection reset by peer")
+	})
+}
+
+// assertClass checks that a reason belongs to one class only, and that its text is the one given.
+func assertClass(t *testing.T, reason, want error, text string) {
+	t.Helper()
+	require.EqualError(t, reason, text)
 	classes := []error{
-		ErrConnectionRefused, ErrDialFailed, ErrClosedByPeer, ErrConnectionLost, ErrMalformedMessage, ErrMessageTimeout, ErrSlowPeer,
+		ErrConnectionRefused,
+		ErrDialFailed,
+		ErrClosedByPeer,
+		ErrConnectionLost,
+		ErrMalformedMessage,
+		ErrMessageTimeout,
+		ErrSlowPeer,
 	}
-	for name, c := range map[string]struct {
-		reason error
-		class  error
-		text   string
-	}{
-		"dial refused":     {dialError(fmt.Errorf("dial tcp: %w", syscall.ECONNREFUSED)), ErrConnectionRefused, "connection refused"},
-		"dial timeout":     {dialError(context.DeadlineExceeded), ErrDialFailed, "context deadline exceeded"},
-		"orderly close":    {socketError(nil), ErrClosedByPeer, "closed by the peer"},
-		"end of the input": {socketError(os.NewSyscallError("read", io.EOF)), ErrClosedByPeer, "read: EOF"},
-		"reset":            {socketError(os.NewSyscallError("read", syscall.ECONNRESET)), ErrConnectionLost, "read: connection reset by peer"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			require.EqualError(t, c.reason, c.text)
-			for _, class := range classes {
-				assert.Equal(t, c.class.Error() == class.Error(), errors.Is(c.reason, class), "%v", class)
-			}
-		})
+	for _, class := range classes {
+		assert.Equal(t, want.Error() == class.Error(), errors.Is(reason, class), "%v", class)
 	}
 }
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -6,21 +6,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Codec encodes and decodes the messages of one connection. An event loop calls Decode and the worker calls Append, at the
-// same time, so the two must share nothing that changes.
+// Codec encodes and decodes the messages of one connection. An event loop calls Decode while the worker calls Append,
+// so the two must not share mutable state.
 type Codec interface {
-	// Decode reads the first message of b and returns it with the number of bytes that it took, or 0 while the message is
-	// incomplete. It may take bytes and return no message. After an error the connection ends.
-	Decode(b []byte) (m any, n int, err error)
-	// Append adds an encoded message to b.
-	Append(b []byte, m any) ([]byte, error)
+	// Decode reads the first message of b and returns it with the number of bytes consumed, or 0 while the message is
+	// incomplete. It may consume bytes and return no message. After an error the connection ends.
+	Decode(b []byte) (message any, consumed int, err error)
+	// Append appends the encoded message to b.
+	Append(b []byte, message any) ([]byte, error)
 }
 
-// Urgent marks a Codec of dialled connections whose messages are handled before all others that wait for the handler, and
-// are read even while its queue is full.
+// Urgent marks a Codec of dialled connections. Messages of such a connection are handled before all others that are
+// queued for the handler, and are read even while its queue is full.
 type Urgent interface{ Urgent() }
 
-// frameCodec is the Codec of the project's own protocol: frames up to a size in bytes.
+// frameCodec is the Codec of the project's own protocol: frames of at most maxSize bytes.
 type frameCodec struct{ maxSize int }
 
 func (f frameCodec) Decode(b []byte) (any, int, error) {
@@ -35,10 +35,10 @@
 	return frame, headSize + len(body), nil
 }
 
-func (f frameCodec) Append(b []byte, m any) ([]byte, error) {
-	frame, ok := m.(*pb.Frame)
+func (f frameCodec) Append(b []byte, message any) ([]byte, error) {
+	frame, ok := message.(*pb.Frame)
 	if !ok {
-		return b, fmt.Errorf("%T is no frame", m)
+		return b, fmt.Errorf("encode %T: not a frame", message)
 	}
 	return AppendFrame(b, frame)
 }
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -24,13 +24,22 @@
 // loggedWorker returns a worker that is not running, and its log.
 func loggedWorker(limits Limits) (*worker, *strings.Builder) {
 	var log strings.Builder
-	l := NewLoop(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	return newWorker(l, frameHandler{FrameHandler: &echoHandler{}}, limits), &log
+	loop := NewLoop(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	return newWorker(loop, frameHandler{FrameHandler: &echoHandler{}}, limits), &log
+}
+
+// openFailing returns an open connection on a failingSocket.
+func openFailing(w *worker) *connection {
+	return &connection{
+		worker: w,
+		socket: failingSocket{},
+		state:  stateOpen,
+	}
 }
 
 func TestConnection_FailedCloseIsLogged(t *testing.T) {
 	w, log := loggedWorker(DefaultLimits)
-	c := &connection{worker: w, socket: failingSocket{}, state: stateOpen}
+	c := openFailing(w)
 	c.close()
 	assert.Equal(t, stateClosed, c.state)
 	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="the socket fails"`)
@@ -38,7 +47,8 @@
 
 func TestConnection_FailedWriteIsTheReasonOfItsEnd(t *testing.T) {
 	w, _ := loggedWorker(DefaultLimits)
-	c := &connection{worker: w, socket: failingSocket{}, state: stateOpen, writeBuffer: []byte{1}}
+	c := openFailing(w)
+	c.writeBuffer = []byte{1}
 	c.flush()
 	reason := c.reason(nil)
 	require.ErrorIs(t, reason, ErrConnectionLost)
@@ -48,7 +58,7 @@
 
 func TestConnection_FirstReasonOfItsEndCounts(t *testing.T) {
 	w, _ := loggedWorker(DefaultLimits)
-	c := &connection{worker: w, socket: failingSocket{}, state: stateOpen}
+	c := openFailing(w)
 	c.failSlowPeer()
 	c.fail(errTestSocket)
 	require.ErrorIs(t, c.reason(errTestSocket), ErrSlowPeer)
--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -10,7 +10,8 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxRegistering bounds the connections that are handed to event loops at once: each holds two descriptors meanwhile.
+// maxRegistering bounds the connections that are registered with event loops at once, since each of them holds two
+// descriptors meanwhile.
 const maxRegistering = 4
 
 var errLoopClosed = errors.New("the loop is closed")
@@ -20,19 +21,25 @@
 	events      *socketEvents
 	log         *slog.Logger
 	closed      <-chan struct{} // once closed, no event loop starts
-	registering chan struct{}   // holds a value for each connection that is being handed over
+	registering chan struct{}   // holds a value for each connection that is being registered
 
 	mu    sync.Mutex
 	loops [numClasses]*gnet.Client // nil until started
 }
 
 func newEventLoops(events *socketEvents, log *slog.Logger, closed <-chan struct{}) *eventLoops {
-	return &eventLoops{events: events, log: log, closed: closed, registering: make(chan struct{}, maxRegistering)}
+	return &eventLoops{
+		events:      events,
+		log:         log,
+		closed:      closed,
+		registering: make(chan struct{}, maxRegistering),
+	}
 }
 
 // register hands an established connection to the event loop of its class. On success the event loop owns the socket.
 func (l *eventLoops) register(socket net.Conn, c *connection) error {
-	if c.class != classUrgent { // an urgent one does not queue behind hundreds of others at a start
+	// An urgent connection does not queue behind the hundreds that are dialled at a start.
+	if c.class != classUrgent {
 		l.registering <- struct{}{}
 		defer func() { <-l.registering }()
 	}
@@ -40,11 +47,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = loop.EnrollContext(socket, c)
-	return err
+	if _, err := loop.EnrollContext(socket, c); err != nil {
+		return fmt.Errorf("register with the event loop: %w", err)
+	}
+	return nil
 }
 
-// start returns the event loop of a class, and starts it if need be.
+// start returns the event loop of a class, and starts it if it does not run yet.
 func (l *eventLoops) start(class priorityClass) (*gnet.Client, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,13 +66,16 @@
 		return l.loops[class], nil
 	}
 	loop, err := gnet.NewClient(
-		l.events, gnet.WithNumEventLoop(1), gnet.WithLogger(gnetLogger{l.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+		l.events,
+		gnet.WithNumEventLoop(1),
+		gnet.WithLogger(gnetLogger{l.log}),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 	)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create an event loop: %w", err)
 	}
 	if err := loop.Start(); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start an event loop: %w", err)
 	}
 	l.loops[class] = loop
 	return loop, nil
@@ -83,13 +95,3 @@
 		}
 	}
 }
-
-// gnetLogger passes gnet's own log lines on; all but fatal ones are for debugging.
-type gnetLogger struct{ log *slog.Logger }
-
-func (g gnetLogger) Debugf(string, ...any) {}
-func (g gnetLogger) Infof(string, ...any)  {}
-
-func (g gnetLogger) Warnf(format string, args ...any)  { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLogger) Errorf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
-func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -13,7 +13,7 @@
 // headSize is the size of the length in front of each frame: four bytes, big-endian.
 const headSize = 4
 
-// AppendFrame adds a frame with its length to b.
+// AppendFrame appends a frame with its length to b. On error it returns b without the frame.
 func AppendFrame(b []byte, f *pb.Frame) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0)
@@ -26,7 +26,7 @@
 }
 
 // SplitFrame returns the body of the first frame of b and what follows it, or nil and b while the frame is incomplete.
-// A length over maxSize is an error: nothing that follows it can be trusted.
+// A length over maxSize is an error, after which the rest of the stream cannot be decoded.
 func SplitFrame(b []byte, maxSize int) (body, rest []byte, err error) {
 	if len(b) < headSize {
 		return nil, b, nil
@@ -41,11 +41,12 @@
 	return b[headSize : headSize+size], b[headSize+size:], nil
 }
 
-// ReadFrame reads the next frame of a stream, and blocks until it is complete. A length over maxSize is an error.
+// ReadFrame reads the next frame of a stream, and blocks until it is complete. A length over maxSize is an error. The
+// error matches io.EOF if the stream ends between two frames.
 func ReadFrame(r io.Reader, maxSize int) (*pb.Frame, error) {
 	var head [headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read frame: %w", err)
 	}
 	size, err := frameSize(head[:], maxSize)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return DecodeFrame(body)
 }
 
-// frameSize reads the length in front of a frame.
+// frameSize decodes the length in front of a frame.
 func frameSize(head []byte, maxSize int) (int, error) {
 	size := binary.BigEndian.Uint32(head)
 	if uint64(size) > uint64(maxSize) {
@@ -67,15 +68,17 @@
 	return int(size), nil
 }
 
-// DecodeFrame reads a frame's body. A frame without any known content is an error: it is of a later version than was
-// agreed on, or no frame at all.
+// DecodeFrame decodes the body of a frame. A frame without any known content is an error: either its protocol version
+// is later than the one agreed on, or it is not a frame.
 func DecodeFrame(body []byte) (*pb.Frame, error) {
 	f := &pb.Frame{}
 	if err := proto.Unmarshal(body, f); err != nil {
 		return nil, fmt.Errorf("malformed frame: %w", err)
 	}
 	if f.Body == nil {
-		return nil, fmt.Errorf("frame of %d bytes holds nothing that version %d.%d knows", len(body), pb.Major, pb.Minor)
+		return nil, fmt.Errorf(
+			"frame of %d bytes holds nothing that version %d.%d knows", len(body), pb.Major, pb.Minor,
+		)
 	}
 	return f, nil
 }
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -12,9 +12,15 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// sampleRequest is a request for which an echoHandler sends eight answers.
+// sampleRequest returns a request that an echoHandler answers eight times.
 func sampleRequest() *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{Ask: 7, Key: 8, Group: "serve", Cores: 1.5, LeftMs: 6000}}}
+	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+		Ask:    7,
+		Key:    8,
+		Group:  "serve",
+		Cores:  1.5,
+		LeftMs: 6000,
+	}}}
 }
 
 func TestSplitFrame_CutAnywhereIsIncomplete(t *testing.T) {
@@ -33,7 +39,7 @@
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(sampleRequest(), f))
 	for n := range body {
-		_, err := DecodeFrame(body[:n]) // cut inside the length: malformed, or another frame; never a panic
+		_, err := DecodeFrame(body[:n]) // malformed, or another frame; never a panic
 		if n == 0 {
 			assert.Error(t, err)
 		}
@@ -43,7 +49,7 @@
 func TestDecodeFrame_UnknownFieldIsIgnoredAndUnknownFrameRejected(t *testing.T) {
 	body, err := proto.Marshal(sampleRequest())
 	require.NoError(t, err)
-	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, as a later minor version might add
+	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, such as a later minor version might add
 	f, err := DecodeFrame(later)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(7), f.GetAsk().Ask)
--- a/internal/transport/hello.go
+++ b/internal/transport/hello.go
@@ -7,13 +7,13 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Errors of CheckHello. The peer reads their texts in the Refusal that rejects it.
+// Errors of CheckHello. Their texts are sent to the peer, in the Refusal that rejects it.
 var (
 	// ErrNotHello means that the first frame of a connection is neither a hello nor a refusal.
 	ErrNotHello = errors.New("the first frame must be a hello")
 	// ErrNoRole means that a hello lacks the role of its sender.
 	ErrNoRole = errors.New("the hello names no role")
-	// ErrNoName means that a hello lacks the name of its sender, which only operators may do.
+	// ErrNoName means that a hello lacks the name of its sender, which only operators may omit.
 	ErrNoName = errors.New("the hello names no name")
 )
 
@@ -33,32 +33,33 @@
 
 func (e *RefusedError) Error() string { return "the peer refused: " + e.Reason }
 
-// HelloFrame makes the first frame of a connection, with the protocol version of this build.
+// HelloFrame returns the first frame of a connection, and sets the protocol version of this build in h.
 func HelloFrame(h *pb.Hello) *pb.Frame {
-	h.Major, h.Minor = pb.Major, pb.Minor
+	h.Major = pb.Major
+	h.Minor = pb.Minor
 	return &pb.Frame{Body: &pb.Frame_Hello{Hello: h}}
 }
 
-// RefusalFrame makes the answer to a hello that is not accepted.
+// RefusalFrame returns the answer to a hello that is not accepted.
 func RefusalFrame(reason string) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_Refusal{Refusal: &pb.Refusal{Reason: reason}}}
 }
 
-// CheckHello returns the hello that is the first frame of a connection. The error is a *RefusedError, ErrNotHello, a
+// CheckHello returns the hello in the first frame of a connection. The error is a *RefusedError, ErrNotHello, a
 // *VersionError, ErrNoRole or ErrNoName; its text is the reason with which to reject the peer.
 func CheckHello(f *pb.Frame) (*pb.Hello, error) {
-	h := f.GetHello()
+	hello := f.GetHello()
 	switch {
 	case f.GetRefusal() != nil:
 		return nil, &RefusedError{Reason: f.GetRefusal().Reason}
-	case h == nil:
+	case hello == nil:
 		return nil, ErrNotHello
-	case h.Major != pb.Major:
-		return nil, &VersionError{Major: h.Major, Minor: h.Minor}
-	case h.Role == pb.Role_ROLE_UNSPECIFIED:
+	case hello.Major != pb.Major:
+		return nil, &VersionError{Major: hello.Major, Minor: hello.Minor}
+	case hello.Role == pb.Role_ROLE_UNSPECIFIED:
 		return nil, ErrNoRole
-	case h.Name == "" && h.Role != pb.Role_OPERATOR:
+	case hello.Name == "" && hello.Role != pb.Role_OPERATOR:
 		return nil, ErrNoName
 	}
-	return h, nil
+	return hello, nil
 }
--- a/internal/transport/hello_test.go
+++ b/internal/transport/hello_test.go
@@ -3,19 +3,22 @@
 import (
 	"testing"
 
-	"grebeglade/internal/transport"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 func TestCheckHello_Accepted(t *testing.T) {
 	for name, hello := range map[string]*pb.Hello{
-		"client":                 {Role: pb.Role_OWNER, Name: "c"},
-		"operator without name":  {Role: pb.Role_OPERATOR},
-		"allocator, incarnation": {Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 3},
+		"client":                {Role: pb.Role_OWNER, Name: "c"},
+		"operator without name": {Role: pb.Role_OPERATOR},
+		"allocator, incarnation": {
+			Role:        pb.Role_ALLOCATOR,
+			Name:        "a",
+			Incarnation: 3,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, err := transport.CheckHello(transport.HelloFrame(hello))
@@ -32,25 +35,42 @@
 }
 
 func TestCheckHello_Rejected_ErrorAndReason(t *testing.T) {
-	otherMajor := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "c"})
-	otherMajor.GetHello().Major, otherMajor.GetHello().Minor = 2, 1
-	for name, c := range map[string]struct {
-		frame  *pb.Frame
-		want   error
-		reason string
-	}{
-		"refusal":      {transport.RefusalFrame("full"), &transport.RefusedError{Reason: "full"}, "the peer refused: full"},
-		"other frame":  {&pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}, transport.ErrNotHello, "the first frame must be a hello"},
-		"empty frame":  {&pb.Frame{}, transport.ErrNotHello, "the first frame must be a hello"},
-		"other major":  {otherMajor, &transport.VersionError{Major: 2, Minor: 1}, "version 2.1 is not spoken here; this side speaks 1.x"},
-		"without role": {transport.HelloFrame(&pb.Hello{Name: "c"}), transport.ErrNoRole, "the hello names no role"},
-		"without name": {transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER}), transport.ErrNoName, "the hello names no name"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			h, err := transport.CheckHello(c.frame)
-			assert.Nil(t, h)
-			assert.Equal(t, c.want, err)
-			assert.EqualError(t, err, c.reason)
-		})
-	}
+	t.Run("other major", func(t *testing.T) {
+		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "c"})
+		f.GetHello().Major = 2
+		f.GetHello().Minor = 1
+		want := &transport.VersionError{Major: 2, Minor: 1}
+		assertRejected(t, f, want, "version 2.1 is not spoken here; this side speaks 1.x")
+	})
+	t.Run("without role", func(t *testing.T) {
+		f := transport.HelloFrame(&pb.Hello{Name: "c"})
+		assertRejected(t, f, transport.ErrNoRole, "the hello names no role")
+	})
+	t.Run("without name", func(t *testing.T) {
+		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER})
+		assertRejected(t, f, transport.ErrNoName, "the hello names no name")
+	})
+}
+
+func TestCheckHello_FirstFrameIsNotAHello_ErrorAndReason(t *testing.T) {
+	t.Run("refusal", func(t *testing.T) {
+		want := &transport.RefusedError{Reason: "full"}
+		assertRejected(t, transport.RefusalFrame("full"), want, "the peer refused: full")
+	})
+	t.Run("other frame", func(t *testing.T) {
+		f := &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}
+		assertRejected(t, f, transport.ErrNotHello, "the first frame must be a hello")
+	})
+	t.Run("empty frame", func(t *testing.T) {
+		assertRejected(t, &pb.Frame{}, transport.ErrNotHello, "the first frame must be a hello")
+	})
+}
+
+// assertRejected checks that a first frame is rejected with that error, of which the text is the reason for the peer.
+func assertRejected(t *testing.T, f *pb.Frame, want error, reason string) {
+	t.Helper()
+	hello, err := transport.CheckHello(f)
+	assert.Nil(t, hello)
+	assert.Equal(t, want, err)
+	assert.EqualError(t, err, reason)
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// acceptPause is how long a listener waits after a connection could not be accepted, mostly for want of a descriptor.
+// acceptPause is how long a listener waits after a connection could not be accepted, mostly for lack of a descriptor.
 const acceptPause = 10 * time.Millisecond
 
 // listener accepts a worker's incoming connections.
@@ -18,30 +18,35 @@
 	net.Listener
 	worker   *worker
 	newCodec func() Codec
-	open     atomic.Int64 // incoming connections
+	open     atomic.Int64 // number of incoming connections
 
-	// slots holds a value for each incoming connection and for the one that is to be accepted next. It is nil where
+	// slots holds a value for each incoming connection and for the one that is to be accepted next. It is nil if
 	// connections over the limit are rejected.
 	slots chan struct{}
 }
 
-// newListener opens a listener for a worker; port 0 has the system choose one.
-func newListener(addr string, w *worker, newCodec func() Codec) (*listener, error) {
-	// Whether to keep idle connections is the handler's decision, so TCP's keep-alive is off.
-	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
+// newListener opens a listener for a worker. The system chooses the port if it is 0.
+func newListener(addr string, owner *worker, newCodec func() Codec) (*listener, error) {
+	// The handler decides how long idle connections are kept, so TCP keep-alive is disabled.
+	config := net.ListenConfig{KeepAlive: -1}
+	netListener, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	l := &listener{Listener: ln, worker: w, newCodec: newCodec}
-	if w.limits.PauseAcceptAtLimit {
-		l.slots = make(chan struct{}, w.limits.MaxConnections)
+	l := &listener{
+		Listener: netListener,
+		worker:   owner,
+		newCodec: newCodec,
+	}
+	if owner.limits.PauseAcceptAtLimit {
+		l.slots = make(chan struct{}, owner.limits.MaxConnections)
 	}
 	return l, nil
 }
 
-// serve accepts connections until the worker is closed. While there is no slot or no descriptor for one more, it waits, and
-// connections wait in the backlog: to stop listening would leave a process that serves nobody. It returns an error if
-// the listener was closed by anything else.
+// serve accepts connections until the worker is closed. While there is no slot or no descriptor for another one, it
+// waits, and connections wait in the backlog: a process that stopped listening would serve nobody. It returns an error
+// if the listener was closed for any other reason.
 func (l *listener) serve() error {
 	for l.acquireSlot() {
 		socket, err := l.Accept()
@@ -54,7 +59,7 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return err
+			return fmt.Errorf("listen on %s: %w", l.Addr(), err)
 		}
 		l.log().Warn("connection not accepted", "error", err)
 		time.Sleep(acceptPause)
@@ -62,9 +67,13 @@
 	return nil
 }
 
-// admit hands a connection to the event loop, or rejects it.
+// admit registers a connection with the event loop, or rejects it.
 func (l *listener) admit(socket net.Conn) {
-	c := &connection{worker: l.worker, class: classIncoming, codec: l.newCodec()}
+	c := &connection{
+		worker: l.worker,
+		class:  classIncoming,
+		codec:  l.newCodec(),
+	}
 	limit := l.worker.limits.MaxConnections
 	if n := l.open.Add(1); l.slots == nil && n > int64(limit) {
 		l.worker.loop.Stats.RejectedConnections.Add(1)
@@ -79,7 +88,7 @@
 	}
 }
 
-// reject closes a connection with a refusal. Codecs without such a message only close it.
+// reject sends a refusal and closes the connection. With a codec that has no such message, it only closes.
 func (l *listener) reject(socket net.Conn, codec Codec, reason string) {
 	if out, err := codec.Append(nil, RefusalFrame(reason)); err == nil {
 		if _, err := socket.Write(out); err != nil {
@@ -91,13 +100,13 @@
 	}
 }
 
-// connectionEnded makes room for the next incoming connection.
+// connectionEnded releases the place of an incoming connection.
 func (l *listener) connectionEnded() {
 	l.open.Add(-1)
 	l.releaseSlot()
 }
 
-// acquireSlot waits until one more connection may be accepted, and reports false if the worker is closed meanwhile.
+// acquireSlot waits until another connection may be accepted, and reports false if the worker is closed first.
 func (l *listener) acquireSlot() bool {
 	if l.slots == nil {
 		return true
@@ -110,6 +119,7 @@
 	}
 }
 
+// releaseSlot frees a slot that acquireSlot has taken.
 func (l *listener) releaseSlot() {
 	if l.slots != nil {
 		<-l.slots
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -16,7 +16,8 @@
 
 func TestListener_FailedRefusalAndCloseAreLogged(t *testing.T) {
 	w, log := loggedWorker(Limits{MaxConnections: 0})
-	l := &listener{worker: w, newCodec: func() Codec { return frameCodec{1000} }}
+	newCodec := func() Codec { return frameCodec{maxSize: 1000} }
+	l := &listener{worker: w, newCodec: newCodec}
 	l.admit(failingConn{})
 	assert.Contains(t, log.String(), `level=DEBUG msg="refusal not sent" peer=:7 error="the socket fails"`)
 	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="the socket fails"`)
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -10,18 +9,18 @@
 	"grebeglade/placement"
 )
 
-// drainTimeout bounds the wait for what is still to be written when a loop closes.
+// drainTimeout bounds how long a closing loop waits for the last writes.
 const drainTimeout = 2 * time.Second
 
-// Loop runs handlers on sockets. Each handler has a worker with event loops of its own. What a handler sends leaves when
-// the worker has handled all that was there, or at the latest after maxTurn.
+// Loop runs handlers on sockets. Each handler has a worker with event loops of its own. What a handler sends is written
+// when the worker has handled all queued events, or after maxTurn at the latest.
 type Loop struct {
-	// Stats count what all handlers' sockets did.
+	// Stats count events on the sockets of all handlers.
 	Stats Stats
 
 	startedAt time.Time
 	log       *slog.Logger
-	failed    chan error
+	failed    chan error     // receives the first error of a listener
 	running   sync.WaitGroup // workers' goroutines
 	accepting sync.WaitGroup // listeners' goroutines
 
@@ -30,15 +29,20 @@
 	started bool
 }
 
-// NewLoop returns a loop without handlers; its clock starts at 0. A nil log discards what is logged.
+// NewLoop returns a loop without handlers; its clock starts at 0. With a nil log nothing is logged.
 func NewLoop(log *slog.Logger) *Loop {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	return &Loop{startedAt: time.Now(), log: log, workers: map[any]*worker{}, failed: make(chan error, 1)}
+	return &Loop{
+		startedAt: time.Now(),
+		log:       log,
+		workers:   map[any]*worker{},
+		failed:    make(chan error, 1),
+	}
 }
 
-// Failed delivers the error of the first listener that has ended although the loop was not closed.
+// Failed delivers the error of the first listener that ended before the loop was closed.
 func (l *Loop) Failed() <-chan error { return l.failed }
 
 // Now returns the time on the loop's clock, which all handlers share.
@@ -46,9 +50,9 @@
 	return placement.Millis(float64(time.Since(l.startedAt)) / float64(time.Millisecond))
 }
 
-// Listen adds a handler and listens for it at addr; port 0 has the system choose one, an empty addr is for a handler that
-// only dials. Each incoming connection gets a codec from newCodec. The handler is called from Run on. Listen returns the
-// address at which it listens.
+// Listen adds a handler, listens for it at addr and returns the address with its port. The system chooses the port if
+// it is 0. With an empty addr the handler only dials. Each incoming connection gets a codec from newCodec. The handler
+// is called once the loop runs.
 func (l *Loop) Listen(h Handler, newCodec func() Codec, addr string, limits Limits) (string, error) {
 	return l.listen(h, h, newCodec, addr, limits)
 }
@@ -59,45 +63,46 @@
 	return l.listen(h, frameHandler{h, codec}, func() Codec { return codec }, addr, limits)
 }
 
-// AddHandler adds a handler at a port of loopback that the system chooses, with DefaultLimits. The second argument is the
-// zone, which a simulated network has and sockets have not.
+// AddHandler adds a handler at a loopback port that the system chooses, with DefaultLimits. The second argument is the
+// zone, which only simulated networks use.
 func (l *Loop) AddHandler(h FrameHandler, _ string) (string, error) {
 	return l.ListenFrames(h, "127.0.0.1:0", DefaultLimits)
 }
 
-// listen adds a worker for a handler, which callers of the loop name by key.
+// listen adds a worker for a handler. The key is the value by which callers of the loop refer to the handler.
 func (l *Loop) listen(key any, h Handler, newCodec func() Codec, addr string, limits Limits) (string, error) {
-	w := newWorker(l, h, limits)
+	added := newWorker(l, h, limits)
 	if addr != "" {
-		ln, err := newListener(addr, w, newCodec)
+		ln, err := newListener(addr, added, newCodec)
 		if err != nil {
 			return "", err
 		}
-		w.listener, addr = ln, ln.Addr().String()
+		added.listener = ln
+		addr = ln.Addr().String()
 		l.accepting.Go(func() { l.accept(ln) })
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.workers[key] = w
+	l.workers[key] = added
 	if l.started {
-		l.running.Go(w.run)
+		l.running.Go(added.run)
 	}
 	return addr, nil
 }
 
-// accept serves a listener, and reports if it ends by itself.
+// accept serves a listener, and reports if it ends before the loop is closed.
 func (l *Loop) accept(ln *listener) {
 	err := ln.serve()
 	if err == nil {
 		return
 	}
 	select {
-	case l.failed <- fmt.Errorf("listen on %s: %w", ln.Addr(), err):
+	case l.failed <- err:
 	default: // another listener has failed before
 	}
 }
 
-// Run starts the handlers that were added; later ones start at once. It does not block.
+// Run starts the handlers that were added; those added later start at once. It does not block.
 func (l *Loop) Run() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,15 +112,19 @@
 	}
 }
 
-// RunAt calls call on the handler's goroutine once that time has come. It does nothing for a handler that was not added.
+// RunAt runs call on the handler's goroutine once that time has come. It does nothing for a handler that was not added.
 func (l *Loop) RunAt(h FrameHandler, at placement.Millis, call func(now placement.Millis)) {
 	if w := l.worker(h); w != nil {
-		w.queue.push(event{kind: eventCall, at: at, call: call})
+		w.queue.push(event{
+			kind: eventCall,
+			at:   at,
+			call: call,
+		})
 	}
 }
 
-// Call calls call on the handler's goroutine and returns once that is done, or the loop is closed. The handler is a Handler
-// or a FrameHandler; Call does nothing for one that was not added.
+// Call runs call on the handler's goroutine and returns once it has returned, or the loop is closed. The handler is a
+// Handler or a FrameHandler; Call does nothing for one that was not added.
 func (l *Loop) Call(h any, call func(now placement.Millis)) {
 	w := l.worker(h)
 	if w == nil {
@@ -132,14 +141,15 @@
 	}
 }
 
+// worker returns the worker of a handler, or nil if the handler was not added.
 func (l *Loop) worker(h any) *worker {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.workers[h]
 }
 
-// Close ends all handlers and connections. Handlers end first, after what was received by then; what they sent is given
-// drainTimeout to leave before the event loops end, so that the last answers are not lost.
+// Close ends all handlers and connections. Handlers end first, after the events that were queued by then. The event
+// loops end once what the handlers sent is written, or after drainTimeout, so that the last answers are not lost.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,12 +158,12 @@
 	for _, w := range l.workers {
 		w.queue.close()
 		if w.listener != nil {
-			_ = w.listener.Close() // fails only if the listener has ended before, which serve reports
+			_ = w.listener.Close() // fails only if the listener has ended already, which serve reports
 		}
 	}
 	l.running.Wait()
 	for _, w := range l.workers {
-		w.drain(ctx)
+		w.conns.drain(ctx)
 		w.loops.stop()
 	}
 	l.accepting.Wait()
--- /dev/null
+++ b/internal/transport/order_test.go
@@ -0,0 +1,107 @@
+package transport
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// urgentFrameCodec is a frameCodec of urgent messages.
+type urgentFrameCodec struct{ frameCodec }
+
+func (urgentFrameCodec) Urgent() {}
+
+// orderHandler dials a peer whose frames are urgent, and records the keys of requests in the order of their arrival.
+type orderHandler struct {
+	*blockingHandler
+	urgentAddr string
+	keys       []uint64
+}
+
+func (o *orderHandler) Start(now placement.Millis, n FrameNetwork) {
+	o.blockingHandler.Start(now, n)
+	n.(frameNetwork).DialCodec(o.urgentAddr, urgentFrameCodec{frameCodec{1000}}, 20000)
+}
+
+func (o *orderHandler) Received(_ placement.Millis, _ ConnID, f *pb.Frame) {
+	o.mu.Lock()
+	o.keys = append(o.keys, f.GetAsk().Key)
+	o.mu.Unlock()
+	o.block()
+}
+
+// requestWithKey is a sampleRequest with another key.
+func requestWithKey(key uint64) *pb.Frame {
+	f := sampleRequest()
+	f.GetAsk().Key = key
+	return f
+}
+
+// The test guards against discovery events that arrive in time and are handled after a second's work of other events.
+func TestLoop_UrgentMessagesAreHandledBeforeAFullQueue(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { assert.NoError(t, ln.Close()) })
+	handler := &orderHandler{urgentAddr: ln.Addr().String(), blockingHandler: newBlockingHandler()}
+	limits := smallLimits
+	limits.MaxQueuedEvents = 2
+	loop, addr := start(t, handler, limits)
+	urgent := acceptOne(t, ln)
+	handler.waitUntil(t, func() bool { return handler.opened == 1 })
+	client := dial(t, addr)
+	write(t, client, requestWithKey(1))
+	<-handler.busy
+	for key := range uint64(5) {
+		write(t, client, requestWithKey(2+key))
+	}
+	waitForQueued(t, loop, handler, 3)
+	write(t, urgent, requestWithKey(100))
+	require.Eventually(t, loop.worker(handler).queue.hasUrgent.Load, eventually, time.Millisecond)
+	close(handler.resume)
+	handler.waitUntil(t, func() bool { return len(handler.keys) == 7 })
+	assert.Equal(t, []uint64{1, 100, 2, 3, 4, 5, 6}, handler.keys)
+}
+
+// stepHandler answers each request, reports it and then blocks until the next step.
+type stepHandler struct {
+	echoHandler
+	seen chan struct{} // receives a value for each request
+	step chan struct{} // a value lets the handler go on
+}
+
+func (s *stepHandler) Received(now placement.Millis, c ConnID, f *pb.Frame) {
+	s.echoHandler.Received(now, c, f)
+	s.seen <- struct{}{}
+	<-s.step
+}
+
+// The answers of a busy handler are written between events: an answer must not wait for all requests that were read
+// together with its own.
+func TestLoop_AnswerLeavesBeforeALongBatchIsDone(t *testing.T) {
+	handler := &stepHandler{seen: make(chan struct{}), step: make(chan struct{})}
+	loop, addr := start(t, handler, DefaultLimits)
+	client := dial(t, addr)
+	request := requestWithKey(1) // one answer each
+	write(t, client, request)
+	<-handler.seen
+	write(t, client, request)
+	write(t, client, request)
+	waitForQueued(t, loop, handler, 2)
+	handler.step <- struct{}{}
+	_, err := read(client)
+	require.NoError(t, err)
+	<-handler.seen
+	time.Sleep(2 * duration(maxTurn))
+	handler.step <- struct{}{}
+	<-handler.seen // the third request is handled in the batch of the second
+	require.NoError(t, client.SetReadDeadline(time.Now().Add(5*time.Second)))
+	_, err = read(client)
+	assert.NoError(t, err, "the second answer leaves before the third request is handled")
+	handler.step <- struct{}{}
+}
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -7,6 +7,7 @@
 	"grebeglade/placement"
 )
 
+// eventKind says what a worker has to handle.
 type eventKind uint8
 
 const (
@@ -16,7 +17,7 @@
 	eventClosed                   // a connection has ended, or could not be dialled
 )
 
-// event is one thing for a worker to handle.
+// event is one event for a worker to handle. Fields that do not apply to its kind are zero.
 type event struct {
 	kind    eventKind
 	conn    *connection // of all kinds but eventCall
@@ -26,31 +27,35 @@
 	call    func(now placement.Millis)
 }
 
-// isUrgent reports whether an event is handled before all that are not.
+// isUrgent reports whether an event is handled before those that are not urgent.
 func (e *event) isUrgent() bool { return e.conn != nil && e.conn.class == classUrgent }
 
-// eventQueue holds the events of one worker until it takes them. Events of one connection stay in their order. Any goroutine
+// eventQueue holds the events of one worker until it takes them. Events of one connection stay in order. Any goroutine
 // may add events; only the worker takes them.
 type eventQueue struct {
-	ready     chan struct{} // holds a value while there may be something to take
+	ready     chan struct{} // holds a value while there may be events to take
 	closed    chan struct{} // closed by close
 	closeOnce sync.Once
 	maxQueued int
 
 	mu        sync.Mutex
-	notFull   *sync.Cond // signalled when queued was taken
+	notFull   *sync.Cond // signalled once queued was taken, or the queue is closed
 	queued    []event
 	urgent    []event     // handled before queued
-	hasUrgent atomic.Bool // urgent is not empty; read without the lock
+	hasUrgent atomic.Bool // whether urgent holds events; read without the lock
 }
 
 func newEventQueue(maxQueued int) *eventQueue {
-	q := &eventQueue{ready: make(chan struct{}, 1), closed: make(chan struct{}), maxQueued: maxQueued}
+	q := &eventQueue{
+		ready:     make(chan struct{}, 1),
+		closed:    make(chan struct{}),
+		maxQueued: maxQueued,
+	}
 	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
-// push adds an event, also to a full queue.
+// push adds an event, even to a full queue.
 func (q *eventQueue) push(e event) {
 	q.mu.Lock()
 	q.add(e)
@@ -58,8 +63,8 @@
 	q.signal()
 }
 
-// pushMessages adds messages of one connection. While the queue is full it blocks, and with it the event loop that reads
-// for connections of this class, and so the peers; urgent messages do not wait.
+// pushMessages adds messages of one connection. Unless they are urgent, it blocks while the queue is full. This stops
+// the event loop that reads for connections of the same class, so that TCP holds their peers back.
 func (q *eventQueue) pushMessages(messages []event) {
 	q.mu.Lock()
 	for !messages[0].isUrgent() && len(q.queued) > q.maxQueued && !q.isClosed() {
@@ -70,7 +75,7 @@
 	q.signal()
 }
 
-// add adds events of one connection; the lock is held.
+// add adds events of one connection. The caller holds the lock.
 func (q *eventQueue) add(events ...event) {
 	if events[0].isUrgent() {
 		q.urgent = append(q.urgent, events...)
@@ -80,6 +85,7 @@
 	q.queued = append(q.queued, events...)
 }
 
+// signal makes ready readable.
 func (q *eventQueue) signal() {
 	select {
 	case q.ready <- struct{}{}:
@@ -87,7 +93,8 @@
 	}
 }
 
-// takeQueued takes all events that are not urgent. The queue goes on with the given slice, which must have been handled.
+// takeQueued takes all events that are not urgent. The queue reuses the memory of handled, whose events the worker must
+// be done with.
 func (q *eventQueue) takeQueued(handled []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -107,7 +114,7 @@
 	return taken
 }
 
-// close lets nobody wait for the queue any more. What it holds can still be taken.
+// close releases everything that waits for the queue. The events that it holds can still be taken.
 func (q *eventQueue) close() {
 	q.closeOnce.Do(func() { close(q.closed) })
 	q.mu.Lock()
--- a/internal/transport/queue_test.go
+++ b/internal/transport/queue_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A full queue blocks its reader, and with it the peers, until the worker takes what is there.
+// A full queue blocks its reader, and with it the peers, until the worker takes the queued events.
 func TestEventQueue_FullQueueBlocksItsReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newEventQueue(defaultQueuedEvents)
-		q.pushMessages(make([]event, defaultQueuedEvents+1))
+		queue := newEventQueue(defaultQueuedEvents)
+		queue.pushMessages(make([]event, defaultQueuedEvents+1))
 		pushed := false
 		go func() {
-			q.pushMessages(make([]event, 1))
+			queue.pushMessages(make([]event, 1))
 			pushed = true
 		}()
 		synctest.Wait()
 		assert.False(t, pushed)
-		assert.Len(t, q.queued, defaultQueuedEvents+1)
-		assert.Len(t, q.takeQueued(nil), defaultQueuedEvents+1)
+		assert.Len(t, queue.queued, defaultQueuedEvents+1)
+		assert.Len(t, queue.takeQueued(nil), defaultQueuedEvents+1)
 		synctest.Wait()
 		assert.True(t, pushed)
-		assert.Len(t, q.queued, 1)
+		assert.Len(t, queue.queued, 1)
 	})
 }
 
@@ -36,6 +36,6 @@
 		assert.Len(t, q.queued, 1)
 		q.close()
 		synctest.Wait()
-		assert.Len(t, q.takeQueued(nil), 2, "what was pushed is still to be handled")
+		assert.Len(t, q.takeQueued(nil), 2, "a closed queue still returns its events")
 	})
 }
--- a/internal/transport/socketevents.go
+++ b/internal/transport/socketevents.go
@@ -1,10 +1,8 @@
 package transport
 
-import (
-	"github.com/panjf2000/gnet/v2"
-)
+import "github.com/panjf2000/gnet/v2"
 
-// socketEvents turns what the event loops of a worker report into events in its queue.
+// socketEvents queues what the event loops of a worker report as events for the worker.
 type socketEvents struct {
 	gnet.BuiltinEventEngine
 	worker *worker
@@ -27,28 +25,33 @@
 	if !ok {
 		return gnet.None
 	}
-	c.ended.Store(true)
+	c.shared.ended.Store(true)
 	if c.class == classIncoming {
 		e.worker.listener.connectionEnded()
 	}
-	e.worker.queue.push(event{kind: eventClosed, conn: c, reason: c.reason(err)})
+	e.worker.queue.push(event{
+		kind:   eventClosed,
+		conn:   c,
+		reason: c.reason(err),
+	})
 	return gnet.None
 }
 
 // OnTraffic is called by the event loop when a connection has bytes to read.
 func (e *socketEvents) OnTraffic(socket gnet.Conn) gnet.Action {
-	c, ok := socket.Context().(*connection)
+	conn, ok := socket.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
-	b, err := socket.Peek(-1)
+	unread, err := socket.Peek(-1)
 	if err != nil {
 		return gnet.None
 	}
-	messages, used, err := e.decode(c, b)
-	// Discarding zero bytes would discard all that is there.
+	messages, used, err := e.decode(conn, unread)
+	// Discarding zero bytes would discard all of them.
 	if used > 0 {
-		if _, discardErr := socket.Discard(used); err == nil {
+		_, discardErr := socket.Discard(used)
+		if err == nil {
 			err = discardErr
 		}
 	}
@@ -56,39 +59,45 @@
 		e.worker.queue.pushMessages(messages)
 	}
 	if err != nil {
-		e.endMalformed(c, err)
+		e.reportMalformed(conn, err)
 		return gnet.Close
 	}
 	if e.worker.limits.MessageTimeout > 0 {
-		c.watchMessage(used > 0, used < len(b))
+		conn.watchMessage(used > 0, used < len(unread))
 	}
 	return gnet.None
 }
 
-// decode returns the messages that are complete in b, and the number of bytes that they took. With an error it returns the
-// messages in front of the malformed one.
-func (e *socketEvents) decode(c *connection, b []byte) (messages []event, used int, err error) {
+// decode returns the complete messages at the beginning of unread, and the number of bytes that were consumed. With an
+// error it returns the messages in front of the malformed one.
+func (e *socketEvents) decode(conn *connection, unread []byte) (messages []event, used int, err error) {
 	now := e.worker.loop.Now()
-	for used < len(b) {
-		m, n, err := c.codec.Decode(b[used:])
+	for used < len(unread) {
+		message, consumed, err := conn.codec.Decode(unread[used:])
 		if err != nil {
 			return messages, used, err
 		}
-		if n == 0 {
+		if consumed == 0 {
 			break
 		}
-		used += n
-		if m != nil {
-			messages = append(messages, event{kind: eventMessage, conn: c, message: m, at: now})
+		used += consumed
+		if message == nil {
+			continue
 		}
+		messages = append(messages, event{
+			kind:    eventMessage,
+			conn:    conn,
+			message: message,
+			at:      now,
+		})
 	}
 	return messages, used, nil
 }
 
-// endMalformed notes why a connection is about to be closed for what its peer sent.
-func (e *socketEvents) endMalformed(c *connection, err error) {
+// reportMalformed counts and logs what a peer sent, and records it as the reason for which the event loop is about to
+// close the connection.
+func (e *socketEvents) reportMalformed(conn *connection, err error) {
 	e.worker.loop.Stats.MalformedMessages.Add(1)
-	e.worker.loop.log.Warn("connection ended", "peer", c.socket.RemoteAddr(), "reason", err)
-	var reason error = &closeError{class: ErrMalformedMessage, cause: err}
-	c.closeReason.CompareAndSwap(nil, &reason)
+	e.worker.loop.log.Warn("connection ended", "peer", conn.socket.RemoteAddr(), "reason", err)
+	conn.setCloseReason(&closeError{class: ErrMalformedMessage, cause: err})
 }
--- a/internal/transport/timers.go
+++ b/internal/transport/timers.go
@@ -5,18 +5,19 @@
 	"grebeglade/placement"
 )
 
-// Timers are a handler's own timers, behind its only wake-up: it calls RunDue from Wake, and gives Next to WakeAt. The zero
-// value is ready for use.
+// Timers multiplexes any number of timers onto a handler's only wake-up: the handler calls RunDue from Wake, and passes
+// the time from Next to WakeAt. The zero value is ready to use.
 type Timers struct {
 	queue timerqueue.Queue[func(placement.Millis)]
 }
 
-// Schedule has call run once that time has come. Calls of the same time run in the order of their scheduling.
+// Schedule arranges for call to run once that time has come. Calls of the same time run in the order of their
+// scheduling.
 func (t *Timers) Schedule(at placement.Millis, call func(now placement.Millis)) {
 	t.queue.Push(at, call)
 }
 
-// RunDue runs the calls that are due, also those that become due by what these schedule.
+// RunDue runs the calls that are due, including those that they schedule for now or earlier.
 func (t *Timers) RunDue(now placement.Millis) {
 	for at, ok := t.queue.NextTime(); ok && at <= now; at, ok = t.queue.NextTime() {
 		_, _, call := t.queue.Pop()
@@ -24,7 +25,7 @@
 	}
 }
 
-// Next returns the time of the first timer, if there is one.
+// Next returns the time of the earliest timer, and false if there is none.
 func (t *Timers) Next() (placement.Millis, bool) { return t.queue.NextTime() }
 
 // Len returns the number of timers that have not run.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,14 +1,15 @@
-// Package transport carries messages between the processes of a cluster: allocators, nodes, clients and the endpoint list.
+// Package transport carries messages between the processes of a cluster: allocators, nodes, clients and the discovery
+// service.
 //
-// A handler is a state machine behind any number of connections; a network is all that it can do to the world. A Handler
-// takes messages of any Codec, a FrameHandler takes the project's own protobuf frames. Loop runs handlers on sockets;
-// package simulation runs a FrameHandler in virtual time, with the same contract. A handler is called from one goroutine
-// at a time. Times are milliseconds on a clock that never goes back.
+// A handler is a state machine that serves any number of connections and acts through its network only. A Handler
+// receives messages of any Codec, a FrameHandler receives frames of the project's own protobuf protocol. Loop runs
+// handlers on sockets; package simulation/network runs a FrameHandler in virtual time, under the same contract. The
+// methods of a handler are never called concurrently. Times are milliseconds on a monotonic clock.
 //
-// On sockets, the way of a message is: socketEvents decodes what an event loop has read, eventQueue holds it, and the
-// worker hands it to its handler. What the handler sends is encoded at once, and leaves when the worker flushes: after each
-// batch of events, or earlier if the batch takes long.
+// On sockets, socketEvents decodes what an event loop has read, eventQueue holds the messages, and the worker passes
+// them to its handler. What the handler sends is encoded at once, and written when the worker flushes: after each batch
+// of events, or earlier if the batch takes long.
 package transport
 
-// ConnID identifies a connection of one handler. IDs start at 1 and are never used again.
+// ConnID identifies a connection of one handler. IDs start at 1 and are never reused.
 type ConnID uint64
