--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -25,15 +25,19 @@
 }
 
 func TestLog_DigestDiffersForEventsThatDiffer(t *testing.T) {
-	run := func(capacity int, last Event) uint64 {
+	digestOf := func(capacity int, last Event) uint64 {
 		l := New(capacity)
-		l.Add(Event{At: 1, Kind: Requested, Workload: 1})
+		l.Add(Event{
+			At:       1,
+			Kind:     Requested,
+			Workload: 1,
+		})
 		l.Add(last)
 		return l.Digest()
 	}
-	assert.Equal(t, run(1, Event{Node: 2}), run(9, Event{Node: 2}), "also of events that are no longer held")
-	assert.NotEqual(t, run(9, Event{Node: 2}), run(9, Event{Node: 3}))
-	assert.NotEqual(t, run(9, Event{Detail: 2}), run(9, Event{Detail: 3}))
+	assert.Equal(t, digestOf(1, Event{Node: 2}), digestOf(9, Event{Node: 2}), "includes events that are no longer held")
+	assert.NotEqual(t, digestOf(9, Event{Node: 2}), digestOf(9, Event{Node: 3}))
+	assert.NotEqual(t, digestOf(9, Event{Detail: 2}), digestOf(9, Event{Detail: 3}))
 }
 
 func TestLog_NilKeepsNothing(t *testing.T) {
@@ -47,5 +51,5 @@
 		assert.NotEmpty(t, k.String())
 		names[k.String()] = true
 	}
-	assert.Len(t, names, int(NodeConnection), "and its own")
+	assert.Len(t, names, int(NodeConnection), "each name differs")
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -11,15 +11,16 @@
 	"grebeglade/placement"
 )
 
-// due is what a value of the model comes due by.
+// due is the place of a value in the model: by time, then by number.
 type due struct {
 	at     placement.Millis
 	number uint64
 }
 
+// The queue is compared with a sorted slice over random steps.
 func TestQueue_PopsByTimeThenInTheOrderOfPush(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q Queue[uint64] // of the numbers that the values get
+		var q Queue[uint64] // each value is its own number
 		var model []due
 		pushed := uint64(0)
 		pop := func() {
