--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// Keys that are read in more than one place.
+// Keys that are used in more than one place.
 const (
 	keyDiscovery     = "discovery"
 	keyConfirms      = "family_info.confirms"
@@ -16,12 +16,14 @@
 	keyRequestGroups = "request_classes"
 )
 
+// idempotencies are the names of what a second start of a workload would do.
 var idempotencies = map[string]placement.Idempotency{
 	"read_like":       placement.Idempotent,
 	"idempotency_key": placement.IdempotentByKey,
 	"non_idempotent":  placement.AtMostOnce,
 }
 
+// scopes are the names of the parts of a cluster within which keys are recognised, or workloads spread.
 var scopes = map[string]placement.Scope{
 	"off":     placement.ScopeNone,
 	"machine": placement.ScopeNode,
@@ -30,36 +32,37 @@
 	"all":     placement.ScopeAll,
 }
 
+// Names that stand for a choice of two.
 var (
 	discoveryIsPolled = map[string]bool{"subscribe": true, "automatic": false}
 	confirmMeansRuns  = map[string]bool{"running": true, "accepted": false}
 	reportCountsInUse = map[string]bool{"used": true, "asked": false}
 )
 
-// decode converts values by path. The first that is missing or unusable is the error.
+// decode decodes values by path. The error is that of the first value that is missing or unusable.
 func decode(values map[string]string) (*Received, error) {
-	r := &reader{values: values}
-	s := r.clusterSettings()
-	s.NodeKinds = r.kinds()
-	s.Groups = r.groups()
+	input := &reader{values: values}
+	settings := input.clusterSettings()
+	settings.NodeKinds = input.kinds()
+	settings.Groups = input.groups()
 	received := &Received{
-		Settings:       s,
-		ReportFields:   r.list("report.fields"),
-		GroupNames:     r.groupNames(len(s.Groups)),
-		KindNames:      r.optionalList("kinds"),
-		ZoneNames:      r.optionalList("zones"),
-		ConnectTimeout: r.optionalMillis("permissions.connect_timeout_ns"),
-		IdleTimeout:    r.optionalMillis("permissions.keepalive_ns"),
+		Settings:       settings,
+		ReportFields:   input.list("report.fields"),
+		GroupNames:     input.groupNames(len(settings.Groups)),
+		KindNames:      input.optionalList("kinds"),
+		ZoneNames:      input.optionalList("zones"),
+		ConnectTimeout: input.optionalMillis("permissions.connect_timeout_ns"),
+		IdleTimeout:    input.optionalMillis("permissions.keepalive_ns"),
 	}
-	if r.err != nil {
-		return nil, r.err
+	if input.err != nil {
+		return nil, input.err
 	}
 	return received, nil
 }
 
-// clusterSettings reads what holds for all kinds and groups.
+// clusterSettings reads the settings that apply to all kinds and groups.
 func (r *reader) clusterSettings() placement.Settings {
-	s := placement.Settings{
+	settings := placement.Settings{
 		Allocators:           int(r.number("balancers")),
 		Ordinal:              int(r.number("ordinal")),
 		WarmUpDuration:       r.millis("contract.cold_ns"),
@@ -73,12 +76,13 @@
 		MaxBinds:             int(r.number("permissions.most_tries")),
 		HealthChecksAllowed:  r.boolean("permissions.probes"),
 	}
-	if s.PolledDiscovery {
-		s.PollInterval = r.millis("contract.ask_within_ns")
+	if settings.PolledDiscovery {
+		settings.PollInterval = r.millis("contract.ask_within_ns")
 	}
-	return s
+	return settings
 }
 
+// kinds reads the node kinds.
 func (r *reader) kinds() []placement.NodeKind {
 	var kinds []placement.NodeKind
 	for i := range r.list(keyKindCores) {
@@ -90,6 +94,7 @@
 	return kinds
 }
 
+// groups reads the priority groups.
 func (r *reader) groups() []placement.Group {
 	var groups []placement.Group
 	for i := 0; i < int(r.number(keyRequestGroups+".count")) && r.err == nil; i++ {
@@ -98,10 +103,10 @@
 	return groups
 }
 
-// group reads the priority group with that number: its own object, and its element of each list over all groups.
+// group reads the priority group at index i: its own object, and its element of each list over all groups.
 func (r *reader) group(i int) placement.Group {
 	own := groupKey(i, "")
-	g := placement.Group{
+	group := placement.Group{
 		LatencyObjective:       r.millis(own + "aim_ns"),
 		PriorityWeight:         r.number(own + "value"),
 		Idempotency:            oneOf(r, own+"effect", r.text(own+"effect"), idempotencies),
@@ -111,14 +116,14 @@
 		RequiredKind:           int(r.numberAt("family_info.kind_by_class", i)),
 		SpreadScope:            oneOf(r, keySpreadScopes, r.element(keySpreadScopes, i), scopes),
 	}
-	if g.Idempotency == placement.IdempotentByKey {
-		g.KeyScope = oneOf(r, own+"dedup_scope", r.text(own+"dedup_scope"), scopes)
-		g.KeyWindow = r.millis(own + "window_ns")
+	if group.Idempotency == placement.IdempotentByKey {
+		group.KeyScope = oneOf(r, own+"dedup_scope", r.text(own+"dedup_scope"), scopes)
+		group.KeyWindow = r.millis(own + "window_ns")
 	}
-	return g
+	return group
 }
 
-// groupNames returns the names of n groups, "" for one without a name.
+// groupNames reads the names of n groups, "" for one without a name.
 func (r *reader) groupNames(n int) []string {
 	var names []string
 	for i := range n {
@@ -127,4 +132,5 @@
 	return names
 }
 
+// groupKey returns the path of a setting of the group at index i.
 func groupKey(i int, name string) string { return fmt.Sprintf("%s.%d.%s", keyRequestGroups, i, name) }
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// flattenJSON returns the values of a JSON object by path. A list of plain values becomes one value joined by commas; a
-// list of objects becomes its elements by index, and its length under "count".
+// flattenJSON returns the values of a JSON object by path. A list of plain values becomes one value joined by commas. A
+// list of objects becomes its elements, each flattened under its index, and the length under "count".
 func flattenJSON(text []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber() // keeps the digits of integers above 2^53
@@ -23,6 +23,7 @@
 	return values, nil
 }
 
+// flatten adds a JSON value and all that it contains to values, under a path.
 func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -36,6 +37,7 @@
 	}
 }
 
+// flattenList adds a JSON list to values, under a path.
 func flattenList(values map[string]string, path string, list []any) {
 	if slices.ContainsFunc(list, isObject) {
 		values[path+".count"] = strconv.Itoa(len(list))
@@ -56,7 +58,7 @@
 	return ok
 }
 
-// splitPairs returns the values of lines of path=value by path.
+// splitPairs parses lines of path=value and returns the values by path. Other lines are ignored.
 func splitPairs(text string) map[string]string {
 	values := map[string]string{}
 	for line := range strings.Lines(text) {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,13 +6,19 @@
 	"grebeglade/placement"
 )
 
-// UnknownLoad returns a load report in which every value is NaN, the value for "not reported".
+// UnknownLoad returns a load report in which every value is NaN, which stands for "not reported".
 func UnknownLoad() *placement.LoadReport {
 	unknown := math.NaN()
-	return &placement.LoadReport{SpareCores: unknown, SpareMemory: unknown, Backlog: unknown, Utilization: unknown}
+	return &placement.LoadReport{
+		SpareCores:  unknown,
+		SpareMemory: unknown,
+		Backlog:     unknown,
+		Utilization: unknown,
+	}
 }
 
-// SetLoadField sets the value that has this name in load reports. Other names are ignored.
+// SetLoadField sets the field of l that a node reports under a name. Unknown names are ignored, since nodes may report
+// more than placement uses.
 func SetLoadField(l *placement.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -15,16 +15,21 @@
 	nanosPerMilli = 1e6
 )
 
-// reader converts values by path and keeps the first error, so that a caller checks once, at the end. After an error
-// its methods return zero values or what they could read.
+// reader decodes values by path and keeps the first error, so that the caller checks once, at the end. After an error
+// its methods return zero values or what they could decode.
 type reader struct {
 	values map[string]string
 	err    error
 }
 
+// fail records a KeyError, unless an earlier error is recorded.
 func (r *reader) fail(path, problem, fix string) {
 	if r.err == nil {
-		r.err = &KeyError{Key: path, Problem: problem, Fix: fix}
+		r.err = &KeyError{
+			Key:     path,
+			Problem: problem,
+			Fix:     fix,
+		}
 	}
 }
 
@@ -65,7 +70,7 @@
 	return placement.Millis(r.number(path) / nanosPerMilli)
 }
 
-// optionalMillis is 0 for a value that is missing.
+// optionalMillis is millis, with 0 for a value that is missing.
 func (r *reader) optionalMillis(path string) placement.Millis {
 	if !r.has(path) {
 		return 0
@@ -90,7 +95,7 @@
 	return strings.Split(v, listSeparator)
 }
 
-// optionalList is nil for a value that is missing.
+// optionalList is list, with nil for a value that is missing.
 func (r *reader) optionalList(path string) []string {
 	if r.optionalText(path) == "" {
 		return nil
@@ -98,7 +103,7 @@
 	return r.list(path)
 }
 
-// element returns the value at index i of a list, "" if the list is too short.
+// element returns the element at index i of a list, "" if the list is too short.
 func (r *reader) element(path string, i int) string {
 	list := r.list(path)
 	if i >= len(list) {
@@ -117,11 +122,12 @@
 	return r.parseNumber(path, v)
 }
 
-// oneOf converts a value of a fixed set of names.
+// oneOf returns what the value v stands for, which must be one of the given names.
 func oneOf[T any](r *reader, path, v string, names map[string]T) T {
 	converted, ok := names[v]
 	if !ok {
-		r.fail(path, fmt.Sprintf("is %q, which is not known", v), fmt.Sprintf("give one of %q", slices.Sorted(maps.Keys(names))))
+		known := slices.Sorted(maps.Keys(names))
+		r.fail(path, fmt.Sprintf("is %q, which is not known", v), fmt.Sprintf("give one of %q", known))
 	}
 	return converted
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"math"
 	"strings"
 	"testing"
 
@@ -11,17 +10,21 @@
 	"grebeglade/placement"
 )
 
+// nested are settings as the platform sends them.
 const nested = `{"balancers":3,"ordinal":2,"zones":["z1","z2"],"kinds":["small","large"],"discovery":"subscribe",
  "contract":{"cold_ns":17000000000,"cold_from":0.28,"overload_for_ns":2000000000,"ask_within_ns":9000000000},
  "report":{"fields":["x0","util"]},
  "permissions":{"most_tries":4,"probes":true,"connect_timeout_ns":250000000,"keepalive_ns":5000000000},
  "request_classes":[
   {"name":"tiles","aim_ns":1000000000,"effect":"read_like","value":1},
-  {"name":"orders","aim_ns":500000000,"effect":"idempotency_key","value":2.5,"dedup_scope":"cell","window_ns":3000000000}],
- "family_info":{"cold_bears":54,"confirms":"running","report_counts":"used","free_in_list":true,"kind_cores":[20,40],
-  "memory_by_kind":[40,80],"apart_by":["off","zone"],"spread_most":[2,3],"calm_level":[0.8,0.7],"lost_after":[0.15,0.25],
-  "kind_by_class":[-1,1]},"not_needed":{"x":null}}`
+  {"name":"orders","aim_ns":500000000,"effect":"idempotency_key","value":2.5,
+   "dedup_scope":"cell","window_ns":3000000000}],
+ "family_info":{"cold_bears":54,"confirms":"running","report_counts":"used","free_in_list":true,
+  "kind_cores":[20,40],"memory_by_kind":[40,80],"apart_by":["off","zone"],"spread_most":[2,3],
+  "calm_level":[0.8,0.7],"lost_after":[0.15,0.25],"kind_by_class":[-1,1]},
+ "not_needed":{"x":null}}`
 
+// pairs are the same settings as the simulator sends them.
 const pairs = `balancers=3
 ordinal=2
 zones=z1,z2
@@ -62,28 +65,58 @@
 not.needed=1
 `
 
+// expected are the values of nested and pairs.
 func expected() *Received {
 	return &Received{
 		Settings: placement.Settings{
-			Allocators: 3, Ordinal: 2, WarmUpDuration: 17000, InitialRate: 0.28, WarmUpBudget: 54, OverloadWindow: 2000,
-			PolledDiscovery: true, PollInterval: 9000, ConfirmsRunning: true, ReportsUsage: true, EntriesCarryCapacity: true,
-			MaxBinds: 4, HealthChecksAllowed: true,
-			NodeKinds: []placement.NodeKind{{Cores: 20, Memory: 40}, {Cores: 40, Memory: 80}},
-			Groups: []placement.Group{
-				{
-					LatencyObjective: 1000, PriorityWeight: 1, Idempotency: placement.Idempotent, MaxPerScope: 2,
-					FullServiceUtilization: 0.8, DegradationRange: 0.15, RequiredKind: -1,
-				},
-				{
-					LatencyObjective: 500, PriorityWeight: 2.5, Idempotency: placement.IdempotentByKey,
-					KeyScope: placement.ScopeCell, KeyWindow: 3000, SpreadScope: placement.ScopeZone, MaxPerScope: 3,
-					FullServiceUtilization: 0.7, DegradationRange: 0.25, RequiredKind: 1,
-				},
-			},
+			Allocators:           3,
+			Ordinal:              2,
+			WarmUpDuration:       17000,
+			InitialRate:          0.28,
+			WarmUpBudget:         54,
+			OverloadWindow:       2000,
+			PolledDiscovery:      true,
+			PollInterval:         9000,
+			ConfirmsRunning:      true,
+			ReportsUsage:         true,
+			EntriesCarryCapacity: true,
+			MaxBinds:             4,
+			HealthChecksAllowed:  true,
+			NodeKinds:            []placement.NodeKind{{Cores: 20, Memory: 40}, {Cores: 40, Memory: 80}},
+			Groups:               expectedGroups(),
+		},
+		ReportFields:   []string{"x0", "util"},
+		GroupNames:     []string{"tiles", "orders"},
+		KindNames:      []string{"small", "large"},
+		ZoneNames:      []string{"z1", "z2"},
+		ConnectTimeout: 250,
+		IdleTimeout:    5000,
+	}
+}
+
+func expectedGroups() []placement.Group {
+	return []placement.Group{
+		{
+			LatencyObjective:       1000,
+			PriorityWeight:         1,
+			Idempotency:            placement.Idempotent,
+			MaxPerScope:            2,
+			FullServiceUtilization: 0.8,
+			DegradationRange:       0.15,
+			RequiredKind:           -1,
+		},
+		{
+			LatencyObjective:       500,
+			PriorityWeight:         2.5,
+			Idempotency:            placement.IdempotentByKey,
+			KeyScope:               placement.ScopeCell,
+			KeyWindow:              3000,
+			SpreadScope:            placement.ScopeZone,
+			MaxPerScope:            3,
+			FullServiceUtilization: 0.7,
+			DegradationRange:       0.25,
+			RequiredKind:           1,
 		},
-		ReportFields: []string{"x0", "util"}, GroupNames: []string{"tiles", "orders"},
-		KindNames: []string{"small", "large"}, ZoneNames: []string{"z1", "z2"},
-		ConnectTimeout: 250, IdleTimeout: 5000,
 	}
 }
 
@@ -102,77 +135,87 @@
 func TestFromPairs_OptionalKeysMissingAreZero(t *testing.T) {
 	var required []string
 	for line := range strings.Lines(pairs) {
-		key, _, _ := strings.Cut(line, "=")
-		switch {
-		case key == "kinds", key == "zones", key == "permissions.connect_timeout_ns", key == "permissions.keepalive_ns",
-			strings.HasSuffix(key, ".name"):
-		default:
+		if key, _, _ := strings.Cut(line, "="); !isOptional(key) {
 			required = append(required, line)
 		}
 	}
 	received, err := FromPairs(strings.Join(required, ""))
 	require.NoError(t, err)
 	want := expected()
-	want.KindNames, want.ZoneNames, want.ConnectTimeout, want.IdleTimeout = nil, nil, 0, 0
+	want.KindNames = nil
+	want.ZoneNames = nil
+	want.ConnectTimeout = 0
+	want.IdleTimeout = 0
 	want.GroupNames = []string{"", ""}
 	assert.Equal(t, want, received)
 }
 
-func TestFromJSON_BadValueIsNamedWithKeyAndFix(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, key, want string }{
-		"missing":        {`"balancers"`, `"other"`, "balancers", "setting balancers is missing; add it to the settings"},
-		"not a number":   {`"most_tries":4`, `"most_tries":"many"`, "permissions.most_tries", `is "many", not a number`},
-		"not a boolean":  {`"probes":true`, `"probes":"maybe"`, "permissions.probes", `is "maybe", not true or false`},
-		"not a name":     {`"discovery":"subscribe"`, `"discovery":"x"`, "discovery", `is "x", which is not known; give one of ["automatic" "subscribe"]`},
-		"short numbers":  {`"spread_most":[2,3]`, `"spread_most":[2]`, "family_info.spread_most", "has 1 values, not 2 or more"},
-		"short names":    {`"apart_by":["off","zone"]`, `"apart_by":["off"]`, "family_info.apart_by", "has 1 values, not 2 or more"},
-		"nested missing": {`"window_ns"`, `"other"`, "request_classes.1.window_ns", "is missing"},
-		"no classes":     {`"request_classes"`, `"other"`, "request_classes.count", "is missing"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			require.Contains(t, nested, c.from)
-			received, err := FromJSON([]byte(strings.Replace(nested, c.from, c.to, 1)))
-			assert.Nil(t, received)
-			var bad *KeyError
-			require.ErrorAs(t, err, &bad)
-			assert.Equal(t, c.key, bad.Key)
-			assert.ErrorContains(t, err, c.want)
-		})
+func isOptional(key string) bool {
+	switch key {
+	case "kinds", "zones", "permissions.connect_timeout_ns", "permissions.keepalive_ns":
+		return true
+	default:
+		return strings.HasSuffix(key, ".name")
 	}
 }
 
-func TestFromJSON_TextThatIsNotJSONIsAnError(t *testing.T) {
-	_, err := FromJSON([]byte("{"))
-	assert.ErrorContains(t, err, "settings: unexpected EOF")
+func TestFromJSON_MissingKeyIsNamedWithTheFix(t *testing.T) {
+	t.Run("top level", func(t *testing.T) {
+		text := replace(t, `"balancers"`, `"other"`)
+		assertKeyError(t, text, "balancers", "setting balancers is missing; add it to the settings")
+	})
+	t.Run("nested", func(t *testing.T) {
+		text := replace(t, `"window_ns"`, `"other"`)
+		assertKeyError(t, text, "request_classes.1.window_ns", "is missing")
+	})
+	t.Run("no classes", func(t *testing.T) {
+		text := replace(t, `"request_classes"`, `"other"`)
+		assertKeyError(t, text, "request_classes.count", "is missing")
+	})
 }
 
-func TestSetLoadField_SetsOnlyTheNamedValue(t *testing.T) {
-	for name, value := range map[string]func(*placement.LoadReport) float64{
-		"x0":          func(l *placement.LoadReport) float64 { return l.SpareCores },
-		"x1":          func(l *placement.LoadReport) float64 { return l.SpareMemory },
-		"backlog":     func(l *placement.LoadReport) float64 { return l.Backlog },
-		"queue":       func(l *placement.LoadReport) float64 { return l.Backlog },
-		"utilization": func(l *placement.LoadReport) float64 { return l.Utilization },
-		"util":        func(l *placement.LoadReport) float64 { return l.Utilization },
-	} {
-		t.Run(name, func(t *testing.T) {
-			report := UnknownLoad()
-			SetLoadField(report, name, 0.5)
-			assert.InDelta(t, 0.5, value(report), 0)
-			reported := 0
-			for _, v := range []float64{report.SpareCores, report.SpareMemory, report.Backlog, report.Utilization} {
-				if !math.IsNaN(v) {
-					reported++
-				}
-			}
-			assert.Equal(t, 1, reported)
-		})
-	}
+func TestFromJSON_BadValueIsNamedWithKeyAndFix(t *testing.T) {
+	t.Run("not a number", func(t *testing.T) {
+		text := replace(t, `"most_tries":4`, `"most_tries":"many"`)
+		assertKeyError(t, text, "permissions.most_tries", `is "many", not a number`)
+	})
+	t.Run("not a boolean", func(t *testing.T) {
+		text := replace(t, `"probes":true`, `"probes":"maybe"`)
+		assertKeyError(t, text, "permissions.probes", `is "maybe", not true or false`)
+	})
+	t.Run("not a name", func(t *testing.T) {
+		text := replace(t, `"discovery":"subscribe"`, `"discovery":"x"`)
+		assertKeyError(t, text, "discovery", `is "x", which is not known; give one of ["automatic" "subscribe"]`)
+	})
+	t.Run("too few numbers", func(t *testing.T) {
+		text := replace(t, `"spread_most":[2,3]`, `"spread_most":[2]`)
+		assertKeyError(t, text, "family_info.spread_most", "has 1 values, not 2 or more")
+	})
+	t.Run("too few names", func(t *testing.T) {
+		text := replace(t, `"apart_by":["off","zone"]`, `"apart_by":["off"]`)
+		assertKeyError(t, text, "family_info.apart_by", "has 1 values, not 2 or more")
+	})
 }
 
-func TestSetLoadField_UnknownNameIsIgnored(t *testing.T) {
-	report := UnknownLoad()
-	SetLoadField(report, "x9", 1)
-	assert.True(t, math.IsNaN(report.SpareCores) && math.IsNaN(report.SpareMemory))
-	assert.True(t, math.IsNaN(report.Backlog) && math.IsNaN(report.Utilization))
+// replace returns the nested settings with one part replaced.
+func replace(t *testing.T, part, replacement string) string {
+	t.Helper()
+	require.Contains(t, nested, part)
+	return strings.Replace(nested, part, replacement, 1)
+}
+
+// assertKeyError checks that decoding JSON fails with a KeyError that names a key and contains a text.
+func assertKeyError(t *testing.T, text, key, want string) {
+	t.Helper()
+	received, err := FromJSON([]byte(text))
+	assert.Nil(t, received)
+	var keyErr *KeyError
+	require.ErrorAs(t, err, &keyErr)
+	assert.Equal(t, key, keyErr.Key)
+	assert.ErrorContains(t, err, want)
+}
+
+func TestFromJSON_TextThatIsNotJSONIsAnError(t *testing.T) {
+	_, err := FromJSON([]byte("{"))
+	assert.ErrorContains(t, err, "settings: unexpected EOF")
 }
