--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -15,7 +15,7 @@
 // cluster emulates a discovery service and nodes that start every workload at once and count the starts by key.
 type cluster struct {
 	t         *testing.T
-	discovery string // address
+	discovery string // address of the discovery service
 	mu        sync.Mutex
 	starts    map[uint64]int
 	running   map[uint32][]*pb.Standing // by node
@@ -23,62 +23,94 @@
 
 func newCluster(t *testing.T, nodes int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, starts: map[uint64]int{}, running: map[uint32][]*pb.Standing{}}
-	snapshot := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
+	emulated := &cluster{
+		t:       t,
+		starts:  map[uint64]int{},
+		running: map[uint32][]*pb.Standing{},
+	}
+	snapshot := &pb.ListUpdate{
+		Kind:     pb.ListUpdate_WHOLE,
+		Epoch:    1,
+		Revision: 1,
+	}
 	for i := range nodes {
-		id := uint32(i + 1)
-		snapshot.Entries = append(snapshot.Entries, &pb.NodeEntry{
-			Id: id, Kind: "k", Zone: "z", Cell: fmt.Sprint(id), Boot: 1, UpForMs: -1, FreeCores: 1000, FreeMemory: 1000,
-			Address: c.listen(func(p *peer) error { return c.greet(p, id) }, func(p *peer, f *pb.Frame) error {
-				if o := f.GetOffer(); o != nil {
-					return c.accept(p, id, o)
-				}
-				return nil
-			}),
-		})
+		snapshot.Entries = append(snapshot.Entries, emulated.startNode(uint32(i+1)))
+	}
+	emulated.discovery = emulated.startDiscovery(snapshot)
+	return emulated
+}
+
+// startNode starts a node and returns its entry in the node list.
+func (c *cluster) startNode(id uint32) *pb.NodeEntry {
+	greet := func(p *peer) error { return c.greet(p, id) }
+	handle := func(p *peer, f *pb.Frame) error {
+		if offer := f.GetOffer(); offer != nil {
+			return c.handleOffer(p, id, offer)
+		}
+		return nil
+	}
+	return &pb.NodeEntry{
+		Id:         id,
+		Kind:       "k",
+		Zone:       "z",
+		Cell:       fmt.Sprint(id),
+		Boot:       1,
+		UpForMs:    -1,
+		FreeCores:  1000,
+		FreeMemory: 1000,
+		Address:    c.listen(greet, handle),
 	}
+}
+
+// startDiscovery starts a discovery service that sends one snapshot, and returns its address.
+func (c *cluster) startDiscovery(snapshot *pb.ListUpdate) string {
 	greet := func(p *peer) error {
-		if err := p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1})); err != nil {
+		hello := &pb.Hello{
+			Role:        pb.Role_LIST,
+			Name:        "l",
+			Incarnation: 1,
+		}
+		if err := p.send(transport.HelloFrame(hello)); err != nil {
 			return err
 		}
 		return p.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: snapshot}})
 	}
-	c.discovery = c.listen(greet, func(*peer, *pb.Frame) error { return nil })
-	return c
+	return c.listen(greet, func(*peer, *pb.Frame) error { return nil })
 }
 
 // listen accepts connections, greets each after its hello, and handles its frames. It returns the address.
 func (c *cluster) listen(greet func(*peer) error, handle func(*peer, *pb.Frame) error) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
-	c.t.Cleanup(func() { _ = l.Close() })
+	c.t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go serve(newPeer(conn), greet, handle)
 		}
 	}()
-	return l.Addr().String()
+	return ln.Addr().String()
 }
 
-// serve ends with the connection: an allocator that is killed breaks it at any point.
-func serve(p *peer, greet func(*peer) error, handle func(*peer, *pb.Frame) error) {
-	defer p.close()
-	if _, err := p.next(); err != nil {
+// serve greets a peer after its hello, and handles its frames until the connection ends. An allocator that is killed
+// ends it at any point.
+func serve(client *peer, greet func(*peer) error, handle func(*peer, *pb.Frame) error) {
+	defer client.close()
+	if _, err := client.next(); err != nil {
 		return
 	}
-	if err := greet(p); err != nil {
+	if err := greet(client); err != nil {
 		return
 	}
 	for {
-		f, err := p.next()
+		f, err := client.next()
 		if err != nil {
 			return
 		}
-		if err := handle(p, f); err != nil {
+		if err := handle(client, f); err != nil {
 			return
 		}
 	}
@@ -89,22 +121,40 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.send(transport.HelloFrame(&pb.Hello{
-		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.running[id],
+		Role:        pb.Role_NODE,
+		Name:        "n",
+		Node:        id,
+		Incarnation: 1,
+		UpForMs:     -1,
+		Standing:    c.running[id],
 	}))
 }
 
-// accept starts a workload. A third of them are confirmed and run; a third run without a confirmation; a third are not
-// confirmed and end at once, so that no hello ever names them.
-func (c *cluster) accept(p *peer, id uint32, o *pb.Offer) error {
+// fate is what a node does with a workload that it has started.
+type fate int
+
+const (
+	fateConfirmedAndRuns   fate = iota
+	fateUnconfirmedAndRuns      // the allocator learns of it from the node's next hello
+	fateUnconfirmedAndEnds      // no hello ever names it
+	fates
+)
+
+// fateOf gives each fate to a third of the keys.
+func fateOf(key uint64) fate { return fate(key % uint64(fates)) }
+
+// handleOffer starts a workload and counts the start.
+func (c *cluster) handleOffer(p *peer, id uint32, offer *pb.Offer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := o.Ask.Key
+	key := offer.Ask.Key
 	c.starts[key]++
-	if key%3 != 2 {
-		c.running[id] = append(c.running[id], &pb.Standing{Offer: o, Running: true})
+	if fateOf(key) != fateUnconfirmedAndEnds {
+		c.running[id] = append(c.running[id], &pb.Standing{Offer: offer, Running: true})
 	}
-	if key%3 != 0 {
+	if fateOf(key) != fateConfirmedAndRuns {
 		return nil
 	}
-	return p.send(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: o.Bind, Accepted: true}}})
+	confirmation := &pb.OfferAnswer{Bind: offer.Bind, Accepted: true}
+	return p.send(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: confirmation}})
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"sync"
 	"testing"
 	"time"
 
@@ -15,10 +14,16 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
+// Reasons of rejected requests.
+const (
+	reasonNoNode   = "no node is known"
+	reasonDraining = "the allocator is stopping; ask another"
+)
+
 // startWithoutNodes starts an allocator whose discovery service does not exist, so that it knows no node.
 func startWithoutNodes(t *testing.T) *Daemon {
 	t.Helper()
-	c, err := config.Decode("t.hcl", []byte(`
+	configuration, err := config.Decode("t.hcl", []byte(`
 allocator {
   listen = "127.0.0.1:0"
   list   = "127.0.0.1:1"
@@ -32,48 +37,78 @@
 }
 `))
 	require.NoError(t, err)
-	d, err := Start(c, NewLogger(c.Log, io.Discard))
+	return mustStart(t, configuration)
+}
+
+// mustStart starts an allocator that logs nothing.
+func mustStart(t *testing.T, configuration *config.Allocator) *Daemon {
+	t.Helper()
+	d, err := startQuietly(configuration)
 	require.NoError(t, err)
 	return d
 }
 
-// request connects as a client of that number, sends one request and returns its answer.
-func request(address string, number uint64) (*pb.Answer, error) {
-	p, err := dial(address, fmt.Sprintf("client-%d", number), 1)
+// startQuietly starts an allocator that logs nothing, and returns the error if it fails.
+func startQuietly(configuration *config.Allocator) (*Daemon, error) {
+	return Start(configuration, NewLogger(configuration.Log, io.Discard))
+}
+
+// reply is what a client gets for its request.
+type reply struct {
+	answer *pb.Answer
+	err    error
+}
+
+// request connects as a client of that number, sends one request and returns the reply.
+func request(address string, number uint64) reply {
+	conn, err := dial(address, fmt.Sprintf("client-%d", number), 1)
 	if err != nil {
-		return nil, err
+		return reply{err: err}
 	}
-	defer p.close()
-	err = p.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: 1, Key: number, Group: "serve", Cores: 1, Memory: 1, LeftMs: 5000,
+	defer conn.close()
+	err = conn.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+		Ask:    1,
+		Key:    number,
+		Group:  "serve",
+		Cores:  1,
+		Memory: 1,
+		LeftMs: 5000,
 	}}})
 	if err != nil {
-		return nil, err
+		return reply{err: err}
 	}
-	f, err := p.receive()
+	f, err := conn.receive()
 	if err != nil {
-		return nil, err
+		return reply{err: err}
 	}
-	return f.GetAnswer(), nil
+	return reply{answer: f.GetAnswer()}
+}
+
+// requestAsync is request on a goroutine of its own.
+func requestAsync(address string, number uint64) <-chan reply {
+	replies := make(chan reply, 1)
+	go func() { replies <- request(address, number) }()
+	return replies
+}
+
+// waitForPending waits until the allocator has one pending workload.
+func waitForPending(t *testing.T, d *Daemon) {
+	t.Helper()
+	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
 }
 
 func TestDaemon_ThousandClientsAtOnceWithoutNodesAreAllRejected(t *testing.T) {
 	const clients = 1000
 	d := startWithoutNodes(t)
-	var wg sync.WaitGroup
-	results := make(chan string, clients)
-	for i := range uint64(clients) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			a, err := request(d.Addr, i+1)
-			results <- fmt.Sprint(a.GetVerdict(), a.GetReason(), err)
-		}()
+	var replies []<-chan reply
+	for number := range uint64(clients) {
+		replies = append(replies, requestAsync(d.Addr, number+1))
 	}
-	wg.Wait()
-	close(results)
-	for r := range results {
-		assert.Equal(t, "REJECTEDno node is known<nil>", r)
+	for _, pending := range replies {
+		got := <-pending
+		require.NoError(t, got.err)
+		assert.Equal(t, pb.Verdict_REJECTED, got.answer.GetVerdict())
+		assert.Equal(t, reasonNoNode, got.answer.GetReason())
 	}
 	assert.Zero(t, d.Drain(context.Background()))
 	d.Close()
@@ -81,30 +116,28 @@
 
 func TestDaemonDrain_AnswersPendingRequestsAndRejectsNewOnes(t *testing.T) {
 	d := startWithoutNodes(t)
-	pending := make(chan string, 1)
-	go func() {
-		a, err := request(d.Addr, 1)
-		pending <- fmt.Sprint(a.GetReason(), err)
-	}()
-	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
+	pending := requestAsync(d.Addr, 1)
+	waitForPending(t, d)
 	unanswered := make(chan int, 1)
 	go func() {
 		n := d.Drain(context.Background())
 		d.Close()
 		unanswered <- n
 	}()
-	a, err := request(d.Addr, 2)
-	if err == nil { // unless it had stopped by then
-		assert.Equal(t, "the allocator is stopping; ask another", a.GetReason())
+	late := request(d.Addr, 2)
+	if late.err == nil { // otherwise the allocator had stopped already
+		assert.Equal(t, reasonDraining, late.answer.GetReason())
 	}
-	assert.Equal(t, "no node is known<nil>", <-pending)
+	got := <-pending
+	require.NoError(t, got.err)
+	assert.Equal(t, reasonNoNode, got.answer.GetReason())
 	assert.Zero(t, <-unanswered)
 }
 
 func TestDaemonDrain_EndedContextReturnsNumberOfUnanswered(t *testing.T) {
 	d := startWithoutNodes(t)
-	go func() { _, _ = request(d.Addr, 1) }() // it gets no answer
-	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
+	requestAsync(d.Addr, 1) // it gets no answer
+	waitForPending(t, d)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.Equal(t, 1, d.Drain(ctx))
@@ -114,39 +147,46 @@
 func TestStart_FailedListenReleasesStateDirectory(t *testing.T) {
 	d := startWithoutNodes(t)
 	defer d.Close()
-	c := minimalConfig(t.TempDir())
-	c.ListenAddress = d.Addr // in use
+	configuration := minimalConfig(t.TempDir())
+	configuration.ListenAddress = d.Addr // in use
 
-	_, err := Start(c, NewLogger(c.Log, io.Discard))
+	_, err := startQuietly(configuration)
 	require.ErrorContains(t, err, "address already in use")
 
-	c.ListenAddress = "127.0.0.1:0"
-	other, err := Start(c, NewLogger(c.Log, io.Discard))
-	require.NoError(t, err)
+	configuration.ListenAddress = "127.0.0.1:0"
+	other := mustStart(t, configuration)
 	other.Close()
 }
 
 func TestStart_StateDirectoryInUseIsAnError(t *testing.T) {
-	c := minimalConfig(t.TempDir())
-	d, err := Start(c, NewLogger(c.Log, io.Discard))
-	require.NoError(t, err)
-	_, err = Start(c, NewLogger(c.Log, io.Discard))
+	configuration := minimalConfig(t.TempDir())
+	first := mustStart(t, configuration)
+	_, err := startQuietly(configuration)
 	require.ErrorContains(t, err, "another process holds the directory")
 
-	require.NoError(t, d.binds.Close())
-	d.binds = nil
-	d.loop.Close()
-	again, err := Start(c, NewLogger(c.Log, io.Discard))
-	require.NoError(t, err)
-	again.loop.Close()
-	require.NoError(t, again.binds.Close())
+	require.NoError(t, first.binds.Close())
+	first.binds = nil
+	first.loop.Close()
+	second := mustStart(t, configuration)
+	second.loop.Close()
+	require.NoError(t, second.binds.Close())
 }
 
 // minimalConfig has a state directory and neither kinds nor groups.
 func minimalConfig(stateDir string) *config.Allocator {
 	return &config.Allocator{
-		Name: "a", ListenAddress: "127.0.0.1:0",
-		Limits: config.Limits{MaxFrameBytes: 1 << 20, MaxWriteBuffer: 1 << 20, MaxConnections: 10},
-		State:  config.State{Dir: stateDir, Retention: 1000, MaxEntries: 10, Sync: config.SyncGroup},
+		Name:          "a",
+		ListenAddress: "127.0.0.1:0",
+		Limits: config.Limits{
+			MaxFrameBytes:  1 << 20,
+			MaxWriteBuffer: 1 << 20,
+			MaxConnections: 10,
+		},
+		State: config.State{
+			Dir:        stateDir,
+			Retention:  1000,
+			MaxEntries: 10,
+			Sync:       config.SyncGroup,
+		},
 	}
 }
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -7,7 +7,7 @@
 	"grebeglade/config"
 )
 
-// NewLogger returns a logger of the configured level and format. A level that is not known counts as "info".
+// NewLogger returns a logger with the configured level and format. An unknown level counts as "info".
 func NewLogger(c config.Log, w io.Writer) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Level)); err != nil {
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	replyLimit   = 20 * time.Second
+	replyTimeout = 20 * time.Second
 	maxFrameSize = 1 << 20
 )
 
@@ -31,17 +31,27 @@
 		return nil, err
 	}
 	p := newPeer(conn)
-	err = p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: incarnation}))
-	if err == nil {
-		_, err = p.receive()
+	hello := &pb.Hello{
+		Role:        pb.Role_OWNER,
+		Name:        name,
+		Incarnation: incarnation,
 	}
-	if err != nil {
+	if err := p.exchangeHellos(hello); err != nil {
 		p.close()
 		return nil, err
 	}
 	return p, nil
 }
 
+// exchangeHellos sends a hello and waits for that of the allocator.
+func (p *peer) exchangeHellos(hello *pb.Hello) error {
+	if err := p.send(transport.HelloFrame(hello)); err != nil {
+		return err
+	}
+	_, err := p.receive()
+	return err
+}
+
 func (p *peer) send(f *pb.Frame) error {
 	b, err := transport.AppendFrame(nil, f)
 	if err != nil {
@@ -53,16 +63,16 @@
 	return err
 }
 
-// receive waits for a frame, as a client does that has sent a request.
+// receive waits for a frame until replyTimeout, as a client does that has sent a request.
 func (p *peer) receive() (*pb.Frame, error) {
-	if err := p.conn.SetReadDeadline(time.Now().Add(replyLimit)); err != nil {
+	if err := p.conn.SetReadDeadline(time.Now().Add(replyTimeout)); err != nil {
 		return nil, err
 	}
 	return p.next()
 }
 
-// next waits for a frame without a limit, as a server does.
+// next waits for a frame without a timeout, as a server does.
 func (p *peer) next() (*pb.Frame, error) { return transport.ReadFrame(p.in, maxFrameSize) }
 
-// close ends the connection; an error says nothing that a test depends on.
+// close ends the connection. No test depends on whether that succeeds.
 func (p *peer) close() { _ = p.conn.Close() }
--- /dev/null
+++ b/internal/daemon/retryingclient_test.go
@@ -0,0 +1,99 @@
+package daemon
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// retryingClient requests workloads under fixed keys until each has a final answer.
+type retryingClient struct {
+	t           *testing.T
+	outstanding map[uint64]bool // keys without a final answer
+	verdicts    map[pb.Verdict]int
+}
+
+func newRetryingClient(t *testing.T, keys int) *retryingClient {
+	t.Helper()
+	outstanding := map[uint64]bool{}
+	for key := range uint64(keys) {
+		outstanding[key+1] = true
+	}
+	return &retryingClient{
+		t:           t,
+		outstanding: outstanding,
+		verdicts:    map[pb.Verdict]int{},
+	}
+}
+
+// next returns the lowest outstanding keys, at most limit of them.
+func (c *retryingClient) next(limit int) (keys []uint64) {
+	for key := uint64(1); len(keys) < min(limit, len(c.outstanding)); key++ {
+		if c.outstanding[key] {
+			keys = append(keys, key)
+		}
+	}
+	return keys
+}
+
+// send sends a request for each key, and returns the keys by the requests' numbers. Numbers differ between rounds.
+func (c *retryingClient) send(p *peer, round int, keys []uint64) map[uint64]uint64 {
+	sent := map[uint64]uint64{}
+	for i, key := range keys {
+		number := uint64(round+1)<<32 | uint64(i+1)
+		sent[number] = key
+		if err := p.send(requestFrame(number, key)); err != nil {
+			break // the allocator was killed, which receive reports
+		}
+	}
+	return sent
+}
+
+// requestFrame returns a request for a workload that must not start twice.
+func requestFrame(number, key uint64) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
+		Ask:       number,
+		Key:       key,
+		Service:   key % 5,
+		Group:     "once",
+		Cores:     1,
+		Memory:    1,
+		LeftMs:    2000,
+		RunsForMs: 1e6,
+	}}}
+}
+
+// receive collects the answers to the requests in sent, until all were received or the connection is lost.
+func (c *retryingClient) receive(p *peer, sent map[uint64]uint64) error {
+	for len(sent) > 0 {
+		f, err := p.receive()
+		if err != nil {
+			return err
+		}
+		answer := f.GetAnswer()
+		if answer == nil {
+			continue
+		}
+		key, expected := sent[answer.Ask]
+		require.True(c.t, expected, "a second answer, or one to no request")
+		delete(sent, answer.Ask)
+		c.record(key, answer)
+	}
+	return nil
+}
+
+// reasonDuplicate is part of the reason for which a request under a known key is rejected.
+const reasonDuplicate = "held here already"
+
+// record counts an answer that is final for its key. Any other answer means that the workload did not run, so that the
+// key is requested again.
+func (c *retryingClient) record(key uint64, answer *pb.Answer) {
+	if answer.Verdict == pb.Verdict_REJECTED && !strings.Contains(answer.Reason, reasonDuplicate) {
+		return
+	}
+	c.verdicts[answer.Verdict]++
+	delete(c.outstanding, key)
+}
--- a/internal/daemon/time.go
+++ b/internal/daemon/time.go
@@ -6,9 +6,13 @@
 	"grebeglade/placement"
 )
 
-// unixMillis returns Unix milliseconds with fractions.
+// unixNow returns the current time in Unix milliseconds.
+func unixNow() float64 { return unixMillis(time.Now()) }
+
+// unixMillis converts a time to Unix milliseconds with fractions.
 func unixMillis(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Millisecond) }
 
+// duration converts milliseconds.
 func duration(ms placement.Millis) time.Duration {
 	return time.Duration(float64(ms) * float64(time.Millisecond))
 }
