--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -17,7 +17,7 @@
 	eventClosed                   // a connection has ended, or could not be dialled
 )
 
-// event is one event for a worker to handle. Fields that do not apply to its kind are zero.
+// event is what a worker handles at a time. Fields that do not apply to its kind are zero.
 type event struct {
 	kind    eventKind
 	conn    *connection // of all kinds but eventCall
@@ -93,8 +93,8 @@
 	}
 }
 
-// takeQueued takes all events that are not urgent. The queue reuses the memory of handled, whose events the worker must
-// be done with.
+// takeQueued takes all events that are not urgent. The queue reuses the memory of handled, the events that were taken
+// before and are no longer needed.
 func (q *eventQueue) takeQueued(handled []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -3,7 +3,7 @@
 //
 // A handler is a state machine that serves any number of connections and acts through its network only. A Handler
 // receives messages of any Codec, a FrameHandler receives frames of the project's own protobuf protocol. Loop runs
-// handlers on sockets; package simulation/network runs a FrameHandler in virtual time, under the same contract. The
+// handlers on sockets; internal/simulation/network runs a FrameHandler in virtual time, under the same contract. The
 // methods of a handler are never called concurrently. Times are milliseconds on a monotonic clock.
 //
 // On sockets, socketEvents decodes what an event loop has read, eventQueue holds the messages, and the worker passes
