--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -100,11 +100,11 @@
 
 // startDiscovery starts a discovery service that sends the node list once.
 func (c *cluster) startDiscovery(entries []*pb.NodeEntry) (address string, err error) {
-	update := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1, Entries: entries}
+	update := &pb.NodeListUpdate{Kind: pb.NodeListUpdate_SNAPSHOT, Epoch: 1, Revision: 1, Entries: entries}
 	return c.serve(func(conn net.Conn) {
 		w := &frameWriter{w: conn}
-		w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
-		w.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: update}})
+		w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: 1}))
+		w.send(&pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: update}})
 		_, _ = io.Copy(io.Discard, conn) // until the allocator closes the connection
 	})
 }
@@ -187,7 +187,7 @@
 	c.closers = append(c.closers, conn)
 	c.client, c.in = conn, bufio.NewReaderSize(conn, clientBufferSize)
 	w := &frameWriter{w: conn}
-	w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "owner", Incarnation: 1}))
+	w.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: "owner", Incarnation: 1}))
 	_, err = receive(c.in)
 	return err
 }
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -57,7 +57,7 @@
 // nodeEntry returns the entry of the i-th node in the node list of the native protocol.
 func nodeEntry(i int, freeShare float64, address string) *pb.NodeEntry {
 	return &pb.NodeEntry{
-		Id: uint32(i + 1), Kind: kindName, Zone: "z", Cell: fmt.Sprint(i / nodesPerCell), Boot: 1, UpForMs: -1,
+		Id: uint32(i + 1), Kind: kindName, Zone: "z", Cell: fmt.Sprint(i / nodesPerCell), Incarnation: 1, UpForMs: -1,
 		FreeCores: nodeCores * freeShare, FreeMemory: nodeMemory * freeShare, Address: address,
 	}
 }
@@ -70,12 +70,12 @@
 }
 
 // resident returns a workload that runs on a node when the allocator connects to it.
-func resident(id uint64, client string, timeoutMs float64) *pb.Standing {
-	return &pb.Standing{Running: true, Offer: &pb.Offer{
-		Bind: &pb.BindID{Allocator: allocatorName, Incarnation: 1, Workload: id}, Owner: client,
-		Ask: &pb.Ask{
-			Ask: id, Key: id, Service: id % services, Group: groupName, Cores: workloadCores, Memory: workloadMemory,
-			LeftMs: timeoutMs,
+func resident(id uint64, client string, timeoutMs float64) *pb.RunningWorkload {
+	return &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
+		Bind: &pb.BindID{Allocator: allocatorName, Incarnation: 1, Workload: id}, Client: client,
+		Request: &pb.PlaceRequest{
+			RequestId: id, Key: id, Service: id % services, Group: groupName, Cores: workloadCores, Memory: workloadMemory,
+			PendingTimeoutMs: timeoutMs,
 		},
 	}}
 }
--- a/internal/benchmark/frames.go
+++ b/internal/benchmark/frames.go
@@ -43,8 +43,8 @@
 // requestFrame returns the request for a new workload.
 func requestFrame(number uint64) *pb.Frame {
 	const keySpace = 1 << 40 // apart from the keys of residents
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: number, Key: keySpace | number, Service: number % services, Group: groupName, Cores: workloadCores,
-		Memory: workloadMemory, LeftMs: pendingTimeout, RunsForMs: 1000,
+	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId: number, Key: keySpace | number, Service: number % services, Group: groupName, Cores: workloadCores,
+		Memory: workloadMemory, PendingTimeoutMs: pendingTimeout, ExpectedRuntimeMs: 1000,
 	}}}
 }
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -52,19 +52,19 @@
 	frontend.Start(0, network)
 	discovery := network.last
 	frontend.Opened(0, discovery)
-	frontend.Received(0, discovery, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1}))
-	update := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
+	frontend.Received(0, discovery, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "l", Incarnation: 1}))
+	update := &pb.NodeListUpdate{Kind: pb.NodeListUpdate_SNAPSHOT, Epoch: 1, Revision: 1}
 	for i := range memoryNodes {
 		update.Entries = append(update.Entries, nodeEntry(i, 1, fmt.Sprint(i)))
 	}
-	frontend.Received(0, discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: update}})
+	frontend.Received(0, discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: update}})
 	perNode := (residents + memoryNodes - 1) / memoryNodes
 	for i := range memoryNodes {
 		first := min(i*perNode, residents)
 		afterLast := min(first+perNode, residents)
 		hello := &pb.Hello{Role: pb.Role_NODE, Name: "n", Node: uint32(i + 1), Incarnation: 1, UpForMs: -1}
 		for id := uint64(first) + 1; id <= uint64(afterLast); id++ {
-			hello.Standing = append(hello.Standing, resident(id, fmt.Sprintf("owner-%d", id%memoryClients), pendingTimeout))
+			hello.RunningWorkloads = append(hello.RunningWorkloads, resident(id, fmt.Sprintf("owner-%d", id%memoryClients), pendingTimeout))
 		}
 		conn := discovery + 1 + transport.ConnID(i)
 		frontend.Opened(0, conn)
--- a/internal/benchmark/node.go
+++ b/internal/benchmark/node.go
@@ -24,13 +24,13 @@
 		}
 		if offer := f.GetOffer(); offer != nil {
 			if c.options.onOffer != nil {
-				c.options.onOffer(offer.Ask.Ask)
+				c.options.onOffer(offer.Request.RequestId)
 			}
-			out.add(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: offer.Bind, Accepted: true, Load: load}}})
-			out.add(&pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: offer.Bind, Why: pb.Why_FINISHED}}})
+			out.add(&pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{Bind: offer.Bind, Accepted: true, Load: load}}})
+			out.add(&pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: offer.Bind, Reason: pb.Reason_FINISHED}}})
 		}
-		if probe := f.GetProbe(); probe != nil {
-			out.add(&pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: probe.Id, Load: load}}})
+		if probe := f.GetHealthCheck(); probe != nil {
+			out.add(&pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: probe.Id, Load: load}}})
 		}
 		if in.Buffered() == 0 {
 			out.flush()
@@ -42,7 +42,7 @@
 func (c *cluster) nodeHello(i int) *pb.Hello {
 	hello := &pb.Hello{Role: pb.Role_NODE, Name: "n", Node: uint32(i + 1), Incarnation: 1, UpForMs: -1}
 	for n := range c.fleet.Residents {
-		hello.Standing = append(hello.Standing, resident(uint64(i*c.fleet.Residents+n), "other", 0))
+		hello.RunningWorkloads = append(hello.RunningWorkloads, resident(uint64(i*c.fleet.Residents+n), "other", 0))
 	}
 	return hello
 }
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -14,7 +14,7 @@
 type listing struct {
 	use    string
 	short  string
-	query  pb.Query_What
+	query  pb.Query_Kind
 	header []string
 	rows   func(*pb.State) [][]string
 }
@@ -65,7 +65,7 @@
 				return err
 			}
 			if asJSON {
-				return printJSON(c, s)
+				return printJSON(c, newStateDocument(s))
 			}
 			return printList(c, append([][]string{l.header}, l.rows(s)...), s.LeftOut)
 		},
@@ -77,13 +77,13 @@
 }
 
 // queryState returns the state of an allocator, with at most so many entries.
-func queryState(to string, what pb.Query_What, most uint32) (*pb.State, error) {
+func queryState(to string, what pb.Query_Kind, most uint32) (*pb.State, error) {
 	c, err := dial(to, pb.Role_OPERATOR, "")
 	if err != nil {
 		return nil, err
 	}
 	defer c.close()
-	if err := c.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{What: what, Most: most}}}); err != nil {
+	if err := c.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: what, Limit: most}}}); err != nil {
 		return nil, err
 	}
 	f, err := c.receive(replyTimeout)
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if f.GetState() == nil {
-		return nil, runError{fmt.Errorf("the allocator answered with %T", f.Body)}
+		return nil, runError{fmt.Errorf("the allocator answered with %s", pb.FrameKind(f))}
 	}
 	return f.GetState(), nil
 }
@@ -101,7 +101,7 @@
 	for _, w := range s.Workloads {
 		rows = append(rows, []string{
 			strconv.FormatUint(w.Workload, 10), w.State, formatUint(w.Node), w.Group, strconv.FormatUint(w.Service, 10),
-			formatAmount(w.Cores), formatAmount(w.Memory), formatUint(w.Binds), formatAge(w.SinceMs), w.Owner,
+			formatAmount(w.Cores), formatAmount(w.Memory), formatUint(w.Binds), formatAge(w.SinceMs), w.Client,
 		})
 	}
 	return rows
@@ -112,7 +112,7 @@
 	for _, n := range s.Nodes {
 		rows = append(rows, []string{
 			formatUint(n.Id), n.State, n.Connection, n.Kind, n.Zone, formatAmount(n.FreeCores), formatAmount(n.FreeMemory),
-			formatUint(n.Residents), formatUint(n.BindsOut), formatAge(n.ListedMs), n.LastRefusal,
+			formatUint(n.Residents), formatUint(n.BindsInFlight), formatAge(n.ListedMs), n.LastRejection,
 		})
 	}
 	return rows
@@ -126,8 +126,8 @@
 			workloads[i] = strconv.FormatUint(id, 10)
 		}
 		rows = append(rows, []string{
-			strconv.FormatUint(g.Ask, 10), g.State, formatUint(g.Running), formatUint(g.Need), formatUint(g.Parts),
-			formatUint(g.Tries), formatAge(g.SinceMs), g.Owner, strings.Join(workloads, " "),
+			strconv.FormatUint(g.RequestId, 10), g.State, formatUint(g.Running), formatUint(g.MinParts), formatUint(g.Parts),
+			formatUint(g.Attempts), formatAge(g.SinceMs), g.Client, strings.Join(workloads, " "),
 		})
 	}
 	return rows
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -91,17 +91,17 @@
 	if o.key == 0 {
 		o.key = rand.Uint64()
 	}
-	connection, err := dial(o.to, pb.Role_OWNER, o.client)
+	connection, err := dial(o.to, pb.Role_CLIENT, o.client)
 	if err != nil {
 		return err
 	}
 	defer connection.close()
-	request := &pb.Ask{
-		Ask: rand.Uint64(), Key: o.key, Service: o.service, Group: o.group, Cores: o.cores, Memory: o.memory,
-		LeftMs: milliseconds(o.pending), RunsForMs: milliseconds(o.runsFor), SentMs: connection.clock(),
+	request := &pb.PlaceRequest{
+		RequestId: rand.Uint64(), Key: o.key, Service: o.service, Group: o.group, Cores: o.cores, Memory: o.memory,
+		PendingTimeoutMs: milliseconds(o.pending), ExpectedRuntimeMs: milliseconds(o.runsFor), SentMs: connection.clock(),
 	}
-	s := submission{Request: request.Ask, Key: o.key}
-	frame := &pb.Frame{Body: &pb.Frame_Ask{Ask: request}}
+	s := submission{Request: request.RequestId, Key: o.key}
+	frame := &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: request}}
 	if err := s.exchange(connection, frame, o.pending+replyTimeout); err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 		if r := f.GetRefusal(); r != nil {
 			return runError{errors.New(r.Reason)}
 		}
-		if a := f.GetAnswer(); a != nil && a.Ask == s.Request {
+		if a := f.GetAnswer(); a != nil && a.RequestId == s.Request {
 			s.Verdict, s.Node, s.Nodes, s.Reason = verdictNames[a.Verdict], a.Node, a.Nodes, a.Reason
 			s.TookMs = milliseconds(time.Since(began))
 			return nil
@@ -142,8 +142,8 @@
 		if err != nil {
 			return err
 		}
-		if o := f.GetOver(); o != nil && o.Ask == s.Request {
-			s.Ended = o.Why.String()
+		if o := f.GetWorkloadEnded(); o != nil && o.RequestId == s.Request {
+			s.Ended = o.Reason.String()
 			return nil
 		}
 	}
--- a/internal/command/submit_gang.go
+++ b/internal/command/submit_gang.go
@@ -21,7 +21,7 @@
 )
 
 // readGang reads the request for a gang from a file.
-func readGang(file string) (*pb.GangAsk, error) {
+func readGang(file string) (*pb.GangRequest, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -31,12 +31,12 @@
 		return nil, err
 	}
 	pending := root.Duration("pending", 10e3)
-	request := &pb.GangAsk{
-		Ask:             rand.Uint64(),
-		LeftMs:          float64(pending),
-		Spread:          root.OneOf("spread", "", "", "node", "cell", "zone"),
-		Replace:         root.OneOf("on_loss", "undo", "undo", "replace") == "replace",
-		ReplaceWithinMs: float64(root.Duration("replace_within", 3e3)),
+	request := &pb.GangRequest{
+		RequestId:        rand.Uint64(),
+		PendingTimeoutMs: float64(pending),
+		Spread:           root.OneOf("spread", "", "", "node", "cell", "zone"),
+		Replace:          root.OneOf("on_loss", "undo", "undo", "replace") == "replace",
+		ReplaceTimeoutMs: float64(root.Duration("replace_within", 3e3)),
 	}
 	for _, part := range root.Blocks("part") {
 		request.Parts = append(request.Parts, readPart(part)...)
@@ -44,7 +44,7 @@
 	if len(request.Parts) == 0 {
 		root.AddProblem("part", "no part", `write at least one: part { group = "NAME"  cores = 1  memory = 2  count = 3 }`)
 	}
-	request.Need = uint32(root.Int("need", len(request.Parts), 1, max(1, len(request.Parts))))
+	request.MinParts = uint32(root.Int("need", len(request.Parts), 1, max(1, len(request.Parts))))
 	if pending <= 0 || pending > maxGangPending {
 		root.AddProblem("pending", "pending is no time to wait", `write one such as "10s"`)
 	}
@@ -52,16 +52,16 @@
 }
 
 // readPart reads the workloads of a part block, which are alike but for their keys.
-func readPart(b *config.Block) []*pb.Ask {
-	var workloads []*pb.Ask
+func readPart(b *config.Block) []*pb.PlaceRequest {
+	var workloads []*pb.PlaceRequest
 	for range b.Int("count", 1, 1, maxPartCount) {
-		workloads = append(workloads, &pb.Ask{
-			Key:       rand.Uint64(),
-			Group:     b.String("group", ""),
-			Service:   uint64(b.Int("service", 1, 1, 1<<50)),
-			Cores:     b.Float("cores", 1, 0.0001, 1e6),
-			Memory:    b.Float("memory", 1, 0.0001, 1e9),
-			RunsForMs: float64(b.Duration("runs_for", 10e3)),
+		workloads = append(workloads, &pb.PlaceRequest{
+			Key:               rand.Uint64(),
+			Group:             b.String("group", ""),
+			Service:           uint64(b.Int("service", 1, 1, 1<<50)),
+			Cores:             b.Float("cores", 1, 0.0001, 1e6),
+			Memory:            b.Float("memory", 1, 0.0001, 1e9),
+			ExpectedRuntimeMs: float64(b.Duration("runs_for", 10e3)),
 		})
 	}
 	if b.String("group", "") == "" {
@@ -76,15 +76,15 @@
 	if err != nil {
 		return err
 	}
-	connection, err := dial(o.to, pb.Role_OWNER, o.client)
+	connection, err := dial(o.to, pb.Role_CLIENT, o.client)
 	if err != nil {
 		return err
 	}
 	defer connection.close()
 	request.SentMs = connection.clock()
-	s := submission{Request: request.Ask}
-	frame := &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: request}}
-	pending := time.Duration(request.LeftMs * float64(time.Millisecond))
+	s := submission{Request: request.RequestId}
+	frame := &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: request}}
+	pending := time.Duration(request.PendingTimeoutMs * float64(time.Millisecond))
 	if err := s.exchange(connection, frame, pending+replyTimeout); err != nil {
 		return err
 	}
--- a/internal/compatibility/operator_test.go
+++ b/internal/compatibility/operator_test.go
@@ -74,7 +74,7 @@
 	p := populator{next: 4100}
 	p.message(state.ProtoReflect())
 	addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
-		assert.EqualValues(t, 17, request.GetQuery().GetMost())
+		assert.EqualValues(t, 17, request.GetQuery().GetLimit())
 		return []*pb.Frame{{Body: &pb.Frame_State{State: state}}}
 	})
 	for _, name := range []string{"workloads", "nodes", "gangs"} {
@@ -92,10 +92,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
-				id := request.GetAsk().GetAsk()
-				answer := &pb.Answer{Ask: id, Verdict: verdict, Node: 12, Reason: "no node fits"}
-				over := &pb.Over{Ask: id, Why: pb.Why_PUSHED_OUT}
-				return []*pb.Frame{{Body: &pb.Frame_Answer{Answer: answer}}, {Body: &pb.Frame_Over{Over: over}}}
+				id := request.GetPlaceRequest().GetRequestId()
+				answer := &pb.Answer{RequestId: id, Verdict: verdict, Node: 12, Reason: "no node fits"}
+				over := &pb.WorkloadEnded{RequestId: id, Reason: pb.Reason_PREEMPTED}
+				return []*pb.Frame{{Body: &pb.Frame_Answer{Answer: answer}}, {Body: &pb.Frame_WorkloadEnded{WorkloadEnded: over}}}
 			})
 			code, out, stderr := runCommand("submit", "--to", addr, "--group", "serve", "--cores", "1", "--memory", "2", "--key", "7",
 				"--wait", "--json")
@@ -107,9 +107,9 @@
 
 func TestSubmitGangJSON_AsStored(t *testing.T) {
 	addr := stubAllocator(t, func(request *pb.Frame) []*pb.Frame {
-		gang := request.GetGangAsk()
+		gang := request.GetGangRequest()
 		assert.NotEmpty(t, gang.GetParts())
-		answer := &pb.Answer{Ask: gang.GetAsk(), Verdict: pb.Verdict_PLACED, Nodes: []uint32{4, 0, 9}}
+		answer := &pb.Answer{RequestId: gang.GetRequestId(), Verdict: pb.Verdict_PLACED, Nodes: []uint32{4, 0, 9}}
 		return []*pb.Frame{{Body: &pb.Frame_Answer{Answer: answer}}}
 	})
 	out := mustRun(t, "submit", "--to", addr, "--gang", filepath.Join("testdata", "gang.hcl"), "--json")
--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/hex"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -141,8 +142,8 @@
 	case protoreflect.Uint64Kind:
 		return protoreflect.ValueOfUint64(1<<40 + n)
 	case protoreflect.EnumKind:
-		values := f.Enum().Values()
-		return protoreflect.ValueOfEnum(values.Get(1 + int(n)%(values.Len()-1)).Number())
+		numbers := distinctNumbers(f.Enum())
+		return protoreflect.ValueOfEnum(numbers[1+int(n)%(len(numbers)-1)])
 	case protoreflect.MessageKind:
 		v := newMessage()
 		p.message(v.Message())
@@ -151,6 +152,17 @@
 	panic(fmt.Sprintf("no value for a field of kind %s", f.Kind()))
 }
 
+// distinctNumbers are the numbers of an enum in the order of their first names: a number has several if it was renamed.
+func distinctNumbers(e protoreflect.EnumDescriptor) (numbers []protoreflect.EnumNumber) {
+	values := e.Values()
+	for i := range values.Len() {
+		if number := values.Get(i).Number(); !slices.Contains(numbers, number) {
+			numbers = append(numbers, number)
+		}
+	}
+	return numbers
+}
+
 // frames are one frame of each kind with all fields set, by the number of the kind.
 func frames() (all []*pb.Frame) {
 	fields := (&pb.Frame{}).ProtoReflect().Descriptor().Fields()
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -18,17 +18,17 @@
 	discovery string // address
 	mu        sync.Mutex
 	starts    map[uint64]int
-	running   map[uint32][]*pb.Standing // by node
+	running   map[uint32][]*pb.RunningWorkload // by node
 }
 
 func newCluster(t *testing.T, nodes int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, starts: map[uint64]int{}, running: map[uint32][]*pb.Standing{}}
-	snapshot := &pb.ListUpdate{Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 1}
+	c := &cluster{t: t, starts: map[uint64]int{}, running: map[uint32][]*pb.RunningWorkload{}}
+	snapshot := &pb.NodeListUpdate{Kind: pb.NodeListUpdate_SNAPSHOT, Epoch: 1, Revision: 1}
 	for i := range nodes {
 		id := uint32(i + 1)
 		snapshot.Entries = append(snapshot.Entries, &pb.NodeEntry{
-			Id: id, Kind: "k", Zone: "z", Cell: fmt.Sprint(id), Boot: 1, UpForMs: -1, FreeCores: 1000, FreeMemory: 1000,
+			Id: id, Kind: "k", Zone: "z", Cell: fmt.Sprint(id), Incarnation: 1, UpForMs: -1, FreeCores: 1000, FreeMemory: 1000,
 			Address: c.listen(func(p *peer) error { return c.greet(p, id) }, func(p *peer, f *pb.Frame) error {
 				if o := f.GetOffer(); o != nil {
 					return c.accept(p, id, o)
@@ -38,10 +38,10 @@
 		})
 	}
 	greet := func(p *peer) error {
-		if err := p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l", Incarnation: 1})); err != nil {
+		if err := p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "l", Incarnation: 1})); err != nil {
 			return err
 		}
-		return p.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: snapshot}})
+		return p.send(&pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: snapshot}})
 	}
 	c.discovery = c.listen(greet, func(*peer, *pb.Frame) error { return nil })
 	return c
@@ -89,7 +89,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.send(transport.HelloFrame(&pb.Hello{
-		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, Standing: c.running[id],
+		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: -1, RunningWorkloads: c.running[id],
 	}))
 }
 
@@ -98,13 +98,13 @@
 func (c *cluster) accept(p *peer, id uint32, o *pb.Offer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := o.Ask.Key
+	key := o.Request.Key
 	c.starts[key]++
 	if key%3 != 2 {
-		c.running[id] = append(c.running[id], &pb.Standing{Offer: o, Running: true})
+		c.running[id] = append(c.running[id], &pb.RunningWorkload{Offer: o, Running: true})
 	}
 	if key%3 != 0 {
 		return nil
 	}
-	return p.send(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: o.Bind, Accepted: true}}})
+	return p.send(&pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{Bind: o.Bind, Accepted: true}}})
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -44,8 +44,8 @@
 		return nil, err
 	}
 	defer p.close()
-	err = p.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: 1, Key: number, Group: "serve", Cores: 1, Memory: 1, LeftMs: 5000,
+	err = p.send(&pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId: 1, Key: number, Group: "serve", Cores: 1, Memory: 1, PendingTimeoutMs: 5000,
 	}}})
 	if err != nil {
 		return nil, err
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -122,8 +122,8 @@
 	for i, key := range keys {
 		number := uint64(round+1)<<32 | uint64(i+1)
 		sent[number] = key
-		err := p.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-			Ask: number, Key: key, Service: key % 5, Group: "once", Cores: 1, Memory: 1, LeftMs: 2000, RunsForMs: 1e6,
+		err := p.send(&pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+			RequestId: number, Key: key, Service: key % 5, Group: "once", Cores: 1, Memory: 1, PendingTimeoutMs: 2000, ExpectedRuntimeMs: 1e6,
 		}}})
 		if err != nil {
 			break // the allocator was killed; receive says so
@@ -140,9 +140,9 @@
 			return err
 		}
 		if a := f.GetAnswer(); a != nil {
-			key, expected := sent[a.Ask]
+			key, expected := sent[a.RequestId]
 			require.True(c.t, expected, "a second answer, or one to no request")
-			delete(sent, a.Ask)
+			delete(sent, a.RequestId)
 			c.take(key, a)
 		}
 	}
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	p := newPeer(conn)
-	err = p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: incarnation}))
+	err = p.send(transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: name, Incarnation: incarnation}))
 	if err == nil {
 		_, err = p.receive()
 	}
--- a/internal/frontend/native/actions.go
+++ b/internal/frontend/native/actions.go
@@ -53,8 +53,8 @@
 		a.gangs.partEnded(wl, !migrating && !a.interrupted && reason == placement.ReasonUnspecified)
 		return
 	}
-	a.clients.send(wl.client, &pb.Frame{Body: &pb.Frame_Over{Over: &pb.Over{
-		Ask: wl.request.Ask, Why: endReasonOf(reason, migrating, a.interrupted),
+	a.clients.send(wl.client, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: &pb.WorkloadEnded{
+		RequestId: wl.request.RequestId, Reason: endReasonOf(reason, migrating, a.interrupted),
 	}}})
 }
 
--- a/internal/frontend/native/binds.go
+++ b/internal/frontend/native/binds.go
@@ -124,6 +124,6 @@
 // confirmGang notifies a node that the gang of one of its parts runs, so that the part's lease no longer applies.
 func (b *binds) confirmGang(node placement.NodeID, id *pb.BindID) {
 	if n, known := b.nodes.get(node); known && n.connected() {
-		b.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: id}}})
+		b.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: &pb.ConfirmGang{Bind: id}}})
 	}
 }
--- a/internal/frontend/native/binds_test.go
+++ b/internal/frontend/native/binds_test.go
@@ -20,7 +20,7 @@
 	x.disconnect(n)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, x.verdicts())
 	// The node had accepted it: it may have had an effect, so it runs on, and is adopted.
-	n = x.reconnectNode(&pb.Standing{Offer: o})
+	n = x.reconnectNode(&pb.RunningWorkload{Offer: o})
 	for _, f := range x.network.take(n) {
 		assert.Nil(t, f.GetStop())
 	}
@@ -29,7 +29,7 @@
 	x.request(2, "serve")
 	o = x.offer(n)
 	x.disconnect(n)
-	n = x.reconnectNode(&pb.Standing{Offer: o})
+	n = x.reconnectNode(&pb.RunningWorkload{Offer: o})
 	assert.Equal(t, o.Bind, x.network.take(n)[1].GetStop().GetBind())
 }
 
@@ -50,7 +50,7 @@
 	assert.Empty(t, x.verdicts())
 	assert.Equal(t, uint64(4), x.f.Counters.UnmatchedReplies)
 	x.answerOffer(offered, o.Bind, true, 0)
-	x.answerOffer(offered, o.Bind, false, pb.Why_NO_CORES) // a rejection after the acceptance
+	x.answerOffer(offered, o.Bind, false, pb.Reason_INSUFFICIENT_CORES) // a rejection after the acceptance
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, x.verdicts())
 	assert.Equal(t, 1, x.f.WorkloadCount())
 }
@@ -59,9 +59,9 @@
 // restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided before. Found by
 // a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have 3.
 func TestBind_ChangeWhilePersisting_NotSent(t *testing.T) {
-	running := &pb.Standing{Running: true, Offer: &pb.Offer{
-		Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9}, Owner: "o",
-		Ask: &pb.Ask{Ask: 70, Key: 700, Service: 1, Group: "once", Cores: 1, Memory: 1},
+	running := &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
+		Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9}, Client: "o",
+		Request: &pb.PlaceRequest{RequestId: 70, Key: 700, Service: 1, Group: "once", Cores: 1, Memory: 1},
 	}}
 	const unchanged = "nothing changes"
 	for name, change := range map[string]func(x *fixture) transport.ConnID{
@@ -97,7 +97,7 @@
 	journal := &slowJournal{}
 	x := newFixture(t, func(c *Config) { c.Journal = journal })
 	n := x.node(1)
-	x.request(1, "once", func(a *pb.Ask) { a.LeftMs = 100 })
+	x.request(1, "once", func(a *pb.PlaceRequest) { a.PendingTimeoutMs = 100 })
 	require.Len(t, journal.done, 1)
 	journal.done[0](x.now, errors.New("disk full"))
 	assert.Empty(t, x.offers(n))
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -27,15 +27,15 @@
 		x.receive(n, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
 		x.runUntil(x.now + 25e3) // warm-up budgets apply only some time after the start
 		x.f.Opened(x.now, client)
-		x.receive(client, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: fmt.Sprint("client-", minute), Incarnation: 1, SentMs: 1}))
-		part := func(k uint64) *pb.Ask {
-			return &pb.Ask{Key: uint64(minute)*10 + k, Service: uint64(minute), Group: "serve", Cores: 1, Memory: 1, RunsForMs: 1}
+		x.receive(client, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: fmt.Sprint("client-", minute), Incarnation: 1, SentMs: 1}))
+		part := func(k uint64) *pb.PlaceRequest {
+			return &pb.PlaceRequest{Key: uint64(minute)*10 + k, Service: uint64(minute), Group: "serve", Cores: 1, Memory: 1, ExpectedRuntimeMs: 1}
 		}
 		a := part(0)
-		a.Ask, a.LeftMs = 1, 30*24*3600e3
-		x.receive(client, &pb.Frame{Body: &pb.Frame_Ask{Ask: a}})
-		x.receive(client, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: &pb.GangAsk{
-			Ask: 2, LeftMs: 30 * 24 * 3600e3, Parts: []*pb.Ask{part(1), part(2)},
+		a.RequestId, a.PendingTimeoutMs = 1, 30*24*3600e3
+		x.receive(client, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: a}})
+		x.receive(client, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: &pb.GangRequest{
+			RequestId: 2, PendingTimeoutMs: 30 * 24 * 3600e3, Parts: []*pb.PlaceRequest{part(1), part(2)},
 		}}})
 		offers := x.offers(n)
 		require.Len(t, offers, 3)
@@ -44,7 +44,7 @@
 		}
 		x.runUntil(x.now + 1e3)
 		for _, o := range offers {
-			x.endWorkload(n, o.Bind, pb.Why_FINISHED)
+			x.endWorkload(n, o.Bind, pb.Reason_FINISHED)
 		}
 		x.f.Closed(x.now, client, transport.ErrClosedByPeer)
 		x.f.Closed(x.now, n, transport.ErrClosedByPeer)
@@ -83,10 +83,10 @@
 	x.request(2, "serve")
 	f := x.network.take(clientConn)
 	assert.Equal(t, "the allocator has named all its workloads; restart it", f[0].GetAnswer().GetReason())
-	running := func(no uint64) *pb.Standing {
-		return &pb.Standing{Running: true, Offer: &pb.Offer{
-			Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: no}, Owner: "o",
-			Ask: &pb.Ask{Ask: 70 + no, Key: 700 + no, Service: 1, Group: "serve", Cores: 1, Memory: 1},
+	running := func(no uint64) *pb.RunningWorkload {
+		return &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
+			Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: no}, Client: "o",
+			Request: &pb.PlaceRequest{RequestId: 70 + no, Key: 700 + no, Service: 1, Group: "serve", Cores: 1, Memory: 1},
 		}}
 	}
 	x.f.workloads.lastID = math.MaxUint32 - 1
@@ -102,7 +102,7 @@
 	n := x.node(1)
 	x.requestGang(1)
 	for _, o := range x.offers(n) {
-		x.answerOffer(n, o.Bind, false, pb.Why_TOO_MANY_WAITING)
+		x.answerOffer(n, o.Bind, false, pb.Reason_QUEUE_FULL)
 	}
 	require.Len(t, x.f.gangs.byRequest, 1)
 	require.Equal(t, 0, x.f.WorkloadCount())
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -47,10 +47,10 @@
 }
 
 // workload is a request as the engine takes it.
-func (t *catalog) workload(id placement.WorkloadID, r *pb.Ask) placement.Workload {
+func (t *catalog) workload(id placement.WorkloadID, r *pb.PlaceRequest) placement.Workload {
 	return placement.Workload{
 		ID: id, Service: placement.ServiceID(r.Service), Group: t.groupID(r.Group),
-		Cores: r.Cores, Memory: r.Memory, PendingTimeout: placement.Millis(r.LeftMs), Retried: r.Again,
+		Cores: r.Cores, Memory: r.Memory, PendingTimeout: placement.Millis(r.PendingTimeoutMs), Retried: r.Retried,
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // gangPart is a part of a gang as the gang's state machine takes it. Its size is its largest share of a node of any kind.
-func (t *catalog) gangPart(r *pb.Ask) gang.Part {
+func (t *catalog) gangPart(r *pb.PlaceRequest) gang.Part {
 	part := gang.Part{Idempotency: t.effect(r.Group)}
 	for _, k := range t.settings.NodeKinds {
 		part.Size = max(part.Size, min(1, r.Cores/k.Cores), min(1, r.Memory/k.Memory))
@@ -72,7 +72,7 @@
 }
 
 // fitsSomeKind reports whether a request is within the size of any kind of node.
-func (t *catalog) fitsSomeKind(r *pb.Ask) bool {
+func (t *catalog) fitsSomeKind(r *pb.PlaceRequest) bool {
 	return slices.ContainsFunc(t.settings.NodeKinds, func(k placement.NodeKind) bool {
 		return r.Cores <= k.Cores && r.Memory <= k.Memory
 	})
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -47,7 +47,7 @@
 
 // answer sends a request's final answer, and notes that the request has ended.
 func (s *clientSessions) answer(name string, a *pb.Answer) {
-	s.markEnded(name, a.Ask, false)
+	s.markEnded(name, a.RequestId, false)
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
--- a/internal/frontend/native/clients_test.go
+++ b/internal/frontend/native/clients_test.go
@@ -20,13 +20,13 @@
 	x.disconnect(clientConn)
 	assert.Equal(t, uint64(1), x.f.Counters.Withdrawn, "no answer can be sent for what was pending")
 	x.f.Opened(x.now, secondClientConn)
-	x.receive(secondClientConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "o", Incarnation: 1}))
-	running := x.network.take(secondClientConn)[0].GetHello().Standing
+	x.receive(secondClientConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: "o", Incarnation: 1}))
+	running := x.network.take(secondClientConn)[0].GetHello().RunningWorkloads
 	require.Len(t, running, 1)
-	assert.Equal(t, uint64(1), running[0].Offer.Ask.Ask)
-	x.update(1, pb.NodeEntry_GONE, 1, -1)
+	assert.Equal(t, uint64(1), running[0].Offer.Request.RequestId)
+	x.update(1, pb.NodeEntry_REMOVED, 1, -1)
 	x.disconnect(n)
-	assert.Equal(t, pb.Why_LOST, x.network.take(secondClientConn)[0].GetOver().Why)
+	assert.Equal(t, pb.Reason_LOST, x.network.take(secondClientConn)[0].GetWorkloadEnded().Reason)
 }
 
 func TestHandshake_Invalid_RefusedWithReason(t *testing.T) {
@@ -37,12 +37,12 @@
 		assert.True(t, x.network.closed[secondClientConn])
 		return x.network.take(secondClientConn)[0].GetRefusal().GetReason()
 	}
-	later := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "x"})
+	later := transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: "x"})
 	later.GetHello().Major = 2
 	assert.Equal(t, "version 2.1 is not spoken here; this side speaks 1.x", refusal(later))
-	assert.Equal(t, "the hello names no name", refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER})))
-	assert.Equal(t, "the first frame must be a hello", refusal(&pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}))
-	assert.Contains(t, refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "l"})), "not the role LIST")
+	assert.Equal(t, "the hello names no name", refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT})))
+	assert.Equal(t, "the first frame must be a hello", refusal(&pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{}}}))
+	assert.Contains(t, refusal(transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "l"})), "not the role LIST")
 	// A second connection under the same name replaces the first; another node at a node's address is not used.
 	x.connectClient(secondClientConn, "o")
 	assert.True(t, x.network.closed[clientConn])
--- a/internal/frontend/native/core.go
+++ b/internal/frontend/native/core.go
@@ -26,9 +26,9 @@
 }
 
 // hello is the frontend's first frame on every connection.
-func (c *core) hello(running ...*pb.Standing) *pb.Frame {
+func (c *core) hello(running ...*pb.RunningWorkload) *pb.Frame {
 	return transport.HelloFrame(&pb.Hello{
-		Role: pb.Role_ALLOCATOR, Name: c.config.Name, Incarnation: c.config.Incarnation, Standing: running,
+		Role: pb.Role_ALLOCATOR, Name: c.config.Name, Incarnation: c.config.Incarnation, RunningWorkloads: running,
 	})
 }
 
@@ -51,7 +51,7 @@
 
 func (t traceRecorder) request(now placement.Millis, wl *workload) {
 	if t.recorder != nil {
-		t.recorder.RecordRequest(now, wl.id, wl.client, wl.request.Ask, wl.request.Key)
+		t.recorder.RecordRequest(now, wl.id, wl.client, wl.request.RequestId, wl.request.Key)
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-func (t traceRecorder) discoveryRevision(now placement.Millis, u *pb.ListUpdate) {
+func (t traceRecorder) discoveryRevision(now placement.Millis, u *pb.NodeListUpdate) {
 	if t.recorder != nil {
 		t.recorder.RecordListRevision(now, u.Epoch, u.Revision)
 	}
@@ -75,7 +75,7 @@
 
 func (t traceRecorder) gangRequest(now placement.Millis, g *gangRequest, timeout placement.Millis) {
 	if t.recorder != nil {
-		t.recorder.RecordGangRequest(now, g.id.client, g.id.request, len(g.parts), int(g.request.Need), timeout)
+		t.recorder.RecordGangRequest(now, g.id.client, g.id.request, len(g.parts), int(g.request.MinParts), timeout)
 	}
 }
 
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -61,8 +61,8 @@
 		return // handshake calls subscribe again
 	}
 	d.counters.DiscoveryCalls++
-	d.network.Send(d.conn, &pb.Frame{Body: &pb.Frame_ListCall{ListCall: &pb.ListCall{
-		Watch: true, Epoch: d.epoch, Have: d.revision,
+	d.network.Send(d.conn, &pb.Frame{Body: &pb.Frame_NodeListRequest{NodeListRequest: &pb.NodeListRequest{
+		Watch: true, Epoch: d.epoch, Revision: d.revision,
 	}}})
 }
 
@@ -72,7 +72,7 @@
 		d.handshake(f)
 		return
 	}
-	if u := f.GetListUpdate(); u != nil {
+	if u := f.GetNodeListUpdate(); u != nil {
 		d.updated(now, u)
 	}
 }
@@ -80,7 +80,7 @@
 // handshake handles the first frame: a hello of a discovery service, or the connection ends.
 func (d *discovery) handshake(f *pb.Frame) {
 	_, err := helloOf(f, func(h *pb.Hello) error {
-		if h.Role != pb.Role_LIST {
+		if h.Role != pb.Role_DISCOVERY {
 			return errNoDiscovery
 		}
 		return nil
@@ -96,13 +96,13 @@
 }
 
 // updated handles an answer to the subscription, or an update that came by itself.
-func (d *discovery) updated(now placement.Millis, u *pb.ListUpdate) {
+func (d *discovery) updated(now placement.Millis, u *pb.NodeListUpdate) {
 	d.unanswered = false
-	if u.Kind == pb.ListUpdate_FAILED {
+	if u.Kind == pb.NodeListUpdate_POLL_FAILED {
 		d.Engine().UpdateNodes(now, placement.PollFailed, nil)
 		return
 	}
-	sameEpoch, snapshot := u.Epoch == d.epoch, u.Kind == pb.ListUpdate_WHOLE
+	sameEpoch, snapshot := u.Epoch == d.epoch, u.Kind == pb.NodeListUpdate_SNAPSHOT
 	switch {
 	case !sameEpoch && !snapshot:
 		// A delta cannot be applied to a revision from before a restart of the service.
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -21,11 +21,11 @@
 	assert.Equal(t, placement.Draining, x.firstNode().entry.State)
 	// Changes since a restart of the service mean nothing without a snapshot.
 	x.network.take(x.discovery)
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{Epoch: 2, Revision: 1}}})
-	assert.NotNil(t, x.network.take(x.discovery)[0].GetListCall())
+	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{Epoch: 2, Revision: 1}}})
+	assert.NotNil(t, x.network.take(x.discovery)[0].GetNodeListRequest())
 	assert.Len(t, x.knownNodes(), 1)
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-		Epoch: 2, Revision: 1, Kind: pb.ListUpdate_WHOLE,
+	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+		Epoch: 2, Revision: 1, Kind: pb.NodeListUpdate_SNAPSHOT,
 	}}})
 	assert.Equal(t, placement.Removed, x.firstNode().entry.State, "kept while it is connected")
 }
@@ -85,11 +85,11 @@
 	x.runUntil(200)
 	c := x.network.dialed[discoveryAddress]
 	x.f.Opened(x.now, c)
-	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: 1}))
 	x.runUntil(2000)
 	sent := x.network.take(c)
 	require.Greater(t, len(sent), 1)
-	call := sent[1].GetListCall()
+	call := sent[1].GetNodeListRequest()
 	assert.True(t, call.GetWatch())
-	assert.Equal(t, []uint64{1, x.revision}, []uint64{call.GetEpoch(), call.GetHave()})
+	assert.Equal(t, []uint64{1, x.revision}, []uint64{call.GetEpoch(), call.GetRevision()})
 }
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -36,7 +36,7 @@
 }
 
 // admit returns what the binds that are known of a request's key allow.
-func (d *durableBinds) admit(now placement.Millis, r *pb.Ask) recovery.Admission {
+func (d *durableBinds) admit(now placement.Millis, r *pb.PlaceRequest) recovery.Admission {
 	if !d.enabled {
 		return recovery.Admit
 	}
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -84,7 +84,7 @@
 	x.f.Start(0, x.network)
 	x.discovery = x.network.dialed[discoveryAddress]
 	x.f.Opened(0, x.discovery)
-	x.receive(x.discovery, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: 1}))
+	x.receive(x.discovery, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: 1}))
 	x.connectClient(clientConn, "o")
 	return x
 }
@@ -109,7 +109,7 @@
 // connectClient connects a client and drops the answer to its hello.
 func (x *fixture) connectClient(c transport.ConnID, name string) {
 	x.f.Opened(x.now, c)
-	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: 1}))
+	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: name, Incarnation: 1}))
 	x.network.take(c)
 }
 
@@ -119,9 +119,9 @@
 func (x *fixture) update(id uint32, state pb.NodeEntry_State, incarnation uint64, upFor float64) {
 	x.revision++
 	x.firstSnapshot()
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-		Kind: pb.ListUpdate_CHANGES, Epoch: 1, Revision: x.revision, Entries: []*pb.NodeEntry{{
-			Id: id, State: state, Kind: "k", Zone: "z", Cell: "c", Boot: incarnation, UpForMs: upFor,
+	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+		Kind: pb.NodeListUpdate_DELTA, Epoch: 1, Revision: x.revision, Entries: []*pb.NodeEntry{{
+			Id: id, State: state, Kind: "k", Zone: "z", Cell: "c", Incarnation: incarnation, UpForMs: upFor,
 			FreeCores: 10, FreeMemory: 20, Address: address(id),
 		}},
 	}}})
@@ -131,47 +131,47 @@
 func (x *fixture) snapshot(entries ...*pb.NodeEntry) {
 	x.firstSnapshot()
 	x.revision++
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-		Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: x.revision, Entries: entries,
+	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+		Kind: pb.NodeListUpdate_SNAPSHOT, Epoch: 1, Revision: x.revision, Entries: entries,
 	}}})
 }
 
 // firstSnapshot has the discovery service begin with an empty snapshot, once.
 func (x *fixture) firstSnapshot() {
 	if x.revision == 1 {
-		x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-			Kind: pb.ListUpdate_WHOLE, Epoch: 1, Revision: 0,
+		x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+			Kind: pb.NodeListUpdate_SNAPSHOT, Epoch: 1, Revision: 0,
 		}}})
 	}
 }
 
 func nodeEntry(id uint32, zone, cell string) *pb.NodeEntry {
 	return &pb.NodeEntry{
-		Id: id, Kind: "k", Zone: zone, Cell: cell, Boot: 1, UpForMs: -1, FreeCores: 10, FreeMemory: 20, Address: "far",
+		Id: id, Kind: "k", Zone: zone, Cell: cell, Incarnation: 1, UpForMs: -1, FreeCores: 10, FreeMemory: 20, Address: "far",
 	}
 }
 
 // node brings a node up: named by the discovery service and connected, with the workloads that run on it.
-func (x *fixture) node(id uint32, running ...*pb.Standing) transport.ConnID {
+func (x *fixture) node(id uint32, running ...*pb.RunningWorkload) transport.ConnID {
 	x.Helper()
 	x.update(id, pb.NodeEntry_READY, 1, -1)
 	return x.connectNode(id, 1, -1, running...)
 }
 
 // connectNode lets the connection that was dialled to a node open, and sends its hello.
-func (x *fixture) connectNode(id uint32, incarnation uint64, upFor float64, running ...*pb.Standing) transport.ConnID {
+func (x *fixture) connectNode(id uint32, incarnation uint64, upFor float64, running ...*pb.RunningWorkload) transport.ConnID {
 	x.Helper()
 	c := x.network.dialed[address(id)]
 	require.NotZero(x, c, "not dialled")
 	x.f.Opened(x.now, c)
 	x.receive(c, transport.HelloFrame(&pb.Hello{
-		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: incarnation, UpForMs: upFor, Standing: running,
+		Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: incarnation, UpForMs: upFor, RunningWorkloads: running,
 	}))
 	return c
 }
 
 // reconnectNode waits until node 1, which was connected, is dialled again, and connects it.
-func (x *fixture) reconnectNode(running ...*pb.Standing) transport.ConnID {
+func (x *fixture) reconnectNode(running ...*pb.RunningWorkload) transport.ConnID {
 	x.Helper()
 	for before := x.network.dialed[address(1)]; x.network.dialed[address(1)] == before; {
 		x.runUntil(x.now + 10)
@@ -185,29 +185,29 @@
 func (x *fixture) knownNodes() []*node { return x.f.nodes.table.sorted }
 
 // request sends a client's request.
-func (x *fixture) request(id uint64, group string, change ...func(*pb.Ask)) {
-	a := &pb.Ask{Ask: id, Key: id + 100, Service: 1, Group: group, Cores: 1, Memory: 1, LeftMs: 6000, RunsForMs: 1000}
+func (x *fixture) request(id uint64, group string, change ...func(*pb.PlaceRequest)) {
+	a := &pb.PlaceRequest{RequestId: id, Key: id + 100, Service: 1, Group: group, Cores: 1, Memory: 1, PendingTimeoutMs: 6000, ExpectedRuntimeMs: 1000}
 	for _, f := range change {
 		f(a)
 	}
-	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_Ask{Ask: a}})
+	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: a}})
 }
 
 // requestGang sends a client's request for a gang of two parts.
-func (x *fixture) requestGang(id uint64, change ...func(*pb.GangAsk)) {
-	part := func(key uint64) *pb.Ask {
-		return &pb.Ask{Key: key, Service: 1, Group: "serve", Cores: 1, Memory: 1, RunsForMs: 1000}
+func (x *fixture) requestGang(id uint64, change ...func(*pb.GangRequest)) {
+	part := func(key uint64) *pb.PlaceRequest {
+		return &pb.PlaceRequest{Key: key, Service: 1, Group: "serve", Cores: 1, Memory: 1, ExpectedRuntimeMs: 1000}
 	}
-	a := &pb.GangAsk{Ask: id, LeftMs: 6000, Parts: []*pb.Ask{part(id * 10), part(id*10 + 1)}}
+	a := &pb.GangRequest{RequestId: id, PendingTimeoutMs: 6000, Parts: []*pb.PlaceRequest{part(id * 10), part(id*10 + 1)}}
 	for _, f := range change {
 		f(a)
 	}
-	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: a}})
+	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: a}})
 }
 
 // withdraw sends a client's withdrawal.
 func (x *fixture) withdraw(request uint64) {
-	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: request}}})
+	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: request}}})
 }
 
 // offers are those that were sent to a node since the last call, in order.
@@ -230,19 +230,19 @@
 }
 
 // answerOffer sends a node's answer to an offer.
-func (x *fixture) answerOffer(c transport.ConnID, b *pb.BindID, accepted bool, why pb.Why) {
-	x.receive(c, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{Bind: b, Accepted: accepted, Why: why}}})
+func (x *fixture) answerOffer(c transport.ConnID, b *pb.BindID, accepted bool, why pb.Reason) {
+	x.receive(c, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{Bind: b, Accepted: accepted, Reason: why}}})
 }
 
 // startWorkload has a node accept an offer and report that the workload runs.
 func (x *fixture) startWorkload(c transport.ConnID, b *pb.BindID) {
 	x.answerOffer(c, b, true, 0)
-	x.receive(c, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: b, Kind: pb.Note_RUNNING, Value: 1}}})
+	x.receive(c, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{Bind: b, Kind: pb.UsageReport_RUNNING, Value: 1}}})
 }
 
 // endWorkload has a node report the end of a workload.
-func (x *fixture) endWorkload(c transport.ConnID, b *pb.BindID, why pb.Why) {
-	x.receive(c, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: b, Why: why}}})
+func (x *fixture) endWorkload(c transport.ConnID, b *pb.BindID, why pb.Reason) {
+	x.receive(c, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: b, Reason: why}}})
 }
 
 // setDraining has a node say whether it drains.
@@ -277,9 +277,9 @@
 	got := map[uint64]pb.Verdict{}
 	for _, f := range x.network.take(clientConn) {
 		if a := f.GetAnswer(); a != nil {
-			_, twice := got[a.Ask]
+			_, twice := got[a.RequestId]
 			assert.False(x, twice, "answered twice")
-			got[a.Ask] = a.Verdict
+			got[a.RequestId] = a.Verdict
 		}
 	}
 	return got
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -203,7 +203,7 @@
 // refused.
 func (f *Frontend) handshake(now placement.Millis, c transport.ConnID, conn *connection, frame *pb.Frame) {
 	h, err := helloOf(frame, func(h *pb.Hello) error {
-		if h.Role != pb.Role_OWNER && h.Role != pb.Role_OPERATOR {
+		if h.Role != pb.Role_CLIENT && h.Role != pb.Role_OPERATOR {
 			return fmt.Errorf("an allocator serves owners and operators, not the role %s", h.Role)
 		}
 		return nil
@@ -211,7 +211,7 @@
 	switch {
 	case err != nil:
 		f.connections.refuse(c, err)
-	case h.Role == pb.Role_OWNER:
+	case h.Role == pb.Role_CLIENT:
 		f.clientConnected(now, c, conn, h)
 	default:
 		conn.role = h.Role
--- a/internal/frontend/native/gangadmission.go
+++ b/internal/frontend/native/gangadmission.go
@@ -19,40 +19,40 @@
 }
 
 // request starts a gang, or rejects it at once with the reason.
-func (a *gangAdmission) request(now placement.Millis, session *clientSession, r *pb.GangAsk) {
+func (a *gangAdmission) request(now placement.Millis, session *clientSession, r *pb.GangRequest) {
 	a.counters.Requests++
-	id, delay := requestID{session.name, r.Ask}, a.requests.delay(now, session, r.SentMs)
-	if _, held := a.gangs.get(id); held || session.history.contains(r.Ask) {
+	id, delay := requestID{session.name, r.RequestId}, a.requests.delay(now, session, r.SentMs)
+	if _, held := a.gangs.get(id); held || session.history.contains(r.RequestId) {
 		a.counters.DuplicateRequests++
 		return
 	}
-	if r.Need == 0 {
-		r.Need = uint32(len(r.Parts))
+	if r.MinParts == 0 {
+		r.MinParts = uint32(len(r.Parts))
 	}
 	if err := a.validate(r); err != nil {
 		a.counters.NotAdmitted++
-		a.clients.answer(session.name, &pb.Answer{Ask: r.Ask, Verdict: pb.Verdict_REJECTED, Reason: err.Error()})
+		a.clients.answer(session.name, &pb.Answer{RequestId: r.RequestId, Verdict: pb.Verdict_REJECTED, Reason: err.Error()})
 		return
 	}
-	if slices.ContainsFunc(r.Parts, func(part *pb.Ask) bool { return a.durable.boundBefore(now, part.Key) }) {
+	if slices.ContainsFunc(r.Parts, func(part *pb.PlaceRequest) bool { return a.durable.boundBefore(now, part.Key) }) {
 		a.counters.AnsweredFromJournal++
-		a.clients.answer(session.name, &pb.Answer{Ask: r.Ask, Verdict: pb.Verdict_UNSCHEDULABLE, Reason: reasonPartKeyBound})
+		a.clients.answer(session.name, &pb.Answer{RequestId: r.RequestId, Verdict: pb.Verdict_UNSCHEDULABLE, Reason: reasonPartKeyBound})
 		return
 	}
-	a.gangs.start(now, id, r, placement.Millis(r.LeftMs)-delay)
+	a.gangs.start(now, id, r, placement.Millis(r.PendingTimeoutMs)-delay)
 }
 
 // validate returns why a gang cannot be admitted, or nil. It completes the parts by what is said of the whole.
-func (a *gangAdmission) validate(r *pb.GangAsk) error {
+func (a *gangAdmission) validate(r *pb.GangRequest) error {
 	held, limit := a.workloads.count()+a.gangs.unrequestedParts(), a.config.MaxWorkloads
 	switch {
 	case len(r.Parts) == 0 || len(r.Parts) > maxGangParts:
 		return fmt.Errorf("a gang of %d parts; it must have 1 to %d", len(r.Parts), maxGangParts)
-	case int(r.Need) > len(r.Parts):
-		return fmt.Errorf("need is %d of %d parts", r.Need, len(r.Parts))
+	case int(r.MinParts) > len(r.Parts):
+		return fmt.Errorf("need is %d of %d parts", r.MinParts, len(r.Parts))
 	case !validSpread(r.Spread):
 		return fmt.Errorf(`spread is %q; it must be "node", "cell", "zone" or nothing`, r.Spread)
-	case r.Replace && r.ReplaceWithinMs <= 0:
+	case r.Replace && r.ReplaceTimeoutMs <= 0:
 		return errNoReplaceTimeout
 	case limit > 0 && held+len(r.Parts) > limit:
 		return fmt.Errorf("the allocator holds %d workloads and may hold %d", held, limit)
@@ -60,10 +60,10 @@
 	return a.validateParts(r)
 }
 
-func (a *gangAdmission) validateParts(r *pb.GangAsk) error {
+func (a *gangAdmission) validateParts(r *pb.GangRequest) error {
 	keys := make(map[uint64]bool, len(r.Parts))
 	for i, part := range r.Parts {
-		part.Ask, part.LeftMs = r.Ask, r.LeftMs
+		part.RequestId, part.PendingTimeoutMs = r.RequestId, r.PendingTimeoutMs
 		if err := a.requests.validate(part); err != nil {
 			return fmt.Errorf("part %d: %w", i, err)
 		}
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -18,9 +18,9 @@
 
 // partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes on if it
 // was confirmed to run, or all of it is stopped.
-func (r *gangRecovery) partFound(now placement.Millis, wl *workload, s *pb.Standing) {
+func (r *gangRecovery) partFound(now placement.Millis, wl *workload, s *pb.RunningWorkload) {
 	of := s.Offer.Gang
-	id := requestID{wl.client, wl.request.Ask}
+	id := requestID{wl.client, wl.request.RequestId}
 	g, found := r.gangs.get(id)
 	if !found {
 		g = r.begin(now, id, of)
@@ -34,7 +34,7 @@
 	}
 	wl.gang, wl.part = g, part
 	g.parts[part], g.request.Parts[part] = wl.id, wl.request
-	g.confirmed = g.confirmed || s.Kept
+	g.confirmed = g.confirmed || s.Confirmed
 }
 
 // begin begins to recover a gang, of which the given part was found first.
@@ -42,9 +42,9 @@
 	parts := min(max(part.Of, part.Part+1), maxGangParts)
 	g := &gangRequest{
 		id: id, receivedAt: now, parts: make([]placement.WorkloadID, parts),
-		request: &pb.GangAsk{
-			Ask: id.request, Need: part.Need, Replace: part.Replace, ReplaceWithinMs: part.ReplaceWithinMs,
-			Parts: make([]*pb.Ask, parts),
+		request: &pb.GangRequest{
+			RequestId: id.request, MinParts: part.MinParts, Replace: part.Replace, ReplaceTimeoutMs: part.ReplaceTimeoutMs,
+			Parts: make([]*pb.PlaceRequest, parts),
 		},
 	}
 	r.gangs.add(g)
@@ -61,7 +61,7 @@
 	for part, id := range g.parts {
 		_, running[part] = r.workloads.get(id)
 		if g.request.Parts[part] == nil {
-			g.request.Parts[part] = &pb.Ask{}
+			g.request.Parts[part] = &pb.PlaceRequest{}
 		}
 	}
 	var decided []gang.Action
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -16,7 +16,7 @@
 // gangRequest is a client's request for a gang.
 type gangRequest struct {
 	id          requestID
-	request     *pb.GangAsk
+	request     *pb.GangRequest
 	state       *gang.Gang             // nil while the gang is recovering; see recovering
 	parts       []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
 	receivedAt  placement.Millis
@@ -37,11 +37,11 @@
 func (g *gangRequest) offerPart(now placement.Millis, part int) *pb.GangPart {
 	lease := max(0, g.expires-now) + leaseMargin
 	if g.runs() {
-		lease = placement.Millis(g.request.ReplaceWithinMs) + leaseMargin
+		lease = placement.Millis(g.request.ReplaceTimeoutMs) + leaseMargin
 	}
 	return &pb.GangPart{
-		Part: uint32(part), Of: uint32(len(g.parts)), Need: g.request.Need, LeaseMs: float64(lease),
-		Replace: g.request.Replace, ReplaceWithinMs: g.request.ReplaceWithinMs,
+		Part: uint32(part), Of: uint32(len(g.parts)), MinParts: g.request.MinParts, LeaseMs: float64(lease),
+		Replace: g.request.Replace, ReplaceTimeoutMs: g.request.ReplaceTimeoutMs,
 	}
 }
 
@@ -57,9 +57,9 @@
 }
 
 // endReason is the reason that the client gets for the end of its running gang.
-func (g *gangRequest) endReason() pb.Why {
+func (g *gangRequest) endReason() pb.Reason {
 	if slices.ContainsFunc(g.state.Parts, func(s gang.PartState) bool { return s != gang.PartFinished }) {
-		return pb.Why_LOST
+		return pb.Reason_LOST
 	}
-	return pb.Why_FINISHED
+	return pb.Reason_FINISHED
 }
--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -53,7 +53,7 @@
 }
 
 // start starts a gang that was admitted. Its client waits for the given time from now.
-func (t *gangs) start(now placement.Millis, id requestID, r *pb.GangAsk, timeout placement.Millis) {
+func (t *gangs) start(now placement.Millis, id requestID, r *pb.GangRequest, timeout placement.Millis) {
 	g := &gangRequest{
 		id: id, request: r, parts: make([]placement.WorkloadID, len(r.Parts)), expires: now + timeout, receivedAt: now,
 		answerDue: true, state: gang.New(now, t.stateRequest(r, timeout), t.seed(id.request)),
@@ -68,9 +68,9 @@
 func (t *gangs) seed(request uint64) uint64 { return t.config.Seed ^ request }
 
 // stateRequest is a request as the gang's state machine takes it.
-func (t *gangs) stateRequest(r *pb.GangAsk, timeout placement.Millis) gang.Request {
+func (t *gangs) stateRequest(r *pb.GangRequest, timeout placement.Millis) gang.Request {
 	request := gang.Request{
-		MinParts: int(r.Need), PendingTimeout: timeout, ReplaceTimeout: placement.Millis(r.ReplaceWithinMs),
+		MinParts: int(r.MinParts), PendingTimeout: timeout, ReplaceTimeout: placement.Millis(r.ReplaceTimeoutMs),
 	}
 	if r.Replace {
 		request.OnLoss = gang.ReplaceOnLoss
@@ -96,7 +96,7 @@
 		case gang.ConfirmParts:
 			t.confirmParts(g)
 		case gang.ReportEnd:
-			t.clients.send(g.id.client, &pb.Frame{Body: &pb.Frame_Over{Over: &pb.Over{Ask: g.id.request, Why: g.endReason()}}})
+			t.clients.send(g.id.client, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: &pb.WorkloadEnded{RequestId: g.id.request, Reason: g.endReason()}}})
 		case gang.SetTimer:
 			t.setTimer(now, g, a.At)
 		case gang.Forget:
@@ -166,8 +166,8 @@
 
 // repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
 // connection.
-func (t *gangs) repeatConfirmation(n *node, wl *workload, r *pb.Standing) {
-	if wl.gang != nil && !r.Kept && wl.gang.runs() {
+func (t *gangs) repeatConfirmation(n *node, wl *workload, r *pb.RunningWorkload) {
+	if wl.gang != nil && !r.Confirmed && wl.gang.runs() {
 		t.binds.confirmGang(n.id, r.Offer.Bind)
 	}
 }
@@ -196,7 +196,7 @@
 
 // answer sends a gang's final answer to its client.
 func (t *gangs) answer(g *gangRequest, kind gang.ActionKind) {
-	answer := &pb.Answer{Ask: g.id.request}
+	answer := &pb.Answer{RequestId: g.id.request}
 	switch kind {
 	case gang.AnswerPlaced:
 		t.counters.GangsPlaced++
@@ -222,7 +222,7 @@
 func (t *gangs) rejectionReason(g *gangRequest) string {
 	if g.state.Attempts() <= 1 && g.unrequestedParts() == len(g.parts) {
 		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known",
-			g.request.Need, len(g.parts), t.nodes.count())
+			g.request.MinParts, len(g.parts), t.nodes.count())
 	}
 	return fmt.Sprintf("it fell apart, %d times begun", g.state.Attempts())
 }
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -16,10 +16,10 @@
 
 // update takes over a snapshot or changes of the discovery service: into the node table, then to the engine, and then the
 // nodes are dialled or removed.
-func (m *membership) update(now placement.Millis, u *pb.ListUpdate) {
+func (m *membership) update(now placement.Millis, u *pb.NodeListUpdate) {
 	m.counters.DiscoveryEntries += uint64(len(u.Entries))
 	kind := placement.Delta
-	if u.Kind == pb.ListUpdate_WHOLE {
+	if u.Kind == pb.NodeListUpdate_SNAPSHOT {
 		kind = placement.Snapshot
 		m.table.markMissing(u.Entries)
 	}
@@ -45,17 +45,17 @@
 func (m *membership) enter(now placement.Millis, e *pb.NodeEntry) (n *node, ok bool) {
 	id := placement.NodeID(e.Id)
 	_, known := m.table.get(id)
-	n, ok = m.table.getOrAdd(id, e.Boot)
+	n, ok = m.table.getOrAdd(id, e.Incarnation)
 	if !ok {
 		return nil, false
 	}
 	n.updatedAt = now
 	// An entry of an earlier incarnation than the node itself has named is late. Taking it over would undo a drain, and
 	// end a warm-up.
-	if e.Boot < n.incarnation {
+	if e.Incarnation < n.incarnation {
 		return n, true
 	}
-	n.setIncarnation(now, e.Boot, e.UpForMs)
+	n.setIncarnation(now, e.Incarnation, e.UpForMs)
 	if n.address != e.Address && n.session.state != sessionDisconnected {
 		m.connections.disconnect(n.session.conn, errAddressChanged)
 	}
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -25,7 +25,7 @@
 	x.offer(n)
 	// It drains while the offer is under way, and rejects it.
 	x.setDraining(n, true)
-	x.answerOffer(n, &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 2}, false, pb.Why_NOT_HERE)
+	x.answerOffer(n, &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 2}, false, pb.Reason_WRONG_NODE)
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, x.verdicts())
 	// The end of the connection takes nothing back: only the node does, at its next hello or by a restart.
 	x.disconnect(n)
@@ -188,10 +188,10 @@
 	n := x.node(1)
 	x.network.take(n)
 	x.f.nodes.checkHealth(1)
-	check := x.network.take(n)[0].GetProbe()
+	check := x.network.take(n)[0].GetHealthCheck()
 	require.NotNil(t, check)
 	assert.Equal(t, 1, x.f.nodes.healthChecks.Len())
-	x.receive(n, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: check.Id}}})
+	x.receive(n, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: check.Id}}})
 	assert.Zero(t, x.f.nodes.healthChecks.Len())
 	x.f.nodes.checkHealth(2)
 	assert.Zero(t, x.f.nodes.healthChecks.Len(), "an unknown node fails it at once")
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -94,14 +94,14 @@
 		return
 	}
 	switch b := f.Body.(type) {
-	case *pb.Frame_OfferAnswer:
-		s.offerAnswered(now, n, b.OfferAnswer)
+	case *pb.Frame_OfferReply:
+		s.offerAnswered(now, n, b.OfferReply)
 	case *pb.Frame_End:
 		s.ended(now, n, b.End)
-	case *pb.Frame_Note:
-		s.noted(now, n, b.Note)
-	case *pb.Frame_ProbeAnswer:
-		s.healthChecks.Complete(now, b.ProbeAnswer.Id, n.id, loadOf(b.ProbeAnswer.Load))
+	case *pb.Frame_UsageReport:
+		s.noted(now, n, b.UsageReport)
+	case *pb.Frame_HealthReply:
+		s.healthChecks.Complete(now, b.HealthReply.Id, n.id, loadOf(b.HealthReply.Load))
 	case *pb.Frame_Drain:
 		s.setDraining(now, n, b.Drain.Draining)
 	}
@@ -135,7 +135,7 @@
 		s.updatePlacement(now, n)
 	}
 	s.setDraining(now, n, h.Draining)
-	s.reconciler.reconcile(now, n, h.Standing)
+	s.reconciler.reconcile(now, n, h.RunningWorkloads)
 }
 
 // setDraining notes a node's own account of whether it drains. It outlasts the connection: the node takes it back at its
@@ -165,7 +165,7 @@
 }
 
 // offerAnswered handles a node's answer to an offer.
-func (s *nodeSessions) offerAnswered(now placement.Millis, n *node, a *pb.OfferAnswer) {
+func (s *nodeSessions) offerAnswered(now placement.Millis, n *node, a *pb.OfferReply) {
 	wl, bind, ok := s.findBind(n, a.Bind)
 	switch {
 	case !ok:
@@ -183,12 +183,12 @@
 }
 
 // rejected handles a node's rejection of an offer.
-func (s *nodeSessions) rejected(now placement.Millis, n *node, wl *workload, bind int, a *pb.OfferAnswer) {
+func (s *nodeSessions) rejected(now placement.Millis, n *node, wl *workload, bind int, a *pb.OfferReply) {
 	n.lastRefusal = a.Text
 	s.binds.rejected(wl, a.Bind)
 	s.recorder.nodeRejection(now, wl, n.id, a.Text)
 	s.Engine().BindEnded(now, wl.id, bind, n.id, placement.Result{
-		Kind: placement.RejectedByNode, Reason: reasonOf(a.Why), Final: wl.state.withdrawn(), Load: loadOf(a.Load),
+		Kind: placement.RejectedByNode, Reason: reasonOf(a.Reason), Final: wl.state.withdrawn(), Load: loadOf(a.Load),
 	})
 }
 
@@ -198,15 +198,15 @@
 	if !ok {
 		return
 	}
-	result := placement.Result{Kind: placement.OutcomeUnknown, Reason: reasonOf(e.Why), Final: true, Load: loadOf(e.Load)}
+	result := placement.Result{Kind: placement.OutcomeUnknown, Reason: reasonOf(e.Reason), Final: true, Load: loadOf(e.Load)}
 	if !s.Engine().IsPlaced(wl.id, bind) {
 		result.Final = wl.state.withdrawn()
 	}
-	s.reportEnds(interrupts(e.Why), func() { s.Engine().BindEnded(now, wl.id, bind, n.id, result) })
+	s.reportEnds(interrupts(e.Reason), func() { s.Engine().BindEnded(now, wl.id, bind, n.id, result) })
 }
 
 // noted handles what a node reports of a running workload.
-func (s *nodeSessions) noted(now placement.Millis, n *node, note *pb.Note) {
+func (s *nodeSessions) noted(now placement.Millis, n *node, note *pb.UsageReport) {
 	wl, bind, ok := s.findBind(n, note.Bind)
 	if !ok {
 		return
@@ -229,5 +229,5 @@
 		return
 	}
 	check := s.healthChecks.Begin(id)
-	s.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{Id: check}}})
+	s.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{Id: check}}})
 }
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -12,21 +12,21 @@
 const maxReportAge = placement.Millis(100e3)
 
 // reasonOf translates a node's reason for rejecting or ending a workload.
-func reasonOf(w pb.Why) placement.Reason {
+func reasonOf(w pb.Reason) placement.Reason {
 	switch w {
-	case pb.Why_NO_CORES:
+	case pb.Reason_INSUFFICIENT_CORES:
 		return placement.InsufficientCores
-	case pb.Why_NO_MEMORY:
+	case pb.Reason_INSUFFICIENT_MEMORY:
 		return placement.InsufficientMemory
-	case pb.Why_TOO_MANY_WAITING:
+	case pb.Reason_QUEUE_FULL:
 		return placement.QueueFull
-	case pb.Why_NOT_HERE:
+	case pb.Reason_WRONG_NODE:
 		return placement.WrongNode
-	case pb.Why_EVICTED:
+	case pb.Reason_EVICTED:
 		return placement.Evicted
-	case pb.Why_PUSHED_OUT:
+	case pb.Reason_PREEMPTED:
 		return placement.Preempted
-	case pb.Why_SENT_AWAY:
+	case pb.Reason_DRAINED:
 		return placement.Drained
 	}
 	return placement.ReasonUnspecified
@@ -34,26 +34,26 @@
 
 // endReasonOf returns the reason that a client gets for the end of its workload. Where the node gives none, the workload
 // has finished, unless it was interrupted.
-func endReasonOf(r placement.Reason, migrating, interrupted bool) pb.Why {
+func endReasonOf(r placement.Reason, migrating, interrupted bool) pb.Reason {
 	switch {
 	case migrating:
-		return pb.Why_MOVED
+		return pb.Reason_MIGRATED
 	case r == placement.Evicted:
-		return pb.Why_EVICTED
+		return pb.Reason_EVICTED
 	case r == placement.Preempted:
-		return pb.Why_PUSHED_OUT
+		return pb.Reason_PREEMPTED
 	case r == placement.Drained:
-		return pb.Why_SENT_AWAY
+		return pb.Reason_DRAINED
 	case r == placement.ReasonUnspecified && interrupted:
-		return pb.Why_LOST
+		return pb.Reason_LOST
 	}
-	return pb.Why_FINISHED
+	return pb.Reason_FINISHED
 }
 
 // interrupts reports whether an end that a node reports was not the workload's own: its node stopped or lost it, or ended
 // its lease.
-func interrupts(w pb.Why) bool {
-	return w == pb.Why_LOST || w == pb.Why_STOPPED || w == pb.Why_LEASE_OVER
+func interrupts(w pb.Reason) bool {
+	return w == pb.Reason_LOST || w == pb.Reason_STOPPED || w == pb.Reason_LEASE_EXPIRED
 }
 
 func nodeStateOf(s pb.NodeEntry_State) placement.NodeState {
@@ -67,11 +67,11 @@
 }
 
 // noteKindOf translates the kind of a note; kinds that the engine ignores are not ok.
-func noteKindOf(k pb.Note_Kind) (kind placement.UsageKind, ok bool) {
+func noteKindOf(k pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
 	switch k {
-	case pb.Note_RUNNING:
+	case pb.UsageReport_RUNNING:
 		return placement.Running, true
-	case pb.Note_CORES_USED:
+	case pb.UsageReport_CORES_USED:
 		return placement.CoresUsed, true
 	}
 	return 0, false
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -24,9 +24,9 @@
 
 // reconcile takes the workloads of ours that a node runs. Those that it does not name have ended; those that it names and
 // the engine does not hold are adopted or stopped.
-func (r *reconciler) reconcile(now placement.Millis, n *node, running []*pb.Standing) {
+func (r *reconciler) reconcile(now placement.Millis, n *node, running []*pb.RunningWorkload) {
 	named := map[bindRef]bool{}
-	var unknown []*pb.Standing
+	var unknown []*pb.RunningWorkload
 	for _, s := range running {
 		offer := s.GetOffer()
 		wl, bind, found := r.workloads.find(n.id, offer.GetBind())
@@ -34,7 +34,7 @@
 		case found && r.Engine().IsPlaced(wl.id, bind):
 			named[bindRef{wl.id, bind}] = true
 			r.held(n, wl, s)
-		case offer.GetBind() != nil && offer.Ask != nil:
+		case offer.GetBind() != nil && offer.Request != nil:
 			unknown = append(unknown, s)
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 // held repeats what may have been lost with the node's last connection, for a workload that the engine holds there.
-func (r *reconciler) held(n *node, wl *workload, s *pb.Standing) {
+func (r *reconciler) held(n *node, wl *workload, s *pb.RunningWorkload) {
 	switch {
 	case wl.bindState == bindStopRequested:
 		r.binds.stop(n.id, s.Offer.Bind, false)
@@ -58,13 +58,13 @@
 }
 
 // notHeld handles a workload that the engine does not hold: one that nobody wants is stopped, any other is adopted.
-func (r *reconciler) notHeld(now placement.Millis, n *node, s *pb.Standing) {
+func (r *reconciler) notHeld(now placement.Millis, n *node, s *pb.RunningWorkload) {
 	if r.unwanted(s.Offer) {
 		r.binds.stop(n.id, s.Offer.Bind, false)
 		return
 	}
 	if r.workloads.adoptionIDsExhausted() {
-		r.log.Error("workload not adopted", "node", n.id, "client", s.Offer.Owner,
+		r.log.Error("workload not adopted", "node", n.id, "client", s.Offer.Client,
 			"reason", "no workload id is left; restart the allocator")
 		return
 	}
@@ -77,15 +77,15 @@
 //     must not run in part, or a stop can still limit its effect.
 func (r *reconciler) unwanted(o *pb.Offer) bool {
 	ours := o.Bind.Incarnation == r.config.Incarnation
-	if ours && r.clients.withdrew(o.Owner, o.Ask.Ask) {
+	if ours && r.clients.withdrew(o.Client, o.Request.RequestId) {
 		return true
 	}
-	givenUp := ours || r.workloads.hasKey(o.Ask.Key)
-	return givenUp && (o.Gang != nil || r.Engine().StopsDuplicates(r.catalog.groupID(o.Ask.Group)))
+	givenUp := ours || r.workloads.hasKey(o.Request.Key)
+	return givenUp && (o.Gang != nil || r.Engine().StopsDuplicates(r.catalog.groupID(o.Request.Group)))
 }
 
 // adopt has the engine hold a workload that was found on a node.
-func (r *reconciler) adopt(now placement.Millis, n *node, s *pb.Standing) {
+func (r *reconciler) adopt(now placement.Millis, n *node, s *pb.RunningWorkload) {
 	wl := r.workloads.adopt(now, n.id, s.Offer)
 	r.recorder.request(now, wl)
 	r.binds.outdate(wl.request.Service)
--- a/internal/frontend/native/reconcile_test.go
+++ b/internal/frontend/native/reconcile_test.go
@@ -11,12 +11,12 @@
 func TestReconcile_WorkloadOfEarlierIncarnation_Adopted(t *testing.T) {
 	x := newFixture(t)
 	bind := &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9, Number: 1}
-	running := &pb.Standing{Running: true, Offer: &pb.Offer{Bind: bind, Owner: "o", Ask: &pb.Ask{
-		Ask: 77, Key: 5, Service: 1, Group: "once", Cores: 1, Memory: 1,
+	running := &pb.RunningWorkload{Running: true, Offer: &pb.Offer{Bind: bind, Client: "o", Request: &pb.PlaceRequest{
+		RequestId: 77, Key: 5, Service: 1, Group: "once", Cores: 1, Memory: 1,
 	}}}
 	n := x.node(1, running)
 	assert.Equal(t, 1, x.f.WorkloadCount())
-	x.request(78, "once", func(a *pb.Ask) { a.Key = 5 })
+	x.request(78, "once", func(a *pb.PlaceRequest) { a.Key = 5 })
 	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, x.verdicts(), "it runs already")
 	// Named again at the next connection, it is the same one. Withdrawn, it is stopped by the bind that its node knows.
 	x.disconnect(n)
@@ -24,7 +24,7 @@
 	assert.Equal(t, 1, x.f.WorkloadCount())
 	x.withdraw(77)
 	assert.Equal(t, bind, x.network.take(n)[1].GetStop().GetBind())
-	x.endWorkload(n, bind, pb.Why_STOPPED)
+	x.endWorkload(n, bind, pb.Reason_STOPPED)
 	assert.Zero(t, x.f.WorkloadCount())
 }
 
@@ -38,7 +38,7 @@
 	x.withdraw(1)
 	assert.NotNil(t, x.network.take(n)[0].GetStop())
 	x.disconnect(n)
-	n = x.reconnectNode(&pb.Standing{Offer: o})
+	n = x.reconnectNode(&pb.RunningWorkload{Offer: o})
 	assert.Equal(t, o.Bind, x.network.take(n)[1].GetStop().GetBind())
 }
 
@@ -53,7 +53,7 @@
 			o := x.offer(n)
 			x.withdraw(1)
 			x.disconnect(n)
-			n = x.reconnectNode(&pb.Standing{Offer: o, Running: true})
+			n = x.reconnectNode(&pb.RunningWorkload{Offer: o, Running: true})
 			assert.Equal(t, o.Bind, x.network.take(n)[1].GetStop().GetBind())
 			assert.Zero(t, x.f.WorkloadCount())
 		})
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -53,22 +53,22 @@
 // received handles a frame of a client.
 func (r *requests) received(now placement.Millis, session *clientSession, f *pb.Frame) {
 	switch b := f.Body.(type) {
-	case *pb.Frame_Ask:
-		r.request(now, session, b.Ask)
-	case *pb.Frame_GangAsk:
-		r.admission.request(now, session, b.GangAsk)
+	case *pb.Frame_PlaceRequest:
+		r.request(now, session, b.PlaceRequest)
+	case *pb.Frame_GangRequest:
+		r.admission.request(now, session, b.GangRequest)
 	case *pb.Frame_Withdraw:
-		r.withdrawRequest(now, session, b.Withdraw.Ask)
+		r.withdrawRequest(now, session, b.Withdraw.RequestId)
 	default:
-		r.connections.refuse(session.conn, fmt.Errorf("an owner may not send %T", f.Body))
+		r.connections.refuse(session.conn, fmt.Errorf("an owner may not send %s", pb.FrameKind(f)))
 	}
 }
 
 // request hands a request to the engine, or rejects it at once with the reason.
-func (r *requests) request(now placement.Millis, session *clientSession, a *pb.Ask) {
+func (r *requests) request(now placement.Millis, session *clientSession, a *pb.PlaceRequest) {
 	r.counters.Requests++
 	delay := r.delay(now, session, a.SentMs)
-	if r.workloads.hasRequest(requestID{session.name, a.Ask}) || session.history.contains(a.Ask) {
+	if r.workloads.hasRequest(requestID{session.name, a.RequestId}) || session.history.contains(a.RequestId) {
 		r.counters.DuplicateRequests++ // its one answer is or was sent for the first one
 		return
 	}
@@ -94,14 +94,14 @@
 }
 
 // reject answers a request that does not reach the engine.
-func (r *requests) reject(now placement.Millis, session *clientSession, a *pb.Ask, v pb.Verdict, reason string) {
+func (r *requests) reject(now placement.Millis, session *clientSession, a *pb.PlaceRequest, v pb.Verdict, reason string) {
 	r.eventLog.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted})
-	r.clients.answer(session.name, &pb.Answer{Ask: a.Ask, Verdict: v, Reason: reason})
+	r.clients.answer(session.name, &pb.Answer{RequestId: a.RequestId, Verdict: v, Reason: reason})
 }
 
 // answeredFromJournal answers a request whose key the journal knows, or that it has no capacity for, and reports whether it
 // did. The answer is final at once, since the outcome of an earlier bind cannot be found out.
-func (r *requests) answeredFromJournal(now placement.Millis, session *clientSession, a *pb.Ask) bool {
+func (r *requests) answeredFromJournal(now placement.Millis, session *clientSession, a *pb.PlaceRequest) bool {
 	var verdict pb.Verdict
 	var reason string
 	switch r.durable.admit(now, a) {
@@ -118,7 +118,7 @@
 }
 
 // validate returns why a request cannot be admitted, or nil.
-func (r *requests) validate(a *pb.Ask) error {
+func (r *requests) validate(a *pb.PlaceRequest) error {
 	if r.draining {
 		return errDraining
 	}
@@ -141,11 +141,11 @@
 }
 
 // validateAmounts returns which amount of a request is none, or nil.
-func validateAmounts(a *pb.Ask) error {
+func validateAmounts(a *pb.PlaceRequest) error {
 	amounts := []struct {
 		field string
 		value float64
-	}{{"cores", a.Cores}, {"memory", a.Memory}, {"left_ms", a.LeftMs}}
+	}{{"cores", a.Cores}, {"memory", a.Memory}, {"left_ms", a.PendingTimeoutMs}}
 	for _, amount := range amounts {
 		if !(amount.value > 0 && amount.value <= math.MaxFloat32) {
 			return fmt.Errorf("%s is %v; it must be above 0", amount.field, amount.value)
@@ -159,7 +159,7 @@
 	r.counters.CountAnswer(v)
 	reason := r.answerReason(wl, v)
 	r.recorder.answer(r.Now(), wl, v, node, reason)
-	r.clients.answer(wl.client, &pb.Answer{Ask: wl.request.Ask, Verdict: verdictOf(v), Node: uint32(node), Reason: reason})
+	r.clients.answer(wl.client, &pb.Answer{RequestId: wl.request.RequestId, Verdict: verdictOf(v), Node: uint32(node), Reason: reason})
 }
 
 // answerReason says why a workload was not placed, or "" for one that was.
@@ -214,13 +214,13 @@
 }
 
 // running are a client's placed workloads, in the order of the ids of their binds.
-func (r *requests) running(now placement.Millis, client string) []*pb.Standing {
-	var running []*pb.Standing
+func (r *requests) running(now placement.Millis, client string) []*pb.RunningWorkload {
+	var running []*pb.RunningWorkload
 	placed := r.workloads.ofClient(client, func(wl *workload) bool { return wl.state == workloadPlaced })
 	for _, wl := range placed {
-		running = append(running, &pb.Standing{Offer: r.workloads.offer(now, wl)})
+		running = append(running, &pb.RunningWorkload{Offer: r.workloads.offer(now, wl)})
 	}
-	slices.SortStableFunc(running, func(x, y *pb.Standing) int {
+	slices.SortStableFunc(running, func(x, y *pb.RunningWorkload) int {
 		return cmp.Compare(x.Offer.Bind.Workload, y.Offer.Bind.Workload)
 	})
 	return running
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -18,7 +18,7 @@
 	x.request(1, "serve")
 	x.offer(n)
 	assert.Equal(t, uint64(1), x.f.Counters.DuplicateRequests)
-	x.request(2, "serve", func(a *pb.Ask) { a.Key = 101 })
+	x.request(2, "serve", func(a *pb.PlaceRequest) { a.Key = 101 })
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, x.verdicts())
 }
 
@@ -31,15 +31,15 @@
 		}
 		return all
 	}
-	x.request(1, "serve", func(a *pb.Ask) { a.LeftMs = 10 })
+	x.request(1, "serve", func(a *pb.PlaceRequest) { a.PendingTimeoutMs = 10 })
 	x.runUntil(2000)
 	assert.Equal(t, []string{"no node is known"}, reasons())
 	n := x.node(1)
 	x.request(2, "nobody")
-	x.request(3, "serve", func(a *pb.Ask) { a.Cores = 0 })
-	x.request(4, "serve", func(a *pb.Ask) { a.Memory = -1 })
-	x.request(5, "serve", func(a *pb.Ask) { a.LeftMs = 0 })
-	x.request(6, "serve", func(a *pb.Ask) { a.Cores = 99 })
+	x.request(3, "serve", func(a *pb.PlaceRequest) { a.Cores = 0 })
+	x.request(4, "serve", func(a *pb.PlaceRequest) { a.Memory = -1 })
+	x.request(5, "serve", func(a *pb.PlaceRequest) { a.PendingTimeoutMs = 0 })
+	x.request(6, "serve", func(a *pb.PlaceRequest) { a.Cores = 99 })
 	assert.Equal(t, []string{
 		`group "nobody" is not known here; known are ["serve" "once" "check"]`, "cores is 0; it must be above 0",
 		"memory is -1; it must be above 0", "left_ms is 0; it must be above 0", "it is larger than any kind of node",
@@ -112,7 +112,7 @@
 	x := newFixture(t)
 	n := x.node(1)
 	left := func(id uint64, sent float64) float64 {
-		x.request(id, "once", func(a *pb.Ask) { a.SentMs = sent })
+		x.request(id, "once", func(a *pb.PlaceRequest) { a.SentMs = sent })
 		return x.offer(n).AcceptWithinMs
 	}
 	x.runUntil(1000)
@@ -138,7 +138,7 @@
 	x.node(1)
 	x.request(1, "once")
 	x.request(2, "once")
-	x.requestGang(3, func(a *pb.GangAsk) { a.Parts[1].Key = known.Key })
+	x.requestGang(3, func(a *pb.GangRequest) { a.Parts[1].Key = known.Key })
 	answers := x.answers()
 	require.Len(t, answers, 3)
 	assert.Equal(t, pb.Verdict_UNSCHEDULABLE, answers[0].Verdict)
@@ -153,7 +153,7 @@
 
 func TestRequest_UnknownFrameOfClient_Refused(t *testing.T) {
 	x := newFixture(t)
-	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}})
+	x.receive(clientConn, &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{}}})
 	assert.True(t, x.network.closed[clientConn])
 	assert.Contains(t, x.network.take(clientConn)[0].GetRefusal().GetReason(), "Frame_Probe")
 }
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -23,8 +23,8 @@
 // answer answers a query.
 func (s *status) answer(now placement.Millis, q *pb.Query) *pb.State {
 	state := &pb.State{Revision: s.eventLog.Revision()}
-	limit := int(cmp.Or(q.Most, defaultStatusLimit))
-	switch q.What {
+	limit := int(cmp.Or(q.Limit, defaultStatusLimit))
+	switch q.Kind {
 	case pb.Query_WORKLOADS:
 		state.Workloads, state.LeftOut = s.workloadStates(now, limit)
 	case pb.Query_GANGS:
@@ -59,7 +59,7 @@
 	all := s.nodes.sorted
 	for _, n := range all[:min(len(all), limit)] {
 		state := nodeStatusOf(now, n)
-		state.Residents, state.BindsOut = placed[n.id], unanswered[n.id]
+		state.Residents, state.BindsInFlight = placed[n.id], unanswered[n.id]
 		states = append(states, state)
 	}
 	return states, uint32(max(0, len(all)-limit))
@@ -82,7 +82,7 @@
 
 func workloadStateOf(now placement.Millis, wl *workload) *pb.WorkloadState {
 	s := &pb.WorkloadState{
-		Workload: uint64(wl.id), Owner: wl.client, Ask: wl.request.Ask, Key: wl.request.Key, Service: wl.request.Service,
+		Workload: uint64(wl.id), Client: wl.client, RequestId: wl.request.RequestId, Key: wl.request.Key, Service: wl.request.Service,
 		Group: wl.request.Group, Cores: wl.request.Cores, Memory: wl.request.Memory, Binds: uint32(len(wl.bindNodes)),
 		SinceMs: float64(now - wl.receivedAt), State: "pending", Node: uint32(wl.lastNode()),
 	}
@@ -98,7 +98,7 @@
 func nodeStatusOf(now placement.Millis, n *node) *pb.NodeStatus {
 	return &pb.NodeStatus{
 		Id: uint32(n.id), Kind: n.kind, Zone: n.zone, Address: n.address, FreeCores: n.entry.FreeCores,
-		FreeMemory: n.entry.FreeMemory, ListedMs: float64(now - n.updatedAt), LastRefusal: n.lastRefusal,
+		FreeMemory: n.entry.FreeMemory, ListedMs: float64(now - n.updatedAt), LastRejection: n.lastRefusal,
 		State:      [...]string{"ready", "draining", "gone"}[n.state()],
 		Connection: [...]string{"none", "dialling", "open"}[n.session.state],
 	}
@@ -106,7 +106,7 @@
 
 func gangStatusOf(now placement.Millis, g *gangRequest) *pb.GangStatus {
 	s := &pb.GangStatus{
-		Owner: g.id.client, Ask: g.id.request, State: "found", Parts: uint32(len(g.parts)), Need: g.request.Need,
+		Client: g.id.client, RequestId: g.id.request, State: "found", Parts: uint32(len(g.parts)), MinParts: g.request.MinParts,
 		SinceMs: float64(now - g.receivedAt),
 	}
 	for _, id := range g.parts {
@@ -115,7 +115,7 @@
 	if g.recovering() {
 		return s
 	}
-	s.State, s.Tries = g.state.State.String(), uint32(g.state.Attempts())
+	s.State, s.Attempts = g.state.State.String(), uint32(g.state.Attempts())
 	for _, part := range g.state.Parts {
 		if part == gang.PartRunning {
 			s.Running++
--- a/internal/frontend/native/trace_test.go
+++ b/internal/frontend/native/trace_test.go
@@ -25,15 +25,17 @@
 	x := newFixture(t, func(c *Config) { c.Trace = sink })
 	n := x.node(1)
 	x.request(1, "serve")
-	x.receive(n, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{
-		Bind: x.offer(n).Bind, Why: pb.Why_NO_CORES, Text: "full",
+	x.receive(n, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{
+		Bind: x.offer(n).Bind, Reason: pb.Reason_INSUFFICIENT_CORES, Text: "full",
 	}}})
 	x.runUntil(6000)
 	x.requestGang(2)
 	x.f.FlushTrace()
-	for kind, count := range map[string]int{"Start": 1, "Heard": 2, "Refused": 1, "Answered": 1, "Asked": 3, "GangAsked": 1} {
+	for kind, count := range map[string]int{
+		"Start": 1, "DiscoveryUpdated": 2, "OfferRejected": 1, "RequestAnswered": 1, "RequestReceived": 3, "GangRequested": 1,
+	} {
 		assert.Equal(t, count, sink[kind], kind)
 	}
 	assert.NotZero(t, sink["GangState"])
-	assert.NotZero(t, sink["Place"])
+	assert.NotZero(t, sink["Schedule"])
 }
--- a/internal/frontend/native/workloads.go
+++ b/internal/frontend/native/workloads.go
@@ -71,7 +71,7 @@
 type workload struct {
 	id         placement.WorkloadID
 	client     string
-	request    *pb.Ask
+	request    *pb.PlaceRequest
 	receivedAt placement.Millis
 	state      workloadState
 	bindNodes  []placement.NodeID // to which it was offered, in order
@@ -175,9 +175,9 @@
 func (t *workloadTable) adoptionIDsExhausted() bool { return t.lastID == math.MaxUint32 }
 
 // add gives the workload of a new request the next id.
-func (t *workloadTable) add(now placement.Millis, client string, r *pb.Ask) *workload {
+func (t *workloadTable) add(now placement.Millis, client string, r *pb.PlaceRequest) *workload {
 	wl := t.insert(&workload{client: client, request: r, receivedAt: now})
-	t.byRequest[requestID{client, r.Ask}] = wl.id
+	t.byRequest[requestID{client, r.RequestId}] = wl.id
 	t.byKey[r.Key] = wl.id
 	t.pending++
 	return wl
@@ -194,11 +194,11 @@
 // adopt gives a workload that was found on a node the next id. Its key may be held by another one.
 func (t *workloadTable) adopt(now placement.Millis, node placement.NodeID, o *pb.Offer) *workload {
 	wl := t.insert(&workload{
-		client: o.Owner, request: o.Ask, receivedAt: now, state: workloadPlaced, bindNodes: []placement.NodeID{node},
+		client: o.Client, request: o.Request, receivedAt: now, state: workloadPlaced, bindNodes: []placement.NodeID{node},
 		bindState: bindSent, adopted: o.Bind,
 	})
 	t.byAdopted[adoptedBindOf(node, o.Bind)] = wl.id
-	t.byRequest[requestID{wl.client, wl.request.Ask}] = wl.id
+	t.byRequest[requestID{wl.client, wl.request.RequestId}] = wl.id
 	if !t.hasKey(wl.request.Key) {
 		t.byKey[wl.request.Key] = wl.id
 	}
@@ -215,7 +215,7 @@
 // remove forgets a workload that the engine has let go of.
 func (t *workloadTable) remove(wl *workload) {
 	delete(t.byID, wl.id)
-	if request := (requestID{wl.client, wl.request.Ask}); t.byRequest[request] == wl.id {
+	if request := (requestID{wl.client, wl.request.RequestId}); t.byRequest[request] == wl.id {
 		delete(t.byRequest, request)
 	}
 	if wl.adopted != nil {
@@ -265,7 +265,7 @@
 
 // offer is a workload's last bind as it is sent, without the time until which it may be accepted.
 func (t *workloadTable) offer(now placement.Millis, wl *workload) *pb.Offer {
-	o := &pb.Offer{Bind: t.bindID(wl), Owner: wl.client, Ask: wl.request}
+	o := &pb.Offer{Bind: t.bindID(wl), Client: wl.client, Request: wl.request}
 	if wl.gang != nil {
 		o.Gang = wl.gang.offerPart(now, wl.part)
 	}
--- a/internal/frontend/native/workloads_test.go
+++ b/internal/frontend/native/workloads_test.go
@@ -28,8 +28,8 @@
 
 func TestWorkloadTable_Pending_CountsUnansweredRequests(t *testing.T) {
 	table := newWorkloadTable(Config{Name: "a", Incarnation: 1})
-	placed := table.add(0, "c", &pb.Ask{Ask: 1, Key: 1})
-	withdrawn := table.add(0, "c", &pb.Ask{Ask: 2, Key: 2})
+	placed := table.add(0, "c", &pb.PlaceRequest{RequestId: 1, Key: 1})
+	withdrawn := table.add(0, "c", &pb.PlaceRequest{RequestId: 2, Key: 2})
 	assert.Equal(t, 2, table.pending)
 	table.markAnswered(placed, allocator.Placed)
 	table.markWithdrawn(placed)
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -67,7 +67,7 @@
 	if err := c.conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
-	hello := &pb.Hello{Role: pb.Role_OWNER, Name: name, Incarnation: uint64(time.Now().UnixNano()), SentMs: processTime()}
+	hello := &pb.Hello{Role: pb.Role_CLIENT, Name: name, Incarnation: uint64(time.Now().UnixNano()), SentMs: processTime()}
 	if err := c.send(transport.HelloFrame(hello)); err != nil {
 		return err
 	}
@@ -101,9 +101,9 @@
 
 // requestFrame returns the frame of a request that has some time left until its pending timeout.
 func (c *client) requestFrame(number uint64, r Request, left time.Duration) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: number, Key: c.idempotencyKey(number), Service: r.Service, Group: r.Group, Cores: r.Cores, Memory: r.Memory,
-		LeftMs: inMilliseconds(left), RunsForMs: inMilliseconds(r.RunTime), Again: r.Retried, SentMs: processTime(),
+	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId: number, Key: c.idempotencyKey(number), Service: r.Service, Group: r.Group, Cores: r.Cores, Memory: r.Memory,
+		PendingTimeoutMs: inMilliseconds(left), ExpectedRuntimeMs: inMilliseconds(r.RunTime), Retried: r.Retried, SentMs: processTime(),
 	}}}
 }
 
--- a/internal/loadgen/fromtrace.go
+++ b/internal/loadgen/fromtrace.go
@@ -61,8 +61,8 @@
 		switch b := r.Body.(type) {
 		case *tracepb.Record_Start:
 			groups[r.Source] = b.Start.Groups
-		case *tracepb.Record_Place:
-			request, err := newRequest(b.Place.Workload, groups[r.Source])
+		case *tracepb.Record_Schedule:
+			request, err := newRequest(b.Schedule.Workload, groups[r.Source])
 			if err != nil {
 				return nil, err
 			}
@@ -77,8 +77,8 @@
 		return Request{}, fmt.Errorf("the trace does not name group %d: it begins in the middle; use an uncut one", w.Group)
 	}
 	return Request{
-		Service: w.Service, Group: groups[w.Group], Cores: w.Cores, Memory: w.Memory, PendingTimeout: milliseconds(w.Left),
-		Retried: w.Again,
+		Service: w.Service, Group: groups[w.Group], Cores: w.Cores, Memory: w.Memory, PendingTimeout: milliseconds(w.PendingTimeout),
+		Retried: w.Retried,
 	}, nil
 }
 
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return 0
 	}
-	return f.GetAsk().GetAsk()
+	return f.GetPlaceRequest().GetRequestId()
 }
 
 // fakeAllocator returns the address of an allocator that serves each connection with a function.
@@ -64,7 +64,7 @@
 }
 
 func answer(request uint64, v pb.Verdict) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{Ask: request, Verdict: v, Reason: "so"}}}
+	return &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{RequestId: request, Verdict: v, Reason: "so"}}}
 }
 
 func run(t *testing.T, target string, conns int, requests ...Request) *Result {
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -57,19 +57,19 @@
 	switch b := f.Body.(type) {
 	case *pb.Frame_Answer:
 		t.countAnswer(c, now, b.Answer)
-	case *pb.Frame_Over:
-		t.countEnd(c, b.Over.Ask)
+	case *pb.Frame_WorkloadEnded:
+		t.countEnd(c, b.WorkloadEnded.RequestId)
 	}
 }
 
 func (t *tally) countAnswer(c *client, now time.Time, a *pb.Answer) {
-	r := c.requests[a.Ask]
+	r := c.requests[a.RequestId]
 	switch {
 	case r == nil:
-		t.reportWrong("an answer for request %d, which waits for none", a.Ask)
+		t.reportWrong("an answer for request %d, which waits for none", a.RequestId)
 		return
 	case r.state != requestPending:
-		t.reportWrong("a second answer for request %d", a.Ask)
+		t.reportWrong("a second answer for request %d", a.RequestId)
 		return
 	}
 	latency := now.Sub(r.due)
--- a/internal/replay/describe.go
+++ b/internal/replay/describe.go
@@ -24,8 +24,8 @@
 	if r.Step != nil {
 		text += " -> " + describeStep(r.Step)
 	}
-	if r.Chores != nil {
-		text += " -> " + describeMaintenance(r.Chores)
+	if r.Maintenance != nil {
+		text += " -> " + describeMaintenance(r.Maintenance)
 	}
 	return text
 }
@@ -33,23 +33,23 @@
 // describeCall describes a call of the module, "" for other records.
 func describeCall(r *trace.Record) string {
 	switch b := r.Body.(type) {
-	case *tracepb.Record_Place:
-		w := b.Place.Workload
+	case *tracepb.Record_Schedule:
+		w := b.Schedule.Workload
 		return fmt.Sprintf("place workload %d of service %d, group %d, %g cores, %g memory, %.0f ms left",
-			w.GetId(), w.GetService(), w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetLeft())
+			w.GetId(), w.GetService(), w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetPendingTimeout())
 	case *tracepb.Record_Adopt:
 		return fmt.Sprintf("adopt workload %d on node %d", b.Adopt.Workload.GetId(), b.Adopt.Node)
-	case *tracepb.Record_Next:
-		return describeResult(b.Next)
-	case *tracepb.Record_List:
-		return fmt.Sprintf("list, %s, %d nodes", nameOf(nodeUpdateNames, b.List.Kind), len(b.List.Nodes))
+	case *tracepb.Record_StepResult:
+		return describeResult(b.StepResult)
+	case *tracepb.Record_NodesUpdated:
+		return fmt.Sprintf("list, %s, %d nodes", nameOf(nodeUpdateNames, b.NodesUpdated.Kind), len(b.NodesUpdated.Nodes))
 	case *tracepb.Record_Report:
 		return fmt.Sprintf("report of node %d: %g cores spare", b.Report.Node, b.Report.Load.GetSpareCores())
-	case *tracepb.Record_Probed:
-		return fmt.Sprintf("probe of node %d answered %v", b.Probed.Node, b.Probed.Answered)
-	case *tracepb.Record_Note:
-		return fmt.Sprintf("note on workload %d: %s %g", b.Note.Workload, nameOf(usageNames, b.Note.Kind), b.Note.Value)
-	case *tracepb.Record_Upkeep:
+	case *tracepb.Record_HealthChecked:
+		return fmt.Sprintf("probe of node %d answered %v", b.HealthChecked.Node, b.HealthChecked.Answered)
+	case *tracepb.Record_UsageReport:
+		return fmt.Sprintf("note on workload %d: %s %g", b.UsageReport.Workload, nameOf(usageNames, b.UsageReport.Kind), b.UsageReport.Value)
+	case *tracepb.Record_Maintain:
 		return "chores"
 	}
 	return ""
@@ -60,27 +60,27 @@
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Start:
 		return fmt.Sprintf("start of %s.%d", b.Start.GetSource().GetAllocator(), b.Start.GetSource().GetIncarnation())
-	case *tracepb.Record_Asked:
-		return fmt.Sprintf("workload %d is ask %d of %s, key %d", b.Asked.Workload, b.Asked.Ask, b.Asked.Owner, b.Asked.Key)
-	case *tracepb.Record_Answered:
-		return fmt.Sprintf("answer to workload %d: %s %s", b.Answered.Workload, nameOf(verdictNames, b.Answered.Verdict), b.Answered.Text)
-	case *tracepb.Record_Refused:
-		return fmt.Sprintf("node %d refuses workload %d: %s", b.Refused.Node, b.Refused.Workload, b.Refused.Text)
-	case *tracepb.Record_Heard:
-		return fmt.Sprintf("list epoch %d, revision %d", b.Heard.Epoch, b.Heard.Revision)
-	case *tracepb.Record_GangAsked:
-		g := b.GangAsked
-		return fmt.Sprintf("gang of %d parts, %d needed, is ask %d of %s", g.Parts, g.Need, g.Ask, g.Owner)
+	case *tracepb.Record_RequestReceived:
+		return fmt.Sprintf("workload %d is ask %d of %s, key %d", b.RequestReceived.Workload, b.RequestReceived.RequestId, b.RequestReceived.Client, b.RequestReceived.Key)
+	case *tracepb.Record_RequestAnswered:
+		return fmt.Sprintf("answer to workload %d: %s %s", b.RequestAnswered.Workload, nameOf(verdictNames, b.RequestAnswered.Verdict), b.RequestAnswered.Text)
+	case *tracepb.Record_OfferRejected:
+		return fmt.Sprintf("node %d refuses workload %d: %s", b.OfferRejected.Node, b.OfferRejected.Workload, b.OfferRejected.Text)
+	case *tracepb.Record_DiscoveryUpdated:
+		return fmt.Sprintf("list epoch %d, revision %d", b.DiscoveryUpdated.Epoch, b.DiscoveryUpdated.Revision)
+	case *tracepb.Record_GangRequested:
+		g := b.GangRequested
+		return fmt.Sprintf("gang of %d parts, %d needed, is ask %d of %s", g.Parts, g.MinParts, g.RequestId, g.Client)
 	case *tracepb.Record_GangState:
 		g := b.GangState
-		return fmt.Sprintf("gang %d of %s is %s, workloads %v", g.Ask, g.Owner, g.State, g.Workloads)
+		return fmt.Sprintf("gang %d of %s is %s, workloads %v", g.RequestId, g.Client, g.State, g.Workloads)
 	case *tracepb.Record_Gap:
-		return fmt.Sprintf("GAP: %d records missing (%s)", b.Gap.Missing, b.Gap.Why)
+		return fmt.Sprintf("GAP: %d records missing (%s)", b.Gap.Missing, b.Gap.Reason)
 	}
 	return ""
 }
 
-func describeResult(n *tracepb.Next) string {
+func describeResult(n *tracepb.StepResult) string {
 	text := fmt.Sprintf("workload %d %s", n.Workload, trace.ResultName(n.Kind, unnamed(n.Kind)))
 	if n.Reason > 0 {
 		text += fmt.Sprintf(" (%s)", trace.RejectionName(n.Reason, unnamed(n.Reason)))
@@ -95,13 +95,13 @@
 	case placement.StepKind(s.Kind) == placement.Bind:
 		return fmt.Sprintf("bind to node %d for %.3f ms", s.Node, s.Timeout)
 	case placement.StepKind(s.Kind) == placement.Wait:
-		return fmt.Sprintf("wait until %.3f ms", s.Until)
+		return fmt.Sprintf("wait until %.3f ms", s.WakeAt)
 	}
 	return trace.StepName(s.Kind, unnamed(s.Kind))
 }
 
-func describeMaintenance(m *tracepb.Chores) string {
-	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms", m.GetMoves(), m.GetProbes(), m.GetWatch(), m.GetAgain())
+func describeMaintenance(m *tracepb.Maintenance) string {
+	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms", m.GetMigrations(), m.GetHealthChecks(), m.GetSubscribe(), m.GetNextAt())
 }
 
 func nameOf(names []string, number uint32) string {
--- a/internal/replay/encode.go
+++ b/internal/replay/encode.go
@@ -9,19 +9,19 @@
 
 func encodeSettings(s placement.Settings) *tracepb.Settings {
 	e := &tracepb.Settings{
-		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), ColdFor: float64(s.WarmUpDuration),
-		ColdFrom: s.InitialRate, ColdBears: s.WarmUpBudget, OverloadFor: float64(s.OverloadWindow), MustAsk: s.PolledDiscovery,
-		AskWithin: float64(s.PollInterval), ConfirmsRunning: s.ConfirmsRunning, ReportsUse: s.ReportsUsage,
-		RoomInList: s.EntriesCarryCapacity, MaxBinds: int64(s.MaxBinds), MayProbe: s.HealthChecksAllowed,
+		Allocators: int64(s.Allocators), Ordinal: int64(s.Ordinal), WarmUpDuration: float64(s.WarmUpDuration),
+		InitialRate: s.InitialRate, WarmUpBudget: s.WarmUpBudget, OverloadWindow: float64(s.OverloadWindow), PolledDiscovery: s.PolledDiscovery,
+		PollInterval: float64(s.PollInterval), ConfirmsRunning: s.ConfirmsRunning, ReportsUsage: s.ReportsUsage,
+		EntriesCarryCapacity: s.EntriesCarryCapacity, MaxBinds: int64(s.MaxBinds), HealthChecksAllowed: s.HealthChecksAllowed,
 	}
 	for _, k := range s.NodeKinds {
-		e.Kinds = append(e.Kinds, &tracepb.Size{Cores: k.Cores, Memory: k.Memory})
+		e.NodeKinds = append(e.NodeKinds, &tracepb.NodeKind{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range s.Groups {
 		e.Groups = append(e.Groups, &tracepb.Group{
-			Target: float64(g.LatencyObjective), Utility: g.PriorityWeight, Effect: uint32(g.Idempotency), DedupScope: uint32(g.KeyScope),
-			DedupWindow: float64(g.KeyWindow), Spread: uint32(g.SpreadScope), SpreadMost: int64(g.MaxPerScope), Calm: g.FullServiceUtilization,
-			Fade: g.DegradationRange, Kind: int64(g.RequiredKind),
+			LatencyObjective: float64(g.LatencyObjective), PriorityWeight: g.PriorityWeight, Idempotency: uint32(g.Idempotency), KeyScope: uint32(g.KeyScope),
+			KeyWindow: float64(g.KeyWindow), SpreadScope: uint32(g.SpreadScope), MaxPerScope: int64(g.MaxPerScope), FullServiceUtilization: g.FullServiceUtilization,
+			DegradationRange: g.DegradationRange, RequiredKind: int64(g.RequiredKind),
 		})
 	}
 	return e
@@ -30,19 +30,19 @@
 func decodeSettings(e *tracepb.Settings) placement.Settings {
 	s := placement.Settings{
 		Allocators: int(e.GetAllocators()), Ordinal: int(e.GetOrdinal()),
-		WarmUpDuration: placement.Millis(e.GetColdFor()), InitialRate: e.GetColdFrom(), WarmUpBudget: e.GetColdBears(),
-		OverloadWindow: placement.Millis(e.GetOverloadFor()), PolledDiscovery: e.GetMustAsk(), PollInterval: placement.Millis(e.GetAskWithin()),
-		ConfirmsRunning: e.GetConfirmsRunning(), ReportsUsage: e.GetReportsUse(), EntriesCarryCapacity: e.GetRoomInList(),
-		MaxBinds: int(e.GetMaxBinds()), HealthChecksAllowed: e.GetMayProbe(),
+		WarmUpDuration: placement.Millis(e.GetWarmUpDuration()), InitialRate: e.GetInitialRate(), WarmUpBudget: e.GetWarmUpBudget(),
+		OverloadWindow: placement.Millis(e.GetOverloadWindow()), PolledDiscovery: e.GetPolledDiscovery(), PollInterval: placement.Millis(e.GetPollInterval()),
+		ConfirmsRunning: e.GetConfirmsRunning(), ReportsUsage: e.GetReportsUsage(), EntriesCarryCapacity: e.GetEntriesCarryCapacity(),
+		MaxBinds: int(e.GetMaxBinds()), HealthChecksAllowed: e.GetHealthChecksAllowed(),
 	}
-	for _, k := range e.GetKinds() {
+	for _, k := range e.GetNodeKinds() {
 		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, g := range e.GetGroups() {
 		s.Groups = append(s.Groups, placement.Group{
-			LatencyObjective: placement.Millis(g.Target), PriorityWeight: g.Utility, Idempotency: placement.Idempotency(g.Effect),
-			KeyScope: placement.Scope(g.DedupScope), KeyWindow: placement.Millis(g.DedupWindow), SpreadScope: placement.Scope(g.Spread),
-			MaxPerScope: int(g.SpreadMost), FullServiceUtilization: g.Calm, DegradationRange: g.Fade, RequiredKind: int(g.Kind),
+			LatencyObjective: placement.Millis(g.LatencyObjective), PriorityWeight: g.PriorityWeight, Idempotency: placement.Idempotency(g.Idempotency),
+			KeyScope: placement.Scope(g.KeyScope), KeyWindow: placement.Millis(g.KeyWindow), SpreadScope: placement.Scope(g.SpreadScope),
+			MaxPerScope: int(g.MaxPerScope), FullServiceUtilization: g.FullServiceUtilization, DegradationRange: g.DegradationRange, RequiredKind: int(g.RequiredKind),
 		})
 	}
 	return s
@@ -51,14 +51,14 @@
 func encodeWorkload(w placement.Workload) *tracepb.Workload {
 	return &tracepb.Workload{
 		Id: uint32(w.ID), Service: uint64(w.Service), Group: uint32(w.Group), Cores: w.Cores, Memory: w.Memory,
-		Left: float64(w.PendingTimeout), Again: w.Retried,
+		PendingTimeout: float64(w.PendingTimeout), Retried: w.Retried,
 	}
 }
 
 func decodeWorkload(e *tracepb.Workload) placement.Workload {
 	return placement.Workload{
 		ID: placement.WorkloadID(e.GetId()), Service: placement.ServiceID(e.GetService()), Group: placement.GroupID(e.GetGroup()),
-		Cores: e.GetCores(), Memory: e.GetMemory(), PendingTimeout: placement.Millis(e.GetLeft()), Retried: e.GetAgain(),
+		Cores: e.GetCores(), Memory: e.GetMemory(), PendingTimeout: placement.Millis(e.GetPendingTimeout()), Retried: e.GetRetried(),
 	}
 }
 
@@ -85,7 +85,7 @@
 	for i, n := range nodes {
 		all[i] = &tracepb.Node{
 			Id: uint32(n.ID), State: uint32(n.State), Kind: uint32(n.Kind), Zone: uint32(n.Zone), Cell: uint32(n.Cell),
-			Born: float64(n.StartedAt), FreeCores: n.FreeCores, FreeMemory: n.FreeMemory,
+			StartedAt: float64(n.StartedAt), FreeCores: n.FreeCores, FreeMemory: n.FreeMemory,
 		}
 	}
 	return all
@@ -96,7 +96,7 @@
 	for i, n := range all {
 		nodes[i] = placement.Node{
 			ID: placement.NodeID(n.Id), State: placement.NodeState(n.State), Kind: placement.KindID(n.Kind),
-			Zone: placement.ZoneID(n.Zone), Cell: placement.CellID(n.Cell), StartedAt: placement.Millis(n.Born), FreeCores: n.FreeCores,
+			Zone: placement.ZoneID(n.Zone), Cell: placement.CellID(n.Cell), StartedAt: placement.Millis(n.StartedAt), FreeCores: n.FreeCores,
 			FreeMemory: n.FreeMemory,
 		}
 	}
@@ -105,29 +105,29 @@
 
 func encodeStep(s placement.Step) *tracepb.Step {
 	return &tracepb.Step{
-		Kind: uint32(s.Kind), Node: uint32(s.Node), Timeout: float64(s.Timeout), Until: float64(s.WakeAt),
+		Kind: uint32(s.Kind), Node: uint32(s.Node), Timeout: float64(s.Timeout), WakeAt: float64(s.WakeAt),
 	}
 }
 
-func encodeMaintenance(c placement.Maintenance) *tracepb.Chores {
-	e := &tracepb.Chores{Watch: c.Subscribe, Again: float64(c.NextAt)}
+func encodeMaintenance(c placement.Maintenance) *tracepb.Maintenance {
+	e := &tracepb.Maintenance{Subscribe: c.Subscribe, NextAt: float64(c.NextAt)}
 	for _, id := range c.Migrations {
-		e.Moves = append(e.Moves, uint32(id))
+		e.Migrations = append(e.Migrations, uint32(id))
 	}
 	for _, id := range c.HealthChecks {
-		e.Probes = append(e.Probes, uint32(id))
+		e.HealthChecks = append(e.HealthChecks, uint32(id))
 	}
 	return e
 }
 
-func encodeResult(id placement.WorkloadID, r placement.Result) *tracepb.Next {
-	return &tracepb.Next{
-		Workload: uint32(id), Kind: uint32(r.Kind), Reason: uint32(r.Reason), Over: r.Final, Load: encodeLoad(r.Load),
+func encodeResult(id placement.WorkloadID, r placement.Result) *tracepb.StepResult {
+	return &tracepb.StepResult{
+		Workload: uint32(id), Kind: uint32(r.Kind), Reason: uint32(r.Reason), Final: r.Final, Load: encodeLoad(r.Load),
 	}
 }
 
-func decodeResult(n *tracepb.Next) placement.Result {
+func decodeResult(n *tracepb.StepResult) placement.Result {
 	return placement.Result{
-		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Final: n.Over, Load: decodeLoad(n.Load),
+		Kind: placement.ResultKind(n.Kind), Reason: placement.Reason(n.Reason), Final: n.Final, Load: decodeLoad(n.Load),
 	}
 }
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -38,7 +38,7 @@
 
 // requestedWorkload returns the workload that a record schedules or adopts, nil for other records.
 func requestedWorkload(r *trace.Record) *tracepb.Workload {
-	if p := r.GetPlace(); p != nil {
+	if p := r.GetSchedule(); p != nil {
 		return p.Workload
 	}
 	return r.GetAdopt().GetWorkload()
@@ -47,20 +47,20 @@
 // workloadID returns the workload that a record concerns.
 func workloadID(r *trace.Record) (id uint32, ok bool) {
 	switch b := r.Body.(type) {
-	case *tracepb.Record_Place:
-		return b.Place.GetWorkload().GetId(), true
+	case *tracepb.Record_Schedule:
+		return b.Schedule.GetWorkload().GetId(), true
 	case *tracepb.Record_Adopt:
 		return b.Adopt.GetWorkload().GetId(), true
-	case *tracepb.Record_Next:
-		return b.Next.Workload, true
-	case *tracepb.Record_Note:
-		return b.Note.Workload, true
-	case *tracepb.Record_Asked:
-		return b.Asked.Workload, true
-	case *tracepb.Record_Answered:
-		return b.Answered.Workload, true
-	case *tracepb.Record_Refused:
-		return b.Refused.Workload, true
+	case *tracepb.Record_StepResult:
+		return b.StepResult.Workload, true
+	case *tracepb.Record_UsageReport:
+		return b.UsageReport.Workload, true
+	case *tracepb.Record_RequestReceived:
+		return b.RequestReceived.Workload, true
+	case *tracepb.Record_RequestAnswered:
+		return b.RequestAnswered.Workload, true
+	case *tracepb.Record_OfferRejected:
+		return b.OfferRejected.Workload, true
 	}
 	return 0, false
 }
@@ -74,14 +74,14 @@
 		return b.Adopt.Node == node
 	case *tracepb.Record_Report:
 		return b.Report.Node == node
-	case *tracepb.Record_Probed:
-		return b.Probed.Node == node
-	case *tracepb.Record_Answered:
-		return b.Answered.Node == node
-	case *tracepb.Record_Refused:
-		return b.Refused.Node == node
-	case *tracepb.Record_List:
-		return slices.ContainsFunc(b.List.Nodes, func(n *tracepb.Node) bool { return n.Id == node })
+	case *tracepb.Record_HealthChecked:
+		return b.HealthChecked.Node == node
+	case *tracepb.Record_RequestAnswered:
+		return b.RequestAnswered.Node == node
+	case *tracepb.Record_OfferRejected:
+		return b.OfferRejected.Node == node
+	case *tracepb.Record_NodesUpdated:
+		return slices.ContainsFunc(b.NodesUpdated.Nodes, func(n *tracepb.Node) bool { return n.Id == node })
 	}
 	return false
 }
--- a/internal/replay/gosource.go
+++ b/internal/replay/gosource.go
@@ -43,7 +43,7 @@
 		lines = append(lines, goCall(rec))
 	}
 	lines = append(lines,
-		"s := "+goSchedule(last, last.GetPlace()),
+		"s := "+goSchedule(last, last.GetSchedule()),
 		fmt.Sprintf("assert.Equal(t, placement.StepKind(%d), s.Kind) // %s", r.Decision.Kind, describeStep(r.Decision)),
 		fmt.Sprintf("assert.Equal(t, placement.NodeID(%d), s.Node)", r.Decision.Node),
 		"}", "",
@@ -60,29 +60,29 @@
 func goCall(r *trace.Record) string {
 	at := r.AtMs
 	switch b := r.Body.(type) {
-	case *tracepb.Record_Place:
-		return fmt.Sprintf("steps[%d] = %s", b.Place.GetWorkload().GetId(), goSchedule(r, b.Place))
+	case *tracepb.Record_Schedule:
+		return fmt.Sprintf("steps[%d] = %s", b.Schedule.GetWorkload().GetId(), goSchedule(r, b.Schedule))
 	case *tracepb.Record_Adopt:
 		w := decodeWorkload(b.Adopt.Workload)
 		return fmt.Sprintf("steps[%d] = a.Adopt(%v, %#v, %d)", w.ID, at, w, b.Adopt.Node)
-	case *tracepb.Record_Next:
-		id := b.Next.Workload
-		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%v, %s)", id, id, at, goResult(decodeResult(b.Next)))
-	case *tracepb.Record_List:
-		return fmt.Sprintf("a.UpdateNodes(%v, %d, %#v)", at, b.List.Kind, decodeNodes(b.List.Nodes))
+	case *tracepb.Record_StepResult:
+		id := b.StepResult.Workload
+		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%v, %s)", id, id, at, goResult(decodeResult(b.StepResult)))
+	case *tracepb.Record_NodesUpdated:
+		return fmt.Sprintf("a.UpdateNodes(%v, %d, %#v)", at, b.NodesUpdated.Kind, decodeNodes(b.NodesUpdated.Nodes))
 	case *tracepb.Record_Report:
 		return fmt.Sprintf("a.ReportLoad(%v, %d, %#v)", at, b.Report.Node, *decodeLoad(b.Report.Load))
-	case *tracepb.Record_Probed:
-		return fmt.Sprintf("a.HealthChecked(%v, %d, %v, %s)", at, b.Probed.Node, b.Probed.Answered, goLoad(decodeLoad(b.Probed.Load)))
-	case *tracepb.Record_Note:
-		return fmt.Sprintf("a.ReportUsage(%v, %d, %d, %v)", at, b.Note.Workload, b.Note.Kind, b.Note.Value)
-	case *tracepb.Record_Upkeep:
+	case *tracepb.Record_HealthChecked:
+		return fmt.Sprintf("a.HealthChecked(%v, %d, %v, %s)", at, b.HealthChecked.Node, b.HealthChecked.Answered, goLoad(decodeLoad(b.HealthChecked.Load)))
+	case *tracepb.Record_UsageReport:
+		return fmt.Sprintf("a.ReportUsage(%v, %d, %d, %v)", at, b.UsageReport.Workload, b.UsageReport.Kind, b.UsageReport.Value)
+	case *tracepb.Record_Maintain:
 		return fmt.Sprintf("a.Maintain(%v)", at)
 	}
 	return ""
 }
 
-func goSchedule(r *trace.Record, p *tracepb.Place) string {
+func goSchedule(r *trace.Record, p *tracepb.Schedule) string {
 	return fmt.Sprintf("a.Schedule(%v, %#v)", r.AtMs, decodeWorkload(p.Workload))
 }
 
--- a/internal/replay/recorder.go
+++ b/internal/replay/recorder.go
@@ -66,7 +66,7 @@
 		return s
 	}
 	s.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
-		call := &trace.Record{Body: &tracepb.Record_Next{Next: encodeResult(id, result)}}
+		call := &trace.Record{Body: &tracepb.Record_StepResult{StepResult: encodeResult(id, result)}}
 		return r.recordStep(now, id, call, next(now, result))
 	}
 	return s
@@ -74,7 +74,7 @@
 
 // Schedule calls the module's Schedule.
 func (r *Recorder) Schedule(now placement.Millis, w placement.Workload) placement.Step {
-	call := &trace.Record{Body: &tracepb.Record_Place{Place: &tracepb.Place{Workload: encodeWorkload(w)}}}
+	call := &trace.Record{Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: encodeWorkload(w)}}}
 	return r.recordStep(now, w.ID, call, r.module.Schedule(now, w))
 }
 
@@ -89,7 +89,7 @@
 // UpdateNodes calls the module's UpdateNodes.
 func (r *Recorder) UpdateNodes(now placement.Millis, k placement.NodeUpdateKind, nodes []placement.Node) {
 	r.module.UpdateNodes(now, k, nodes)
-	r.add(now, &trace.Record{Body: &tracepb.Record_List{List: &tracepb.List{Kind: uint32(k), Nodes: encodeNodes(nodes)}}})
+	r.add(now, &trace.Record{Body: &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Kind: uint32(k), Nodes: encodeNodes(nodes)}}})
 }
 
 // ReportLoad calls the module's ReportLoad.
@@ -101,7 +101,7 @@
 // HealthChecked calls the module's HealthChecked.
 func (r *Recorder) HealthChecked(now placement.Millis, id placement.NodeID, answered bool, l *placement.LoadReport) {
 	r.module.HealthChecked(now, id, answered, l)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Probed{Probed: &tracepb.Probed{
+	r.add(now, &trace.Record{Body: &tracepb.Record_HealthChecked{HealthChecked: &tracepb.HealthChecked{
 		Node: uint32(id), Answered: answered, Load: encodeLoad(l),
 	}}})
 }
@@ -109,7 +109,7 @@
 // ReportUsage calls the module's ReportUsage.
 func (r *Recorder) ReportUsage(now placement.Millis, id placement.WorkloadID, k placement.UsageKind, value float64) {
 	r.module.ReportUsage(now, id, k, value)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Note{Note: &tracepb.Note{
+	r.add(now, &trace.Record{Body: &tracepb.Record_UsageReport{UsageReport: &tracepb.UsageReport{
 		Workload: uint32(id), Kind: uint32(k), Value: value,
 	}}})
 }
@@ -117,47 +117,47 @@
 // Maintain calls the module's Maintain, and hands over what has been recorded.
 func (r *Recorder) Maintain(now placement.Millis) placement.Maintenance {
 	m := r.module.Maintain(now)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}, Chores: encodeMaintenance(m)})
+	r.add(now, &trace.Record{Body: &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}, Maintenance: encodeMaintenance(m)})
 	r.Flush()
 	return m
 }
 
 // RecordRequest records whose a workload is, before it is scheduled or adopted.
 func (r *Recorder) RecordRequest(now placement.Millis, id placement.WorkloadID, client string, request, key uint64) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_Asked{Asked: &tracepb.Asked{
-		Workload: uint32(id), Owner: client, Ask: request, Key: key,
+	r.add(now, &trace.Record{Body: &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{
+		Workload: uint32(id), Client: client, RequestId: request, Key: key,
 	}}})
 }
 
 // RecordAnswer records what a client was answered.
 func (r *Recorder) RecordAnswer(now placement.Millis, id placement.WorkloadID, verdict uint8, node placement.NodeID, text string) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{
+	r.add(now, &trace.Record{Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{
 		Workload: uint32(id), Verdict: uint32(verdict), Node: uint32(node), Text: text,
 	}}})
 }
 
 // RecordRejection records the text with which a node rejected a workload.
 func (r *Recorder) RecordRejection(now placement.Millis, id placement.WorkloadID, node placement.NodeID, text string) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_Refused{Refused: &tracepb.Refused{
+	r.add(now, &trace.Record{Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{
 		Workload: uint32(id), Node: uint32(node), Text: text,
 	}}})
 }
 
 // RecordListRevision records which revision of the endpoint list was received.
 func (r *Recorder) RecordListRevision(now placement.Millis, epoch, revision uint64) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_Heard{Heard: &tracepb.Heard{Epoch: epoch, Revision: revision}}})
+	r.add(now, &trace.Record{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: &tracepb.DiscoveryUpdated{Epoch: epoch, Revision: revision}}})
 }
 
 // RecordGangRequest records that the workloads of a request belong together, before each of them.
 func (r *Recorder) RecordGangRequest(now placement.Millis, client string, request uint64, parts, need int, pending placement.Millis) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_GangAsked{GangAsked: &tracepb.GangAsked{
-		Owner: client, Ask: request, Parts: uint32(parts), Need: uint32(need), Left: float64(pending),
+	r.add(now, &trace.Record{Body: &tracepb.Record_GangRequested{GangRequested: &tracepb.GangRequested{
+		Client: client, RequestId: request, Parts: uint32(parts), MinParts: uint32(need), PendingTimeout: float64(pending),
 	}}})
 }
 
 // RecordGangState records the progress of a gang, with the workloads of its parts, 0 for one that is not requested.
 func (r *Recorder) RecordGangState(now placement.Millis, client string, request uint64, state string, parts []placement.WorkloadID) {
-	g := &tracepb.GangState{Owner: client, Ask: request, State: state}
+	g := &tracepb.GangState{Client: client, RequestId: request, State: state}
 	for _, id := range parts {
 		g.Workloads = append(g.Workloads, uint32(id))
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -117,7 +117,7 @@
 	records := 0
 	for r, err := range files[0].Records(trace.Span{}) {
 		require.NoError(t, err)
-		if r.Revision < d.Revision && (r.Step != nil || r.Chores != nil) {
+		if r.Revision < d.Revision && (r.Step != nil || r.Maintenance != nil) {
 			records++
 		}
 	}
@@ -166,8 +166,8 @@
 	t.Run("gap", func(t *testing.T) {
 		_, err := replay.RunFiles([]*trace.Reader{rewritten(t, file, func(r *trace.Record) bool {
 			if r.Revision == 50 {
-				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Why: "the queue was full"}}
-				r.Step, r.Chores = nil, nil
+				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Reason: "the queue was full"}}
+				r.Step, r.Maintenance = nil, nil
 			}
 			return true
 		})}, replay.Options{})
@@ -187,7 +187,7 @@
 	})
 	t.Run("no start", func(t *testing.T) {
 		_, err := replay.RunFiles([]*trace.Reader{
-			rewritten(t, file, func(r *trace.Record) bool { return r.GetUpkeep() != nil }),
+			rewritten(t, file, func(r *trace.Record) bool { return r.GetMaintain() != nil }),
 		}, replay.Options{})
 		assert.ErrorIs(t, err, replay.ErrNoStart)
 	})
@@ -249,7 +249,7 @@
 
 func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
 	file := rewritten(t, traced(t, "quiet")["allocator-1"][0], func(r *trace.Record) bool {
-		if r.GetPlace() != nil {
+		if r.GetSchedule() != nil {
 			r.Step.Node += 1000
 		}
 		return true
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		calls[rec.Source] = append(calls[rec.Source], rec)
-		if p := rec.GetPlace(); p != nil && p.GetWorkload().GetId() == workload {
+		if p := rec.GetSchedule(); p != nil && p.GetWorkload().GetId() == workload {
 			return &Reproduction{Start: starts[rec.Source], Decision: rec.Step}, calls[rec.Source], nil
 		}
 	}
@@ -66,8 +66,8 @@
 // isCall reports whether a record is a call of the module.
 func isCall(r *trace.Record) bool {
 	switch r.Body.(type) {
-	case *tracepb.Record_Place, *tracepb.Record_Adopt, *tracepb.Record_Next, *tracepb.Record_List, *tracepb.Record_Report,
-		*tracepb.Record_Probed, *tracepb.Record_Note, *tracepb.Record_Upkeep:
+	case *tracepb.Record_Schedule, *tracepb.Record_Adopt, *tracepb.Record_StepResult, *tracepb.Record_NodesUpdated, *tracepb.Record_Report,
+		*tracepb.Record_HealthChecked, *tracepb.Record_UsageReport, *tracepb.Record_Maintain:
 		return true
 	}
 	return false
@@ -100,12 +100,12 @@
 			calls.call(rec)
 		}
 	}
-	return encodeStep(module.Schedule(placement.Millis(last.AtMs), decodeWorkload(last.GetPlace().Workload)))
+	return encodeStep(module.Schedule(placement.Millis(last.AtMs), decodeWorkload(last.GetSchedule().Workload)))
 }
 
 // possible reports whether a call can be made: a result needs the step that it answers, which may have been left out.
 func (r *run) possible(rec *trace.Record) bool {
-	n := rec.GetNext()
+	n := rec.GetStepResult()
 	if n == nil {
 		return true
 	}
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -78,7 +78,7 @@
 // add takes the next record, which must follow the one before without a gap.
 func (r *run) add(rec *trace.Record) error {
 	if g := rec.GetGap(); g != nil {
-		return GapError{Missing: g.Missing, Reason: g.Why}
+		return GapError{Missing: g.Missing, Reason: g.Reason}
 	}
 	if rec.Revision != r.nextRevision {
 		return RevisionError{Previous: r.nextRevision - 1}
@@ -114,26 +114,26 @@
 func (r *run) call(rec *trace.Record) bool {
 	now := placement.Millis(rec.AtMs)
 	switch b := rec.Body.(type) {
-	case *tracepb.Record_Place:
-		r.decided(rec, b.Place.Workload.GetId(), r.module.Schedule(now, decodeWorkload(b.Place.Workload)))
+	case *tracepb.Record_Schedule:
+		r.decided(rec, b.Schedule.Workload.GetId(), r.module.Schedule(now, decodeWorkload(b.Schedule.Workload)))
 	case *tracepb.Record_Adopt:
 		step := r.module.Adopt(now, decodeWorkload(b.Adopt.Workload), placement.NodeID(b.Adopt.Node))
 		r.decided(rec, b.Adopt.Workload.GetId(), step)
-	case *tracepb.Record_Next:
-		r.advance(rec, b.Next)
-	case *tracepb.Record_List:
-		r.module.UpdateNodes(now, placement.NodeUpdateKind(b.List.Kind), decodeNodes(b.List.Nodes))
+	case *tracepb.Record_StepResult:
+		r.advance(rec, b.StepResult)
+	case *tracepb.Record_NodesUpdated:
+		r.module.UpdateNodes(now, placement.NodeUpdateKind(b.NodesUpdated.Kind), decodeNodes(b.NodesUpdated.Nodes))
 	case *tracepb.Record_Report:
 		if l := decodeLoad(b.Report.Load); l != nil {
 			r.module.ReportLoad(now, placement.NodeID(b.Report.Node), *l)
 		}
-	case *tracepb.Record_Probed:
-		r.module.HealthChecked(now, placement.NodeID(b.Probed.Node), b.Probed.Answered, decodeLoad(b.Probed.Load))
-	case *tracepb.Record_Note:
-		r.module.ReportUsage(now, placement.WorkloadID(b.Note.Workload), placement.UsageKind(b.Note.Kind), b.Note.Value)
-	case *tracepb.Record_Upkeep:
+	case *tracepb.Record_HealthChecked:
+		r.module.HealthChecked(now, placement.NodeID(b.HealthChecked.Node), b.HealthChecked.Answered, decodeLoad(b.HealthChecked.Load))
+	case *tracepb.Record_UsageReport:
+		r.module.ReportUsage(now, placement.WorkloadID(b.UsageReport.Workload), placement.UsageKind(b.UsageReport.Kind), b.UsageReport.Value)
+	case *tracepb.Record_Maintain:
 		decided := encodeMaintenance(r.module.Maintain(now))
-		r.compare(rec, proto.Equal(decided, rec.Chores), describeMaintenance(rec.Chores), describeMaintenance(decided))
+		r.compare(rec, proto.Equal(decided, rec.Maintenance), describeMaintenance(rec.Maintenance), describeMaintenance(decided))
 	default:
 		return false
 	}
@@ -141,7 +141,7 @@
 }
 
 // advance passes a recorded result to the workload's last step. With other settings there may be none.
-func (r *run) advance(rec *trace.Record, n *tracepb.Next) {
+func (r *run) advance(rec *trace.Record, n *tracepb.StepResult) {
 	step, ok := r.steps[n.Workload]
 	if !ok || step.NextStep == nil {
 		if r.options.Settings == nil {
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -15,7 +15,7 @@
 	if recorded == step.Kind && sameNode {
 		r.report.Same++
 	}
-	if rec.GetPlace() != nil {
+	if rec.GetSchedule() != nil {
 		r.report.WhatIf.count(recorded, step.Kind, sameNode)
 	}
 	delete(r.steps, id)
--- a/internal/simulation/audit/allocator.go
+++ b/internal/simulation/audit/allocator.go
@@ -80,13 +80,13 @@
 	// The end of a connection does not end a drain. Only the node does, by this hello or by a new incarnation.
 	v.setDrain(now, h.Draining)
 	named := map[observer.BindKey]bool{}
-	for _, running := range h.Standing {
+	for _, running := range h.RunningWorkloads {
 		k := observer.KeyOf(running.Offer.Bind)
 		named[k] = true
 		// Workloads that an earlier incarnation placed belong to this one now, and count for the spread.
 		if s.openBinds[k] == nil && k.Incarnation < s.incarnation {
 			r := &request{
-				ref: requestRef{running.Offer.Owner, running.Offer.Ask.Ask}, ask: running.Offer.Ask, allocator: s.name, excused: true,
+				ref: requestRef{running.Offer.Client, running.Offer.Request.RequestId}, ask: running.Offer.Request, allocator: s.name, excused: true,
 			}
 			s.openBinds[k] = &bind{key: k, node: h.Node, sentAt: now, closed: true, accepted: true, request: r}
 		}
@@ -123,27 +123,27 @@
 		other = &peer{}
 	}
 	switch b := seen.message.Body.(type) {
-	case *pb.Frame_Ask:
-		a.requestReceived(p, requestRef{other.name, b.Ask.Ask}, seen)
-	case *pb.Frame_GangAsk:
-		a.requestReceived(p, requestRef{other.name, b.GangAsk.Ask}, seen)
+	case *pb.Frame_PlaceRequest:
+		a.requestReceived(p, requestRef{other.name, b.PlaceRequest.RequestId}, seen)
+	case *pb.Frame_GangRequest:
+		a.requestReceived(p, requestRef{other.name, b.GangRequest.RequestId}, seen)
 	case *pb.Frame_Withdraw:
-		if r := a.requests[requestRef{other.name, b.Withdraw.Ask}]; r != nil {
+		if r := a.requests[requestRef{other.name, b.Withdraw.RequestId}]; r != nil {
 			r.withdrawn = true
 			r.frames = append(r.frames, seen)
 		}
 	case *pb.Frame_Answer:
-		a.answerSent(now, a.requests[requestRef{other.name, b.Answer.Ask}], b.Answer, seen)
-	case *pb.Frame_ListUpdate:
-		a.discoveryUpdate(now, p, s, b.ListUpdate)
+		a.answerSent(now, a.requests[requestRef{other.name, b.Answer.RequestId}], b.Answer, seen)
+	case *pb.Frame_NodeListUpdate:
+		a.discoveryUpdate(now, p, s, b.NodeListUpdate)
 	case *pb.Frame_Drain:
 		s.view(other.node).setDrain(now, b.Drain.Draining)
 	case *pb.Frame_Offer:
 		a.offerSent(now, s, other.node, b.Offer, seen)
 	case *pb.Frame_Stop:
 		a.stopSent(now, s, c, b.Stop, seen)
-	case *pb.Frame_OfferAnswer:
-		s.offerAnswered(now, b.OfferAnswer, seen)
+	case *pb.Frame_OfferReply:
+		s.offerAnswered(now, b.OfferReply, seen)
 	case *pb.Frame_End:
 		s.bindEnded(b.End, seen)
 	}
@@ -168,7 +168,7 @@
 
 // offerAnswered takes a node's reply. One that accepts after the offer's timeout is to a bind that was given up; its stop is on
 // the way.
-func (s *allocatorState) offerAnswered(now placement.Millis, reply *pb.OfferAnswer, seen frame) {
+func (s *allocatorState) offerAnswered(now placement.Millis, reply *pb.OfferReply, seen frame) {
 	b := s.openBinds[observer.KeyOf(reply.Bind)]
 	if b == nil {
 		return
@@ -191,9 +191,9 @@
 
 // discoveryUpdate takes an update of the node list. Updates that are older than the last one, or that belong to another epoch and
 // are no snapshot, do not count.
-func (a *Auditor) discoveryUpdate(now placement.Millis, p *observer.Process, s *allocatorState, u *pb.ListUpdate) {
-	snapshot := u.Kind == pb.ListUpdate_WHOLE
-	if u.Kind == pb.ListUpdate_FAILED || u.Epoch == s.epoch && u.Revision < s.revision || u.Epoch != s.epoch && !snapshot {
+func (a *Auditor) discoveryUpdate(now placement.Millis, p *observer.Process, s *allocatorState, u *pb.NodeListUpdate) {
+	snapshot := u.Kind == pb.NodeListUpdate_SNAPSHOT
+	if u.Kind == pb.NodeListUpdate_POLL_FAILED || u.Epoch == s.epoch && u.Revision < s.revision || u.Epoch != s.epoch && !snapshot {
 		return
 	}
 	s.epoch, s.revision = u.Epoch, u.Revision
@@ -208,7 +208,7 @@
 			if v.drainedByDiscovery == notDraining {
 				v.drainedByDiscovery = now
 			}
-			if v.removed = e == nil || e.State == pb.NodeEntry_GONE; v.removed {
+			if v.removed = e == nil || e.State == pb.NodeEntry_REMOVED; v.removed {
 				a.endBindsOnRemovedNode(p, s, id)
 			}
 		}
@@ -216,20 +216,20 @@
 }
 
 // currentEntries sorts out the entries about an earlier incarnation of a node than the allocator knows.
-func (s *allocatorState) currentEntries(u *pb.ListUpdate) (current map[uint32]*pb.NodeEntry, outdated map[uint32]bool) {
+func (s *allocatorState) currentEntries(u *pb.NodeListUpdate) (current map[uint32]*pb.NodeEntry, outdated map[uint32]bool) {
 	current, outdated = make(map[uint32]*pb.NodeEntry, len(u.Entries)), map[uint32]bool{}
 	for _, e := range u.Entries {
 		v := s.view(e.Id)
-		if e.Boot < v.incarnation {
+		if e.Incarnation < v.incarnation {
 			delete(current, e.Id)
 			outdated[e.Id] = true
 			continue
 		}
 		current[e.Id] = e
-		if e.Boot > v.incarnation {
+		if e.Incarnation > v.incarnation {
 			v.drainedByNode = notDraining
 		}
-		v.incarnation = e.Boot
+		v.incarnation = e.Incarnation
 	}
 	return current, outdated
 }
--- a/internal/simulation/audit/audit_test.go
+++ b/internal/simulation/audit/audit_test.go
@@ -53,8 +53,8 @@
 func requestKeys(h *observer.History) map[uint64]uint64 {
 	keys := map[uint64]uint64{}
 	for _, e := range h.Events() {
-		if ask := e.Frame.GetAsk(); ask != nil && e.Kind == observer.FrameSent {
-			keys[ask.Ask] = ask.Key
+		if ask := e.Frame.GetPlaceRequest(); ask != nil && e.Kind == observer.FrameSent {
+			keys[ask.RequestId] = ask.Key
 		}
 	}
 	return keys
@@ -65,7 +65,7 @@
 	answers := map[uint64]int{}
 	for _, e := range h.Events() {
 		if answer := e.Frame.GetAnswer(); answer != nil && e.Kind == observer.FrameReceived {
-			answers[answer.Ask]++
+			answers[answer.RequestId]++
 		}
 	}
 	for ask, key := range requestKeys(h) {
@@ -84,7 +84,7 @@
 	keys, offers := requestKeys(h), map[offer]int{}
 	for _, e := range h.Events() {
 		if o := e.Frame.GetOffer(); o != nil && e.Kind == observer.FrameSent {
-			offers[offer{o.Ask.Ask, e.At}]++
+			offers[offer{o.Request.RequestId, e.At}]++
 		}
 	}
 	for o, n := range offers {
@@ -127,11 +127,11 @@
 		if o == nil || e.Kind != observer.FrameReceived {
 			continue
 		}
-		at := place{e.Process.ID, o.Ask.Service}
+		at := place{e.Process.ID, o.Request.Service}
 		if services[at] == nil {
 			services[at] = map[uint64]bool{}
 		}
-		services[at][o.Ask.Key] = true
+		services[at][o.Request.Key] = true
 	}
 	for _, keys := range services {
 		if len(keys) > 2 {
--- a/internal/simulation/audit/auditor.go
+++ b/internal/simulation/audit/auditor.go
@@ -77,7 +77,7 @@
 // request is a request for a workload or a gang. The first rule treats a gang as one request.
 type request struct {
 	ref       requestRef
-	ask       *pb.Ask // of a gang, its first part
+	ask       *pb.PlaceRequest // of a gang, its first part
 	allocator string
 	deadline  placement.Millis // of the answer
 	received  bool             // by the allocator
@@ -172,7 +172,7 @@
 			}
 		}
 		a.endBindsOnRemovedNode(p, s, other.node)
-	case p.Role == pb.Role_OWNER:
+	case p.Role == pb.Role_CLIENT:
 		for _, r := range a.requestOrder {
 			if r.ref.client == p.Name && r.allocator == other.name && !r.answered {
 				r.excused = true
@@ -195,7 +195,7 @@
 	}
 	seen := frame{now, p.Name, sent, f}
 	switch p.Role {
-	case pb.Role_OWNER:
+	case pb.Role_CLIENT:
 		a.atClient(now, p, c, seen)
 	case pb.Role_ALLOCATOR:
 		a.atAllocator(now, p, c, seen)
--- a/internal/simulation/audit/client.go
+++ b/internal/simulation/audit/client.go
@@ -12,19 +12,19 @@
 // atClient handles a frame at a client's end.
 func (a *Auditor) atClient(now placement.Millis, p *observer.Process, c transport.ConnID, seen frame) {
 	switch b := seen.message.Body.(type) {
-	case *pb.Frame_Ask:
-		a.addRequest(now, p, c, seen, &request{ref: requestRef{p.Name, b.Ask.Ask}, ask: b.Ask}, b.Ask.LeftMs)
-	case *pb.Frame_GangAsk:
-		r := &request{ref: requestRef{p.Name, b.GangAsk.Ask}, ask: b.GangAsk.Parts[0], gang: true}
-		a.addRequest(now, p, c, seen, r, b.GangAsk.LeftMs)
+	case *pb.Frame_PlaceRequest:
+		a.addRequest(now, p, c, seen, &request{ref: requestRef{p.Name, b.PlaceRequest.RequestId}, ask: b.PlaceRequest}, b.PlaceRequest.PendingTimeoutMs)
+	case *pb.Frame_GangRequest:
+		r := &request{ref: requestRef{p.Name, b.GangRequest.RequestId}, ask: b.GangRequest.Parts[0], gang: true}
+		a.addRequest(now, p, c, seen, r, b.GangRequest.PendingTimeoutMs)
 	case *pb.Frame_Withdraw:
-		if r := a.requests[requestRef{p.Name, b.Withdraw.Ask}]; r != nil && !r.answered {
+		if r := a.requests[requestRef{p.Name, b.Withdraw.RequestId}]; r != nil && !r.answered {
 			r.frames = append(r.frames, seen)
 			a.checkAnswered(now+2*clockTolerance, r) // a client also withdraws as the pending timeout ends
 			r.excused = true
 		}
 	case *pb.Frame_Answer:
-		a.answerReceived(now, a.requests[requestRef{p.Name, b.Answer.Ask}], seen)
+		a.answerReceived(now, a.requests[requestRef{p.Name, b.Answer.RequestId}], seen)
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 	a.checkAnswered(now, r)
 	if !r.answered && !r.excused {
-		allowed := max(1, placement.Millis(r.ask.LeftMs)+a.terms.AnswerSlack)
+		allowed := max(1, placement.Millis(r.ask.PendingTimeoutMs)+a.terms.AnswerSlack)
 		a.LimitUse.Answer = max(a.LimitUse.Answer, 1-float64((r.deadline-now)/allowed))
 	}
 	r.answered = true
@@ -66,6 +66,6 @@
 			return // a paused allocator answers as soon as it runs again
 		}
 	}
-	a.report(1, now, 0, r, fmt.Sprintf("no answer within %.0f ms", r.ask.LeftMs))
+	a.report(1, now, 0, r, fmt.Sprintf("no answer within %.0f ms", r.ask.PendingTimeoutMs))
 	r.excused = true
 }
--- a/internal/simulation/audit/frame.go
+++ b/internal/simulation/audit/frame.go
@@ -27,23 +27,23 @@
 
 func describe(f *pb.Frame) string {
 	switch b := f.Body.(type) {
-	case *pb.Frame_Ask:
-		return fmt.Sprintf("ask %d (%s, key %d, %.0f ms left)", b.Ask.Ask, b.Ask.Group, b.Ask.Key, b.Ask.LeftMs)
+	case *pb.Frame_PlaceRequest:
+		return fmt.Sprintf("ask %d (%s, key %d, %.0f ms left)", b.PlaceRequest.RequestId, b.PlaceRequest.Group, b.PlaceRequest.Key, b.PlaceRequest.PendingTimeoutMs)
 	case *pb.Frame_Withdraw:
-		return fmt.Sprintf("withdraw %d", b.Withdraw.Ask)
+		return fmt.Sprintf("withdraw %d", b.Withdraw.RequestId)
 	case *pb.Frame_Answer:
-		return fmt.Sprintf("answer %d %s node %d %q", b.Answer.Ask, b.Answer.Verdict, b.Answer.Node, b.Answer.Reason)
+		return fmt.Sprintf("answer %d %s node %d %q", b.Answer.RequestId, b.Answer.Verdict, b.Answer.Node, b.Answer.Reason)
 	case *pb.Frame_Offer:
-		return fmt.Sprintf("offer of %s/%d, to be accepted within %.0f ms", observer.KeyOf(b.Offer.Bind), b.Offer.Ask.Ask,
+		return fmt.Sprintf("offer of %s/%d, to be accepted within %.0f ms", observer.KeyOf(b.Offer.Bind), b.Offer.Request.RequestId,
 			b.Offer.AcceptWithinMs)
-	case *pb.Frame_OfferAnswer:
-		key := observer.KeyOf(b.OfferAnswer.Bind)
-		if b.OfferAnswer.Accepted {
+	case *pb.Frame_OfferReply:
+		key := observer.KeyOf(b.OfferReply.Bind)
+		if b.OfferReply.Accepted {
 			return "yes to " + key.String()
 		}
-		return fmt.Sprintf("no to %s: %s %q", key, b.OfferAnswer.Why, b.OfferAnswer.Text)
+		return fmt.Sprintf("no to %s: %s %q", key, b.OfferReply.Reason, b.OfferReply.Text)
 	case *pb.Frame_End:
-		return fmt.Sprintf("end of %s: %s", observer.KeyOf(b.End.Bind), b.End.Why)
+		return fmt.Sprintf("end of %s: %s", observer.KeyOf(b.End.Bind), b.End.Reason)
 	}
-	return fmt.Sprintf("%T", f.Body)
+	return pb.FrameKind(f)
 }
--- a/internal/simulation/audit/gang.go
+++ b/internal/simulation/audit/gang.go
@@ -89,11 +89,11 @@
 
 // gangOf returns the gang that an offer belongs to.
 func (s *gangAuditor) gangOf(o *pb.Offer) *gang {
-	ref := requestRef{o.Owner, o.Ask.Ask}
+	ref := requestRef{o.Client, o.Request.RequestId}
 	g := s.gangs[ref]
 	if g == nil {
 		g = &gang{
-			ref: ref, minParts: int(o.GetGang().GetNeed()), allocator: o.Bind.Allocator, running: map[uint32]*gangPart{},
+			ref: ref, minParts: int(o.GetGang().GetMinParts()), allocator: o.Bind.Allocator, running: map[uint32]*gangPart{},
 			incompleteSince: complete, partRequests: map[uint64]*request{},
 		}
 		s.gangs[ref] = g
@@ -105,10 +105,10 @@
 // partRequest returns the request that the rules on binds hold a part to: one of its own, with its key.
 func (s *gangAuditor) partRequest(r *request, o *pb.Offer) *request {
 	g := s.gangOf(o)
-	p := g.partRequests[o.Ask.Key]
+	p := g.partRequests[o.Request.Key]
 	if p == nil {
-		p = &request{ref: r.ref, ask: o.Ask, allocator: r.allocator, received: true, excused: true}
-		g.partRequests[o.Ask.Key] = p
+		p = &request{ref: r.ref, ask: o.Request, allocator: r.allocator, received: true, excused: true}
+		g.partRequests[o.Request.Key] = p
 	}
 	// A part of a gang that was placed may be replaced; one of a gang that was given up may not be offered.
 	p.verdict = pb.Verdict_VERDICT_UNSPECIFIED
@@ -139,7 +139,7 @@
 	s.partBinds[k] = true
 	g := s.gangOf(o)
 	if s.parts[k] == nil {
-		s.parts[k] = &gangPart{gang: g, number: o.Gang.Part, node: node, runningSince: notRunning, cores: o.Ask.Cores, seen: seen}
+		s.parts[k] = &gangPart{gang: g, number: o.Gang.Part, node: node, runningSince: notRunning, cores: o.Request.Cores, seen: seen}
 	}
 }
 
@@ -194,14 +194,14 @@
 }
 
 // gangPartAnswered takes a node's reply to the offer of a part.
-func (a *Auditor) gangPartAnswered(now placement.Millis, reply *pb.OfferAnswer) {
+func (a *Auditor) gangPartAnswered(now placement.Millis, reply *pb.OfferReply) {
 	k := observer.KeyOf(reply.Bind)
 	p := a.gangs.parts[k]
 	switch {
 	case p == nil:
 	case !reply.Accepted:
 		if p.runningSince != notRunning {
-			a.endGangPart(now, k, pb.Why_STOPPED)
+			a.endGangPart(now, k, pb.Reason_STOPPED)
 		}
 	case p.runningSince == notRunning:
 		p.runningSince = now
@@ -219,11 +219,11 @@
 }
 
 // endGangPart takes the end of a part on its node.
-func (a *Auditor) endGangPart(now placement.Millis, k observer.BindKey, reason pb.Why) {
+func (a *Auditor) endGangPart(now placement.Millis, k observer.BindKey, reason pb.Reason) {
 	p := a.gangs.parts[k]
 	g := p.gang
 	a.gangs.addCoreTime(now, p)
-	if reason == pb.Why_FINISHED && g.started {
+	if reason == pb.Reason_FINISHED && g.started {
 		g.ending = true
 	}
 	if g.running[p.number] == p {
@@ -238,12 +238,12 @@
 // ended while the allocator was not connected.
 func (a *Auditor) reconcileGangParts(now placement.Millis, node uint32, allocator string, h *pb.Hello) {
 	named := map[observer.BindKey]bool{}
-	for _, running := range h.Standing {
+	for _, running := range h.RunningWorkloads {
 		named[observer.KeyOf(running.Offer.Bind)] = true
 	}
 	for _, k := range a.gangs.sortedParts() {
 		if p := a.gangs.parts[k]; p.node == node && k.Allocator == allocator && p.runningSince != notRunning && !named[k] {
-			a.endGangPart(now, k, pb.Why_LOST)
+			a.endGangPart(now, k, pb.Reason_LOST)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 func (a *Auditor) loseGangParts(now placement.Millis, node uint32) {
 	for _, k := range a.gangs.sortedParts() {
 		if a.gangs.parts[k].node == node {
-			a.endGangPart(now, k, pb.Why_LOST)
+			a.endGangPart(now, k, pb.Reason_LOST)
 		}
 	}
 }
--- a/internal/simulation/audit/node.go
+++ b/internal/simulation/audit/node.go
@@ -50,30 +50,30 @@
 			a.gangs.partOffered(id, b.Offer, seen)
 			a.checkWarmUp(arrived, id, b.Offer, seen)
 		}
-	case *pb.Frame_Note:
-		if b.Note.Kind == pb.Note_RUNNING {
-			a.checkStart(now, id, b.Note.Bind)
+	case *pb.Frame_UsageReport:
+		if b.UsageReport.Kind == pb.UsageReport_RUNNING {
+			a.checkStart(now, id, b.UsageReport.Bind)
 		}
-	case *pb.Frame_OfferAnswer:
+	case *pb.Frame_OfferReply:
 		if seen.sent {
-			a.gangPartAnswered(now, b.OfferAnswer)
+			a.gangPartAnswered(now, b.OfferReply)
 		}
-		if b.OfferAnswer.Accepted && a.terms.Model.ConfirmsRunning {
-			a.checkStart(now, id, b.OfferAnswer.Bind)
+		if b.OfferReply.Accepted && a.terms.Model.ConfirmsRunning {
+			a.checkStart(now, id, b.OfferReply.Bind)
 		}
 	case *pb.Frame_End:
 		if k := observer.KeyOf(b.End.Bind); seen.sent && a.gangs.parts[k] != nil {
-			a.endGangPart(now, k, b.End.Why)
+			a.endGangPart(now, k, b.End.Reason)
 		}
 	}
 }
 
 func (n *nodeState) register(now placement.Millis, e *pb.NodeEntry) {
 	n.zone, n.cell = e.Zone, e.Cell
-	if e.Boot == n.incarnation {
+	if e.Incarnation == n.incarnation {
 		return
 	}
-	n.incarnation, n.startedAt, n.arrivals = e.Boot, placement.DistantPast, nil
+	n.incarnation, n.startedAt, n.arrivals = e.Incarnation, placement.DistantPast, nil
 	if e.UpForMs >= 0 {
 		n.startedAt = now - placement.Millis(e.UpForMs)
 	}
--- a/internal/simulation/audit/offer.go
+++ b/internal/simulation/audit/offer.go
@@ -10,7 +10,7 @@
 
 // offerSent checks an offer as it leaves the allocator.
 func (a *Auditor) offerSent(now placement.Millis, s *allocatorState, node uint32, o *pb.Offer, seen frame) {
-	r := a.requests[requestRef{o.Owner, o.Ask.Ask}]
+	r := a.requests[requestRef{o.Client, o.Request.RequestId}]
 	if r != nil && r.gang {
 		r = a.gangs.partRequest(r, o)
 	}
--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -49,7 +49,7 @@
 		demandRNG:   rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
 		connections: make([]transport.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)),
 		allocatorByConn: map[transport.ConnID]int{}, requests: map[uint64]*clientRequest{},
-		RateFactor: 1, Tally: Tally{Ended: map[pb.Why]int{}},
+		RateFactor: 1, Tally: Tally{Ended: map[pb.Reason]int{}},
 	}
 }
 
@@ -87,7 +87,7 @@
 // Opened implements transport.FrameHandler.
 func (c *Client) Opened(now placement.Millis, conn transport.ConnID) {
 	c.now = now
-	c.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: c.name, Incarnation: 1, SentMs: float64(now)}))
+	c.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: c.name, Incarnation: 1, SentMs: float64(now)}))
 	c.wake()
 }
 
@@ -140,14 +140,14 @@
 		c.handleHello(now, conn, b.Hello)
 	case *pb.Frame_Answer:
 		c.handleAnswer(now, b.Answer)
-	case *pb.Frame_Over:
-		if request := c.requests[b.Over.Ask]; request != nil && request.placed && request.gang != nil {
-			delete(c.requests, b.Over.Ask)
-			c.gangEnded(request, b.Over.Why)
+	case *pb.Frame_WorkloadEnded:
+		if request := c.requests[b.WorkloadEnded.RequestId]; request != nil && request.placed && request.gang != nil {
+			delete(c.requests, b.WorkloadEnded.RequestId)
+			c.gangEnded(request, b.WorkloadEnded.Reason)
 		} else if request != nil && request.placed {
-			delete(c.requests, b.Over.Ask)
-			c.Tally.Ended[b.Over.Why]++
-			if b.Over.Why != pb.Why_FINISHED {
+			delete(c.requests, b.WorkloadEnded.RequestId)
+			c.Tally.Ended[b.WorkloadEnded.Reason]++
+			if b.WorkloadEnded.Reason != pb.Reason_FINISHED {
 				c.retry(now, request, true)
 			}
 		}
@@ -163,11 +163,11 @@
 	sameIncarnation := c.incarnations[i] == h.Incarnation
 	c.incarnations[i] = h.Incarnation
 	reported := map[uint64]bool{}
-	for _, s := range h.Standing {
-		if id := s.Offer.Ask.Ask; !reported[id] {
+	for _, s := range h.RunningWorkloads {
+		if id := s.Offer.Request.RequestId; !reported[id] {
 			reported[id] = true
 			if c.requests[id] == nil { // it was withdrawn while the allocator was away
-				c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: id}}})
+				c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: id}}})
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 			request.conn = conn
 		default:
 			delete(c.requests, id)
-			c.Tally.Ended[pb.Why_LOST]++
+			c.Tally.Ended[pb.Reason_LOST]++
 			if request.gang == nil {
 				c.retry(now, request, true)
 			}
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -71,11 +71,11 @@
 }
 
 // partRequest returns the request for one part.
-func (g *clientGang) partRequest(i int) *pb.Ask {
+func (g *clientGang) partRequest(i int) *pb.PlaceRequest {
 	demand := g.demand
-	return &pb.Ask{
+	return &pb.PlaceRequest{
 		Key: g.keys[i], Service: g.service, Group: demand.Group, Cores: demand.Shape[0], Memory: demand.Shape[1],
-		RunsForMs: float64(demand.Lifetime), Again: g.attempts > 1,
+		ExpectedRuntimeMs: float64(demand.Lifetime), Retried: g.attempts > 1,
 	}
 }
 
@@ -94,14 +94,14 @@
 	allocator := connected[c.rng.IntN(len(connected))]
 	request := &clientRequest{key: gang.keys[0], requestedAt: now, conn: c.connections[allocator], allocator: allocator, gang: gang, endsAt: now + demand.Lifetime}
 	id := c.addRequest(request)
-	message := &pb.GangAsk{
-		Ask: id, Need: uint32(demand.MinParts), LeftMs: float64(demand.PendingTimeout), Spread: demand.SpreadScope, Replace: demand.Replace,
-		ReplaceWithinMs: float64(demand.ReplaceTimeout), SentMs: float64(now),
+	message := &pb.GangRequest{
+		RequestId: id, MinParts: uint32(demand.MinParts), PendingTimeoutMs: float64(demand.PendingTimeout), Spread: demand.SpreadScope, Replace: demand.Replace,
+		ReplaceTimeoutMs: float64(demand.ReplaceTimeout), SentMs: float64(now),
 	}
 	for i := range demand.Parts {
 		message.Parts = append(message.Parts, gang.partRequest(i))
 	}
-	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_GangAsk{GangAsk: message}})
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: message}})
 	c.scheduleAnswerTimeout(now, demand.PendingTimeout, id, request)
 	if c.rng.Float64() < c.model.WithdrawShare {
 		c.timers.Schedule(now+placement.Millis(c.rng.Float64())*demand.Lifetime/4, func(now placement.Millis) { c.withdrawGang(now, id, request) })
@@ -135,11 +135,11 @@
 		c.gangStarted(now, gang)
 	case pb.Verdict_REJECTED:
 		c.Tally.Rejected++
-		delete(c.requests, a.Ask)
+		delete(c.requests, a.RequestId)
 		c.retryGang(now, request, false)
 	default:
 		c.Tally.Unschedulable++
-		delete(c.requests, a.Ask)
+		delete(c.requests, a.RequestId)
 		c.retryGang(now, request, true)
 	}
 }
@@ -180,7 +180,7 @@
 }
 
 // gangEnded records the end of a placed gang.
-func (c *Client) gangEnded(request *clientRequest, why pb.Why) {
+func (c *Client) gangEnded(request *clientRequest, why pb.Reason) {
 	c.Tally.Ended[why]++
 	request.gang.ended = true
 }
@@ -207,8 +207,8 @@
 	}
 	id := c.addRequest(request)
 	message := gang.partRequest(i)
-	message.Ask, message.LeftMs = id, float64(gang.demand.PendingTimeout)
-	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: message}})
+	message.RequestId, message.PendingTimeoutMs = id, float64(gang.demand.PendingTimeout)
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: message}})
 	c.scheduleAnswerTimeout(now, gang.demand.PendingTimeout, id, request)
 }
 
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -70,9 +70,9 @@
 	request.attempts++
 	request.requestedAt, request.conn, request.allocator, request.placed = now, conn, c.allocatorByConn[conn], false
 	id := c.addRequest(request)
-	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask: id, Key: request.key, Service: request.service, Group: request.demand.Name, Cores: request.shape[0], Memory: request.shape[1],
-		LeftMs: float64(request.demand.PendingTimeout), RunsForMs: float64(request.endsAt - now), Again: request.attempts > 1,
+	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId: id, Key: request.key, Service: request.service, Group: request.demand.Name, Cores: request.shape[0], Memory: request.shape[1],
+		PendingTimeoutMs: float64(request.demand.PendingTimeout), ExpectedRuntimeMs: float64(request.endsAt - now), Retried: request.attempts > 1,
 		SentMs: float64(now),
 	}}})
 	c.scheduleAnswerTimeout(now, request.demand.PendingTimeout, id, request)
@@ -93,7 +93,7 @@
 
 // handleAnswer handles the answer to a request. Answers to ended or placed requests are ignored.
 func (c *Client) handleAnswer(now placement.Millis, a *pb.Answer) {
-	request := c.requests[a.Ask]
+	request := c.requests[a.RequestId]
 	if request == nil || request.placed {
 		return
 	}
@@ -111,11 +111,11 @@
 		request.placed = true
 	case pb.Verdict_REJECTED:
 		c.Tally.Rejected++
-		delete(c.requests, a.Ask)
+		delete(c.requests, a.RequestId)
 		c.retry(now, request, false)
 	default:
 		c.Tally.Unschedulable++
-		delete(c.requests, a.Ask)
+		delete(c.requests, a.RequestId)
 		c.retry(now, request, true)
 	}
 }
@@ -169,7 +169,7 @@
 // withdrawRequest removes a request and sends its withdrawal.
 func (c *Client) withdrawRequest(id uint64, request *clientRequest) {
 	delete(c.requests, id)
-	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{Ask: id}}})
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: id}}})
 }
 
 // Restart stops a share of the client's services and requests all their workloads again, within the given time.
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -54,7 +54,7 @@
 // queuedCall is a poll that has not been answered.
 type queuedCall struct {
 	from    transport.ConnID
-	poll    *pb.ListCall
+	poll    *pb.NodeListRequest
 	arrived placement.Millis
 }
 
@@ -98,7 +98,7 @@
 		s.timers.Schedule(now+s.model.RemovalDelay, func(now placement.Millis) {
 			s.applyOrDefer(func() {
 				if record := s.records[id]; record != nil && record.conn == conn {
-					s.change(record, func() { record.State = pb.NodeEntry_GONE })
+					s.change(record, func() { record.State = pb.NodeEntry_REMOVED })
 				}
 			})
 		})
@@ -118,8 +118,8 @@
 		s.timers.Schedule(now+s.model.Lag+s.ExtraLag, func(placement.Millis) {
 			s.applyOrDefer(func() { s.register(now, conn, entry) })
 		})
-	case f.GetListCall() != nil:
-		s.queue = append(s.queue, queuedCall{conn, f.GetListCall(), now})
+	case f.GetNodeListRequest() != nil:
+		s.queue = append(s.queue, queuedCall{conn, f.GetNodeListRequest(), now})
 		s.serve(now)
 	}
 	s.wake()
@@ -138,10 +138,10 @@
 		s.nodeByConn[conn] = h.Node
 	default:
 		sub.helloReceived = true
-		s.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_LIST, Name: "list", Incarnation: s.epoch}))
+		s.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: s.epoch}))
 		if !s.model.Polled {
 			sub.watching, sub.revision = true, s.revision
-			s.network.Send(conn, s.newUpdate(now, pb.ListUpdate_WHOLE, 0))
+			s.network.Send(conn, s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0))
 		}
 	}
 }
@@ -160,24 +160,24 @@
 		record = &nodeRecord{}
 		s.records[entry.Id] = record
 	}
-	if entry.Boot < record.Boot || record.Id != 0 && record.Boot == entry.Boot && record.conn == conn && record.State == entry.State &&
+	if entry.Incarnation < record.Incarnation || record.Id != 0 && record.Incarnation == entry.Incarnation && record.conn == conn && record.State == entry.State &&
 		record.FreeCores == entry.FreeCores && record.FreeMemory == entry.FreeMemory {
 		return
 	}
 	s.change(record, func() {
 		record.Id, record.State, record.Kind, record.Zone, record.Cell = entry.Id, entry.State, entry.Kind, entry.Zone, entry.Cell
-		record.Boot, record.UpForMs, record.Address = entry.Boot, entry.UpForMs, entry.Address
+		record.Incarnation, record.UpForMs, record.Address = entry.Incarnation, entry.UpForMs, entry.Address
 		record.FreeCores, record.FreeMemory = entry.FreeCores, entry.FreeMemory
 		record.since, record.conn = at, conn
 	})
 }
 
 // newUpdate returns the records that changed after a revision or, in a snapshot, all nodes that have not been removed.
-func (s *DiscoveryService) newUpdate(now placement.Millis, kind pb.ListUpdate_Kind, after uint64) *pb.Frame {
-	u := &pb.ListUpdate{Kind: kind, Epoch: s.epoch, Revision: s.revision}
+func (s *DiscoveryService) newUpdate(now placement.Millis, kind pb.NodeListUpdate_Kind, after uint64) *pb.Frame {
+	u := &pb.NodeListUpdate{Kind: kind, Epoch: s.epoch, Revision: s.revision}
 	if s.empty {
-		u.Kind = pb.ListUpdate_WHOLE
-		return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}}
+		u.Kind = pb.NodeListUpdate_SNAPSHOT
+		return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
 	}
 	factor := 1.0
 	if s.capacityFactor > 0 {
@@ -185,7 +185,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.records)) {
 		record := s.records[id]
-		if record.revision <= after || kind == pb.ListUpdate_WHOLE && record.State == pb.NodeEntry_GONE {
+		if record.revision <= after || kind == pb.NodeListUpdate_SNAPSHOT && record.State == pb.NodeEntry_REMOVED {
 			continue
 		}
 		up := record.UpForMs
@@ -193,11 +193,11 @@
 			up += float64(now - record.since)
 		}
 		u.Entries = append(u.Entries, &pb.NodeEntry{
-			Id: record.Id, State: record.State, Kind: record.Kind, Zone: record.Zone, Cell: record.Cell, Boot: record.Boot, UpForMs: up,
+			Id: record.Id, State: record.State, Kind: record.Kind, Zone: record.Zone, Cell: record.Cell, Incarnation: record.Incarnation, UpForMs: up,
 			FreeCores: record.FreeCores * factor, FreeMemory: record.FreeMemory * factor, Address: record.Address,
 		})
 	}
-	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: u}}
+	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
 }
 
 // applyOrDefer applies a change, or defers it while the service is stale.
@@ -236,7 +236,7 @@
 			continue
 		}
 		if frames[sub.revision] == nil {
-			frames[sub.revision] = s.newUpdate(now, pb.ListUpdate_CHANGES, sub.revision)
+			frames[sub.revision] = s.newUpdate(now, pb.NodeListUpdate_DELTA, sub.revision)
 		}
 		s.network.Send(conn, frames[sub.revision])
 		sub.revision = s.revision
@@ -257,14 +257,14 @@
 		return
 	}
 	if now-call.arrived > s.model.CallTimeout {
-		s.network.Send(call.from, &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-			Kind: pb.ListUpdate_FAILED, Epoch: s.epoch, Reason: "the list is overrun",
+		s.network.Send(call.from, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+			Kind: pb.NodeListUpdate_POLL_FAILED, Epoch: s.epoch, Reason: "the list is overrun",
 		}}})
 		s.serve(now)
 		return
 	}
 	f := s.pollUpdate(now, call.poll)
-	duration := s.sendDuration(len(f.GetListUpdate().Entries))
+	duration := s.sendDuration(len(f.GetNodeListUpdate().Entries))
 	if call.poll.Watch {
 		sub.watching, sub.revision = true, s.revision
 	}
@@ -277,11 +277,11 @@
 }
 
 // pollUpdate returns the answer to a poll: changes where the poller subscribes and its revision is of this epoch, else a snapshot.
-func (s *DiscoveryService) pollUpdate(now placement.Millis, poll *pb.ListCall) *pb.Frame {
-	if poll.Epoch != s.epoch || !poll.Watch || poll.Have > s.revision {
-		return s.newUpdate(now, pb.ListUpdate_WHOLE, 0)
+func (s *DiscoveryService) pollUpdate(now placement.Millis, poll *pb.NodeListRequest) *pb.Frame {
+	if poll.Epoch != s.epoch || !poll.Watch || poll.Revision > s.revision {
+		return s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0)
 	}
-	return s.newUpdate(now, pb.ListUpdate_CHANGES, poll.Have)
+	return s.newUpdate(now, pb.NodeListUpdate_DELTA, poll.Revision)
 }
 
 // sendDuration returns the time that an answer with that many entries takes, or 0 if the model sets no rate.
--- a/internal/simulation/emulator/discovery_test.go
+++ b/internal/simulation/emulator/discovery_test.go
@@ -13,10 +13,14 @@
 	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
 	network := &fakeNetwork{}
 	s.Start(0, network)
-	s.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Boot: 1, FreeCores: 4})
-	listed := func() []*pb.NodeEntry { return s.newUpdate(0, pb.ListUpdate_WHOLE, 0).GetListUpdate().Entries }
+	s.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Incarnation: 1, FreeCores: 4})
+	listed := func() []*pb.NodeEntry {
+		return s.newUpdate(0, pb.NodeListUpdate_SNAPSHOT, 0).GetNodeListUpdate().Entries
+	}
 	s.SetStale(0, true)
-	s.applyOrDefer(func() { s.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Boot: 1, FreeCores: 4}) })
+	s.applyOrDefer(func() {
+		s.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Incarnation: 1, FreeCores: 4})
+	})
 	assert.Equal(t, pb.NodeEntry_READY, listed()[0].State)
 	s.SetStale(0, false)
 	assert.Equal(t, pb.NodeEntry_DRAINING, listed()[0].State)
--- a/internal/simulation/emulator/fake_network_test.go
+++ b/internal/simulation/emulator/fake_network_test.go
@@ -33,7 +33,7 @@
 // offerAnswers returns the node's answers to offers as text, and forgets the frames sent.
 func (n *fakeNetwork) offerAnswers() (all []string) {
 	for _, f := range n.sent {
-		if a := f.GetOfferAnswer(); a != nil {
+		if a := f.GetOfferReply(); a != nil {
 			all = append(all, fmt.Sprintf("%d %v %s", a.Bind.Workload, a.Accepted, a.Text))
 		}
 	}
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -40,7 +40,7 @@
 	admitting          bool
 	tasks              []*Task // in the order of their acceptance
 	byBind             map[observer.BindKey]*Task
-	answers            map[observer.BindKey]*pb.OfferAnswer
+	answers            map[observer.BindKey]*pb.OfferReply
 	answerOrder        []observer.BindKey // keys of answers, oldest first
 	pendingStarts      []*Task
 	startsInProgress   int
@@ -77,7 +77,7 @@
 	return &Node{
 		id: spec.ID, spec: spec, model: m, incarnation: incarnation, startedAt: placement.DistantPast, allocatorByConn: map[transport.ConnID]string{},
 		connByAllocator: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*Task{},
-		answers: map[observer.BindKey]*pb.OfferAnswer{}, Slowdown: 1,
+		answers: map[observer.BindKey]*pb.OfferReply{}, Slowdown: 1,
 	}
 }
 
@@ -148,12 +148,12 @@
 			n.handleOffer(now, conn, b.Offer)
 		case *pb.Frame_Stop:
 			n.handleStop(now, b.Stop)
-		case *pb.Frame_Keep:
-			if t := n.byBind[observer.KeyOf(b.Keep.Bind)]; t != nil {
+		case *pb.Frame_ConfirmGang:
+			if t := n.byBind[observer.KeyOf(b.ConfirmGang.Bind)]; t != nil {
 				t.confirmed = true
 			}
-		case *pb.Frame_Probe:
-			n.enqueue(now, &queuedFrame{probe: b.Probe.Id, from: conn, arrived: now})
+		case *pb.Frame_HealthCheck:
+			n.enqueue(now, &queuedFrame{probe: b.HealthCheck.Id, from: conn, arrived: now})
 		}
 	}
 	n.wake()
@@ -179,7 +179,7 @@
 	}
 	for _, t := range n.tasks {
 		if t.Offer.Bind.Allocator == h.Name && (t.running || !n.model.ConfirmsRunning) {
-			hello.Standing = append(hello.Standing, &pb.Standing{Offer: t.Offer, Running: t.running, Kept: t.confirmed})
+			hello.RunningWorkloads = append(hello.RunningWorkloads, &pb.RunningWorkload{Offer: t.Offer, Running: t.running, Confirmed: t.confirmed})
 		}
 	}
 	n.network.Send(conn, transport.HelloFrame(hello))
@@ -198,12 +198,12 @@
 	state := pb.NodeEntry_READY
 	switch {
 	case n.Leaves:
-		state = pb.NodeEntry_GONE
+		state = pb.NodeEntry_REMOVED
 	case n.draining:
 		state = pb.NodeEntry_DRAINING
 	}
 	n.network.Send(n.discovery, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{
-		Id: n.id, State: state, Kind: n.spec.Kind, Zone: n.spec.Zone, Cell: n.spec.Cell, Boot: n.incarnation, UpForMs: n.uptime(now),
+		Id: n.id, State: state, Kind: n.spec.Kind, Zone: n.spec.Zone, Cell: n.spec.Cell, Incarnation: n.incarnation, UpForMs: n.uptime(now),
 		FreeCores: n.spec.Cores - cores, FreeMemory: n.spec.Memory - memory, Address: n.spec.Addr,
 	}}})
 }
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -20,7 +20,7 @@
 
 // surgeFactor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
 func (n *Node) surgeFactor(t *Task) float64 {
-	surge, request := n.Surge, t.Offer.Ask
+	surge, request := n.Surge, t.Offer.Request
 	affected := (surge.Group == "" || surge.Group == request.Group) && ServiceFactor(request.Service+2)-0.5 < surge.Share
 	if surge.Factor > 1 && affected {
 		return surge.Factor
@@ -47,7 +47,7 @@
 // evictAll evicts all tasks of a draining node, at once or one by one as its model says.
 func (n *Node) evictAll(now placement.Millis) {
 	for n.draining && len(n.tasks) > 0 {
-		n.endTask(now, n.tasks[0], pb.Why_SENT_AWAY)
+		n.endTask(now, n.tasks[0], pb.Reason_DRAINED)
 		if n.model.DrainMode == scenario.DrainPaced {
 			n.timers.Schedule(now+pacedEvictionInterval, n.evictAll)
 			return
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -11,7 +11,7 @@
 // report evicts tasks while memory is exceeded, measures the load, registers it, and repeats after the report interval.
 func (n *Node) report(now placement.Millis) {
 	for used := n.memoryUsed(); used > n.spec.Memory && len(n.tasks) > 0; used = n.memoryUsed() {
-		n.endTask(now, n.evictionCandidate(), pb.Why_EVICTED)
+		n.endTask(now, n.evictionCandidate(), pb.Reason_EVICTED)
 	}
 	cores := n.coresUsed()
 	spare, memory := n.spec.Cores-cores, n.spec.Memory-n.memoryUsed()
@@ -40,8 +40,8 @@
 // requestedCapacity returns the cores and memory that the accepted tasks request.
 func (n *Node) requestedCapacity() (cores, memory float64) {
 	for _, t := range n.tasks {
-		cores += t.Offer.Ask.Cores
-		memory += t.Offer.Ask.Memory
+		cores += t.Offer.Request.Cores
+		memory += t.Offer.Request.Memory
 	}
 	return cores, memory
 }
@@ -77,7 +77,7 @@
 func (n *Node) evictionCandidate() *Task {
 	return slices.MinFunc(n.tasks, func(x, y *Task) int {
 		return cmp.Or(cmp.Compare(x.group.EvictionRank, y.group.EvictionRank),
-			cmp.Compare(y.memory*n.surgeFactor(y)-y.Offer.Ask.Memory, x.memory*n.surgeFactor(x)-x.Offer.Ask.Memory))
+			cmp.Compare(y.memory*n.surgeFactor(y)-y.Offer.Request.Memory, x.memory*n.surgeFactor(x)-x.Offer.Request.Memory))
 	})
 }
 
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if answer := n.answers[observer.KeyOf(offer.Bind)]; answer != nil {
-		n.network.Send(conn, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: answer}})
+		n.network.Send(conn, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: answer}})
 		return
 	}
 	if n.byBind[observer.KeyOf(offer.Bind)] != nil || slices.ContainsFunc(n.queue, func(frame *queuedFrame) bool {
@@ -70,16 +70,16 @@
 	}
 	switch t := n.byBind[key]; {
 	case t == nil: // it ended before, and the notification may have been lost
-		n.sendTo(s.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: s.Bind, Why: pb.Why_STOPPED}}})
+		n.sendTo(s.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: s.Bind, Reason: pb.Reason_STOPPED}}})
 	case !s.OnlyWaiting:
-		n.endTask(now, t, pb.Why_STOPPED)
+		n.endTask(now, t, pb.Reason_STOPPED)
 	}
 }
 
 // enqueue adds an offer or a health check to the admission queue, or rejects it if the queue is full.
 func (n *Node) enqueue(now placement.Millis, frame *queuedFrame) {
 	if len(n.queue) >= n.model.QueueLimit {
-		n.reject(now, frame, pb.Why_TOO_MANY_WAITING, "too many offers wait")
+		n.reject(now, frame, pb.Reason_QUEUE_FULL, "too many offers wait")
 		return
 	}
 	n.queue = append(n.queue, frame)
@@ -104,59 +104,59 @@
 // decide answers a health check, and accepts or rejects an offer.
 func (n *Node) decide(now placement.Millis, frame *queuedFrame) {
 	if frame.offer == nil {
-		n.network.Send(frame.from, &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: frame.probe, Load: n.loadNow(now)}}})
+		n.network.Send(frame.from, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: frame.probe, Load: n.loadNow(now)}}})
 		return
 	}
 	offer := frame.offer
 	cores, memory := n.requestedCapacity()
 	switch {
 	case frame.cancelled:
-		n.reject(now, frame, pb.Why_NOT_HERE, "called off")
+		n.reject(now, frame, pb.Reason_WRONG_NODE, "called off")
 	case now-frame.arrived > placement.Millis(offer.AcceptWithinMs):
-		n.reject(now, frame, pb.Why_NOT_HERE, "too late")
+		n.reject(now, frame, pb.Reason_WRONG_NODE, "too late")
 	case offer.Bind.Incarnation < n.latestIncarnation[offer.Bind.Allocator]:
-		n.reject(now, frame, pb.Why_NOT_HERE, "from an earlier incarnation of the allocator")
+		n.reject(now, frame, pb.Reason_WRONG_NODE, "from an earlier incarnation of the allocator")
 	case n.draining:
-		n.reject(now, frame, pb.Why_NOT_HERE, "draining")
-	case n.ThrottledGroup == offer.Ask.Group:
-		n.reject(now, frame, pb.Why_WHY_UNSPECIFIED, "")
+		n.reject(now, frame, pb.Reason_WRONG_NODE, "draining")
+	case n.ThrottledGroup == offer.Request.Group:
+		n.reject(now, frame, pb.Reason_REASON_UNSPECIFIED, "")
 	case n.runsWorkload(offer):
-		n.reject(now, frame, pb.Why_NOT_HERE, "a copy stands here")
-	case cores+offer.Ask.Cores > n.model.CoreOvercommit*n.spec.Cores:
-		n.reject(now, frame, pb.Why_NO_CORES, "no cores left")
-	case memory+offer.Ask.Memory > n.model.MemoryOvercommit*n.spec.Memory:
-		n.reject(now, frame, pb.Why_NO_MEMORY, "no memory left")
+		n.reject(now, frame, pb.Reason_WRONG_NODE, "a copy stands here")
+	case cores+offer.Request.Cores > n.model.CoreOvercommit*n.spec.Cores:
+		n.reject(now, frame, pb.Reason_INSUFFICIENT_CORES, "no cores left")
+	case memory+offer.Request.Memory > n.model.MemoryOvercommit*n.spec.Memory:
+		n.reject(now, frame, pb.Reason_INSUFFICIENT_MEMORY, "no memory left")
 	default:
 		n.accept(now, offer)
 	}
 }
 
 // reject answers an offer with a reason.
-func (n *Node) reject(now placement.Millis, frame *queuedFrame, why pb.Why, text string) {
+func (n *Node) reject(now placement.Millis, frame *queuedFrame, why pb.Reason, text string) {
 	if frame.offer == nil {
 		return // a health check that finds the queue full is not answered
 	}
-	n.answer(now, frame.offer.Bind, &pb.OfferAnswer{Bind: frame.offer.Bind, Why: why, Text: text, Load: n.loadNow(now)})
+	n.answer(now, frame.offer.Bind, &pb.OfferReply{Bind: frame.offer.Bind, Reason: why, Text: text, Load: n.loadNow(now)})
 }
 
 // answer sends the answer to an offer, and remembers it for duplicates of the offer.
-func (n *Node) answer(_ placement.Millis, b *pb.BindID, answer *pb.OfferAnswer) {
+func (n *Node) answer(_ placement.Millis, b *pb.BindID, answer *pb.OfferReply) {
 	key := observer.KeyOf(b)
 	n.answers[key] = answer
 	if n.answerOrder = append(n.answerOrder, key); len(n.answerOrder) > maxAnswered {
 		delete(n.answers, n.answerOrder[0])
 		n.answerOrder = n.answerOrder[1:]
 	}
-	n.sendTo(b.Allocator, &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: answer}})
+	n.sendTo(b.Allocator, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: answer}})
 }
 
 // accept adds a task for an offer and starts it when its turn comes.
 func (n *Node) accept(now placement.Millis, offer *pb.Offer) {
-	t := &Task{Offer: offer, group: n.model.Groups[offer.Ask.Group]}
+	t := &Task{Offer: offer, group: n.model.Groups[offer.Request.Group]}
 	n.tasks = append(n.tasks, t)
 	n.byBind[observer.KeyOf(offer.Bind)] = t
 	if !n.model.ConfirmsRunning {
-		n.answer(now, offer.Bind, &pb.OfferAnswer{Bind: offer.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, offer.Bind, &pb.OfferReply{Bind: offer.Bind, Accepted: true, Load: n.loadNow(now)})
 	}
 	n.pendingStarts = append(n.pendingStarts, t)
 	n.startNext(now)
@@ -170,14 +170,14 @@
 func (n *Node) scheduleLeaseEnd(now placement.Millis, t *Task) {
 	n.timers.Schedule(now+placement.Millis(t.Offer.Gang.LeaseMs), func(now placement.Millis) {
 		if !t.confirmed {
-			n.endTask(now, t, pb.Why_LEASE_OVER)
+			n.endTask(now, t, pb.Reason_LEASE_EXPIRED)
 		}
 	})
 }
 
 // runsWorkload reports whether a task with the same workload key was accepted and has not ended.
 func (n *Node) runsWorkload(offer *pb.Offer) bool {
-	return slices.ContainsFunc(n.tasks, func(t *Task) bool { return t.Offer.Ask.Key == offer.Ask.Key })
+	return slices.ContainsFunc(n.tasks, func(t *Task) bool { return t.Offer.Request.Key == offer.Request.Key })
 }
 
 // warmUpRate returns the share of its full rate at which the node starts tasks, and whether it is warming up.
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -49,8 +49,8 @@
 // startTime returns how long a start takes, which depends on the program cache, the warm-up and the contention for cores.
 func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
-	service := t.Offer.Ask.Service
-	runs := func(other *Task) bool { return other.running && other.Offer.Ask.Service == service }
+	service := t.Offer.Request.Service
+	runs := func(other *Task) bool { return other.running && other.Offer.Request.Service == service }
 	if !slices.Contains(n.cachedPrograms, service) && !slices.ContainsFunc(n.tasks, runs) {
 		work *= n.model.UncachedStartFactor
 	}
@@ -65,21 +65,21 @@
 	if n.OnRunning != nil {
 		n.OnRunning(t, true)
 	}
-	t.cores = t.Offer.Ask.Cores * t.group.CoreUse * ServiceFactor(t.Offer.Ask.Service)
-	t.memory = t.Offer.Ask.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Ask.Service+1)
-	n.removeCachedProgram(t.Offer.Ask.Service)
+	t.cores = t.Offer.Request.Cores * t.group.CoreUse * ServiceFactor(t.Offer.Request.Service)
+	t.memory = t.Offer.Request.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Request.Service+1)
+	n.removeCachedProgram(t.Offer.Request.Service)
 	if n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferReply{Bind: t.Offer.Bind, Accepted: true, Load: n.loadNow(now)})
 	} else {
-		n.sendNote(t, pb.Note_RUNNING, 1)
+		n.sendNote(t, pb.UsageReport_RUNNING, 1)
 	}
-	n.timers.Schedule(now+placement.Millis(t.Offer.Ask.RunsForMs), func(now placement.Millis) { n.endTask(now, t, pb.Why_FINISHED) })
+	n.timers.Schedule(now+placement.Millis(t.Offer.Request.ExpectedRuntimeMs), func(now placement.Millis) { n.endTask(now, t, pb.Reason_FINISHED) })
 	n.timers.Schedule(now+firstUsageNote, func(now placement.Millis) { n.sendUsageNote(now, t) })
 }
 
 // sendNote sends a note about a task to its allocator.
-func (n *Node) sendNote(t *Task, kind pb.Note_Kind, value float64) {
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_Note{Note: &pb.Note{Bind: t.Offer.Bind, Kind: kind, Value: value}}})
+func (n *Node) sendNote(t *Task, kind pb.UsageReport_Kind, value float64) {
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{Bind: t.Offer.Bind, Kind: kind, Value: value}}})
 }
 
 // sendUsageNote reports the cores that a task uses, and repeats until the task ends.
@@ -87,12 +87,12 @@
 	if t.ended {
 		return
 	}
-	n.sendNote(t, pb.Note_CORES_USED, t.cores*n.surgeFactor(t))
+	n.sendNote(t, pb.UsageReport_CORES_USED, t.cores*n.surgeFactor(t))
 	n.timers.Schedule(now+usageNoteInterval, func(now placement.Millis) { n.sendUsageNote(now, t) })
 }
 
 // endTask removes a task from the node and notifies its allocator.
-func (n *Node) endTask(now placement.Millis, t *Task, why pb.Why) {
+func (n *Node) endTask(now placement.Millis, t *Task, why pb.Reason) {
 	if t.ended {
 		return
 	}
@@ -103,13 +103,13 @@
 		n.OnRunning(t, false)
 	}
 	if t.running && n.model.CachedPrograms > 0 {
-		n.cacheProgram(t.Offer.Ask.Service)
+		n.cacheProgram(t.Offer.Request.Service)
 	}
 	if !t.running && n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferAnswer{Bind: t.Offer.Bind, Why: why, Text: "ended before it ran", Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferReply{Bind: t.Offer.Bind, Reason: why, Text: "ended before it ran", Load: n.loadNow(now)})
 		return
 	}
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.Offer.Bind, Why: why, Load: n.loadNow(now)}}})
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.Offer.Bind, Reason: why, Load: n.loadNow(now)}}})
 }
 
 // cacheProgram makes a service's program the most recently used one, and drops the least recently used beyond the limit.
--- a/internal/simulation/emulator/node_test.go
+++ b/internal/simulation/emulator/node_test.go
@@ -22,7 +22,7 @@
 	offer := func(id uint64, change ...func(*pb.Offer)) {
 		o := &pb.Offer{
 			Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: id}, AcceptWithinMs: 100,
-			Ask: &pb.Ask{Key: id, Service: 1, Group: "g", Cores: 4, Memory: 4, RunsForMs: 10000},
+			Request: &pb.PlaceRequest{Key: id, Service: 1, Group: "g", Cores: 4, Memory: 4, ExpectedRuntimeMs: 10000},
 		}
 		for _, f := range change {
 			f(o)
@@ -36,23 +36,23 @@
 	assert.Equal(t, []string{"1 true ", "1 true "}, network.offerAnswers())
 	assert.Len(t, n.tasks, 1)
 	offer(2, func(o *pb.Offer) { o.Bind.Incarnation = 4 })
-	offer(3, func(o *pb.Offer) { o.Ask.Key = 1 })
-	offer(4, func(o *pb.Offer) { o.Ask.Cores = 7 })
+	offer(3, func(o *pb.Offer) { o.Request.Key = 1 })
+	offer(4, func(o *pb.Offer) { o.Request.Cores = 7 })
 	offer(5)
 	network.run(n, 200)
-	offer(6, func(o *pb.Offer) { o.Ask.Memory, o.Ask.Cores = 7, 1 })
+	offer(6, func(o *pb.Offer) { o.Request.Memory, o.Request.Cores = 7, 1 })
 	offer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
 	n.ThrottledGroup = "t"
-	offer(8, func(o *pb.Offer) { o.Ask.Group = "t" })
+	offer(8, func(o *pb.Offer) { o.Request.Group = "t" })
 	network.run(n, 240)
 	assert.Equal(t, []string{
 		"5 false too many offers wait", "2 false from an earlier incarnation of the allocator",
 		"3 false a copy stands here", "4 false no cores left", "6 false no memory left", "7 false too late", "8 false ",
 	}, network.offerAnswers())
 	// Cancelled or draining while queued: rejected, and no task is added.
-	offer(9, func(o *pb.Offer) { o.Ask.Cores = 1 })
+	offer(9, func(o *pb.Offer) { o.Request.Cores = 1 })
 	n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{Allocator: "a", Incarnation: 5, Workload: 9}, OnlyWaiting: true}}})
-	offer(10, func(o *pb.Offer) { o.Ask.Cores = 1 })
+	offer(10, func(o *pb.Offer) { o.Request.Cores = 1 })
 	n.Drain(network.now, true)
 	network.run(n, 300)
 	assert.Equal(t, []string{"9 false called off", "10 false draining"}, network.offerAnswers())
@@ -70,7 +70,7 @@
 	n := NewNode(&NodeSpec{ID: 1, Cores: 10, Memory: 10}, m, 1)
 	n.Start(0, network)
 	n.StartsBlocked = true
-	n.accept(0, &pb.Offer{Bind: &pb.BindID{Workload: 1}, Ask: &pb.Ask{Group: "g", Cores: 4, Memory: 4, RunsForMs: 1e5}})
+	n.accept(0, &pb.Offer{Bind: &pb.BindID{Workload: 1}, Request: &pb.PlaceRequest{Group: "g", Cores: 4, Memory: 4, ExpectedRuntimeMs: 1e5}})
 	network.run(n, 50)
 	assert.False(t, n.tasks[0].running)
 	n.UnblockStarts(50)
@@ -89,7 +89,7 @@
 		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 }, "hot": func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
 	} {
 		n := NewNode(&NodeSpec{Cores: 10, Memory: 10}, &scenario.NodeModel{}, 1)
-		n.tasks = []*Task{{Offer: &pb.Offer{Ask: &pb.Ask{}}, cores: 2, memory: 2}}
+		n.tasks = []*Task{{Offer: &pb.Offer{Request: &pb.PlaceRequest{}}, cores: 2, memory: 2}}
 		before := n.coresUsed()
 		set(n)
 		assert.Greater(t, n.coresUsed(), before, name)
--- a/internal/simulation/emulator/tally.go
+++ b/internal/simulation/emulator/tally.go
@@ -14,7 +14,7 @@
 	Withdrawn     int // by the client, before an answer
 	Disconnected  int // the connection or the allocator was lost before an answer
 	Unanswered    int
-	Ended         map[pb.Why]int
+	Ended         map[pb.Reason]int
 	Waits         []float64 // ms from the request that was answered until the workload was placed
 
 	SinglesFirst  int     // workloads that belong to no gang
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -106,7 +106,7 @@
 			if h.mutant == IgnoresDrain || h.mutant == IgnoresWarmUp {
 				changed := &pb.Hello{
 					Role: pb.Role_NODE, Name: b.Hello.Name, Node: b.Hello.Node, Incarnation: b.Hello.Incarnation,
-					Standing: b.Hello.Standing, Draining: b.Hello.Draining && h.mutant != IgnoresDrain, UpForMs: b.Hello.UpForMs,
+					RunningWorkloads: b.Hello.RunningWorkloads, Draining: b.Hello.Draining && h.mutant != IgnoresDrain, UpForMs: b.Hello.UpForMs,
 				}
 				if h.mutant == IgnoresWarmUp {
 					changed.UpForMs = -1
@@ -118,22 +118,22 @@
 		if h.mutant == IgnoresDrain {
 			return
 		}
-	case *pb.Frame_OfferAnswer:
-		if h.mutant == LeavesGangParts && b.OfferAnswer.Accepted {
-			h.net.Send(c, &pb.Frame{Body: &pb.Frame_Keep{Keep: &pb.Keep{Bind: b.OfferAnswer.Bind}}})
+	case *pb.Frame_OfferReply:
+		if h.mutant == LeavesGangParts && b.OfferReply.Accepted {
+			h.net.Send(c, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: &pb.ConfirmGang{Bind: b.OfferReply.Bind}}})
 		}
-	case *pb.Frame_ListUpdate:
-		f = h.changeUpdate(b.ListUpdate)
+	case *pb.Frame_NodeListUpdate:
+		f = h.changeUpdate(b.NodeListUpdate)
 	}
 	h.FrameHandler.Received(now, c, f)
 }
 
 // changeUpdate returns a discovery update with other contents.
-func (h *mutantHandler) changeUpdate(u *pb.ListUpdate) *pb.Frame {
-	changed := &pb.ListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
+func (h *mutantHandler) changeUpdate(u *pb.NodeListUpdate) *pb.Frame {
+	changed := &pb.NodeListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
 	for _, e := range u.Entries {
 		other := &pb.NodeEntry{
-			Id: e.Id, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Boot: e.Boot, UpForMs: e.UpForMs,
+			Id: e.Id, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Incarnation: e.Incarnation, UpForMs: e.UpForMs,
 			FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Address: e.Address,
 		}
 		if h.mutant == IgnoresDrain && e.State == pb.NodeEntry_DRAINING {
@@ -144,7 +144,7 @@
 		}
 		changed.Entries = append(changed.Entries, other)
 	}
-	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: changed}}
+	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: changed}}
 }
 
 func (h *mutantHandler) Send(c transport.ConnID, f *pb.Frame) {
@@ -165,7 +165,7 @@
 			second := &pb.Offer{Bind: &pb.BindID{
 				Allocator: b.Offer.Bind.Allocator, Incarnation: b.Offer.Bind.Incarnation,
 				Workload: b.Offer.Bind.Workload, Number: b.Offer.Bind.Number + 1,
-			}, Owner: b.Offer.Owner, Ask: b.Offer.Ask, AcceptWithinMs: b.Offer.AcceptWithinMs, Gang: b.Offer.Gang}
+			}, Client: b.Offer.Client, Request: b.Offer.Request, AcceptWithinMs: b.Offer.AcceptWithinMs, Gang: b.Offer.Gang}
 			h.net.Send(h.nodes[h.count/mutationInterval%len(h.nodes)], &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
 		}
 		if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
@@ -187,10 +187,10 @@
 		h.delayed = append(h.delayed, delayedFrame{h.net.Now() + 15e3, c, f})
 		return
 	case h.mutant == RejectsUnknownOutcome && a.Verdict == pb.Verdict_UNSCHEDULABLE:
-		f = &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{Ask: a.Ask, Verdict: pb.Verdict_REJECTED}}}
+		f = &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{RequestId: a.RequestId, Verdict: pb.Verdict_REJECTED}}}
 	case h.mutant == OffersAfterAnswer && h.firstOffer != nil && len(h.nodes) > 0:
 		h.net.Send(c, f)
-		if o := h.firstOffer.GetOffer(); o.Ask.Ask == a.Ask {
+		if o := h.firstOffer.GetOffer(); o.Request.RequestId == a.RequestId {
 			h.net.Send(h.nodes[0], h.firstOffer)
 			h.firstOffer = nil
 		}
--- a/internal/simulation/network/faults.go
+++ b/internal/simulation/network/faults.go
@@ -74,7 +74,7 @@
 // build on one another, and a client withdraws what it has requested.
 func orderMatters(f *pb.Frame) bool {
 	switch f.Body.(type) {
-	case *pb.Frame_Hello, *pb.Frame_Refusal, *pb.Frame_ListUpdate, *pb.Frame_ListCall, *pb.Frame_Withdraw, *pb.Frame_Register:
+	case *pb.Frame_Hello, *pb.Frame_Refusal, *pb.Frame_NodeListUpdate, *pb.Frame_NodeListRequest, *pb.Frame_Withdraw, *pb.Frame_Register:
 		return true
 	}
 	return false
--- a/internal/simulation/network/messagefault.go
+++ b/internal/simulation/network/messagefault.go
@@ -68,7 +68,7 @@
 // selects counts a frame and reports whether it is the one to be hit.
 func (i *Injector) selects(f *pb.Frame) bool {
 	switch f.Body.(type) {
-	case *pb.Frame_Offer, *pb.Frame_OfferAnswer, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_Note, *pb.Frame_Keep:
+	case *pb.Frame_Offer, *pb.Frame_OfferReply, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_UsageReport, *pb.Frame_ConfirmGang:
 		*i.Frames++
 		return *i.Frames == i.Fault.Frame
 	}
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -34,7 +34,7 @@
 func (h *hearer) Closed(placement.Millis, transport.ConnID, error) {}
 func (h *hearer) Wake(now placement.Millis)                        { h.at = append(h.at, now) }
 func (h *hearer) Received(now placement.Millis, _ transport.ConnID, f *pb.Frame) {
-	h.heard, h.at = append(h.heard, f.GetProbe().GetId()), append(h.at, now)
+	h.heard, h.at = append(h.heard, f.GetHealthCheck().GetId()), append(h.at, now)
 }
 
 // troubled is a gate with one connection, and a queue of what the network holds up.
@@ -50,7 +50,9 @@
 	return g, h, v
 }
 
-func probe(id uint64) *pb.Frame { return &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{Id: id}}} }
+func probe(id uint64) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{Id: id}}}
+}
 
 // hear brings ten frames, a millisecond apart.
 func hear(g *Interceptor, v *Virtual) {
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -139,13 +139,13 @@
 		}
 		sent, asked, placed := map[ref]int{}, make([]float64, 28), make([]float64, 28)
 		for _, s := range h.Events() {
-			if a := s.Frame.GetAsk(); a != nil && s.Kind == observer.FrameSent {
+			if a := s.Frame.GetPlaceRequest(); a != nil && s.Kind == observer.FrameSent {
 				slot := min(27, int((s.At-begins)/half))
-				sent[ref{s.Process.Name, a.Ask}] = slot
+				sent[ref{s.Process.Name, a.RequestId}] = slot
 				asked[slot]++
 			}
 			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived && a.Verdict == pb.Verdict_PLACED {
-				placed[sent[ref{s.Process.Name, a.Ask}]]++
+				placed[sent[ref{s.Process.Name, a.RequestId}]]++
 			}
 		}
 		for i := range sums {
@@ -250,22 +250,22 @@
 // frameSent counts a frame that a client or an allocator sent.
 func (c retryCounts) frameSent(sender string, f *pb.Frame) {
 	switch b := f.Body.(type) {
-	case *pb.Frame_Ask:
-		c.add("requests of a workload", sender, b.Ask.Key)
+	case *pb.Frame_PlaceRequest:
+		c.add("requests of a workload", sender, b.PlaceRequest.Key)
 	case *pb.Frame_Offer:
 		o := b.Offer
 		c.add("offers of a bind", observer.KeyOf(o.Bind).String(), 0)
 		if o.Gang != nil {
-			c.add("binds of a part", o.Owner, o.Ask.Key)
+			c.add("binds of a part", o.Client, o.Request.Key)
 		} else {
-			c.add("binds of a request", o.Owner, o.Ask.Ask)
-			c.add("binds of a workload", o.Owner, o.Ask.Key)
+			c.add("binds of a request", o.Client, o.Request.RequestId)
+			c.add("binds of a workload", o.Client, o.Request.Key)
 		}
 	case *pb.Frame_Stop:
 		c.add("stops of a bind", observer.KeyOf(b.Stop.Bind).String(), 0)
-	case *pb.Frame_ListCall:
+	case *pb.Frame_NodeListRequest:
 		c.add("polls of an allocator", sender, 0)
-	case *pb.Frame_Probe:
+	case *pb.Frame_HealthCheck:
 		c.add("health checks of an allocator", sender, 0)
 	}
 }
@@ -274,7 +274,7 @@
 	counts := retryCounts{}
 	for _, event := range h.Events() {
 		if answer := event.Frame.GetAnswer(); answer != nil && event.Kind == observer.FrameReceived {
-			counts.add("answers to a request", event.Process.Name, answer.Ask)
+			counts.add("answers to a request", event.Process.Name, answer.RequestId)
 		}
 		if event.Kind == observer.FrameSent && event.Process.Role != pb.Role_NODE {
 			counts.frameSent(event.Process.Name, event.Frame)
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -99,7 +99,7 @@
 func (d *Run) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
 
 func (d *Run) newDiscovery() *network.Interceptor {
-	return network.NewInterceptor("list", pb.Role_LIST, 0, d.observer, func(inc uint64) transport.FrameHandler { return emulator.NewDiscoveryService(&d.script.Discovery, inc) })
+	return network.NewInterceptor("list", pb.Role_DISCOVERY, 0, d.observer, func(inc uint64) transport.FrameHandler { return emulator.NewDiscoveryService(&d.script.Discovery, inc) })
 }
 
 // addNodes adds the nodes. Kinds and zones are assigned at random, so that no zone has nodes of one kind only.
@@ -153,7 +153,7 @@
 	}
 	for i := range s.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := network.NewInterceptor(name, pb.Role_OWNER, i, d.observer, func(uint64) transport.FrameHandler {
+		g := network.NewInterceptor(name, pb.Role_CLIENT, i, d.observer, func(uint64) transport.FrameHandler {
 			return emulator.NewClient(name, i, &client, d.opts.Seed)
 		})
 		d.clients = append(d.clients, g)
@@ -178,7 +178,7 @@
 			case runs:
 				t.RunningSince = now
 			default:
-				spec.CoreTime += t.Offer.Ask.Cores * float64(now-t.RunningSince)
+				spec.CoreTime += t.Offer.Request.Cores * float64(now-t.RunningSince)
 			}
 		}
 		return n
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -14,7 +14,7 @@
 
 // sampleRequest is a request for which an echoHandler sends eight answers.
 func sampleRequest() *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{Ask: 7, Key: 8, Group: "serve", Cores: 1.5, LeftMs: 6000}}}
+	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{RequestId: 7, Key: 8, Group: "serve", Cores: 1.5, PendingTimeoutMs: 6000}}}
 }
 
 func TestSplitFrame_CutAnywhereIsIncomplete(t *testing.T) {
@@ -46,7 +46,7 @@
 	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, as a later minor version might add
 	f, err := DecodeFrame(later)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), f.GetAsk().Ask)
+	assert.Equal(t, uint64(7), f.GetPlaceRequest().RequestId)
 	_, err = DecodeFrame(later[len(body):])
 	assert.ErrorContains(t, err, "holds nothing that version 1.1 knows")
 }
--- a/internal/transport/hello_test.go
+++ b/internal/transport/hello_test.go
@@ -13,7 +13,7 @@
 
 func TestCheckHello_Accepted(t *testing.T) {
 	for name, hello := range map[string]*pb.Hello{
-		"client":                 {Role: pb.Role_OWNER, Name: "c"},
+		"client":                 {Role: pb.Role_CLIENT, Name: "c"},
 		"operator without name":  {Role: pb.Role_OPERATOR},
 		"allocator, incarnation": {Role: pb.Role_ALLOCATOR, Name: "a", Incarnation: 3},
 	} {
@@ -32,7 +32,7 @@
 }
 
 func TestCheckHello_Rejected_ErrorAndReason(t *testing.T) {
-	otherMajor := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "c"})
+	otherMajor := transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: "c"})
 	otherMajor.GetHello().Major, otherMajor.GetHello().Minor = 2, 1
 	for name, c := range map[string]struct {
 		frame  *pb.Frame
@@ -40,11 +40,11 @@
 		reason string
 	}{
 		"refusal":      {transport.RefusalFrame("full"), &transport.RefusedError{Reason: "full"}, "the peer refused: full"},
-		"other frame":  {&pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}, transport.ErrNotHello, "the first frame must be a hello"},
+		"other frame":  {&pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{}}}, transport.ErrNotHello, "the first frame must be a hello"},
 		"empty frame":  {&pb.Frame{}, transport.ErrNotHello, "the first frame must be a hello"},
 		"other major":  {otherMajor, &transport.VersionError{Major: 2, Minor: 1}, "version 2.1 is not spoken here; this side speaks 1.x"},
 		"without role": {transport.HelloFrame(&pb.Hello{Name: "c"}), transport.ErrNoRole, "the hello names no role"},
-		"without name": {transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER}), transport.ErrNoName, "the hello names no name"},
+		"without name": {transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT}), transport.ErrNoName, "the hello names no name"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, err := transport.CheckHello(c.frame)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -52,12 +52,12 @@
 	e.mu.Lock()
 	e.requests++
 	e.mu.Unlock()
-	request := f.GetAsk()
+	request := f.GetPlaceRequest()
 	if request == nil {
 		return
 	}
 	for range max(1, request.Key) {
-		e.network.Send(c, &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{Ask: request.Ask, Reason: request.Group}}})
+		e.network.Send(c, &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{RequestId: request.RequestId, Reason: request.Group}}})
 	}
 }
 
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -34,7 +34,7 @@
 	write(t, good, sampleRequest())
 	f, err := read(good)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), f.GetAnswer().Ask)
+	assert.Equal(t, uint64(7), f.GetAnswer().RequestId)
 }
 
 func TestLoop_FrameInPiecesIsOneFrame(t *testing.T) {
@@ -81,7 +81,7 @@
 	l, e, addr := startEcho(t, Limits{MaxFrameSize: 1 << 20, MaxWriteBuffer: 256 << 10, MaxConnections: 10})
 	slow, quick := dial(t, addr), dial(t, addr)
 	flood := sampleRequest()
-	flood.GetAsk().Key, flood.GetAsk().Group = 300, string(make([]byte, 60000))
+	flood.GetPlaceRequest().Key, flood.GetPlaceRequest().Group = 300, string(make([]byte, 60000))
 	write(t, slow, flood)
 	reasons := e.closeReasons(t, 1)
 	require.EqualError(t, reasons[0], "peer does not read: over 262144 bytes wait to be written")
@@ -117,7 +117,7 @@
 	require.NoError(t, first.Close())
 	f, err := read(third)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), f.GetAnswer().Ask)
+	assert.Equal(t, uint64(7), f.GetAnswer().RequestId)
 }
 
 // exchange sends a request with an ID on a connection of its own and checks the answer.
@@ -128,7 +128,7 @@
 	}
 	defer func() { _ = c.Close() }() // the answer was read, or another error is reported
 	request := sampleRequest()
-	request.GetAsk().Ask = id
+	request.GetPlaceRequest().RequestId = id
 	if err := sendFrame(c, request); err != nil {
 		return err
 	}
@@ -136,8 +136,8 @@
 	if err != nil {
 		return err
 	}
-	if f.GetAnswer().Ask != id {
-		return fmt.Errorf("%d got the answer to %d", id, f.GetAnswer().Ask)
+	if f.GetAnswer().RequestId != id {
+		return fmt.Errorf("%d got the answer to %d", id, f.GetAnswer().RequestId)
 	}
 	return nil
 }
@@ -198,10 +198,10 @@
 	go func() { l.Close(); close(closed) }()
 	<-w.queue.closed
 	close(h.resume)
-	for range 2 * sampleRequest().GetAsk().Key { // so many answers to each
+	for range 2 * sampleRequest().GetPlaceRequest().Key { // so many answers to each
 		f, err := read(c)
 		require.NoError(t, err)
-		assert.Equal(t, uint64(7), f.GetAnswer().Ask)
+		assert.Equal(t, uint64(7), f.GetAnswer().RequestId)
 	}
 	<-closed
 }
@@ -212,7 +212,7 @@
 	c := dial(t, addr)
 	require.NoError(t, c.(*net.TCPConn).SetReadBuffer(64<<10))
 	long := sampleRequest()
-	long.GetAsk().Key, long.GetAsk().Group = 100, string(make([]byte, 60000))
+	long.GetPlaceRequest().Key, long.GetPlaceRequest().Group = 100, string(make([]byte, 60000))
 	write(t, c, long)
 	e.waitUntil(t, func() bool { return e.requests == 1 })
 	w, closed := l.worker(e), make(chan struct{})
@@ -262,7 +262,7 @@
 
 func (o *orderHandler) Received(_ placement.Millis, _ ConnID, f *pb.Frame) {
 	o.mu.Lock()
-	o.keys = append(o.keys, f.GetAsk().Key)
+	o.keys = append(o.keys, f.GetPlaceRequest().Key)
 	o.mu.Unlock()
 	o.block()
 }
@@ -287,7 +287,7 @@
 	o.waitUntil(t, func() bool { return o.opened == 1 })
 	withKey := func(key uint64) *pb.Frame {
 		f := sampleRequest()
-		f.GetAsk().Key = key
+		f.GetPlaceRequest().Key = key
 		return f
 	}
 	c := dial(t, addr)
@@ -322,7 +322,7 @@
 	l, addr := start(t, h, DefaultLimits)
 	c := dial(t, addr)
 	request := sampleRequest()
-	request.GetAsk().Key = 1 // one answer each
+	request.GetPlaceRequest().Key = 1 // one answer each
 	write(t, c, request)
 	<-h.seen
 	write(t, c, request)
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -32,21 +32,21 @@
 	records = []*Record{
 		{Body: &tracepb.Record_Start{Start: &tracepb.Start{
 			Source: s, Seed: id(0xfeedfacecafebeef), Groups: []string{text("Berg")}, Kinds: []string{text("Dal")},
-			Zones: []string{text("Holm")}, Settings: &tracepb.Settings{Zone: 51234, Kinds: []*tracepb.Size{{Cores: 3.3}}},
+			Zones: []string{text("Holm")}, Settings: &tracepb.Settings{Zone: 51234, NodeKinds: []*tracepb.NodeKind{{Cores: 3.3}}},
 		}}},
-		{Body: &tracepb.Record_Place{Place: &tracepb.Place{Workload: w}}, Step: &tracepb.Step{Node: small(0x61524334)}},
+		{Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: w}}, Step: &tracepb.Step{Node: small(0x61524334)}},
 		{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{Workload: w, Node: small(0x61524335)}}},
-		{Body: &tracepb.Record_List{List: &tracepb.List{Nodes: []*tracepb.Node{{Id: small(0x61524336), Cell: 61111, Zone: 62222}}}}},
-		{Body: &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}, Chores: &tracepb.Chores{
-			Moves: []uint32{small(0x61524337)}, Probes: []uint32{small(0x61524338)},
+		{Body: &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Nodes: []*tracepb.Node{{Id: small(0x61524336), Cell: 61111, Zone: 62222}}}}},
+		{Body: &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}, Maintenance: &tracepb.Maintenance{
+			Migrations: []uint32{small(0x61524337)}, HealthChecks: []uint32{small(0x61524338)},
 		}},
-		{Body: &tracepb.Record_Asked{Asked: &tracepb.Asked{
-			Workload: w.Id, Owner: text("Ek"), Ask: id(0x0102030405060709), Key: id(0x1f2e3d4c5b6a7988),
+		{Body: &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{
+			Workload: w.Id, Client: text("Ek"), RequestId: id(0x0102030405060709), Key: id(0x1f2e3d4c5b6a7988),
 		}}},
-		{Body: &tracepb.Record_Refused{Refused: &tracepb.Refused{Workload: w.Id, Node: small(0x61524339), Text: text("Sand")}}},
-		{Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{Workload: w.Id, Node: small(0x6152433a), Text: text("Lund")}}},
-		{Body: &tracepb.Record_Heard{Heard: &tracepb.Heard{Epoch: id(0x2a3b4c5d6e7f8091), Revision: id(0x2a3b4c5d6e7f8092)}}},
-		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Why: text("Strand")}}},
+		{Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{Workload: w.Id, Node: small(0x61524339), Text: text("Sand")}}},
+		{Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: w.Id, Node: small(0x6152433a), Text: text("Lund")}}},
+		{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: &tracepb.DiscoveryUpdated{Epoch: id(0x2a3b4c5d6e7f8091), Revision: id(0x2a3b4c5d6e7f8092)}}},
+		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Reason: text("Strand")}}},
 	}
 	for i, r := range records {
 		r.Revision = uint64(i + 1)
@@ -91,8 +91,8 @@
 			assert.False(t, bytes.Contains(raw, form), "%x as %x", v, form)
 		}
 	}
-	assert.Equal(t, got[1].GetPlace().Workload.Id, got[6].GetRefused().Workload, "the same name has the same pseudonym")
-	assert.InDelta(t, 4, got[1].GetPlace().Workload.Cores, 0, "rounded")
+	assert.Equal(t, got[1].GetSchedule().Workload.Id, got[6].GetOfferRejected().Workload, "the same name has the same pseudonym")
+	assert.InDelta(t, 4, got[1].GetSchedule().Workload.Cores, 0, "rounded")
 	assert.True(t, r.Header.Anonymised)
 }
 
--- a/trace/export.go
+++ b/trace/export.go
@@ -80,17 +80,17 @@
 	case *tracepb.Record_Start:
 		e.groups[source] = b.Start.Groups
 		return Row{}, false
-	case *tracepb.Record_Asked:
-		requested := e.workload(source, b.Asked.Workload)
-		requested.Client, requested.Key = b.Asked.Owner, b.Asked.Key
+	case *tracepb.Record_RequestReceived:
+		requested := e.workload(source, b.RequestReceived.Workload)
+		requested.Client, requested.Key = b.RequestReceived.Client, b.RequestReceived.Key
 		return Row{}, false
-	case *tracepb.Record_Place:
-		o = e.request(source, b.Place.GetWorkload(), "place", at)
+	case *tracepb.Record_Schedule:
+		o = e.request(source, b.Schedule.GetWorkload(), "place", at)
 	case *tracepb.Record_Adopt:
 		o = e.request(source, b.Adopt.GetWorkload(), "adopt", at)
-	case *tracepb.Record_Next:
-		o = e.workload(source, b.Next.Workload)
-		o.Call, o.Reason = ResultName(b.Next.Kind, unknownKind), b.Next.Reason
+	case *tracepb.Record_StepResult:
+		o = e.workload(source, b.StepResult.Workload)
+		o.Call, o.Reason = ResultName(b.StepResult.Kind, unknownKind), b.StepResult.Reason
 		o.SinceRequestMs += at - o.AtUnixMs
 		o.AtUnixMs = at
 	default:
@@ -114,7 +114,7 @@
 
 func (e *exporter) request(source SourceKey, w *tracepb.Workload, call string, at float64) *Row {
 	o := e.workload(source, w.GetId())
-	o.Service, o.Cores, o.Memory, o.Retried = w.GetService(), w.GetCores(), w.GetMemory(), w.GetAgain()
+	o.Service, o.Cores, o.Memory, o.Retried = w.GetService(), w.GetCores(), w.GetMemory(), w.GetRetried()
 	o.Group, o.Call, o.SinceRequestMs = nameOr(e.groups[source], w.GetGroup(), unknownKind), call, 0
 	o.AtUnixMs = at
 	return o
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -74,7 +74,7 @@
 func (s *fileSeries) gapBefore(r *Record) *Record {
 	return &Record{
 		AtMs: r.AtMs, Revision: r.Revision - 1, Source: r.Source,
-		Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: s.lost, Why: s.lostReason}},
+		Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: s.lost, Reason: s.lostReason}},
 	}
 }
 
--- a/trace/helpers_test.go
+++ b/trace/helpers_test.go
@@ -19,7 +19,7 @@
 func placed(at float64, revision uint64, id uint32) *Record {
 	return &Record{
 		AtMs: at, Revision: revision, Step: &tracepb.Step{Node: 7, Timeout: 3000},
-		Body: &tracepb.Record_Place{Place: &tracepb.Place{Workload: &tracepb.Workload{Id: id, Service: uint64(id), Cores: 1.5}}},
+		Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: &tracepb.Workload{Id: id, Service: uint64(id), Cores: 1.5}}},
 	}
 }
 
@@ -81,19 +81,19 @@
 	case 0:
 		r.Body = &tracepb.Record_Report{Report: &tracepb.Report{Node: rapid.Uint32().Draw(t, "node"), Load: load}}
 	case 1:
-		r.Body = &tracepb.Record_Next{Next: &tracepb.Next{Workload: rapid.Uint32().Draw(t, "wl"), Load: load}}
-		r.Step = &tracepb.Step{Kind: 1, Until: rapid.Float64().Draw(t, "until")}
+		r.Body = &tracepb.Record_StepResult{StepResult: &tracepb.StepResult{Workload: rapid.Uint32().Draw(t, "wl"), Load: load}}
+		r.Step = &tracepb.Step{Kind: 1, WakeAt: rapid.Float64().Draw(t, "until")}
 	case 2:
-		r.Body = &tracepb.Record_Upkeep{Upkeep: &tracepb.Upkeep{}}
-		r.Chores = &tracepb.Chores{Moves: rapid.SliceOf(rapid.Uint32()).Draw(t, "moves")}
+		r.Body = &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}
+		r.Maintenance = &tracepb.Maintenance{Migrations: rapid.SliceOf(rapid.Uint32()).Draw(t, "moves")}
 	case 3:
-		r.Body = &tracepb.Record_Asked{Asked: &tracepb.Asked{Owner: rapid.String().Draw(t, "owner"), Key: rapid.Uint64().Draw(t, "key")}}
+		r.Body = &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{Client: rapid.String().Draw(t, "owner"), Key: rapid.Uint64().Draw(t, "key")}}
 	case 4:
 		nodes := make([]*tracepb.Node, rapid.IntRange(0, 20).Draw(t, "nodes"))
 		for i := range nodes {
-			nodes[i] = &tracepb.Node{Id: uint32(i), Born: rapid.Float64().Draw(t, "born")}
+			nodes[i] = &tracepb.Node{Id: uint32(i), StartedAt: rapid.Float64().Draw(t, "born")}
 		}
-		r.Body = &tracepb.Record_List{List: &tracepb.List{Nodes: nodes}}
+		r.Body = &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Nodes: nodes}}
 	default:
 		return placed(r.AtMs, r.Revision, rapid.Uint32().Draw(t, "id"))
 	}
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -118,7 +118,7 @@
 	}
 	in.ranges[place] = revisionRange{min(revisions.first, rec.Revision), max(revisions.last, rec.Revision)}
 	in.left[place]++
-	if h := rec.GetHeard(); h != nil {
+	if h := rec.GetDiscoveryUpdated(); h != nil {
 		m.noteListRevision(place, listRevision{h.Epoch, h.Revision}, in.r.UnixMillis(rec))
 	}
 	return nil
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -72,7 +72,7 @@
 
 func TestMerge_ReportsClocksThatDiffer(t *testing.T) {
 	heard := func(name string, wall float64) []byte {
-		h := &Record{Revision: 1, Body: &tracepb.Record_Heard{Heard: &tracepb.Heard{Epoch: 1, Revision: 5}}}
+		h := &Record{Revision: 1, Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: &tracepb.DiscoveryUpdated{Epoch: 1, Revision: 5}}}
 		return file(t, &tracepb.Header{Sources: []*tracepb.Source{source(name, 1, wall)}}, []*Record{h}, 1)
 	}
 	_, report := merge(t, heard("a", 10e3), heard("b", 15e3), heard("c", 10.2e3))
--- a/trace/reader_test.go
+++ b/trace/reader_test.go
@@ -105,7 +105,7 @@
 	require.NoError(t, w.Close())
 	got, damaged := all(reader(t, raw.Bytes()), Span{})
 	assert.Zero(t, damaged)
-	assert.Equal(t, uint32(9), got[0].GetPlace().Workload.Id)
+	assert.Equal(t, uint32(9), got[0].GetSchedule().Workload.Id)
 }
 
 func TestNewReader_OtherFilesAreErrors(t *testing.T) {
@@ -123,7 +123,7 @@
 }
 
 func TestWriter_LargeRecordHasBlockOfItsOwn(t *testing.T) {
-	big := &Record{Revision: 2, Body: &tracepb.Record_Refused{Refused: &tracepb.Refused{Text: strings.Repeat("x", 5*targetBlockSize)}}}
+	big := &Record{Revision: 2, Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{Text: strings.Repeat("x", 5*targetBlockSize)}}}
 	records := []*Record{placed(1, 1, 1), big, placed(2, 3, 2)}
 	r := reader(t, file(t, one, records, 100))
 	got, _ := all(r, Span{})
@@ -131,7 +131,7 @@
 	assert.Equal(t, 3, r.Blocks())
 	w, err := NewWriter(io.Discard, one)
 	require.NoError(t, err)
-	big.GetRefused().Text = strings.Repeat("x", maxBlockSize)
+	big.GetOfferRejected().Text = strings.Repeat("x", maxBlockSize)
 	err = w.Append(big)
 	require.ErrorContains(t, err, "over the limit")
 	require.ErrorAs(t, err, new(SizeError))
--- a/trace/recorder_test.go
+++ b/trace/recorder_test.go
@@ -102,7 +102,7 @@
 	assert.Equal(t, uint64(3), got[0].GetGap().GetMissing())
 	assert.Equal(t, uint64(3), got[0].Revision)
 	assert.Equal(t, uint64(7), got[3].GetGap().GetMissing())
-	assert.Equal(t, "the queue was full", got[3].GetGap().GetWhy())
+	assert.Equal(t, "the queue was full", got[3].GetGap().GetReason())
 	same(t, records[3:5], got[1:3])
 }
 
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -112,17 +112,17 @@
 	switch b := r.Body.(type) {
 	case *tracepb.Record_Start:
 		t.groupNames[source] = b.Start.Groups
-	case *tracepb.Record_Place:
-		t.countRequest(source, b.Place.GetWorkload(), r.Step, at)
-	case *tracepb.Record_Next:
-		if p := t.pending[workloadKey{source, b.Next.Workload}]; p != nil {
-			t.countResult(p, b.Next)
+	case *tracepb.Record_Schedule:
+		t.countRequest(source, b.Schedule.GetWorkload(), r.Step, at)
+	case *tracepb.Record_StepResult:
+		if p := t.pending[workloadKey{source, b.StepResult.Workload}]; p != nil {
+			t.countResult(p, b.StepResult)
 			p.countBind(r.Step)
 		}
-	case *tracepb.Record_Answered:
-		k := workloadKey{source, b.Answered.Workload}
+	case *tracepb.Record_RequestAnswered:
+		k := workloadKey{source, b.RequestAnswered.Workload}
 		if p := t.pending[k]; p != nil {
-			p.countAnswer(b.Answered.Verdict, at)
+			p.countAnswer(b.RequestAnswered.Verdict, at)
 			delete(t.pending, k)
 		}
 	case *tracepb.Record_Gap:
@@ -163,7 +163,7 @@
 	}
 }
 
-func (t *tally) countResult(p *pendingWorkload, n *tracepb.Next) {
+func (t *tally) countResult(p *pendingWorkload, n *tracepb.StepResult) {
 	switch n.Kind {
 	case resultRejectedByNode:
 		reason := RejectionName(n.Reason, fmt.Sprintf("reason %d", n.Reason))
