--- a/trace/summary_test.go
+++ b/trace/summary_test.go
@@ -17,10 +17,10 @@
 	start := &Record{Revision: 1, Body: &tracepb.Record_Start{Start: &tracepb.Start{Groups: []string{"serve"}}}}
 	rejectedByNode := &Record{
 		AtMs: 20, Revision: 3, Step: &tracepb.Step{Kind: stepRejected},
-		Body: &tracepb.Record_Next{Next: &tracepb.Next{Workload: 1, Kind: resultRejectedByNode, Reason: 2}},
+		Body: &tracepb.Record_StepResult{StepResult: &tracepb.StepResult{Workload: 1, Kind: resultRejectedByNode, Reason: 2}},
 	}
 	answer := func(at float64, id, verdict uint32) *Record {
-		return &Record{AtMs: at, Revision: 9, Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{Workload: id, Verdict: verdict}}}
+		return &Record{AtMs: at, Revision: 9, Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: id, Verdict: verdict}}}
 	}
 	return reader(t, file(t, one, []*Record{
 		start, placed(10, 2, 1), rejectedByNode, answer(20, 1, verdictRejected), placed(30, 4, 2), answer(75, 2, verdictPlaced),
@@ -39,7 +39,7 @@
 }
 
 func TestSummarise_WaitBeyondHistogramCountsAsItsMaximum(t *testing.T) {
-	answer := &Record{AtMs: 1e9, Revision: 3, Body: &tracepb.Record_Answered{Answered: &tracepb.Answered{Workload: 1, Verdict: verdictPlaced}}}
+	answer := &Record{AtMs: 1e9, Revision: 3, Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: 1, Verdict: verdictPlaced}}}
 	s, err := Summarise([]*Reader{reader(t, file(t, one, []*Record{placed(0, 2, 1), answer}, 10))})
 	require.NoError(t, err)
 	assert.Equal(t, 1, s.Groups[0].Placed)
--- a/trace/verify.go
+++ b/trace/verify.go
@@ -39,7 +39,7 @@
 	last[rec.Source] = rec.Revision
 	if g := rec.GetGap(); g != nil {
 		c.Missing += g.Missing
-		c.Wrong = append(c.Wrong, fmt.Sprintf("%d records are missing before revision %d: %s", g.Missing, rec.Revision+1, g.Why))
+		c.Wrong = append(c.Wrong, fmt.Sprintf("%d records are missing before revision %d: %s", g.Missing, rec.Revision+1, g.Reason))
 		return
 	}
 	if known && rec.Revision != previous+1 {
