--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -18,7 +18,7 @@
 	discovery string // address of the discovery service
 	mu        sync.Mutex
 	starts    map[uint64]int
-	running   map[uint32][]*pb.Standing // by node
+	running   map[uint32][]*pb.RunningWorkload // by node
 }
 
 func newCluster(t *testing.T, nodes int) *cluster {
@@ -26,10 +26,10 @@
 	emulated := &cluster{
 		t:       t,
 		starts:  map[uint64]int{},
-		running: map[uint32][]*pb.Standing{},
+		running: map[uint32][]*pb.RunningWorkload{},
 	}
-	snapshot := &pb.ListUpdate{
-		Kind:     pb.ListUpdate_WHOLE,
+	snapshot := &pb.NodeListUpdate{
+		Kind:     pb.NodeListUpdate_SNAPSHOT,
 		Epoch:    1,
 		Revision: 1,
 	}
@@ -50,30 +50,30 @@
 		return nil
 	}
 	return &pb.NodeEntry{
-		Id:         id,
-		Kind:       "k",
-		Zone:       "z",
-		Cell:       fmt.Sprint(id),
-		Boot:       1,
-		UpForMs:    -1,
-		FreeCores:  1000,
-		FreeMemory: 1000,
-		Address:    c.listen(greet, handle),
+		Id:          id,
+		Kind:        "k",
+		Zone:        "z",
+		Cell:        fmt.Sprint(id),
+		Incarnation: 1,
+		UpForMs:     -1,
+		FreeCores:   1000,
+		FreeMemory:  1000,
+		Address:     c.listen(greet, handle),
 	}
 }
 
 // startDiscovery starts a discovery service that sends one snapshot, and returns its address.
-func (c *cluster) startDiscovery(snapshot *pb.ListUpdate) string {
+func (c *cluster) startDiscovery(snapshot *pb.NodeListUpdate) string {
 	greet := func(p *peer) error {
 		hello := &pb.Hello{
-			Role:        pb.Role_LIST,
+			Role:        pb.Role_DISCOVERY,
 			Name:        "l",
 			Incarnation: 1,
 		}
 		if err := p.send(transport.HelloFrame(hello)); err != nil {
 			return err
 		}
-		return p.send(&pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: snapshot}})
+		return p.send(&pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: snapshot}})
 	}
 	return c.listen(greet, func(*peer, *pb.Frame) error { return nil })
 }
@@ -121,12 +121,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.send(transport.HelloFrame(&pb.Hello{
-		Role:        pb.Role_NODE,
-		Name:        "n",
-		Node:        id,
-		Incarnation: 1,
-		UpForMs:     -1,
-		Standing:    c.running[id],
+		Role:             pb.Role_NODE,
+		Name:             "n",
+		Node:             id,
+		Incarnation:      1,
+		UpForMs:          -1,
+		RunningWorkloads: c.running[id],
 	}))
 }
 
@@ -147,14 +147,14 @@
 func (c *cluster) handleOffer(p *peer, id uint32, offer *pb.Offer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := offer.Ask.Key
+	key := offer.Request.Key
 	c.starts[key]++
 	if fateOf(key) != fateUnconfirmedAndEnds {
-		c.running[id] = append(c.running[id], &pb.Standing{Offer: offer, Running: true})
+		c.running[id] = append(c.running[id], &pb.RunningWorkload{Offer: offer, Running: true})
 	}
 	if fateOf(key) != fateConfirmedAndRuns {
 		return nil
 	}
-	confirmation := &pb.OfferAnswer{Bind: offer.Bind, Accepted: true}
-	return p.send(&pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: confirmation}})
+	confirmation := &pb.OfferReply{Bind: offer.Bind, Accepted: true}
+	return p.send(&pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: confirmation}})
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -66,13 +66,13 @@
 		return reply{err: err}
 	}
 	defer conn.close()
-	err = conn.send(&pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask:    1,
-		Key:    number,
-		Group:  "serve",
-		Cores:  1,
-		Memory: 1,
-		LeftMs: 5000,
+	err = conn.send(&pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId:        1,
+		Key:              number,
+		Group:            "serve",
+		Cores:            1,
+		Memory:           1,
+		PendingTimeoutMs: 5000,
 	}}})
 	if err != nil {
 		return reply{err: err}
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -32,7 +32,7 @@
 	}
 	p := newPeer(conn)
 	hello := &pb.Hello{
-		Role:        pb.Role_OWNER,
+		Role:        pb.Role_CLIENT,
 		Name:        name,
 		Incarnation: incarnation,
 	}
--- a/internal/daemon/retryingclient_test.go
+++ b/internal/daemon/retryingclient_test.go
@@ -54,15 +54,15 @@
 
 // requestFrame returns a request for a workload that must not start twice.
 func requestFrame(number, key uint64) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask:       number,
-		Key:       key,
-		Service:   key % 5,
-		Group:     "once",
-		Cores:     1,
-		Memory:    1,
-		LeftMs:    2000,
-		RunsForMs: 1e6,
+	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId:         number,
+		Key:               key,
+		Service:           key % 5,
+		Group:             "once",
+		Cores:             1,
+		Memory:            1,
+		PendingTimeoutMs:  2000,
+		ExpectedRuntimeMs: 1e6,
 	}}}
 }
 
@@ -77,9 +77,9 @@
 		if answer == nil {
 			continue
 		}
-		key, expected := sent[answer.Ask]
+		key, expected := sent[answer.RequestId]
 		require.True(c.t, expected, "a second answer, or one to no request")
-		delete(sent, answer.Ask)
+		delete(sent, answer.RequestId)
 		c.record(key, answer)
 	}
 	return nil
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -16,7 +16,7 @@
 	loop, handler, client := startBlocked(t)
 	closed := beginClose(loop, handler)
 	close(handler.resume)
-	for range 2 * sampleRequest().GetAsk().Key { // the number of answers to two requests
+	for range 2 * sampleRequest().GetPlaceRequest().Key { // the number of answers to two requests
 		assertSampleAnswer(t, client)
 	}
 	<-closed
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -14,12 +14,12 @@
 
 // sampleRequest returns a request that an echoHandler answers eight times.
 func sampleRequest() *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_Ask{Ask: &pb.Ask{
-		Ask:    7,
-		Key:    8,
-		Group:  "serve",
-		Cores:  1.5,
-		LeftMs: 6000,
+	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+		RequestId:        7,
+		Key:              8,
+		Group:            "serve",
+		Cores:            1.5,
+		PendingTimeoutMs: 6000,
 	}}}
 }
 
@@ -52,7 +52,7 @@
 	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, such as a later minor version might add
 	f, err := DecodeFrame(later)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), f.GetAsk().Ask)
+	assert.Equal(t, uint64(7), f.GetPlaceRequest().RequestId)
 	_, err = DecodeFrame(later[len(body):])
 	assert.ErrorContains(t, err, "holds nothing that version 1.1 knows")
 }
--- a/internal/transport/handlers_test.go
+++ b/internal/transport/handlers_test.go
@@ -48,11 +48,11 @@
 	e.mu.Lock()
 	e.requests++
 	e.mu.Unlock()
-	request := f.GetAsk()
+	request := f.GetPlaceRequest()
 	if request == nil {
 		return
 	}
-	answer := &pb.Answer{Ask: request.Ask, Reason: request.Group}
+	answer := &pb.Answer{RequestId: request.RequestId, Reason: request.Group}
 	for range max(1, request.Key) {
 		e.network.Send(c, &pb.Frame{Body: &pb.Frame_Answer{Answer: answer}})
 	}
@@ -61,8 +61,8 @@
 // floodRequest returns a request that an echoHandler answers so many times, with 60 kB each.
 func floodRequest(answers uint64) *pb.Frame {
 	f := sampleRequest()
-	f.GetAsk().Key = answers
-	f.GetAsk().Group = string(make([]byte, 60000))
+	f.GetPlaceRequest().Key = answers
+	f.GetPlaceRequest().Group = string(make([]byte, 60000))
 	return f
 }
 
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -111,5 +111,5 @@
 	t.Helper()
 	f, err := read(r)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), f.GetAnswer().Ask)
+	assert.Equal(t, uint64(7), f.GetAnswer().RequestId)
 }
--- a/internal/transport/hello_test.go
+++ b/internal/transport/hello_test.go
@@ -12,7 +12,7 @@
 
 func TestCheckHello_Accepted(t *testing.T) {
 	for name, hello := range map[string]*pb.Hello{
-		"client":                {Role: pb.Role_OWNER, Name: "c"},
+		"client":                {Role: pb.Role_CLIENT, Name: "c"},
 		"operator without name": {Role: pb.Role_OPERATOR},
 		"allocator, incarnation": {
 			Role:        pb.Role_ALLOCATOR,
@@ -36,7 +36,7 @@
 
 func TestCheckHello_Rejected_ErrorAndReason(t *testing.T) {
 	t.Run("other major", func(t *testing.T) {
-		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER, Name: "c"})
+		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: "c"})
 		f.GetHello().Major = 2
 		f.GetHello().Minor = 1
 		want := &transport.VersionError{Major: 2, Minor: 1}
@@ -47,7 +47,7 @@
 		assertRejected(t, f, transport.ErrNoRole, "the hello names no role")
 	})
 	t.Run("without name", func(t *testing.T) {
-		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_OWNER})
+		f := transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT})
 		assertRejected(t, f, transport.ErrNoName, "the hello names no name")
 	})
 }
@@ -58,7 +58,7 @@
 		assertRejected(t, transport.RefusalFrame("full"), want, "the peer refused: full")
 	})
 	t.Run("other frame", func(t *testing.T) {
-		f := &pb.Frame{Body: &pb.Frame_Probe{Probe: &pb.Probe{}}}
+		f := &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{}}}
 		assertRejected(t, f, transport.ErrNotHello, "the first frame must be a hello")
 	})
 	t.Run("empty frame", func(t *testing.T) {
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -32,7 +32,7 @@
 	}
 	defer func() { _ = conn.Close() }() // the answer was read, or another error is reported
 	request := sampleRequest()
-	request.GetAsk().Ask = id
+	request.GetPlaceRequest().RequestId = id
 	if err := sendFrame(conn, request); err != nil {
 		return err
 	}
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	if f.GetAnswer().Ask != id {
-		return fmt.Errorf("%d got the answer to %d", id, f.GetAnswer().Ask)
+	if f.GetAnswer().RequestId != id {
+		return fmt.Errorf("%d got the answer to %d", id, f.GetAnswer().RequestId)
 	}
 	return nil
 }
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -31,7 +31,7 @@
 
 func (o *orderHandler) Received(_ placement.Millis, _ ConnID, f *pb.Frame) {
 	o.mu.Lock()
-	o.keys = append(o.keys, f.GetAsk().Key)
+	o.keys = append(o.keys, f.GetPlaceRequest().Key)
 	o.mu.Unlock()
 	o.block()
 }
@@ -39,7 +39,7 @@
 // requestWithKey is a sampleRequest with another key.
 func requestWithKey(key uint64) *pb.Frame {
 	f := sampleRequest()
-	f.GetAsk().Key = key
+	f.GetPlaceRequest().Key = key
 	return f
 }
 
