--- a/internal/frontend/native/gangs.go
+++ b/internal/frontend/native/gangs.go
@@ -104,7 +104,8 @@
 			delete(t.byRequest, g.id)
 		}
 	}
-	if g.tracedState != g.state.State {
+	// A trace holds the state's text, and some states share one.
+	if g.tracedState.String() != g.state.State.String() {
 		t.recorder.gangState(now, g)
 	}
 	g.tracedState = g.state.State
--- a/internal/gang/action.go
+++ b/internal/gang/action.go
@@ -7,16 +7,26 @@
 
 // The kinds of actions.
 const (
-	Attempt             ActionKind = iota // request Parts, at least MinParts of them together or none, and call AttemptResult
-	RequestPart                           // request Part by itself
-	StopPart                              // stop Part, wherever it is
-	AnswerPlaced                          // answer the client that the gang runs
-	AnswerRejected                        // answer that a retry does no harm
-	AnswerUnschedulable                   // answer that a part may have run
-	ConfirmParts                          // notify the nodes of the running parts that the gang runs
-	ReportEnd                             // notify the client that the running gang has ended
-	SetTimer                              // call TimerFired at At
-	Forget                                // the gang is called no more
+	// Attempt: request Parts, at least MinParts of them together or none, and call AttemptResult.
+	Attempt ActionKind = iota
+	// RequestPart: request Part by itself.
+	RequestPart
+	// StopPart: stop Part, wherever it is.
+	StopPart
+	// AnswerPlaced: answer the client that the gang runs.
+	AnswerPlaced
+	// AnswerRejected: answer the client that a retry does no harm.
+	AnswerRejected
+	// AnswerUnschedulable: answer the client that a part may have run.
+	AnswerUnschedulable
+	// ConfirmParts: notify the nodes of the running parts that the gang runs.
+	ConfirmParts
+	// ReportEnd: notify the client that the running gang has ended.
+	ReportEnd
+	// SetTimer: call TimerFired at At.
+	SetTimer
+	// Forget: make no further call for the gang.
+	Forget
 )
 
 // Action is one thing that the caller is to do.
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -220,7 +220,7 @@
 		for len(open) > 0 {
 			m := open[len(open)-1]
 			open = open[:len(open)-1]
-			key := fmt.Sprintf("%+v", m)
+			key := fmt.Sprintf("%#v", m)
 			if seen[key] {
 				continue
 			}
--- /dev/null
+++ b/internal/gang/run.go
@@ -0,0 +1,46 @@
+package gang
+
+import (
+	"slices"
+
+	"grebeglade/placement"
+)
+
+// completeRun ends a running gang once no part is active.
+func (g *Gang) completeRun() []Action {
+	if g.hasActiveParts() {
+		return nil
+	}
+	return append([]Action{{Kind: ReportEnd}}, g.end()...)
+}
+
+// handleLoss goes on with a running gang of which a part has ended or could not be replaced. The part was in the given
+// state before.
+func (g *Gang) handleLoss(now placement.Millis, before PartState) []Action {
+	if g.count(PartFinished) > 0 || g.count(PartRequested, PartRunning) >= g.request.MinParts {
+		return g.completeRun() // its work comes to its end, or enough of it is left
+	}
+	if lost := slices.Index(g.Parts, PartLost); lost >= 0 && before == PartRunning && g.mayReplace(lost) {
+		return g.replace(now, lost)
+	}
+	return append([]Action{{Kind: ReportEnd}}, g.rollBack(now, RollingBackToEnd)...)
+}
+
+// mayReplace reports whether a lost part may be placed anew.
+func (g *Gang) mayReplace(part int) bool {
+	return g.request.OnLoss == ReplaceOnLoss && g.request.Parts[part].Idempotency != placement.AtMostOnce
+}
+
+// replace requests a lost part anew.
+func (g *Gang) replace(now placement.Millis, part int) []Action {
+	g.Parts[part] = PartRequested
+	timeout := g.request.ReplaceTimeout
+	return []Action{
+		{
+			Kind:    RequestPart,
+			Part:    part,
+			Timeout: timeout,
+		},
+		{Kind: SetTimer, At: now + timeout},
+	}
+}
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -1,58 +1,47 @@
 package gang
 
-import "grebeglade/placement"
-
-// State is how far a gang is.
+// State is the state of a gang. The client waits for its final answer in Pending, Starting and RollingBackToRetry; in
+// the other states it has the answer, or has withdrawn the gang.
+//
+//	state               event                                                     next state
+//	Pending             Start or retry timer                                      Starting
+//	Pending             the same, with too little time left; Withdraw             Ended
+//	Starting            AttemptResult: too few parts offered                      Ended
+//	Starting            enough parts run, and none is on its way                  Running
+//	Starting            a part fails or ends, too few are left: may be retried    RollingBackToRetry
+//	Starting            the same: must not be retried                             RollingBackToEnd
+//	Starting            the answer is due and too few parts run; Withdraw         RollingBackToEnd
+//	Running             no part is active                                         Ended
+//	Running             too few parts are left, and none is replaced; Withdraw    RollingBackToEnd
+//	RollingBackToRetry  no part is active                                         Pending
+//	RollingBackToRetry  the same, with side effects or too little time left       Ended
+//	RollingBackToRetry  the answer is due; Withdraw                               RollingBackToEnd
+//	RollingBackToEnd    no part is active                                         Ended
+//
+// A part is active while it is PartRequested, PartRunning or PartStopping. A gang that is rolled back without an
+// active part leaves the rollback state within the same call.
 type State uint8
 
 // The states of a gang.
 const (
-	Pending     State = iota // to be started, or started again
-	Starting                 // its parts are requested
-	Running                  // enough of its parts run, and the client has its answer
-	RollingBack              // its parts are being stopped
-	Ended                    // none of its parts is left
-)
-
-// String returns the state's name in traces and for operators. The names are older than the constants' and stay, since
-// stored traces hold them.
-func (s State) String() string {
-	return [...]string{"pending", "starting", "standing", "undoing", "given up"}[s]
-}
-
-// PartState is how far a part is.
-type PartState uint8
-
-// The states of a part.
-const (
-	PartIdle      PartState = iota // never offered, or known never to have run
-	PartRequested                  // to be placed, or on its way to a node
-	PartRunning
-	PartFinished // it completed by itself
-	PartStopping // being stopped; its end is not confirmed yet
-	PartLost     // it ended before its time, or may have run and is out of reach
-)
-
-// LossPolicy is what becomes of a running gang that loses a part.
-type LossPolicy uint8
-
-// The policies.
-const (
-	StopOnLoss    LossPolicy = iota // all of it is stopped
-	ReplaceOnLoss                   // the part is placed anew, within a time; if that fails, all of it is stopped
+	Pending            State = iota // to be started, or started again
+	Starting                        // its parts are requested
+	Running                         // enough of its parts run
+	RollingBackToRetry              // its parts are being stopped, and it is started again afterwards
+	RollingBackToEnd                // its parts are being stopped, and it ends afterwards
+	Ended                           // none of its parts is active
 )
 
-// Part is what a decision needs to know of a part.
-type Part struct {
-	Idempotency placement.Idempotency
-	Size        float64 // share of a node; larger parts are requested first
+// stateTexts are the texts of the states. They are older than the constants and stay, since stored traces hold them:
+// the two rollback states share one.
+var stateTexts = [...]string{
+	Pending:            "pending",
+	Starting:           "starting",
+	Running:            "standing",
+	RollingBackToRetry: "undoing",
+	RollingBackToEnd:   "undoing",
+	Ended:              "given up",
 }
 
-// Request is a client's request for a gang.
-type Request struct {
-	Parts          []Part
-	MinParts       int              // parts that must run, at least
-	PendingTimeout placement.Millis // time until the client gives up, in ms
-	OnLoss         LossPolicy
-	ReplaceTimeout placement.Millis // of ReplaceOnLoss, in ms
-}
+// String returns the state's text in traces and for operators.
+func (s State) String() string { return stateTexts[s] }
