--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -89,7 +89,7 @@
 	case RollingBackToEnd:
 		return g.repeatStops(now)
 	case Running, Ended:
-		// Neither waits for a time: the engine answers for a part that replaces another.
+		// Neither waits for a time: the engine reports a replacement that takes too long.
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/gang/harness_test.go
@@ -0,0 +1,97 @@
+package gang
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"grebeglade/placement"
+)
+
+// The causes that PartFailed and PartEnded are called with.
+const (
+	neverRan   = false // of PartFailed
+	mayRun     = true  // of PartFailed
+	endedEarly = false // of PartEnded: stopped, evicted or lost
+	finished   = true  // of PartEnded
+)
+
+// seed is the seed of a gang in a test that does not depend on it.
+const seed = 1
+
+// idempotencyNames are the names of idempotencies in the names of test cases.
+var idempotencyNames = map[placement.Idempotency]string{
+	placement.Idempotent:      "idempotent",
+	placement.IdempotentByKey: "idempotent by key",
+	placement.AtMostOnce:      "at-most-once",
+}
+
+// actionNames are the names of actions in the expectations of tests.
+var actionNames = map[ActionKind]string{
+	Attempt:             "attempt",
+	RequestPart:         "request",
+	StopPart:            "stop",
+	AnswerPlaced:        "placed",
+	AnswerRejected:      "rejected",
+	AnswerUnschedulable: "unschedulable",
+	ConfirmParts:        "confirm",
+	ReportEnd:           "report end",
+	SetTimer:            "timer",
+	Forget:              "forget",
+}
+
+// newRequest returns a request for parts of the given idempotencies, of which each is larger than the one before.
+func newRequest(minParts int, idempotencies ...placement.Idempotency) Request {
+	request := Request{MinParts: minParts, PendingTimeout: 10e3}
+	for part, idempotency := range idempotencies {
+		request.Parts = append(request.Parts, Part{Idempotency: idempotency, Size: float64(part)})
+	}
+	return request
+}
+
+// newPairRequest returns a request for two idempotent parts, of which both must run.
+func newPairRequest() Request { return newRequest(2, placement.Idempotent, placement.Idempotent) }
+
+// startOffered returns a gang that was started at time 0, and all of whose parts were offered to nodes.
+func startOffered(request Request) *Gang {
+	gang := New(0, request, seed)
+	gang.Start(0)
+	gang.AttemptResult(slices.Repeat([]bool{true}, len(request.Parts)))
+	return gang
+}
+
+// startParts returns a gang as startOffered does, of which the given parts have started.
+func startParts(request Request, parts ...int) *Gang {
+	gang := startOffered(request)
+	for _, part := range parts {
+		gang.PartStarted(part)
+	}
+	return gang
+}
+
+// assertActions asserts the names of actions, with the part where there is one.
+func assertActions(t *testing.T, actions []Action, want ...string) {
+	t.Helper()
+	var names []string
+	for _, action := range actions {
+		name := actionNames[action.Kind]
+		if action.Kind == RequestPart || action.Kind == StopPart {
+			name += fmt.Sprint(" ", action.Part)
+		}
+		names = append(names, name)
+	}
+	assert.Equal(t, want, names)
+}
+
+// timers returns the times of the timers that actions set.
+func timers(actions []Action) []placement.Millis {
+	var times []placement.Millis
+	for _, action := range actions {
+		if action.Kind == SetTimer {
+			times = append(times, action.At)
+		}
+	}
+	return times
+}
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -3,29 +3,43 @@
 import (
 	"fmt"
 	"slices"
-	"testing"
-
-	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 
 	"grebeglade/placement"
 )
 
-// model is a small cluster: two gangs of two parts at allocators that share nothing, and two nodes with capacity for one
-// part each. TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll visits every state that it can come to.
+// The size of a model.
+const (
+	gangCount    = 2
+	partsPerGang = 2
+	nodeCount    = 2
+)
+
+// noNode stands in place of the node of a part that was offered to none.
+const noNode = -1
+
+// model is a small cluster: two gangs of two parts at allocators that share nothing, and two nodes with capacity for
+// one part each. TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll visits every state that it can come to.
 type model struct {
-	gangs     [2]Gang
-	now       [2]placement.Millis
-	timers    [2]placement.Millis // when the next one fires, 0 for none
-	nodes     [2][2]int           // to which each part was offered, noNode for none
-	phases    [2][2]partPhase
-	orphans   [2]bool // by node: a part runs there that its gang has given up
-	faulted   bool    // the one fault has happened
-	answers   [2]int
+	gangs     [gangCount]modelGang
+	orphans   [nodeCount]bool // a part runs on the node that its gang has given up
+	faulted   bool            // the one fault has happened
 	violation string
 }
 
-const noNode = -1
+// modelGang is a gang with its caller.
+type modelGang struct {
+	gang    Gang
+	now     placement.Millis
+	timer   placement.Millis // when the next one fires, 0 for none
+	parts   [partsPerGang]modelPart
+	answers int
+}
+
+// modelPart is a part as its node sees it.
+type modelPart struct {
+	node  int // to which it was offered, or noNode
+	phase partPhase
+}
 
 // partPhase is how far a part is at its node.
 type partPhase string
@@ -37,31 +51,43 @@
 	stopping partPhase = "stopping"
 )
 
-// attempts are what can come of an attempt: nothing is sent, or each part is offered to one of the nodes.
-var attempts = [][]int{nil, {0, 1}, {1, 0}}
+// usesCapacity reports whether a part takes up the capacity of its node.
+func (p modelPart) usesCapacity() bool { return p.phase == running || p.phase == stopping }
+
+// assignments are the nodes to which an attempt can offer the parts: to none, or each part to one of the nodes.
+var assignments = [][]int{nil, {0, 1}, {1, 0}}
 
 func newModel(idempotency placement.Idempotency) model {
 	var m model
-	for g := range 2 {
-		request := Request{Parts: []Part{{Idempotency: idempotency}, {Idempotency: idempotency}}, MinParts: 2, PendingTimeout: 1500}
-		m.gangs[g] = *New(0, request, uint64(g))
-		m.nodes[g] = [2]int{noNode, noNode}
+	for g := range m.gangs {
+		request := Request{
+			Parts:          slices.Repeat([]Part{{Idempotency: idempotency}}, partsPerGang),
+			MinParts:       partsPerGang,
+			PendingTimeout: 1500,
+		}
+		m.gangs[g].gang = *New(0, request, uint64(g))
+		for part := range m.gangs[g].parts {
+			m.gangs[g].parts[part].node = noNode
+		}
 	}
 	return m
 }
 
 func (m model) clone() model {
-	for i := range m.gangs {
-		m.gangs[i].Parts = slices.Clone(m.gangs[i].Parts)
+	for g := range m.gangs {
+		m.gangs[g].gang.Parts = slices.Clone(m.gangs[g].gang.Parts)
 	}
 	return m
 }
 
+// key returns a text that differs between any two models. It does not use State.String, which two states share.
+func (m model) key() string { return fmt.Sprintf("%#v", m) }
+
 // occupied reports whether a part uses the capacity of a node.
 func (m *model) occupied(node int) bool {
-	for g := range m.nodes {
-		for p := range m.nodes[g] {
-			if m.nodes[g][p] == node && (m.phases[g][p] == running || m.phases[g][p] == stopping) {
+	for _, caller := range m.gangs {
+		for _, part := range caller.parts {
+			if part.node == node && part.usesCapacity() {
 				return true
 			}
 		}
@@ -70,172 +96,95 @@
 }
 
 // execute carries out a gang's actions. The nodes to which an attempt offers the parts are given, nil for none.
-func (m *model) execute(g int, actions []Action, nodes []int) {
-	for _, a := range actions {
-		switch a.Kind {
+func (m *model) execute(gangIndex int, actions []Action, nodes []int) {
+	caller := &m.gangs[gangIndex]
+	for _, action := range actions {
+		switch action.Kind {
 		case Attempt:
-			m.attempt(g, nodes)
+			m.attempt(gangIndex, nodes)
 		case StopPart:
-			if m.phases[g][a.Part] == offered || m.phases[g][a.Part] == running {
-				m.phases[g][a.Part] = stopping
+			part := &caller.parts[action.Part]
+			if part.phase == offered || part.phase == running {
+				part.phase = stopping
 			}
 		case AnswerPlaced, AnswerRejected, AnswerUnschedulable:
-			m.answers[g]++
+			caller.answers++
 		case SetTimer:
-			m.timers[g] = a.At
+			caller.timer = action.At
 		case Forget:
-			m.timers[g] = 0
+			caller.timer = 0
+		case RequestPart, ConfirmParts, ReportEnd:
+			// No part is replaced, and the other two are notifications.
 		}
 	}
 }
 
-func (m *model) attempt(g int, nodes []int) {
-	for p := range 2 {
-		if m.phases[g][p] != absent {
+// attempt offers the parts of a gang to the given nodes, or to none.
+func (m *model) attempt(gangIndex int, nodes []int) {
+	caller := &m.gangs[gangIndex]
+	for part := range caller.parts {
+		if caller.parts[part].phase != absent {
 			m.violation = "a part is requested that was not stopped"
 		}
 		if nodes != nil {
-			m.nodes[g][p], m.phases[g][p] = nodes[p], offered
+			caller.parts[part] = modelPart{node: nodes[part], phase: offered}
 		}
 	}
-	m.execute(g, m.gangs[g].AttemptResult([]bool{nodes != nil, nodes != nil}), nil)
+	sent := slices.Repeat([]bool{nodes != nil}, partsPerGang)
+	m.execute(gangIndex, caller.gang.AttemptResult(sent), nil)
 }
 
-// leave ends a part's phase at its node.
-func (m *model) leave(g, p int) { m.phases[g][p], m.nodes[g][p] = absent, noNode }
-
-// crash ends what runs on a node.
-func (m *model) crash(node int) {
-	m.faulted, m.orphans[node] = true, false
-	for g := range 2 {
-		for p := range 2 {
-			if m.nodes[g][p] == node && m.phases[g][p] != absent && m.phases[g][p] != offered {
-				m.leave(g, p)
-				m.execute(g, m.gangs[g].PartEnded(m.now[g], p, false), nil)
-			}
-		}
-	}
+// removePart takes a part away from its node.
+func (m *model) removePart(gangIndex, part int) {
+	m.gangs[gangIndex].parts[part] = modelPart{node: noNode, phase: absent}
 }
 
-// successors are the states that one event can lead to.
-func (m model) successors() []model {
-	var all []model
-	add := func(event func(*model)) {
-		c := m.clone()
-		event(&c)
-		all = append(all, c)
-	}
-	for g := range 2 {
-		if m.gangs[g].State == Pending && m.gangs[g].attempts == 0 {
-			for _, nodes := range attempts {
-				add(func(c *model) { c.execute(g, c.gangs[g].Start(0), nodes) })
-			}
-			continue
-		}
-		m.addTimers(g, add)
-		for p := range 2 {
-			m.addPartEvents(g, p, add)
-		}
-	}
-	m.addNodeEvents(add)
-	return all
+// startPart has a part that was offered start.
+func (m *model) startPart(gangIndex, part int) {
+	caller := &m.gangs[gangIndex]
+	caller.parts[part].phase = running
+	m.execute(gangIndex, caller.gang.PartStarted(part), nil)
 }
 
-// addTimers adds what a gang's timer leads to. A running gang needs none.
-func (m model) addTimers(g int, add func(func(*model))) {
-	if m.timers[g] <= 0 || m.timers[g] >= 2500 || m.gangs[g].State == Running {
-		return
-	}
-	for _, nodes := range attempts {
-		add(func(c *model) {
-			c.now[g], c.timers[g] = max(c.now[g], c.timers[g]), 0
-			c.execute(g, c.gangs[g].TimerFired(c.now[g]), nodes)
-		})
-	}
+// failPart has a part that was offered fail.
+func (m *model) failPart(gangIndex, part int, mayRun bool) {
+	caller := &m.gangs[gangIndex]
+	m.removePart(gangIndex, part)
+	m.execute(gangIndex, caller.gang.PartFailed(caller.now, part, mayRun), nil)
 }
 
-// addNodeEvents adds the ends of leases of parts that were given up, and the crashes of nodes.
-func (m model) addNodeEvents(add func(func(*model))) {
-	for node := range 2 {
-		if m.orphans[node] {
-			add(func(c *model) { c.orphans[node] = false })
-		}
-	}
-	for node := range 2 {
-		if !m.faulted && m.occupied(node) {
-			add(func(c *model) { c.crash(node) })
-		}
-	}
+// loseAnswer has a part that was offered start without its gang's knowledge.
+func (m *model) loseAnswer(gangIndex, part int) {
+	m.faulted = true
+	m.orphans[m.gangs[gangIndex].parts[part].node] = true
+	m.failPart(gangIndex, part, mayRun)
 }
 
-// addPartEvents adds what can happen to a part at its node.
-func (m model) addPartEvents(g, p int, add func(func(*model))) {
-	switch m.phases[g][p] {
-	case offered:
-		if m.occupied(m.nodes[g][p]) {
-			add(func(c *model) { c.leave(g, p); c.execute(g, c.gangs[g].PartFailed(c.now[g], p, false), nil) })
-			return
-		}
-		add(func(c *model) { c.phases[g][p] = running; c.execute(g, c.gangs[g].PartStarted(p), nil) })
-		if !m.faulted { // the answer is lost: it runs, and its gang does not know
-			add(func(c *model) {
-				c.faulted, c.orphans[c.nodes[g][p]] = true, true
-				c.leave(g, p)
-				c.execute(g, c.gangs[g].PartFailed(c.now[g], p, true), nil)
-			})
-		}
-	case stopping:
-		add(func(c *model) { c.leave(g, p); c.execute(g, c.gangs[g].PartEnded(c.now[g], p, false), nil) })
-	}
+// endPart has a part end at its node before its time.
+func (m *model) endPart(gangIndex, part int) {
+	caller := &m.gangs[gangIndex]
+	m.removePart(gangIndex, part)
+	m.execute(gangIndex, caller.gang.PartEnded(caller.now, part, endedEarly), nil)
 }
 
-// requireWhole requires of a final state that each gang was answered once, and runs whole or not at all. It returns how
-// many gangs run.
-func (m model) requireWhole(t *testing.T, key string) int {
-	t.Helper()
-	run := 0
-	for g := range 2 {
-		require.Equal(t, 1, m.answers[g], "one answer: %s", key)
-		parts := 0
-		for p := range 2 {
-			if m.phases[g][p] != absent {
-				parts++
-			}
-		}
-		if m.gangs[g].State == Running {
-			run++
-			require.Equal(t, 2, parts, key)
-			continue
-		}
-		require.Equal(t, Ended, m.gangs[g].State, key)
-		require.Zero(t, parts, key)
-	}
-	return run
+// fireTimer fires the timer of a gang. The nodes to which an attempt offers the parts are given, nil for none.
+func (m *model) fireTimer(gangIndex int, nodes []int) {
+	caller := &m.gangs[gangIndex]
+	caller.now = max(caller.now, caller.timer)
+	caller.timer = 0
+	m.execute(gangIndex, caller.gang.TimerFired(caller.now), nodes)
 }
 
-// Every order of everything that can happen to two gangs of two parts on two nodes, with one fault.
-func TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll(t *testing.T) {
-	for _, idempotency := range []placement.Idempotency{placement.Idempotent, placement.AtMostOnce} {
-		seen, open, final, run := map[string]bool{}, []model{newModel(idempotency)}, 0, 0
-		for len(open) > 0 {
-			m := open[len(open)-1]
-			open = open[:len(open)-1]
-			key := fmt.Sprintf("%#v", m)
-			if seen[key] {
-				continue
-			}
-			seen[key] = true
-			require.Empty(t, m.violation, key)
-			require.Less(t, len(seen), 400000)
-			successors := m.successors()
-			open = append(open, successors...)
-			if len(successors) == 0 {
-				final++
-				run += m.requireWhole(t, key)
+// crash ends what runs on a node.
+func (m *model) crash(node int) {
+	m.faulted = true
+	m.orphans[node] = false
+	for g := range m.gangs {
+		for part := range m.gangs[g].parts {
+			onNode := m.gangs[g].parts[part]
+			if onNode.node == node && onNode.usesCapacity() {
+				m.endPart(g, part)
 			}
 		}
-		assert.NotZero(t, run)
-		t.Logf("idempotency %d: %d states, %d of them final, %d gangs run", idempotency, len(seen), final, run)
-		assert.Greater(t, len(seen), 1000)
 	}
 }
--- /dev/null
+++ b/internal/gang/retry_test.go
@@ -0,0 +1,55 @@
+package gang
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/placement"
+)
+
+func TestPartFailed_LastPart_RolledBackAndRetried(t *testing.T) {
+	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 0)
+	// A part that is on its way is stopped before one that runs.
+	assertActions(t, gang.PartFailed(20, 2, neverRan), "stop 1", "stop 0", "timer")
+	assert.Equal(t, RollingBackToRetry, gang.State)
+	assert.Empty(t, gang.PartStarted(1), "its stop is on the way")
+	assert.Empty(t, gang.PartEnded(30, 0, endedEarly))
+	actions := gang.PartEnded(40, 1, endedEarly)
+	require.Len(t, actions, 1)
+	assertActions(t, actions, "timer")
+	retryAt := actions[0].At
+	assert.Greater(t, retryAt, placement.Millis(40)+minRetryDelay-1)
+	assertActions(t, gang.TimerFired(retryAt), "attempt", "timer")
+	assert.Equal(t, 2, gang.Attempts())
+}
+
+func TestGang_MaxAttemptsReached_Rejected(t *testing.T) {
+	request := newPairRequest()
+	request.PendingTimeout = 100e3
+	gang := startOffered(request)
+	now := placement.Millis(0)
+	for range maxAttempts - 1 {
+		assertActions(t, gang.PartFailed(now, 0, neverRan), "stop 1", "timer")
+		now = gang.PartEnded(now, 1, endedEarly)[0].At
+		gang.TimerFired(now)
+		gang.AttemptResult([]bool{true, true})
+	}
+	// It is answered at once, not when all of it is rolled back.
+	assertActions(t, gang.PartFailed(now, 0, neverRan), "rejected", "stop 1", "timer")
+	assertActions(t, gang.PartEnded(now, 1, endedEarly), "forget")
+}
+
+func TestPartFailed_LargerPartRunning_SmallerOnItsWayStoppedFirst(t *testing.T) {
+	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 1)
+	assertActions(t, gang.PartFailed(20, 2, neverRan), "stop 0", "stop 1", "timer")
+}
+
+func TestPartEnded_RolledBackTooLateForRetry_Rejected(t *testing.T) {
+	request := newPairRequest()
+	gang := startOffered(request)
+	assertActions(t, gang.PartFailed(20, 0, neverRan), "stop 1", "timer")
+	rolledBackAt := request.PendingTimeout - minStartTime
+	assertActions(t, gang.PartEnded(rolledBackAt, 1, endedEarly), "rejected", "forget")
+}
