--- a/placement/capacity_test.go
+++ b/placement/capacity_test.go
@@ -10,14 +10,14 @@
 func TestLoad_CountsReportedUseAndTheRequest(t *testing.T) {
 	s := newFleet(t, 1)
 	reportUsed(s, 0, 1, 4)
-	assert.InDelta(t, 0.5, s.capacity.load(0, pendingWorkload(s, 0, 1, 1), s.node(1)), 1e-9)
+	assert.InDelta(t, 0.5, float64(s.load.loadWith(0, pendingWorkload(s, 0, 1, 1), s.node(1))), 1e-9)
 }
 
 func TestLoad_NodeWithoutReportTakesTheMeanOfTheFleet(t *testing.T) {
 	s := newFleet(t, 3)
 	reportUsed(s, 0, 1, 2)
 	reportUsed(s, 0, 2, 4)
-	assert.InDelta(t, 0.3+0.1, s.capacity.load(0, pendingWorkload(s, 0, 1, 1), s.node(3)), 1e-9)
+	assert.InDelta(t, 0.3+0.1, float64(s.load.loadWith(0, pendingWorkload(s, 0, 1, 1), s.node(3))), 1e-9)
 }
 
 func TestAvailable_SubtractsRequestsSinceTheEntry(t *testing.T) {
@@ -40,9 +40,9 @@
 	s := newFleet(t, 1)
 	s.settings.ReportsUsage = false
 	s.ReportLoad(0, 1, LoadReport{SpareCores: 5, SpareMemory: 9, Utilization: 0.4})
-	used, _ := s.capacity.usedCores(0, s.node(1))
+	used, _ := s.load.usedCores(0, s.node(1))
 	assert.InDelta(t, 4, used, 1e-9, "cores in use")
 	s.ReportLoad(0, 1, LoadReport{SpareCores: 5, SpareMemory: 9, Utilization: math.NaN()})
-	used, _ = s.capacity.usedCores(0, s.node(1))
-	assert.InDelta(t, 5*defaultUsageShare, used, 1e-9, "requested cores, by the share of them that is used")
+	used, _ = s.load.usedCores(0, s.node(1))
+	assert.InDelta(t, 5*defaultUsageRatio, used, 1e-9, "requested cores, by the share of them that is used")
 }
--- a/placement/discovery_test.go
+++ b/placement/discovery_test.go
@@ -52,7 +52,7 @@
 func TestNodeTable_NodeMissingForAMomentKeepsItsWarmUpBudget(t *testing.T) {
 	s := newFleet(t, 0)
 	s.settings.WarmUpDuration, s.settings.InitialRate = 10e3, 1
-	s.slowStart.share, s.slowStart.window, s.slowStart.startedAt = 1, 2000, -9e3
+	s.slowStart.bindsPerWindow, s.slowStart.window, s.slowStart.startedAt = 1, 2000, -9e3
 	warming := entry(1, Ready)
 	warming.StartedAt = -1
 	s.UpdateNodes(0, Snapshot, []Node{warming})
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -1,97 +1,105 @@
+// Filter decides which nodes a workload may go to at all.
+//
+// Observed: the node list, the settings of the workload's group, our own binds, and the estimates of capacity and
+// load.
+//
+// Cost of an error: a node let through against the rules of a group or of slow start breaks a rule that has no
+// exception; one let through without capacity costs a rejected bind. A node that is kept out in vain may mean that
+// the workload is rejected, as there is no second pass with weaker rules.
+
 package placement
 
 import "slices"
 
-// rejection is a node's rejection of a bind; a rejectionLog holds a node's last ones.
-type rejection struct {
-	at     Millis
-	group  *group
-	size   resources
-	reason Reason
+// filter decides which nodes are feasible for a workload.
+type filter struct {
+	nodes     *nodeTable
+	capacity  *capacityEstimator
+	load      *loadEstimator
+	slowStart *slowStart
 }
 
-type rejectionLog []rejection
+// feasible reports whether the workload may go to n by the rules of its group, the available capacity and the load
+// cap. It is called for every node of the fleet in every decision, so it allocates nothing.
+func (f *filter) feasible(now Millis, workload *workload, n *node) bool {
+	return f.rulesAllow(now, workload, n) &&
+		!f.lacksCapacity(now, workload, n) &&
+		!f.exceedsMemoryCap(now, workload, n) &&
+		f.load.loadWith(now, workload, n) < workload.group.loadCap
+}
 
-// blocks reports whether a rejection speaks against offering wl to the node: for lack of space only briefly.
-// Any other comes from a node that rejects one group; that group avoids it for longer, the others use it.
-func (l rejectionLog) blocks(now Millis, wl *workload) bool {
-	return slices.ContainsFunc(l, func(r rejection) bool {
-		switch r.reason {
-		case InsufficientCores:
-			return now-r.at < capacityRejectionPause && wl.Cores >= r.size.Cores
-		case InsufficientMemory:
-			return now-r.at < capacityRejectionPause && wl.Memory >= r.size.Memory
-		case QueueFull:
-			return now-r.at < capacityRejectionPause
-		}
-		return now-r.at < groupRejectionPause && r.group == wl.group
-	})
+// rulesAllow reports whether everything but capacity and load allows the workload on n.
+func (f *filter) rulesAllow(now Millis, workload *workload, n *node) bool {
+	return n.State == Ready &&
+		hasRequiredKind(workload.group, n) &&
+		!slices.Contains(workload.excluded, n) &&
+		(workload.uncertain == nil || mayRepeat(now, workload, n)) &&
+		f.spreadAllows(workload, n) &&
+		f.slowStart.allows(now, n) &&
+		!n.rejections.block(now, workload)
 }
 
-// filter decides which nodes are feasible for a workload.
-type filter struct {
-	capacity  *capacityEstimator
-	slowStart *slowStart
+// hasRequiredKind reports whether n is of the kind that workloads of the group need.
+func hasRequiredKind(group *group, n *node) bool {
+	return group.RequiredKind < 0 || int(n.Kind) == group.RequiredKind
 }
 
-// feasible reports whether wl may go to n by its group's rules, the available capacity and the load cap.
-func (f *filter) feasible(now Millis, wl *workload, n *node) bool {
-	g := wl.group
-	switch {
-	case n.State != Ready, g.RequiredKind >= 0 && int(n.Kind) != g.RequiredKind, slices.Contains(wl.excluded, n),
-		wl.uncertain != nil && !mayRepeat(now, wl, n), !f.spreadAllows(wl, n), !f.slowStart.allows(now, n),
-		n.rejections.blocks(now, wl):
-		return false
-	}
+// lacksCapacity reports whether the workload requests more than is available on n.
+func (f *filter) lacksCapacity(now Millis, workload *workload, n *node) bool {
 	available := f.capacity.available(now, n)
-	if wl.Cores > available.Cores || wl.Memory > available.Memory {
-		return false
-	}
-	if used := f.capacity.usedMemory(now, n); used+wl.Memory > memoryCap*n.size.Memory && used > 0 {
-		return false
-	}
-	return f.capacity.load(now, wl, n) < g.loadCap
+	return workload.Cores > available.Cores || workload.Memory > available.Memory
+}
+
+// exceedsMemoryCap reports whether the workload would take the memory in use on n beyond the cap, as far as it is
+// known.
+func (f *filter) exceedsMemoryCap(now Millis, workload *workload, n *node) bool {
+	used := f.load.usedMemory(now, n)
+	return used > 0 && used+workload.Memory > memoryCap*n.size.Memory
 }
 
 // mayRepeat reports whether a further bind of a workload that may run already is harmless on n.
-func mayRepeat(now Millis, wl *workload, n *node) bool {
-	g, first := wl.group, wl.uncertain
-	switch {
-	case g.Idempotency == Idempotent:
+func mayRepeat(now Millis, workload *workload, n *node) bool {
+	group := workload.group
+	first := workload.uncertain
+	switch group.Idempotency {
+	case Idempotent:
 		return true
-	case g.Idempotency == AtMostOnce || now-first.sentAt >= g.KeyWindow-answerMargin:
+	case AtMostOnce:
 		return false
+	case IdempotentByKey:
 	}
-	return inScope(g.KeyScope, first.node, n)
+	keyExpiresSoon := now-first.sentAt >= group.KeyWindow-answerMargin
+	return !keyExpiresSoon && inScope(group.KeyScope, first.node, n)
 }
 
 // inScope reports whether n lies in the scope around center.
-func inScope(s Scope, center, n *node) bool {
-	switch s {
+func inScope(scope Scope, center, n *node) bool {
+	switch scope {
+	case ScopeNone:
+		return false
 	case ScopeNode:
 		return n == center
 	case ScopeCell:
 		return n.Cell == center.Cell
 	case ScopeZone:
 		return n.Zone == center.Zone
+	case ScopeAll:
+		return true
 	}
-	return s == ScopeAll
+	return false // settings name no other scope
 }
 
 // spreadAllows reports whether one more workload of the service may run around n, by our own binds.
-func (f *filter) spreadAllows(wl *workload, n *node) bool {
-	if wl.group.SpreadScope == ScopeNone {
+func (f *filter) spreadAllows(workload *workload, n *node) bool {
+	scope := workload.group.SpreadScope
+	if scope == ScopeNone {
 		return true
 	}
-	count := 0
-	for _, m := range f.capacity.nodes.sorted {
-		if inScope(wl.group.SpreadScope, n, m) {
-			for _, b := range m.binds {
-				if b.workload.Service == wl.Service {
-					count++
-				}
-			}
+	ours := 0
+	for _, other := range f.nodes.sorted {
+		if inScope(scope, n, other) {
+			ours += other.bindsOf(workload.Service)
 		}
 	}
-	return count < wl.group.MaxPerScope
+	return ours < workload.group.MaxPerScope
 }
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -58,7 +58,7 @@
 			s := newFleet(t, 2) // both in one zone
 			wl := pendingWorkload(s, 0, 1, 1)
 			wl.group.SpreadScope, wl.group.MaxPerScope = c.scope, 1
-			recordBind(0, wl, s.node(1))
+			s.node(1).addBind(0, wl)
 			assert.Equal(t, c.sameNode, s.filter.spreadAllows(wl, s.node(1)))
 			assert.Equal(t, c.otherNode, s.filter.spreadAllows(wl, s.node(2)))
 		})
@@ -68,15 +68,15 @@
 func TestRejections_LackOfCapacityBlocksRequestsNoSmallerForAWhile(t *testing.T) {
 	s := newFleet(t, 1)
 	log := rejectionLog{{at: 0, size: resources{2, 2}, reason: InsufficientCores}}
-	assert.True(t, log.blocks(1, pendingWorkload(s, 0, 2, 1)))
-	assert.False(t, log.blocks(1, pendingWorkload(s, 0, 1, 1)))
-	assert.False(t, log.blocks(capacityRejectionPause+1, pendingWorkload(s, 0, 2, 1)))
+	assert.True(t, log.block(1, pendingWorkload(s, 0, 2, 1)))
+	assert.False(t, log.block(1, pendingWorkload(s, 0, 1, 1)))
+	assert.False(t, log.block(capacityRejectionPause+1, pendingWorkload(s, 0, 2, 1)))
 }
 
 func TestRejections_WithoutReasonBlockOnlyTheGroup(t *testing.T) {
 	s := newFleet(t, 1)
 	log := rejectionLog{{at: 0, group: &s.groups[atMostOnce], reason: ReasonUnspecified}}
-	assert.True(t, log.blocks(groupRejectionPause-1, pendingWorkload(s, atMostOnce, 1, 1)))
-	assert.False(t, log.blocks(1, pendingWorkload(s, idempotent, 1, 1)), "others keep using the node")
-	assert.False(t, log.blocks(groupRejectionPause, pendingWorkload(s, atMostOnce, 1, 1)), "it is tried again")
+	assert.True(t, log.block(groupRejectionPause-1, pendingWorkload(s, atMostOnce, 1, 1)))
+	assert.False(t, log.block(1, pendingWorkload(s, idempotent, 1, 1)), "others keep using the node")
+	assert.False(t, log.block(groupRejectionPause, pendingWorkload(s, atMostOnce, 1, 1)), "it is tried again")
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -1,3 +1,15 @@
+// Health decides which nodes are ejected as outliers, and which are checked.
+//
+// Observed: failed contacts in a row, binds that are unanswered for much longer than usual, and when a node was
+// last heard of. Withdrawn workloads say nothing of the node; clients that withdraw hundreds at once had nodes
+// ejected for seconds.
+//
+// Cost of an error: a node that fails and stays in use takes binds that are lost, and looks idle while it does. A
+// node that is ejected in vain is capacity lost; at most a part of the fleet is ejected, since more failures have a
+// common cause. Health checks are paid for by requests: where each allocator has few of them, checking all nodes
+// without a recent report would fill the nodes' queues with checks alone, and a fleet without requests needs none.
+// An allocator with few requests knows most nodes by the list alone and takes the mean load for them.
+
 package placement
 
 import (
@@ -8,35 +20,46 @@
 // failureCount counts failed contacts with a node in a row.
 type failureCount struct {
 	consecutive int
-	last        Millis
+	last        Millis // when the last one failed
 }
 
+// record takes the outcome of a contact.
 func (f *failureCount) record(now Millis, failed bool) {
-	if failed {
-		f.consecutive, f.last = f.consecutive+1, now
-	} else {
+	if !failed {
 		f.consecutive = 0
+		return
 	}
+	f.consecutive++
+	f.last = now
 }
 
 // eject reports whether the failures keep the node out of use, for a time that doubles with each.
 func (f *failureCount) eject(now Millis) bool {
-	return f.consecutive > 0 && now-f.last < ejectionTime*Millis(int(1)<<min(f.consecutive-1, ejectionDoublings))
+	if f.consecutive == 0 {
+		return false
+	}
+	doublings := min(f.consecutive-1, ejectionDoublings)
+	return now-f.last < ejectionTime*Millis(int(1)<<doublings)
 }
 
 // healthMonitor decides which nodes are ejected as outliers, and which to check.
 type healthMonitor struct {
-	settings      *Settings
-	nodes         *nodeTable
-	seed          uint64
-	checkCredit   float64  // checks that our requests have paid for and that are not sent yet
-	confirmations []Millis // how long the last ones took
+	settings *Settings
+	nodes    *nodeTable
+	// seed orders nodes that are due for a check alike, differently at every allocator.
+	seed uint64
+	// checkCredit is how many health checks our requests have paid for that are not sent yet.
+	checkCredit float64
+	// confirmations are how long the last maxConfirmations binds took to be confirmed.
+	confirmations []Millis
 }
 
 // ejected returns the nodes with failed contacts, then those with an overdue bind; at most part of the fleet.
 func (h *healthMonitor) ejected(now Millis) []*node {
-	var suspects [2][]*node // with failed contacts, with an overdue bind
-	ready, limit := 0, unresponsiveAfter+h.longestConfirmation()
+	var failing []*node
+	var unresponsive []*node
+	ready := 0
+	limit := unresponsiveAfter + h.longestConfirmation()
 	for _, n := range h.nodes.sorted {
 		if n.State != Ready {
 			continue
@@ -44,53 +67,76 @@
 		ready++
 		switch {
 		case n.failures.eject(now):
-			suspects[0] = append(suspects[0], n)
-		case hasOverdue(n.binds, now, limit):
-			suspects[1] = append(suspects[1], n)
+			failing = append(failing, n)
+		case n.hasOverdueBind(now, limit):
+			unresponsive = append(unresponsive, n)
 		}
 	}
-	all := slices.Concat(suspects[0], suspects[1])
-	return all[:min(len(all), ready/minNodesPerEjection)]
+	outliers := slices.Concat(failing, unresponsive)
+	return outliers[:min(len(outliers), ready/minNodesPerEjection)]
 }
 
-func hasOverdue(binds []*bind, now, limit Millis) bool {
-	return slices.ContainsFunc(binds, func(b *bind) bool { return b.state == bindSent && now-b.sentAt > limit })
+// hasOverdueBind reports whether a bind to n has been unanswered for longer than limit.
+func (n *node) hasOverdueBind(now, limit Millis) bool {
+	for _, b := range n.binds {
+		if b.overdue(now, limit) {
+			return true
+		}
+	}
+	return false
 }
 
+// longestConfirmation returns the longest of the last confirmation times.
 func (h *healthMonitor) longestConfirmation() Millis {
-	if len(h.confirmations) > 0 {
-		return slices.Max(h.confirmations)
+	if len(h.confirmations) == 0 {
+		return defaultConfirmationTime
 	}
-	return defaultConfirmationTime
+	return slices.Max(h.confirmations)
 }
 
+// recordConfirmation takes how long a bind took to be confirmed.
+func (h *healthMonitor) recordConfirmation(took Millis) {
+	h.confirmations = appendBounded(h.confirmations, took, maxConfirmations)
+}
+
+// earnCredit counts a request, which pays for health checks. One round of the fleet is the most that is saved up.
 func (h *healthMonitor) earnCredit() {
 	h.checkCredit = min(h.checkCredit+healthChecksPerRequest, float64(len(h.nodes.sorted)))
 }
 
-// dueChecks returns the nodes to check: those without contact for longest, as far as our requests have paid
-// for it; else the checks of many allocators would fill the nodes' queues.
+// dueChecks returns the nodes to check: those without contact for longest, as far as our requests have paid for
+// it; else the checks of many allocators would fill the nodes' queues.
 func (h *healthMonitor) dueChecks(now Millis) (ids []NodeID) {
 	if !h.settings.HealthChecksAllowed || h.checkCredit < 1 {
 		return nil
 	}
-	var due []*node
-	lastContact := func(n *node) Millis { return max(n.reports.lastAt(), n.failures.last, n.lastHealthCheck) }
+	due := h.withoutContact(now)
+	paidFor := min(len(due), int(h.checkCredit))
+	for _, n := range due[:paidFor] {
+		n.lastHealthCheck = now
+		ids = append(ids, n.ID)
+	}
+	h.checkCredit -= float64(paidFor)
+	return ids
+}
+
+// withoutContact returns the ready nodes without contact for a while, those without it for longest first.
+func (h *healthMonitor) withoutContact(now Millis) (due []*node) {
 	for _, n := range h.nodes.sorted {
-		if n.State == Ready && now-lastContact(n) > healthCheckAfter {
+		if n.State == Ready && now-n.lastContact() > healthCheckAfter {
 			due = append(due, n)
 		}
 	}
 	slices.SortFunc(due, func(x, y *node) int {
-		if c := cmp.Compare(lastContact(x), lastContact(y)); c != 0 {
-			return c
+		if order := cmp.Compare(x.lastContact(), y.lastContact()); order != 0 {
+			return order
 		}
 		return cmp.Compare(hash(h.seed, uint64(x.ID)), hash(h.seed, uint64(y.ID)))
 	})
-	for _, n := range due[:min(len(due), int(h.checkCredit))] {
-		n.lastHealthCheck = now
-		ids = append(ids, n.ID)
-	}
-	h.checkCredit -= float64(len(ids))
-	return ids
+	return due
+}
+
+// lastContact returns when n was last heard of, or last tried: a check on its way is not repeated at once.
+func (n *node) lastContact() Millis {
+	return max(n.reports.lastAt(), n.failures.last, n.lastHealthCheck)
 }
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -31,7 +31,7 @@
 
 func TestEjected_NodeWithAnOverdueBind(t *testing.T) {
 	s := newFleet(t, 3)
-	recordBind(0, pendingWorkload(s, 0, 1, 1), s.node(2))
+	s.node(2).addBind(0, pendingWorkload(s, 0, 1, 1))
 	assert.Empty(t, s.health.ejected(100))
 	assert.Equal(t, []*node{s.node(2)}, s.health.ejected(unresponsiveAfter+defaultConfirmationTime+1))
 }
--- a/placement/helpers_test.go
+++ b/placement/helpers_test.go
@@ -47,3 +47,9 @@
 		startBy: 1000, expiresAt: 6000,
 	}
 }
+
+// isReserved reports whether n is kept from the workload.
+func isReserved(s *Scheduler, now Millis, workload *workload, n *node) bool {
+	reserved := s.reservations.against(now, workload)
+	return reserved.excludes(n)
+}
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -1,50 +1,82 @@
+// Migration decides which placed workloads are moved off overloaded nodes.
+//
+// Observed: a node's load reports over the migration window, and what our workloads there were seen to use.
+//
+// Cost of an error: a workload that is moved in vain loses the time of a restart; one that is not moved, or too
+// late, keeps every workload on the node slow. Workloads that must not start twice are never moved.
+
 package placement
 
 import "slices"
 
 // dueMigrations returns the workloads to move off overloaded nodes now, at most one a node.
-func dueMigrations(now Millis, nodes *nodeTable, f *filter) (ids []WorkloadID) {
-	for _, n := range nodes.sorted {
-		if b := migrationCandidate(now, n, nodes, f); b != nil {
+func dueMigrations(now Millis, f *filter) (ids []WorkloadID) {
+	for _, n := range f.nodes.sorted {
+		if candidate := migrationCandidate(now, n, f); candidate != nil {
 			n.lastMigration = now
-			ids = append(ids, b.workload.ID)
+			ids = append(ids, candidate.workload.ID)
 		}
 	}
 	return ids
 }
 
 // migrationCandidate returns a bind to move off n, or nil: n stays overloaded, and another node is feasible.
-func migrationCandidate(now Millis, n *node, nodes *nodeTable, f *filter) *bind {
-	if now-n.lastMigration < migrationInterval || !overloaded(now, n) {
+func migrationCandidate(now Millis, n *node, f *filter) *bind {
+	if now-n.lastMigration < migrationInterval || !n.overloaded(now) {
+		return nil
+	}
+	worst := n.furthestOverRequest()
+	if worst == nil || !f.feasibleElsewhere(now, worst.workload, n) {
 		return nil
 	}
-	var worst *bind // uses most beyond its request
-	excess := func(b *bind) float64 { return b.usedCores - b.workload.Cores }
+	return worst
+}
+
+// furthestOverRequest returns the bind to n that uses most cores beyond its request, of those that may be moved;
+// nil where none uses more than it requests.
+func (n *node) furthestOverRequest() *bind {
+	var worst *bind
 	for _, b := range n.binds {
-		if b.state == bindRunning && b.workload.group.Idempotency != AtMostOnce && b.usedCores > b.workload.Cores &&
-			(worst == nil || excess(b) > excess(worst)) {
+		if b.state != bindRunning || b.workload.group.Idempotency == AtMostOnce {
+			continue
+		}
+		if b.overusesCores() && (worst == nil || b.excessCores() > worst.excessCores()) {
 			worst = b
 		}
 	}
-	if worst == nil || !slices.ContainsFunc(nodes.sorted, func(other *node) bool {
-		return other != n && f.feasible(now, worst.workload, other)
-	}) {
-		return nil
-	}
 	return worst
 }
 
-// overloaded reports whether n was above the cap for the whole migration window, and is by a fresh report.
-func overloaded(now Millis, n *node) bool {
-	if len(n.reports) == 0 || now-n.reports.lastAt() > 2*healthCheckAfter {
+// overusesCores reports whether the workload was seen to use more cores than it requests.
+func (b *bind) overusesCores() bool {
+	return b.usedCores > b.workload.Cores
+}
+
+// excessCores returns the cores that the workload uses beyond its request.
+func (b *bind) excessCores() float64 {
+	return b.usedCores - b.workload.Cores
+}
+
+// feasibleElsewhere reports whether the workload may go to a node other than current.
+func (f *filter) feasibleElsewhere(now Millis, workload *workload, current *node) bool {
+	return slices.ContainsFunc(f.nodes.sorted, func(other *node) bool {
+		return other != current && f.feasible(now, workload, other)
+	})
+}
+
+// overloaded reports whether n was above the threshold for the whole migration window, and is by a recent report.
+func (n *node) overloaded(now Millis) bool {
+	if len(n.reports) == 0 || now-n.reports.lastAt() > overloadReportMaxAge {
 		return false
 	}
-	since, count := now, 0
-	for _, r := range slices.Backward(n.reports) {
-		if !(r.used.Cores > loadCap*n.size.Cores) { // also where the report lacks the value (NaN)
+	since := now
+	reports := 0
+	for _, report := range slices.Backward(n.reports) {
+		if !(report.used.Cores > overloadThreshold*n.size.Cores) { // also where the report lacks the value (NaN)
 			break
 		}
-		since, count = r.at, count+1
+		since = report.at
+		reports++
 	}
-	return count >= migrationReports && now-since >= migrationWindow
+	return reports >= migrationReports && now-since >= migrationWindow
 }
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -11,10 +11,10 @@
 	s := newFleet(t, 2)
 	n := s.node(1)
 	for i, used := range []float64{1.5, 4, 0.5} {
-		b := recordBind(0, pendingWorkload(s, 0, 1, 1), n)
+		b := n.addBind(0, pendingWorkload(s, 0, 1, 1))
 		b.state, b.usedCores, b.workload.ID = bindRunning, used, WorkloadID(i)
 	}
-	candidate := func(now Millis) *bind { return migrationCandidate(now, n, s.nodes, s.filter) }
+	candidate := func(now Millis) *bind { return migrationCandidate(now, n, s.filter) }
 	nine := resources{Cores: 9}
 	n.reports = reportHistory{{at: 0, used: nine}, {at: migrationWindow / 2, used: nine}, {at: migrationWindow, used: nine}}
 	reportUsed(s, migrationWindow-1, 2, 1)
--- a/placement/random.go
+++ b/placement/random.go
@@ -6,22 +6,29 @@
 )
 
 // random is a reproducible sequence: the hash of a seed and a counter.
-type random struct{ seed, draws uint64 }
+type random struct {
+	seed  uint64
+	draws uint64 // made so far
+}
 
-func (r *random) intn(n int) int {
+// intn returns the next number of the sequence, from 0 to limit-1.
+func (r *random) intn(limit int) int {
 	r.draws++
-	return int(hash(r.seed, r.draws) % uint64(n))
+	return int(hash(r.seed, r.draws) % uint64(limit))
 }
 
 // jitter returns d with up to a quarter added or taken off at random.
-func (r *random) jitter(d Millis) Millis { return d * Millis(0.75+float64(r.intn(1000))/2000) }
+func (r *random) jitter(d Millis) Millis {
+	step := float64(r.intn(jitterSteps))
+	return d * Millis(jitterLeast+step/(jitterSteps/jitterRange))
+}
 
-// hash mixes two numbers; it is the same in every process.
+// hash mixes two numbers into one of 53 bits, which a float64 holds exactly. It is the same in every process.
 func hash(x, y uint64) uint64 {
-	var b [16]byte
-	binary.BigEndian.PutUint64(b[:8], x)
-	binary.BigEndian.PutUint64(b[8:], y)
+	var input [16]byte
+	binary.BigEndian.PutUint64(input[:8], x)
+	binary.BigEndian.PutUint64(input[8:], y)
 	h := fnv.New64a()
-	h.Write(b[:])
+	h.Write(input[:])
 	return h.Sum64() >> 11
 }
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -1,3 +1,17 @@
+// Reservation decides which nodes are kept from a workload, for requests that are worth more.
+//
+// Observed: the requests that this allocator got lately, by group and size, and the estimates of capacity and load.
+//
+// A full fleet that admits all alike rejects what is worth most, above all large requests that need their capacity
+// in one piece. Slots for the largest request of higher priority weight are kept, as many as were requested from us
+// lately and one at least. While there are fewer, the nodes with most slots fill up no further, so that capacity
+// builds up in one piece. Our requests stand for those of all allocators: they are counted over longer and
+// multiplied, and where they are many a part of the fleet stays open. Within a group, first requests come before
+// retried ones: a first start in time earns most of a short workload's value, and a retried one has lost or had it.
+//
+// Cost of an error: a slot too many leaves capacity idle where little of higher weight follows, and retried requests
+// wait longer on a fleet that stays full; one too few rejects a request that is worth more than what took its place.
+
 package placement
 
 import (
@@ -5,127 +19,272 @@
 	"slices"
 )
 
+// request is a request that this allocator got, as reservations count it.
 type request struct {
 	at      Millis
 	size    resources
 	retried bool
 }
 
-// reservations keeps capacity for groups of higher priority weight, as a full fleet that admits all rejects
-// what is worth most. It counts in slots, places for the largest such request. As many are kept as were
-// requested lately, at least one; while there are fewer, the nodes with most fill up no further. Other
-// allocators are taken to be like us. Within a group, first requests come before retried ones.
+// slots is a number of places for one request of the size that a reservation is made for. It has a fraction where
+// a place fits in part, and is negative where a node is beyond its caps.
+type slots float64
+
+// whole returns how many whole places there are.
+func (s slots) whole() slots {
+	return slots(max(0, math.Floor(float64(s))))
+}
+
+// reservations keeps capacity for groups of higher priority weight, and for first requests against retried ones.
 type reservations struct {
 	groups   []group
+	nodes    *nodeTable
 	capacity *capacityEstimator
-	window   Millis  // over which our own requests are counted
-	scale    float64 // requests of all allocators within reservationWindow for each of ours within window
+	load     *loadEstimator
+	// window is the time over which our own requests are counted.
+	window Millis
+	// requestsPerOurs is how many requests all allocators get within reservationWindow, for each of ours within
+	// window: others are taken to be like us.
+	requestsPerOurs float64
+}
+
+// newReservations returns reservations by the requests that the scheduler adds to groups. How many of all allocators' a
+// request of ours stands for follows from their number.
+func newReservations(
+	settings *Settings, groups []group, nodes *nodeTable, capacity *capacityEstimator, load *loadEstimator,
+) *reservations {
+	allocators := float64(settings.Allocators)
+	windows := min(allocators, maxReservationScale)
+	return &reservations{
+		groups:          groups,
+		nodes:           nodes,
+		capacity:        capacity,
+		load:            load,
+		window:          reservationWindow * Millis(windows),
+		requestsPerOurs: allocators / windows,
+	}
 }
 
-func newReservations(groups []group, capacity *capacityEstimator) *reservations {
-	allocators := float64(capacity.settings.Allocators)
-	times := min(allocators, maxReservationScale)
-	return &reservations{groups, capacity, reservationWindow * Millis(times), allocators / times}
+// reservationKind says how a reservation keeps its slots.
+type reservationKind uint8
+
+const (
+	nothingReserved reservationKind = iota // no request competes with the workload
+	nodesReserved                          // there are too few slots: the nodes with most of them fill up no further
+	slotsReserved                          // there are enough: the workload must leave as many as are required
+)
+
+// reservation is what is kept from one workload at one time.
+type reservation struct {
+	reservations *reservations
+	now          Millis
+	workload     *workload
+	kind         reservationKind
+	// nodes are those kept, for nodesReserved.
+	nodes map[*node]bool
+	// slot is the size that slots are counted for, for slotsReserved.
+	slot resources
+	// free is the number of whole slots on ready nodes, for slotsReserved.
+	free slots
+	// required is the number of slots to keep, for slotsReserved.
+	required slots
 }
 
-// against returns a function that reports whether a node is reserved against wl.
-func (r *reservations) against(now Millis, wl *workload) func(*node) bool {
-	slot, higher, first := r.competing(now, wl)
-	if slot.Cores <= 0 || slot.Memory <= 0 {
-		return func(*node) bool { return false }
+// against returns what is reserved against the workload.
+func (r *reservations) against(now Millis, workload *workload) reservation {
+	reserved := reservation{
+		reservations: r,
+		now:          now,
+		workload:     workload,
+		kind:         nothingReserved,
+	}
+	competing := r.competingDemand(now, workload)
+	if competing.slot.Cores <= 0 || competing.slot.Memory <= 0 {
+		return reserved
 	}
-	most := float64(len(r.capacity.nodes.sorted)) * maxReservedShare
-	required := max(1, min(r.slotsFor(higher, slot), most)+r.slotsFor(first, slot))
-	free, total := r.freeSlots(now, slot)
-	if total < required {
-		reserved := mostSlots(free, int(required))
-		return func(n *node) bool { return reserved[n] }
+	required := r.requiredSlots(&competing)
+	free := r.freeSlots(now, competing.slot)
+	if free.whole < required {
+		reserved.kind = nodesReserved
+		reserved.nodes = nodesWithMostSlots(free.byNode, int(required))
+		return reserved
 	}
-	return func(n *node) bool {
-		before := r.capacity.available(now, n)
-		after := r.slotsOn(now, n, resources{before.Cores - wl.Cores, before.Memory - wl.Memory}, slot)
-		lost := max(0, math.Floor(r.slotsOn(now, n, before, slot))) - max(0, math.Floor(after))
-		return total-lost < required
+	reserved.kind = slotsReserved
+	reserved.slot = competing.slot
+	reserved.free = free.whole
+	reserved.required = required
+	return reserved
+}
+
+// excludes reports whether n is kept from the workload that the reservation was made against.
+func (reserved *reservation) excludes(n *node) bool {
+	switch reserved.kind {
+	case nothingReserved:
+		return false
+	case nodesReserved:
+		return reserved.nodes[n]
+	case slotsReserved:
 	}
+	taken := reserved.reservations.slotsTaken(reserved.now, reserved.workload, n, reserved.slot)
+	return reserved.free-taken < reserved.required
+}
+
+// demand is the requests that compete with a workload for capacity.
+type demand struct {
+	// slot is the size of the largest, in cores and in memory; zero where there are none.
+	slot resources
+	// higherWeight are the sizes of recent requests of higher priority weight.
+	higherWeight []resources
+	// firstRequests are the sizes of recent first requests of equal weight, which come before a retried one.
+	firstRequests []resources
 }
 
-// competing returns recent requests of higher weight and, if wl is retried, first ones of equal weight.
-func (r *reservations) competing(now Millis, wl *workload) (largest resources, higher, first []resources) {
+// competingDemand returns the requests that come before the workload.
+func (r *reservations) competingDemand(now Millis, workload *workload) demand {
+	var competing demand
+	weight := workload.group.PriorityWeight
 	for i := range r.groups {
-		g := &r.groups[i]
-		equal := g.PriorityWeight == wl.group.PriorityWeight
-		if g.PriorityWeight < wl.group.PriorityWeight || equal && !wl.Retried {
-			continue
+		group := &r.groups[i]
+		switch {
+		case group.PriorityWeight > weight:
+			r.addHigherWeight(now, &competing, group.requests)
+		case group.PriorityWeight == weight && workload.Retried:
+			r.addFirstRequests(now, &competing, group.requests)
+		}
+	}
+	return competing
+}
+
+// addHigherWeight adds requests of a group of higher weight. The slot is large enough also for older ones: at least
+// one slot of that size is kept.
+func (r *reservations) addHigherWeight(now Millis, competing *demand, requests []request) {
+	for i := range requests {
+		higher := &requests[i]
+		competing.slot = largest(competing.slot, higher.size)
+		if r.recent(now, higher) {
+			competing.higherWeight = append(competing.higherWeight, higher.size)
 		}
-		for _, o := range g.requests {
-			recent := now-o.at < r.window
-			if equal && (o.retried || !recent) {
-				continue
-			}
-			largest = resources{max(largest.Cores, o.size.Cores), max(largest.Memory, o.size.Memory)}
-			if recent && g.PriorityWeight > wl.group.PriorityWeight {
-				higher = append(higher, o.size)
-			} else if recent {
-				first = append(first, o.size)
-			}
+	}
+}
+
+// addFirstRequests adds the recent first requests of a group of equal weight.
+func (r *reservations) addFirstRequests(now Millis, competing *demand, requests []request) {
+	for i := range requests {
+		equal := &requests[i]
+		if equal.retried || !r.recent(now, equal) {
+			continue
 		}
+		competing.slot = largest(competing.slot, equal.size)
+		competing.firstRequests = append(competing.firstRequests, equal.size)
 	}
-	return largest, higher, first
+}
+
+// recent reports whether a request is new enough for its capacity to be kept.
+func (r *reservations) recent(now Millis, request *request) bool {
+	return now-request.at < r.window
+}
+
+// largest returns the more of two amounts, in cores and in memory.
+func largest(x, y resources) resources {
+	return resources{Cores: max(x.Cores, y.Cores), Memory: max(x.Memory, y.Memory)}
+}
+
+// requiredSlots returns how many slots to keep. Those for groups of higher weight leave a part of the fleet open.
+func (r *reservations) requiredSlots(competing *demand) slots {
+	limit := slots(float64(len(r.nodes.sorted)) * maxReservedSlotsPerNode)
+	forHigherWeight := min(r.slotsFor(competing.higherWeight, competing.slot), limit)
+	forFirstRequests := r.slotsFor(competing.firstRequests, competing.slot)
+	return max(1, forHigherWeight+forFirstRequests)
 }
 
 // slotsFor returns how many slots requests of those sizes take, scaled to all allocators.
-func (r *reservations) slotsFor(sizes []resources, slot resources) (slots float64) {
+func (r *reservations) slotsFor(sizes []resources, slot resources) slots {
+	sum := 0.0
 	for _, size := range sizes {
-		slots += r.scale * max(size.Cores/slot.Cores, size.Memory/slot.Memory)
+		sum += r.requestsPerOurs * max(size.Cores/slot.Cores, size.Memory/slot.Memory)
 	}
-	return math.Ceil(slots)
+	return slots(math.Ceil(sum))
 }
 
-// slotsOn returns how many slots the given capacity of n holds within the caps.
-func (r *reservations) slotsOn(now Millis, n *node, capacity, slot resources) float64 {
-	used, _ := r.capacity.usedCores(now, n)
-	return min(capacity.Cores/slot.Cores, capacity.Memory/slot.Memory, (loadCap*n.size.Cores-used)/slot.Cores,
-		(memoryCap*n.size.Memory-r.capacity.usedMemory(now, n))/slot.Memory)
+// slotsTaken returns how many whole slots on n the workload would take.
+func (r *reservations) slotsTaken(now Millis, workload *workload, n *node, slot resources) slots {
+	before := r.capacity.available(now, n)
+	after := resources{
+		Cores:  before.Cores - workload.Cores,
+		Memory: before.Memory - workload.Memory,
+	}
+	return r.slotsOn(now, n, before, slot).whole() - r.slotsOn(now, n, after, slot).whole()
 }
 
-// freeSlots returns the slots of each ready node, and the sum of the whole ones.
-func (r *reservations) freeSlots(now Millis, slot resources) (free []nodeSlots, total float64) {
-	free = make([]nodeSlots, 0, len(r.capacity.nodes.sorted))
-	for _, n := range r.capacity.nodes.sorted {
-		if n.State == Ready {
-			slots := r.slotsOn(now, n, r.capacity.available(now, n), slot)
-			free, total = append(free, nodeSlots{n, slots}), total+max(0, math.Floor(slots))
-		}
-	}
-	return free, total
+// slotsOn returns how many slots n holds within the caps, if so much of its capacity is available.
+func (r *reservations) slotsOn(now Millis, n *node, available, slot resources) slots {
+	usedCores, _ := r.load.usedCores(now, n)
+	usedMemory := r.load.usedMemory(now, n)
+	return slots(min(
+		available.Cores/slot.Cores,
+		available.Memory/slot.Memory,
+		(defaultLoadCap*n.size.Cores-usedCores)/slot.Cores,
+		(memoryCap*n.size.Memory-usedMemory)/slot.Memory,
+	))
 }
 
+// nodeSlots is how many slots a node holds.
 type nodeSlots struct {
 	node  *node
-	slots float64
+	slots slots
 }
 
-// mostSlots returns count of the nodes, those with the most slots; of equal ones the first.
-func mostSlots(free []nodeSlots, count int) map[*node]bool {
-	count = min(count, len(free))
-	sorted := make([]float64, len(free)) // sorting the numbers is cheaper than sorting the nodes
-	for i, f := range free {
-		sorted[i] = f.slots
+// fleetSlots is how many slots the fleet holds.
+type fleetSlots struct {
+	byNode []nodeSlots // of the ready nodes, by id
+	whole  slots       // the sum of the whole ones
+}
+
+// freeSlots counts the slots on the ready nodes.
+func (r *reservations) freeSlots(now Millis, slot resources) fleetSlots {
+	free := fleetSlots{byNode: make([]nodeSlots, 0, len(r.nodes.sorted))}
+	for _, n := range r.nodes.sorted {
+		if n.State != Ready {
+			continue
+		}
+		onNode := r.slotsOn(now, n, r.capacity.available(now, n), slot)
+		free.byNode = append(free.byNode, nodeSlots{node: n, slots: onNode})
+		free.whole += onNode.whole()
 	}
-	slices.Sort(sorted)
-	chosen, least, equal := make(map[*node]bool, count), math.Inf(1), 0
-	if count > 0 {
-		least = sorted[len(free)-count]
-		above, _ := slices.BinarySearch(sorted, math.Nextafter(least, math.Inf(1)))
-		equal = count - (len(free) - above)
+	return free
+}
+
+// nodesWithMostSlots returns count of the nodes, those with the most slots; of equal ones the first.
+func nodesWithMostSlots(free []nodeSlots, count int) map[*node]bool {
+	count = min(count, len(free))
+	selected := make(map[*node]bool, count)
+	if count == 0 {
+		return selected
 	}
-	for _, f := range free {
-		if f.slots > least || f.slots == least && equal > 0 {
-			chosen[f.node] = true
-		}
-		if f.slots == least {
-			equal--
+	least, ties := leastSelected(free, count)
+	for _, candidate := range free {
+		switch {
+		case candidate.slots > least:
+			selected[candidate.node] = true
+		case candidate.slots == least && ties > 0:
+			selected[candidate.node] = true
+			ties--
 		}
 	}
-	return chosen
+	return selected
+}
+
+// leastSelected returns the least slots of the count nodes that have the most, and how many of those count nodes
+// have just so many. It sorts the numbers alone, which is cheaper than to sort the nodes.
+func leastSelected(free []nodeSlots, count int) (least slots, ties int) {
+	sorted := make([]slots, len(free))
+	for i, candidate := range free {
+		sorted[i] = candidate.slots
+	}
+	slices.Sort(sorted)
+	least = sorted[len(sorted)-count]
+	nextAbove := slots(math.Nextafter(float64(least), math.Inf(1)))
+	firstAbove, _ := slices.BinarySearch(sorted, nextAbove)
+	above := len(sorted) - firstAbove
+	return least, count - above
 }
--- a/placement/samples.go
+++ b/placement/samples.go
@@ -2,18 +2,20 @@
 
 import "slices"
 
-// appendBounded appends v to s and drops the oldest values beyond limit.
-func appendBounded[T any](s []T, v T, limit int) []T {
-	if len(s) >= limit {
-		s = append(s[:0], s[len(s)-limit+1:]...)
+// appendBounded appends v to samples and drops the oldest ones beyond limit.
+func appendBounded[T any](samples []T, v T, limit int) []T {
+	if len(samples) >= limit {
+		excess := len(samples) - limit + 1
+		samples = append(samples[:0], samples[excess:]...)
 	}
-	return append(s, v)
+	return append(samples, v)
 }
 
-func median[T ~float64](s []T) T {
-	if len(s) == 0 {
+// median returns the upper median of the samples, or 0 where there are none.
+func median[T ~float64](samples []T) T {
+	if len(samples) == 0 {
 		return 0
 	}
-	s = slices.Sorted(slices.Values(s))
-	return s[len(s)/2]
+	sorted := slices.Sorted(slices.Values(samples))
+	return sorted[len(sorted)/2]
 }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -103,7 +103,7 @@
 	s.ReportLoad(0, 99, LoadReport{SpareCores: 1})
 	s.ReportLoad(0, 1, LoadReport{SpareCores: math.NaN(), SpareMemory: math.NaN(), Utilization: math.NaN()})
 	s.HealthChecked(0, 99, false, nil)
-	_, ok := s.capacity.usedCores(0, s.node(1))
+	_, ok := s.load.usedCores(0, s.node(1))
 	assert.False(t, ok, "a report without values tells nothing")
 	s.UpdateNodes(0, Snapshot, nil)
 	s.Maintain(0)
@@ -161,7 +161,7 @@
 		assert.LessOrEqual(t, max(len(n.binds), len(n.warmUpBinds), len(n.changes)), 60)
 		assert.LessOrEqual(t, max(len(n.reports), len(n.rejections)), maxReports)
 	}
-	samples := max(len(s.health.confirmations), len(s.capacity.usageShares), len(s.groups[0].requests))
+	samples := max(len(s.health.confirmations), len(s.load.usageSamples), len(s.groups[0].requests))
 	assert.LessOrEqual(t, samples, maxGroupRequests)
 	assert.LessOrEqual(t, s.health.checkCredit, float64(2*nodes))
 	assert.InDelta(t, placed[0], placed[2], float64(placed[0])/100, "as good as on the first day")
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,3 +1,17 @@
+// Score decides which of the feasible nodes a workload goes to.
+//
+// Observed: which nodes run the service already, the load that each would have, and the free capacity of the node
+// list.
+//
+// Nodes that run the service come first, since its program is installed there, and of these the ones that would
+// still serve the workload in full. Among them the least loaded is taken, with ties broken at random.
+//
+// Where no node is known to run a service, several allocators without communication would start it in as many
+// places as there are allocators. A rank that all compute alike lets the later ones find it already started; of the
+// two nodes of highest rank the one with more capacity is taken.
+//
+// Cost of an error: a start without the program is slower; a crowded node slows all workloads on it.
+
 package placement
 
 import (
@@ -5,55 +19,80 @@
 	"slices"
 )
 
-// candidate is a feasible node and the load that it would have.
+// candidate is a feasible node.
 type candidate struct {
 	node *node
-	load float64
+	load utilization // that it would have with the workload
 }
 
-// bestCandidate selects the node for wl, or nil: first uncrowded ones of those that run its service already.
-func bestCandidate(wl *workload, running, others []candidate, single bool, r *random) *node {
-	crowded := func(c candidate) bool { return c.load > wl.group.fullServiceLoad }
-	if uncrowded := slices.DeleteFunc(slices.Clone(running), crowded); len(uncrowded) > 0 {
-		running = uncrowded
-	}
+// candidates are the nodes that a workload may go to, in the order of their ids.
+type candidates struct {
+	running []candidate // nodes that run the workload's service already
+	others  []candidate
+}
+
+// best selects the node for the workload, or nil where there is no candidate. A sole allocator needs no agreement
+// on the first node of a service. The order of the candidates is lost.
+func (c *candidates) best(workload *workload, soleAllocator bool, random *random) *node {
 	switch {
-	case len(running) > 0:
-		return leastLoaded(running, r)
-	case len(others) == 0:
+	case len(c.running) > 0:
+		return leastLoaded(uncrowdedIfAny(workload, c.running), random)
+	case len(c.others) == 0:
 		return nil
-	case single:
-		return leastLoaded(others, r)
+	case soleAllocator:
+		return leastLoaded(c.others, random)
+	}
+	return highestRanked(workload, c.others)
+}
+
+// uncrowdedIfAny returns the nodes that would serve the workload in full, or all where there are none.
+func uncrowdedIfAny(workload *workload, nodes []candidate) []candidate {
+	uncrowded := slices.DeleteFunc(slices.Clone(nodes), func(c candidate) bool {
+		return c.load > workload.group.fullServiceLoad
+	})
+	if len(uncrowded) == 0 {
+		return nodes
 	}
-	return highestRanked(wl, others)
+	return uncrowded
 }
 
-// leastLoaded selects a random one of the candidates whose loads tie with the least. It reorders them.
-func leastLoaded(candidates []candidate, r *random) *node {
-	least := slices.MinFunc(candidates, func(x, y candidate) int { return cmp.Compare(x.load, y.load) }).load
-	ties := slices.DeleteFunc(candidates, func(c candidate) bool { return c.load > least+loadTieBand })
-	return ties[r.intn(len(ties))].node
+// leastLoaded selects a random one of the nodes whose loads tie with the least. It reorders them.
+func leastLoaded(nodes []candidate, random *random) *node {
+	least := slices.MinFunc(nodes, func(x, y candidate) int { return cmp.Compare(x.load, y.load) }).load
+	ties := slices.DeleteFunc(nodes, func(c candidate) bool { return c.load > least+loadTieBand })
+	return ties[random.intn(len(ties))].node
 }
 
-// highestRanked selects the roomier of the two candidates of highest rank, so that allocators start a service
-// in the same place without communication. Sorting them all dominated the cost on a large fleet.
-func highestRanked(wl *workload, candidates []candidate) *node {
+// highestRanked selects, of the two nodes of highest rank, the one that fits more such workloads; all allocators
+// select alike. Sorting them all dominated the cost on a large fleet.
+func highestRanked(workload *workload, nodes []candidate) *node {
 	var first, second *node
-	var highest, next uint64
-	for _, c := range candidates {
-		switch r := rank(wl.Service, c.node.ID); {
-		case first == nil || r > highest:
-			first, highest, second, next = c.node, r, first, highest
-		case second == nil || r > next:
-			second, next = c.node, r
+	var firstRank, secondRank uint64
+	for _, c := range nodes {
+		rank := rankFor(workload.Service, c.node.ID)
+		switch {
+		case first == nil || rank > firstRank:
+			second = first
+			secondRank = firstRank
+			first = c.node
+			firstRank = rank
+		case second == nil || rank > secondRank:
+			second = c.node
+			secondRank = rank
 		}
 	}
-	fits := func(n *node) float64 { return min(n.FreeCores/wl.Cores, n.FreeMemory/wl.Memory) }
-	if second != nil && fits(second) > fits(first) {
+	if second != nil && second.fits(workload) > first.fits(workload) {
 		return second
 	}
 	return first
 }
 
-// rank orders nodes for a service, alike at every allocator and differently for every service.
-func rank(s ServiceID, n NodeID) uint64 { return hash(uint64(n), uint64(s)) }
+// fits returns how many such workloads the free capacity of n holds by the node list, fractions included.
+func (n *node) fits(workload *workload) float64 {
+	return min(n.FreeCores/workload.Cores, n.FreeMemory/workload.Memory)
+}
+
+// rankFor orders nodes for a service, alike at every allocator and differently for every service.
+func rankFor(service ServiceID, id NodeID) uint64 {
+	return hash(uint64(id), uint64(service))
+}
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -12,7 +12,7 @@
 	reportUsed(s, 0, 2, 5)
 	wl := pendingWorkload(s, 0, 1, 1)
 	assert.Equal(t, NodeID(1), s.selectNode(0, wl).ID)
-	recordBind(0, wl, s.node(2)).advance(bindRunning)
+	s.node(2).addBind(0, wl).advance(bindRunning)
 	assert.Equal(t, NodeID(2), s.selectNode(0, wl).ID)
 }
 
@@ -23,9 +23,9 @@
 	for id, used := range map[NodeID]float64{1: 2, 2: 7, 3: 4} {
 		reportUsed(s, 0, id, used)
 	}
-	recordBind(0, wl, s.node(2)).advance(bindRunning)
+	s.node(2).addBind(0, wl).advance(bindRunning)
 	assert.Equal(t, NodeID(2), s.selectNode(0, wl).ID, "crowded, but it runs the service")
-	recordBind(0, wl, s.node(3)).advance(bindRunning)
+	s.node(3).addBind(0, wl).advance(bindRunning)
 	for range 20 {
 		assert.Equal(t, NodeID(3), s.selectNode(0, wl).ID)
 	}
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -1,3 +1,19 @@
+// Slow start decides whether a node that has just started may get one more bind of ours.
+//
+// Observed: the node's start time, the binds that we sent to it and when they were answered, and the number of
+// allocators.
+//
+// All allocators together must stay within the warm-up budget of such a node, without agreement. Each has an equal
+// share, which it ramps up to. Where allocators outnumber the budget they take turns of one bind, which all compute
+// alike from the node, its start time and their ordinals. A window of the budget overlaps two turns at most, also
+// with binds in flight, so each turn has half of it. What was sent before a restart of the allocator is unknown, so
+// it waits for a window or a whole turn. Binds that a network partition holds up arrive together at its end: a bind
+// counts until it is answered, and from its answer on for a window.
+//
+// Cost of an error: a bind too many overloads the node and breaks a rule that has no exception; one too few leaves
+// capacity idle just after a deploy or a crash, as happens in turns of allocators without requests, and while
+// answers are slow.
+
 package placement
 
 import (
@@ -7,20 +23,28 @@
 
 // slowStart keeps what all allocators send to a node that has just started within its warm-up budget.
 type slowStart struct {
-	settings  *Settings
-	window    Millis  // over which binds count against the budget
-	share     float64 // binds in a window that are ours to send; below 1 allocators take turns
-	turnSize  float64 // allocators that may send one bind each in a turn
-	startedAt Millis  // of this scheduler: what was sent before a restart is unknown
+	settings *Settings
+	// window is the time over which we count binds against the budget.
+	window Millis
+	// bindsPerWindow is our share of the budget, in binds in one window. Below 1 allocators take turns.
+	bindsPerWindow float64
+	// allocatorsPerTurn is how many allocators may send one bind each in a turn.
+	allocatorsPerTurn float64
+	// startedAt is when this scheduler started: what was sent before is unknown.
+	startedAt Millis
 }
 
-func newSlowStart(s *Settings) *slowStart {
+func newSlowStart(settings *Settings) *slowStart {
 	return &slowStart{
-		settings: s, window: s.OverloadWindow * warmUpWindowFactor, startedAt: Millis(math.Inf(1)),
-		share: math.Floor(s.WarmUpBudget / float64(s.Allocators)), turnSize: math.Floor(s.WarmUpBudget / 2),
+		settings:          settings,
+		window:            settings.OverloadWindow * warmUpWindowFactor,
+		bindsPerWindow:    math.Floor(settings.WarmUpBudget / float64(settings.Allocators)),
+		allocatorsPerTurn: math.Floor(settings.WarmUpBudget / turnsPerWindow),
+		startedAt:         Millis(math.Inf(1)),
 	}
 }
 
+// warmingUp reports whether n started so lately that its warm-up budget applies.
 func (s *slowStart) warmingUp(now Millis, n *node) bool {
 	return now-n.StartedAt < s.settings.WarmUpDuration
 }
@@ -30,52 +54,100 @@
 	if !s.warmingUp(now, n) {
 		return true
 	}
-	ramp := min(1, s.settings.InitialRate+float64((now-n.StartedAt)/slowStartRamp))
-	if s.share < 1 {
-		return s.hasTurn(now, n, ramp)
+	if s.bindsPerWindow < 1 {
+		return s.hasTurn(now, n)
 	}
-	return s.withinShare(now, n, ramp)
+	return s.withinShare(now, n)
+}
+
+// ramp returns the part of its full rate of binds that n takes by now, from the initial rate up to 1.
+func (s *slowStart) ramp(now Millis, n *node) float64 {
+	return min(1, s.settings.InitialRate+float64((now-n.StartedAt)/slowStartRamp))
 }
 
-// hasTurn reports whether the current turn on n is ours and unused. All allocators compute the same turns. A
-// window overlaps two at most, so each has half of the budget; after our own start we wait for a whole one.
-func (s *slowStart) hasTurn(now Millis, n *node, ramp float64) bool {
+// hasTurn reports whether the current turn on n is ours and unused. All allocators compute the same turns. A window
+// overlaps two at most, so each has half of the budget; after our own start we wait for a whole one.
+func (s *slowStart) hasTurn(now Millis, n *node) bool {
 	turn := math.Floor(float64((now - n.StartedAt) / s.window))
-	begins := n.StartedAt + Millis(turn)*s.window
-	first := float64(hash(uint64(n.ID), 0)%(1<<20)) + turn*s.turnSize
-	position := math.Mod(first+float64(s.settings.Ordinal), float64(s.settings.Allocators))
-	used := slices.ContainsFunc(n.warmUpBinds, func(at Millis) bool { return at >= begins })
-	return s.startedAt <= begins && !used && position < math.Floor(s.turnSize*ramp)
+	turnStart := n.StartedAt + Millis(turn)*s.window
+	sendersInTurn := math.Floor(s.allocatorsPerTurn * s.ramp(now, n))
+	return s.startedAt <= turnStart &&
+		!n.hasWarmUpBindSince(turnStart) &&
+		s.positionInTurn(n, turn) < sendersInTurn
+}
+
+// positionInTurn returns our place, from 0, in the order of allocators in which that turn on n is given out. The
+// order starts at a hash of the node, and moves on by the allocators of one turn.
+func (s *slowStart) positionInTurn(n *node, turn float64) float64 {
+	offset := float64(hash(uint64(n.ID), 0) % turnOffsets)
+	first := offset + turn*s.allocatorsPerTurn
+	return math.Mod(first+float64(s.settings.Ordinal), float64(s.settings.Allocators))
+}
+
+// hasWarmUpBindSince reports whether a bind that counts against the budget of n was sent or answered since then.
+func (n *node) hasWarmUpBindSince(start Millis) bool {
+	return slices.ContainsFunc(n.warmUpBinds, func(at Millis) bool { return at >= start })
 }
 
 // withinShare reports whether our share of the budget allows one more bind.
-func (s *slowStart) withinShare(now Millis, n *node, ramp float64) bool {
-	from, counted := now-s.window, 0
+func (s *slowStart) withinShare(now Millis, n *node) bool {
+	windowStart := now - s.window
+	counted := float64(n.countWarmUpBinds(windowStart))
+	return s.startedAt < windowStart &&
+		counted+1 <= s.bindsPerWindow &&
+		counted < max(1, s.bindsPerWindow*s.ramp(now, n))
+}
+
+// countWarmUpBinds returns how many of our binds count against the budget of n in the window from windowStart.
+func (n *node) countWarmUpBinds(windowStart Millis) int {
+	counted := 0
 	for _, at := range n.warmUpBinds {
-		if at >= from {
+		if at >= windowStart {
 			counted++
 		}
 	}
 	// Older binds without an answer may still arrive: after a network partition they did so with later ones.
 	for _, b := range n.binds {
-		if b.state == bindSent && b.sentAt < from {
+		if b.state == bindSent && b.sentAt < windowStart {
 			counted++
 		}
 	}
-	return s.startedAt < from && float64(counted+1) <= s.share && float64(counted) < max(1, s.share*ramp)
+	return counted
+}
+
+// recordSent counts a bind that is sent to n now, if its warm-up budget applies.
+func (s *slowStart) recordSent(now Millis, n *node) {
+	if s.warmingUp(now, n) {
+		n.warmUpBinds = append(n.warmUpBinds, now)
+	}
 }
 
-// countArrival counts a bind to a node that warms up from its result on: it may have arrived only then. A
-// confirmation that waits for the start counts only when it is very late. Slow answers leave nodes idle.
-func (s *slowStart) countArrival(now Millis, b *bind, kind ResultKind) {
-	switch {
-	case b.state != bindSent, kind == NotDelivered, kind == NotAttempted, kind == Withdrawn,
-		!s.warmingUp(now, b.node), s.settings.ConfirmsRunning && kind == Confirmed && now-b.sentAt <= s.window:
+// recordResult counts a bind to a node that warms up from its result on: it may have arrived only then.
+func (s *slowStart) recordResult(now Millis, b *bind, kind ResultKind) {
+	n := b.node
+	if b.state != bindSent || !s.warmingUp(now, n) || !s.mayHaveArrivedLate(now, b, kind) {
 		return
 	}
-	if i := slices.Index(b.node.warmUpBinds, b.sentAt); i >= 0 {
-		b.node.warmUpBinds[i] = now
+	if i := slices.Index(n.warmUpBinds, b.sentAt); i >= 0 {
+		n.warmUpBinds[i] = now
 	} else {
-		b.node.warmUpBinds = append(b.node.warmUpBinds, now)
+		n.warmUpBinds = append(n.warmUpBinds, now)
+	}
+}
+
+// mayHaveArrivedLate reports whether the bind may have reached its node only just before this result. A
+// confirmation that waits for the start says so only when it is very late: slow answers leave nodes idle.
+func (s *slowStart) mayHaveArrivedLate(now Millis, b *bind, kind ResultKind) bool {
+	switch kind {
+	case NotDelivered, NotAttempted: // it never arrived
+		return false
+	case Withdrawn: // not an answer of the node, which is still to come
+		return false
+	case Confirmed:
+		withinWindow := now-b.sentAt <= s.window
+		return !s.settings.ConfirmsRunning || !withinWindow
+	case RejectedByNode, OutcomeUnknown, TimedOut, Ended, TimerFired:
+		return true
 	}
+	return true
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -11,7 +11,7 @@
 func TestSlowStart_OurShareOnARamp(t *testing.T) {
 	s := newFleet(t, 1)
 	s.settings.WarmUpDuration, s.settings.InitialRate = 10e3, 0.25
-	s.slowStart.share, s.slowStart.window, s.slowStart.startedAt = 8, 3000, -5000
+	s.slowStart.bindsPerWindow, s.slowStart.window, s.slowStart.startedAt = 8, 3000, -5000
 	n := s.node(1)
 	n.StartedAt = 0
 	allowed := func(now Millis) (count int) {
@@ -32,7 +32,7 @@
 func TestSlowStart_UnansweredBindsCountBeyondTheWindow(t *testing.T) {
 	s := newFleet(t, 1)
 	s.settings.WarmUpDuration, s.settings.InitialRate = 60e3, 1
-	s.slowStart.share, s.slowStart.window, s.slowStart.startedAt = 4, 2000, -5000
+	s.slowStart.bindsPerWindow, s.slowStart.window, s.slowStart.startedAt = 4, 2000, -5000
 	n := s.node(1)
 	n.StartedAt = 0
 	for range 4 {
@@ -52,7 +52,7 @@
 		s.settings.WarmUpDuration, s.slowStart.window = 60e3, 2000
 		n := s.node(1)
 		n.StartedAt, n.warmUpBinds = 0, []Millis{100}
-		s.slowStart.countArrival(2900, &bind{node: n, sentAt: 100}, kind)
+		s.slowStart.recordResult(2900, &bind{node: n, sentAt: 100}, kind)
 		assert.Equal(t, want, n.warmUpBinds, "%v", kind)
 	}
 }
@@ -66,7 +66,7 @@
 		s.settings.WarmUpDuration, s.slowStart.window, s.settings.ConfirmsRunning = 60e3, 2000, true
 		n := s.node(1)
 		n.StartedAt, n.warmUpBinds = 0, []Millis{100}
-		s.slowStart.countArrival(1600, &bind{node: n, sentAt: 100}, kind)
+		s.slowStart.recordResult(1600, &bind{node: n, sentAt: 100}, kind)
 		assert.Equal(t, []Millis{want}, n.warmUpBinds, "%v", kind)
 	}
 }
@@ -96,11 +96,11 @@
 }
 
 func TestNew_WarmUpBudgetIsSplitByAllocators(t *testing.T) {
-	assert.InDelta(t, 7, New(Settings{Allocators: 3, WarmUpBudget: 23}, 1).slowStart.share, 0)
+	assert.InDelta(t, 7, New(Settings{Allocators: 3, WarmUpBudget: 23}, 1).slowStart.bindsPerWindow, 0)
 }
 
 func TestNew_OrdinalOutOfRangeCountsAsAnAllocator(t *testing.T) {
 	beyond := New(Settings{Allocators: 3, Ordinal: 9, WarmUpBudget: 23}, 1)
-	assert.InDelta(t, 2, beyond.slowStart.share, 0, "an ordinal beyond the count raises the count")
+	assert.InDelta(t, 2, beyond.slowStart.bindsPerWindow, 0, "an ordinal beyond the count raises the count")
 	assert.Zero(t, New(Settings{Allocators: 3, Ordinal: -1}, 1).settings.Ordinal)
 }
