--- a/placement/doc.go
+++ b/placement/doc.go
@@ -5,9 +5,9 @@
 //
 // New makes a [Scheduler] from its [Settings] and a seed. Schedule takes a [Workload] and returns a [Step]: execute it
 // and pass the [Result] to its NextStep, which returns the step after that, until a step has no NextStep. Adopt does
-// the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and ReportUsage take what is observed
-// meanwhile. Maintain, called at the time that it last requested, returns migrations, health checks and whether to
-// subscribe to the node list.
+// the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and ReportUsage take what is
+// observed meanwhile. Maintain, called at the time that it last requested, returns migrations, health checks and
+// whether to subscribe to the node list.
 //
 // # A decision
 //
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -48,8 +48,8 @@
 	requestsPerOurs float64
 }
 
-// newReservations returns reservations by the requests that the scheduler adds to groups. How many of all allocators' a
-// request of ours stands for follows from their number.
+// newReservations returns reservations that count the requests in groups, to which the scheduler adds them. The more
+// allocators there are, the longer our own requests are counted, and the more requests of others each stands for.
 func newReservations(
 	settings *Settings, groups []group, nodes *nodeTable, capacity *capacityEstimator, load *loadEstimator,
 ) *reservations {
@@ -98,19 +98,19 @@
 		workload:     workload,
 		kind:         nothingReserved,
 	}
-	competing := r.competingDemand(now, workload)
-	if competing.slot.Cores <= 0 || competing.slot.Memory <= 0 {
+	slot := r.slotSize(now, workload)
+	if slot.Cores <= 0 || slot.Memory <= 0 {
 		return reserved
 	}
-	required := r.requiredSlots(&competing)
-	free := r.freeSlots(now, competing.slot)
+	required := r.requiredSlots(r.competingDemand(now, workload, slot))
+	free := r.freeSlots(now, slot)
 	if free.whole < required {
 		reserved.kind = nodesReserved
 		reserved.nodes = nodesWithMostSlots(free.byNode, int(required))
 		return reserved
 	}
 	reserved.kind = slotsReserved
-	reserved.slot = competing.slot
+	reserved.slot = slot
 	reserved.free = free.whole
 	reserved.required = required
 	return reserved
@@ -129,81 +129,90 @@
 	return reserved.free-taken < reserved.required
 }
 
-// demand is the requests that compete with a workload for capacity.
-type demand struct {
-	// slot is the size of the largest, in cores and in memory; zero where there are none.
-	slot resources
-	// higherWeight are the sizes of recent requests of higher priority weight.
-	higherWeight []resources
-	// firstRequests are the sizes of recent first requests of equal weight, which come before a retried one.
-	firstRequests []resources
-}
+// precedence says which requests of a group come before a workload.
+type precedence uint8
+
+const (
+	nonePrecede  precedence = iota // the group has lower weight, or equal weight and the workload is a first request
+	firstPrecede                   // the first requests of a group of equal weight, as the workload is a retried one
+	allPrecede                     // the group has higher weight
+)
 
-// competingDemand returns the requests that come before the workload.
-func (r *reservations) competingDemand(now Millis, workload *workload) demand {
-	var competing demand
+// precedenceOver returns which requests of g come before the workload.
+func (g *group) precedenceOver(workload *workload) precedence {
 	weight := workload.group.PriorityWeight
+	switch {
+	case g.PriorityWeight > weight:
+		return allPrecede
+	case g.PriorityWeight == weight && workload.Retried:
+		return firstPrecede
+	}
+	return nonePrecede
+}
+
+// slotSize returns the size of the largest request that competes with the workload, in cores and in memory; zero where
+// there is none. Of groups of higher weight it counts older requests too, as one slot is always kept for them.
+func (r *reservations) slotSize(now Millis, workload *workload) (slot resources) {
 	for i := range r.groups {
 		group := &r.groups[i]
-		switch {
-		case group.PriorityWeight > weight:
-			r.addHigherWeight(now, &competing, group.requests)
-		case group.PriorityWeight == weight && workload.Retried:
-			r.addFirstRequests(now, &competing, group.requests)
+		precedence := group.precedenceOver(workload)
+		if precedence == nonePrecede {
+			continue
+		}
+		for j := range group.requests {
+			request := &group.requests[j]
+			if precedence == allPrecede || r.isRecent(now, request) && !request.retried {
+				slot = slot.atLeast(request.size)
+			}
 		}
 	}
-	return competing
+	return slot
 }
 
-// addHigherWeight adds requests of a group of higher weight. The slot is large enough also for older ones: at least
-// one slot of that size is kept.
-func (r *reservations) addHigherWeight(now Millis, competing *demand, requests []request) {
-	for i := range requests {
-		higher := &requests[i]
-		competing.slot = largest(competing.slot, higher.size)
-		if r.recent(now, higher) {
-			competing.higherWeight = append(competing.higherWeight, higher.size)
-		}
-	}
+// demand is how many slots the recent requests take that compete with a workload, at all allocators.
+type demand struct {
+	higherWeight  slots // for groups of higher priority weight
+	firstRequests slots // for first requests of equal weight, against a retried one
 }
 
-// addFirstRequests adds the recent first requests of a group of equal weight.
-func (r *reservations) addFirstRequests(now Millis, competing *demand, requests []request) {
-	for i := range requests {
-		equal := &requests[i]
-		if equal.retried || !r.recent(now, equal) {
+// competingDemand counts the requests that compete with the workload, in slots of that size.
+func (r *reservations) competingDemand(now Millis, workload *workload, slot resources) demand {
+	var higherWeight, firstRequests float64 // in slots, fractions included
+	for i := range r.groups {
+		group := &r.groups[i]
+		precedence := group.precedenceOver(workload)
+		if precedence == nonePrecede {
 			continue
 		}
-		competing.slot = largest(competing.slot, equal.size)
-		competing.firstRequests = append(competing.firstRequests, equal.size)
+		for j := range group.requests {
+			request := &group.requests[j]
+			if !r.isRecent(now, request) {
+				continue
+			}
+			atAllAllocators := r.requestsPerOurs * request.size.dividedBy(slot)
+			switch {
+			case precedence == allPrecede:
+				higherWeight += atAllAllocators
+			case !request.retried:
+				firstRequests += atAllAllocators
+			}
+		}
+	}
+	return demand{
+		higherWeight:  slots(math.Ceil(higherWeight)),
+		firstRequests: slots(math.Ceil(firstRequests)),
 	}
 }
 
-// recent reports whether a request is new enough for its capacity to be kept.
-func (r *reservations) recent(now Millis, request *request) bool {
+// isRecent reports whether a request is new enough for capacity to be kept for others like it.
+func (r *reservations) isRecent(now Millis, request *request) bool {
 	return now-request.at < r.window
 }
 
-// largest returns the more of two amounts, in cores and in memory.
-func largest(x, y resources) resources {
-	return resources{Cores: max(x.Cores, y.Cores), Memory: max(x.Memory, y.Memory)}
-}
-
 // requiredSlots returns how many slots to keep. Those for groups of higher weight leave a part of the fleet open.
-func (r *reservations) requiredSlots(competing *demand) slots {
+func (r *reservations) requiredSlots(competing demand) slots {
 	limit := slots(float64(len(r.nodes.sorted)) * maxReservedSlotsPerNode)
-	forHigherWeight := min(r.slotsFor(competing.higherWeight, competing.slot), limit)
-	forFirstRequests := r.slotsFor(competing.firstRequests, competing.slot)
-	return max(1, forHigherWeight+forFirstRequests)
-}
-
-// slotsFor returns how many slots requests of those sizes take, scaled to all allocators.
-func (r *reservations) slotsFor(sizes []resources, slot resources) slots {
-	sum := 0.0
-	for _, size := range sizes {
-		sum += r.requestsPerOurs * max(size.Cores/slot.Cores, size.Memory/slot.Memory)
-	}
-	return slots(math.Ceil(sum))
+	return max(1, min(competing.higherWeight, limit)+competing.firstRequests)
 }
 
 // slotsTaken returns how many whole slots on n the workload would take.
