--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -7,76 +7,83 @@
 )
 
 func TestFeasible_CapacityAndLoadCap(t *testing.T) {
-	for name, c := range map[string]struct {
-		cores, memory, used float64
-		want                bool
+	for _, c := range []struct {
+		name      string
+		cores     float64
+		memory    float64
+		usedCores float64
+		want      bool
 	}{
-		"fits":                 {1, 1, 1, true},
-		"cores do not fit":     {11, 1, 0, false},
-		"memory does not fit":  {1, 21, 0, false},
-		"load is over the cap": {2, 1, 8, false},
+		{"fits: feasible", 1, 1, 1, true},
+		{"cores do not fit: not feasible", 11, 1, 0, false},
+		{"memory does not fit: not feasible", 1, 21, 0, false},
+		{"load over the cap: not feasible", 2, 1, 8, false},
 	} {
-		t.Run(name, func(t *testing.T) {
-			s := newFleet(t, 1)
-			reportUsed(s, 0, 1, c.used)
-			assert.Equal(t, c.want, s.filter.feasible(0, pendingWorkload(s, 0, c.cores, c.memory), s.node(1)))
+		t.Run(c.name, func(t *testing.T) {
+			scheduler := newFleet(t, 1)
+			reportUsed(scheduler, 0, 1, c.usedCores)
+			workload := pendingWorkload(scheduler, idempotent, c.cores, c.memory)
+			assert.Equal(t, c.want, scheduler.filter.feasible(0, workload, scheduler.node(1)))
 		})
 	}
 }
 
 // Rule 3: nothing goes to a node that drains, is removed, or is missing from a snapshot.
 func TestFeasible_OnlyReadyNodes(t *testing.T) {
-	s := newFleet(t, 2)
-	s.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
-	assert.False(t, s.filter.feasible(1, pendingWorkload(s, 0, 1, 1), s.node(1)))
-	s.UpdateNodes(2, Snapshot, []Node{entry(1, Ready)})
-	assert.True(t, s.filter.feasible(2, pendingWorkload(s, 0, 1, 1), s.node(1)))
-	assert.False(t, s.filter.feasible(2, pendingWorkload(s, 0, 1, 1), s.node(2)))
+	scheduler := newFleet(t, 2)
+	workload := pendingWorkload(scheduler, idempotent, 1, 1)
+	scheduler.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
+	assert.False(t, scheduler.filter.feasible(1, workload, scheduler.node(1)), "draining")
+	scheduler.UpdateNodes(2, Snapshot, []Node{entry(1, Ready)})
+	assert.True(t, scheduler.filter.feasible(2, workload, scheduler.node(1)), "ready again")
+	assert.False(t, scheduler.filter.feasible(2, workload, scheduler.node(2)), "missing from the snapshot")
 }
 
 func TestMayRepeat_WithinKeyScopeAndWindow(t *testing.T) {
-	s := newFleet(t, 2)
-	wl := pendingWorkload(s, keyedInCell, 1, 1)
-	wl.uncertain = &bind{workload: wl, node: s.node(1), sentAt: 0}
-	assert.True(t, mayRepeat(4000, wl, s.node(1)))
-	assert.False(t, mayRepeat(4000, wl, s.node(2)), "another cell")
-	assert.False(t, mayRepeat(5000, wl, s.node(1)), "after the window")
+	for _, c := range []struct {
+		name string
+		now  Millis
+		node NodeID
+		want bool
+	}{
+		{"same cell, within the window: may repeat", 4000, 1, true},
+		{"another cell: may not", 4000, 2, false},
+		{"after the window: may not", 5000, 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			scheduler := newFleet(t, 2)
+			workload := pendingWorkload(scheduler, keyedInCell, 1, 1)
+			workload.uncertain = &bind{
+				workload: workload,
+				node:     scheduler.node(1),
+				sentAt:   0,
+			}
+			assert.Equal(t, c.want, mayRepeat(c.now, workload, scheduler.node(c.node)))
+		})
+	}
 }
 
 // Rule 5: the workloads of a service in one scope never exceed its limit.
 func TestSpreadAllows_AtMostMaxPerScope(t *testing.T) {
-	for name, c := range map[string]struct {
-		scope               Scope
-		sameNode, otherNode bool
+	for _, c := range []struct {
+		name      string
+		scope     Scope
+		sameNode  bool
+		otherNode bool // in another cell of the same zone
 	}{
-		"node": {ScopeNode, false, true},
-		"cell": {ScopeCell, false, true},
-		"zone": {ScopeZone, false, false},
-		"none": {ScopeNone, true, true},
+		{"node: another node is open", ScopeNode, false, true},
+		{"cell: another cell is open", ScopeCell, false, true},
+		{"zone: no node of the zone is open", ScopeZone, false, false},
+		{"none: all nodes are open", ScopeNone, true, true},
 	} {
-		t.Run(name, func(t *testing.T) {
-			s := newFleet(t, 2) // both in one zone
-			wl := pendingWorkload(s, 0, 1, 1)
-			wl.group.SpreadScope, wl.group.MaxPerScope = c.scope, 1
-			s.node(1).addBind(0, wl)
-			assert.Equal(t, c.sameNode, s.filter.spreadAllows(wl, s.node(1)))
-			assert.Equal(t, c.otherNode, s.filter.spreadAllows(wl, s.node(2)))
+		t.Run(c.name, func(t *testing.T) {
+			scheduler := newFleet(t, 2)
+			workload := pendingWorkload(scheduler, idempotent, 1, 1)
+			workload.group.SpreadScope = c.scope
+			workload.group.MaxPerScope = 1
+			scheduler.node(1).addBind(0, workload)
+			assert.Equal(t, c.sameNode, scheduler.filter.spreadAllows(workload, scheduler.node(1)))
+			assert.Equal(t, c.otherNode, scheduler.filter.spreadAllows(workload, scheduler.node(2)))
 		})
 	}
 }
-
-func TestRejections_LackOfCapacityBlocksRequestsNoSmallerForAWhile(t *testing.T) {
-	s := newFleet(t, 1)
-	log := rejectionLog{{at: 0, size: resources{2, 2}, reason: InsufficientCores}}
-	assert.True(t, log.block(1, pendingWorkload(s, 0, 2, 1)))
-	assert.False(t, log.block(1, pendingWorkload(s, 0, 1, 1)))
-	assert.False(t, log.block(capacityRejectionPause+1, pendingWorkload(s, 0, 2, 1)))
-}
-
-func TestRejections_WithoutReasonBlockOnlyTheGroup(t *testing.T) {
-	s := newFleet(t, 1)
-	log := rejectionLog{{at: 0, group: &s.groups[atMostOnce], reason: ReasonUnspecified}}
-	assert.True(t, log.block(groupRejectionPause-1, pendingWorkload(s, atMostOnce, 1, 1)))
-	assert.False(t, log.block(1, pendingWorkload(s, idempotent, 1, 1)), "others keep using the node")
-	assert.False(t, log.block(groupRejectionPause, pendingWorkload(s, atMostOnce, 1, 1)), "it is tried again")
-}
--- a/placement/migration_test.go
+++ b/placement/migration_test.go
@@ -8,21 +8,41 @@
 )
 
 func TestMigrationCandidate_FurthestOverItsRequestOnAnOverloadedNode(t *testing.T) {
-	s := newFleet(t, 2)
-	n := s.node(1)
-	for i, used := range []float64{1.5, 4, 0.5} {
-		b := n.addBind(0, pendingWorkload(s, 0, 1, 1))
-		b.state, b.usedCores, b.workload.ID = bindRunning, used, WorkloadID(i)
+	const above = 9.0 // cores in use: more than the overload threshold of the node
+	const below = 5.0
+	for _, c := range []struct {
+		name        string
+		now         Millis
+		usedBetween float64 // cores in use by the report in the middle of the window
+		wantNone    bool
+	}{
+		{"above the threshold for the window: the one furthest over its request", migrationWindow, above, false},
+		{"shorter than the window: none", migrationWindow - 1, above, true},
+		{"below the threshold in between: none", migrationWindow, below, true},
+		{"no evidence that it is still overloaded: none", migrationWindow + 4e3, above, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			scheduler := newFleet(t, 2)
+			crowded := scheduler.node(1)
+			for id, used := range []float64{1.5, 4, 0.5} {
+				resident := crowded.addBind(0, pendingWorkload(scheduler, idempotent, 1, 1))
+				resident.state = bindRunning
+				resident.usedCores = used
+				resident.workload.ID = WorkloadID(id)
+			}
+			crowded.reports = reportHistory{
+				{at: 0, used: resources{Cores: above}},
+				{at: migrationWindow / 2, used: resources{Cores: c.usedBetween}},
+				{at: migrationWindow, used: resources{Cores: above}},
+			}
+			reportUsed(scheduler, migrationWindow-1, 2, 1)
+			candidate := migrationCandidate(c.now, crowded, scheduler.filter)
+			if c.wantNone {
+				assert.Nil(t, candidate)
+				return
+			}
+			require.NotNil(t, candidate)
+			assert.Equal(t, WorkloadID(1), candidate.workload.ID)
+		})
 	}
-	candidate := func(now Millis) *bind { return migrationCandidate(now, n, s.filter) }
-	nine := resources{Cores: 9}
-	n.reports = reportHistory{{at: 0, used: nine}, {at: migrationWindow / 2, used: nine}, {at: migrationWindow, used: nine}}
-	reportUsed(s, migrationWindow-1, 2, 1)
-	require.NotNil(t, candidate(migrationWindow))
-	assert.Equal(t, WorkloadID(1), candidate(migrationWindow).workload.ID)
-	assert.Nil(t, candidate(migrationWindow-1), "shorter than the window")
-	n.reports[1].used.Cores = 5
-	assert.Nil(t, candidate(migrationWindow), "below the cap in between")
-	n.reports[1].used.Cores = 9
-	assert.Nil(t, candidate(migrationWindow+4e3), "no evidence that it is still overloaded")
 }
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -15,6 +15,7 @@
 package placement
 
 import (
+	"iter"
 	"math"
 	"slices"
 )
@@ -150,20 +151,31 @@
 	return nonePrecede
 }
 
+// preceding returns the requests that come before the workload, each with the precedence of its group: the retried ones
+// of a group of equal weight too.
+func (r *reservations) preceding(workload *workload) iter.Seq2[precedence, *request] {
+	return func(yield func(precedence, *request) bool) {
+		for i := range r.groups {
+			group := &r.groups[i]
+			precedence := group.precedenceOver(workload)
+			if precedence == nonePrecede {
+				continue
+			}
+			for j := range group.requests {
+				if !yield(precedence, &group.requests[j]) {
+					return
+				}
+			}
+		}
+	}
+}
+
 // slotSize returns the size of the largest request that competes with the workload, in cores and in memory; zero where
 // there is none. Of groups of higher weight it counts older requests too, as one slot is always kept for them.
 func (r *reservations) slotSize(now Millis, workload *workload) (slot resources) {
-	for i := range r.groups {
-		group := &r.groups[i]
-		precedence := group.precedenceOver(workload)
-		if precedence == nonePrecede {
-			continue
-		}
-		for j := range group.requests {
-			request := &group.requests[j]
-			if precedence == allPrecede || r.isRecent(now, request) && !request.retried {
-				slot = slot.atLeast(request.size)
-			}
+	for precedence, request := range r.preceding(workload) {
+		if precedence == allPrecede || r.isRecent(now, request) && !request.retried {
+			slot = slot.atLeast(request.size)
 		}
 	}
 	return slot
@@ -178,24 +190,16 @@
 // competingDemand counts the requests that compete with the workload, in slots of that size.
 func (r *reservations) competingDemand(now Millis, workload *workload, slot resources) demand {
 	var higherWeight, firstRequests float64 // in slots, fractions included
-	for i := range r.groups {
-		group := &r.groups[i]
-		precedence := group.precedenceOver(workload)
-		if precedence == nonePrecede {
+	for precedence, request := range r.preceding(workload) {
+		if !r.isRecent(now, request) {
 			continue
 		}
-		for j := range group.requests {
-			request := &group.requests[j]
-			if !r.isRecent(now, request) {
-				continue
-			}
-			atAllAllocators := r.requestsPerOurs * request.size.dividedBy(slot)
-			switch {
-			case precedence == allPrecede:
-				higherWeight += atAllAllocators
-			case !request.retried:
-				firstRequests += atAllAllocators
-			}
+		atAllAllocators := r.requestsPerOurs * request.size.dividedBy(slot)
+		switch {
+		case precedence == allPrecede:
+			higherWeight += atAllAllocators
+		case !request.retried:
+			firstRequests += atAllAllocators
 		}
 	}
 	return demand{
--- a/placement/reservation_test.go
+++ b/placement/reservation_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestReservations_RoomiestNodeIsKeptForLargeRequestsOfHigherWeight(t *testing.T) {
-	s := newFleet(t, 2)
-	roomiest := s.node(1)
-	other := s.node(2)
+	scheduler := newFleet(t, 2)
+	roomiest := scheduler.node(1)
+	other := scheduler.node(2)
 	other.FreeCores = 3
-	s.groups[atMostOnce].requests = []request{{size: resources{6, 6}}}
+	scheduler.groups[atMostOnce].requests = []request{{size: resources{6, 6}}}
 	for _, c := range []struct {
 		name      string
 		freeCores float64 // of the roomiest node
@@ -26,15 +26,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			roomiest.FreeCores = c.freeCores
-			assert.Equal(t, c.want, isReserved(s, 60e3, pendingWorkload(s, c.group, 1, 1), c.node))
+			assert.Equal(t, c.want, isReserved(scheduler, 60e3, pendingWorkload(scheduler, c.group, 1, 1), c.node))
 		})
 	}
 }
 
 func TestReservations_FirstRequestsComeBeforeRetriedOnes(t *testing.T) {
-	s := newFleet(t, 1)
-	s.node(1).FreeCores = 2.5
-	s.groups[idempotent].requests = []request{{size: resources{2, 2}}, {size: resources{2, 2}, retried: true}}
+	scheduler := newFleet(t, 1)
+	scheduler.node(1).FreeCores = 2.5
+	scheduler.groups[idempotent].requests = []request{{size: resources{2, 2}}, {size: resources{2, 2}, retried: true}}
 	for _, c := range []struct {
 		name    string
 		retried bool
@@ -46,23 +46,23 @@
 		{"retried request, no recent first one: open", true, reservationWindow, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			workload := pendingWorkload(s, idempotent, 1, 1)
+			workload := pendingWorkload(scheduler, idempotent, 1, 1)
 			workload.Retried = c.retried
-			assert.Equal(t, c.want, isReserved(s, c.now, workload, s.node(1)))
+			assert.Equal(t, c.want, isReserved(scheduler, c.now, workload, scheduler.node(1)))
 		})
 	}
 }
 
 func TestReservations_StandForAllAllocators(t *testing.T) {
-	s := newFleet(t, 4)
-	s.reservations.requestsPerOurs = 30
-	s.groups[atMostOnce].requests = []request{{size: resources{1, 1}}}
-	for _, n := range s.nodes.sorted {
+	scheduler := newFleet(t, 4)
+	scheduler.reservations.requestsPerOurs = 30
+	scheduler.groups[atMostOnce].requests = []request{{size: resources{1, 1}}}
+	for _, n := range scheduler.nodes.sorted {
 		n.FreeCores = 0.6 // no slot for the request of higher weight: half of the nodes fill up no further
 	}
-	reserved := s.reservations.against(1, pendingWorkload(s, idempotent, 0.5, 0.5))
+	reserved := scheduler.reservations.against(1, pendingWorkload(scheduler, idempotent, 0.5, 0.5))
 	count := 0
-	for _, n := range s.nodes.sorted {
+	for _, n := range scheduler.nodes.sorted {
 		if reserved.excludes(n) {
 			count++
 		}
@@ -80,8 +80,8 @@
 		{"fewer: the longer window counts them all", 3, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := New(Settings{Allocators: c.allocators}, 1)
-			assert.InDelta(t, c.want, s.reservations.requestsPerOurs, 0)
+			scheduler := New(Settings{Allocators: c.allocators}, 1)
+			assert.InDelta(t, c.want, scheduler.reservations.requestsPerOurs, 0)
 		})
 	}
 }
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -6,197 +6,172 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-	"github.com/stretchr/testify/require"
 )
 
-func TestAdopt_DoesNotReduceAvailableCapacity(t *testing.T) {
-	s := newFleet(t, 1)
-	s.node(1).FreeCores = 4
-	s.Adopt(0, Workload{ID: 9, Service: 1, Cores: 6, Memory: 6}, 1)
-	assert.InDelta(t, 4, s.capacity.available(0, s.node(1)).Cores, 1e-9)
-	assert.True(t, s.node(1).runsService(1))
-}
-
-func TestSchedule_FullFleetRejectsAtOnce(t *testing.T) {
-	s := newFleet(t, 1)
-	s.node(1).FreeCores = 0
-	assert.Equal(t, Rejected, s.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 5000}).Kind)
-}
-
-func TestSchedule_EmptyListWaitsThenRejects(t *testing.T) {
-	s := newFleet(t, 0)
-	step := s.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 5000})
-	require.Equal(t, Wait, step.Kind)
-	assert.Equal(t, Rejected, step.NextStep(999, Result{Kind: TimerFired}).Kind)
-	assert.Equal(t, Done, step.NextStep(10, Result{Kind: Withdrawn}).Kind)
-}
-
-// Rules 1 and 2: what follows each result, by group.
-func TestNextStep_AfterABind(t *testing.T) {
-	for name, c := range map[string]struct {
-		group GroupID
-		kind  ResultKind
-		want  StepKind
-	}{
-		"idempotent, rejected":                {idempotent, RejectedByNode, Bind},
-		"idempotent, timed out":               {idempotent, TimedOut, Bind},
-		"idempotent, outcome unknown":         {idempotent, OutcomeUnknown, Bind},
-		"at most once, rejected":              {atMostOnce, RejectedByNode, Bind},
-		"at most once, not delivered":         {atMostOnce, NotDelivered, Bind},
-		"at most once, timed out":             {atMostOnce, TimedOut, Unschedulable},
-		"at most once, outcome unknown":       {atMostOnce, OutcomeUnknown, Unschedulable},
-		"at most once, not attempted":         {atMostOnce, NotAttempted, Rejected},
-		"at most once, confirmed":             {atMostOnce, Confirmed, AwaitEnd},
-		"by key everywhere, timed out":        {keyedEverywhere, TimedOut, Bind},
-		"by key in a cell, timed out":         {keyedInCell, TimedOut, Bind},
-		"by key in a cell, rejected":          {keyedInCell, RejectedByNode, Bind},
-		"withdrawn with the bind in progress": {idempotent, Withdrawn, AwaitEnd},
-	} {
-		t.Run(name, func(t *testing.T) {
-			s := newFleet(t, 2)
-			step := s.Schedule(0, Workload{Group: c.group, Cores: 1, Memory: 1, PendingTimeout: 9000})
-			require.Equal(t, Bind, step.Kind)
-			assert.Equal(t, c.want, step.NextStep(100, Result{Kind: c.kind}).Kind)
-		})
-	}
-}
-
-func TestFinalAnswer_RejectedOnlyWhereARepeatIsHarmless(t *testing.T) {
-	wants := map[GroupID]StepKind{keyedInCell: Unschedulable, keyedEverywhere: Rejected, idempotent: Rejected}
-	for g, want := range wants {
-		s := newFleet(t, 1)
-		step := s.Schedule(0, Workload{Group: g, Cores: 1, Memory: 1, PendingTimeout: 9000})
-		s.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
-		assert.Equal(t, want, step.NextStep(100, Result{Kind: OutcomeUnknown}).Kind)
-	}
-}
-
-func TestNextStep_NothingAfterAWithdrawal(t *testing.T) {
-	s := newFleet(t, 2)
-	step := s.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 9000}).NextStep(1, Result{Kind: Withdrawn})
-	assert.Equal(t, Done, step.NextStep(2, Result{Kind: RejectedByNode}).Kind)
-	assert.Empty(t, s.node(1).binds)
-	assert.Empty(t, s.node(2).binds)
-}
-
-func TestSchedule_AnswersBeforeThePendingTimeout(t *testing.T) {
-	s := newFleet(t, 2)
-	step := s.Schedule(0, Workload{Group: atMostOnce, Cores: 1, Memory: 1, PendingTimeout: 3000})
-	assert.InDelta(t, float64(3000-answerMargin), float64(step.Timeout), 0)
-	step = s.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 3000})
-	assert.Equal(t, Rejected, step.NextStep(2990, Result{Kind: TimedOut}).Kind)
-}
-
-func TestSchedule_AtMostMaxBinds(t *testing.T) {
-	s := newFleet(t, 9)
-	step := s.Schedule(0, Workload{Cores: 1, Memory: 1, PendingTimeout: 9000})
-	for range 3 {
-		require.Equal(t, Bind, step.Kind)
-		step = step.NextStep(1, Result{Kind: RejectedByNode, Reason: QueueFull})
-	}
-	assert.Equal(t, Rejected, step.Kind)
+func TestNew_OrdinalOutOfRangeCountsAsAnAllocator(t *testing.T) {
+	beyond := New(Settings{
+		Allocators:   3,
+		Ordinal:      9,
+		WarmUpBudget: 23,
+	}, 1)
+	assert.InDelta(t, 2, beyond.slowStart.bindsPerWindow, 0, "an ordinal beyond the count raises the count")
+	negative := New(Settings{Allocators: 3, Ordinal: -1}, 1)
+	assert.Zero(t, negative.settings.Ordinal)
 }
 
 func TestScheduler_UnknownIDsAndEmptyReportsChangeNothing(t *testing.T) {
-	s := newFleet(t, 1)
-	s.ReportUsage(0, 77, CoresUsed, 3)
-	s.ReportLoad(0, 99, LoadReport{SpareCores: 1})
-	s.ReportLoad(0, 1, LoadReport{SpareCores: math.NaN(), SpareMemory: math.NaN(), Utilization: math.NaN()})
-	s.HealthChecked(0, 99, false, nil)
-	_, ok := s.load.usedCores(0, s.node(1))
-	assert.False(t, ok, "a report without values tells nothing")
-	s.UpdateNodes(0, Snapshot, nil)
-	s.Maintain(0)
-	assert.Empty(t, s.nodes.sorted)
-	assert.Equal(t, Rejected, s.Schedule(0, Workload{Group: 99}).Kind)
+	scheduler := newFleet(t, 1)
+	scheduler.ReportUsage(0, 77, CoresUsed, 3)
+	scheduler.ReportLoad(0, 99, LoadReport{SpareCores: 1})
+	scheduler.ReportLoad(0, 1, LoadReport{
+		SpareCores:  math.NaN(),
+		SpareMemory: math.NaN(),
+		Utilization: math.NaN(),
+	})
+	scheduler.HealthChecked(0, 99, false, nil)
+	_, known := scheduler.load.usedCores(0, scheduler.node(1))
+	assert.False(t, known, "a report without values tells nothing")
+	scheduler.UpdateNodes(0, Snapshot, nil)
+	scheduler.Maintain(0)
+	assert.Empty(t, scheduler.nodes.sorted)
+	assert.Equal(t, Rejected, scheduler.Schedule(0, Workload{Group: 99}).Kind)
 }
 
 func TestScheduler_SameCallsSameSteps(t *testing.T) {
 	run := func() (nodes []NodeID) {
-		s := newFleet(t, 5)
+		scheduler := newFleet(t, 5)
 		for i := range 40 {
-			step := s.Schedule(Millis(i), Workload{ID: WorkloadID(i), Cores: 0.1, PendingTimeout: 5000})
+			step := scheduler.Schedule(Millis(i), Workload{
+				ID:             WorkloadID(i),
+				Cores:          0.1,
+				PendingTimeout: 5000,
+			})
 			nodes = append(nodes, step.Node)
 		}
 		return nodes
 	}
-	first, second := run(), run()
+	first := run()
+	second := run()
 	assert.Equal(t, first, second)
 }
 
-// Three days in which nodes are replaced, services never return and no old id is requested again: what is
-// kept stays bounded, and as many workloads are placed as at first. The clock begins 30 years late.
+const (
+	longRunNodes     = 12 // listed at a time
+	longRunDays      = 3
+	secondsPerDay    = 24 * 3600
+	secondsPerLaunch = 600 // after which a node is replaced by a new one
+)
+
+// Three days in which nodes are replaced, services never return and no old id is requested again: what is kept stays
+// bounded, and as many workloads are placed as at first. The clock begins 30 years late.
 func TestScheduler_StateStaysBoundedOverDays(t *testing.T) {
-	const begins, nodes, day = Millis(1e12), 12, 24 * 3600
-	s := newFleet(t, 0)
-	s.settings.HealthChecksAllowed = true
-	type running struct {
-		endsAt Millis
-		end    func(Millis, Result) Step
+	const begins = Millis(1e12)
+	run := &longRun{scheduler: newFleet(t, 0)}
+	run.scheduler.settings.HealthChecksAllowed = true
+	for second := range longRunDays * secondsPerDay {
+		run.playSecond(begins+Millis(second)*1000, second)
 	}
-	var inflight []running
-	placed, heaps := [3]int{}, [3]uint64{}
-	for second := range 3 * day {
-		now := begins + Millis(second)*1000
-		s.UpdateNodes(now, Snapshot, replacedNodes(now, second, nodes))
-		s.Maintain(now)
-		for len(inflight) > 0 && inflight[0].endsAt <= now {
-			inflight[0].end(now, Result{Kind: Ended, Final: true})
-			inflight = inflight[1:]
-		}
-		step := placeOne(s, now, second)
-		if step.Kind == AwaitEnd {
-			placed[second/day]++
-			s.ReportUsage(now+50, WorkloadID(second+1), CoresUsed, 0.5)
-			inflight = append(inflight, running{now + 20e3, step.NextStep})
-		}
-		if second%day == day-1 {
-			heaps[second/day] = heapAlloc()
-		}
+	assertStateBounded(t, run.scheduler)
+	placedOnFirstDay := run.placed[0]
+	placedOnLastDay := run.placed[longRunDays-1]
+	assert.InDelta(t, placedOnFirstDay, placedOnLastDay, float64(placedOnFirstDay)/100, "as good as on the first day")
+	assert.Greater(t, placedOnFirstDay, 80000)
+	assert.Less(t, run.heaps[longRunDays-1], run.heaps[0]+256<<10)
+}
+
+// longRun plays a scheduler to which one workload is requested each second, on nodes that are replaced.
+type longRun struct {
+	scheduler *Scheduler
+	running   []runningWorkload // in the order of their ends
+	placed    [longRunDays]int  // workloads, by day
+	heaps     [longRunDays]uint64
+}
+
+// runningWorkload is a placed workload and when it ends.
+type runningWorkload struct {
+	endsAt   Millis
+	nextStep func(Millis, Result) Step
+}
+
+// playSecond plays one second, and measures the heap in the last one of a day.
+func (r *longRun) playSecond(now Millis, second int) {
+	day := second / secondsPerDay
+	r.scheduler.UpdateNodes(now, Snapshot, replacedNodes(now, second))
+	r.scheduler.Maintain(now)
+	for len(r.running) > 0 && r.running[0].endsAt <= now {
+		r.running[0].nextStep(now, Result{Kind: Ended, Final: true})
+		r.running = r.running[1:]
+	}
+	step := placeOne(r.scheduler, now, second)
+	if step.Kind == AwaitEnd {
+		r.placed[day]++
+		r.scheduler.ReportUsage(now+50, WorkloadID(second+1), CoresUsed, 0.5)
+		r.running = append(r.running, runningWorkload{endsAt: now + 20e3, nextStep: step.NextStep})
 	}
-	assert.LessOrEqual(t, len(s.nodes.byID), 2*nodes)
-	assert.Len(t, s.nodes.byID, len(s.nodes.sorted))
-	assert.LessOrEqual(t, len(s.placed), 21)
-	for _, n := range s.nodes.sorted {
+	if second%secondsPerDay == secondsPerDay-1 {
+		r.heaps[day] = heapAlloc()
+	}
+}
+
+// assertStateBounded checks how much a scheduler keeps of nodes, binds and samples after a long run.
+func assertStateBounded(t *testing.T, scheduler *Scheduler) {
+	t.Helper()
+	assert.LessOrEqual(t, len(scheduler.nodes.byID), 2*longRunNodes)
+	assert.Len(t, scheduler.nodes.byID, len(scheduler.nodes.sorted))
+	assert.LessOrEqual(t, len(scheduler.placed), 21)
+	for _, n := range scheduler.nodes.sorted {
 		assert.LessOrEqual(t, max(len(n.binds), len(n.warmUpBinds), len(n.changes)), 60)
 		assert.LessOrEqual(t, max(len(n.reports), len(n.rejections)), maxReports)
 	}
-	samples := max(len(s.health.confirmations), len(s.load.usageSamples), len(s.groups[0].requests))
+	samples := max(
+		len(scheduler.health.confirmations),
+		len(scheduler.load.usageSamples),
+		len(scheduler.groups[idempotent].requests),
+	)
 	assert.LessOrEqual(t, samples, maxGroupRequests)
-	assert.LessOrEqual(t, s.health.checkCredit, float64(2*nodes))
-	assert.InDelta(t, placed[0], placed[2], float64(placed[0])/100, "as good as on the first day")
-	assert.Greater(t, placed[0], 80000)
-	assert.Less(t, heaps[2], heaps[0]+256<<10)
+	assert.LessOrEqual(t, scheduler.health.checkCredit, float64(2*longRunNodes))
 }
 
-// replacedNodes returns the entries of that many nodes, each replaced by a new one every ten minutes.
-func replacedNodes(now Millis, second, nodes int) (entries []Node) {
-	for i := range nodes {
-		n := entry(NodeID((second+i*50)/600*nodes+i+1), Ready)
-		n.StartedAt = now - Millis((second+i*50)%600*1000)
-		entries = append(entries, n)
+// replacedNodes returns the entries of the nodes at that second, each replaced by a new one every ten minutes.
+func replacedNodes(now Millis, second int) (entries []Node) {
+	for i := range longRunNodes {
+		sinceFirstLaunch := second + i*50 // launches are 50 s apart
+		launch := sinceFirstLaunch / secondsPerLaunch
+		launched := entry(NodeID(launch*longRunNodes+i+1), Ready)
+		launched.StartedAt = now - Millis(sinceFirstLaunch%secondsPerLaunch*1000)
+		entries = append(entries, launched)
 	}
 	return entries
 }
 
 // placeOne requests a workload and confirms its binds, after a first rejection in every other second.
-func placeOne(s *Scheduler, now Millis, second int) Step {
-	id, service := WorkloadID(second+1), ServiceID(second)
-	step := s.Schedule(now, Workload{ID: id, Service: service, Cores: 1, Memory: 1, PendingTimeout: 6000})
+func placeOne(scheduler *Scheduler, now Millis, second int) Step {
+	step := scheduler.Schedule(now, Workload{
+		ID:             WorkloadID(second + 1),
+		Service:        ServiceID(second),
+		Cores:          1,
+		Memory:         1,
+		PendingTimeout: 6000,
+	})
 	if step.Kind != Bind {
 		return step
 	}
-	l := LoadReport{SpareCores: 9, SpareMemory: 19}
-	step = step.NextStep(now+20, Result{Kind: []ResultKind{Confirmed, RejectedByNode}[second%2], Load: &l})
+	report := LoadReport{SpareCores: 9, SpareMemory: 19}
+	first := Confirmed
+	if second%2 == 1 {
+		first = RejectedByNode
+	}
+	step = step.NextStep(now+20, Result{Kind: first, Load: &report})
 	if step.Kind == Bind {
-		step = step.NextStep(now+40, Result{Kind: Confirmed, Load: &l})
+		step = step.NextStep(now+40, Result{Kind: Confirmed, Load: &report})
 	}
 	return step
 }
 
+// heapAlloc returns the bytes of live objects.
 func heapAlloc() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -7,56 +7,59 @@
 )
 
 func TestSelectNode_LeastLoadedThenTheOneThatRunsTheService(t *testing.T) {
-	s := newFleet(t, 2)
-	reportUsed(s, 0, 1, 1)
-	reportUsed(s, 0, 2, 5)
-	wl := pendingWorkload(s, 0, 1, 1)
-	assert.Equal(t, NodeID(1), s.selectNode(0, wl).ID)
-	s.node(2).addBind(0, wl).advance(bindRunning)
-	assert.Equal(t, NodeID(2), s.selectNode(0, wl).ID)
+	scheduler := newFleet(t, 2)
+	reportUsed(scheduler, 0, 1, 1)
+	reportUsed(scheduler, 0, 2, 5)
+	workload := pendingWorkload(scheduler, idempotent, 1, 1)
+	assert.Equal(t, NodeID(1), scheduler.selectNode(0, workload).ID, "least loaded")
+	scheduler.node(2).addBind(0, workload).advance(bindRunning)
+	assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "runs the service")
 }
 
 func TestSelectNode_UncrowdedNodesOfTheServiceThenCrowdedThenOthers(t *testing.T) {
-	s := newFleet(t, 3)
-	s.groups[0].fullServiceLoad, s.groups[0].loadCap = 0.6, 0.9
-	wl := pendingWorkload(s, 0, 1, 1)
+	scheduler := newFleet(t, 3)
+	scheduler.groups[idempotent].fullServiceLoad = 0.6
+	scheduler.groups[idempotent].loadCap = 0.9
+	workload := pendingWorkload(scheduler, idempotent, 1, 1)
 	for id, used := range map[NodeID]float64{1: 2, 2: 7, 3: 4} {
-		reportUsed(s, 0, id, used)
+		reportUsed(scheduler, 0, id, used)
 	}
-	s.node(2).addBind(0, wl).advance(bindRunning)
-	assert.Equal(t, NodeID(2), s.selectNode(0, wl).ID, "crowded, but it runs the service")
-	s.node(3).addBind(0, wl).advance(bindRunning)
+	scheduler.node(2).addBind(0, workload).advance(bindRunning)
+	assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "crowded, but it runs the service")
+	scheduler.node(3).addBind(0, workload).advance(bindRunning)
 	for range 20 {
-		assert.Equal(t, NodeID(3), s.selectNode(0, wl).ID)
+		assert.Equal(t, NodeID(3), scheduler.selectNode(0, workload).ID)
 	}
 }
 
 func TestSelectNode_AllocatorsAgreeOnTheFirstNodeOfAService(t *testing.T) {
-	picks := map[ServiceID]NodeID{}
+	selected := map[ServiceID]NodeID{}
 	for seed := range uint64(4) {
-		s := newFleet(t, 6)
-		s.random.seed, s.settings.Allocators = seed, 4
+		scheduler := newFleet(t, 6)
+		scheduler.random.seed = seed
+		scheduler.settings.Allocators = 4
 		for service := range ServiceID(20) {
-			wl := pendingWorkload(s, 0, 1, 1)
-			wl.Service = service
-			n := s.selectNode(0, wl).ID
+			workload := pendingWorkload(scheduler, idempotent, 1, 1)
+			workload.Service = service
+			id := scheduler.selectNode(0, workload).ID
 			if seed > 0 {
-				assert.Equal(t, picks[service], n)
+				assert.Equal(t, selected[service], id)
 			}
-			picks[service] = n
+			selected[service] = id
 		}
 	}
 }
 
 func TestSelectNode_FirstNodeOfAServiceIsTheRoomierOfTwoInAnyZone(t *testing.T) {
-	s := newFleet(t, 2)
-	s.settings.Allocators = 300
-	for i, n := range s.nodes.sorted {
-		n.Zone, n.FreeCores = ZoneID(i), float64(4+i)
+	scheduler := newFleet(t, 2)
+	scheduler.settings.Allocators = 300
+	for i, n := range scheduler.nodes.sorted {
+		n.Zone = ZoneID(i)
+		n.FreeCores = float64(4 + i)
 	}
 	for service := range ServiceID(9) {
-		wl := pendingWorkload(s, 0, 1, 1)
-		wl.Service = service
-		assert.Equal(t, NodeID(2), s.selectNode(0, wl).ID, "in another zone than ours")
+		workload := pendingWorkload(scheduler, idempotent, 1, 1)
+		workload.Service = service
+		assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "in another zone than ours")
 	}
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -7,83 +7,139 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// slowStartSettings are the settings of newWarmingNode.
+type slowStartSettings struct {
+	warmUpDuration Millis
+	initialRate    float64
+	bindsPerWindow float64
+	window         Millis
+}
+
+// newWarmingNode returns a scheduler that started long ago, and its node, which starts at time 0.
+func newWarmingNode(t *testing.T, settings slowStartSettings) (*Scheduler, *node) {
+	t.Helper()
+	scheduler := newFleet(t, 1)
+	scheduler.settings.WarmUpDuration = settings.warmUpDuration
+	scheduler.settings.InitialRate = settings.initialRate
+	scheduler.slowStart.bindsPerWindow = settings.bindsPerWindow
+	scheduler.slowStart.window = settings.window
+	scheduler.slowStart.startedAt = -5000
+	warming := scheduler.node(1)
+	warming.StartedAt = 0
+	return scheduler, warming
+}
+
 // Rule 4: all allocators together stay within the warm-up budget of a node.
 func TestSlowStart_OurShareOnARamp(t *testing.T) {
-	s := newFleet(t, 1)
-	s.settings.WarmUpDuration, s.settings.InitialRate = 10e3, 0.25
-	s.slowStart.bindsPerWindow, s.slowStart.window, s.slowStart.startedAt = 8, 3000, -5000
-	n := s.node(1)
-	n.StartedAt = 0
-	allowed := func(now Millis) (count int) {
-		for n.warmUpBinds = nil; count < 99 && s.slowStart.allows(now, n); count++ {
-			n.warmUpBinds = append(n.warmUpBinds, now)
-		}
-		return count
+	scheduler, warming := newWarmingNode(t, slowStartSettings{
+		warmUpDuration: 10e3,
+		initialRate:    0.25,
+		bindsPerWindow: 8,
+		window:         3000,
+	})
+	for _, c := range []struct {
+		name string
+		now  Millis
+		want int
+	}{
+		{"at the start: the initial rate", 0, 2},
+		{"half way up: initial rate and half of the ramp", slowStartRamp / 2, 6},
+		{"after the ramp: the whole share", slowStartRamp, 8},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			warming.warmUpBinds = nil
+			allowed := 0
+			for allowed < 99 && scheduler.slowStart.allows(c.now, warming) {
+				warming.warmUpBinds = append(warming.warmUpBinds, c.now)
+				allowed++
+			}
+			assert.Equal(t, c.want, allowed)
+		})
 	}
-	assert.Equal(t, 2, allowed(0))
-	assert.Equal(t, 6, allowed(slowStartRamp/2))
-	assert.Equal(t, 8, allowed(slowStartRamp))
-	s.slowStart.startedAt = 9999
-	n.warmUpBinds = nil
-	assert.False(t, s.slowStart.allows(9999, n), "what was sent before a restart is unknown")
+	t.Run("after our own start: what was sent before it is unknown, so none", func(t *testing.T) {
+		scheduler.slowStart.startedAt = 9999
+		warming.warmUpBinds = nil
+		assert.False(t, scheduler.slowStart.allows(9999, warming))
+	})
 }
 
 // Binds that a network partition holds up reach the node together with those that are sent as it ends.
 func TestSlowStart_UnansweredBindsCountBeyondTheWindow(t *testing.T) {
-	s := newFleet(t, 1)
-	s.settings.WarmUpDuration, s.settings.InitialRate = 60e3, 1
-	s.slowStart.bindsPerWindow, s.slowStart.window, s.slowStart.startedAt = 4, 2000, -5000
-	n := s.node(1)
-	n.StartedAt = 0
+	scheduler, warming := newWarmingNode(t, slowStartSettings{
+		warmUpDuration: 60e3,
+		initialRate:    1,
+		bindsPerWindow: 4,
+		window:         2000,
+	})
 	for range 4 {
-		n.binds = append(n.binds, &bind{workload: &workload{}, node: n, sentAt: 0})
+		warming.binds = append(warming.binds, &bind{
+			workload: &workload{},
+			node:     warming,
+			sentAt:   0,
+		})
 	}
-	assert.False(t, s.slowStart.allows(2500, n))
-	n.binds[0].advance(bindConfirmed)
-	assert.True(t, s.slowStart.allows(2500, n))
+	assert.False(t, scheduler.slowStart.allows(2500, warming))
+	warming.binds[0].advance(bindConfirmed)
+	assert.True(t, scheduler.slowStart.allows(2500, warming))
 }
 
 // A bind that was held up may have arrived just before its answer: from then on it counts for a window.
-func TestCountArrival_FromTheAnswerOn(t *testing.T) {
-	for kind, want := range map[ResultKind][]Millis{
-		Confirmed: {2900}, RejectedByNode: {2900}, TimedOut: {2900}, NotDelivered: {100}, NotAttempted: {100},
+//
+// Where a confirmation waits for the start, it tells nothing of the arrival. A timeout within the window once counted
+// from when its bind was sent, and binds that a partition held up arrived together with later ones (seed 81, run 3835).
+func TestRecordResult_FromTheAnswerOn(t *testing.T) {
+	const sentAt = Millis(100)
+	const lateAnswer = Millis(2900)  // after the window
+	const earlyAnswer = Millis(1600) // within the window
+	const onAcceptance = false       // Settings.ConfirmsRunning
+	const onStart = true
+	for _, c := range []struct {
+		name            string
+		confirmsRunning bool
+		answeredAt      Millis
+		kind            ResultKind
+		want            Millis
+	}{
+		{"late, confirmed: from the answer", onStart, lateAnswer, Confirmed, lateAnswer},
+		{"late, rejected: from the answer", onStart, lateAnswer, RejectedByNode, lateAnswer},
+		{"late, timed out: from the timeout", onStart, lateAnswer, TimedOut, lateAnswer},
+		{"late, not delivered: as sent", onStart, lateAnswer, NotDelivered, sentAt},
+		{"late, not attempted: as sent", onStart, lateAnswer, NotAttempted, sentAt},
+		{"early, confirmed on start: as sent", onStart, earlyAnswer, Confirmed, sentAt},
+		{"early, confirmed on acceptance: from the answer", onAcceptance, earlyAnswer, Confirmed, earlyAnswer},
+		{"early, rejected: from the answer", onStart, earlyAnswer, RejectedByNode, earlyAnswer},
+		{"early, timed out: from the timeout", onStart, earlyAnswer, TimedOut, earlyAnswer},
+		{"early, outcome unknown: from the result", onStart, earlyAnswer, OutcomeUnknown, earlyAnswer},
 	} {
-		s := newFleet(t, 1)
-		s.settings.WarmUpDuration, s.slowStart.window = 60e3, 2000
-		n := s.node(1)
-		n.StartedAt, n.warmUpBinds = 0, []Millis{100}
-		s.slowStart.recordResult(2900, &bind{node: n, sentAt: 100}, kind)
-		assert.Equal(t, want, n.warmUpBinds, "%v", kind)
-	}
-}
-
-// Where a confirmation waits for the start, it tells nothing of the arrival. A timeout within the window once
-// counted from when its bind was sent, and binds that a partition held up arrived together with later ones
-// (seed 81, run 3835).
-func TestCountArrival_WhereConfirmationsWaitForTheStart(t *testing.T) {
-	for kind, want := range map[ResultKind]Millis{Confirmed: 100, RejectedByNode: 1600, TimedOut: 1600, OutcomeUnknown: 1600} {
-		s := newFleet(t, 1)
-		s.settings.WarmUpDuration, s.slowStart.window, s.settings.ConfirmsRunning = 60e3, 2000, true
-		n := s.node(1)
-		n.StartedAt, n.warmUpBinds = 0, []Millis{100}
-		s.slowStart.recordResult(1600, &bind{node: n, sentAt: 100}, kind)
-		assert.Equal(t, []Millis{want}, n.warmUpBinds, "%v", kind)
+		t.Run(c.name, func(t *testing.T) {
+			scheduler, warming := newWarmingNode(t, slowStartSettings{warmUpDuration: 60e3, window: 2000})
+			scheduler.settings.ConfirmsRunning = c.confirmsRunning
+			warming.warmUpBinds = []Millis{sentAt}
+			scheduler.slowStart.recordResult(c.answeredAt, &bind{node: warming, sentAt: sentAt}, c.kind)
+			assert.Equal(t, []Millis{c.want}, warming.warmUpBinds)
+		})
 	}
 }
 
 // Rule 4 where allocators outnumber the warm-up budget: no window holds more than the budget.
 func TestSlowStart_TurnsOfManyAllocatorsStayWithinTheBudget(t *testing.T) {
-	const budget, window = 10, Millis(2000)
+	const budget = 10
+	const window = Millis(2000)
+	const warmUpDuration = Millis(20e3)
 	var sent []Millis
 	for ordinal := range 77 {
-		s := New(Settings{
-			Allocators: 77, Ordinal: ordinal, WarmUpBudget: budget, WarmUpDuration: 20e3, OverloadWindow: window,
+		scheduler := New(Settings{
+			Allocators:     77,
+			Ordinal:        ordinal,
+			WarmUpBudget:   budget,
+			WarmUpDuration: warmUpDuration,
+			OverloadWindow: window,
 		}, 1)
-		s.slowStart.startedAt = -1
-		n := &node{Node: Node{ID: 5, StartedAt: 0}}
-		for now := Millis(0); now < 20e3; now += 10 {
-			if s.slowStart.allows(now, n) {
-				n.warmUpBinds = append(n.warmUpBinds, now)
+		scheduler.slowStart.startedAt = -1
+		warming := &node{Node: Node{ID: 5, StartedAt: 0}}
+		for now := Millis(0); now < warmUpDuration; now += 10 {
+			if scheduler.slowStart.allows(now, warming) {
+				warming.warmUpBinds = append(warming.warmUpBinds, now)
 				sent = append(sent, now)
 			}
 		}
@@ -95,12 +151,7 @@
 	}
 }
 
-func TestNew_WarmUpBudgetIsSplitByAllocators(t *testing.T) {
-	assert.InDelta(t, 7, New(Settings{Allocators: 3, WarmUpBudget: 23}, 1).slowStart.bindsPerWindow, 0)
-}
-
-func TestNew_OrdinalOutOfRangeCountsAsAnAllocator(t *testing.T) {
-	beyond := New(Settings{Allocators: 3, Ordinal: 9, WarmUpBudget: 23}, 1)
-	assert.InDelta(t, 2, beyond.slowStart.bindsPerWindow, 0, "an ordinal beyond the count raises the count")
-	assert.Zero(t, New(Settings{Allocators: 3, Ordinal: -1}, 1).settings.Ordinal)
+func TestNewSlowStart_WarmUpBudgetIsSplitByAllocators(t *testing.T) {
+	scheduler := New(Settings{Allocators: 3, WarmUpBudget: 23}, 1)
+	assert.InDelta(t, 7, scheduler.slowStart.bindsPerWindow, 0)
 }
