--- a/placement/constants.go
+++ b/placement/constants.go
@@ -67,6 +67,8 @@
 
 // Reservations for groups of higher priority weight.
 const (
+	// minReservedSlots is how many slots are kept at least, while any request was seen that competes.
+	minReservedSlots = 1
 	// maxReservedSlotsPerNode limits the slots that are kept for higher groups at once, in slots for each node.
 	maxReservedSlotsPerNode = 0.5
 	// maxReservationScale limits the reservation windows over which our requests are counted to stand for all.
@@ -83,6 +85,8 @@
 	warmUpWindowFactor = 1.2
 	// slowStartRamp is the time over which our binds to a new node rise to our whole share of its budget.
 	slowStartRamp = Millis(5e3)
+	// minWarmUpBinds is how many binds our share allows in a window however low the rate is: less than one is none.
+	minWarmUpBinds = 1
 	// turnsPerWindow is how many turns of the allocators any window overlaps at most, so that each has an equal
 	// part of the budget.
 	turnsPerWindow = 2
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -36,7 +36,7 @@
 		(workload.uncertain == nil || mayRepeat(now, workload, n)) &&
 		f.spreadAllows(workload, n) &&
 		f.slowStart.allows(now, n) &&
-		!n.rejections.block(now, workload)
+		!n.rejections.blocks(now, workload)
 }
 
 // hasRequiredKind reports whether n is of the kind that workloads of the group need.
--- a/placement/health.go
+++ b/placement/health.go
@@ -23,18 +23,19 @@
 	last        Millis // when the last one failed
 }
 
-// record takes the outcome of a contact.
-func (f *failureCount) record(now Millis, failed bool) {
-	if !failed {
-		f.consecutive = 0
-		return
-	}
+// add counts a failed contact.
+func (f *failureCount) add(now Millis) {
 	f.consecutive++
 	f.last = now
 }
 
-// eject reports whether the failures keep the node out of use, for a time that doubles with each.
-func (f *failureCount) eject(now Millis) bool {
+// reset takes a contact that did not fail, which ends the row.
+func (f *failureCount) reset() {
+	f.consecutive = 0
+}
+
+// keepOut reports whether the failures keep the node out of use, for a time that doubles with each.
+func (f *failureCount) keepOut(now Millis) bool {
 	if f.consecutive == 0 {
 		return false
 	}
@@ -66,7 +67,7 @@
 		}
 		ready++
 		switch {
-		case n.failures.eject(now):
+		case n.failures.keepOut(now):
 			failing = append(failing, n)
 		case n.hasOverdueBind(now, limit):
 			unresponsive = append(unresponsive, n)
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -26,10 +26,10 @@
 
 func TestEjected_AtMostAPartOfTheFleetForAWhile(t *testing.T) {
 	scheduler := newFleet(t, 6)
-	scheduler.node(3).failures.record(0, true)
+	scheduler.node(3).failures.add(0)
 	require.Len(t, scheduler.health.ejected(1), 1)
 	for _, n := range scheduler.nodes.sorted {
-		n.failures.record(0, true)
+		n.failures.add(0)
 	}
 	assert.Len(t, scheduler.health.ejected(1), 2, "a fault that all share ejects no more than a third")
 	assert.NotContains(t, scheduler.health.ejected(2*ejectionTime+1), scheduler.node(3), "it is tried again")
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -51,7 +51,7 @@
 		b.advance(bindRunning)
 	}
 	s.health.recordConfirmation(now - b.sentAt)
-	n.failures.record(now, false)
+	n.failures.reset()
 	n.rejections.forgetGroup(b.workload.group)
 	s.placed[b.workload.ID] = b
 }
@@ -70,11 +70,11 @@
 	failed := b.workload
 	switch r.Kind {
 	case RejectedByNode:
-		n.failures.record(now, false)
+		n.failures.reset()
 		n.rejections.add(now, failed, r.Reason)
 		failed.excluded = append(failed.excluded, n)
 	case NotDelivered:
-		n.failures.record(now, true)
+		n.failures.add(now)
 		failed.excluded = append(failed.excluded, n)
 	case NotAttempted:
 		failed.binds = s.settings.MaxBinds // no further one is made either
@@ -91,7 +91,7 @@
 func recordUncertain(now Millis, b *bind) {
 	// Clients that withdraw hundreds of workloads at once had nodes ejected: a withdrawal says nothing of them.
 	if !b.workload.withdrawn {
-		b.node.failures.record(now, true)
+		b.node.failures.add(now)
 	}
 	if b.workload.uncertain == nil {
 		b.workload.uncertain = b
--- a/placement/rejection.go
+++ b/placement/rejection.go
@@ -35,8 +35,8 @@
 	*l = slices.DeleteFunc(*l, func(r rejection) bool { return r.group == group })
 }
 
-// block reports whether a rejection speaks against offering the workload to the node.
-func (l rejectionLog) block(now Millis, workload *workload) bool {
+// blocks reports whether a rejection speaks against offering the workload to the node.
+func (l rejectionLog) blocks(now Millis, workload *workload) bool {
 	for i := range l {
 		if l[i].blocks(now, workload) {
 			return true
--- a/placement/rejection_test.go
+++ b/placement/rejection_test.go
@@ -24,7 +24,7 @@
 				size:   resources{2, 2},
 				reason: InsufficientCores,
 			}}
-			assert.Equal(t, c.want, log.block(c.now, pendingWorkload(scheduler, idempotent, c.cores, 1)))
+			assert.Equal(t, c.want, log.blocks(c.now, pendingWorkload(scheduler, idempotent, c.cores, 1)))
 		})
 	}
 }
@@ -47,7 +47,7 @@
 				group:  &scheduler.groups[atMostOnce],
 				reason: ReasonUnspecified,
 			}}
-			assert.Equal(t, c.want, log.block(c.now, pendingWorkload(scheduler, c.group, 1, 1)))
+			assert.Equal(t, c.want, log.blocks(c.now, pendingWorkload(scheduler, c.group, 1, 1)))
 		})
 	}
 }
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -216,7 +216,7 @@
 // requiredSlots returns how many slots to keep. Those for groups of higher weight leave a part of the fleet open.
 func (r *reservations) requiredSlots(competing demand) slots {
 	limit := slots(float64(len(r.nodes.sorted)) * maxReservedSlotsPerNode)
-	return max(1, min(competing.higherWeight, limit)+competing.firstRequests)
+	return max(minReservedSlots, min(competing.higherWeight, limit)+competing.firstRequests)
 }
 
 // slotsTaken returns how many whole slots on n the workload would take.
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -86,6 +86,8 @@
 func (s *Scheduler) selectNode(now Millis, workload *workload) *node {
 	ejected := s.health.ejected(now)
 	reserved := s.reservations.against(now, workload)
+
+	// Filter and reserve: find the candidates.
 	var running []candidate
 	others := make([]candidate, 0, len(s.nodes.sorted))
 	for _, n := range s.nodes.sorted {
@@ -99,6 +101,8 @@
 			others = append(others, scored)
 		}
 	}
+
+	// Score: select one of them.
 	feasible := candidates{running: running, others: others}
 	soleAllocator := s.settings.Allocators == 1
 	return feasible.best(workload, soleAllocator, s.random)
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -91,11 +91,17 @@
 
 // HealthChecked takes the result of a health check; report is nil where none came with the answer.
 func (s *Scheduler) HealthChecked(now Millis, id NodeID, answered bool, report *LoadReport) {
-	if n := s.nodes.byID[id]; n != nil {
-		n.failures.record(now, !answered)
+	n := s.nodes.byID[id]
+	if n == nil {
+		return
+	}
+	if !answered {
+		n.failures.add(now)
+		return
 	}
-	if answered && report != nil {
-		s.ReportLoad(now, id, *report)
+	n.failures.reset()
+	if report != nil {
+		s.load.recordReport(now, n, *report)
 	}
 }
 
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -95,7 +95,7 @@
 	counted := float64(n.countWarmUpBinds(windowStart))
 	return s.startedAt < windowStart &&
 		counted+1 <= s.bindsPerWindow &&
-		counted < max(1, s.bindsPerWindow*s.ramp(now, n))
+		counted < max(minWarmUpBinds, s.bindsPerWindow*s.ramp(now, n))
 }
 
 // countWarmUpBinds returns how many of our binds count against the budget of n in the window from windowStart.
