--- a/placement/group.go
+++ b/placement/group.go
@@ -1,3 +1,10 @@
+// A group's settings decide how loaded a node may be for its workloads, and up to which load it serves them in full.
+//
+// Observed: nothing; they are what the operators state of the group.
+//
+// Cost of an error: a cap that is too high slows the residents of a node if their use rises after the start; one that
+// is too low rejects workloads while residents would still be served.
+
 package placement
 
 // GroupID is a priority group's index in Settings.Groups.
