--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,18 +1,17 @@
 // Package frontend holds what every frontend of the allocator needs once, whatever protocol it speaks: the engine's
 // host (deferred completions, timers, wake-ups), health checks, backoff with jitter, ordered iteration and counters.
 //
-// A frontend embeds or holds one Host, implements allocator.Actions, and brackets every event that reaches it:
+// A frontend embeds or holds one Host, implements allocator.Actions, and passes the handling of every event to the Host:
 //
 //	func (f *Frontend) Start(now placement.Millis, n transport.Network) {
 //		f.host.Attach(now, n)
-//		f.host.Engine().Start(now)
-//		f.host.Flush(now)
+//		f.host.Handle(now, func() { f.host.Engine().Start(now) })
 //	}
 //
 //	func (f *Frontend) Received(now placement.Millis, c transport.ConnID, m any) {
-//		f.host.Begin(now)
-//		// ... decode, look up, call f.host.Engine() ...
-//		f.host.Flush(now)
+//		f.host.Handle(now, func() {
+//			// ... decode, look up, call f.host.Engine() ...
+//		})
 //	}
 //
 //	func (f *Frontend) Wake(now placement.Millis) { f.host.Wake(now) }
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -45,13 +45,13 @@
 	return true
 }
 
-// Fail ends a check that could not be sent. The engine is notified at the next Flush.
+// Fail ends a check that could not be sent. The engine is notified by a deferred call of the Host.
 func (c *HealthChecks) Fail(check uint64) {
 	c.host.Defer(func(now placement.Millis) { c.fail(now, check) })
 }
 
 // FailUnsent reports a failed check of a node that cannot be reached, without a check having begun. The engine is
-// notified at the next Flush.
+// notified by a deferred call of the Host.
 func (c *HealthChecks) FailUnsent(node placement.NodeID) {
 	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -66,7 +66,7 @@
 	assert.Len(t, module.results, 1)
 }
 
-func TestHealthChecks_FailIsHeardAtTheNextFlush(t *testing.T) {
+func TestHealthChecks_FailReachesTheEngineAsADeferredCall(t *testing.T) {
 	checks, h, module := newTestChecks(t)
 	first, second := checks.Begin(5), checks.Begin(6)
 	assert.NotEqual(t, first, second)
@@ -76,7 +76,7 @@
 	checks.FailUnsent(7)
 	assert.Empty(t, module.results)
 	assert.Equal(t, 2, h.DeferredCalls())
-	h.Flush(100)
+	h.Handle(100, noEvent)
 	assert.Zero(t, h.DeferredCalls())
 	assert.Equal(t, 1, checks.Len())
 	assert.Equal(t, []result{{6, false}, {7, false}}, module.results)
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -26,8 +26,7 @@
 // Host runs an allocator's engine for a frontend. It keeps the time of the event being handled, the calls deferred until
 // the engine is idle, the frontend's timers, and the one wake-up that covers both those timers and the engine's.
 //
-// Each event is handled between Begin and Flush. The two may be nested, as when handling an event closes a connection
-// and that is handled like a close by the peer; the inner Flush then runs all calls deferred so far.
+// Each event is handled within Handle or Wake.
 type Host struct {
 	engine   *allocator.Engine
 	jitter   *jitter
@@ -56,7 +55,7 @@
 }
 
 // Attach gives the host the current time and what sets its wake-up. The frontend then starts the engine, in its place
-// among what it does itself at a start, and calls Flush.
+// among what it does itself at a start, within Handle.
 func (h *Host) Attach(now placement.Millis, w Waker) { h.now, h.wakeup.waker = now, w }
 
 // Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
@@ -65,8 +64,19 @@
 // Now is the time of the event that is being handled, or of the last one.
 func (h *Host) Now() placement.Millis { return h.now }
 
-// Begin marks the start of an event's handling at the given time.
-func (h *Host) Begin(now placement.Millis) {
+// Handle handles one event at the given time: it calls handle, then runs the deferred calls, and those that they defer, in
+// the order in which they were deferred, and then sets the wake-up.
+//
+// It may be nested, as when handling an event closes a connection and that is handled like a close by the peer. The inner
+// Handle then runs all calls deferred so far, those of the outer one among them.
+func (h *Host) Handle(now placement.Millis, handle func()) {
+	h.begin(now)
+	handle()
+	h.flush(now)
+}
+
+// begin notes the time of an event, and the stall that the event shows.
+func (h *Host) begin(now placement.Millis) {
 	if h.wakeup.isLate(now) {
 		h.stall = stall{length: now - h.now, endedAt: now}
 	}
@@ -74,9 +84,8 @@
 	h.now = now
 }
 
-// Flush marks the end of an event's handling: it runs the deferred calls, and those that they defer, in the order in which
-// they were deferred, and then sets the wake-up.
-func (h *Host) Flush(now placement.Millis) {
+// flush runs the deferred calls, and those that they defer, and sets the wake-up.
+func (h *Host) flush(now placement.Millis) {
 	for len(h.deferred) > 0 {
 		calls := h.deferred
 		h.deferred = nil
@@ -87,22 +96,22 @@
 	h.wakeup.set(now, &h.timers)
 }
 
-// Wake handles the wake-up: it runs the timers that are due, Config.Periodic, and the engine's tick, and then flushes.
+// Wake handles the wake-up like any event: it runs the timers that are due, Config.Periodic, and the engine's tick.
 func (h *Host) Wake(now placement.Millis) {
-	h.Begin(now)
-	h.wakeup.fired(now)
-	h.timers.RunDue(now)
-	if h.periodic != nil && now-h.lastPeriodic >= h.wakeup.maxInterval {
-		h.lastPeriodic = now
-		h.periodic(now)
-	}
-	if h.wakeup.popTick(now) {
-		h.engine.Tick(now)
-	}
-	h.Flush(now)
+	h.Handle(now, func() {
+		h.wakeup.fired(now)
+		h.timers.RunDue(now)
+		if h.periodic != nil && now-h.lastPeriodic >= h.wakeup.maxInterval {
+			h.lastPeriodic = now
+			h.periodic(now)
+		}
+		if h.wakeup.popTick(now) {
+			h.engine.Tick(now)
+		}
+	})
 }
 
-// Defer has call run by the next Flush, when the engine is idle. Calls run in the order in which they were deferred. What
+// Defer has call run at the end of the Handle that ends next, when the engine is idle. Calls run in the order in which they were deferred. What
 // the call is about may have ended by then, so it must check that first.
 func (h *Host) Defer(call func(now placement.Millis)) { h.deferred = append(h.deferred, call) }
 
@@ -112,7 +121,7 @@
 	h.timers.Schedule(at, call)
 }
 
-// DeferredCalls returns how many calls wait for the next Flush.
+// DeferredCalls returns how many calls wait for the end of a Handle.
 func (h *Host) DeferredCalls() int { return len(h.deferred) }
 
 // PendingTimers returns how many timers set with Schedule have not run.
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -44,6 +44,9 @@
 
 const maxInterval = placement.Millis(1000)
 
+// noEvent is the handling of an event that does nothing, for what a Host does around it.
+func noEvent() {}
+
 // newTestHost returns an attached host whose engine is not started, so that no timer is set yet.
 func newTestHost(t *testing.T, change func(*Config)) (*Host, *fakeActions, *fakeWaker) {
 	t.Helper()
@@ -63,100 +66,128 @@
 	return h, actions, waker
 }
 
-func TestHost_FlushRunsDeferredCallsInOrderAlsoThoseDeferredMeanwhile(t *testing.T) {
+func TestHost_HandleRunsDeferredCallsInOrderAlsoThoseDeferredMeanwhile(t *testing.T) {
 	h, _, _ := newTestHost(t, nil)
 	var ran []string
 	var at []placement.Millis
-	h.Begin(200)
-	h.Defer(func(now placement.Millis) {
-		ran, at = append(ran, "first"), append(at, now)
-		h.Defer(func(placement.Millis) { ran = append(ran, "third") })
+	h.Handle(200, func() {
+		h.Defer(func(now placement.Millis) {
+			ran, at = append(ran, "first"), append(at, now)
+			h.Defer(func(placement.Millis) { ran = append(ran, "third") })
+		})
+		h.Defer(func(placement.Millis) { ran = append(ran, "second") })
+		assert.Empty(t, ran, "nothing runs before the event is handled")
 	})
-	h.Defer(func(placement.Millis) { ran = append(ran, "second") })
-	assert.Empty(t, ran, "nothing runs before Flush")
-	h.Flush(200)
 	assert.Equal(t, []string{"first", "second", "third"}, ran)
 	assert.Equal(t, []placement.Millis{200}, at, "the time of the event")
-	h.Flush(200)
+	h.Handle(200, noEvent)
 	assert.Len(t, ran, 3, "each call runs once")
 }
 
-func TestHost_NestedFlushRunsWhatIsDeferredSoFar(t *testing.T) {
-	h, _, _ := newTestHost(t, nil)
-	var ran []string
-	h.Begin(200)
-	h.Defer(func(now placement.Millis) {
-		ran = append(ran, "outer begins")
-		h.Defer(func(placement.Millis) { ran = append(ran, "inner") })
-		h.Begin(now)
-		h.Flush(now)
-		ran = append(ran, "outer ends")
+func TestHost_NestedHandleRunsWhatIsDeferredSoFar(t *testing.T) {
+	t.Run("within an event", func(t *testing.T) {
+		h, _, _ := newTestHost(t, nil)
+		var ran []string
+		note := func(what string) func(placement.Millis) {
+			return func(placement.Millis) { ran = append(ran, what) }
+		}
+		h.Handle(200, func() {
+			h.Defer(note("deferred by the outer event"))
+			h.Handle(200, func() {
+				ran = append(ran, "inner event")
+				h.Defer(note("deferred by the inner event"))
+			})
+			ran = append(ran, "outer event goes on")
+			h.Defer(note("deferred last"))
+		})
+		assert.Equal(t, []string{
+			"inner event", "deferred by the outer event", "deferred by the inner event", "outer event goes on", "deferred last",
+		}, ran)
+	})
+	t.Run("within a deferred call", func(t *testing.T) {
+		h, _, _ := newTestHost(t, nil)
+		var ran []string
+		h.Handle(200, func() {
+			h.Defer(func(now placement.Millis) {
+				ran = append(ran, "outer begins")
+				h.Defer(func(placement.Millis) { ran = append(ran, "inner") })
+				h.Handle(now, noEvent)
+				ran = append(ran, "outer ends")
+			})
+			h.Defer(func(placement.Millis) { ran = append(ran, "last") })
+		})
+		assert.Equal(t, []string{"outer begins", "inner", "outer ends", "last"}, ran)
 	})
-	h.Defer(func(placement.Millis) { ran = append(ran, "last") })
-	h.Flush(200)
-	assert.Equal(t, []string{"outer begins", "inner", "outer ends", "last"}, ran)
 }
 
-func TestHost_BeginSetsNow(t *testing.T) {
+func TestHost_HandleSetsNow(t *testing.T) {
 	h, _, _ := newTestHost(t, nil)
 	times := []placement.Millis{h.Now()}
-	h.Begin(150)
-	assert.Equal(t, []placement.Millis{100, 150}, append(times, h.Now()))
+	h.Handle(150, func() { times = append(times, h.Now()) })
+	assert.Equal(t, []placement.Millis{100, 150, 150}, append(times, h.Now()))
+}
+
+func TestHost_HandleAllocatesNothing(t *testing.T) {
+	h, _, _ := newTestHost(t, nil)
+	now := h.Now()
+	handled := 0
+	allocations := testing.AllocsPerRun(100, func() {
+		now++
+		h.Handle(now, func() { handled++ })
+	})
+	assert.Zero(t, allocations)
+	assert.Equal(t, 101, handled, "with the one run before those that are measured")
 }
 
 func TestHost_Wakeup(t *testing.T) {
 	t.Run("without timers it comes after the longest interval", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		assert.Equal(t, []placement.Millis{1100}, waker.take())
 	})
 	t.Run("one that is early enough is not set again", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		waker.take()
-		h.Begin(300)
-		h.Schedule(1500, func(placement.Millis) {})
-		h.Flush(300)
+		h.Handle(300, func() { h.Schedule(1500, func(placement.Millis) {}) })
 		assert.Empty(t, waker.take())
 	})
 	t.Run("an earlier timer moves it forward", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
-		h.Begin(300)
-		h.Schedule(400, func(placement.Millis) {})
-		h.Flush(300)
+		h.Handle(100, noEvent)
+		h.Handle(300, func() { h.Schedule(400, func(placement.Millis) {}) })
 		assert.Equal(t, []placement.Millis{1100, 400}, waker.take())
 	})
 	t.Run("an earlier request of the engine moves it forward", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		e := &engineHost{host: h}
 		e.Wake(500)
 		e.Wake(700) // the earlier request remains
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		assert.Equal(t, []placement.Millis{1100, 500}, waker.take())
 	})
 	t.Run("an overdue timer sets it for now and no earlier time", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		h.Schedule(50, func(placement.Millis) {})
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		assert.Equal(t, []placement.Millis{100}, waker.take())
 	})
 	t.Run("an overdue request of the engine sets it for now and no earlier time", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
 		(&engineHost{host: h}).Wake(50)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		assert.Equal(t, []placement.Millis{100}, waker.take())
 	})
 	t.Run("it is set anew where it came early", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		h.Wake(900)
 		assert.Equal(t, []placement.Millis{1100, 1900}, waker.take())
 	})
 	t.Run("it is set anew after it came", func(t *testing.T) {
 		h, _, waker := newTestHost(t, nil)
-		h.Flush(100)
+		h.Handle(100, noEvent)
 		h.Wake(1100)
 		assert.Equal(t, []placement.Millis{1100, 2100}, waker.take())
 	})
@@ -196,11 +227,11 @@
 func TestHost_WakeTicksTheEngineOnceItsRequestIsDue(t *testing.T) {
 	h, actions, waker := newTestHost(t, nil)
 	e := h.Engine()
-	h.Begin(100)
-	e.Start(100)
-	e.UpdateNodes(100, placement.Snapshot, []placement.Node{{ID: 1, StartedAt: placement.DistantPast, FreeCores: 10, FreeMemory: 20}})
-	e.Schedule(100, placement.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, PendingTimeout: 300})
-	h.Flush(100)
+	h.Handle(100, func() {
+		e.Start(100)
+		e.UpdateNodes(100, placement.Snapshot, []placement.Node{{ID: 1, StartedAt: placement.DistantPast, FreeCores: 10, FreeMemory: 20}})
+		e.Schedule(100, placement.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, PendingTimeout: 300})
+	})
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
 		set := waker.take()
@@ -215,7 +246,7 @@
 
 func TestHost_RecentStall(t *testing.T) {
 	h, _, _ := newTestHost(t, nil)
-	h.Flush(100) // sets a wake-up at 1100
+	h.Handle(100, noEvent) // sets a wake-up at 1100
 	for _, event := range []struct {
 		at, stall placement.Millis
 		why       string
@@ -226,10 +257,12 @@
 		{2549, 1390, "events that waited through it are still being handled"},
 		{2550, 0, "what is handled now came after it"},
 	} {
-		h.Begin(event.at)
-		h.Begin(event.at) // an event within the event is no stall, and does not end one
-		assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
-		h.Flush(event.at)
+		h.Handle(event.at, func() {
+			h.Handle(event.at, func() { // an event within the event is no stall, and does not end one
+				assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
+			})
+			assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
+		})
 	}
 }
 
--- a/internal/frontend/native/binds.go
+++ b/internal/frontend/native/binds.go
@@ -39,21 +39,21 @@
 	wl.bindState = bindPersisting
 	b.persisting[wl.id] = wl
 	b.durable.persist(began, wl, node, o.Bind, func(now placement.Millis, err error) {
-		b.Begin(now)
-		valid := b.finishPersisting(wl, bind, node, incarnation)
-		switch {
-		case err != nil:
-			b.counters.BindsNotPersisted++
-			b.log.Error("bind not persisted, offer not sent", "workload", wl.id, "bind", bind, "node", node, "error", err)
-			b.notSent(wl, bind, node, o.Bind)
-		case !valid:
-			b.notSent(wl, bind, node, o.Bind)
-		default:
-			b.counters.BindsPersisted++
-			o.AcceptWithinMs -= float64(now - began)
-			b.send(wl, bind, node, o)
-		}
-		b.Flush(now)
+		b.Handle(now, func() {
+			valid := b.finishPersisting(wl, bind, node, incarnation)
+			switch {
+			case err != nil:
+				b.counters.BindsNotPersisted++
+				b.log.Error("bind not persisted, offer not sent", "workload", wl.id, "bind", bind, "node", node, "error", err)
+				b.notSent(wl, bind, node, o.Bind)
+			case !valid:
+				b.notSent(wl, bind, node, o.Bind)
+			default:
+				b.counters.BindsPersisted++
+				o.AcceptWithinMs -= float64(now - began)
+				b.send(wl, bind, node, o)
+			}
+		})
 	})
 }
 
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -147,9 +147,10 @@
 func (f *Frontend) Start(now placement.Millis, network transport.FrameNetwork) {
 	f.core.network, f.connections.network = network, network
 	f.core.Attach(now, network)
-	f.core.Engine().Start(now)
-	f.discovery.dial(now)
-	f.core.Flush(now)
+	f.core.Handle(now, func() {
+		f.core.Engine().Start(now)
+		f.discovery.dial(now)
+	})
 }
 
 // Wake handles a wake-up.
@@ -157,16 +158,16 @@
 
 // Opened handles a connection that was accepted, or that was dialled and is open now.
 func (f *Frontend) Opened(now placement.Millis, c transport.ConnID) {
-	f.core.Begin(now)
-	switch conn, open := f.connections.get(c); {
-	case f.discovery.owns(c):
-		f.core.network.Send(c, f.core.hello())
-	case !open:
-		f.accepted(now, c)
-	case conn.node != nil:
-		f.core.network.Send(c, f.core.hello())
-	}
-	f.core.Flush(now)
+	f.core.Handle(now, func() {
+		switch conn, open := f.connections.get(c); {
+		case f.discovery.owns(c):
+			f.core.network.Send(c, f.core.hello())
+		case !open:
+			f.accepted(now, c)
+		case conn.node != nil:
+			f.core.network.Send(c, f.core.hello())
+		}
+	})
 }
 
 // accepted handles a connection from a peer that has not sent its hello.
@@ -181,22 +182,22 @@
 
 // Received handles a frame. Frames of connections that have ended are ignored.
 func (f *Frontend) Received(now placement.Millis, c transport.ConnID, frame *pb.Frame) {
-	f.core.Begin(now)
-	conn, open := f.connections.get(c)
-	switch {
-	case f.discovery.owns(c):
-		f.discovery.received(now, frame)
-	case !open:
-	case conn.node != nil:
-		f.nodes.received(now, c, conn.node, frame)
-	case conn.role == pb.Role_ROLE_UNSPECIFIED:
-		f.handshake(now, c, conn, frame)
-	case conn.client != nil:
-		f.requests.received(now, conn.client, frame)
-	case conn.role == pb.Role_OPERATOR && frame.GetQuery() != nil:
-		f.core.network.Send(c, &pb.Frame{Body: &pb.Frame_State{State: f.status.answer(now, frame.GetQuery())}})
-	}
-	f.core.Flush(now)
+	f.core.Handle(now, func() {
+		conn, open := f.connections.get(c)
+		switch {
+		case f.discovery.owns(c):
+			f.discovery.received(now, frame)
+		case !open:
+		case conn.node != nil:
+			f.nodes.received(now, c, conn.node, frame)
+		case conn.role == pb.Role_ROLE_UNSPECIFIED:
+			f.handshake(now, c, conn, frame)
+		case conn.client != nil:
+			f.requests.received(now, conn.client, frame)
+		case conn.role == pb.Role_OPERATOR && frame.GetQuery() != nil:
+			f.core.network.Send(c, &pb.Frame{Body: &pb.Frame_State{State: f.status.answer(now, frame.GetQuery())}})
+		}
+	})
 }
 
 // handshake handles the first frame of an accepted connection: the hello of a client or an operator, or the connection is
@@ -231,18 +232,18 @@
 
 // Closed handles the end of a connection, or that dialling it failed.
 func (f *Frontend) Closed(now placement.Millis, c transport.ConnID, reason error) {
-	f.core.Begin(now)
-	conn, open := f.connections.get(c)
-	f.connections.remove(c)
-	switch {
-	case f.discovery.owns(c):
-		f.discovery.closed(now, reason)
-	case !open:
-	case conn.node != nil:
-		f.nodes.closed(now, c, conn.node, reason)
-	case conn.client != nil:
-		f.clients.close(conn.client)
-		f.requests.clientDisconnected(now, conn.client.name)
-	}
-	f.core.Flush(now)
+	f.core.Handle(now, func() {
+		conn, open := f.connections.get(c)
+		f.connections.remove(c)
+		switch {
+		case f.discovery.owns(c):
+			f.discovery.closed(now, reason)
+		case !open:
+		case conn.node != nil:
+			f.nodes.closed(now, c, conn.node, reason)
+		case conn.client != nil:
+			f.clients.close(conn.client)
+			f.requests.clientDisconnected(now, conn.client.name)
+		}
+	})
 }
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -123,6 +123,11 @@
 func (f *Frontend) Start(now placement.Millis, net transport.Network) {
 	f.host.Attach(now, net)
 	f.net = net
+	f.host.Handle(now, func() { f.start(now) })
+}
+
+// start applies the events that the configuration holds, starts the engine and connects to the discovery service.
+func (f *Frontend) start(now placement.Millis) {
 	for i, event := range f.config.KnownEvents {
 		// The first holds the whole list, and all were written before this process began: the list counts as cached.
 		if err := f.endpoints.apply(now, event, i == 0); err != nil {
@@ -133,7 +138,6 @@
 	f.host.Engine().Start(now)
 	f.subscription.connect(now)
 	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
-	f.host.Flush(now)
 }
 
 // Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected. Running
@@ -152,8 +156,7 @@
 
 // Reload subscribes to the discovery service at another address.
 func (f *Frontend) Reload(now placement.Millis, discoveryAddress string) {
-	f.subscription.move(now, discoveryAddress)
-	f.host.Flush(now)
+	f.host.Handle(now, func() { f.subscription.move(now, discoveryAddress) })
 }
 
 // Wake handles the wake-up.
@@ -161,46 +164,46 @@
 
 // Opened handles a connection that was accepted or has been dialed.
 func (f *Frontend) Opened(now placement.Millis, id transport.ConnID) {
-	f.host.Begin(now)
-	if f.subscription.owns(id) {
-		f.subscription.opened(now)
-	} else if c := f.nodeConns.get(id); c != nil {
-		f.nodeConns.opened(now, c)
-	} else if f.clients.get(id) == nil {
-		f.clients.opened(now, id)
-	}
-	f.host.Flush(now)
+	f.host.Handle(now, func() {
+		if f.subscription.owns(id) {
+			f.subscription.opened(now)
+		} else if c := f.nodeConns.get(id); c != nil {
+			f.nodeConns.opened(now, c)
+		} else if f.clients.get(id) == nil {
+			f.clients.opened(now, id)
+		}
+	})
 }
 
 // Received handles a message.
 func (f *Frontend) Received(now placement.Millis, id transport.ConnID, m any) {
-	f.host.Begin(now)
-	switch m := m.(type) {
-	case *codec.EventBatch:
-		if f.subscription.owns(id) {
-			f.subscription.received(now, m)
-		}
-	case codec.Message:
-		if c := f.nodeConns.get(id); c != nil {
-			c.lastReceived = now
-			f.replies.received(now, c, m)
-		} else if c := f.clients.get(id); c != nil {
-			c.lastReceived = now
-			f.requests.received(now, c, m)
+	f.host.Handle(now, func() {
+		switch m := m.(type) {
+		case *codec.EventBatch:
+			if f.subscription.owns(id) {
+				f.subscription.received(now, m)
+			}
+		case codec.Message:
+			if c := f.nodeConns.get(id); c != nil {
+				c.lastReceived = now
+				f.replies.received(now, c, m)
+			} else if c := f.clients.get(id); c != nil {
+				c.lastReceived = now
+				f.requests.received(now, c, m)
+			}
 		}
-	}
-	f.host.Flush(now)
+	})
 }
 
 // Closed handles the end of a connection, or that it could not be dialed.
 func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason error) {
-	f.host.Begin(now)
-	if f.subscription.owns(id) {
-		f.subscription.closed(now, reason)
-	} else if c := f.nodeConns.get(id); c != nil {
-		f.nodeConns.closed(now, c, reason)
-	} else if c := f.clients.get(id); c != nil {
-		f.clients.closed(now, c)
-	}
-	f.host.Flush(now)
+	f.host.Handle(now, func() {
+		if f.subscription.owns(id) {
+			f.subscription.closed(now, reason)
+		} else if c := f.nodeConns.get(id); c != nil {
+			f.nodeConns.closed(now, c, reason)
+		} else if c := f.clients.get(id); c != nil {
+			f.clients.closed(now, c)
+		}
+	})
 }
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -154,8 +154,9 @@
 	r := newRig(t)
 	r.start(7)
 	w := r.workloads.tagged(7)
-	engineActions{r.Frontend}.Stop(w.id, w.bind.number, w.bind.node.id, allocator.Migrating, false)
-	r.host.Flush(r.at)
+	r.host.Handle(r.at, func() {
+		engineActions{r.Frontend}.Stop(w.id, w.bind.number, w.bind.node.id, allocator.Migrating, false)
+	})
 	assert.Equal(t, bindMigrating, w.bind.state)
 	r.receive(r.node, codec.NewTermination(7, codec.CauseReset))
 	assert.Equal(t, []string{"confirmation", "*codec.Migration"}, r.sentAbout(r.client, 7))
