--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,8 @@
 // Package frontend holds what every frontend of the allocator needs once, whatever protocol it speaks: the engine's
 // host (deferred completions, timers, wake-ups), health checks, backoff with jitter, ordered iteration and counters.
 //
-// A frontend embeds or holds one Host, implements allocator.Actions, and passes the handling of every event to the Host:
+// A frontend embeds or holds one Host, implements allocator.Actions, and passes the handling of every event to the
+// Host:
 //
 //	func (f *Frontend) Start(now placement.Millis, n transport.Network) {
 //		f.host.Attach(now, n)
@@ -26,8 +27,8 @@
 	"slices"
 )
 
-// SortedValues returns the values of table in the order of its keys. It is a copy: the table may change while the caller
-// goes through it. Every loop over a map whose order can reach the wire, a timer or the engine must use it.
+// SortedValues returns the values of table in the order of its keys. It is a copy: the table may change while the
+// caller goes through it. Every loop over a map whose order can reach the wire, a timer or the engine must use it.
 func SortedValues[K cmp.Ordered, V any](table map[K]V) []V {
 	values := make([]V, 0, len(table))
 	for _, key := range slices.Sorted(maps.Keys(table)) {
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -2,8 +2,8 @@
 
 import "grebeglade/placement"
 
-// HealthChecks are the health checks of nodes that have begun and have no result yet. Each has a number of its own, which
-// the node's reply carries back. Exactly one result of each check reaches the engine.
+// HealthChecks are the health checks of nodes that have begun and have no result yet. Each has a number of its own,
+// which the node's reply carries back. Exactly one result of each check reaches the engine.
 type HealthChecks struct {
 	host    *Host
 	timeout placement.Millis
@@ -13,10 +13,15 @@
 
 // NewHealthChecks returns an empty set of checks that fail when no reply comes within the timeout, in ms.
 func NewHealthChecks(h *Host, timeout placement.Millis) *HealthChecks {
-	return &HealthChecks{host: h, timeout: timeout, pending: map[uint64]placement.NodeID{}}
+	return &HealthChecks{
+		host:    h,
+		timeout: timeout,
+		pending: map[uint64]placement.NodeID{},
+	}
 }
 
-// Begin returns the number of a new check of the node, and sets its timeout. It may be called while the engine is at work.
+// Begin returns the number of a new check of the node, and sets its timeout. It may be called while the engine is at
+// work.
 func (c *HealthChecks) Begin(node placement.NodeID) uint64 {
 	c.last++
 	check := c.last
@@ -34,8 +39,8 @@
 // Len returns how many checks have no result yet.
 func (c *HealthChecks) Len() int { return len(c.pending) }
 
-// Complete passes the reply to a check to the engine, with the load report that came along or nil. It returns false, and
-// does nothing, where the node has no such check pending.
+// Complete passes the reply to a check to the engine, with the load report that came along or nil. It returns false,
+// and does nothing, where the node has no such check pending.
 func (c *HealthChecks) Complete(now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport) bool {
 	if checked, pending := c.pending[check]; !pending || checked != node {
 		return false
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -68,7 +68,8 @@
 
 func TestHealthChecks_FailReachesTheEngineAsADeferredCall(t *testing.T) {
 	checks, h, module := newTestChecks(t)
-	first, second := checks.Begin(5), checks.Begin(6)
+	first := checks.Begin(5)
+	second := checks.Begin(6)
 	assert.NotEqual(t, first, second)
 	assert.Equal(t, 2, checks.Len())
 	assert.Equal(t, 2, h.PendingTimers())
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -11,8 +11,8 @@
 	Settings placement.Settings
 	Seed     uint64 // of the placement module and of the jitter
 	Engine   allocator.Options
-	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not call
-	// the engine back, and report results to it with Host.Defer.
+	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not
+	// call the engine back, and report results to it with Host.Defer.
 	Actions allocator.Actions
 	// MaxWakeInterval is the longest time between two wake-ups, in ms, also where no timer is due.
 	MaxWakeInterval placement.Millis
@@ -23,8 +23,9 @@
 	Counters *Counters
 }
 
-// Host runs an allocator's engine for a frontend. It keeps the time of the event being handled, the calls deferred until
-// the engine is idle, the frontend's timers, and the one wake-up that covers both those timers and the engine's.
+// Host runs an allocator's engine for a frontend. It keeps the time of the event being handled, the calls deferred
+// until the engine is idle, the frontend's timers, and the one wake-up that covers both those timers and the
+// engine's.
 //
 // Each event is handled within Handle or Wake.
 type Host struct {
@@ -44,8 +45,10 @@
 // NewHost makes a host and its engine. Attach must be called before anything else.
 func NewHost(c Config) *Host {
 	h := &Host{
-		jitter: newJitter(c.Seed), counters: c.Counters, periodic: c.Periodic,
-		wakeup: wakeup{maxInterval: c.MaxWakeInterval},
+		jitter:   newJitter(c.Seed),
+		counters: c.Counters,
+		periodic: c.Periodic,
+		wakeup:   wakeup{maxInterval: c.MaxWakeInterval},
 	}
 	if h.counters == nil {
 		h.counters = &Counters{}
@@ -56,7 +59,10 @@
 
 // Attach gives the host the current time and what sets its wake-up. The frontend then starts the engine, in its place
 // among what it does itself at a start, within Handle.
-func (h *Host) Attach(now placement.Millis, w Waker) { h.now, h.wakeup.waker = now, w }
+func (h *Host) Attach(now placement.Millis, w Waker) {
+	h.now = now
+	h.wakeup.waker = w
+}
 
 // Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
 func (h *Host) Engine() *allocator.Engine { return h.engine }
@@ -64,11 +70,11 @@
 // Now is the time of the event that is being handled, or of the last one.
 func (h *Host) Now() placement.Millis { return h.now }
 
-// Handle handles one event at the given time: it calls handle, then runs the deferred calls, and those that they defer, in
-// the order in which they were deferred, and then sets the wake-up.
+// Handle handles one event at the given time: it calls handle, then runs the deferred calls, and those that they
+// defer, in the order in which they were deferred, and then sets the wake-up.
 //
-// It may be nested, as when handling an event closes a connection and that is handled like a close by the peer. The inner
-// Handle then runs all calls deferred so far, those of the outer one among them.
+// It may be nested, as when handling an event closes a connection and that is handled like a close by the peer. The
+// inner Handle then runs all calls deferred so far, those of the outer one among them.
 func (h *Host) Handle(now placement.Millis, handle func()) {
 	h.begin(now)
 	handle()
@@ -111,8 +117,8 @@
 	})
 }
 
-// Defer has call run at the end of the Handle that ends next, when the engine is idle. Calls run in the order in which they were deferred. What
-// the call is about may have ended by then, so it must check that first.
+// Defer has call run at the end of the Handle that ends next, when the engine is idle. Calls run in the order in
+// which they were deferred. What the call is about may have ended by then, so it must check that first.
 func (h *Host) Defer(call func(now placement.Millis)) { h.deferred = append(h.deferred, call) }
 
 // Schedule has call run at the given time, from Wake. Timers for the same time run in the order in which they were
@@ -127,8 +133,8 @@
 // PendingTimers returns how many timers set with Schedule have not run.
 func (h *Host) PendingTimers() int { return h.timers.Len() }
 
-// RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the first.
-// Each call takes one draw of the jitter.
+// RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the
+// first. Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) placement.Millis {
 	return h.jitter.apply(b.Delay(failures))
 }
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -50,13 +50,24 @@
 // newTestHost returns an attached host whose engine is not started, so that no timer is set yet.
 func newTestHost(t *testing.T, change func(*Config)) (*Host, *fakeActions, *fakeWaker) {
 	t.Helper()
-	actions, waker := &fakeActions{}, &fakeWaker{}
+	actions := &fakeActions{}
+	waker := &fakeWaker{}
 	c := Config{
 		Settings: placement.Settings{
-			Allocators: 1, Groups: []placement.Group{{LatencyObjective: 1000, PriorityWeight: 1, RequiredKind: -1}},
-			NodeKinds: []placement.NodeKind{{Cores: 10, Memory: 20}}, MaxBinds: 3, EntriesCarryCapacity: true,
+			Allocators: 1,
+			Groups: []placement.Group{{
+				LatencyObjective: 1000,
+				PriorityWeight:   1,
+				RequiredKind:     -1,
+			}},
+			NodeKinds:            []placement.NodeKind{{Cores: 10, Memory: 20}},
+			MaxBinds:             3,
+			EntriesCarryCapacity: true,
 		},
-		Seed: 7, Engine: allocator.Options{EnforceTimeouts: true}, Actions: actions, MaxWakeInterval: maxInterval,
+		Seed:            7,
+		Engine:          allocator.Options{EnforceTimeouts: true},
+		Actions:         actions,
+		MaxWakeInterval: maxInterval,
 	}
 	if change != nil {
 		change(&c)
@@ -72,7 +83,8 @@
 	var at []placement.Millis
 	h.Handle(200, func() {
 		h.Defer(func(now placement.Millis) {
-			ran, at = append(ran, "first"), append(at, now)
+			ran = append(ran, "first")
+			at = append(at, now)
 			h.Defer(func(placement.Millis) { ran = append(ran, "third") })
 		})
 		h.Defer(func(placement.Millis) { ran = append(ran, "second") })
@@ -229,8 +241,19 @@
 	e := h.Engine()
 	h.Handle(100, func() {
 		e.Start(100)
-		e.UpdateNodes(100, placement.Snapshot, []placement.Node{{ID: 1, StartedAt: placement.DistantPast, FreeCores: 10, FreeMemory: 20}})
-		e.Schedule(100, placement.Workload{ID: 1, Service: 1, Cores: 1, Memory: 1, PendingTimeout: 300})
+		e.UpdateNodes(100, placement.Snapshot, []placement.Node{{
+			ID:         1,
+			StartedAt:  placement.DistantPast,
+			FreeCores:  10,
+			FreeMemory: 20,
+		}})
+		e.Schedule(100, placement.Workload{
+			ID:             1,
+			Service:        1,
+			Cores:          1,
+			Memory:         1,
+			PendingTimeout: 300,
+		})
 	})
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
@@ -275,7 +298,11 @@
 	e.Stop(1, 1, 6, allocator.TimedOut, false)
 	e.Stop(1, 1, 6, allocator.Migrating, false)
 	e.CheckHealth(9)
-	assert.Equal(t, Counters{Binds: 2, Migrations: 1, HealthChecks: 1}, counters)
+	assert.Equal(t, Counters{
+		Binds:        2,
+		Migrations:   1,
+		HealthChecks: 1,
+	}, counters)
 	assert.Equal(t, []placement.NodeID{5, 6}, actions.binds)
 	assert.Equal(t, []placement.NodeID{6, 6}, actions.stops)
 	assert.Equal(t, []placement.NodeID{9}, actions.checks)
@@ -286,5 +313,9 @@
 	for _, v := range []allocator.Verdict{allocator.Placed, allocator.Rejected, allocator.Placed, allocator.Unschedulable} {
 		c.CountAnswer(v)
 	}
-	assert.Equal(t, Counters{Placed: 2, Rejected: 1, Unschedulable: 1}, c)
+	assert.Equal(t, Counters{
+		Placed:        2,
+		Rejected:      1,
+		Unschedulable: 1,
+	}, c)
 }
--- a/internal/frontend/jitter_test.go
+++ b/internal/frontend/jitter_test.go
@@ -11,7 +11,8 @@
 
 func TestJitter_StaysWithinAQuarterAndRepeatsBySeed(t *testing.T) {
 	draw := func(seed uint64) []placement.Millis {
-		j, draws := newJitter(seed), make([]placement.Millis, 2000)
+		j := newJitter(seed)
+		draws := make([]placement.Millis, 2000)
 		for i := range draws {
 			draws[i] = j.apply(1000)
 		}
@@ -20,7 +21,8 @@
 	draws := draw(3)
 	assert.Equal(t, draws, draw(3))
 	assert.NotEqual(t, draws, draw(4))
-	least, most := slices.Min(draws), slices.Max(draws)
+	least := slices.Min(draws)
+	most := slices.Max(draws)
 	assert.GreaterOrEqual(t, least, placement.Millis(750))
 	assert.Less(t, most, placement.Millis(1250))
 	assert.Less(t, least, placement.Millis(760), "the whole range is used")
@@ -29,7 +31,8 @@
 
 // Virtual runs repeat only as long as these do not change.
 func TestJitter_DrawsArePinned(t *testing.T) {
-	j, h := newJitter(7), &Host{jitter: newJitter(7)}
+	j := newJitter(7)
+	h := &Host{jitter: newJitter(7)}
 	var draws, delays []placement.Millis
 	for range 3 {
 		draws = append(draws, j.apply(1000))
--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -52,7 +52,10 @@
 
 // beginBind begins a bind to a node, or to nil if the node was removed in the meantime.
 func (w *workload) beginBind(number int, n *node) {
-	w.bind.state, w.bind.number, w.bind.node, w.bind.conn = bindConnecting, number, n, nil
+	w.bind.state = bindConnecting
+	w.bind.number = number
+	w.bind.node = n
+	w.bind.conn = nil
 	if n != nil {
 		n.workloads[w.id] = w
 	}
@@ -60,7 +63,9 @@
 
 // markSent records that the offer was sent on the connection.
 func (w *workload) markSent(now placement.Millis, c *nodeConn) {
-	w.bind.state, w.bind.conn, w.bind.sentAt = bindSent, c, now
+	w.bind.state = bindSent
+	w.bind.conn = c
+	w.bind.sentAt = now
 	c.offers[w.id] = w
 }
 
@@ -75,12 +80,15 @@
 // confirm records the node's confirmation of the offer.
 func (w *workload) confirm(now placement.Millis) {
 	w.removeOffer()
-	w.bind.state, w.bind.runningSince = bindRunning, now
+	w.bind.state = bindRunning
+	w.bind.runningSince = now
 }
 
 // adopt records that the workload already runs on a node.
 func (w *workload) adopt(now placement.Millis, n *node) {
-	w.bind.state, w.bind.node, w.bind.runningSince = bindRunning, n, now
+	w.bind.state = bindRunning
+	w.bind.node = n
+	w.bind.runningSince = now
 	n.workloads[w.id] = w
 }
 
@@ -106,10 +114,10 @@
 	}
 }
 
-// concernedBy reports whether a message about the workload that came on the connection is about its last bind. A node sends
-// such a message on the connection of the offer or, if it has lost that one, on any other; this side may still see the lost
-// connection as open. If an earlier bind to the same node was abandoned on the connection, the message is about the earlier
-// bind: a late reply, or the end that abandoning it caused.
+// concernedBy reports whether a message about the workload that came on the connection is about its last bind. A node
+// sends such a message on the connection of the offer or, if it has lost that one, on any other; this side may still
+// see the lost connection as open. If an earlier bind to the same node was abandoned on the connection, the message
+// is about the earlier bind: a late reply, or the end that abandoning it caused.
 func (w *workload) concernedBy(c *nodeConn) bool {
 	return w.bind.node == c.node && (w.bind.conn == c || !slices.Contains(w.bind.abandonedOn, c.id))
 }
--- a/internal/frontend/platform/bind_test.go
+++ b/internal/frontend/platform/bind_test.go
@@ -10,7 +10,11 @@
 
 func TestBind_Transitions(t *testing.T) {
 	n := &node{workloads: map[placement.WorkloadID]*workload{}}
-	c := &nodeConn{id: 3, node: n, offers: map[placement.WorkloadID]*workload{}}
+	c := &nodeConn{
+		id:     3,
+		node:   n,
+		offers: map[placement.WorkloadID]*workload{},
+	}
 	w := &workload{id: 1}
 	check := func(state bindState, running bool, onNode, onConn int) {
 		t.Helper()
@@ -42,7 +46,12 @@
 	w.confirm(70)
 	check(bindRunning, true, 1, 0)
 	assert.Equal(t, bind{
-		state: bindRunning, number: 2, node: n, conn: c, sentAt: 60, runningSince: 70,
+		state:        bindRunning,
+		number:       2,
+		node:         n,
+		conn:         c,
+		sentAt:       60,
+		runningSince: 70,
 	}, w.bind)
 	w.endBind()
 	check(bindRunning, true, 1, 0)
@@ -58,14 +67,22 @@
 	w.adopt(20, n)
 	assert.True(t, w.running())
 	assert.Len(t, n.workloads, 1)
-	assert.Equal(t, bind{state: bindRunning, node: n, runningSince: 20}, w.bind)
+	assert.Equal(t, bind{
+		state:        bindRunning,
+		node:         n,
+		runningSince: 20,
+	}, w.bind)
 }
 
 func TestBind_ConcernedByItsConnectionAndOthersOfItsNode(t *testing.T) {
-	n, elsewhere := &node{}, &node{}
-	own, other, abandoned := &nodeConn{id: 1, node: n}, &nodeConn{id: 2, node: n}, &nodeConn{id: 3, node: n}
+	n := &node{}
+	elsewhere := &node{}
+	own := &nodeConn{id: 1, node: n}
+	other := &nodeConn{id: 2, node: n}
+	abandoned := &nodeConn{id: 3, node: n}
 	w := &workload{}
-	w.bind.node, w.bind.conn = n, own
+	w.bind.node = n
+	w.bind.conn = own
 	w.bind.abandonedOn = append(w.bind.abandonedOn, abandoned.id)
 	assert.True(t, w.concernedBy(own))
 	assert.True(t, w.concernedBy(other))
--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// binder carries out binds: it offers workloads to nodes, abandons offers and stops workloads. It reports to the engine the
-// ends of binds that no message of a node reports.
+// binder carries out binds: it offers workloads to nodes, abandons offers and stops workloads. It reports to the
+// engine the ends of binds that no message of a node reports.
 type binder struct {
 	*environment
 	workloads *workloadTable
@@ -57,7 +57,11 @@
 	w.markSent(now, c)
 	c.lastSent = now
 	b.net.Send(c.id, &codec.Offer{
-		Header: codec.Header{Tag: w.tag}, Class: w.class, Key: w.key, Timeout: o.deadline - now, Description: w.description,
+		Header:      codec.Header{Tag: w.tag},
+		Class:       w.class,
+		Key:         w.key,
+		Timeout:     o.deadline - now,
+		Description: w.description,
 	})
 }
 
@@ -84,7 +88,8 @@
 // abandon withdraws an offer from a node. After a timeout the engine has ended the bind itself; for a workload that was
 // withdrawn, the end is reported to it here.
 func (b *binder) abandon(w *workload, timedOut bool) {
-	c, sent := w.bind.conn, w.bind.state == bindSent
+	c := w.bind.conn
+	sent := w.bind.state == bindSent
 	w.endBind()
 	if sent {
 		w.bind.abandonedOn = append(w.bind.abandonedOn, c.id)
@@ -97,7 +102,8 @@
 		}
 		return
 	}
-	bind, kind := w.bind.number, placement.NotDelivered
+	bind := w.bind.number
+	kind := placement.NotDelivered
 	if sent {
 		kind = placement.OutcomeUnknown
 	}
@@ -108,7 +114,8 @@
 	})
 }
 
-// stop ends a running workload at its node, which confirms the end. Without a confirmation it counts as ended after endGrace.
+// stop ends a running workload at its node, which confirms the end. Without a confirmation it counts as ended after
+// endGrace.
 func (b *binder) stop(w *workload) {
 	b.conns.release(w)
 	b.host.Schedule(b.host.Now()+endGrace, func(now placement.Millis) {
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// clientShare is the share of the file descriptors for clients' connections. Clients are to use a third; the margin is
-	// for those that use more. The rest is for nodes, the discovery service, the listener and the event loops.
+	// clientShare is the share of the file descriptors for clients' connections. Clients are to use a third; the
+	// margin is for those that use more. The rest is for nodes, the discovery service, the listener and the event
+	// loops.
 	clientShare = 0.4
 	// extraClientConns is how many connections more are accepted, so that there is a choice which one is closed.
 	extraClientConns = 8
-	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a reply
-	// within 3 s.
+	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a
+	// reply within 3 s.
 	firstMessageTimeout = placement.Millis(2000)
 	// maxUndelivered bounds the notifications that wait for a connection of a client.
 	maxUndelivered = 4096
@@ -54,7 +55,11 @@
 }
 
 func newClientConns(env *environment) *clientConns {
-	return &clientConns{environment: env, conns: map[transport.ConnID]*clientConn{}, limit: env.config.maxClientConns()}
+	return &clientConns{
+		environment: env,
+		conns:       map[transport.ConnID]*clientConn{},
+		limit:       env.config.maxClientConns(),
+	}
 }
 
 // get returns the connection of that id, or nil.
@@ -62,7 +67,11 @@
 
 // opened admits a connection. Beyond the limit one is evicted, which may be the new one.
 func (cs *clientConns) opened(now placement.Millis, id transport.ConnID) {
-	c := &clientConn{id: id, lastReceived: now, unanswered: map[placement.WorkloadID]*workload{}}
+	c := &clientConn{
+		id:           id,
+		lastReceived: now,
+		unanswered:   map[placement.WorkloadID]*workload{},
+	}
 	cs.conns[id] = c
 	if len(cs.conns) > cs.limit {
 		cs.evictConnection(now, c)
@@ -75,8 +84,9 @@
 	})
 }
 
-// evictConnection closes the first connection in the eviction order among those without an unanswered request. It guards
-// against clients that open connections by the thousand and keep them. If all have requests, the latest is closed.
+// evictConnection closes the first connection in the eviction order among those without an unanswered request. It
+// guards against clients that open connections by the thousand and keep them. If all have requests, the latest is
+// closed.
 func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
 	var first *clientConn
 	for _, c := range cs.conns {
@@ -90,8 +100,8 @@
 	cs.disconnect(now, first)
 }
 
-// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads, then
-// those that were silent for longer.
+// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads,
+// then those that were silent for longer.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	switch {
 	case c.active != other.active:
@@ -116,9 +126,9 @@
 	cs.requests.cancelAll(now, c.unanswered)
 }
 
-// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection with
-// the most placed workloads: that is a client that stays, not one that sends a single request. Without any, the message
-// waits for a connection.
+// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection
+// with the most placed workloads: that is a client that stays, not one that sends a single request. Without any, the
+// message waits for a connection.
 func (cs *clientConns) notify(w *workload, m codec.Message) {
 	if cs.conns[w.client] != nil {
 		cs.net.Send(w.client, m)
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -29,11 +29,32 @@
 func TestClientConn_EvictionOrder(t *testing.T) {
 	order := []*clientConn{
 		{id: 9},
-		{id: 1, active: true, lastReceived: 10},
-		{id: 2, active: true, lastReceived: 10},
-		{id: 3, active: true, lastReceived: 20},
-		{id: 4, active: true, placed: 1, lastReceived: 5},
-		{id: 5, active: true, placed: 2},
+		{
+			id:           1,
+			active:       true,
+			lastReceived: 10,
+		},
+		{
+			id:           2,
+			active:       true,
+			lastReceived: 10,
+		},
+		{
+			id:           3,
+			active:       true,
+			lastReceived: 20,
+		},
+		{
+			id:           4,
+			active:       true,
+			placed:       1,
+			lastReceived: 5,
+		},
+		{
+			id:     5,
+			active: true,
+			placed: 2,
+		},
 	}
 	for i, c := range order {
 		for j, other := range order {
@@ -79,9 +100,9 @@
 	assert.Empty(t, r.clients.undelivered)
 }
 
-// Clients that send one request and stay, by the thousand, neither push out the connection of a client with much that runs,
-// also where it was silent for longer, nor are notified of the ends of its workloads. It could harm a client of whom little
-// was placed.
+// Clients that send one request and stay, by the thousand, neither push out the connection of a client with much that
+// runs, also where it was silent for longer, nor are notified of the ends of its workloads. It could harm a client of
+// whom little was placed.
 func TestClientConns_ClientWithMuchPlacedOutlastsOthers(t *testing.T) {
 	r := newRig(t)
 	gone := transport.ConnID(1999)
@@ -94,7 +115,8 @@
 	r.close(gone, errClosed)
 	for i := range 100 {
 		r.pass(20)
-		c, tag := transport.ConnID(2000+i), codec.Tag(100+i)
+		c := transport.ConnID(2000 + i)
+		tag := codec.Tag(100 + i)
 		r.Opened(r.at, c)
 		r.receive(c, request(tag))
 		r.receive(r.node, confirmation(tag))
--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -146,13 +146,21 @@
 		return &Invalid{Header: h, Err: err}
 	}
 	if node != "" {
-		return &AdoptRequest{Header: h, Task: task, Node: node}
+		return &AdoptRequest{
+			Header: h,
+			Task:   task,
+			Node:   node,
+		}
 	}
 	timeout, err := parseAmount("left", o.left)
 	if err != nil {
 		return &Invalid{Header: h, Err: err}
 	}
-	return &PlaceRequest{Header: h, Task: task, Timeout: placement.Millis(timeout)}
+	return &PlaceRequest{
+		Header:  h,
+		Task:    task,
+		Timeout: placement.Millis(timeout),
+	}
 }
 
 // decodeTask returns the workload of a request and, if a node runs it already, the node's name.
@@ -161,9 +169,18 @@
 		return t, "", &FieldError{Field: "blob", Want: "the description of the workload"}
 	}
 	if len(o.key) == 0 || len(o.key) > maxKeyLength {
-		return t, "", &FieldError{Field: "key", Value: o.key, Want: "of 1 to 64 bytes"}
+		return t, "", &FieldError{
+			Field: "key",
+			Value: o.key,
+			Want:  "of 1 to 64 bytes",
+		}
+	}
+	t = Task{
+		Class:       o.class,
+		Key:         o.key,
+		Description: *description,
+		Retried:     o.retry != "" && o.retry != "0",
 	}
-	t = Task{Class: o.class, Key: o.key, Description: *description, Retried: o.retry != "" && o.retry != "0"}
 	err = forEachPair(o.extras, func(name, value string) (err error) {
 		switch name {
 		case "cores":
@@ -178,7 +195,11 @@
 		return err
 	})
 	if err == nil && (t.Cores == 0 || t.Memory == 0) {
-		err = &FieldError{Field: "extras", Value: o.extras, Want: "a list with the cores and the memory"}
+		err = &FieldError{
+			Field: "extras",
+			Value: o.extras,
+			Want:  "a list with the cores and the memory",
+		}
 	}
 	return t, node, err
 }
@@ -186,7 +207,11 @@
 func parseService(v string) (uint64, error) {
 	n, err := strconv.ParseUint(v, 16, 64)
 	if err != nil {
-		return 0, &FieldError{Field: "service", Value: v, Want: "a hexadecimal number"}
+		return 0, &FieldError{
+			Field: "service",
+			Value: v,
+			Want:  "a hexadecimal number",
+		}
 	}
 	return n, nil
 }
@@ -194,13 +219,17 @@
 func parseAmount(name, v string) (float64, error) {
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(n) || n <= 0 || n > maxAmount {
-		return 0, &FieldError{Field: name, Value: v, Want: fmt.Sprintf("a number above 0, and at most %v", float64(maxAmount))}
+		return 0, &FieldError{
+			Field: name,
+			Value: v,
+			Want:  fmt.Sprintf("a number above 0, and at most %v", float64(maxAmount)),
+		}
 	}
 	return n, nil
 }
 
-// Append appends the line of a message to a client, which must be a Confirmation, Termination, Migration, HealthCheck or
-// HealthReply.
+// Append appends the line of a message to a client, which must be a Confirmation, Termination, Migration, HealthCheck
+// or HealthReply.
 func (ClientCodec) Append(b []byte, m any) ([]byte, error) {
 	var l replyLine
 	var v verb
@@ -211,19 +240,23 @@
 			l.Blob = &text
 		}
 	case *Termination:
-		v, l.RC = verbFinish, &m.Cause
+		v = verbFinish
+		l.RC = &m.Cause
 	case *Migration:
 		v = verbMove
 	case *HealthCheck:
 		cause := causeFailed
-		v, l.RC = verbEcho, &cause
+		v = verbEcho
+		l.RC = &cause
 	case *HealthReply:
 		cause := m.cause()
-		v, l.RC = verbEchoed, &cause
+		v = verbEchoed
+		l.RC = &cause
 	default:
 		return b, fmt.Errorf("%w: %T to a client", ErrUnsupported, m)
 	}
-	l.Verb, l.Tag = verbNames[v], m.(Message).Envelope().Tag.String()
+	l.Verb = verbNames[v]
+	l.Tag = m.(Message).Envelope().Tag.String()
 	var out strings.Builder
 	e := json.NewEncoder(&out)
 	e.SetEscapeHTML(false)
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -5,8 +5,8 @@
 // which nothing that follows on the connection can be trusted. A message that is framed correctly and whose content
 // breaks the protocol is decoded into an Invalid, so that the receiver can name the workload that it rejects.
 //
-// ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds is
-// bounded.
+// ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds
+// is bounded.
 package codec
 
 import (
@@ -74,8 +74,15 @@
 )
 
 var verbNames = map[verb]string{
-	verbStart: "START", verbPending: "PENDING", verbStarted: "STARTED", verbFinish: "FINISH", verbFinished: "FINISHED",
-	verbNotice: "NOTICE", verbMove: "MOVE", verbEcho: "ECHO", verbEchoed: "ECHOED",
+	verbStart:    "START",
+	verbPending:  "PENDING",
+	verbStarted:  "STARTED",
+	verbFinish:   "FINISH",
+	verbFinished: "FINISHED",
+	verbNotice:   "NOTICE",
+	verbMove:     "MOVE",
+	verbEcho:     "ECHO",
+	verbEchoed:   "ECHOED",
 }
 
 var verbsByName = func() map[string]verb {
--- a/internal/frontend/platform/codec/codec_test.go
+++ b/internal/frontend/platform/codec/codec_test.go
@@ -22,7 +22,11 @@
 
 func sampleOffer() *Offer {
 	return &Offer{
-		Header: Header{Tag: sampleTag}, Class: "tiles", Key: "7f3a9c21e0b4d655", Timeout: 1500, Description: sampleDescription,
+		Header:      Header{Tag: sampleTag},
+		Class:       "tiles",
+		Key:         "7f3a9c21e0b4d655",
+		Timeout:     1500,
+		Description: sampleDescription,
 	}
 }
 
@@ -73,7 +77,13 @@
 }
 
 func TestNodeCodec_OfferBytes(t *testing.T) {
-	b, err := NodeCodec{}.Append([]byte("before"), &Offer{Header: Header{Tag: 7}, Class: "c", Key: "k", Timeout: 20.9, Description: "d"})
+	b, err := NodeCodec{}.Append([]byte("before"), &Offer{
+		Header:      Header{Tag: 7},
+		Class:       "c",
+		Key:         "k",
+		Timeout:     20.9,
+		Description: "d",
+	})
 	require.NoError(t, err)
 	assert.Equal(t, "before\x00\x1a\x01\x00\x00\x00\x00\x00\x00\x00\x07"+
 		"\x10\x00\x01c\x12\x00\x0220\x18\x00\x01k\x2e\x00\x01d", string(b), "parameters in the order of their codes, whole ms")
@@ -82,7 +92,8 @@
 func TestNodeCodec_DecodesWhatNodesSend(t *testing.T) {
 	load := settings.UnknownLoad()
 	settings.SetLoadField(load, "x0", 12)
-	header, loaded := Header{Tag: 7}, Header{Tag: 7, Load: load}
+	header := Header{Tag: 7}
+	loaded := Header{Tag: 7, Load: load}
 	const report, notFinite = "x0:12;other:3;", "x0:12;x1:NaN"
 	for name, c := range map[string]struct {
 		b    []byte
@@ -90,11 +101,19 @@
 	}{
 		"rejection with reason and load": {
 			binaryMessage(verbFinish, paramNote, "mem_full", paramReport, report, paramCause, "\x22"),
-			&Termination{Header: loaded, Cause: CauseNoCapacity, Reason: placement.InsufficientMemory},
+			&Termination{
+				Header: loaded,
+				Cause:  CauseNoCapacity,
+				Reason: placement.InsufficientMemory,
+			},
 		},
-		"termination without cause":      {binaryMessage(verbFinish, paramNote, "tired"), &Termination{Header: header}},
-		"the last of two causes":         {binaryMessage(verbFinish, paramCause, "\x10", paramCause, "\x1f"), NewTermination(7, CauseCancelled)},
-		"measurement":                    {binaryMessage(verbNotice, paramNote, "cpu", paramFigure, "0.5"), &Note{Header: header, Kind: placement.CoresUsed, Value: 0.5}},
+		"termination without cause": {binaryMessage(verbFinish, paramNote, "tired"), &Termination{Header: header}},
+		"the last of two causes":    {binaryMessage(verbFinish, paramCause, "\x10", paramCause, "\x1f"), NewTermination(7, CauseCancelled)},
+		"measurement": {binaryMessage(verbNotice, paramNote, "cpu", paramFigure, "0.5"), &Note{
+			Header: header,
+			Kind:   placement.CoresUsed,
+			Value:  0.5,
+		}},
 		"running without figure":         {binaryMessage(verbNotice, paramNote, "up"), &Note{Header: header, Kind: placement.Running}},
 		"measurement without figure":     {binaryMessage(verbNotice, paramNote, "cpu"), &Ignorable{header}},
 		"unknown measurement":            {binaryMessage(verbNotice, paramNote, "mem", paramFigure, "1"), &Ignorable{header}},
@@ -197,7 +216,12 @@
 	want := &PlaceRequest{
 		Header: Header{Tag: sampleTag},
 		Task: Task{
-			Class: "tiles", Key: "7f3a9c21e0b4d655", Description: sampleDescription, Service: 0xb4d65521, Cores: 1, Memory: 2.5,
+			Class:       "tiles",
+			Key:         "7f3a9c21e0b4d655",
+			Description: sampleDescription,
+			Service:     0xb4d65521,
+			Cores:       1,
+			Memory:      2.5,
 		},
 		Timeout: 1500,
 	}
@@ -210,7 +234,11 @@
 	assert.Equal(t, want, decodeLineOf(t, strings.Replace(sampleRequest, `"new"`, `"retry"`, 1)))
 	want.Retried = false
 	assert.Equal(t, want, decodeLineOf(t, strings.Replace(sampleRequest, `"new":1`, `"retry":"0"`, 1)))
-	assert.Equal(t, &AdoptRequest{Header: want.Header, Task: want.Task, Node: "s-01"},
+	assert.Equal(t, &AdoptRequest{
+		Header: want.Header,
+		Task:   want.Task,
+		Node:   "s-01",
+	},
 		decodeLineOf(t, strings.Replace(strings.Replace(sampleRequest, `"left":1500,`, "", 1), "b4d65521", "b4d65521;at:s-01", 1)))
 }
 
@@ -366,8 +394,15 @@
 		assert.True(t, ok)
 		assert.Equal(t, EndpointUpdate{Snapshot: true, Endpoints: []Endpoint{
 			{
-				Name: "s-01", Address: "10.1.0.9:5080", Zone: "east", Kind: "std", Cell: 2, State: placement.Draining, StartedAt: 12.5,
-				FreeCores: 20, FreeMemory: 40,
+				Name:       "s-01",
+				Address:    "10.1.0.9:5080",
+				Zone:       "east",
+				Kind:       "std",
+				Cell:       2,
+				State:      placement.Draining,
+				StartedAt:  12.5,
+				FreeCores:  20,
+				FreeMemory: 40,
 			},
 			{Name: "s-02", State: placement.Removed},
 		}}, update)
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes: a list of some thousands of nodes.
+	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes: a list of some thousands
+	// of nodes.
 	maxEventSize = 1 << 20
 	// maxChunkHeader bounds the line in front of a chunk, in bytes.
 	maxChunkHeader = 32
@@ -28,8 +29,8 @@
 	After uint64
 }
 
-// EventBatch holds the complete events of one read from the discovery service. An empty batch only shows that the service
-// is alive.
+// EventBatch holds the complete events of one read from the discovery service. An empty batch only shows that the
+// service is alive.
 type EventBatch struct{ Events []Event }
 
 // Event is one numbered change.
@@ -53,8 +54,8 @@
 	hasID, hasData bool
 }
 
-// Urgent has the transport hand over events ahead of other messages: a drain applies from when the service has it, however
-// much waits.
+// Urgent has the transport hand over events ahead of other messages: a drain applies from when the service has it,
+// however much waits.
 func (s *DiscoveryCodec) Urgent() {}
 
 // Append appends the HTTP request of a Subscribe.
@@ -122,7 +123,8 @@
 	if size == 0 {
 		return nil, 0, ErrStreamEnded
 	}
-	from, to := end+2, end+2+int(size)
+	from := end + 2
+	to := end + 2 + int(size)
 	if len(b) < to+2 {
 		return nil, 0, nil
 	}
@@ -134,7 +136,8 @@
 
 // decodeLines takes all complete lines, and returns how many bytes they were.
 func (s *DiscoveryCodec) decodeLines(b []byte) (*EventBatch, int, error) {
-	batch, used := &EventBatch{}, 0
+	batch := &EventBatch{}
+	used := 0
 	for {
 		end := bytes.IndexByte(b[used:], '\n')
 		if end < 0 {
@@ -169,12 +172,14 @@
 		if err != nil {
 			return fmt.Errorf("%w: event number %.40q", ErrMalformed, value)
 		}
-		e.Revision, e.hasID = id, true
+		e.Revision = id
+		e.hasID = true
 	case "data":
 		if e.hasData {
 			e.Data = append(e.Data, '\n')
 		}
-		e.Data, e.hasData = append(e.Data, value...), true
+		e.Data = append(e.Data, value...)
+		e.hasData = true
 	}
 	return nil
 }
--- a/internal/frontend/platform/codec/endpoints.go
+++ b/internal/frontend/platform/codec/endpoints.go
@@ -65,17 +65,27 @@
 func (e *endpoint) decode() (Endpoint, error) {
 	state, known := nodeStates[e.Status]
 	if !known {
-		return Endpoint{}, &FieldError{Field: "status", Value: e.Status, Want: "Ready, Terminating or Gone"}
+		return Endpoint{}, &FieldError{
+			Field: "status",
+			Value: e.Status,
+			Want:  "Ready, Terminating or Gone",
+		}
 	}
 	if e.Name == "" {
 		return Endpoint{}, &FieldError{Field: "name", Want: "the name of a node"}
 	}
 	decoded := Endpoint{
-		Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Cell: e.Group, State: state,
+		Name:      e.Name,
+		Address:   e.Address,
+		Zone:      e.Zone,
+		Kind:      e.Type,
+		Cell:      e.Group,
+		State:     state,
 		StartedAt: placement.Millis(e.SinceMs),
 	}
 	if len(e.Room) == 2 {
-		decoded.FreeCores, decoded.FreeMemory = e.Room[0], e.Room[1]
+		decoded.FreeCores = e.Room[0]
+		decoded.FreeMemory = e.Room[1]
 	}
 	return decoded, nil
 }
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -86,8 +86,9 @@
 	Description Description // the node's, passed on to the client unchanged
 }
 
-// Termination ends a workload or the request for it. A client cancels either with it; a node rejects a bind or reports the
-// end of a workload; a client is notified that its request was rejected or has failed, or that its workload has ended.
+// Termination ends a workload or the request for it. A client cancels either with it; a node rejects a bind or
+// reports the end of a workload; a client is notified that its request was rejected or has failed, or that its
+// workload has ended.
 type Termination struct {
 	Header
 	Cause  Cause
@@ -113,12 +114,12 @@
 	Value float64
 }
 
-// Ignorable is a message that needs no reaction beyond its load report: progress, an acknowledgement, a note that cannot
-// be used, or what only the other side of a connection may receive.
+// Ignorable is a message that needs no reaction beyond its load report: progress, an acknowledgement, a note that
+// cannot be used, or what only the other side of a connection may receive.
 type Ignorable struct{ Header }
 
-// Invalid is a message that is framed correctly and whose content breaks the protocol. The receiver decides what becomes
-// of the connection.
+// Invalid is a message that is framed correctly and whose content breaks the protocol. The receiver decides what
+// becomes of the connection.
 type Invalid struct {
 	Header
 	Err error
--- a/internal/frontend/platform/codec/node.go
+++ b/internal/frontend/platform/codec/node.go
@@ -87,7 +87,11 @@
 	case verbStarted:
 		return &Confirmation{Header: header, Description: p.description}, nil
 	case verbFinish:
-		return &Termination{Header: header, Cause: p.cause, Reason: reasons[p.note]}, nil
+		return &Termination{
+			Header: header,
+			Cause:  p.cause,
+			Reason: reasons[p.note],
+		}, nil
 	case verbNotice:
 		return p.measurement(header), nil
 	case verbMove:
@@ -105,7 +109,8 @@
 		if len(rest) < parameterHeaderSize {
 			return p, fmt.Errorf("%w: a parameter is cut short", ErrMalformed)
 		}
-		code, size := rest[0], int(binary.BigEndian.Uint16(rest[1:]))
+		code := rest[0]
+		size := int(binary.BigEndian.Uint16(rest[1:]))
 		if rest = rest[parameterHeaderSize:]; len(rest) < size {
 			return p, fmt.Errorf("%w: parameter %d claims %d bytes of %d", ErrMalformed, code, size, len(rest))
 		}
@@ -137,7 +142,8 @@
 	case paramNote:
 		p.note = text
 	case paramReport:
-		p.report, p.hasReport = text, true
+		p.report = text
+		p.hasReport = true
 	case paramFigure:
 		p.figure = text
 	case paramDescription:
@@ -153,7 +159,13 @@
 	if err != nil || !present {
 		return &Ignorable{h}
 	}
-	return &Offer{Header: h, Class: p.class, Key: p.key, Timeout: placement.Millis(timeout), Description: description}
+	return &Offer{
+		Header:      h,
+		Class:       p.class,
+		Key:         p.key,
+		Timeout:     placement.Millis(timeout),
+		Description: description,
+	}
 }
 
 // measurement returns a note that can be used. That a workload runs needs no figure.
@@ -163,7 +175,11 @@
 	if !known || err != nil && kind != placement.Running {
 		return &Ignorable{h}
 	}
-	return &Note{Header: h, Kind: kind, Value: value}
+	return &Note{
+		Header: h,
+		Kind:   kind,
+		Value:  value,
+	}
 }
 
 // decodeReport reads a load report. A value that is no number is an error; one that is not finite counts as lacking.
@@ -172,7 +188,11 @@
 	err := forEachPair(text, func(name, value string) error {
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return &FieldError{Field: name, Value: value, Want: "a number"}
+			return &FieldError{
+				Field: name,
+				Value: value,
+				Want:  "a number",
+			}
 		}
 		if !math.IsNaN(n) && !math.IsInf(n, 0) {
 			settings.SetLoadField(load, name, n)
--- a/internal/frontend/platform/codec/stored_test.go
+++ b/internal/frontend/platform/codec/stored_test.go
@@ -13,8 +13,8 @@
 	"grebeglade/placement"
 )
 
-// storedMessages reads testdata/messages.txt: a name and a quoted message a line. They were encoded by commit 51e6872, but for
-// those from clients, which are as the platform's page has them.
+// storedMessages reads testdata/messages.txt: a name and a quoted message a line. They were encoded by commit
+// 51e6872, but for those from clients, which are as the platform's page has them.
 func storedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/messages.txt")
@@ -34,7 +34,10 @@
 func sentToPeers() map[string]Message {
 	return map[string]Message{
 		"to-node/offer": &Offer{
-			Header: Header{Tag: sampleTag}, Class: "tiles", Key: "7f3a9c21e0b4d655", Timeout: 1500,
+			Header:      Header{Tag: sampleTag},
+			Class:       "tiles",
+			Key:         "7f3a9c21e0b4d655",
+			Timeout:     1500,
 			Description: storedDescription,
 		},
 		"to-node/release":                               NewTermination(sampleTag, CauseNormal),
@@ -62,7 +65,11 @@
 		return Header{Tag: tag, Load: load}
 	}
 	ended := func(r placement.Reason) *Termination {
-		return &Termination{Header: header, Cause: CauseReset, Reason: r}
+		return &Termination{
+			Header: header,
+			Cause:  CauseReset,
+			Reason: r,
+		}
 	}
 	return map[string]Message{
 		"from-node/confirmation":                        NewConfirmation(sampleTag, storedDescription),
@@ -73,7 +80,8 @@
 		},
 		"from-node/rejection": &Termination{
 			Header: loaded(sampleTag, map[string]float64{"x0": 1.5, "x1": 2, "queue": 4, "util": 0.25}),
-			Cause:  CauseNoCapacity, Reason: placement.InsufficientCores,
+			Cause:  CauseNoCapacity,
+			Reason: placement.InsufficientCores,
 		},
 		"from-node/not-delivered":    NewTermination(sampleTag, CauseNotDelivered),
 		"from-node/reset":            NewTermination(sampleTag, CauseReset),
@@ -87,23 +95,48 @@
 		"from-node/ended-preempted":  ended(placement.Preempted),
 		"from-node/ended-drained":    ended(placement.Drained),
 		"from-node/running":          &Note{Header: header, Kind: placement.Running},
-		"from-node/cores-used":       &Note{Header: header, Kind: placement.CoresUsed, Value: 2.5},
-		"from-node/health-reply":     &HealthReply{Header: loaded(7, map[string]float64{"x0": 3}), Passed: true},
-		"from-node/progress":         &Ignorable{header},
-		"from-node/acknowledgement":  &Ignorable{header},
+		"from-node/cores-used": &Note{
+			Header: header,
+			Kind:   placement.CoresUsed,
+			Value:  2.5,
+		},
+		"from-node/health-reply":    &HealthReply{Header: loaded(7, map[string]float64{"x0": 3}), Passed: true},
+		"from-node/progress":        &Ignorable{header},
+		"from-node/acknowledgement": &Ignorable{header},
 	}
 }
 
 // receivedFromClients are the stored messages that clients send.
 func receivedFromClients() map[string]Message {
 	header := Header{Tag: sampleTag}
-	task := Task{Class: "batch", Key: "7f3a9c21e0b4d655", Description: "x", Service: 0xb4d65521, Cores: 1, Memory: 2}
-	request, retried := task, task
-	request.Description, retried.Retried = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n", true
+	task := Task{
+		Class:       "batch",
+		Key:         "7f3a9c21e0b4d655",
+		Description: "x",
+		Service:     0xb4d65521,
+		Cores:       1,
+		Memory:      2,
+	}
+	request := task
+	retried := task
+	request.Description = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"
+	retried.Retried = true
 	return map[string]Message{
-		"from-client/request":         &PlaceRequest{Header: header, Task: request, Timeout: 1500},
-		"from-client/request-retried": &PlaceRequest{Header: header, Task: retried, Timeout: 1500},
-		"from-client/running":         &AdoptRequest{Header: header, Task: task, Node: "s-00c41f7a"},
+		"from-client/request": &PlaceRequest{
+			Header:  header,
+			Task:    request,
+			Timeout: 1500,
+		},
+		"from-client/request-retried": &PlaceRequest{
+			Header:  header,
+			Task:    retried,
+			Timeout: 1500,
+		},
+		"from-client/running": &AdoptRequest{
+			Header: header,
+			Task:   task,
+			Node:   "s-00c41f7a",
+		},
 		"from-client/cancellation":    NewTermination(sampleTag, CauseNormal),
 		"from-client/health-check":    NewHealthCheck(1),
 		"from-client/acknowledgement": &Ignorable{header},
@@ -138,7 +171,8 @@
 }
 
 func TestCodecs_DecodeStored(t *testing.T) {
-	stored, decoded := storedMessages(t), 1 // but for what goes to the discovery service
+	stored := storedMessages(t)
+	decoded := 1 // but for what goes to the discovery service
 	for _, messages := range []map[string]Message{sentToPeers(), receivedFromNodes(), receivedFromClients()} {
 		for name, want := range messages {
 			t.Run(name, func(t *testing.T) {
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -51,8 +51,13 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	c := &Config{
-		Name: raw.Name, Listen: raw.Listen, DiscoveryAddress: raw.Journal, Seed: parseSeed(raw.Seed), Limits: raw.Limits,
-		KnownEvents: raw.Known.Entries, Revision: raw.Known.Pos,
+		Name:             raw.Name,
+		Listen:           raw.Listen,
+		DiscoveryAddress: raw.Journal,
+		Seed:             parseSeed(raw.Seed),
+		Limits:           raw.Limits,
+		KnownEvents:      raw.Known.Entries,
+		Revision:         raw.Known.Pos,
 	}
 	if listen != "" {
 		c.Listen = listen
--- a/internal/frontend/platform/config_test.go
+++ b/internal/frontend/platform/config_test.go
@@ -31,10 +31,19 @@
 	require.NoError(t, err)
 	assert.Equal(t, []string{"tiles"}, c.Settings.GroupNames)
 	assert.Len(t, c.KnownEvents, 2)
-	c.Settings, c.KnownEvents = nil, nil
+	c.Settings = nil
+	c.KnownEvents = nil
 	assert.Equal(t, &Config{
-		Name: "one", Listen: "127.0.0.1:5080", DiscoveryAddress: "127.0.0.1:7070", Seed: 5, Revision: 3,
-		Limits: Limits{Cores: 0.5, MemoryMB: 64, Sockets: 256},
+		Name:             "one",
+		Listen:           "127.0.0.1:5080",
+		DiscoveryAddress: "127.0.0.1:7070",
+		Seed:             5,
+		Revision:         3,
+		Limits: Limits{
+			Cores:    0.5,
+			MemoryMB: 64,
+			Sockets:  256,
+		},
 	}, c)
 }
 
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -58,10 +58,14 @@
 func (l *endpointList) entry(now placement.Millis, e *codec.Endpoint) placement.Node {
 	known := l.nodes.intern(e.Name)
 	n := placement.Node{
-		ID: known.id, State: e.State, Cell: placement.CellID(e.Cell), StartedAt: placement.DistantPast,
-		Kind:      placement.KindID(slices.Index(l.config.Settings.KindNames, e.Kind)),
-		Zone:      placement.ZoneID(slices.Index(l.config.Settings.ZoneNames, e.Zone)),
-		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory,
+		ID:         known.id,
+		State:      e.State,
+		Cell:       placement.CellID(e.Cell),
+		StartedAt:  placement.DistantPast,
+		Kind:       placement.KindID(slices.Index(l.config.Settings.KindNames, e.Kind)),
+		Zone:       placement.ZoneID(slices.Index(l.config.Settings.ZoneNames, e.Zone)),
+		FreeCores:  e.FreeCores,
+		FreeMemory: e.FreeMemory,
 	}
 	if e.StartedAt > 0 {
 		n.StartedAt = now + e.StartedAt - l.unixTime()
@@ -74,10 +78,12 @@
 
 // update brings a node and the connection to it in line with its entry.
 func (l *endpointList) update(now placement.Millis, entry placement.Node, e *codec.Endpoint) {
-	n, addr := l.nodes.intern(e.Name), e.Address // an earlier entry of the same list may have removed it
+	n := l.nodes.intern(e.Name)
+	addr := e.Address // an earlier entry of the same list may have removed it
 	moved := n.addr != "" && n.addr != addr
 	restarted := n.listed && n.entry.StartedAt != entry.StartedAt
-	n.entry, n.listed = entry, true
+	n.entry = entry
+	n.listed = true
 	// The node that had the address has ended, even if the list does not say so yet: an offer for it must not reach the
 	// one that has the address now.
 	if displaced := l.nodes.assignAddr(n, addr); displaced != nil {
--- a/internal/frontend/platform/endpoints_test.go
+++ b/internal/frontend/platform/endpoints_test.go
@@ -25,8 +25,9 @@
 	assert.Equal(t, placement.Ready, r.nodes.byName["s-01"].entry.State, "an earlier revision revives nothing and ends nothing")
 }
 
-// A new node at the address of one that the list still names: the old one's offers must not reach it, and what ran on the
-// old one has ended. It guards against lists that are behind; it could harm if two nodes really shared an address.
+// A new node at the address of one that the list still names: the old one's offers must not reach it, and what ran on
+// the old one has ended. It guards against lists that are behind; it could harm if two nodes really shared an
+// address.
 func TestEndpointList_NodeThatTakesOverAnAddressEndsTheOneBefore(t *testing.T) {
 	r := newRig(t)
 	r.start(7)
@@ -84,7 +85,8 @@
 	assert.Len(t, r.fake.sent[r.client], 1, "the service was heard")
 }
 
-// A workload is adopted before the list names its node. What the list says first is neither a restart nor the node's end.
+// A workload is adopted before the list names its node. What the list says first is neither a restart nor the node's
+// end.
 func TestEndpointList_NodeNotListedBeforeHasNotRestarted(t *testing.T) {
 	r := newRig(t)
 	r.receive(r.client, runningOn(7, extraNode(0)))
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,5 +1,5 @@
-// Package platform is the allocator's frontend on the users' platform: clients send lines of JSON, nodes are sent binary
-// messages, and a discovery service lists the nodes.
+// Package platform is the allocator's frontend on the users' platform: clients send lines of JSON, nodes are sent
+// binary messages, and a discovery service lists the nodes.
 //
 // A Frontend wires together the types that own its state:
 //
@@ -91,21 +91,45 @@
 	f.nodes = newNodeTable()
 	f.nodeConns = newNodeConns(env, f.nodes)
 	env.host = frontend.NewHost(frontend.Config{
-		Settings: c.Settings.Settings, Seed: c.Seed, Engine: allocator.Options{EnforceTimeouts: true}, Actions: engineActions{f},
-		MaxWakeInterval: maxWakeInterval, Periodic: f.nodeConns.closeIdle, Counters: &f.Counters.Counters,
+		Settings:        c.Settings.Settings,
+		Seed:            c.Seed,
+		Engine:          allocator.Options{EnforceTimeouts: true},
+		Actions:         engineActions{f},
+		MaxWakeInterval: maxWakeInterval,
+		Periodic:        f.nodeConns.closeIdle,
+		Counters:        &f.Counters.Counters,
 	})
 	f.healthChecks = &healthChecker{
-		environment: env, nodes: f.nodes, conns: f.nodeConns, pending: frontend.NewHealthChecks(env.host, endGrace),
+		environment: env,
+		nodes:       f.nodes,
+		conns:       f.nodeConns,
+		pending:     frontend.NewHealthChecks(env.host, endGrace),
 	}
 	f.lifecycle = newLifecycle(env)
-	f.binder = &binder{environment: env, workloads: f.workloads, nodes: f.nodes, conns: f.nodeConns}
+	f.binder = &binder{
+		environment: env,
+		workloads:   f.workloads,
+		nodes:       f.nodes,
+		conns:       f.nodeConns,
+	}
 	f.replies = &replyHandler{
-		environment: env, workloads: f.workloads, conns: f.nodeConns, binder: f.binder, checks: f.healthChecks,
+		environment: env,
+		workloads:   f.workloads,
+		conns:       f.nodeConns,
+		binder:      f.binder,
+		checks:      f.healthChecks,
 	}
 	f.requests = newRequestHandler(env, f.clients, f.workloads, f.lifecycle, f.binder)
-	f.endpoints = &endpointList{environment: env, nodes: f.nodes, conns: f.nodeConns, binder: f.binder, unixTime: unixTime}
+	f.endpoints = &endpointList{
+		environment: env,
+		nodes:       f.nodes,
+		conns:       f.nodeConns,
+		binder:      f.binder,
+		unixTime:    unixTime,
+	}
 	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
-	f.clients.requests, f.nodeConns.binds = f.requests, f.binder
+	f.clients.requests = f.requests
+	f.nodeConns.binds = f.binder
 	return f
 }
 
@@ -114,8 +138,12 @@
 // Limits returns the limits of the frontend's connections.
 func (f *Frontend) Limits() transport.Limits {
 	return transport.Limits{
-		MaxFrameSize: codec.MaxMessageSize, MaxWriteBuffer: maxWriteBuffer, MaxConnections: f.config.maxClientConns() + extraClientConns,
-		PauseAcceptAtLimit: true, MaxQueuedEvents: maxQueuedEvents, MessageTimeout: messageTimeout,
+		MaxFrameSize:       codec.MaxMessageSize,
+		MaxWriteBuffer:     maxWriteBuffer,
+		MaxConnections:     f.config.maxClientConns() + extraClientConns,
+		PauseAcceptAtLimit: true,
+		MaxQueuedEvents:    maxQueuedEvents,
+		MessageTimeout:     messageTimeout,
 	}
 }
 
@@ -140,13 +168,13 @@
 	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
 }
 
-// Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected. Running
-// workloads are left running.
+// Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected.
+// Running workloads are left running.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
 
-// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that wait for
-// a connection to their node were sent or given enough time. Notifications that wait for a connection of a client are left
-// to the allocator that adopts the workload next.
+// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that
+// wait for a connection to their node were sent or given enough time. Notifications that wait for a connection of a
+// client are left to the allocator that adopts the workload next.
 func (f *Frontend) Drained(now placement.Millis) bool {
 	if f.workloads.unanswered > 0 {
 		return false
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -27,7 +27,8 @@
 	r := newRig(t)
 	r.receive(r.client, codec.NewTermination(1, codec.CauseNormal)) // a first message, so that the connection stays
 	for i := range 3000 {
-		tag, c := codec.Tag(10+i), transport.ConnID(10000+i)
+		tag := codec.Tag(10 + i)
+		c := transport.ConnID(10000 + i)
 		r.Opened(r.at, c)
 		r.receive(c, request(tag))
 		switch i % 4 {
--- a/internal/frontend/platform/helpers_test.go
+++ b/internal/frontend/platform/helpers_test.go
@@ -79,9 +79,12 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{
-		Frontend: New(rigConfig(), nil), client: 1000,
+		Frontend: New(rigConfig(), nil),
+		client:   1000,
 		fake: &fakeNetwork{
-			dialed: map[transport.ConnID]string{}, sent: map[transport.ConnID][]any{}, closed: map[transport.ConnID]bool{},
+			dialed: map[transport.ConnID]string{},
+			sent:   map[transport.ConnID][]any{},
+			closed: map[transport.ConnID]bool{},
 			hungUp: map[transport.ConnID]bool{},
 		},
 	}
@@ -99,18 +102,47 @@
 
 func rigConfig() *Config {
 	return &Config{
-		Name: "one", Listen: "127.0.0.1:5080", DiscoveryAddress: discoveryAddr, Seed: 5, Revision: 1,
-		Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 64},
+		Name:             "one",
+		Listen:           "127.0.0.1:5080",
+		DiscoveryAddress: discoveryAddr,
+		Seed:             5,
+		Revision:         1,
+		Limits: Limits{
+			Cores:    1,
+			MemoryMB: 64,
+			Sockets:  64,
+		},
 		Settings: &settings.Received{
 			Settings: placement.Settings{
-				Allocators: 1, MaxBinds: 4, HealthChecksAllowed: true, ConfirmsRunning: true, ReportsUsage: true, EntriesCarryCapacity: true,
-				NodeKinds: []placement.NodeKind{{Cores: 20, Memory: 40}},
+				Allocators:           1,
+				MaxBinds:             4,
+				HealthChecksAllowed:  true,
+				ConfirmsRunning:      true,
+				ReportsUsage:         true,
+				EntriesCarryCapacity: true,
+				NodeKinds:            []placement.NodeKind{{Cores: 20, Memory: 40}},
 				Groups: []placement.Group{
-					{LatencyObjective: 350, PriorityWeight: 1, FullServiceUtilization: 0.8, DegradationRange: 0.1, RequiredKind: -1},
-					{LatencyObjective: 2000, PriorityWeight: 5, Idempotency: placement.AtMostOnce, FullServiceUtilization: 0.8, DegradationRange: 0.1, RequiredKind: -1},
+					{
+						LatencyObjective:       350,
+						PriorityWeight:         1,
+						FullServiceUtilization: 0.8,
+						DegradationRange:       0.1,
+						RequiredKind:           -1,
+					},
+					{
+						LatencyObjective:       2000,
+						PriorityWeight:         5,
+						Idempotency:            placement.AtMostOnce,
+						FullServiceUtilization: 0.8,
+						DegradationRange:       0.1,
+						RequiredKind:           -1,
+					},
 				},
 			},
-			GroupNames: []string{"tiles", "trace"}, KindNames: []string{"small"}, ZoneNames: []string{"z"}, ReportFields: []string{"x0"},
+			GroupNames:   []string{"tiles", "trace"},
+			KindNames:    []string{"small"},
+			ZoneNames:    []string{"z"},
+			ReportFields: []string{"x0"},
 		},
 		KnownEvents: []json.RawMessage{nodeEvent(1, "Ready", 0)},
 	}
@@ -171,7 +203,12 @@
 	r := &codec.PlaceRequest{
 		Header: codec.Header{Tag: tag},
 		Task: codec.Task{
-			Class: "tiles", Key: "00000000000000aa", Description: "of " + tag.String(), Cores: 1, Memory: 2, Service: 7,
+			Class:       "tiles",
+			Key:         "00000000000000aa",
+			Description: "of " + tag.String(),
+			Cores:       1,
+			Memory:      2,
+			Service:     7,
 		},
 		Timeout: 2000,
 	}
@@ -187,7 +224,11 @@
 // runningOn states that a node runs the workload of the tag.
 func runningOn(tag codec.Tag, node string) *codec.AdoptRequest {
 	r := request(tag)
-	return &codec.AdoptRequest{Header: r.Header, Task: r.Task, Node: node}
+	return &codec.AdoptRequest{
+		Header: r.Header,
+		Task:   r.Task,
+		Node:   node,
+	}
 }
 
 func confirmation(tag codec.Tag) *codec.Confirmation {
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -13,7 +13,8 @@
 	maxPendingChecks = 64                     // health checks of clients that wait for readiness
 )
 
-// lifecycleState is how far a frontend is between its start and its end. It only goes forward, or from starting to draining.
+// lifecycleState is how far a frontend is between its start and its end. It only goes forward, or from starting to
+// draining.
 type lifecycleState uint8
 
 const (
@@ -68,7 +69,8 @@
 // drain begins the shutdown. Further calls change nothing.
 func (l *lifecycle) drain(now placement.Millis) {
 	if l.state != lifecycleDraining {
-		l.state, l.drainingSince = lifecycleDraining, now
+		l.state = lifecycleDraining
+		l.drainingSince = now
 	}
 }
 
--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// A health check passes once the discovery service was heard, so that nothing is placed by what the configuration knew
-// before the start: a drain published in between applies. Where the service is not heard it passes all the same, a little
-// later.
+// A health check passes once the discovery service was heard, so that nothing is placed by what the configuration
+// knew before the start: a drain published in between applies. Where the service is not heard it passes all the same,
+// a little later.
 func TestLifecycle_HealthCheckPassesOnceTheDiscoveryServiceWasHeard(t *testing.T) {
 	for name, hear := range map[string]func(r *rig){
 		"events were missed": func(r *rig) { r.publishNode(2, "Terminating") },
--- a/internal/frontend/platform/nodeconn.go
+++ b/internal/frontend/platform/nodeconn.go
@@ -30,7 +30,8 @@
 
 // retire has the node's new offers take another connection.
 func (c *nodeConn) retire() {
-	c.state, c.node.conn = connRetired, nil
+	c.state = connRetired
+	c.node.conn = nil
 }
 
 // evictedBefore is the eviction order: connections to nodes without workloads first, then those unused for longer.
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -9,8 +9,8 @@
 	"grebeglade/placement"
 )
 
-// A node is dialed once there is something to send to it or to receive from it: there may be more nodes than descriptors, and
-// dialing all of them at once would cost a start on a part of a core more than it can spare.
+// A node is dialed once there is something to send to it or to receive from it: there may be more nodes than
+// descriptors, and dialing all of them at once would cost a start on a part of a core more than it can spare.
 
 const (
 	defaultConnectTimeout = placement.Millis(250)  // ms, if the settings state none
@@ -20,12 +20,13 @@
 	maxPendingReleases    = 4096                   // for each node
 )
 
-// reservedSockets are for neither clients nor nodes: 3 standard files, the listener, 8 of event loops and the runtime, the
-// discovery service's connection, the configuration read anew, and the second ones that up to 4 connections hold while
-// they are handed to their event loops.
+// reservedSockets are for neither clients nor nodes: 3 standard files, the listener, 8 of event loops and the
+// runtime, the discovery service's connection, the configuration read anew, and the second ones that up to 4
+// connections hold while they are handed to their event loops.
 const reservedSockets = 18
 
-// redialBackoff ends at 2 s, so that the ends of workloads are received within the 8 s in which clients are to be notified.
+// redialBackoff ends at 2 s, so that the ends of workloads are received within the 8 s in which clients are to be
+// notified.
 var redialBackoff = frontend.Backoff{Initial: 50, Max: 2000}
 
 // Reasons why a connection to a node is closed from our side.
@@ -69,7 +70,10 @@
 		timeout = defaultConnectTimeout
 	}
 	return &nodeConns{
-		environment: env, nodes: nodes, conns: map[transport.ConnID]*nodeConn{}, limit: env.config.maxNodeConns(),
+		environment:    env,
+		nodes:          nodes,
+		conns:          map[transport.ConnID]*nodeConn{},
+		limit:          env.config.maxNodeConns(),
 		connectTimeout: timeout,
 	}
 }
@@ -115,7 +119,12 @@
 		return
 	}
 	id := nc.net.DialCodec(n.addr, codec.NodeCodec{}, nc.connectTimeout)
-	n.conn = &nodeConn{id: id, node: n, lastSent: now, offers: map[placement.WorkloadID]*workload{}}
+	n.conn = &nodeConn{
+		id:       id,
+		node:     n,
+		lastSent: now,
+		offers:   map[placement.WorkloadID]*workload{},
+	}
 	nc.conns[id] = n.conn
 }
 
@@ -172,13 +181,15 @@
 // opened handles a dialed connection that is up.
 func (nc *nodeConns) opened(now placement.Millis, c *nodeConn) {
 	n := c.node
-	c.state, c.lastReceived = connOpen, now
+	c.state = connOpen
+	c.lastReceived = now
 	if n.conn != c {
 		nc.disconnect(now, c, errReplaced)
 		return
 	}
 	nc.log.Debug("node connected", "node", n.name, "address", n.addr, "workloads", len(n.workloads))
-	n.dialing.failures, n.dialing.refusing = 0, false
+	n.dialing.failures = 0
+	n.dialing.refusing = false
 	waiters := n.waiters
 	n.waiters = nil
 	for _, w := range waiters {
@@ -215,7 +226,8 @@
 
 // closed handles the end of a connection, or that it could not be dialed.
 func (nc *nodeConns) closed(now placement.Millis, c *nodeConn, reason error) {
-	n, dialed := c.node, c.state != connDialing
+	n := c.node
+	dialed := c.state != connDialing
 	nc.log.Debug("node disconnected", "node", n.name, "opened", dialed, "offers", len(c.offers), "workloads", len(n.workloads),
 		"reason", reason)
 	delete(nc.conns, c.id)
@@ -231,7 +243,8 @@
 	nc.redial(now, n)
 }
 
-// dialFailed records that a node could not be dialed. If connections were refused for nodeDownAfter, its process has ended.
+// dialFailed records that a node could not be dialed. If connections were refused for nodeDownAfter, its process has
+// ended.
 func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason error) {
 	d := &n.dialing
 	d.failures++
@@ -239,16 +252,19 @@
 	case !errors.Is(reason, transport.ErrConnectionRefused):
 		d.refusing = false
 	case !d.refusing:
-		d.refusing, d.refusedSince = true, now
+		d.refusing = true
+		d.refusedSince = now
 	case now-d.refusedSince >= nodeDownAfter:
 		nc.binds.processEnded(now, n)
 	}
 }
 
-// release has a node end a workload. The message is sent on the connection of the offer if that is open, else on the node's
-// current one; without any it waits.
+// release has a node end a workload. The message is sent on the connection of the offer if that is open, else on the
+// node's current one; without any it waits.
 func (nc *nodeConns) release(w *workload) {
-	now, n, c := nc.host.Now(), w.bind.node, w.bind.conn
+	now := nc.host.Now()
+	n := w.bind.node
+	c := w.bind.conn
 	if !nc.usable(now, c) {
 		c = n.openConn()
 	}
@@ -268,8 +284,8 @@
 	return c != nil && c.isOpen() && !nc.idle(now, c)
 }
 
-// replaceSilent dials another connection for new offers if nothing was received on this one since the given time: it may
-// have lost what was sent.
+// replaceSilent dials another connection for new offers if nothing was received on this one since the given time: it
+// may have lost what was sent.
 func (nc *nodeConns) replaceSilent(now placement.Millis, c *nodeConn, since placement.Millis) {
 	if c.lastReceived < since && c.node.conn == c {
 		c.retire()
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -17,8 +17,11 @@
 	calls int
 }
 
-func (w *recordingWaiter) connected(c *nodeConn) { w.conn, w.calls = c, w.calls+1 }
-func (w *recordingWaiter) unreachable()          { w.calls++ }
+func (w *recordingWaiter) connected(c *nodeConn) {
+	w.conn = c
+	w.calls = w.calls + 1
+}
+func (w *recordingWaiter) unreachable() { w.calls++ }
 
 // More nodes than descriptors: each is reached when something is to be sent to it, within the nodes' share, and the
 // connection to a node without workloads is evicted. It guards against a process that runs out of descriptors. It could
@@ -67,8 +70,8 @@
 	assert.GreaterOrEqual(t, len(heard), 40, "within the 8 s in which clients are to be notified")
 }
 
-// A connection that was idle for nearly the settings' timeout is closed by us: an offer that crosses the node's own close
-// would count as one that may have run.
+// A connection that was idle for nearly the settings' timeout is closed by us: an offer that crosses the node's own
+// close would count as one that may have run.
 func TestNodeConns_IdleConnectionIsClosedBeforeTheNodeDoes(t *testing.T) {
 	r := newRig(t)
 	r.config.Settings.IdleTimeout = 5000
@@ -84,17 +87,20 @@
 	assert.Equal(t, []string{"offer"}, r.sentAbout(again, 7))
 }
 
-// A node that refuses connections is dialed again once that proves it down, not before: with a hundred of them a small core
-// does nothing else. It could harm where a process is up again at once; an offer for it dials it all the same.
+// A node that refuses connections is dialed again once that proves it down, not before: with a hundred of them a
+// small core does nothing else. It could harm where a process is up again at once; an offer for it dials it all the
+// same.
 func TestNodeConns_RefusingNodeIsDialedSparingly(t *testing.T) {
 	r := newRig(t)
 	r.start(7)
 	r.close(r.node, errReset)
-	dials, last := 0, r.node
+	dials := 0
+	last := r.node
 	for range 200 {
 		r.pass(20)
 		if c := r.fake.lastTo(nodeAddr); c != last {
-			dials, last = dials+1, c
+			dials = dials + 1
+			last = c
 			r.close(c, errRefused)
 		}
 	}
@@ -117,7 +123,10 @@
 func TestNodeConns_WaitersAreToldOnce(t *testing.T) {
 	r := newRig(t)
 	r.publishNodes(3)
-	up, down, gone, known := &recordingWaiter{}, &recordingWaiter{}, &recordingWaiter{}, &recordingWaiter{}
+	up := &recordingWaiter{}
+	down := &recordingWaiter{}
+	gone := &recordingWaiter{}
+	known := &recordingWaiter{}
 	r.nodeConns.await(r.nodes.byName[extraNode(0)], up)
 	r.nodeConns.await(r.nodes.byName[extraNode(1)], down)
 	r.nodeConns.await(r.nodes.byName[extraNode(2)], gone)
@@ -135,13 +144,34 @@
 }
 
 func TestNodeConn_EvictionOrder(t *testing.T) {
-	empty, holding := &node{}, &node{workloads: map[placement.WorkloadID]*workload{1: {}}}
+	empty := &node{}
+	holding := &node{workloads: map[placement.WorkloadID]*workload{1: {}}}
 	order := []*nodeConn{
-		{id: 3, node: empty, lastSent: 10},
-		{id: 4, node: empty, lastSent: 10},
-		{id: 2, node: empty, lastSent: 20},
-		{id: 1, node: holding, lastSent: 5},
-		{id: 5, node: holding, lastSent: 6},
+		{
+			id:       3,
+			node:     empty,
+			lastSent: 10,
+		},
+		{
+			id:       4,
+			node:     empty,
+			lastSent: 10,
+		},
+		{
+			id:       2,
+			node:     empty,
+			lastSent: 20,
+		},
+		{
+			id:       1,
+			node:     holding,
+			lastSent: 5,
+		},
+		{
+			id:       5,
+			node:     holding,
+			lastSent: 6,
+		},
 	}
 	for i, c := range order {
 		for j, other := range order {
@@ -220,7 +250,8 @@
 		r.openNodeConns()
 		c = r.workloads.tagged(7).bind.conn
 	}
-	c.lastSent, c.lastReceived = -6000, -6000
+	c.lastSent = -6000
+	c.lastReceived = -6000
 	r.nodeConns.closeIdle(r.at)
 	assert.False(t, r.fake.closed[c.id])
 	for _, other := range r.nodeConns.conns {
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -70,7 +70,11 @@
 }
 
 func newNodeTable() *nodeTable {
-	return &nodeTable{byID: map[placement.NodeID]*node{}, byName: map[string]*node{}, byAddr: map[string]*node{}}
+	return &nodeTable{
+		byID:   map[placement.NodeID]*node{},
+		byName: map[string]*node{},
+		byAddr: map[string]*node{},
+	}
 }
 
 // get returns the node of that id, or nil.
@@ -79,8 +83,8 @@
 // holds reports whether the node has not been removed.
 func (t *nodeTable) holds(n *node) bool { return t.byID[n.id] == n }
 
-// intern returns the node of that name, and makes it if it is new. Its id depends on its name alone, so that all allocators
-// know it by the same.
+// intern returns the node of that name, and makes it if it is new. Its id depends on its name alone, so that all
+// allocators know it by the same.
 func (t *nodeTable) intern(name string) *node {
 	if n := t.byName[name]; n != nil {
 		return n
@@ -91,9 +95,18 @@
 	for t.byID[id] != nil {
 		id++
 	}
-	n := &node{id: id, name: name, workloads: map[placement.WorkloadID]*workload{}}
-	n.entry = placement.Node{ID: id, State: placement.Removed, StartedAt: placement.DistantPast}
-	t.byID[id], t.byName[name] = n, n
+	n := &node{
+		id:        id,
+		name:      name,
+		workloads: map[placement.WorkloadID]*workload{},
+	}
+	n.entry = placement.Node{
+		ID:        id,
+		State:     placement.Removed,
+		StartedAt: placement.DistantPast,
+	}
+	t.byID[id] = n
+	t.byName[name] = n
 	return n
 }
 
@@ -106,7 +119,8 @@
 		delete(t.byAddr, n.addr)
 	}
 	displaced = t.byAddr[addr]
-	n.addr, t.byAddr[addr] = addr, n
+	n.addr = addr
+	t.byAddr[addr] = n
 	if displaced == nil || displaced == n {
 		return nil
 	}
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -10,7 +10,8 @@
 )
 
 func TestNodeTable_InternedIDDependsOnTheNameAlone(t *testing.T) {
-	one, other := newNodeTable(), newNodeTable()
+	one := newNodeTable()
+	other := newNodeTable()
 	other.intern("s-02")
 	n := one.intern("s-01")
 	assert.Equal(t, n.id, other.intern("s-01").id)
@@ -27,10 +28,12 @@
 
 func TestNodeTable_AssignAddrDisplacesTheNodeThatHadIt(t *testing.T) {
 	table := newNodeTable()
-	first, second := table.intern("s-01"), table.intern("s-02")
+	first := table.intern("s-01")
+	second := table.intern("s-02")
 	assert.Nil(t, table.assignAddr(first, "a"), "a removed node gets no address")
 	assert.Empty(t, first.addr)
-	first.entry.State, second.entry.State = placement.Ready, placement.Draining
+	first.entry.State = placement.Ready
+	second.entry.State = placement.Draining
 	assert.Nil(t, table.assignAddr(first, "a"))
 	assert.Nil(t, table.assignAddr(first, "a"), "its own address displaces nobody")
 	assert.Same(t, first, table.assignAddr(second, "a"))
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -5,7 +5,8 @@
 	"grebeglade/placement"
 )
 
-// replyHandler hands the engine what nodes send: replies to offers, the ends of workloads, load reports and measurements.
+// replyHandler hands the engine what nodes send: replies to offers, the ends of workloads, load reports and
+// measurements.
 type replyHandler struct {
 	*environment
 	workloads *workloadTable
@@ -27,8 +28,8 @@
 	h.conns.closeReplaced(c)
 }
 
-// handle hands the engine a message about a health check or a bind. It returns whether the message's load report was handed
-// over with it, or is not wanted.
+// handle hands the engine a message about a health check or a bind. It returns whether the message's load report was
+// handed over with it, or is not wanted.
 func (h *replyHandler) handle(now placement.Millis, c *nodeConn, m codec.Message) bool {
 	if reply, ok := m.(*codec.HealthReply); ok {
 		return h.checks.completed(now, c.node, reply)
@@ -75,7 +76,12 @@
 	default:
 		return false
 	}
-	h.binder.settle(now, w, placement.Result{Kind: resultOf(m.Cause), Reason: m.Reason, Final: running, Load: m.Load})
+	h.binder.settle(now, w, placement.Result{
+		Kind:   resultOf(m.Cause),
+		Reason: m.Reason,
+		Final:  running,
+		Load:   m.Load,
+	})
 	return true
 }
 
--- a/internal/frontend/platform/replies_test.go
+++ b/internal/frontend/platform/replies_test.go
@@ -11,8 +11,9 @@
 	"grebeglade/placement"
 )
 
-// What a node sends about a bind that was abandoned is not taken for the next one there: neither its reply nor its end. It
-// guards against nodes that were silent and then send all at once; it could harm if a node used any connection it likes.
+// What a node sends about a bind that was abandoned is not taken for the next one there: neither its reply nor its
+// end. It guards against nodes that were silent and then send all at once; it could harm if a node used any
+// connection it likes.
 func TestReplyHandler_MessageAboutAnAbandonedBindIsNotTakenForTheLast(t *testing.T) {
 	r := newRig(t)
 	r.pass(50)
@@ -53,8 +54,8 @@
 	assert.Equal(t, []string{"confirmation", "termination 16"}, r.sentAbout(r.client, 7), "on the next connection")
 }
 
-// A node that has lost a connection which still stands for us sends an end on another one: its client is notified. It guards
-// against an end that is passed over since it does not come on the connection of its offer.
+// A node that has lost a connection which still stands for us sends an end on another one: its client is notified. It
+// guards against an end that is passed over since it does not come on the connection of its offer.
 func TestReplyHandler_EndIsHeardOnAnyConnectionOfItsNode(t *testing.T) {
 	r := newRig(t)
 	r.pass(50)
@@ -105,7 +106,9 @@
 	first := r.workloads.tagged(7).bind.node
 	r.openNodeConns()
 	r.receive(first.conn.id, &codec.Termination{
-		Header: codec.Header{Tag: 7, Load: settings.UnknownLoad()}, Cause: codec.CauseNoCapacity, Reason: placement.InsufficientCores,
+		Header: codec.Header{Tag: 7, Load: settings.UnknownLoad()},
+		Cause:  codec.CauseNoCapacity,
+		Reason: placement.InsufficientCores,
 	})
 	second := r.workloads.tagged(7).bind.node
 	require.NotEqual(t, first.name, second.name)
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -30,8 +30,12 @@
 	env *environment, clients *clientConns, workloads *workloadTable, lifecycle *lifecycle, binder *binder,
 ) *requestHandler {
 	h := &requestHandler{
-		environment: env, clients: clients, workloads: workloads, lifecycle: lifecycle, binder: binder,
-		classes: map[string]placement.GroupID{},
+		environment: env,
+		clients:     clients,
+		workloads:   workloads,
+		lifecycle:   lifecycle,
+		binder:      binder,
+		classes:     map[string]placement.GroupID{},
 	}
 	for i, name := range env.config.Settings.GroupNames {
 		h.classes[name] = placement.GroupID(i)
@@ -118,8 +122,8 @@
 	}
 }
 
-// rejectTag rejects a request under the tag of another one. On the same connection their answers could not be told apart, so
-// it is closed.
+// rejectTag rejects a request under the tag of another one. On the same connection their answers could not be told
+// apart, so it is closed.
 func (h *requestHandler) rejectTag(now placement.Millis, c *clientConn, held *workload) {
 	if held.client == c.id && !held.answered {
 		h.rejectInvalid(now, c, held.tag, errTagInUse)
@@ -128,8 +132,8 @@
 	h.net.Send(c.id, codec.NewTermination(held.tag, codec.CauseInvalid))
 }
 
-// workloadOf returns a task as the engine knows it, without an id. A figure out of range must not reach the engine: it would
-// stay in the sums that decisions are made by.
+// workloadOf returns a task as the engine knows it, without an id. A figure out of range must not reach the engine:
+// it would stay in the sums that decisions are made by.
 func (h *requestHandler) workloadOf(t *codec.Task) (placement.Workload, error) {
 	class, known := h.classes[t.Class]
 	if !known {
@@ -138,7 +142,11 @@
 	for _, kind := range h.config.Settings.NodeKinds {
 		if t.Cores <= kind.Cores && t.Memory <= kind.Memory {
 			return placement.Workload{
-				Service: placement.ServiceID(t.Service), Group: class, Cores: t.Cores, Memory: t.Memory, Retried: t.Retried,
+				Service: placement.ServiceID(t.Service),
+				Group:   class,
+				Cores:   t.Cores,
+				Memory:  t.Memory,
+				Retried: t.Retried,
 			}, nil
 		}
 	}
@@ -184,8 +192,8 @@
 	}
 }
 
-// notifyMigration notifies a client that its workload is migrated. The platform ends the workload at its node too, and the
-// node then reports the end.
+// notifyMigration notifies a client that its workload is migrated. The platform ends the workload at its node too,
+// and the node then reports the end.
 func (h *requestHandler) notifyMigration(w *workload) {
 	w.migrate()
 	h.clients.notify(w, codec.NewMigration(w.tag))
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -82,8 +82,8 @@
 	assert.Empty(t, r.workloads.byID)
 }
 
-// A client that has gone gets no bind, also where its request is handled before its end. It guards against work for those
-// who have left; a running workload is ended all the same.
+// A client that has gone gets no bind, also where its request is handled before its end. It guards against work for
+// those who have left; a running workload is ended all the same.
 func TestRequestHandler_RequestOfAClosedConnectionIsDropped(t *testing.T) {
 	r := newRig(t)
 	r.start(6)
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -58,7 +58,11 @@
 
 func newSubscription(env *environment, events eventHandler, lifecycle *lifecycle) *subscription {
 	return &subscription{
-		environment: env, events: events, lifecycle: lifecycle, addr: env.config.DiscoveryAddress, revision: env.config.Revision,
+		environment: env,
+		events:      events,
+		lifecycle:   lifecycle,
+		addr:        env.config.DiscoveryAddress,
+		revision:    env.config.Revision,
 	}
 }
 
@@ -73,12 +77,14 @@
 		return
 	}
 	s.conn = s.net.DialCodec(s.addr, &codec.DiscoveryCodec{}, discoveryConnectTimeout)
-	s.state, s.lastReceived = subscriptionConnecting, now
+	s.state = subscriptionConnecting
+	s.lastReceived = now
 }
 
 // opened subscribes on the connection that is up.
 func (s *subscription) opened(now placement.Millis) {
-	s.state, s.lastReceived = subscriptionOpen, now
+	s.state = subscriptionOpen
+	s.lastReceived = now
 	s.net.Send(s.conn, codec.Subscribe{Host: s.addr, After: s.revision})
 	s.watchSilence(s.conn)
 }
@@ -108,7 +114,8 @@
 
 // move continues the subscription at another address.
 func (s *subscription) move(now placement.Millis, addr string) {
-	s.addr, s.failures = addr, 0
+	s.addr = addr
+	s.failures = 0
 	s.reconnect(now, errDiscoveryMoved)
 }
 
@@ -137,7 +144,8 @@
 	s.lifecycle.markReady(now)
 }
 
-// applied applies an event, unless its revision was applied before. It returns false if the event is to be read once more.
+// applied applies an event, unless its revision was applied before. It returns false if the event is to be read once
+// more.
 func (s *subscription) applied(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
@@ -148,6 +156,8 @@
 			return false
 		}
 	}
-	s.revision, s.malformed, s.failures = event.Revision, 0, 0
+	s.revision = event.Revision
+	s.malformed = 0
+	s.failures = 0
 	return true
 }
--- a/internal/frontend/platform/subscription_test.go
+++ b/internal/frontend/platform/subscription_test.go
@@ -29,8 +29,8 @@
 	assert.NotZero(t, r.fake.lastTo("127.0.0.7:7070"))
 }
 
-// A discovery service that moves twice is followed at its last address, from the last complete event on; what the old one
-// still has on its way is sent by the new one, and a drain published at once applies.
+// A discovery service that moves twice is followed at its last address, from the last complete event on; what the old
+// one still has on its way is sent by the new one, and a drain published at once applies.
 func TestSubscription_ReloadFollowsTheLastAddress(t *testing.T) {
 	r := newRig(t)
 	old := r.fake.lastTo(discoveryAddr)
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -36,7 +36,9 @@
 
 func newWorkloadTable(memoryMB int) *workloadTable {
 	return &workloadTable{
-		byID: map[placement.WorkloadID]*workload{}, byTag: map[codec.Tag]*workload{}, limit: workloadsPerMB * memoryMB,
+		byID:  map[placement.WorkloadID]*workload{},
+		byTag: map[codec.Tag]*workload{},
+		limit: workloadsPerMB * memoryMB,
 	}
 }
 
@@ -63,14 +65,22 @@
 
 // addRunning adds a workload that runs already, so that nothing is to be answered.
 func (t *workloadTable) addRunning(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
-	return t.add(&workload{tag: tag, client: client, answered: true}, task)
+	return t.add(&workload{
+		tag:      tag,
+		client:   client,
+		answered: true,
+	}, task)
 }
 
 // add gives a workload its id and keeps it.
 func (t *workloadTable) add(w *workload, task *codec.Task) *workload {
 	t.lastID++
-	w.id, w.class, w.key, w.description = t.lastID, task.Class, task.Key, task.Description
-	t.byID[w.id], t.byTag[w.tag] = w, w
+	w.id = t.lastID
+	w.class = task.Class
+	w.key = task.Key
+	w.description = task.Description
+	t.byID[w.id] = w
+	t.byTag[w.tag] = w
 	return w
 }
 
--- a/internal/frontend/simulator/batch.go
+++ b/internal/frontend/simulator/batch.go
@@ -42,8 +42,8 @@
 
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// readBatch reads one batch. It returns io.EOF where the input ends between two batches, and also where it ends right behind
-// the size of a batch: the adapter has always left with success then, and its exit codes stay.
+// readBatch reads one batch. It returns io.EOF where the input ends between two batches, and also where it ends right
+// behind the size of a batch: the adapter has always left with success then, and its exit codes stay.
 func readBatch(r *bufio.Reader) (batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:sizedFrom]); errors.Is(err, io.EOF) {
@@ -86,14 +86,25 @@
 		if len(rest) < recordHeaderSize {
 			return fmt.Errorf("record %d at byte %d: header cut short", i, at)
 		}
-		code, size := requestCode(rest[0]), int(binary.BigEndian.Uint32(rest[1:]))
+		code := requestCode(rest[0])
+		size := int(binary.BigEndian.Uint32(rest[1:]))
 		rest = rest[recordHeaderSize:]
 		if size > len(rest) {
 			err := fmt.Errorf("claims %d bytes, batch has %d left", size, len(rest))
-			return &RecordError{Index: i, Code: uint8(code), Offset: at, Err: err}
+			return &RecordError{
+				Index:  i,
+				Code:   uint8(code),
+				Offset: at,
+				Err:    err,
+			}
 		}
 		if err := handle(record{code: code, fields: rest[:size]}); err != nil {
-			return &RecordError{Index: i, Code: uint8(code), Offset: at, Err: err}
+			return &RecordError{
+				Index:  i,
+				Code:   uint8(code),
+				Offset: at,
+				Err:    err,
+			}
 		}
 		offset += recordHeaderSize + size
 	}
--- a/internal/frontend/simulator/doc.go
+++ b/internal/frontend/simulator/doc.go
@@ -8,6 +8,6 @@
 //	record  code uint8, size uint32 (of what follows), fields
 //
 // The fields of most records begin with the number of the instance that a record is for or from: one process runs
-// several allocators, which know nothing of each other. Records of unknown codes, and fields behind those that are known,
-// are skipped, as they belong to a later version of the protocol.
+// several allocators, which know nothing of each other. Records of unknown codes, and fields behind those that are
+// known, are skipped, as they belong to a later version of the protocol.
 package simulator
--- a/internal/frontend/simulator/fields.go
+++ b/internal/frontend/simulator/fields.go
@@ -6,7 +6,8 @@
 	"math"
 )
 
-// fieldReader reads the fields of one record in order. Once a read has failed, err is set and all later reads return zero.
+// fieldReader reads the fields of one record in order. Once a read has failed, err is set and all later reads return
+// zero.
 type fieldReader struct {
 	data   []byte
 	offset int
--- a/internal/frontend/simulator/instance.go
+++ b/internal/frontend/simulator/instance.go
@@ -20,7 +20,11 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &instance{number: number, loadFields: received.ReportFields, reply: r}
+	in := &instance{
+		number:     number,
+		loadFields: received.ReportFields,
+		reply:      r,
+	}
 	in.engine = allocator.New(received.Settings, request.seed, in, allocator.Options{})
 	return in, nil
 }
--- a/internal/frontend/simulator/reply.go
+++ b/internal/frontend/simulator/reply.go
@@ -90,6 +90,7 @@
 	if _, err := w.Write(p.records); err != nil {
 		return err
 	}
-	p.count, p.records = 0, p.records[:0]
+	p.count = 0
+	p.records = p.records[:0]
 	return nil
 }
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -99,9 +99,14 @@
 
 func decodeNode(r *fieldReader) placement.Node {
 	n := placement.Node{
-		FreeCores: r.float32(), ID: placement.NodeID(r.uint32()), Zone: placement.ZoneID(r.uint16()),
-		FreeMemory: r.float32(), Kind: placement.KindID(r.uint8()), Cell: placement.CellID(r.uint16()),
-		State: nodeState(r.uint8()), StartedAt: placement.DistantPast,
+		FreeCores:  r.float32(),
+		ID:         placement.NodeID(r.uint32()),
+		Zone:       placement.ZoneID(r.uint16()),
+		FreeMemory: r.float32(),
+		Kind:       placement.KindID(r.uint8()),
+		Cell:       placement.CellID(r.uint16()),
+		State:      nodeState(r.uint8()),
+		StartedAt:  placement.DistantPast,
 	}
 	r.skip(weightSize)
 	if started := r.uint64(); started > 0 {
@@ -158,7 +163,8 @@
 	w.PendingTimeout = millis(r.uint64())
 	r.skip(durationSize)
 	w.Service = placement.ServiceID(r.uint64())
-	w.Cores, w.Memory = r.float32(), r.float32()
+	w.Cores = r.float32()
+	w.Memory = r.float32()
 	w.Retried = r.uint8()&optionCameAgain != 0
 	return w, r.err
 }
--- a/internal/frontend/simulator/server.go
+++ b/internal/frontend/simulator/server.go
@@ -19,11 +19,12 @@
 	reply     reply
 }
 
-// Serve answers batches until the input ends, which is no error between two batches. A batch that cannot be decoded ends
-// it; the error names the place, and is a *RecordError if the batch itself is whole.
+// Serve answers batches until the input ends, which is no error between two batches. A batch that cannot be decoded
+// ends it; the error names the place, and is a *RecordError if the batch itself is whole.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{instances: map[uint16]*instance{}, lists: map[uint32][]placement.Node{}}
-	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
+	in := bufio.NewReaderSize(r, bufferSize)
+	out := bufio.NewWriterSize(w, bufferSize)
 	for {
 		b, err := readBatch(in)
 		if errors.Is(err, io.EOF) {
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -5,19 +5,21 @@
 	"grebeglade/placement"
 )
 
-// lateWakeup is the longest time, in ms, by which a wake-up of a running process may come after the time it was set for.
+// lateWakeup is the longest time, in ms, by which a wake-up of a running process may come after the time it was set
+// for.
 const lateWakeup = placement.Millis(10)
 
 // stallRelevant is for how long, in ms, events that are handled after a stall may have waited through it.
 const stallRelevant = placement.Millis(50)
 
-// Waker sets the one wake-up of a frontend. A further call replaces the time. The networks of package transport are Wakers.
+// Waker sets the one wake-up of a frontend. A further call replaces the time. The networks of package transport are
+// Wakers.
 type Waker interface {
 	WakeAt(at placement.Millis)
 }
 
-// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine requested, and
-// the longest interval between two wake-ups.
+// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine requested,
+// and the longest interval between two wake-ups.
 type wakeup struct {
 	waker         Waker
 	maxInterval   placement.Millis
@@ -54,7 +56,8 @@
 // requestTick notes that the engine wants a tick at the given time. An earlier request remains.
 func (w *wakeup) requestTick(at placement.Millis) {
 	if !w.tickRequested || at < w.tickAt {
-		w.tickAt, w.tickRequested = at, true
+		w.tickAt = at
+		w.tickRequested = true
 	}
 }
 
