--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -15,12 +15,12 @@
 	Withdrawn     uint64 // requests that their client cancelled
 	Binds         uint64 // offers to nodes, retries among them
 	Migrations    uint64 // running workloads that were stopped to be placed anew
-	HealthChecks  uint64
+	HealthChecks  uint64 // health checks of nodes
 }
 
 // CountAnswer counts one final answer to a client.
-func (c *Counters) CountAnswer(v allocator.Verdict) {
-	switch v {
+func (c *Counters) CountAnswer(verdict allocator.Verdict) {
+	switch verdict {
 	case allocator.Placed:
 		c.Placed++
 	case allocator.Rejected:
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -2,13 +2,13 @@
 
 import "grebeglade/placement"
 
-// HealthChecks are the health checks of nodes that have begun and have no result yet. Each has a number of its own,
-// which the node's reply carries back. Exactly one result of each check reaches the engine.
+// HealthChecks are the pending health checks of nodes. Each has a number of its own, which the node's reply carries
+// back. Exactly one result of each check reaches the engine: the reply, or its failure.
 type HealthChecks struct {
 	host    *Host
 	timeout placement.Millis
 	pending map[uint64]placement.NodeID
-	last    uint64
+	last    uint64 // number of the check that began last
 }
 
 // NewHealthChecks returns an empty set of checks that fail when no reply comes within the timeout, in ms.
@@ -39,9 +39,11 @@
 // Len returns how many checks have no result yet.
 func (c *HealthChecks) Len() int { return len(c.pending) }
 
-// Complete passes the reply to a check to the engine, with the load report that came along or nil. It returns false,
-// and does nothing, where the node has no such check pending.
-func (c *HealthChecks) Complete(now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport) bool {
+// Complete passes the reply to a check to the engine, with the load report that the reply carried, or nil. It returns
+// false, and does nothing, where the node has no such check pending.
+func (c *HealthChecks) Complete(
+	now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport,
+) bool {
 	if checked, pending := c.pending[check]; !pending || checked != node {
 		return false
 	}
@@ -61,6 +63,7 @@
 	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
 
+// fail reports a check to the engine as failed, unless it has a result already.
 func (c *HealthChecks) fail(now placement.Millis, check uint64) {
 	node, pending := c.pending[check]
 	if !pending {
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -9,42 +9,45 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// result is what the engine heard of a check.
-type result struct {
-	node     placement.NodeID
-	answered bool
+// checkResult is a result of a health check that the engine received.
+type checkResult struct {
+	node   placement.NodeID
+	passed bool
 }
 
-// fakeModule is a placement module that keeps the results of checks.
+// fakeModule is a placement module that records the results of health checks.
 type fakeModule struct {
 	allocator.Module
-	results []result
+	results []checkResult
 }
 
-func (m *fakeModule) HealthChecked(_ placement.Millis, node placement.NodeID, answered bool, _ *placement.LoadReport) {
-	m.results = append(m.results, result{node, answered})
+func (m *fakeModule) HealthChecked(_ placement.Millis, node placement.NodeID, passed bool, _ *placement.LoadReport) {
+	m.results = append(m.results, checkResult{node, passed})
 }
 
+// checkTimeout is the timeout of the tests' health checks, in ms.
+const checkTimeout = placement.Millis(250)
+
 func newTestChecks(t *testing.T) (*HealthChecks, *Host, *fakeModule) {
 	t.Helper()
 	module := &fakeModule{}
-	h, _, _ := newTestHost(t, func(c *Config) { c.Engine.Module = module })
-	return NewHealthChecks(h, 250), h, module
+	host, _, _ := newTestHost(t, func(c *Config) { c.Engine.Module = module })
+	return NewHealthChecks(host, checkTimeout), host, module
 }
 
-func TestHealthChecks_ReplyInTimeIsTheOneResult(t *testing.T) {
-	checks, h, module := newTestChecks(t)
+func TestHealthChecks_ReplyInTime_IsTheOneResult(t *testing.T) {
+	checks, host, module := newTestChecks(t)
 	check := checks.Begin(5)
 	assert.True(t, checks.Pending(check))
 	assert.True(t, checks.Complete(150, check, 5, nil))
 	assert.False(t, checks.Pending(check))
-	assert.False(t, checks.Complete(160, check, 5, nil), "a second reply is none")
+	assert.False(t, checks.Complete(160, check, 5, nil), "a second reply is no result")
 	checks.Fail(check)
-	h.Wake(400)
-	assert.Equal(t, []result{{5, true}}, module.results)
+	host.Wake(400)
+	assert.Equal(t, []checkResult{{5, true}}, module.results)
 }
 
-func TestHealthChecks_ReplyOfAnotherNodeOrToNoCheckIsIgnored(t *testing.T) {
+func TestHealthChecks_ReplyOfAnotherNodeOrToNoCheck_IsIgnored(t *testing.T) {
 	checks, _, module := newTestChecks(t)
 	check := checks.Begin(5)
 	assert.False(t, checks.Complete(150, check, 6, nil))
@@ -54,32 +57,32 @@
 	assert.Empty(t, module.results)
 }
 
-func TestHealthChecks_FailAtTheTimeoutOnce(t *testing.T) {
-	checks, h, module := newTestChecks(t)
+func TestHealthChecks_NoReply_FailOnceAtTheTimeout(t *testing.T) {
+	checks, host, module := newTestChecks(t)
 	check := checks.Begin(5)
-	h.Wake(349)
+	host.Wake(attachedAt + checkTimeout - 1)
 	assert.Empty(t, module.results)
-	h.Wake(350)
-	assert.Equal(t, []result{{5, false}}, module.results)
+	host.Wake(attachedAt + checkTimeout)
+	assert.Equal(t, []checkResult{{5, false}}, module.results)
 	assert.False(t, checks.Complete(351, check, 5, nil))
-	h.Wake(2000)
+	host.Wake(2000)
 	assert.Len(t, module.results, 1)
 }
 
-func TestHealthChecks_FailReachesTheEngineAsADeferredCall(t *testing.T) {
-	checks, h, module := newTestChecks(t)
+func TestHealthChecks_NotSent_FailAsADeferredCall(t *testing.T) {
+	checks, host, module := newTestChecks(t)
 	first := checks.Begin(5)
 	second := checks.Begin(6)
 	assert.NotEqual(t, first, second)
 	assert.Equal(t, 2, checks.Len())
-	assert.Equal(t, 2, h.PendingTimers())
+	assert.Equal(t, 2, host.PendingTimers())
 	checks.Fail(second)
 	checks.FailUnsent(7)
 	assert.Empty(t, module.results)
-	assert.Equal(t, 2, h.DeferredCalls())
-	h.Handle(100, noEvent)
-	assert.Zero(t, h.DeferredCalls())
+	assert.Equal(t, 2, host.DeferredCalls())
+	host.Handle(attachedAt, noEvent)
+	assert.Zero(t, host.DeferredCalls())
 	assert.Equal(t, 1, checks.Len())
-	assert.Equal(t, []result{{6, false}, {7, false}}, module.results)
+	assert.Equal(t, []checkResult{{6, false}, {7, false}}, module.results)
 	assert.True(t, checks.Pending(first))
 }
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -32,17 +32,17 @@
 	engine   *allocator.Engine
 	jitter   *jitter
 	counters *Counters
-	now      placement.Millis // of the event being handled
+	now      placement.Millis // of the event being handled, or of the last one
 	deferred []func(now placement.Millis)
 	timers   transport.Timers
 	wakeup   wakeup
-	stall    stall
+	stall    stall // the last one
 
 	periodic     func(now placement.Millis)
 	lastPeriodic placement.Millis
 }
 
-// NewHost makes a host and its engine. Attach must be called before anything else.
+// NewHost returns a host with its engine. Attach must be called before anything else.
 func NewHost(c Config) *Host {
 	h := &Host{
 		jitter:   newJitter(c.Seed),
@@ -57,8 +57,8 @@
 	return h
 }
 
-// Attach gives the host the current time and what sets its wake-up. The frontend then starts the engine, in its place
-// among what it does itself at a start, within Handle.
+// Attach sets the current time and what sets the wake-up. It does not start the engine: the frontend does so, within
+// Handle, among the steps of its own start.
 func (h *Host) Attach(now placement.Millis, w Waker) {
 	h.now = now
 	h.wakeup.waker = w
@@ -67,7 +67,7 @@
 // Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
 func (h *Host) Engine() *allocator.Engine { return h.engine }
 
-// Now is the time of the event that is being handled, or of the last one.
+// Now returns the time of the event that is being handled, or of the last one.
 func (h *Host) Now() placement.Millis { return h.now }
 
 // Handle handles one event at the given time: it calls handle, then runs the deferred calls, and those that they
@@ -81,7 +81,7 @@
 	h.flush(now)
 }
 
-// begin notes the time of an event, and the stall that the event shows.
+// begin records the time of an event, and the stall if the wake-up should have come well before it.
 func (h *Host) begin(now placement.Millis) {
 	if h.wakeup.isLate(now) {
 		h.stall = stall{length: now - h.now, endedAt: now}
@@ -90,7 +90,7 @@
 	h.now = now
 }
 
-// flush runs the deferred calls, and those that they defer, and sets the wake-up.
+// flush runs the deferred calls until none is left, and sets the wake-up.
 func (h *Host) flush(now placement.Millis) {
 	for len(h.deferred) > 0 {
 		calls := h.deferred
@@ -139,6 +139,6 @@
 	return h.jitter.apply(b.Delay(failures))
 }
 
-// RecentStall returns for how long, at most, the process was stopped before the event being handled, in ms, if that was
-// just now, and else 0. Events that are handled after a stall may have waited for all of it.
+// RecentStall returns for how long, at most, the process was stopped shortly before the event being handled, in ms, or
+// 0 if it was not. Events that are handled after a stall may have waited for all of it.
 func (h *Host) RecentStall() placement.Millis { return h.stall.recent(h.now) }
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -9,22 +9,34 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fakeWaker keeps the times for which a host set its wake-up.
-type fakeWaker struct{ set []placement.Millis }
+// fakeWaker records the times for which a host sets its wake-up.
+type fakeWaker struct{ times []placement.Millis }
 
-func (w *fakeWaker) WakeAt(at placement.Millis) { w.set = append(w.set, at) }
+func (w *fakeWaker) WakeAt(at placement.Millis) { w.times = append(w.times, at) }
 
-// take returns the times since the last call.
-func (w *fakeWaker) take() []placement.Millis {
-	set := w.set
-	w.set = nil
-	return set
+// takeTimes returns the times recorded since the last call.
+func (w *fakeWaker) takeTimes() []placement.Millis {
+	times := w.times
+	w.times = nil
+	return times
 }
 
-// fakeActions keeps what the engine wanted.
+// callLog records the names of calls in their order.
+type callLog struct{ names []string }
+
+func (l *callLog) add(name string) { l.names = append(l.names, name) }
+
+// call returns a deferred call or timer that records its name.
+func (l *callLog) call(name string) func(placement.Millis) {
+	return func(placement.Millis) { l.add(name) }
+}
+
+// fakeActions records the calls of the engine.
 type fakeActions struct {
-	binds, stops, checks []placement.NodeID
-	answers              []allocator.Verdict
+	binds   []placement.NodeID
+	stops   []placement.NodeID
+	checks  []placement.NodeID
+	answers []allocator.Verdict
 }
 
 func (a *fakeActions) Bind(_ placement.WorkloadID, _ int, node placement.NodeID, _ placement.Millis) {
@@ -35,24 +47,35 @@
 	a.stops = append(a.stops, node)
 }
 func (a *fakeActions) CheckHealth(node placement.NodeID) { a.checks = append(a.checks, node) }
-func (a *fakeActions) SubscribeNodes()                   {}
+
+func (a *fakeActions) SubscribeNodes() {}
+
 func (a *fakeActions) Answer(_ placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
 	a.answers = append(a.answers, v)
 }
+
 func (a *fakeActions) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
-func (a *fakeActions) Forget(placement.WorkloadID)                                                {}
 
+func (a *fakeActions) Forget(placement.WorkloadID) {}
+
+// attachedAt is the time, in ms, at which the hosts of the tests are attached.
+const attachedAt = placement.Millis(100)
+
+// maxInterval is the longest interval between two wake-ups, in ms.
 const maxInterval = placement.Millis(1000)
 
 // noEvent is the handling of an event that does nothing, for what a Host does around it.
 func noEvent() {}
 
+// noTimer is a timer's call that does nothing, for its effect on the wake-up.
+func noTimer(placement.Millis) {}
+
 // newTestHost returns an attached host whose engine is not started, so that no timer is set yet.
 func newTestHost(t *testing.T, change func(*Config)) (*Host, *fakeActions, *fakeWaker) {
 	t.Helper()
 	actions := &fakeActions{}
 	waker := &fakeWaker{}
-	c := Config{
+	config := Config{
 		Settings: placement.Settings{
 			Allocators: 1,
 			Groups: []placement.Group{{
@@ -70,208 +93,220 @@
 		MaxWakeInterval: maxInterval,
 	}
 	if change != nil {
-		change(&c)
+		change(&config)
 	}
-	h := NewHost(c)
-	h.Attach(100, waker)
-	return h, actions, waker
+	host := NewHost(config)
+	host.Attach(attachedAt, waker)
+	return host, actions, waker
 }
 
-func TestHost_HandleRunsDeferredCallsInOrderAlsoThoseDeferredMeanwhile(t *testing.T) {
-	h, _, _ := newTestHost(t, nil)
-	var ran []string
-	var at []placement.Millis
-	h.Handle(200, func() {
-		h.Defer(func(now placement.Millis) {
-			ran = append(ran, "first")
-			at = append(at, now)
-			h.Defer(func(placement.Millis) { ran = append(ran, "third") })
+func TestHost_DeferredCalls_RunInOrderAfterTheEvent(t *testing.T) {
+	host, _, _ := newTestHost(t, nil)
+	var log callLog
+	var calledAt []placement.Millis
+	host.Handle(200, func() {
+		host.Defer(func(now placement.Millis) {
+			log.add("first")
+			calledAt = append(calledAt, now)
+			host.Defer(log.call("deferred by the first"))
 		})
-		h.Defer(func(placement.Millis) { ran = append(ran, "second") })
-		assert.Empty(t, ran, "nothing runs before the event is handled")
+		host.Defer(log.call("second"))
+		assert.Empty(t, log.names, "nothing runs before the event is handled")
 	})
-	assert.Equal(t, []string{"first", "second", "third"}, ran)
-	assert.Equal(t, []placement.Millis{200}, at, "the time of the event")
-	h.Handle(200, noEvent)
-	assert.Len(t, ran, 3, "each call runs once")
+	assert.Equal(t, []string{"first", "second", "deferred by the first"}, log.names)
+	assert.Equal(t, []placement.Millis{200}, calledAt, "the time of the event")
+	host.Handle(200, noEvent)
+	assert.Len(t, log.names, 3, "each call runs once")
 }
 
-func TestHost_NestedHandleRunsWhatIsDeferredSoFar(t *testing.T) {
-	t.Run("within an event", func(t *testing.T) {
-		h, _, _ := newTestHost(t, nil)
-		var ran []string
-		note := func(what string) func(placement.Millis) {
-			return func(placement.Millis) { ran = append(ran, what) }
-		}
-		h.Handle(200, func() {
-			h.Defer(note("deferred by the outer event"))
-			h.Handle(200, func() {
-				ran = append(ran, "inner event")
-				h.Defer(note("deferred by the inner event"))
-			})
-			ran = append(ran, "outer event goes on")
-			h.Defer(note("deferred last"))
+func TestHost_HandleWithinAnEvent_RunsCallsDeferredSoFar(t *testing.T) {
+	host, _, _ := newTestHost(t, nil)
+	var log callLog
+	host.Handle(200, func() {
+		host.Defer(log.call("deferred by the outer event"))
+		host.Handle(200, func() {
+			log.add("inner event")
+			host.Defer(log.call("deferred by the inner event"))
 		})
-		assert.Equal(t, []string{
-			"inner event", "deferred by the outer event", "deferred by the inner event", "outer event goes on", "deferred last",
-		}, ran)
+		log.add("end of the outer event")
+		host.Defer(log.call("deferred last"))
 	})
-	t.Run("within a deferred call", func(t *testing.T) {
-		h, _, _ := newTestHost(t, nil)
-		var ran []string
-		h.Handle(200, func() {
-			h.Defer(func(now placement.Millis) {
-				ran = append(ran, "outer begins")
-				h.Defer(func(placement.Millis) { ran = append(ran, "inner") })
-				h.Handle(now, noEvent)
-				ran = append(ran, "outer ends")
-			})
-			h.Defer(func(placement.Millis) { ran = append(ran, "last") })
+	assert.Equal(t, []string{
+		"inner event",
+		"deferred by the outer event",
+		"deferred by the inner event",
+		"end of the outer event",
+		"deferred last",
+	}, log.names)
+}
+
+func TestHost_HandleWithinADeferredCall_RunsCallsDeferredSoFar(t *testing.T) {
+	host, _, _ := newTestHost(t, nil)
+	var log callLog
+	host.Handle(200, func() {
+		host.Defer(func(now placement.Millis) {
+			log.add("start of the first call")
+			host.Defer(log.call("deferred by the first call"))
+			host.Handle(now, noEvent)
+			log.add("end of the first call")
 		})
-		assert.Equal(t, []string{"outer begins", "inner", "outer ends", "last"}, ran)
+		host.Defer(log.call("second call"))
 	})
+	assert.Equal(t, []string{
+		"start of the first call",
+		"deferred by the first call",
+		"end of the first call",
+		"second call",
+	}, log.names)
 }
 
-func TestHost_HandleSetsNow(t *testing.T) {
-	h, _, _ := newTestHost(t, nil)
-	times := []placement.Millis{h.Now()}
-	h.Handle(150, func() { times = append(times, h.Now()) })
-	assert.Equal(t, []placement.Millis{100, 150, 150}, append(times, h.Now()))
+func TestHost_Handle_SetsNow(t *testing.T) {
+	host, _, _ := newTestHost(t, nil)
+	times := []placement.Millis{host.Now()}
+	host.Handle(150, func() { times = append(times, host.Now()) })
+	assert.Equal(t, []placement.Millis{attachedAt, 150, 150}, append(times, host.Now()))
 }
 
-func TestHost_HandleAllocatesNothing(t *testing.T) {
-	h, _, _ := newTestHost(t, nil)
-	now := h.Now()
+func TestHost_Handle_AllocatesNothing(t *testing.T) {
+	host, _, _ := newTestHost(t, nil)
+	now := host.Now()
 	handled := 0
 	allocations := testing.AllocsPerRun(100, func() {
 		now++
-		h.Handle(now, func() { handled++ })
+		host.Handle(now, func() { handled++ })
 	})
 	assert.Zero(t, allocations)
 	assert.Equal(t, 101, handled, "with the one run before those that are measured")
 }
 
-func TestHost_Wakeup(t *testing.T) {
-	t.Run("without timers it comes after the longest interval", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		assert.Equal(t, []placement.Millis{1100}, waker.take())
+func TestHost_Wakeup_Time(t *testing.T) {
+	t.Run("without timers, after the longest interval", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		assert.Equal(t, []placement.Millis{attachedAt + maxInterval}, waker.takeTimes())
 	})
-	t.Run("one that is early enough is not set again", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		waker.take()
-		h.Handle(300, func() { h.Schedule(1500, func(placement.Millis) {}) })
-		assert.Empty(t, waker.take())
+	t.Run("with an overdue timer, now and not earlier", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Schedule(50, noTimer)
+		host.Handle(attachedAt, noEvent)
+		assert.Equal(t, []placement.Millis{attachedAt}, waker.takeTimes())
 	})
-	t.Run("an earlier timer moves it forward", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		h.Handle(300, func() { h.Schedule(400, func(placement.Millis) {}) })
-		assert.Equal(t, []placement.Millis{1100, 400}, waker.take())
+	t.Run("with an overdue request of the engine, now and not earlier", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		(&engineHost{host: host}).Wake(50)
+		host.Handle(attachedAt, noEvent)
+		assert.Equal(t, []placement.Millis{attachedAt}, waker.takeTimes())
 	})
-	t.Run("an earlier request of the engine moves it forward", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		e := &engineHost{host: h}
-		e.Wake(500)
-		e.Wake(700) // the earlier request remains
-		h.Handle(100, noEvent)
-		assert.Equal(t, []placement.Millis{1100, 500}, waker.take())
+}
+
+func TestHost_Wakeup_SetAgain(t *testing.T) {
+	t.Run("early enough for a new timer, unchanged", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		waker.takeTimes()
+		host.Handle(300, func() { host.Schedule(1500, noTimer) })
+		assert.Empty(t, waker.takeTimes())
 	})
-	t.Run("an overdue timer sets it for now and no earlier time", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Schedule(50, func(placement.Millis) {})
-		h.Handle(100, noEvent)
-		assert.Equal(t, []placement.Millis{100}, waker.take())
+	t.Run("earlier timer, moved forward", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		host.Handle(300, func() { host.Schedule(400, noTimer) })
+		assert.Equal(t, []placement.Millis{1100, 400}, waker.takeTimes())
 	})
-	t.Run("an overdue request of the engine sets it for now and no earlier time", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		(&engineHost{host: h}).Wake(50)
-		h.Handle(100, noEvent)
-		assert.Equal(t, []placement.Millis{100}, waker.take())
+	t.Run("earlier request of the engine, moved forward", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		engine := &engineHost{host: host}
+		engine.Wake(500)
+		engine.Wake(700) // the earlier request remains
+		host.Handle(attachedAt, noEvent)
+		assert.Equal(t, []placement.Millis{1100, 500}, waker.takeTimes())
 	})
-	t.Run("it is set anew where it came early", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		h.Wake(900)
-		assert.Equal(t, []placement.Millis{1100, 1900}, waker.take())
+	t.Run("came early, set anew", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		host.Wake(900)
+		assert.Equal(t, []placement.Millis{1100, 1900}, waker.takeTimes())
 	})
-	t.Run("it is set anew after it came", func(t *testing.T) {
-		h, _, waker := newTestHost(t, nil)
-		h.Handle(100, noEvent)
-		h.Wake(1100)
-		assert.Equal(t, []placement.Millis{1100, 2100}, waker.take())
+	t.Run("came in time, set anew", func(t *testing.T) {
+		host, _, waker := newTestHost(t, nil)
+		host.Handle(attachedAt, noEvent)
+		host.Wake(1100)
+		assert.Equal(t, []placement.Millis{1100, 2100}, waker.takeTimes())
 	})
 }
 
-func TestHost_WakeRunsDueTimersInOrderThenPeriodicThenDeferred(t *testing.T) {
-	var ran []string
-	h, _, _ := newTestHost(t, func(c *Config) {
-		c.Periodic = func(placement.Millis) { ran = append(ran, "periodic") }
+func TestHost_Wake_RunsDueTimersThenPeriodicThenDeferredCalls(t *testing.T) {
+	var log callLog
+	host, _, _ := newTestHost(t, func(c *Config) { c.Periodic = log.call("periodic") })
+	host.Schedule(1200, log.call("second timer"))
+	host.Schedule(1150, log.call("first timer"))
+	host.Schedule(1200, func(now placement.Millis) {
+		log.add("third timer")
+		host.Defer(log.call("deferred by the third timer"))
+		host.Schedule(now, log.call("set by the third timer"))
 	})
-	note := func(what string) func(placement.Millis) {
-		return func(placement.Millis) { ran = append(ran, what) }
-	}
-	h.Schedule(1200, note("second"))
-	h.Schedule(1150, note("first"))
-	h.Schedule(1200, func(now placement.Millis) {
-		ran = append(ran, "third")
-		h.Defer(note("deferred"))
-		h.Schedule(now, note("fourth"))
-	})
-	h.Schedule(1201, note("not due"))
-	h.Wake(1200)
-	assert.Equal(t, []string{"first", "second", "third", "fourth", "periodic", "deferred"}, ran)
+	host.Schedule(1201, log.call("not due"))
+	host.Wake(1200)
+	assert.Equal(t, []string{
+		"first timer",
+		"second timer",
+		"third timer",
+		"set by the third timer",
+		"periodic",
+		"deferred by the third timer",
+	}, log.names)
 }
 
-func TestHost_PeriodicRunsOnceAnInterval(t *testing.T) {
-	var ran []placement.Millis
-	h, _, _ := newTestHost(t, func(c *Config) {
-		c.Periodic = func(now placement.Millis) { ran = append(ran, now) }
+func TestHost_Periodic_RunsOnceAnInterval(t *testing.T) {
+	var calledAt []placement.Millis
+	host, _, _ := newTestHost(t, func(c *Config) {
+		c.Periodic = func(now placement.Millis) { calledAt = append(calledAt, now) }
 	})
-	for now := placement.Millis(100); now <= 3200; now += 100 {
-		h.Wake(now)
+	for now := attachedAt; now <= 3200; now += 100 {
+		host.Wake(now)
 	}
-	assert.Equal(t, []placement.Millis{1000, 2000, 3000}, ran)
+	assert.Equal(t, []placement.Millis{1000, 2000, 3000}, calledAt)
 }
 
-func TestHost_WakeTicksTheEngineOnceItsRequestIsDue(t *testing.T) {
-	h, actions, waker := newTestHost(t, nil)
-	e := h.Engine()
-	h.Handle(100, func() {
-		e.Start(100)
-		e.UpdateNodes(100, placement.Snapshot, []placement.Node{{
+func TestHost_Wake_TicksTheEngineOnceItsRequestIsDue(t *testing.T) {
+	const pendingTimeout = placement.Millis(300)
+	host, actions, waker := newTestHost(t, nil)
+	engine := host.Engine()
+	host.Handle(attachedAt, func() {
+		engine.Start(attachedAt)
+		engine.UpdateNodes(attachedAt, placement.Snapshot, []placement.Node{{
 			ID:         1,
 			StartedAt:  placement.DistantPast,
 			FreeCores:  10,
 			FreeMemory: 20,
 		}})
-		e.Schedule(100, placement.Workload{
+		engine.Schedule(attachedAt, placement.Workload{
 			ID:             1,
 			Service:        1,
 			Cores:          1,
 			Memory:         1,
-			PendingTimeout: 300,
+			PendingTimeout: pendingTimeout,
 		})
 	})
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
-		set := waker.take()
-		if !assert.NotEmpty(t, set, "the engine waits for a tick for which no wake-up is set") {
+		times := waker.takeTimes()
+		if !assert.NotEmpty(t, times, "the engine waits for a tick for which no wake-up is set") {
 			return
 		}
-		h.Wake(set[len(set)-1])
+		host.Wake(times[len(times)-1])
 	}
-	assert.LessOrEqual(t, h.Now(), placement.Millis(400), "the answer comes within the client's time")
+	assert.LessOrEqual(t, host.Now(), attachedAt+pendingTimeout, "the answer comes within the client's time")
 	assert.Equal(t, []placement.NodeID{1}, actions.stops)
 }
 
 func TestHost_RecentStall(t *testing.T) {
-	h, _, _ := newTestHost(t, nil)
-	h.Handle(100, noEvent) // sets a wake-up at 1100
+	host, _, _ := newTestHost(t, nil)
+	host.Handle(attachedAt, noEvent) // sets a wake-up at 1100
 	for _, event := range []struct {
-		at, stall placement.Millis
+		at        placement.Millis
+		wantStall placement.Millis
 		why       string
 	}{
 		{600, 0, "an event before the wake-up shows no stall"},
@@ -280,24 +315,24 @@
 		{2549, 1390, "events that waited through it are still being handled"},
 		{2550, 0, "what is handled now came after it"},
 	} {
-		h.Handle(event.at, func() {
-			h.Handle(event.at, func() { // an event within the event is no stall, and does not end one
-				assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
+		host.Handle(event.at, func() {
+			host.Handle(event.at, func() { // an event within the event is no stall, and does not end one
+				assert.InDelta(t, float64(event.wantStall), float64(host.RecentStall()), 0, event.why)
 			})
-			assert.Equal(t, []placement.Millis{event.stall}, []placement.Millis{h.RecentStall()}, event.why)
+			assert.InDelta(t, float64(event.wantStall), float64(host.RecentStall()), 0, event.why)
 		})
 	}
 }
 
-func TestHost_CountsWhatTheEngineAsksFor(t *testing.T) {
+func TestHost_Counters_CountTheEnginesActions(t *testing.T) {
 	var counters Counters
-	h, actions, _ := newTestHost(t, func(c *Config) { c.Counters = &counters })
-	e := &engineHost{Actions: actions, host: h}
-	e.Bind(1, 0, 5, 100)
-	e.Bind(1, 1, 6, 100)
-	e.Stop(1, 1, 6, allocator.TimedOut, false)
-	e.Stop(1, 1, 6, allocator.Migrating, false)
-	e.CheckHealth(9)
+	host, actions, _ := newTestHost(t, func(c *Config) { c.Counters = &counters })
+	engine := &engineHost{Actions: actions, host: host}
+	engine.Bind(1, 0, 5, 100)
+	engine.Bind(1, 1, 6, 100)
+	engine.Stop(1, 1, 6, allocator.TimedOut, false)
+	engine.Stop(1, 1, 6, allocator.Migrating, false)
+	engine.CheckHealth(9)
 	assert.Equal(t, Counters{
 		Binds:        2,
 		Migrations:   1,
@@ -309,13 +344,18 @@
 }
 
 func TestCounters_CountAnswer(t *testing.T) {
-	var c Counters
-	for _, v := range []allocator.Verdict{allocator.Placed, allocator.Rejected, allocator.Placed, allocator.Unschedulable} {
-		c.CountAnswer(v)
+	var counters Counters
+	for _, verdict := range []allocator.Verdict{
+		allocator.Placed,
+		allocator.Rejected,
+		allocator.Placed,
+		allocator.Unschedulable,
+	} {
+		counters.CountAnswer(verdict)
 	}
 	assert.Equal(t, Counters{
 		Placed:        2,
 		Rejected:      1,
 		Unschedulable: 1,
-	}, c)
+	}, counters)
 }
--- a/internal/frontend/jitter.go
+++ b/internal/frontend/jitter.go
@@ -7,8 +7,15 @@
 	"grebeglade/placement"
 )
 
-// jitterSteps is how many different factors a draw may give.
-const jitterSteps = 1000
+const (
+	// jitterSteps is how many different factors a draw may give.
+	jitterSteps = 1000
+	// minFactor is the least factor, and factorRange by how much the largest exceeds it.
+	minFactor   = 0.75
+	factorRange = 0.5
+	// lowBits are the low bits of the hash that a draw leaves out.
+	lowBits = 11
+)
 
 // jitter spreads delays by a quarter either way, so that processes that failed together do not retry together. A draw
 // depends on the seed and on how many were made before, so that a run in virtual time repeats.
@@ -26,11 +33,13 @@
 	return d * j.factor()
 }
 
+// factor returns the factor that belongs to the number of draws so far.
 func (j *jitter) factor() placement.Millis {
-	var b [16]byte
-	binary.BigEndian.PutUint64(b[:], j.seed)
-	binary.BigEndian.PutUint64(b[8:], j.draws)
-	h := fnv.New64a()
-	_, _ = h.Write(b[:]) // a hash never fails to write
-	return placement.Millis(0.75 + float64(h.Sum64()>>11%jitterSteps)/(2*jitterSteps))
+	var input [16]byte
+	binary.BigEndian.PutUint64(input[:8], j.seed)
+	binary.BigEndian.PutUint64(input[8:], j.draws)
+	hash := fnv.New64a()
+	_, _ = hash.Write(input[:]) // a hash never fails to write
+	step := (hash.Sum64() >> lowBits) % jitterSteps
+	return placement.Millis(minFactor + factorRange*float64(step)/jitterSteps)
 }
--- a/internal/frontend/jitter_test.go
+++ b/internal/frontend/jitter_test.go
@@ -9,12 +9,12 @@
 	"grebeglade/placement"
 )
 
-func TestJitter_StaysWithinAQuarterAndRepeatsBySeed(t *testing.T) {
+func TestJitter_Factors_StayWithinAQuarterAndRepeatBySeed(t *testing.T) {
 	draw := func(seed uint64) []placement.Millis {
-		j := newJitter(seed)
+		source := newJitter(seed)
 		draws := make([]placement.Millis, 2000)
 		for i := range draws {
-			draws[i] = j.apply(1000)
+			draws[i] = source.apply(1000)
 		}
 		return draws
 	}
@@ -29,14 +29,14 @@
 	assert.Greater(t, most, placement.Millis(1240))
 }
 
-// Virtual runs repeat only as long as these do not change.
-func TestJitter_DrawsArePinned(t *testing.T) {
-	j := newJitter(7)
-	h := &Host{jitter: newJitter(7)}
+// Runs in virtual time repeat only as long as these factors do not change.
+func TestJitter_Draws_AreThoseOfStoredRuns(t *testing.T) {
+	source := newJitter(7)
+	host := &Host{jitter: newJitter(7)}
 	var draws, delays []placement.Millis
 	for range 3 {
-		draws = append(draws, j.apply(1000))
-		delays = append(delays, h.RetryDelay(Backoff{Initial: 1000, Max: 1000}, 5))
+		draws = append(draws, source.apply(1000))
+		delays = append(delays, host.RetryDelay(Backoff{Initial: 1000, Max: 1000}, 5))
 	}
 	assert.Equal(t, []placement.Millis{1032.5, 988.4999999999999, 944.5}, draws)
 	assert.Equal(t, draws, delays)
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -24,8 +24,8 @@
 	waker         Waker
 	maxInterval   placement.Millis
 	at            placement.Millis // that it was set for last, or the time of a later event; 0 until it is set
-	tickAt        placement.Millis // earliest tick that the engine requested and has not had
-	tickRequested bool             // whether there is such a tick
+	tickAt        placement.Millis // if requested: the earliest tick that the engine still waits for
+	tickRequested bool
 }
 
 // set sets the wake-up anew, unless it is set for a time that is early enough.
@@ -44,16 +44,16 @@
 	w.waker.WakeAt(next)
 }
 
-// isLate reports whether the wake-up should have come well before now: the process was stopped meanwhile.
+// isLate reports whether the wake-up should have come well before now, so that the process was stopped meanwhile.
 func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > lateWakeup }
 
-// passed notes the time of an event, so that a wake-up that is due then is not late to the events after it.
+// passed records the time of an event, so that a wake-up that is due then is not late to the events after it.
 func (w *wakeup) passed(now placement.Millis) { w.at = max(w.at, now) }
 
-// fired notes that the wake-up has come: whatever it was set for, none is set any more.
+// fired records that the wake-up has come: whatever time it was set for, none is set now.
 func (w *wakeup) fired(now placement.Millis) { w.at = now }
 
-// requestTick notes that the engine wants a tick at the given time. An earlier request remains.
+// requestTick records that the engine needs a tick at the given time. An earlier request remains.
 func (w *wakeup) requestTick(at placement.Millis) {
 	if !w.tickRequested || at < w.tickAt {
 		w.tickAt = at
@@ -61,7 +61,7 @@
 	}
 }
 
-// popTick reports whether the tick that the engine requested is due. If so, the request is done.
+// popTick reports whether the tick that the engine requested is due, and if so, removes the request.
 func (w *wakeup) popTick(now placement.Millis) bool {
 	if !w.tickRequested || w.tickAt > now {
 		return false
