--- a/internal/frontend/platform/actions.go
+++ b/internal/frontend/platform/actions.go
@@ -13,16 +13,18 @@
 	a.binder.offer(a.workloads.get(id), bind, a.nodes.get(node), a.host.Now()+timeout)
 }
 
-// Stop calls a bind off, or ends a running workload.
-func (a engineActions) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, why allocator.StopReason, _ bool) {
+// Stop abandons a bind, or ends a running workload.
+func (a engineActions) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, reason allocator.StopReason, _ bool) {
 	w := a.workloads.get(id)
 	switch {
-	case why == allocator.Migrating:
+	case reason == allocator.Migrating:
 		a.requests.notifyMigration(w)
 	case w.running():
 		a.binder.stop(w)
-	default:
-		a.binder.abandon(w, why == allocator.TimedOut)
+	case reason == allocator.TimedOut:
+		a.binder.abandonTimedOut(w)
+	default: // allocator.Withdrawn
+		a.binder.abandonWithdrawn(w)
 	}
 }
 
@@ -33,18 +35,18 @@
 func (a engineActions) SubscribeNodes() {}
 
 // Answer sends a client the final answer to its request.
-func (a engineActions) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
-	a.requests.answer(a.workloads.get(id), v)
+func (a engineActions) Answer(id placement.WorkloadID, verdict allocator.Verdict, _ placement.NodeID) {
+	a.requests.answer(a.workloads.get(id), verdict)
 }
 
-// NotifyEnded notifies a client that its workload has ended.
+// NotifyEnded notifies a client that its workload has ended. Of a migration it was notified by Stop.
 func (a engineActions) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, migrated bool, _ placement.Reason) {
 	if !migrated {
 		a.requests.notifyEnd(a.workloads.get(id))
 	}
 }
 
-// Forget forgets a workload.
+// Forget removes a workload.
 func (a engineActions) Forget(id placement.WorkloadID) {
 	w := a.workloads.get(id)
 	a.requests.markAnswered(w)
--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -30,14 +30,14 @@
 // bind is the last bind of a workload.
 type bind struct {
 	state        bindState
-	number       int // the engine's
+	number       int // of the bind within its workload, as the engine counts
 	node         *node
 	conn         *nodeConn // on which the offer was sent; nil before, and kept after the end of the bind
 	sentAt       placement.Millis
 	runningSince placement.Millis
 	// abandonedOn are the connections on which this bind or earlier ones were abandoned.
 	abandonedOn []transport.ConnID
-	endCause    codec.Cause // of the end of the running workload; CauseNone if its node stated none
+	endCause    codec.Cause // why the running workload ended; CauseNone if its node stated none
 }
 
 // running reports whether the workload runs on its node.
@@ -108,6 +108,7 @@
 	w.bind.state = bindNone
 }
 
+// removeOffer removes the workload from the open offers of the connection.
 func (w *workload) removeOffer() {
 	if w.bind.conn != nil {
 		delete(w.bind.conn.offers, w.id)
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// clientShare is the share of the file descriptors for clients' connections. Clients are to use a third; the
-	// margin is for those that use more. The rest is for nodes, the discovery service, the listener and the event
-	// loops.
+	// clientShare is the share of the file descriptors for clients' connections. By the platform's rules clients use a
+	// third; the margin is for those that use more. The rest is for nodes, the discovery service, the listener and the
+	// event loops.
 	clientShare = 0.4
-	// extraClientConns is how many connections more are accepted, so that there is a choice which one is closed.
+	// extraClientConns is how many connections beyond their share are accepted, so that the one to evict can be chosen.
 	extraClientConns = 8
 	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a
 	// reply within 3 s.
 	firstMessageTimeout = placement.Millis(2000)
 	// maxUndelivered bounds the notifications that wait for a connection of a client.
 	maxUndelivered = 4096
-	// undeliveredTTL is how long, in ms, they wait.
+	// undeliveredTTL is how long, in ms, such a notification waits.
 	undeliveredTTL = 10 * endGrace
 )
 
@@ -28,7 +28,7 @@
 // clientConn is a connection of a client.
 type clientConn struct {
 	id           transport.ConnID
-	active       bool // a message has come
+	active       bool // a message was received
 	placed       int  // workloads placed or adopted for it
 	lastReceived placement.Millis
 	unanswered   map[placement.WorkloadID]*workload // requests of this connection without a final answer
@@ -114,7 +114,7 @@
 	return c.id < other.id
 }
 
-// disconnect closes a connection from our side.
+// disconnect closes a connection and handles its end.
 func (cs *clientConns) disconnect(now placement.Millis, c *clientConn) {
 	cs.net.Close(c.id)
 	cs.closed(now, c)
@@ -127,8 +127,7 @@
 }
 
 // notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection
-// with the most placed workloads: that is a client that stays, not one that sends a single request. Without any, the
-// message waits for a connection.
+// with the most placed workloads, which is likely to stay open. Without any, the message waits for a connection.
 func (cs *clientConns) notify(w *workload, m codec.Message) {
 	if cs.conns[w.client] != nil {
 		cs.net.Send(w.client, m)
@@ -141,7 +140,7 @@
 	if len(cs.undelivered) >= maxUndelivered {
 		cs.undelivered = cs.undelivered[1:]
 	}
-	cs.undelivered = append(cs.undelivered, notification{m, cs.host.Now() + undeliveredTTL})
+	cs.undelivered = append(cs.undelivered, notification{message: m, expiresAt: cs.host.Now() + undeliveredTTL})
 }
 
 // mostPlaced returns the last connection in the eviction order among those with placed workloads, or nil.
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -11,8 +11,8 @@
 	"grebeglade/placement"
 )
 
-// sameStart is the most, in ms, by which two readings of one start differ: clocks are read anew each time.
-const sameStart = placement.Millis(20)
+// startTolerance is by how much, in ms, two readings of one start may differ: clocks are read anew each time.
+const startTolerance = placement.Millis(20)
 
 // endpointList applies the discovery service's events: to the engine, the table of nodes and the connections to them.
 type endpointList struct {
@@ -23,8 +23,8 @@
 	unixTime func() placement.Millis // the system's clock, as the platform states starts of nodes in it
 }
 
-// apply applies an event, given as the discovery service's data. What was known at the start may be the cached list. An
-// event about something else than nodes does nothing.
+// apply applies an event, given as the discovery service's data. Cached says that a snapshot was taken before this
+// process started, and may be out of date. An event that is not about nodes does nothing.
 func (l *endpointList) apply(now placement.Millis, event []byte, cached bool) error {
 	update, ok, err := codec.DecodeEndpoints(event)
 	if err != nil || !ok {
@@ -41,7 +41,8 @@
 	case update.Snapshot:
 		kind = placement.Snapshot
 	}
-	if l.log.Enabled(context.Background(), slog.LevelDebug) { // writing a list of hundreds takes longer than reading it
+	// Formatting a list of hundreds is slower than decoding it.
+	if l.log.Enabled(context.Background(), slog.LevelDebug) {
 		l.log.Debug("endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
 	}
 	l.host.Engine().UpdateNodes(now, kind, entries)
@@ -55,38 +56,45 @@
 }
 
 // entry returns an endpoint as the engine knows it.
-func (l *endpointList) entry(now placement.Millis, e *codec.Endpoint) placement.Node {
-	known := l.nodes.intern(e.Name)
-	n := placement.Node{
+func (l *endpointList) entry(now placement.Millis, endpoint *codec.Endpoint) placement.Node {
+	known := l.nodes.intern(endpoint.Name)
+	return placement.Node{
 		ID:         known.id,
-		State:      e.State,
-		Cell:       placement.CellID(e.Cell),
-		StartedAt:  placement.DistantPast,
-		Kind:       placement.KindID(slices.Index(l.config.Settings.KindNames, e.Kind)),
-		Zone:       placement.ZoneID(slices.Index(l.config.Settings.ZoneNames, e.Zone)),
-		FreeCores:  e.FreeCores,
-		FreeMemory: e.FreeMemory,
+		State:      endpoint.State,
+		Cell:       placement.CellID(endpoint.Cell),
+		StartedAt:  l.startedAt(now, endpoint, known.entry.StartedAt),
+		Kind:       placement.KindID(slices.Index(l.config.Settings.KindNames, endpoint.Kind)),
+		Zone:       placement.ZoneID(slices.Index(l.config.Settings.ZoneNames, endpoint.Zone)),
+		FreeCores:  endpoint.FreeCores,
+		FreeMemory: endpoint.FreeMemory,
 	}
-	if e.StartedAt > 0 {
-		n.StartedAt = now + e.StartedAt - l.unixTime()
-		if before := known.entry.StartedAt; max(before-n.StartedAt, n.StartedAt-before) < sameStart {
-			n.StartedAt = before
-		}
+}
+
+// startedAt returns when a node started, on the clock of now. It returns the known time if the two are readings of the
+// same start.
+func (l *endpointList) startedAt(
+	now placement.Millis, endpoint *codec.Endpoint, known placement.Millis,
+) placement.Millis {
+	if endpoint.StartedAt <= 0 {
+		return placement.DistantPast
+	}
+	started := now + endpoint.StartedAt - l.unixTime()
+	if max(known-started, started-known) < startTolerance {
+		return known
 	}
-	return n
+	return started
 }
 
 // update brings a node and the connection to it in line with its entry.
-func (l *endpointList) update(now placement.Millis, entry placement.Node, e *codec.Endpoint) {
-	n := l.nodes.intern(e.Name)
-	addr := e.Address // an earlier entry of the same list may have removed it
-	moved := n.addr != "" && n.addr != addr
+func (l *endpointList) update(now placement.Millis, entry placement.Node, endpoint *codec.Endpoint) {
+	n := l.nodes.intern(endpoint.Name) // an earlier entry of the same list may have removed it
+	moved := n.addr != "" && n.addr != endpoint.Address
 	restarted := n.listed && n.entry.StartedAt != entry.StartedAt
 	n.entry = entry
 	n.listed = true
 	// The node that had the address has ended, even if the list does not say so yet: an offer for it must not reach the
 	// one that has the address now.
-	if displaced := l.nodes.assignAddr(n, addr); displaced != nil {
+	if displaced := l.nodes.assignAddr(n, endpoint.Address); displaced != nil {
 		l.conns.disconnectNode(now, displaced, errAddressTaken)
 		l.binder.processEnded(now, displaced)
 	}
@@ -104,7 +112,7 @@
 	}
 }
 
-// removeUnlisted removes the nodes that a whole list does not name.
+// removeUnlisted removes the nodes that a snapshot does not name.
 func (l *endpointList) removeUnlisted(now placement.Millis, entries []placement.Node) {
 	listed := make(map[placement.NodeID]bool, len(entries))
 	for _, entry := range entries {
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -7,10 +7,10 @@
 //   - nodeTable, nodeConns: the nodes, and the connections to them;
 //   - workloadTable: the workloads, each with its bind;
 //   - subscription, endpointList: the discovery service's stream, and what its events change;
-//   - lifecycle: from the start over readiness to the end,
+//   - lifecycle: whether the frontend is starting, ready or draining,
 //
-// and those that act on it: requestHandler for clients' messages, replyHandler for nodes' messages, binder and
-// healthChecker for what the engine wants of nodes.
+// and those that act on it: requestHandler for clients' messages, replyHandler for nodes' messages, binder for the
+// engine's binds, healthChecker for its health checks of nodes.
 //
 // Where a workload goes is decided by the engine's placement module alone. Everything belongs to one goroutine. Times
 // are milliseconds on a clock that never steps back.
@@ -34,13 +34,13 @@
 	endGrace = placement.Millis(3000)
 	// messageTimeout is how long, in ms, a message may take from its first byte to its last.
 	messageTimeout = placement.Millis(1000)
-	// maxWriteBuffer bounds what waits for a peer that does not read, in bytes.
+	// maxWriteBuffer bounds the bytes that wait to be written to a peer that does not read.
 	maxWriteBuffer = 256 << 10
-	// maxQueuedEvents bounds the messages that wait to be handled; beyond it, connections are not read.
+	// maxQueuedEvents bounds the messages that wait to be handled; while so many wait, connections are not read.
 	maxQueuedEvents = 512
 )
 
-// Counters count what happened since the start.
+// Counters count events since the start.
 type Counters struct {
 	frontend.Counters
 	Adopted  uint64 // workloads that ran already when a client named them
@@ -60,7 +60,8 @@
 
 var _ transport.Handler = (*Frontend)(nil)
 
-// Frontend is an allocator on the platform. It belongs to one goroutine.
+// Frontend is an allocator on the platform. It belongs to one goroutine. Its fields are the parts that the package's
+// comment lists; it has no state beside them.
 type Frontend struct {
 	environment
 	Counters Counters
@@ -78,34 +79,45 @@
 	lifecycle    *lifecycle
 }
 
-// New makes a frontend, which is to be served with its Limits. A nil log discards its lines.
-func New(c *Config, log *slog.Logger) *Frontend {
+// New returns a frontend, which is to be served with its Limits. A nil log discards its messages.
+func New(config *Config, log *slog.Logger) *Frontend {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	f := &Frontend{environment: environment{config: c, log: log}}
+	f := &Frontend{environment: environment{config: config, log: log}}
 	env := &f.environment
 	env.counters = &f.Counters
-	f.workloads = newWorkloadTable(c.Limits.MemoryMB)
+	f.workloads = newWorkloadTable(config.Limits.MemoryMB)
 	f.clients = newClientConns(env)
 	f.nodes = newNodeTable()
 	f.nodeConns = newNodeConns(env, f.nodes)
-	env.host = frontend.NewHost(frontend.Config{
-		Settings:        c.Settings.Settings,
-		Seed:            c.Seed,
+	f.lifecycle = newLifecycle(env)
+	env.host = f.newHost()
+	f.connectParts(env)
+	return f
+}
+
+// newHost returns the engine and its host.
+func (f *Frontend) newHost() *frontend.Host {
+	return frontend.NewHost(frontend.Config{
+		Settings:        f.config.Settings.Settings,
+		Seed:            f.config.Seed,
 		Engine:          allocator.Options{EnforceTimeouts: true},
 		Actions:         engineActions{f},
 		MaxWakeInterval: maxWakeInterval,
 		Periodic:        f.nodeConns.closeIdle,
 		Counters:        &f.Counters.Counters,
 	})
+}
+
+// connectParts makes the parts that act on the tables, and connects the tables to those that they call.
+func (f *Frontend) connectParts(env *environment) {
 	f.healthChecks = &healthChecker{
 		environment: env,
 		nodes:       f.nodes,
 		conns:       f.nodeConns,
 		pending:     frontend.NewHealthChecks(env.host, endGrace),
 	}
-	f.lifecycle = newLifecycle(env)
 	f.binder = &binder{
 		environment: env,
 		workloads:   f.workloads,
@@ -130,9 +142,9 @@
 	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
 	f.clients.requests = f.requests
 	f.nodeConns.binds = f.binder
-	return f
 }
 
+// unixTime returns the system's clock as Unix time in ms.
 func unixTime() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) }
 
 // Limits returns the limits of the frontend's connections.
@@ -157,7 +169,7 @@
 // start applies the events that the configuration holds, starts the engine and connects to the discovery service.
 func (f *Frontend) start(now placement.Millis) {
 	for i, event := range f.config.KnownEvents {
-		// The first holds the whole list, and all were written before this process began: the list counts as cached.
+		// The first is a snapshot, and all were written before this process started: the snapshot counts as cached.
 		if err := f.endpoints.apply(now, event, i == 0); err != nil {
 			f.log.Warn("known event not applied", "error", err)
 		}
@@ -172,9 +184,9 @@
 // Running workloads are left running.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
 
-// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that
-// wait for a connection to their node were sent or given enough time. Notifications that wait for a connection of a
-// client are left to the allocator that adopts the workload next.
+// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that wait
+// for a connection to their node were sent or have timed out. Notifications that wait for a connection of a client are
+// dropped: the allocator that adopts the workload next sends them.
 func (f *Frontend) Drained(now placement.Millis) bool {
 	if f.workloads.unanswered > 0 {
 		return false
@@ -204,25 +216,32 @@
 }
 
 // Received handles a message.
-func (f *Frontend) Received(now placement.Millis, id transport.ConnID, m any) {
+func (f *Frontend) Received(now placement.Millis, id transport.ConnID, message any) {
 	f.host.Handle(now, func() {
-		switch m := m.(type) {
+		switch message := message.(type) {
 		case *codec.EventBatch:
 			if f.subscription.owns(id) {
-				f.subscription.received(now, m)
+				f.subscription.received(now, message)
 			}
 		case codec.Message:
-			if c := f.nodeConns.get(id); c != nil {
-				c.lastReceived = now
-				f.replies.received(now, c, m)
-			} else if c := f.clients.get(id); c != nil {
-				c.lastReceived = now
-				f.requests.received(now, c, m)
-			}
+			f.receivedFromPeer(now, id, message)
 		}
 	})
 }
 
+// receivedFromPeer handles a message of a node or a client.
+func (f *Frontend) receivedFromPeer(now placement.Millis, id transport.ConnID, message codec.Message) {
+	if c := f.nodeConns.get(id); c != nil {
+		c.lastReceived = now
+		f.replies.received(now, c, message)
+		return
+	}
+	if c := f.clients.get(id); c != nil {
+		c.lastReceived = now
+		f.requests.received(now, c, message)
+	}
+}
+
 // Closed handles the end of a connection, or that it could not be dialed.
 func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason error) {
 	f.host.Handle(now, func() {
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -7,10 +7,15 @@
 )
 
 const (
-	readyTimeout     = placement.Millis(500)  // ms after the start at which health checks pass without the discovery service
-	drainTimeout     = placement.Millis(750)  // ms of a shutdown in which requests are served
-	releaseTimeout   = placement.Millis(1000) // ms after that for releases that wait; the platform gives 3.7 s from SIGTERM on
-	maxPendingChecks = 64                     // health checks of clients that wait for readiness
+	// readyTimeout is how long after the start, in ms, health checks wait for the discovery service.
+	readyTimeout = placement.Millis(500)
+	// drainTimeout is how long, in ms, requests are served after a shutdown has begun.
+	drainTimeout = placement.Millis(750)
+	// releaseTimeout is how long after that, in ms, the shutdown waits for pending releases. The platform ends a
+	// process 3.7 s after SIGTERM.
+	releaseTimeout = placement.Millis(1000)
+	// maxPendingChecks bounds the health checks of clients that wait for readiness.
+	maxPendingChecks = 64
 )
 
 // lifecycleState is how far a frontend is between its start and its end. It only goes forward, or from starting to
@@ -23,7 +28,7 @@
 	lifecycleDraining // health checks fail; requests are served, and after a while rejected
 )
 
-// lifecycle is the state of a frontend, with the health checks that wait for readiness.
+// lifecycle is the state of a frontend, and the health checks that wait until it is ready.
 type lifecycle struct {
 	*environment
 	state         lifecycleState
@@ -31,7 +36,7 @@
 	pendingChecks []pendingReply
 }
 
-// pendingReply is a client's health check that waits.
+// pendingReply is a client's health check that has no reply yet.
 type pendingReply struct {
 	client transport.ConnID
 	tag    codec.Tag
@@ -41,7 +46,7 @@
 
 // checkHealth replies to a client's health check: at once, or once the frontend is ready.
 func (l *lifecycle) checkHealth(client transport.ConnID, tag codec.Tag) {
-	check := pendingReply{client, tag}
+	check := pendingReply{client: client, tag: tag}
 	if l.state == lifecycleStarting && len(l.pendingChecks) < maxPendingChecks {
 		l.pendingChecks = append(l.pendingChecks, check)
 		return
@@ -49,6 +54,7 @@
 	l.reply(check)
 }
 
+// reply replies to a health check. It passes unless the frontend is draining.
 func (l *lifecycle) reply(check pendingReply) {
 	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
 }
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -19,7 +19,7 @@
 
 func (w *recordingWaiter) connected(c *nodeConn) {
 	w.conn = c
-	w.calls = w.calls + 1
+	w.calls++
 }
 func (w *recordingWaiter) unreachable() { w.calls++ }
 
@@ -99,7 +99,7 @@
 	for range 200 {
 		r.pass(20)
 		if c := r.fake.lastTo(nodeAddr); c != last {
-			dials = dials + 1
+			dials++
 			last = c
 			r.close(c, errRefused)
 		}
--- a/internal/frontend/platform/nodehealth.go
+++ b/internal/frontend/platform/nodehealth.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// healthChecker sends nodes the health checks that the engine wants. The tag of a check is its number.
+// healthChecker sends nodes the engine's health checks. The tag of a check is its number.
 type healthChecker struct {
 	*environment
 	nodes   *nodeTable
@@ -22,14 +22,15 @@
 
 // check sends a node a health check, on a connection that is open or opens before the check has failed.
 func (h *healthChecker) check(id placement.NodeID) {
-	h.conns.await(h.nodes.get(id), &pendingCheck{h, h.pending.Begin(id)})
+	h.conns.await(h.nodes.get(id), &pendingCheck{checker: h, number: h.pending.Begin(id)})
 }
 
 // completed hands the engine the reply to a health check. It reports whether the node had such a check pending.
-func (h *healthChecker) completed(now placement.Millis, n *node, m *codec.HealthReply) bool {
-	return h.pending.Complete(now, uint64(m.Tag), n.id, m.Load)
+func (h *healthChecker) completed(now placement.Millis, n *node, reply *codec.HealthReply) bool {
+	return h.pending.Complete(now, uint64(reply.Tag), n.id, reply.Load)
 }
 
+// connected sends the check, unless it has failed in the meantime.
 func (p *pendingCheck) connected(c *nodeConn) {
 	h := p.checker
 	if !h.pending.Pending(p.number) {
@@ -39,6 +40,7 @@
 	h.net.Send(c.id, codec.NewHealthCheck(codec.Tag(p.number)))
 }
 
+// unreachable fails the check.
 func (p *pendingCheck) unreachable() {
 	if p.checker.pending.Pending(p.number) {
 		p.checker.pending.Fail(p.number)
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -7,13 +7,13 @@
 	"grebeglade/placement"
 )
 
-// node is a node as the platform names it.
+// node is a node that the discovery service or a client has named.
 type node struct {
 	id        placement.NodeID
 	name      string
-	addr      string // empty if none is known or another node has it now
-	entry     placement.Node
-	listed    bool                               // the list of nodes has named it
+	addr      string                             // empty if none is known or another node has it now
+	entry     placement.Node                     // of the endpoint list, as the engine knows it
+	listed    bool                               // the endpoint list has named it
 	workloads map[placement.WorkloadID]*workload // bound to it or running there
 
 	conn            *nodeConn    // that new offers take: dialing or open; nil without one
@@ -27,8 +27,10 @@
 	failures     int              // in a row
 	refusing     bool             // the last connections were refused
 	refusedSince placement.Millis // if refusing: when the first of these connections was refused
-	scheduled    bool             // a timer dials it
-	evicted      bool             // its connection was evicted; until a timer resets this, it is dialed only to send something
+	scheduled    bool             // a timer is set that dials the node
+	// evicted says that the node's connection was evicted. Until a timer resets it, the node is dialed only to send
+	// something to it.
+	evicted bool
 }
 
 // connWaiter waits for a connection to a node. Exactly one of its methods is called.
@@ -53,12 +55,21 @@
 	return nil
 }
 
-// failWaiters ends all waiting for a connection without one.
+// serveWaiters passes the connection to all waiters.
+func (n *node) serveWaiters(c *nodeConn) {
+	waiters := n.waiters
+	n.waiters = nil
+	for _, waiter := range waiters {
+		waiter.connected(c)
+	}
+}
+
+// failWaiters reports to all waiters that there is no connection.
 func (n *node) failWaiters() {
 	waiters := n.waiters
 	n.waiters = nil
-	for _, w := range waiters {
-		w.unreachable()
+	for _, waiter := range waiters {
+		waiter.unreachable()
 	}
 }
 
@@ -83,15 +94,15 @@
 // holds reports whether the node has not been removed.
 func (t *nodeTable) holds(n *node) bool { return t.byID[n.id] == n }
 
-// intern returns the node of that name, and makes it if it is new. Its id depends on its name alone, so that all
-// allocators know it by the same.
+// intern returns the node of that name, and adds it if it is new. The id is a hash of the name, so that all allocators
+// use the same.
 func (t *nodeTable) intern(name string) *node {
 	if n := t.byName[name]; n != nil {
 		return n
 	}
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	id := placement.NodeID(h.Sum32())
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	id := placement.NodeID(hash.Sum32())
 	for t.byID[id] != nil {
 		id++
 	}
@@ -99,18 +110,18 @@
 		id:        id,
 		name:      name,
 		workloads: map[placement.WorkloadID]*workload{},
-	}
-	n.entry = placement.Node{
-		ID:        id,
-		State:     placement.Removed,
-		StartedAt: placement.DistantPast,
+		entry: placement.Node{
+			ID:        id,
+			State:     placement.Removed,
+			StartedAt: placement.DistantPast,
+		},
 	}
 	t.byID[id] = n
 	t.byName[name] = n
 	return n
 }
 
-// assignAddr gives a node its address, and returns the node that had it before, or nil. A node that has gone gets none.
+// assignAddr sets the address of a node, and returns another node that had it before, or nil. A removed node gets none.
 func (t *nodeTable) assignAddr(n *node, addr string) (displaced *node) {
 	if n.entry.State == placement.Removed {
 		return nil
@@ -133,6 +144,7 @@
 	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
 }
 
+// remove removes a node, and its address unless another node has it now.
 func (t *nodeTable) remove(n *node) {
 	delete(t.byID, n.id)
 	delete(t.byName, n.name)
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -4,12 +4,12 @@
 	"errors"
 	"fmt"
 
-	"grebeglade/internal/allocator"
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/placement"
 )
 
+// Reasons why a request is invalid.
 var (
 	errUnknownClass = errors.New("the class is not among the settings' classes")
 	errTooLarge     = errors.New("no kind of node has that many cores and that much memory")
@@ -26,6 +26,7 @@
 	classes   map[string]placement.GroupID
 }
 
+// newRequestHandler returns a handler of requests for the classes of the settings.
 func newRequestHandler(
 	env *environment, clients *clientConns, workloads *workloadTable, lifecycle *lifecycle, binder *binder,
 ) *requestHandler {
@@ -43,114 +44,121 @@
 	return h
 }
 
-// received handles a message from a client.
-func (h *requestHandler) received(now placement.Millis, c *clientConn, m codec.Message) {
-	c.active = true
-	tag := m.Envelope().Tag
-	switch m := m.(type) {
+// received handles a message from a client. One that breaks the protocol ends its connection.
+func (h *requestHandler) received(now placement.Millis, client *clientConn, message codec.Message) {
+	client.active = true
+	tag := message.Envelope().Tag
+	switch message := message.(type) {
 	case *codec.PlaceRequest:
-		h.place(now, c, m)
+		h.place(now, client, message)
 	case *codec.AdoptRequest:
-		h.adopt(now, c, m)
+		h.adopt(now, client, message)
 	case *codec.Termination:
-		w := h.workloads.tagged(tag)
-		if w == nil || !w.running() && w.client != c.id {
-			return
+		if !h.terminate(now, client, tag) {
+			return // a message without effect does not show that the client expects notifications
 		}
-		// A running workload is ended on any connection, a pending request only on its own.
-		h.withdraw(now, w)
 	case *codec.HealthCheck:
-		h.lifecycle.checkHealth(c.id, tag)
+		h.lifecycle.checkHealth(client.id, tag)
 	case *codec.HealthReply, *codec.Ignorable:
 	case *codec.Invalid:
-		h.rejectInvalid(now, c, tag, m.Err)
+		h.rejectInvalid(now, client, tag, message.Err)
 	default:
-		h.rejectInvalid(now, c, tag, fmt.Errorf("%w: %T", codec.ErrUnexpected, m))
-		return
+		h.rejectInvalid(now, client, tag, fmt.Errorf("%w: %T", codec.ErrUnexpected, message))
+	}
+	h.clients.flushUndelivered(now, client)
+}
+
+// terminate withdraws a workload that its client terminates: a running workload on any connection, a pending request
+// only on its own. It returns false if there is no such workload.
+func (h *requestHandler) terminate(now placement.Millis, client *clientConn, tag codec.Tag) bool {
+	w := h.workloads.tagged(tag)
+	if w == nil || !w.running() && w.client != client.id {
+		return false
 	}
-	h.clients.flushUndelivered(now, c)
+	h.withdraw(now, w)
+	return true
 }
 
-// rejectInvalid answers a message that breaks the protocol, and closes the connection that it came on.
-func (h *requestHandler) rejectInvalid(now placement.Millis, c *clientConn, tag codec.Tag, err error) {
+// rejectInvalid answers a message that breaks the protocol, and closes the connection that it was received on.
+func (h *requestHandler) rejectInvalid(now placement.Millis, client *clientConn, tag codec.Tag, err error) {
 	h.counters.Invalid++
-	h.log.Debug("invalid message of a client", "workload", tag, "client", c.id, "error", err)
-	h.net.Send(c.id, codec.NewTermination(tag, codec.CauseInvalid))
-	h.clients.disconnect(now, c)
+	h.log.Debug("invalid message of a client", "workload", tag, "client", client.id, "error", err)
+	h.net.Send(client.id, codec.NewTermination(tag, codec.CauseInvalid))
+	h.clients.disconnect(now, client)
 }
 
 // place handles the request to place a workload.
-func (h *requestHandler) place(now placement.Millis, c *clientConn, r *codec.PlaceRequest) {
-	w, err := h.workloadOf(&r.Task)
+func (h *requestHandler) place(now placement.Millis, client *clientConn, request *codec.PlaceRequest) {
+	requested, err := h.engineWorkload(&request.Task)
 	switch {
 	case err != nil:
-		h.rejectInvalid(now, c, r.Tag, err)
-	case h.net.IsClosed(c.id):
-		// The end of the client's connection was read and waits behind this message. A bind would take capacity from a
-		// client that is there, and then be abandoned.
+		h.rejectInvalid(now, client, request.Tag, err)
+	case h.net.IsClosed(client.id):
+		// The end of the client's connection was read and is queued behind this message. A bind would take capacity
+		// from other clients, only to be abandoned.
 		h.counters.Withdrawn++
-	case h.workloads.tagged(r.Tag) != nil:
-		h.rejectTag(now, c, h.workloads.tagged(r.Tag))
+	case h.workloads.tagged(request.Tag) != nil:
+		h.rejectTag(now, client, h.workloads.tagged(request.Tag))
 	case h.lifecycle.rejecting(now) || h.workloads.full() || h.workloads.idsExhausted():
-		h.net.Send(c.id, codec.NewTermination(r.Tag, codec.CauseNoCapacity))
+		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
-		// The client's timeout runs from when it sent the request: what this waited to be handled is over.
-		w.PendingTimeout = r.Timeout - max(0, now-h.net.ReceivedAt())
-		added := h.workloads.addRequest(r.Tag, &r.Task, c.id)
-		c.unanswered[added.id] = added
+		// The client's timeout runs from when it sent the request, so the time in the queue counts.
+		requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
+		added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
+		client.unanswered[added.id] = added
 		h.counters.Requests++
-		w.ID = added.id
-		h.host.Engine().Schedule(now, w)
+		requested.ID = added.id
+		h.host.Engine().Schedule(now, requested)
 	}
 }
 
-// adopt handles the statement that a workload runs on a node already.
-func (h *requestHandler) adopt(now placement.Millis, c *clientConn, r *codec.AdoptRequest) {
-	w, err := h.workloadOf(&r.Task)
+// adopt handles a client's statement that a workload runs on a node already.
+func (h *requestHandler) adopt(now placement.Millis, client *clientConn, request *codec.AdoptRequest) {
+	running, err := h.engineWorkload(&request.Task)
 	switch {
 	case err != nil:
-		h.rejectInvalid(now, c, r.Tag, err)
-	case h.workloads.tagged(r.Tag) != nil: // it is held already
+		h.rejectInvalid(now, client, request.Tag, err)
+	case h.workloads.tagged(request.Tag) != nil: // adopted or placed before
 	case h.workloads.idsExhausted():
-		h.net.Send(c.id, codec.NewTermination(r.Tag, codec.CauseNoCapacity))
+		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
-		added := h.workloads.addRunning(r.Tag, &r.Task, c.id)
-		c.placed++
+		added := h.workloads.addRunning(request.Tag, &request.Task, client.id)
+		client.placed++
 		h.counters.Adopted++
-		w.ID = added.id
-		h.binder.adopt(now, added, w, r.Node)
+		running.ID = added.id
+		h.binder.adopt(now, added, running, request.Node)
 	}
 }
 
-// rejectTag rejects a request under the tag of another one. On the same connection their answers could not be told
-// apart, so it is closed.
-func (h *requestHandler) rejectTag(now placement.Millis, c *clientConn, held *workload) {
-	if held.client == c.id && !held.answered {
-		h.rejectInvalid(now, c, held.tag, errTagInUse)
+// rejectTag rejects a request under the tag of an earlier one. On the same connection the answers to the two could
+// not be distinguished, so it is closed.
+func (h *requestHandler) rejectTag(now placement.Millis, client *clientConn, earlier *workload) {
+	if earlier.client == client.id && !earlier.answered {
+		h.rejectInvalid(now, client, earlier.tag, errTagInUse)
 		return
 	}
-	h.net.Send(c.id, codec.NewTermination(held.tag, codec.CauseInvalid))
+	h.net.Send(client.id, codec.NewTermination(earlier.tag, codec.CauseInvalid))
 }
 
-// workloadOf returns a task as the engine knows it, without an id. A figure out of range must not reach the engine:
-// it would stay in the sums that decisions are made by.
-func (h *requestHandler) workloadOf(t *codec.Task) (placement.Workload, error) {
-	class, known := h.classes[t.Class]
+// engineWorkload returns a task as the engine knows it, without an id. A value out of range must not reach the
+// engine: it would stay in the sums that decisions depend on.
+func (h *requestHandler) engineWorkload(task *codec.Task) (placement.Workload, error) {
+	class, known := h.classes[task.Class]
 	if !known {
-		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, t.Class)
+		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, task.Class)
 	}
 	for _, kind := range h.config.Settings.NodeKinds {
-		if t.Cores <= kind.Cores && t.Memory <= kind.Memory {
+		if task.Cores <= kind.Cores && task.Memory <= kind.Memory {
 			return placement.Workload{
-				Service: placement.ServiceID(t.Service),
+				Service: placement.ServiceID(task.Service),
 				Group:   class,
-				Cores:   t.Cores,
-				Memory:  t.Memory,
-				Retried: t.Retried,
+				Cores:   task.Cores,
+				Memory:  task.Memory,
+				Retried: task.Retried,
 			}, nil
 		}
 	}
-	return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, t.Cores, t.Memory)
+	return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, task.Cores, task.Memory)
 }
 
 // cancelAll withdraws requests, in the order of their ids.
@@ -160,7 +168,7 @@
 	}
 }
 
-// withdraw ends a workload or the request for it, as its client wants.
+// withdraw ends a workload, or the request for it, on behalf of its client.
 func (h *requestHandler) withdraw(now placement.Millis, w *workload) {
 	h.counters.Withdrawn++
 	h.markAnswered(w)
@@ -174,41 +182,3 @@
 	}
 	h.workloads.markAnswered(w)
 }
-
-// answer sends the final answer to a request.
-func (h *requestHandler) answer(w *workload, v allocator.Verdict) {
-	h.markAnswered(w)
-	h.counters.CountAnswer(v)
-	switch v {
-	case allocator.Placed:
-		if c := h.clients.get(w.client); c != nil {
-			c.placed++
-		}
-		h.net.Send(w.client, codec.NewConfirmation(w.tag, w.replyDescription))
-	case allocator.Rejected:
-		h.net.Send(w.client, codec.NewTermination(w.tag, codec.CauseNoCapacity))
-	default:
-		h.net.Send(w.client, codec.NewTermination(w.tag, codec.CauseReset))
-	}
-}
-
-// notifyMigration notifies a client that its workload is migrated. The platform ends the workload at its node too,
-// and the node then reports the end.
-func (h *requestHandler) notifyMigration(w *workload) {
-	w.migrate()
-	h.clients.notify(w, codec.NewMigration(w.tag))
-}
-
-// notifyEnd notifies a client that its workload has ended, unless it was notified of a migration or ended it itself.
-func (h *requestHandler) notifyEnd(w *workload) {
-	cause := w.bind.endCause
-	if cause == codec.CauseNone {
-		cause = codec.CauseReset
-	}
-	if w.bind.state == bindMigrating || cause == codec.CauseCancelled {
-		return
-	}
-	h.counters.Released++
-	h.log.Debug("workload ended", "workload", w.tag, "client", w.client, "cause", uint8(cause))
-	h.clients.notify(w, codec.NewTermination(w.tag, cause))
-}
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -10,11 +10,13 @@
 )
 
 const (
-	silenceTimeout          = placement.Millis(2500) // ms: the discovery service comments each second, so silence is a fault
-	discoveryConnectTimeout = placement.Millis(500)  // ms
-	// readyDelay is how long after the discovery service's first message, in ms, all that was missed has come.
+	// silenceTimeout is how long, in ms, a connection may be silent. The discovery service sends a comment each second.
+	silenceTimeout = placement.Millis(2500)
+	// discoveryConnectTimeout is how long, in ms, dialing the discovery service may take.
+	discoveryConnectTimeout = placement.Millis(500)
+	// readyDelay is how long, in ms, the missed events take to arrive after the discovery service's first message.
 	readyDelay = placement.Millis(50)
-	// maxMalformed is how often an event that cannot be decoded is read before it is skipped.
+	// maxMalformed is how often an event that cannot be decoded is requested before it is skipped.
 	maxMalformed = 3
 )
 
@@ -25,7 +27,7 @@
 	errMalformedEvent = errors.New("an event cannot be decoded")
 )
 
-// subscribeBackoff ends at 0.5 s: events count as delivered 2 s after a break.
+// subscribeBackoff ends at 0.5 s, since the platform counts events as delivered 2 s after a break.
 var subscribeBackoff = frontend.Backoff{Initial: 50, Max: 500}
 
 // subscriptionState is the state of the connection to the discovery service.
@@ -39,10 +41,11 @@
 
 // eventHandler applies the events of the discovery service.
 type eventHandler interface {
+	// apply applies one event. Cached says that it may be out of date. An error means that it cannot be decoded.
 	apply(now placement.Millis, event []byte, cached bool) error
 }
 
-// subscription follows the discovery service's events over breaks, each from the last one that was applied on.
+// subscription receives the discovery service's events. After a break it continues behind the last event applied.
 type subscription struct {
 	*environment
 	events       eventHandler
@@ -71,7 +74,7 @@
 	return s.state != subscriptionDown && s.conn == id
 }
 
-// connect dials the discovery service unless that was done.
+// connect dials the discovery service, unless it is connected or being dialed.
 func (s *subscription) connect(now placement.Millis) {
 	if s.state != subscriptionDown {
 		return
@@ -81,7 +84,7 @@
 	s.lastReceived = now
 }
 
-// opened subscribes on the connection that is up.
+// opened subscribes on the connection, which is open now.
 func (s *subscription) opened(now placement.Millis) {
 	s.state = subscriptionOpen
 	s.lastReceived = now
@@ -89,7 +92,7 @@
 	s.watchSilence(s.conn)
 }
 
-// watchSilence connects anew once nothing has come on the connection for too long.
+// watchSilence reconnects once nothing was received on the connection for silenceTimeout.
 func (s *subscription) watchSilence(conn transport.ConnID) {
 	s.host.Schedule(s.lastReceived+silenceTimeout, func(now placement.Millis) {
 		switch {
@@ -102,7 +105,7 @@
 	})
 }
 
-// reconnect drops the connection, if there is one, and dials again.
+// reconnect closes the connection, if there is one, and dials again.
 func (s *subscription) reconnect(now placement.Millis, reason error) {
 	s.log.Info("reconnecting to the discovery service", "reason", reason)
 	if s.state != subscriptionDown {
@@ -128,7 +131,7 @@
 	s.host.Schedule(now+delay, s.connect)
 }
 
-// received applies events. A batch without any shows that the service is there: what was missed follows at once.
+// received applies events. An empty batch shows that the service responds: the missed events follow at once.
 func (s *subscription) received(now placement.Millis, batch *codec.EventBatch) {
 	s.lastReceived = now
 	if len(batch.Events) == 0 {
@@ -144,15 +147,16 @@
 	s.lifecycle.markReady(now)
 }
 
-// applied applies an event, unless its revision was applied before. It returns false if the event is to be read once
-// more.
+// applied applies an event, unless its revision was applied before. It returns false if the event is to be requested
+// again.
 func (s *subscription) applied(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
 	}
 	if err := s.events.apply(now, event.Data, false); err != nil {
 		s.log.Warn("event of the discovery service not applied", "revision", event.Revision, "error", err)
-		if s.malformed++; s.malformed < maxMalformed {
+		s.malformed++
+		if s.malformed < maxMalformed {
 			return false
 		}
 	}
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -8,30 +8,30 @@
 	"grebeglade/placement"
 )
 
-// workloadsPerMB is how many workloads are held for each MB of memory: a few KB each, with their descriptions.
+// workloadsPerMB is how many workloads fit in each MB of memory: a few KB each, with their descriptions.
 const workloadsPerMB = 64
 
 // workload is a client's workload, from its request to its end.
 type workload struct {
 	id     placement.WorkloadID
 	tag    codec.Tag
-	client transport.ConnID // that the request came on; it may have ended
-	// answered is whether the request needs no answer any more: it has its final one, was withdrawn, or expected none.
+	client transport.ConnID // connection of the request; it may have ended
+	// answered says that the request needs no answer any more: it has its final one, was withdrawn, or expected none.
 	answered         bool
 	class            string
 	key              string // idempotency key
 	description      string // the client's
-	replyDescription string // the node's, once it is running by a bind
+	replyDescription string // the node's, once it has confirmed a bind
 	bind             bind
 }
 
-// workloadTable holds the workloads that the engine holds.
+// workloadTable holds the workloads that the engine knows.
 type workloadTable struct {
 	byID       map[placement.WorkloadID]*workload
 	byTag      map[codec.Tag]*workload
 	lastID     placement.WorkloadID
-	limit      int
-	unanswered int
+	limit      int // of the table's size, for further requests
+	unanswered int // requests without a final answer
 }
 
 func newWorkloadTable(memoryMB int) *workloadTable {
@@ -48,13 +48,13 @@
 // tagged returns the workload of that tag, or nil.
 func (t *workloadTable) tagged(tag codec.Tag) *workload { return t.byTag[tag] }
 
-// full reports whether there is no memory for another request.
+// full reports whether the table's limit leaves no capacity for another request.
 func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
 
 // idsExhausted reports whether all ids were used. An id is never used twice.
 func (t *workloadTable) idsExhausted() bool { return t.lastID == math.MaxUint32 }
 
-// holds reports whether the engine still holds the workload.
+// holds reports whether the workload has not been removed.
 func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
 
 // addRequest adds the workload of a request, which is to be answered.
@@ -72,7 +72,7 @@
 	}, task)
 }
 
-// add gives a workload its id and keeps it.
+// add adds a workload under a new id, as the task describes it.
 func (t *workloadTable) add(w *workload, task *codec.Task) *workload {
 	t.lastID++
 	w.id = t.lastID
@@ -92,6 +92,7 @@
 	}
 }
 
+// remove removes a workload, and its tag unless a later workload has it.
 func (t *workloadTable) remove(w *workload) {
 	delete(t.byID, w.id)
 	if t.byTag[w.tag] == w {
