--- a/internal/frontend/platform/bind_test.go
+++ b/internal/frontend/platform/bind_test.go
@@ -8,60 +8,86 @@
 	"grebeglade/placement"
 )
 
-func TestBind_Transitions(t *testing.T) {
+// bindFixture is a workload with a node and a connection to it.
+type bindFixture struct {
+	*workload
+	node *node
+	conn *nodeConn
+}
+
+func newBindFixture() *bindFixture {
 	n := &node{workloads: map[placement.WorkloadID]*workload{}}
-	c := &nodeConn{
+	conn := &nodeConn{
 		id:     3,
 		node:   n,
 		offers: map[placement.WorkloadID]*workload{},
 	}
-	w := &workload{id: 1}
-	check := func(state bindState, running bool, onNode, onConn int) {
-		t.Helper()
-		assert.Equal(t, state, w.bind.state)
-		assert.Equal(t, running, w.running())
-		assert.Len(t, n.workloads, onNode)
-		assert.Len(t, c.offers, onConn)
+	return &bindFixture{
+		workload: &workload{id: 1},
+		node:     n,
+		conn:     conn,
 	}
-	check(bindNone, false, 0, 0)
-	w.migrate()
-	check(bindNone, false, 0, 0)
-	w.beginBind(0, n)
-	check(bindConnecting, false, 1, 0)
-	assert.True(t, w.connecting(0))
-	assert.False(t, w.connecting(1))
-	w.endBind()
-	check(bindNone, false, 0, 0)
-	assert.False(t, w.connecting(0))
-	w.beginBind(1, n)
-	w.markSent(50, c)
-	check(bindSent, false, 1, 1)
-	assert.False(t, w.connecting(1))
-	w.endBind()
-	check(bindNone, false, 0, 0)
-	assert.Equal(t, c, w.bind.conn, "what the node sends on it is about this bind")
-	w.beginBind(2, n)
-	assert.Nil(t, w.bind.conn)
-	w.markSent(60, c)
-	w.confirm(70)
-	check(bindRunning, true, 1, 0)
+}
+
+// check checks the state of the bind, and how many workloads the node and how many offers the connection has.
+func (f *bindFixture) check(t *testing.T, state bindState, running bool, workloadsOfNode, offersOnConn int) {
+	t.Helper()
+	assert.Equal(t, state, f.bind.state)
+	assert.Equal(t, running, f.running())
+	assert.Len(t, f.node.workloads, workloadsOfNode)
+	assert.Len(t, f.conn.offers, offersOnConn)
+}
+
+func TestBind_NotConfirmed_EndsInNone(t *testing.T) {
+	placed := newBindFixture()
+	placed.check(t, bindNone, false, 0, 0)
+	placed.migrate()
+	placed.check(t, bindNone, false, 0, 0)
+
+	placed.beginBind(0, placed.node)
+	placed.check(t, bindConnecting, false, 1, 0)
+	assert.True(t, placed.connecting(0))
+	assert.False(t, placed.connecting(1))
+	placed.endBind()
+	placed.check(t, bindNone, false, 0, 0)
+	assert.False(t, placed.connecting(0))
+
+	placed.beginBind(1, placed.node)
+	placed.markSent(50, placed.conn)
+	placed.check(t, bindSent, false, 1, 1)
+	assert.False(t, placed.connecting(1))
+	placed.endBind()
+	placed.check(t, bindNone, false, 0, 0)
+	assert.Equal(t, placed.conn, placed.bind.conn, "messages of the node on it are about this bind")
+}
+
+func TestBind_Confirmed_RunsUntilDetached(t *testing.T) {
+	placed := newBindFixture()
+	placed.beginBind(1, placed.node)
+	placed.markSent(50, placed.conn)
+	placed.endBind()
+	placed.beginBind(2, placed.node)
+	assert.Nil(t, placed.bind.conn)
+	placed.markSent(60, placed.conn)
+	placed.confirm(70)
+	placed.check(t, bindRunning, true, 1, 0)
 	assert.Equal(t, bind{
 		state:        bindRunning,
 		number:       2,
-		node:         n,
-		conn:         c,
+		node:         placed.node,
+		conn:         placed.conn,
 		sentAt:       60,
 		runningSince: 70,
-	}, w.bind)
-	w.endBind()
-	check(bindRunning, true, 1, 0)
-	w.migrate()
-	check(bindMigrating, true, 1, 0)
-	w.detach()
-	check(bindNone, false, 0, 0)
+	}, placed.bind)
+	placed.endBind()
+	placed.check(t, bindRunning, true, 1, 0)
+	placed.migrate()
+	placed.check(t, bindMigrating, true, 1, 0)
+	placed.detach()
+	placed.check(t, bindNone, false, 0, 0)
 }
 
-func TestBind_AdoptedWorkloadRuns(t *testing.T) {
+func TestBind_Adopted_Running(t *testing.T) {
 	n := &node{workloads: map[placement.WorkloadID]*workload{}}
 	w := &workload{id: 1}
 	w.adopt(20, n)
@@ -89,5 +115,5 @@
 	assert.False(t, w.concernedBy(abandoned))
 	assert.False(t, w.concernedBy(&nodeConn{id: 1, node: elsewhere}))
 	w.bind.abandonedOn = append(w.bind.abandonedOn, own.id)
-	assert.True(t, w.concernedBy(own), "the last bind went out on it too")
+	assert.True(t, w.concernedBy(own), "the last bind was offered on it too")
 }
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -9,97 +9,106 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-func TestBinder_RunningWorkloadEndsWithTheProcessOfItsNode(t *testing.T) {
-	for name, end := range map[string]func(r *rig){
-		"nobody listens": func(r *rig) {
-			r.close(r.node, errReset)
+func TestBinder_ProcessOfTheNodeEnds_RunningWorkloadLost(t *testing.T) {
+	for name, end := range map[string]func(harness *testHarness){
+		"connections are refused": func(harness *testHarness) {
+			harness.closeConn(harness.nodeConn, errReset)
 			for range 8 {
-				r.pass(300)
-				r.close(r.fake.lastTo(nodeAddr), errRefused)
+				harness.advance(300)
+				harness.closeConn(harness.network.lastDialed(nodeAddr), errRefused)
 			}
 		},
-		"the list says gone": func(r *rig) {
-			r.close(r.node, errReset)
-			r.publishNode(2, "Gone")
+		"the list removes the node": func(harness *testHarness) {
+			harness.closeConn(harness.nodeConn, errReset)
+			harness.publishNode(2, "Gone")
 		},
-		"the list says that it has restarted": func(r *rig) {
-			r.pass(100)
-			r.publish(2, nodeEvent(2, "Ready", float64(r.endpoints.unixTime())))
+		"the list states a later start": func(harness *testHarness) {
+			harness.advance(100)
+			harness.publish(2, nodeEvent(2, "Ready", float64(harness.endpoints.unixTime())))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.start(7)
-			end(r)
-			assert.Equal(t, []string{"confirmation", "termination 41"}, r.sentAbout(r.client, 7))
+			harness := newHarness(t)
+			harness.startWorkload(7)
+			end(harness)
+			assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseReset)},
+				harness.sentAbout(harness.clientConn, 7))
 		})
 	}
 }
 
-func TestBinder_OfferOnABrokenConnectionIsRetriedUnlessAtMostOnce(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, request(7, atMostOnce))
-	r.close(r.node, errReset)
-	assert.Equal(t, []string{"termination 41"}, r.sentAbout(r.client, 7), "it may have run, and must run once")
-
-	r = newRig(t)
-	r.receive(r.client, request(8))
-	r.close(r.node, errReset)
-	r.pass(2500)
-	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 8), "a retry does no harm")
+func TestBinder_OfferOnALostConnection_RetriedUnlessAtMostOnce(t *testing.T) {
+	t.Run("at most once, not retried", func(t *testing.T) {
+		harness := newHarness(t)
+		harness.receive(harness.clientConn, request(7, atMostOnce))
+		harness.closeConn(harness.nodeConn, errReset)
+		assert.Equal(t, []sentMessage{aTermination(codec.CauseReset)}, harness.sentAbout(harness.clientConn, 7),
+			"it may have run, and must not run twice")
+	})
+	t.Run("idempotent, retried until rejected", func(t *testing.T) {
+		harness := newHarness(t)
+		harness.receive(harness.clientConn, request(8))
+		harness.closeConn(harness.nodeConn, errReset)
+		harness.advance(2500)
+		assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8),
+			"a retry does no harm")
+	})
 }
 
-func TestBinder_NoOfferFollowsOneThatASilentConnectionSwallowed(t *testing.T) {
-	r := newRig(t)
-	r.pass(50)
-	r.receive(r.client, request(7))
-	r.pass(1500)
-	require.Contains(t, r.sentAbout(r.node, 7), "termination 16", "it timed out")
-	assert.Greater(t, r.fake.lastTo(nodeAddr), r.node)
-	r.receive(r.client, request(8))
-	assert.Empty(t, r.sentAbout(r.node, 8))
+func TestBinder_OfferTimedOut_NoOfferFollowsOnTheSilentConnection(t *testing.T) {
+	harness := newHarness(t)
+	harness.advance(50)
+	harness.receive(harness.clientConn, request(7))
+	harness.advance(1500)
+	require.Contains(t, harness.sentAbout(harness.nodeConn, 7), aTermination(codec.CauseNormal), "it timed out")
+	assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
+	harness.receive(harness.clientConn, request(8))
+	assert.Empty(t, harness.sentAbout(harness.nodeConn, 8))
 }
 
-// An offer that waits for its node's connection leaves neither for a client that has gone nor to a node that drains.
-func TestBinder_WaitingOfferIsSentOnlyIfStillWanted(t *testing.T) {
-	for name, meanwhile := range map[string]func(r *rig){
-		"client gone":       func(r *rig) { r.close(r.client, errClosed) },
-		"request cancelled": func(r *rig) { r.receive(r.client, codec.NewTermination(7, codec.CauseNormal)) },
-		"node draining":     func(r *rig) { r.publishNode(3, "Terminating") },
+// An offer that waits for the connection to its node is not sent if its client has gone or its node is draining by
+// then.
+func TestBinder_PendingOfferNotNeededAnyMore_NotSent(t *testing.T) {
+	for name, meanwhile := range map[string]func(harness *testHarness){
+		"client disconnected": func(harness *testHarness) { harness.closeConn(harness.clientConn, errClosed) },
+		"request cancelled": func(harness *testHarness) {
+			harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
+		},
+		"node draining": func(harness *testHarness) { harness.publishNode(3, "Terminating") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.close(r.node, errClosed)
-			r.receive(r.client, request(7))
-			dialed := r.fake.lastTo(nodeAddr)
-			require.Greater(t, dialed, r.node)
-			meanwhile(r)
-			r.Opened(r.at, dialed)
-			assert.Empty(t, r.sentAbout(dialed, 7))
-			assert.Zero(t, r.workloads.unanswered)
+			harness := newHarness(t)
+			harness.closeConn(harness.nodeConn, errClosed)
+			harness.receive(harness.clientConn, request(7))
+			dialed := harness.network.lastDialed(nodeAddr)
+			require.Greater(t, dialed, harness.nodeConn)
+			meanwhile(harness)
+			harness.openConn(dialed)
+			assert.Empty(t, harness.sentAbout(dialed, 7))
+			assert.Zero(t, harness.workloads.unanswered)
 		})
 	}
 }
 
-func TestBinder_StoppedWorkloadEndsWithoutTheNodesConfirmation(t *testing.T) {
-	r := newRig(t)
-	r.start(7)
-	r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
-	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 7))
-	r.pass(endGrace - 10)
-	assert.Len(t, r.workloads.byID, 1)
-	r.pass(30)
-	assert.Empty(t, r.workloads.byID)
-	assert.Empty(t, r.nodes.byName["s-01"].workloads)
-	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 7))
+func TestBinder_StopNotConfirmed_WorkloadEndsAfterGrace(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
+	assert.Equal(t, []sentMessage{anOffer, aTermination(codec.CauseNormal)}, harness.sentAbout(harness.nodeConn, 7))
+	harness.advance(endGrace - 10)
+	assert.Len(t, harness.workloads.byID, 1)
+	harness.advance(30)
+	assert.Empty(t, harness.workloads.byID)
+	assert.Empty(t, harness.nodes.byName[nodeName].workloads)
+	assert.Equal(t, []sentMessage{aConfirmation}, harness.sentAbout(harness.clientConn, 7))
 }
 
-func TestBinder_OfferIsNotSentAfterItsDeadline(t *testing.T) {
-	r := newRig(t)
-	r.close(r.node, errClosed)
-	r.receive(r.client, request(7))
-	dialed := r.fake.lastTo(nodeAddr)
-	r.at += 3000 // without a wake-up, in which the bind would time out
-	r.Opened(r.at, dialed)
-	assert.Empty(t, r.sentAbout(dialed, 7))
+func TestBinder_DeadlinePassed_OfferNotSent(t *testing.T) {
+	harness := newHarness(t)
+	harness.closeConn(harness.nodeConn, errClosed)
+	harness.receive(harness.clientConn, request(7))
+	dialed := harness.network.lastDialed(nodeAddr)
+	harness.now += 3000 // without a wake-up, in which the bind would time out
+	harness.openConn(dialed)
+	assert.Empty(t, harness.sentAbout(dialed, 7))
 }
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -9,21 +9,21 @@
 	"grebeglade/internal/transport"
 )
 
-func TestClientConns_ConnectionWithoutAMessageIsClosed(t *testing.T) {
-	r := newRig(t)
-	r.pass(firstMessageTimeout + 100)
-	assert.True(t, r.fake.closed[r.client])
+func TestClientConns_NoMessageInTime_Closed(t *testing.T) {
+	harness := newHarness(t)
+	harness.advance(firstMessageTimeout + 100)
+	assert.True(t, harness.network.closed[harness.clientConn])
 }
 
-func TestClientConns_ConnectionsWithoutAMessageAreEvictedFirst(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, request(7))
-	for c := transport.ConnID(2000); c < 2100; c++ {
-		r.Opened(r.at, c)
+func TestClientConns_ConnectionsWithoutAMessage_EvictedFirst(t *testing.T) {
+	harness := newHarness(t)
+	harness.receive(harness.clientConn, request(7))
+	for c := otherConn; c < otherConn+100; c++ {
+		harness.openConn(c)
 	}
-	assert.False(t, r.fake.closed[r.client])
-	assert.True(t, r.fake.closed[2000])
-	assert.LessOrEqual(t, len(r.clients.conns), r.config.maxClientConns())
+	assert.False(t, harness.network.closed[harness.clientConn])
+	assert.True(t, harness.network.closed[otherConn])
+	assert.LessOrEqual(t, len(harness.clients.conns), harness.config.maxClientConns())
 }
 
 func TestClientConn_EvictionOrder(t *testing.T) {
@@ -63,94 +63,95 @@
 	}
 }
 
-func TestClientConns_LatestIsEvictedWhereAllOthersHaveRequests(t *testing.T) {
-	r := newRig(t)
-	r.clients.limit = 1
-	r.receive(r.client, request(7))
-	r.Opened(r.at, 2000)
-	assert.True(t, r.fake.closed[2000])
-	assert.False(t, r.fake.closed[r.client])
+func TestClientConns_AllOthersHaveRequests_LatestIsEvicted(t *testing.T) {
+	harness := newHarness(t)
+	harness.clients.limit = 1
+	harness.receive(harness.clientConn, request(7))
+	harness.openConn(otherConn)
+	assert.True(t, harness.network.closed[otherConn])
+	assert.False(t, harness.network.closed[harness.clientConn])
 }
 
-func TestClientConns_NotificationGoesToAnotherConnection(t *testing.T) {
-	r := newRig(t)
-	r.start(7)
-	r.close(r.client, errClosed)
-	r.receive(r.node, codec.NewTermination(7, codec.CauseNormal))
-	r.Opened(r.at, 2000)
-	r.receive(2000, request(8))
-	assert.Equal(t, []string{"termination 16"}, r.sentAbout(2000, 7))
+func TestClientConns_ConnectionClosed_NotifiedOnAnother(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.closeConn(harness.clientConn, errClosed)
+	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseNormal))
+	harness.openConn(otherConn)
+	harness.receive(otherConn, request(8))
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(otherConn, 7))
 }
 
 func TestClientConns_UndeliveredNotificationsExpireAndAreBounded(t *testing.T) {
-	r := newRig(t)
-	r.close(r.client, errClosed)
-	gone := &workload{client: r.client}
+	harness := newHarness(t)
+	harness.closeConn(harness.clientConn, errClosed)
+	ofClosedConn := &workload{client: harness.clientConn}
 	for tag := range codec.Tag(maxUndelivered + 1) {
-		r.clients.notify(gone, codec.NewMigration(tag))
+		harness.clients.notify(ofClosedConn, codec.NewMigration(tag))
 	}
-	assert.Len(t, r.clients.undelivered, maxUndelivered)
-	assert.Equal(t, codec.Tag(1), r.clients.undelivered[0].message.Envelope().Tag, "the oldest falls out")
-	r.pass(undeliveredTTL)
-	r.Opened(r.at, 2000)
-	r.receive(2000, codec.NewTermination(1, codec.CauseNormal)) // about no workload
-	assert.Len(t, r.clients.undelivered, maxUndelivered, "a message without effect sends none")
-	r.receive(2000, codec.NewHealthCheck(1))
-	assert.Len(t, r.fake.sent[2000], 1, "only the reply")
-	assert.Empty(t, r.clients.undelivered)
+	assert.Len(t, harness.clients.undelivered, maxUndelivered)
+	assert.Equal(t, codec.Tag(1), harness.clients.undelivered[0].message.Envelope().Tag, "the oldest is dropped")
+	harness.advance(undeliveredTTL)
+	harness.openConn(otherConn)
+	harness.receive(otherConn, codec.NewTermination(1, codec.CauseNormal)) // about no workload
+	assert.Len(t, harness.clients.undelivered, maxUndelivered, "a message without effect sends none")
+	harness.receive(otherConn, codec.NewHealthCheck(1))
+	assert.Len(t, harness.network.sent[otherConn], 1, "only the reply")
+	assert.Empty(t, harness.clients.undelivered)
 }
 
-// Clients that send one request and stay, by the thousand, neither push out the connection of a client with much that
-// runs, also where it was silent for longer, nor are notified of the ends of its workloads. It could harm a client of
-// whom little was placed.
-func TestClientConns_ClientWithMuchPlacedOutlastsOthers(t *testing.T) {
-	r := newRig(t)
-	gone := transport.ConnID(1999)
-	r.Opened(r.at, gone)
-	r.receive(gone, request(6))
-	r.receive(r.node, confirmation(6))
+// Connections of clients that send one request and stay open, in large numbers, neither evict the connection of a
+// client with several running workloads, even if it was silent for longer, nor receive its notifications. The cost is
+// that clients with few placed workloads are evicted sooner.
+func TestClientConns_ClientWithRunningWorkloads_KeptAndNotified(t *testing.T) {
+	harness := newHarness(t)
+	const closedConn = otherConn - 1
+	harness.openConn(closedConn)
+	harness.receive(closedConn, request(6))
+	harness.receive(harness.nodeConn, confirmation(6))
 	for tag := codec.Tag(7); tag < 9; tag++ {
-		r.start(tag)
+		harness.startWorkload(tag)
 	}
-	r.close(gone, errClosed)
+	harness.closeConn(closedConn, errClosed)
 	for i := range 100 {
-		r.pass(20)
-		c := transport.ConnID(2000 + i)
+		harness.advance(20)
+		c := otherConn + transport.ConnID(i)
 		tag := codec.Tag(100 + i)
-		r.Opened(r.at, c)
-		r.receive(c, request(tag))
-		r.receive(r.node, confirmation(tag))
-		r.receive(r.node, codec.NewTermination(tag, codec.CauseNormal))
+		harness.openConn(c)
+		harness.receive(c, request(tag))
+		harness.receive(harness.nodeConn, confirmation(tag))
+		harness.receive(harness.nodeConn, codec.NewTermination(tag, codec.CauseNormal))
 	}
-	assert.False(t, r.fake.closed[r.client])
-	assert.LessOrEqual(t, len(r.clients.conns), r.config.maxClientConns())
-	r.receive(r.node, codec.NewTermination(6, codec.CauseNormal))
-	r.receive(r.node, codec.NewTermination(7, codec.CauseNormal))
-	assert.Equal(t, []string{"termination 16"}, r.sentAbout(r.client, 6))
-	assert.Equal(t, []string{"confirmation", "termination 16"}, r.sentAbout(r.client, 7))
+	assert.False(t, harness.network.closed[harness.clientConn])
+	assert.LessOrEqual(t, len(harness.clients.conns), harness.config.maxClientConns())
+	harness.receive(harness.nodeConn, codec.NewTermination(6, codec.CauseNormal))
+	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseNormal))
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(harness.clientConn, 6))
+	assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseNormal)},
+		harness.sentAbout(harness.clientConn, 7))
 }
 
-func TestClientConns_ClosedConnectionsRequestsAreWithdrawn(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, request(7))
-	r.receive(r.client, request(8))
-	assert.Equal(t, 2, r.workloads.unanswered)
-	r.close(r.client, errClosed)
-	assert.Zero(t, r.workloads.unanswered)
-	assert.Equal(t, uint64(2), r.Counters.Withdrawn)
-	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 7))
-	assert.Equal(t, []string{"offer", "termination 16"}, r.sentAbout(r.node, 8))
-	assert.Empty(t, r.clients.conns)
+func TestClientConns_ConnectionClosed_RequestsWithdrawn(t *testing.T) {
+	harness := newHarness(t)
+	harness.receive(harness.clientConn, request(7))
+	harness.receive(harness.clientConn, request(8))
+	assert.Equal(t, 2, harness.workloads.unanswered)
+	harness.closeConn(harness.clientConn, errClosed)
+	assert.Zero(t, harness.workloads.unanswered)
+	assert.Equal(t, uint64(2), harness.Counters.Withdrawn)
+	assert.Equal(t, []sentMessage{anOffer, aTermination(codec.CauseNormal)}, harness.sentAbout(harness.nodeConn, 7))
+	assert.Equal(t, []sentMessage{anOffer, aTermination(codec.CauseNormal)}, harness.sentAbout(harness.nodeConn, 8))
+	assert.Empty(t, harness.clients.conns)
 }
 
-func TestClientConns_ClientOfWhomNothingWasPlacedIsNotNotified(t *testing.T) {
-	r := newRig(t)
-	r.start(7)
-	r.Opened(r.at, 2000)
-	r.close(r.client, errClosed)
-	r.receive(r.node, codec.NewTermination(7, codec.CauseNormal))
-	assert.Empty(t, r.sentAbout(2000, 7), "as long as it has sent nothing")
-	assert.Len(t, r.clients.undelivered, 1)
-	r.receive(2000, request(8))
-	assert.Equal(t, []string{"termination 16"}, r.sentAbout(2000, 7))
+func TestClientConns_ClientWithoutPlacedWorkloads_NotNotified(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.openConn(otherConn)
+	harness.closeConn(harness.clientConn, errClosed)
+	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseNormal))
+	assert.Empty(t, harness.sentAbout(otherConn, 7), "it has sent no message yet")
+	assert.Len(t, harness.clients.undelivered, 1)
+	harness.receive(otherConn, request(8))
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(otherConn, 7))
 }
--- a/internal/frontend/platform/config_test.go
+++ b/internal/frontend/platform/config_test.go
@@ -17,7 +17,8 @@
  "permissions":{"most_tries":4,"probes":false,"connect_timeout_ns":250000000},
  "request_classes":[{"name":"tiles","aim_ns":1000000000,"effect":"read_like","value":1}],
  "family_info":{"cold_bears":54,"confirms":"running","report_counts":"used","free_in_list":true,"kind_cores":[20],
-  "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],"kind_by_class":[-1]}}}`
+  "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],
+  "kind_by_class":[-1]}}}`
 
 func readConfig(t *testing.T, text, listen string) (*Config, error) {
 	t.Helper()
@@ -27,12 +28,12 @@
 }
 
 func TestReadConfig_Fields(t *testing.T) {
-	c, err := readConfig(t, sampleConfig, "")
+	config, err := readConfig(t, sampleConfig, "")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"tiles"}, c.Settings.GroupNames)
-	assert.Len(t, c.KnownEvents, 2)
-	c.Settings = nil
-	c.KnownEvents = nil
+	assert.Equal(t, []string{"tiles"}, config.Settings.GroupNames)
+	assert.Len(t, config.KnownEvents, 2)
+	config.Settings = nil
+	config.KnownEvents = nil
 	assert.Equal(t, &Config{
 		Name:             "one",
 		Listen:           "127.0.0.1:5080",
@@ -44,23 +45,23 @@
 			MemoryMB: 64,
 			Sockets:  256,
 		},
-	}, c)
+	}, config)
 }
 
-func TestReadConfig_ListenAddressOfTheEnvironmentTakesPrecedence(t *testing.T) {
-	c, err := readConfig(t, sampleConfig, "127.0.0.2:1")
+func TestReadConfig_ListenAddressGiven_TakesPrecedence(t *testing.T) {
+	config, err := readConfig(t, sampleConfig, "127.0.0.2:1")
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.2:1", c.Listen)
-	c, err = readConfig(t, strings.Replace(sampleConfig, `"listen"`, `"other"`, 1), "127.0.0.2:1")
+	assert.Equal(t, "127.0.0.2:1", config.Listen)
+	config, err = readConfig(t, strings.Replace(sampleConfig, `"listen"`, `"other"`, 1), "127.0.0.2:1")
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.2:1", c.Listen)
+	assert.Equal(t, "127.0.0.2:1", config.Listen)
 }
 
-func TestReadConfig_SeedThatIsNoNumberIsHashed(t *testing.T) {
+func TestReadConfig_SeedNotHexadecimal_Hashed(t *testing.T) {
 	read := func(seed string) uint64 {
-		c, err := readConfig(t, strings.Replace(sampleConfig, `"05"`, `"`+seed+`"`, 1), "")
+		config, err := readConfig(t, strings.Replace(sampleConfig, `"05"`, `"`+seed+`"`, 1), "")
 		require.NoError(t, err)
-		return c.Seed
+		return config.Seed
 	}
 	assert.Equal(t, uint64(0xff), read("ff"))
 	first := read("any text")
@@ -68,7 +69,7 @@
 	assert.NotEqual(t, first, read("another"))
 }
 
-func TestReadConfig_ErrorsNameWhatIsWrong(t *testing.T) {
+func TestReadConfig_InvalidFile_ErrorNamesTheFault(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"listen is missing":            {`"listen"`, `"other"`},
 		"journal is missing":           {`"journal"`, `"other"`},
@@ -78,9 +79,9 @@
 		"config.json":                  {`{"name"`, `{`},
 	} {
 		t.Run(want, func(t *testing.T) {
-			c, err := readConfig(t, strings.Replace(sampleConfig, change[0], change[1], 1), "")
+			config, err := readConfig(t, strings.Replace(sampleConfig, change[0], change[1], 1), "")
 			require.ErrorContains(t, err, want)
-			assert.Nil(t, c)
+			assert.Nil(t, config)
 		})
 	}
 	_, err := ReadConfig(filepath.Join(t.TempDir(), "none"), "")
--- /dev/null
+++ b/internal/frontend/platform/fakenetwork_test.go
@@ -0,0 +1,65 @@
+package platform
+
+import (
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// fakeNetwork is a transport.Network that only records.
+type fakeNetwork struct {
+	now          placement.Millis
+	queuedFor    placement.Millis // between reading a message and handling it
+	lastID       transport.ConnID
+	dialed       map[transport.ConnID]string
+	sent         map[transport.ConnID][]any
+	closed       map[transport.ConnID]bool // by the frontend
+	closedByPeer map[transport.ConnID]bool // before the frontend handles it
+	wakeups      []placement.Millis
+}
+
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{
+		dialed:       map[transport.ConnID]string{},
+		sent:         map[transport.ConnID][]any{},
+		closed:       map[transport.ConnID]bool{},
+		closedByPeer: map[transport.ConnID]bool{},
+	}
+}
+
+func (f *fakeNetwork) DialCodec(addr string, _ transport.Codec, _ placement.Millis) transport.ConnID {
+	f.lastID++
+	f.dialed[f.lastID] = addr
+	return f.lastID
+}
+
+func (f *fakeNetwork) Send(c transport.ConnID, message any) { f.sent[c] = append(f.sent[c], message) }
+
+func (f *fakeNetwork) Close(c transport.ConnID) { f.closed[c] = true }
+
+func (f *fakeNetwork) ReceivedAt() placement.Millis { return f.now - f.queuedFor }
+
+func (f *fakeNetwork) IsClosed(c transport.ConnID) bool { return f.closed[c] || f.closedByPeer[c] }
+
+func (f *fakeNetwork) WakeAt(at placement.Millis) { f.wakeups = append(f.wakeups[:0], at) }
+
+func (f *fakeNetwork) Now() placement.Millis { return f.now }
+
+// lastDialed returns the last connection dialed to an address, or 0.
+func (f *fakeNetwork) lastDialed(addr string) (last transport.ConnID) {
+	for id, dialed := range f.dialed {
+		if dialed == addr {
+			last = max(last, id)
+		}
+	}
+	return last
+}
+
+// countOpen counts the connections that were dialed and not closed, except one.
+func (f *fakeNetwork) countOpen(except transport.ConnID) (n int) {
+	for id := range f.dialed {
+		if id != except && !f.IsClosed(id) {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -9,105 +9,107 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-func TestLifecycle_DrainFailsHealthChecksAndAnswersWhatIsPending(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, request(7))
-	r.Drain(r.at)
-	r.receive(r.client, codec.NewHealthCheck(1))
-	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, r.fake.sent[r.client])
-	r.pass(drainTimeout + 50)
-	assert.False(t, r.Drained(r.at))
-	r.Drain(r.at) // a second signal changes nothing
-	r.receive(r.client, request(8))
-	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 8))
-	r.receive(r.node, confirmation(7))
-	assert.True(t, r.Drained(r.at))
+func TestLifecycle_Drain_FailsHealthChecksAndAnswersPendingRequests(t *testing.T) {
+	harness := newHarness(t)
+	harness.receive(harness.clientConn, request(7))
+	harness.Drain(harness.now)
+	harness.receive(harness.clientConn, codec.NewHealthCheck(1))
+	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, harness.network.sent[harness.clientConn])
+	harness.advance(drainTimeout + 50)
+	assert.False(t, harness.Drained(harness.now))
+	harness.Drain(harness.now) // a second signal changes nothing
+	harness.receive(harness.clientConn, request(8))
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
+	harness.receive(harness.nodeConn, confirmation(7))
+	assert.True(t, harness.Drained(harness.now))
 }
 
-func TestLifecycle_RequestsAreServedAtFirstWhileDraining(t *testing.T) {
-	r := newRig(t)
-	assert.False(t, r.Drained(r.at))
-	r.Drain(r.at)
-	r.pass(drainTimeout - 50)
-	r.receive(r.client, request(7))
-	assert.Equal(t, []string{"offer"}, r.sentAbout(r.node, 7))
-	r.receive(r.node, confirmation(7))
-	assert.False(t, r.Drained(r.at))
-	r.pass(60)
-	assert.True(t, r.Drained(r.at), "what is running runs on")
+func TestLifecycle_DrainBegun_RequestsServedAtFirst(t *testing.T) {
+	harness := newHarness(t)
+	assert.False(t, harness.Drained(harness.now))
+	harness.Drain(harness.now)
+	harness.advance(drainTimeout - 50)
+	harness.receive(harness.clientConn, request(7))
+	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(harness.nodeConn, 7))
+	harness.receive(harness.nodeConn, confirmation(7))
+	assert.False(t, harness.Drained(harness.now))
+	harness.advance(60)
+	assert.True(t, harness.Drained(harness.now), "running workloads are left running")
 }
 
-// A release that waits for its node's connection is sent before the process ends, or given up after a while.
-func TestLifecycle_PendingReleaseDelaysTheEnd(t *testing.T) {
+// A release that waits for the connection to its node is sent before the process ends, or times out.
+func TestLifecycle_PendingRelease_DelaysTheEnd(t *testing.T) {
 	for name, opens := range map[string]bool{"connection opens": true, "connection does not open": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.start(7)
-			r.Drain(r.at)
-			r.close(r.node, errReset)
-			r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
-			r.pass(drainTimeout + 50)
-			assert.False(t, r.Drained(r.at))
+			harness := newHarness(t)
+			harness.startWorkload(7)
+			harness.Drain(harness.now)
+			harness.closeConn(harness.nodeConn, errReset)
+			harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
+			harness.advance(drainTimeout + 50)
+			assert.False(t, harness.Drained(harness.now))
 			if opens {
-				r.Opened(r.at, r.fake.lastTo(nodeAddr))
-				assert.Equal(t, []string{"termination 16"}, r.sentAbout(r.fake.lastTo(nodeAddr), 7))
+				harness.openConn(harness.network.lastDialed(nodeAddr))
+				assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)},
+					harness.sentAbout(harness.network.lastDialed(nodeAddr), 7))
 			} else {
-				r.pass(releaseTimeout)
+				harness.advance(releaseTimeout)
 			}
-			assert.True(t, r.Drained(r.at))
+			assert.True(t, harness.Drained(harness.now))
 		})
 	}
 }
 
-// A health check passes once the discovery service was heard, so that nothing is placed by what the configuration
-// knew before the start: a drain published in between applies. Where the service is not heard it passes all the same,
-// a little later.
-func TestLifecycle_HealthCheckPassesOnceTheDiscoveryServiceWasHeard(t *testing.T) {
-	for name, hear := range map[string]func(r *rig){
-		"events were missed": func(r *rig) { r.publishNode(2, "Terminating") },
-		"none was missed": func(r *rig) {
-			r.Received(r.at, r.fake.lastTo(discoveryAddr), &codec.EventBatch{})
-			r.pass(readyDelay + 10)
+// A health check passes once the discovery service has responded, so that nothing is placed by the configuration's
+// list, which is older than the process: a drain published in between applies. Without a response it passes all the
+// same, after readyTimeout.
+func TestLifecycle_Starting_HealthCheckPassesOnceDiscoveryResponded(t *testing.T) {
+	for name, respond := range map[string]func(harness *testHarness){
+		"events were missed": func(harness *testHarness) { harness.publishNode(2, "Terminating") },
+		"no event was missed": func(harness *testHarness) {
+			harness.Received(harness.now, harness.discoveryConn(), &codec.EventBatch{})
+			harness.advance(readyDelay + 10)
 		},
-		"nothing is heard": func(r *rig) { r.pass(readyTimeout) },
+		"no response": func(harness *testHarness) { harness.advance(readyTimeout) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.receive(r.client, codec.NewHealthCheck(1))
-			assert.Empty(t, r.fake.sent[r.client])
-			hear(r)
-			require.Len(t, r.fake.sent[r.client], 1)
-			assert.Equal(t, codec.NewHealthReply(1, true), r.fake.sent[r.client][0])
-			assert.Empty(t, r.lifecycle.pendingChecks)
+			harness := newHarness(t)
+			harness.receive(harness.clientConn, codec.NewHealthCheck(1))
+			assert.Empty(t, harness.network.sent[harness.clientConn])
+			respond(harness)
+			require.Len(t, harness.network.sent[harness.clientConn], 1)
+			assert.Equal(t, codec.NewHealthReply(1, true), harness.network.sent[harness.clientConn][0])
+			assert.Empty(t, harness.lifecycle.pendingChecks)
 		})
 	}
 }
 
-func TestLifecycle_PendingHealthChecksAreBounded(t *testing.T) {
-	r := newRig(t)
+func TestLifecycle_PendingHealthChecks_Bounded(t *testing.T) {
+	harness := newHarness(t)
 	for range maxPendingChecks {
-		r.receive(r.client, codec.NewHealthCheck(1))
+		harness.receive(harness.clientConn, codec.NewHealthCheck(1))
 	}
-	assert.Empty(t, r.fake.sent[r.client])
-	r.receive(r.client, codec.NewHealthCheck(2))
-	assert.Equal(t, []any{codec.NewHealthReply(2, true)}, r.fake.sent[r.client], "one more has its reply at once")
+	assert.Empty(t, harness.network.sent[harness.clientConn])
+	harness.receive(harness.clientConn, codec.NewHealthCheck(2))
+	assert.Equal(t, []any{codec.NewHealthReply(2, true)},
+		harness.network.sent[harness.clientConn], "one more is replied to at once")
 }
 
-func TestLifecycle_DrainBeforeReadinessFailsPendingHealthChecks(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, codec.NewHealthCheck(1))
-	r.Drain(r.at)
-	r.pass(readyTimeout)
-	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, r.fake.sent[r.client])
+func TestLifecycle_DrainedBeforeReady_PendingHealthChecksFail(t *testing.T) {
+	harness := newHarness(t)
+	harness.receive(harness.clientConn, codec.NewHealthCheck(1))
+	harness.Drain(harness.now)
+	harness.advance(readyTimeout)
+	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, harness.network.sent[harness.clientConn])
 }
 
-func TestLifecycle_HealthCheckWaitsForWhatFollowsTheFirstMessage(t *testing.T) {
-	r := newRig(t)
-	r.receive(r.client, codec.NewHealthCheck(1))
-	r.Received(r.at, r.fake.lastTo(discoveryAddr), &codec.EventBatch{})
-	assert.Empty(t, r.fake.sent[r.client], "events that were missed may follow")
-	r.pass(readyDelay - 10)
-	assert.Empty(t, r.fake.sent[r.client])
-	r.pass(20)
-	assert.Len(t, r.fake.sent[r.client], 1)
+func TestLifecycle_FirstMessageOfDiscovery_HealthCheckWaitsForMissedEvents(t *testing.T) {
+	harness := newHarness(t)
+	harness.receive(harness.clientConn, codec.NewHealthCheck(1))
+	harness.Received(harness.now, harness.discoveryConn(), &codec.EventBatch{})
+	assert.Empty(t, harness.network.sent[harness.clientConn], "events that were missed may follow")
+	harness.advance(readyDelay - 10)
+	assert.Empty(t, harness.network.sent[harness.clientConn])
+	harness.advance(20)
+	assert.Len(t, harness.network.sent[harness.clientConn], 1)
 }
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -11,7 +11,7 @@
 	"grebeglade/placement"
 )
 
-// recordingWaiter records what a connWaiter is told.
+// recordingWaiter is a connWaiter that records its calls.
 type recordingWaiter struct {
 	conn  *nodeConn
 	calls int
@@ -21,126 +21,132 @@
 	w.conn = c
 	w.calls++
 }
+
 func (w *recordingWaiter) unreachable() { w.calls++ }
 
-// More nodes than descriptors: each is reached when something is to be sent to it, within the nodes' share, and the
-// connection to a node without workloads is evicted. It guards against a process that runs out of descriptors. It could
-// harm where nearly all nodes run something of ours: their ends are heard later.
+// With more nodes than descriptors, each node is reached when something is to be sent to it, within the nodes' share,
+// and the connection to a node without workloads is evicted. This keeps the process from running out of descriptors.
+// The cost is that ends of workloads are received later where nearly all nodes run workloads of this allocator.
 func TestNodeConns_StayWithinTheirShareOfDescriptors(t *testing.T) {
-	r := newRig(t)
-	r.publishNodes(40)
-	assert.Len(t, r.nodeConns.conns, 1, "a list alone has no node dialed")
-	require.Less(t, r.nodeConns.limit, 40)
-	r.receive(r.client, request(7))
-	holder := r.workloads.tagged(7).bind.node
-	r.openNodeConns()
-	r.receive(holder.conn.id, confirmation(7))
-	for i := range 3 * 40 {
-		r.pass(20)
-		n := r.nodes.byName[extraNode(i%40)]
-		w := &recordingWaiter{}
-		r.nodeConns.await(n, w)
-		assert.LessOrEqual(t, r.openNodeConns(), r.nodeConns.limit)
-		require.NotNil(t, w.conn, n.name)
-		assert.Equal(t, n, w.conn.node)
+	const nodes = 40
+	harness := newHarness(t)
+	harness.publishNodes(nodes)
+	assert.Len(t, harness.nodeConns.conns, 1, "a list alone does not cause a dial")
+	require.Less(t, harness.nodeConns.limit, nodes)
+	harness.receive(harness.clientConn, request(7))
+	holder := harness.workloads.tagged(7).bind.node
+	harness.openNodeConns()
+	harness.receive(holder.conn.id, confirmation(7))
+	for i := range 3 * nodes {
+		harness.advance(20)
+		n := harness.nodes.byName[extraNodeName(i%nodes)]
+		waiter := &recordingWaiter{}
+		harness.nodeConns.await(n, waiter)
+		assert.LessOrEqual(t, harness.openNodeConns(), harness.nodeConns.limit)
+		require.NotNil(t, waiter.conn, n.name)
+		assert.Equal(t, n, waiter.conn.node)
 		assert.NotNil(t, holder.openConn(), "its workload may end at any time")
 	}
-	assert.Equal(t, r.fake.dialedAndOpen(r.subscription.conn), r.openNodeConns(), "each connection that was not closed is known")
+	assert.Equal(t, harness.network.countOpen(harness.subscription.conn), harness.openNodeConns(),
+		"each connection that was not closed is known")
 }
 
-// A node whose connection was evicted although it runs something of ours is heard again soon.
+// A node whose connection was evicted although it runs workloads of this allocator is dialed again soon.
 func TestNodeConns_EvictedNodeIsRevisited(t *testing.T) {
-	r := newRig(t)
-	r.publishNodes(40)
-	for i := range 40 {
-		r.receive(r.client, runningOn(codec.Tag(100+i), extraNode(i)))
-		r.pass(1)
-		r.openNodeConns()
+	const nodes = 40
+	harness := newHarness(t)
+	harness.publishNodes(nodes)
+	for i := range nodes {
+		harness.receive(harness.clientConn, runningOn(codec.Tag(100+i), extraNodeName(i)))
+		harness.advance(1)
+		harness.openNodeConns()
 	}
-	heard := map[string]bool{}
-	for range 400 {
-		r.pass(20)
-		r.openNodeConns()
-		for _, c := range r.nodeConns.conns {
+	connected := map[string]bool{}
+	for range 400 { // 8 s
+		harness.advance(20)
+		harness.openNodeConns()
+		for _, c := range harness.nodeConns.conns {
 			if c.isOpen() {
-				heard[c.node.name] = true
+				connected[c.node.name] = true
 			}
 		}
 	}
-	assert.GreaterOrEqual(t, len(heard), 40, "within the 8 s in which clients are to be notified")
+	assert.GreaterOrEqual(t, len(connected), nodes, "within the 8 s in which clients are to be notified")
 }
 
-// A connection that was idle for nearly the settings' timeout is closed by us: an offer that crosses the node's own
-// close would count as one that may have run.
-func TestNodeConns_IdleConnectionIsClosedBeforeTheNodeDoes(t *testing.T) {
-	r := newRig(t)
-	r.config.Settings.IdleTimeout = 5000
-	r.receive(r.client, codec.NewTermination(1, codec.CauseNormal)) // a first message, so that the connection stays
-	r.pass(5000*idleShare - 100)
-	assert.False(t, r.fake.closed[r.node])
-	r.pass(100 + maxWakeInterval + 50)
-	assert.True(t, r.fake.closed[r.node])
-	r.receive(r.client, request(7))
-	again := r.fake.lastTo(nodeAddr)
-	require.Greater(t, again, r.node)
-	r.Opened(r.at, again)
-	assert.Equal(t, []string{"offer"}, r.sentAbout(again, 7))
+// A connection that was idle for nearly the settings' timeout is closed by the frontend: an offer that crosses the
+// node's own close would count as one that may have run.
+func TestNodeConns_IdleConnection_ClosedBeforeTheNodeCloses(t *testing.T) {
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	// a first message, so that the connection stays
+	harness.receive(harness.clientConn, codec.NewTermination(1, codec.CauseNormal))
+	harness.advance(5000*idleShare - 100)
+	assert.False(t, harness.network.closed[harness.nodeConn])
+	harness.advance(100 + maxWakeInterval + 50)
+	assert.True(t, harness.network.closed[harness.nodeConn])
+	harness.receive(harness.clientConn, request(7))
+	again := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, again, harness.nodeConn)
+	harness.openConn(again)
+	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(again, 7))
 }
 
-// A node that refuses connections is dialed again once that proves it down, not before: with a hundred of them a
-// small core does nothing else. It could harm where a process is up again at once; an offer for it dials it all the
-// same.
+// A node that refuses connections is dialed again only once that proves it down: a hundred of such nodes would take all
+// of a small core. A node that is up again sooner is dialed for the next offer.
 func TestNodeConns_RefusingNodeIsDialedSparingly(t *testing.T) {
-	r := newRig(t)
-	r.start(7)
-	r.close(r.node, errReset)
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.closeConn(harness.nodeConn, errReset)
 	dials := 0
-	last := r.node
+	last := harness.nodeConn
 	for range 200 {
-		r.pass(20)
-		if c := r.fake.lastTo(nodeAddr); c != last {
+		harness.advance(20)
+		if c := harness.network.lastDialed(nodeAddr); c != last {
 			dials++
 			last = c
-			r.close(c, errRefused)
+			harness.closeConn(c, errRefused)
 		}
 	}
-	assert.Equal(t, 2, dials-int(r.Counters.HealthChecks), "one that finds nobody, and one that shows that it stays so")
-	assert.Equal(t, []string{"confirmation", "termination 41"}, r.sentAbout(r.client, 7))
+	assert.Equal(t, 2, dials-int(harness.Counters.HealthChecks),
+		"one that is refused, and one that shows that it still is")
+	assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseReset)},
+		harness.sentAbout(harness.clientConn, 7))
 }
 
-func TestNodeConns_ReleaseWaitsForTheConnection(t *testing.T) {
-	r := newRig(t)
-	r.start(7)
-	r.close(r.node, errReset)
-	r.receive(r.client, codec.NewTermination(7, codec.CauseNormal))
-	r.pass(200)
-	again := r.fake.lastTo(nodeAddr)
-	require.Greater(t, again, r.node)
-	r.Opened(r.at, again)
-	assert.Equal(t, []string{"termination 16"}, r.sentAbout(again, 7))
+func TestNodeConns_ReleaseWithoutConnection_SentOnTheNext(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.closeConn(harness.nodeConn, errReset)
+	harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
+	harness.advance(200)
+	again := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, again, harness.nodeConn)
+	harness.openConn(again)
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(again, 7))
 }
 
-func TestNodeConns_WaitersAreToldOnce(t *testing.T) {
-	r := newRig(t)
-	r.publishNodes(3)
-	up := &recordingWaiter{}
-	down := &recordingWaiter{}
-	gone := &recordingWaiter{}
-	known := &recordingWaiter{}
-	r.nodeConns.await(r.nodes.byName[extraNode(0)], up)
-	r.nodeConns.await(r.nodes.byName[extraNode(1)], down)
-	r.nodeConns.await(r.nodes.byName[extraNode(2)], gone)
-	r.nodeConns.await(nil, known)
-	assert.Equal(t, 1, known.calls, "an unknown node is unreachable at once")
-	assert.Zero(t, up.calls+down.calls+gone.calls)
-	r.Opened(r.at, r.fake.lastTo("127.0.1.0:5080"))
-	r.close(r.fake.lastTo("127.0.1.1:5080"), errClosed)
-	r.publish(3, []byte(`{"hosts":{"endpoints":[{"name":"m-02","status":"Gone"}]}}`))
-	r.pass(100)
-	assert.NotNil(t, up.conn)
-	assert.Nil(t, down.conn)
-	assert.Nil(t, gone.conn)
-	assert.Equal(t, []int{1, 1, 1}, []int{up.calls, down.calls, gone.calls})
+func TestNodeConns_WaitersAreCalledOnce(t *testing.T) {
+	harness := newHarness(t)
+	harness.publishNodes(3)
+	opened := &recordingWaiter{}
+	failed := &recordingWaiter{}
+	removed := &recordingWaiter{}
+	unknown := &recordingWaiter{}
+	harness.nodeConns.await(harness.nodes.byName[extraNodeName(0)], opened)
+	harness.nodeConns.await(harness.nodes.byName[extraNodeName(1)], failed)
+	harness.nodeConns.await(harness.nodes.byName[extraNodeName(2)], removed)
+	harness.nodeConns.await(nil, unknown)
+	assert.Equal(t, 1, unknown.calls, "an unknown node is unreachable at once")
+	assert.Zero(t, opened.calls+failed.calls+removed.calls)
+	harness.openConn(harness.network.lastDialed(extraNodeAddr(0)))
+	harness.closeConn(harness.network.lastDialed(extraNodeAddr(1)), errClosed)
+	harness.publish(3, deltaEvent(`{"name":"m-02","status":"Gone"}`))
+	harness.advance(100)
+	assert.NotNil(t, opened.conn)
+	assert.Nil(t, failed.conn)
+	assert.Nil(t, removed.conn)
+	assert.Equal(t, []int{1, 1, 1}, []int{opened.calls, failed.calls, removed.calls})
 }
 
 func TestNodeConn_EvictionOrder(t *testing.T) {
@@ -180,150 +186,152 @@
 	}
 }
 
-func TestNodeConns_RetiredConnectionIsClosedOnceItsSuccessorIsOpen(t *testing.T) {
-	r := newRig(t)
-	c := r.nodeConns.get(r.node)
+func TestNodeConns_RetiredConnection_ClosedOnceItsSuccessorIsOpen(t *testing.T) {
+	harness := newHarness(t)
+	c := harness.nodeConns.get(harness.nodeConn)
 	c.lastReceived = 0
-	r.nodeConns.replaceSilent(r.at, c, 1)
+	harness.nodeConns.replaceSilent(harness.now, c, 1)
 	assert.Equal(t, connRetired, c.state)
-	successor := r.fake.lastTo(nodeAddr)
-	require.Greater(t, successor, r.node)
-	r.host.Handle(r.at, func() { r.nodeConns.closeReplaced(c) })
-	assert.False(t, r.fake.closed[r.node], "its successor is being dialed")
-	r.Opened(r.at, successor)
-	r.receive(r.node, codec.NewTermination(99, codec.CauseNormal)) // about no workload
-	assert.True(t, r.fake.closed[r.node])
+	successor := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, successor, harness.nodeConn)
+	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(c) })
+	assert.False(t, harness.network.closed[harness.nodeConn], "its successor is being dialed")
+	harness.openConn(successor)
+	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // about no workload
+	assert.True(t, harness.network.closed[harness.nodeConn])
 	assert.Equal(t, connClosed, c.state)
-	assert.Equal(t, successor, r.nodes.byName["s-01"].openConn().id)
+	assert.Equal(t, successor, harness.nodes.byName[nodeName].openConn().id)
 }
 
 func TestNodeConns_PendingReleasesAreBounded(t *testing.T) {
-	r := newRig(t)
-	n := r.nodes.byName["s-01"]
-	r.close(r.node, errReset)
+	harness := newHarness(t)
+	n := harness.nodes.byName[nodeName]
+	harness.closeConn(harness.nodeConn, errReset)
 	for range maxPendingReleases + 1 {
-		r.nodeConns.release(&workload{bind: bind{node: n}})
+		harness.nodeConns.release(&workload{bind: bind{node: n}})
 	}
 	assert.Len(t, n.pendingReleases, maxPendingReleases)
 }
 
-// idleRig is a rig whose node is about to close its connection, which was idle for long. No wake-up has come since.
-func idleRig(t *testing.T) *rig {
+// newIdleHarness returns a harness whose node is about to close its connection, which was idle for long. No wake-up
+// has come since.
+func newIdleHarness(t *testing.T) *testHarness {
 	t.Helper()
-	r := newRig(t)
-	r.config.Settings.IdleTimeout = 5000
-	r.start(6)
-	r.at += 5000
-	return r
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	harness.startWorkload(6)
+	harness.now += 5000
+	return harness
 }
 
-func TestNodeConns_NothingIsSentOnAnIdleConnection(t *testing.T) {
+func TestNodeConns_IdleConnection_NothingIsSentOnIt(t *testing.T) {
 	t.Run("offer", func(t *testing.T) {
-		r := idleRig(t)
-		w := &recordingWaiter{}
-		r.host.Handle(r.at, func() { r.nodeConns.await(r.nodes.byName["s-01"], w) })
-		assert.Nil(t, w.conn)
-		again := r.fake.lastTo(nodeAddr)
-		require.Greater(t, again, r.node)
-		r.Opened(r.at, again)
-		require.NotNil(t, w.conn)
-		assert.Equal(t, again, w.conn.id)
+		harness := newIdleHarness(t)
+		waiter := &recordingWaiter{}
+		harness.host.Handle(harness.now, func() { harness.nodeConns.await(harness.nodes.byName[nodeName], waiter) })
+		assert.Nil(t, waiter.conn)
+		again := harness.network.lastDialed(nodeAddr)
+		require.Greater(t, again, harness.nodeConn)
+		harness.openConn(again)
+		require.NotNil(t, waiter.conn)
+		assert.Equal(t, again, waiter.conn.id)
 	})
 	t.Run("release", func(t *testing.T) {
-		r := idleRig(t)
-		r.receive(r.client, codec.NewTermination(6, codec.CauseNormal))
-		assert.Equal(t, []string{"offer"}, r.sentAbout(r.node, 6))
-		again := r.fake.lastTo(nodeAddr)
-		require.Greater(t, again, r.node)
-		r.Opened(r.at, again)
-		assert.Equal(t, []string{"termination 16"}, r.sentAbout(again, 6))
+		harness := newIdleHarness(t)
+		harness.receive(harness.clientConn, codec.NewTermination(6, codec.CauseNormal))
+		assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(harness.nodeConn, 6))
+		again := harness.network.lastDialed(nodeAddr)
+		require.Greater(t, again, harness.nodeConn)
+		harness.openConn(again)
+		assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(again, 6))
 	})
 }
 
-func TestNodeConns_ConnectionWithAnOfferIsNeitherIdleNorEvicted(t *testing.T) {
-	r := newRig(t)
-	r.config.Settings.IdleTimeout = 5000
-	r.publishNodes(1)
-	r.receive(r.client, request(7))
-	c := r.nodeConns.get(r.node)
-	if len(c.offers) == 0 {
-		r.openNodeConns()
-		c = r.workloads.tagged(7).bind.conn
+func TestNodeConns_ConnectionWithAnOffer_NeitherIdleNorEvicted(t *testing.T) {
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	harness.publishNodes(1)
+	harness.receive(harness.clientConn, request(7))
+	offered := harness.nodeConns.get(harness.nodeConn)
+	if len(offered.offers) == 0 {
+		harness.openNodeConns()
+		offered = harness.workloads.tagged(7).bind.conn
 	}
-	c.lastSent = -6000
-	c.lastReceived = -6000
-	r.nodeConns.closeIdle(r.at)
-	assert.False(t, r.fake.closed[c.id])
-	for _, other := range r.nodeConns.conns {
-		if other != c {
-			r.close(other.id, errClosed)
+	offered.lastSent = -6000
+	offered.lastReceived = -6000
+	harness.nodeConns.closeIdle(harness.now)
+	assert.False(t, harness.network.closed[offered.id])
+	for _, other := range harness.nodeConns.conns {
+		if other != offered {
+			harness.closeConn(other.id, errClosed)
 		}
 	}
-	assert.False(t, r.nodeConns.evictConnection(r.at, &node{}))
-	r.nodeConns.replaceSilent(r.at, c, r.at)
-	r.openNodeConns()
-	r.host.Handle(r.at, func() { r.nodeConns.closeReplaced(c) })
-	assert.False(t, r.fake.closed[c.id], "its reply may come yet")
-	r.receive(c.id, confirmation(7))
-	assert.True(t, r.fake.closed[c.id])
+	assert.False(t, harness.nodeConns.evictConnection(harness.now, &node{}))
+	harness.nodeConns.replaceSilent(harness.now, offered, harness.now)
+	harness.openNodeConns()
+	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(offered) })
+	assert.False(t, harness.network.closed[offered.id], "the reply to the offer is pending")
+	harness.receive(offered.id, confirmation(7))
+	assert.True(t, harness.network.closed[offered.id])
 }
 
-func TestNodeConns_EvictedNodeIsDialedAgainOnlyLaterOrToSendSomething(t *testing.T) {
-	evicted := func(t *testing.T) *rig {
+func TestNodeConns_EvictedNode_DialedOnlyLaterOrToSend(t *testing.T) {
+	evicted := func(t *testing.T) *testHarness {
 		t.Helper()
-		r := newRig(t)
-		r.start(6)
-		require.True(t, r.nodeConns.evictConnection(r.at, &node{}))
-		require.True(t, r.fake.closed[r.node])
-		r.publish(2, nodeEvent(2, "Ready", 0))
-		assert.Equal(t, r.node, r.fake.lastTo(nodeAddr), "the list alone has it not dialed")
-		return r
+		harness := newHarness(t)
+		harness.startWorkload(6)
+		require.True(t, harness.nodeConns.evictConnection(harness.now, &node{}))
+		require.True(t, harness.network.closed[harness.nodeConn])
+		harness.publish(2, nodeEvent(2, "Ready", 0))
+		assert.Equal(t, harness.nodeConn, harness.network.lastDialed(nodeAddr), "the list alone does not cause a dial")
+		return harness
 	}
 	t.Run("later", func(t *testing.T) {
-		r := evicted(t)
-		n := r.nodes.byName["s-01"]
+		harness := evicted(t)
+		n := harness.nodes.byName[nodeName]
 		assert.False(t, n.dialing.scheduled)
-		r.pass(revisitAfter - 100)
+		harness.advance(revisitAfter - 100)
 		assert.True(t, n.dialing.evicted)
-		r.pass(200)
+		harness.advance(200)
 		assert.False(t, n.dialing.evicted)
-		assert.Greater(t, r.fake.lastTo(nodeAddr), r.node)
+		assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
 	})
 	t.Run("to send something", func(t *testing.T) {
-		r := evicted(t)
-		r.receive(r.client, codec.NewTermination(6, codec.CauseNormal))
-		assert.Greater(t, r.fake.lastTo(nodeAddr), r.node)
+		harness := evicted(t)
+		harness.receive(harness.clientConn, codec.NewTermination(6, codec.CauseNormal))
+		assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
 	})
 }
 
-func TestNodeConns_DialHistory(t *testing.T) {
-	r := newRig(t)
-	r.start(6)
-	n := r.nodes.byName["s-01"]
+func TestNodeConns_FailedDials_CountedUntilOneOpens(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(6)
+	n := harness.nodes.byName[nodeName]
 	redialed := func() transport.ConnID {
 		t.Helper()
-		before := r.fake.lastTo(nodeAddr)
-		timers := r.host.PendingTimers()
-		r.nodeConns.redial(r.at, n)
-		assert.Equal(t, timers, r.host.PendingTimers(), "a node is dialed by one timer at a time")
+		before := harness.network.lastDialed(nodeAddr)
+		timers := harness.host.PendingTimers()
+		harness.nodeConns.redial(harness.now, n)
+		assert.Equal(t, timers, harness.host.PendingTimers(), "a node is dialed by one timer at a time")
 		for range 100 {
-			if r.pass(10); r.fake.lastTo(nodeAddr) != before {
+			harness.advance(10)
+			if harness.network.lastDialed(nodeAddr) != before {
 				break
 			}
 		}
-		require.Greater(t, r.fake.lastTo(nodeAddr), before)
-		return r.fake.lastTo(nodeAddr)
+		require.Greater(t, harness.network.lastDialed(nodeAddr), before)
+		return harness.network.lastDialed(nodeAddr)
 	}
-	r.close(r.node, errReset)
-	r.close(redialed(), errRefused)
+	harness.closeConn(harness.nodeConn, errReset)
+	harness.closeConn(redialed(), errRefused)
 	assert.Equal(t, 1, n.dialing.failures)
 	assert.True(t, n.dialing.refusing)
-	r.close(redialed(), transport.ErrDialFailed)
+	harness.closeConn(redialed(), transport.ErrDialFailed)
 	assert.Equal(t, 2, n.dialing.failures)
-	assert.False(t, n.dialing.refusing, "somebody may listen")
-	r.close(redialed(), errRefused)
-	r.Opened(r.at, redialed())
+	assert.False(t, n.dialing.refusing, "the dial failed for another reason")
+	harness.closeConn(redialed(), errRefused)
+	harness.openConn(redialed())
 	assert.Zero(t, n.dialing.failures)
 	assert.False(t, n.dialing.refusing)
-	assert.Equal(t, []string{"confirmation"}, r.sentAbout(r.client, 6), "its workload runs on")
+	assert.Equal(t, []sentMessage{aConfirmation}, harness.sentAbout(harness.clientConn, 6), "its workload still runs")
 }
--- a/internal/frontend/platform/nodehealth_test.go
+++ b/internal/frontend/platform/nodehealth_test.go
@@ -8,34 +8,35 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-func TestHealthChecker_ReplyCompletesTheCheck(t *testing.T) {
-	r := newRig(t)
-	n := r.nodes.byName["s-01"]
-	r.healthChecks.check(n.id)
-	assert.Equal(t, []any{codec.NewHealthCheck(1)}, r.fake.sent[r.node])
-	assert.Equal(t, 1, r.healthChecks.pending.Len())
+func TestHealthChecker_Reply_CompletesTheCheck(t *testing.T) {
+	harness := newHarness(t)
+	n := harness.nodes.byName[nodeName]
+	harness.healthChecks.check(n.id)
+	assert.Equal(t, []any{codec.NewHealthCheck(1)}, harness.network.sent[harness.nodeConn])
+	assert.Equal(t, 1, harness.healthChecks.pending.Len())
 	other := &node{id: n.id + 1}
-	assert.False(t, r.healthChecks.completed(r.at, other, codec.NewHealthReply(1, true)), "of another node")
-	r.receive(r.node, codec.NewHealthReply(1, true))
-	assert.Zero(t, r.healthChecks.pending.Len())
-	r.receive(r.node, codec.NewHealthReply(1, true)) // once more, which changes nothing
+	assert.False(t, harness.healthChecks.completed(harness.now, other, codec.NewHealthReply(1, true)),
+		"of another node")
+	harness.receive(harness.nodeConn, codec.NewHealthReply(1, true))
+	assert.Zero(t, harness.healthChecks.pending.Len())
+	harness.receive(harness.nodeConn, codec.NewHealthReply(1, true)) // a repeated reply changes nothing
 }
 
-func TestHealthChecker_CheckFailsWithoutAReplyOrAConnection(t *testing.T) {
-	r := newRig(t)
-	n := r.nodes.byName["s-01"]
-	r.healthChecks.check(n.id)
-	r.pass(endGrace + 10)
-	assert.Zero(t, r.healthChecks.pending.Len(), "no reply within the time")
-	r.healthChecks.check(n.id + 1)
-	r.pass(10)
-	assert.Zero(t, r.healthChecks.pending.Len(), "an unknown node")
+func TestHealthChecker_NoReplyOrNoConnection_CheckFails(t *testing.T) {
+	harness := newHarness(t)
+	n := harness.nodes.byName[nodeName]
+	harness.healthChecks.check(n.id)
+	harness.advance(endGrace + 10)
+	assert.Zero(t, harness.healthChecks.pending.Len(), "no reply within the time")
+	harness.healthChecks.check(n.id + 1)
+	harness.advance(10)
+	assert.Zero(t, harness.healthChecks.pending.Len(), "an unknown node")
 
-	r.close(r.node, errReset)
-	r.healthChecks.check(n.id)
-	dialed := r.fake.lastTo(nodeAddr)
-	r.pass(endGrace + 10)
-	assert.Zero(t, r.healthChecks.pending.Len(), "no connection within the time")
-	r.Opened(r.at, dialed)
-	assert.Empty(t, r.fake.sent[dialed], "nobody waits for its reply")
+	harness.closeConn(harness.nodeConn, errReset)
+	harness.healthChecks.check(n.id)
+	dialed := harness.network.lastDialed(nodeAddr)
+	harness.advance(endGrace + 10)
+	assert.Zero(t, harness.healthChecks.pending.Len(), "no connection within the time")
+	harness.openConn(dialed)
+	assert.Empty(t, harness.network.sent[dialed], "the check has failed already")
 }
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -9,7 +9,7 @@
 	"grebeglade/placement"
 )
 
-func TestNodeTable_InternedIDDependsOnTheNameAlone(t *testing.T) {
+func TestNodeTable_Intern_IDDependsOnTheNameAlone(t *testing.T) {
 	one := newNodeTable()
 	other := newNodeTable()
 	other.intern("s-02")
@@ -19,14 +19,14 @@
 	assert.Equal(t, placement.Removed, n.entry.State, "until the list names it")
 }
 
-func TestNodeTable_InternedIDIsFree(t *testing.T) {
+func TestNodeTable_InternWithTakenID_UsesTheNext(t *testing.T) {
 	table := newNodeTable()
 	id := table.intern("s-01").id
 	delete(table.byName, "s-01") // so that another name has the same hash
 	assert.Equal(t, id+1, table.intern("s-01").id)
 }
 
-func TestNodeTable_AssignAddrDisplacesTheNodeThatHadIt(t *testing.T) {
+func TestNodeTable_AssignAddr_DisplacesTheNodeThatHadIt(t *testing.T) {
 	table := newNodeTable()
 	first := table.intern("s-01")
 	second := table.intern("s-02")
@@ -35,7 +35,7 @@
 	first.entry.State = placement.Ready
 	second.entry.State = placement.Draining
 	assert.Nil(t, table.assignAddr(first, "a"))
-	assert.Nil(t, table.assignAddr(first, "a"), "its own address displaces nobody")
+	assert.Nil(t, table.assignAddr(first, "a"), "its own address displaces no node")
 	assert.Same(t, first, table.assignAddr(second, "a"))
 	assert.Empty(t, first.addr)
 	assert.Equal(t, map[string]*node{"a": second}, table.byAddr)
@@ -43,7 +43,7 @@
 	assert.Equal(t, map[string]*node{"b": second}, table.byAddr)
 }
 
-func TestNodeTable_OnlyANodeThatIsGoneAndEmptyIsRemovable(t *testing.T) {
+func TestNodeTable_Removable_OnlyIfRemovedAndWithoutWorkloads(t *testing.T) {
 	table := newNodeTable()
 	n := table.intern("s-01")
 	assert.True(t, table.removable(n))
@@ -54,26 +54,26 @@
 	assert.False(t, table.removable(n))
 	n.entry.State = placement.Removed
 	table.remove(n)
-	assert.False(t, table.removable(n), "it was removed")
+	assert.False(t, table.removable(n), "it was removed before")
 	assert.False(t, table.holds(n))
 	assert.Empty(t, table.byName)
 }
 
-func TestNode_NeededForWorkloadsReleasesAndWaiters(t *testing.T) {
+func TestNode_Needed_ForWorkloadsReleasesAndWaiters(t *testing.T) {
 	assert.False(t, (&node{}).needed())
 	assert.True(t, (&node{workloads: map[placement.WorkloadID]*workload{1: {}}}).needed())
 	assert.True(t, (&node{pendingReleases: []codec.Tag{1}}).needed())
-	assert.True(t, (&node{waiters: []connWaiter{unused{}}}).needed())
+	assert.True(t, (&node{waiters: []connWaiter{unusedWaiter{}}}).needed())
 }
 
-func TestNodeTable_ReleasesToAnUnreachableNodeAreNotPending(t *testing.T) {
+func TestNodeTable_ReleasesToAnUnreachableNode_NotPending(t *testing.T) {
 	table := newNodeTable()
 	n := table.intern("s-01")
 	assert.False(t, table.releasesPending())
 	n.pendingReleases = []codec.Tag{1}
-	assert.False(t, table.releasesPending(), "it is gone")
+	assert.False(t, table.releasesPending(), "the node is removed")
 	n.entry.State = placement.Draining
-	assert.False(t, table.releasesPending(), "it has no address")
+	assert.False(t, table.releasesPending(), "the node has no address")
 	table.assignAddr(n, "a")
 	assert.True(t, table.releasesPending())
 }
--- a/internal/frontend/platform/subscription_test.go
+++ b/internal/frontend/platform/subscription_test.go
@@ -9,89 +9,96 @@
 	"grebeglade/placement"
 )
 
-func TestSubscription_ResumesOverBreaksSilenceAndNewAddresses(t *testing.T) {
-	r := newRig(t)
-	first := r.fake.lastTo(discoveryAddr)
-	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, r.fake.sent[first])
-	r.publishNode(2, "Terminating")
-	r.close(first, errReset)
-	r.pass(200)
-	second := r.fake.lastTo(discoveryAddr)
-	r.Opened(r.at, second)
-	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 2}}, r.fake.sent[second])
-	r.publishNode(1, "Ready")
-	assert.Equal(t, placement.Draining, r.nodes.byName["s-01"].entry.State, "an earlier revision is passed over")
-	r.pass(silenceTimeout + 200)
-	third := r.fake.lastTo(discoveryAddr)
+// Addresses to which the discovery service moves, one after the other.
+const (
+	movedAddr = "127.0.0.7:7070"
+	lastAddr  = "127.0.0.6:7070"
+)
+
+func TestSubscription_BreakOrSilenceOrNewAddress_Resumed(t *testing.T) {
+	harness := newHarness(t)
+	first := harness.discoveryConn()
+	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, harness.network.sent[first])
+	harness.publishNode(2, "Terminating")
+	harness.closeConn(first, errReset)
+	harness.advance(200)
+	second := harness.discoveryConn()
+	harness.openConn(second)
+	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 2}}, harness.network.sent[second])
+	harness.publishNode(1, "Ready")
+	assert.Equal(t, placement.Draining, harness.nodes.byName[nodeName].entry.State, "an earlier revision is skipped")
+	harness.advance(silenceTimeout + 200)
+	third := harness.discoveryConn()
 	assert.Greater(t, third, second, "the service was silent")
-	r.Reload(r.at, "127.0.0.7:7070")
-	assert.True(t, r.fake.closed[third])
-	assert.NotZero(t, r.fake.lastTo("127.0.0.7:7070"))
+	harness.Reload(harness.now, movedAddr)
+	assert.True(t, harness.network.closed[third])
+	assert.NotZero(t, harness.network.lastDialed(movedAddr))
 }
 
-// A discovery service that moves twice is followed at its last address, from the last complete event on; what the old
-// one still has on its way is sent by the new one, and a drain published at once applies.
-func TestSubscription_ReloadFollowsTheLastAddress(t *testing.T) {
-	r := newRig(t)
-	old := r.fake.lastTo(discoveryAddr)
-	r.Reload(r.at, "127.0.0.7:7070")
-	r.Reload(r.at, "127.0.0.6:7070")
-	last := r.fake.lastTo("127.0.0.6:7070")
-	assert.True(t, r.fake.closed[old])
-	assert.True(t, r.fake.closed[r.fake.lastTo("127.0.0.7:7070")])
-	r.Opened(r.at, last)
-	assert.Equal(t, []any{codec.Subscribe{Host: "127.0.0.6:7070", After: 1}}, r.fake.sent[last])
-	r.Received(r.at, old, batchOf(5, nodeEvent(5, "Ready", 0)))
-	r.Received(r.at, last, batchOf(2, nodeEvent(2, "Terminating", 0)))
-	r.receive(r.client, request(7))
-	assert.Empty(t, r.sentAbout(r.node, 7))
-	assert.Equal(t, []string{"termination 34"}, r.sentAbout(r.client, 7))
+// After two changes of the discovery service's address, the subscription continues at the last one, behind the last
+// complete event. Events that arrive late from the first are ignored, since the last sends them again; a drain that
+// it publishes at once applies.
+func TestSubscription_ReloadedTwice_LastAddressFollowed(t *testing.T) {
+	harness := newHarness(t)
+	old := harness.discoveryConn()
+	harness.Reload(harness.now, movedAddr)
+	harness.Reload(harness.now, lastAddr)
+	last := harness.network.lastDialed(lastAddr)
+	assert.True(t, harness.network.closed[old])
+	assert.True(t, harness.network.closed[harness.network.lastDialed(movedAddr)])
+	harness.openConn(last)
+	assert.Equal(t, []any{codec.Subscribe{Host: lastAddr, After: 1}}, harness.network.sent[last])
+	harness.Received(harness.now, old, batchOf(5, nodeEvent(5, "Ready", 0)))
+	harness.Received(harness.now, last, batchOf(2, nodeEvent(2, "Terminating", 0)))
+	harness.receive(harness.clientConn, request(7))
+	assert.Empty(t, harness.sentAbout(harness.nodeConn, 7))
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 7))
 }
 
-func TestSubscription_MalformedEventIsReadAgainThenPassedOver(t *testing.T) {
-	r := newRig(t)
+func TestSubscription_MalformedEvent_RequestedAgainThenSkipped(t *testing.T) {
+	harness := newHarness(t)
 	batch := &codec.EventBatch{Events: []codec.Event{
-		{Revision: 2, Data: []byte(`{"hosts":{"endpoints":[{"name":"s-01","status":"Lost"}]}}`)},
+		{Revision: 2, Data: deltaEvent(`{"name":"s-01","status":"Lost"}`)},
 		{Revision: 3, Data: nodeEvent(3, "Terminating", 0)},
 	}}
 	for range maxMalformed - 1 {
-		conn := r.fake.lastTo(discoveryAddr)
-		r.Received(r.at, conn, batch)
-		assert.True(t, r.fake.closed[conn])
-		assert.Equal(t, placement.Ready, r.nodes.byName["s-01"].entry.State, "what follows it waits")
-		again := r.fake.lastTo(discoveryAddr)
+		conn := harness.discoveryConn()
+		harness.Received(harness.now, conn, batch)
+		assert.True(t, harness.network.closed[conn])
+		assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State, "later events wait")
+		again := harness.discoveryConn()
 		assert.Greater(t, again, conn)
-		r.Opened(r.at, again)
-		assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, r.fake.sent[again])
+		harness.openConn(again)
+		assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, harness.network.sent[again])
 	}
-	conn := r.fake.lastTo(discoveryAddr)
-	r.Received(r.at, conn, batch)
-	assert.False(t, r.fake.closed[conn])
-	assert.Equal(t, placement.Draining, r.nodes.byName["s-01"].entry.State)
-	assert.Equal(t, uint64(3), r.subscription.revision)
-	assert.Zero(t, r.subscription.malformed)
+	conn := harness.discoveryConn()
+	harness.Received(harness.now, conn, batch)
+	assert.False(t, harness.network.closed[conn])
+	assert.Equal(t, placement.Draining, harness.nodes.byName[nodeName].entry.State)
+	assert.Equal(t, uint64(3), harness.subscription.revision)
+	assert.Zero(t, harness.subscription.malformed)
 }
 
-func TestSubscription_DelayGrowsWithFailures(t *testing.T) {
-	r := newRig(t)
+func TestSubscription_Failures_DelayGrows(t *testing.T) {
+	harness := newHarness(t)
 	attempts := 0
-	for last := r.fake.lastTo(discoveryAddr); r.at < 10e3; r.pass(10) {
-		if !r.fake.closed[last] {
-			r.close(last, errClosed)
-			r.fake.closed[last] = true
+	for last := harness.discoveryConn(); harness.now < 10e3; harness.advance(10) {
+		if !harness.network.closed[last] {
+			harness.closeConn(last, errClosed)
+			harness.network.closed[last] = true
 			attempts++
 		}
-		last = r.fake.lastTo(discoveryAddr)
+		last = harness.discoveryConn()
 	}
-	assert.InDelta(t, 22, attempts, 5, "about every 0.5 s in the end")
+	assert.InDelta(t, 22, attempts, 5, "about one every 0.5 s, after shorter delays")
 }
 
-func TestSubscription_EventOrNewAddressEndsARowOfFailures(t *testing.T) {
-	r := newRig(t)
-	r.subscription.failures = 5
-	r.publishNode(2, "Ready")
-	assert.Zero(t, r.subscription.failures)
-	r.subscription.failures = 5
-	r.Reload(r.at, "127.0.0.7:7070")
-	assert.Zero(t, r.subscription.failures)
+func TestSubscription_EventOrNewAddress_ResetsFailures(t *testing.T) {
+	harness := newHarness(t)
+	harness.subscription.failures = 5
+	harness.publishNode(2, "Ready")
+	assert.Zero(t, harness.subscription.failures)
+	harness.subscription.failures = 5
+	harness.Reload(harness.now, movedAddr)
+	assert.Zero(t, harness.subscription.failures)
 }
