--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -12,12 +12,13 @@
 )
 
 const (
+	// maxKeyLength bounds an idempotency key, in bytes.
 	maxKeyLength = 64
-	// maxAmount bounds every figure of a request. As a timeout in ms it is a day.
+	// maxAmount bounds every number of a request. As a timeout in ms it is a day.
 	maxAmount = 86400e3
 )
 
-// ClientCodec is the encoding that clients speak: one JSON object a line.
+// ClientCodec is the encoding for clients: one JSON object a line.
 type ClientCodec struct{}
 
 // line is a message from a client.
@@ -26,7 +27,7 @@
 	Tag  string                     `json:"tag"`
 	Opts map[string]json.RawMessage `json:"opts"` // strings or numbers
 	RC   *Cause                     `json:"rc"`
-	Blob *string                    `json:"blob"`
+	Blob *string                    `json:"blob"` // the description
 }
 
 // replyLine is a message to a client. It has no options.
@@ -35,19 +36,25 @@
 	Tag  string   `json:"tag"`
 	Opts struct{} `json:"opts"`
 	RC   *Cause   `json:"rc,omitempty"`
-	Blob *string  `json:"blob,omitempty"`
+	Blob *string  `json:"blob,omitempty"` // the description
 }
 
-// options are the options of a line that the allocator knows, as text; an absent one is empty.
-type options struct{ class, left, key, retry, extras string }
+// options are the known options of a line, as text. An absent one is empty.
+type options struct {
+	class   string
+	timeout string
+	key     string
+	retry   string
+	extras  string // a list of the form name:value;name:value
+}
 
-// field returns the option of that name, or nil for an unknown name.
+// field returns the option that has the name in the protocol, or nil for an unknown name.
 func (o *options) field(name string) *string {
 	switch name {
 	case "class":
 		return &o.class
 	case "left":
-		return &o.left
+		return &o.timeout
 	case "key":
 		return &o.key
 	case "retry":
@@ -59,7 +66,7 @@
 }
 
 // Decode decodes the first line of b into a Message, and returns how many bytes it took.
-func (ClientCodec) Decode(b []byte) (m any, n int, err error) {
+func (ClientCodec) Decode(b []byte) (message any, n int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxMessageSize)], '\n')
 	if end < 0 && len(b) >= MaxMessageSize {
 		return nil, 0, fmt.Errorf("%w: no line ends within %d bytes", ErrTooLong, MaxMessageSize)
@@ -67,12 +74,14 @@
 	if end < 0 {
 		return nil, 0, nil
 	}
-	if m, err = decodeLine(b[:end]); err != nil {
+	message, err = decodeLine(b[:end])
+	if err != nil {
 		return nil, 0, err
 	}
-	return m, end + 1, nil
+	return message, end + 1, nil
 }
 
+// decodeLine decodes a line without its end.
 func decodeLine(b []byte) (Message, error) {
 	var l line
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -90,98 +99,127 @@
 	if err != nil {
 		return nil, err
 	}
-	var cause Cause
-	if l.RC != nil {
-		cause = *l.RC
-	}
-	header := Header{Tag: tag}
+	return l.message(v, Header{Tag: tag}, opts), nil
+}
+
+// message returns the line as the message that its verb names.
+func (l *line) message(v verb, header Header, opts options) Message {
 	switch v {
 	case verbStart:
-		return decodeRequest(header, opts, l.Blob), nil
+		return decodeRequest(header, opts, l.Blob)
 	case verbStarted:
-		c := &Confirmation{Header: header}
-		if l.Blob != nil {
-			c.Description = NewDescription(*l.Blob)
-		}
-		return c, nil
+		return &Confirmation{Header: header, Description: l.description()}
 	case verbFinish:
-		return &Termination{Header: header, Cause: cause}, nil
+		return &Termination{Header: header, Cause: l.cause()}
 	case verbMove:
-		return &Migration{header}, nil
+		return &Migration{header}
 	case verbEcho:
-		return &HealthCheck{header}, nil
+		return &HealthCheck{header}
 	case verbEchoed:
-		return &HealthReply{Header: header, Passed: cause == causePassed}, nil
+		return &HealthReply{Header: header, Passed: l.cause() == causePassed}
+	case verbPending, verbFinished, verbNotice:
+	}
+	return &Ignorable{header}
+}
+
+// cause returns the cause, or CauseNone if the line has none.
+func (l *line) cause() Cause {
+	if l.RC == nil {
+		return CauseNone
 	}
-	return &Ignorable{header}, nil
+	return *l.RC
 }
 
+// description returns the description, which may be absent.
+func (l *line) description() Description {
+	if l.Blob == nil {
+		return Description{}
+	}
+	return NewDescription(*l.Blob)
+}
+
+// decodeOptions returns the known options. Their values may be strings or numbers; others are ignored whatever they
+// are.
 func decodeOptions(raw map[string]json.RawMessage) (options, error) {
-	var o options
+	var opts options
 	for name, value := range raw {
-		field := o.field(name)
+		field := opts.field(name)
 		if field == nil {
 			continue
 		}
-		var err error
-		if value[0] == '"' {
-			err = json.Unmarshal(value, field)
-		} else {
-			var n json.Number
-			err = json.Unmarshal(value, &n)
-			*field = n.String()
-		}
-		if err != nil {
-			return o, fmt.Errorf("%w: opts.%s must be a string or a number: %w", ErrMalformed, name, err)
+		if err := decodeOption(name, value, field); err != nil {
+			return opts, err
 		}
 	}
-	return o, nil
+	return opts, nil
 }
 
-// decodeRequest checks a request. A figure out of range must not reach the placement decisions: it would stay in their
-// sums.
-func decodeRequest(h Header, o options, description *string) Message {
-	task, node, err := decodeTask(o, description)
+// decodeOption decodes a string or a number as text.
+func decodeOption(name string, value json.RawMessage, text *string) error {
+	var err error
+	if value[0] == '"' {
+		err = json.Unmarshal(value, text)
+	} else {
+		var number json.Number
+		err = json.Unmarshal(value, &number)
+		*text = number.String()
+	}
 	if err != nil {
-		return &Invalid{Header: h, Err: err}
+		return fmt.Errorf("%w: opts.%s must be a string or a number: %w", ErrMalformed, name, err)
+	}
+	return nil
+}
+
+// decodeRequest checks a request. A number out of range must not reach the placement decisions: it would stay in the
+// sums that they depend on.
+func decodeRequest(header Header, opts options, description *string) Message {
+	task, node, err := decodeTask(opts, description)
+	if err != nil {
+		return &Invalid{Header: header, Err: err}
 	}
 	if node != "" {
 		return &AdoptRequest{
-			Header: h,
+			Header: header,
 			Task:   task,
 			Node:   node,
 		}
 	}
-	timeout, err := parseAmount("left", o.left)
+	timeout, err := parseAmount("left", opts.timeout)
 	if err != nil {
-		return &Invalid{Header: h, Err: err}
+		return &Invalid{Header: header, Err: err}
 	}
 	return &PlaceRequest{
-		Header:  h,
+		Header:  header,
 		Task:    task,
 		Timeout: placement.Millis(timeout),
 	}
 }
 
 // decodeTask returns the workload of a request and, if a node runs it already, the node's name.
-func decodeTask(o options, description *string) (t Task, node string, err error) {
+func decodeTask(opts options, description *string) (task Task, node string, err error) {
 	if description == nil {
-		return t, "", &FieldError{Field: "blob", Want: "the description of the workload"}
+		return task, "", &FieldError{Field: "blob", Want: "the description of the workload"}
 	}
-	if len(o.key) == 0 || len(o.key) > maxKeyLength {
-		return t, "", &FieldError{
+	if len(opts.key) == 0 || len(opts.key) > maxKeyLength {
+		return task, "", &FieldError{
 			Field: "key",
-			Value: o.key,
+			Value: opts.key,
 			Want:  "of 1 to 64 bytes",
 		}
 	}
-	t = Task{
-		Class:       o.class,
-		Key:         o.key,
+	task = Task{
+		Class:       opts.class,
+		Key:         opts.key,
 		Description: *description,
-		Retried:     o.retry != "" && o.retry != "0",
+		Retried:     opts.retry != "" && opts.retry != "0",
 	}
-	err = forEachPair(o.extras, func(name, value string) (err error) {
+	node, err = task.setExtras(opts.extras)
+	return task, node, err
+}
+
+// setExtras sets the cores, the memory and the service, and returns the node that runs the workload already, or none.
+func (t *Task) setExtras(extras string) (node string, err error) {
+	err = forEachPair(extras, func(name, value string) (err error) {
 		switch name {
 		case "cores":
 			t.Cores, err = parseAmount(name, value)
@@ -197,31 +235,33 @@
 	if err == nil && (t.Cores == 0 || t.Memory == 0) {
 		err = &FieldError{
 			Field: "extras",
-			Value: o.extras,
+			Value: extras,
 			Want:  "a list with the cores and the memory",
 		}
 	}
-	return t, node, err
+	return node, err
 }
 
-func parseService(v string) (uint64, error) {
-	n, err := strconv.ParseUint(v, 16, 64)
+// parseService decodes the number of a service.
+func parseService(text string) (uint64, error) {
+	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
 		return 0, &FieldError{
 			Field: "service",
-			Value: v,
+			Value: text,
 			Want:  "a hexadecimal number",
 		}
 	}
 	return n, nil
 }
 
-func parseAmount(name, v string) (float64, error) {
-	n, err := strconv.ParseFloat(v, 64)
+// parseAmount decodes a number above 0 and up to maxAmount.
+func parseAmount(name, text string) (float64, error) {
+	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(n) || n <= 0 || n > maxAmount {
 		return 0, &FieldError{
 			Field: name,
-			Value: v,
+			Value: text,
 			Want:  fmt.Sprintf("a number above 0, and at most %v", float64(maxAmount)),
 		}
 	}
@@ -229,39 +269,53 @@
 }
 
 // Append appends the line of a message to a client, which must be a Confirmation, Termination, Migration, HealthCheck
-// or HealthReply.
-func (ClientCodec) Append(b []byte, m any) ([]byte, error) {
-	var l replyLine
-	var v verb
-	switch m := m.(type) {
+// or HealthReply. On an error it returns b as it was.
+func (ClientCodec) Append(b []byte, message any) ([]byte, error) {
+	reply, err := newReplyLine(message)
+	if err != nil {
+		return b, err
+	}
+	var text strings.Builder
+	encoder := json.NewEncoder(&text)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(reply); err != nil {
+		return b, fmt.Errorf("encode line: %w", err)
+	}
+	return append(b, text.String()...), nil
+}
+
+// newReplyLine returns the line of a message to a client.
+func newReplyLine(message any) (replyLine, error) {
+	switch message := message.(type) {
 	case *Confirmation:
-		v = verbStarted
-		if text, present := m.Description.Text(); present {
-			l.Blob = &text
+		reply := replyTo(message.Tag, verbStarted)
+		if text, present := message.Description.Text(); present {
+			reply.Blob = &text
 		}
+		return reply, nil
 	case *Termination:
-		v = verbFinish
-		l.RC = &m.Cause
+		return replyWithCause(message.Tag, verbFinish, &message.Cause), nil
 	case *Migration:
-		v = verbMove
+		return replyTo(message.Tag, verbMove), nil
 	case *HealthCheck:
 		cause := causeFailed
-		v = verbEcho
-		l.RC = &cause
+		return replyWithCause(message.Tag, verbEcho, &cause), nil
 	case *HealthReply:
-		cause := m.cause()
-		v = verbEchoed
-		l.RC = &cause
+		cause := message.cause()
+		return replyWithCause(message.Tag, verbEchoed, &cause), nil
 	default:
-		return b, fmt.Errorf("%w: %T to a client", ErrUnsupported, m)
-	}
-	l.Verb = verbNames[v]
-	l.Tag = m.(Message).Envelope().Tag.String()
-	var out strings.Builder
-	e := json.NewEncoder(&out)
-	e.SetEscapeHTML(false)
-	if err := e.Encode(l); err != nil {
-		return b, fmt.Errorf("encode line: %w", err)
+		return replyLine{}, fmt.Errorf("%w: %T to a client", ErrUnsupported, message)
 	}
-	return append(b, out.String()...), nil
+}
+
+// replyTo returns a line without a cause.
+func replyTo(tag Tag, v verb) replyLine {
+	return replyLine{Verb: verbNames[v], Tag: tag.String()}
+}
+
+// replyWithCause returns a line with a cause.
+func replyWithCause(tag Tag, v verb, cause *Cause) replyLine {
+	reply := replyTo(tag, v)
+	reply.RC = cause
+	return reply
 }
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -1,9 +1,9 @@
-// Package codec encodes and decodes the three encodings of the platform's protocol: lines of JSON with clients, binary
-// messages with nodes, and the discovery service's stream of server-sent events.
+// Package codec implements the three encodings of the platform's protocol: lines of JSON with clients, binary messages
+// with nodes, and the discovery service's stream of server-sent events.
 //
-// Each message is decoded once, into a struct of named and checked fields. What cannot be framed is an error, after
-// which nothing that follows on the connection can be trusted. A message that is framed correctly and whose content
-// breaks the protocol is decoded into an Invalid, so that the receiver can name the workload that it rejects.
+// Each message is decoded once, into a struct of checked fields. Bytes that cannot be framed are an error, after
+// which nothing that follows on the connection can be trusted. A message that is framed correctly, but breaks the
+// protocol, is decoded into an Invalid, so that the receiver can name the workload that it rejects.
 //
 // ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds
 // is bounded.
@@ -23,15 +23,15 @@
 var (
 	// ErrTooLong means that a message exceeds the size that the protocol allows.
 	ErrTooLong = errors.New("message exceeds its size limit")
-	// ErrMalformed means that bytes are no message of the protocol.
+	// ErrMalformed means that the bytes are not a message of the protocol.
 	ErrMalformed = errors.New("malformed message")
-	// ErrUnsupported means that an encoding has no form for a message.
+	// ErrUnsupported means that an encoding cannot express a message.
 	ErrUnsupported = errors.New("message cannot be sent on this kind of connection")
 	// ErrUnexpected means that the peer may not send a message of this kind.
 	ErrUnexpected = errors.New("message is not expected from this peer")
 )
 
-// FieldError is a field of a message whose value cannot be used.
+// FieldError reports a field of a message whose value is invalid.
 type FieldError struct {
 	Field string // as the protocol names it
 	Value string
@@ -48,31 +48,34 @@
 // String returns the tag as 16 hexadecimal digits.
 func (t Tag) String() string { return fmt.Sprintf("%016x", uint64(t)) }
 
+// tagDigits is the length of a tag in the encoding for clients.
 const tagDigits = 16
 
-func parseTag(s string) (Tag, error) {
-	n, err := strconv.ParseUint(s, 16, 64)
-	if err != nil || len(s) != tagDigits {
-		return 0, fmt.Errorf("%w: tag %.40q is not %d hexadecimal digits", ErrMalformed, s, tagDigits)
+// parseTag decodes a tag of the encoding for clients.
+func parseTag(text string) (Tag, error) {
+	n, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != tagDigits {
+		return 0, fmt.Errorf("%w: tag %.40q is not %d hexadecimal digits", ErrMalformed, text, tagDigits)
 	}
 	return Tag(n), nil
 }
 
-// verb is the type of a message; its number is that of the binary encoding. The names are the protocol's own.
+// verb is the type of a message. Its numbers are those of the binary encoding, its names are the protocol's.
 type verb uint8
 
 const (
-	verbStart    verb = 1
-	verbPending  verb = 6
-	verbStarted  verb = 9
-	verbFinish   verb = 12
-	verbFinished verb = 16
-	verbNotice   verb = 44
-	verbMove     verb = 51
-	verbEcho     verb = 52
-	verbEchoed   verb = 53
+	verbStart    verb = 1  // from a client: PlaceRequest or AdoptRequest; to a node: Offer
+	verbPending  verb = 6  // progress
+	verbStarted  verb = 9  // Confirmation
+	verbFinish   verb = 12 // Termination
+	verbFinished verb = 16 // acknowledges verbFinish
+	verbNotice   verb = 44 // Note
+	verbMove     verb = 51 // Migration
+	verbEcho     verb = 52 // HealthCheck
+	verbEchoed   verb = 53 // HealthReply
 )
 
+// verbNames are the names of all verbs in the encoding for clients.
 var verbNames = map[verb]string{
 	verbStart:    "START",
 	verbPending:  "PENDING",
@@ -85,6 +88,7 @@
 	verbEchoed:   "ECHOED",
 }
 
+// verbsByName is the inverse of verbNames.
 var verbsByName = func() map[string]verb {
 	byName := make(map[string]verb, len(verbNames))
 	for v, name := range verbNames {
@@ -99,6 +103,7 @@
 	causePassed Cause = 1
 )
 
+// cause returns the cause that states the result.
 func (r *HealthReply) cause() Cause {
 	if r.Passed {
 		return causePassed
@@ -106,15 +111,16 @@
 	return causeFailed
 }
 
-func checkUTF8(s string) error {
-	if !utf8.ValidString(s) {
-		return fmt.Errorf("%w: text is not UTF-8: %.40q", ErrMalformed, s)
+// checkUTF8 returns an error if the text is not UTF-8.
+func checkUTF8(text string) error {
+	if !utf8.ValidString(text) {
+		return fmt.Errorf("%w: text is not UTF-8: %.40q", ErrMalformed, text)
 	}
 	return nil
 }
 
-// forEachPair calls do with the parts of a list of the form name:value;name:value, until one fails.
-func forEachPair(list string, do func(name, value string) error) error {
+// forEachPair calls handle with each pair of a list of the form name:value;name:value, until one call fails.
+func forEachPair(list string, handle func(name, value string) error) error {
 	for part := range strings.SplitSeq(list, ";") {
 		if part == "" {
 			continue
@@ -123,7 +129,7 @@
 		if !ok {
 			return fmt.Errorf("%w: %.40q is not name:value", ErrMalformed, part)
 		}
-		if err := do(name, value); err != nil {
+		if err := handle(name, value); err != nil {
 			return err
 		}
 	}
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -9,15 +9,18 @@
 )
 
 const (
-	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes: a list of some thousands
-	// of nodes.
+	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes. A list of some thousands of
+	// nodes fits.
 	maxEventSize = 1 << 20
 	// maxChunkHeader bounds the line in front of a chunk, in bytes.
 	maxChunkHeader = 32
+
+	lineEnd = "\r\n"            // of HTTP
+	headEnd = lineEnd + lineEnd // of the head of a response
 )
 
 var (
-	// ErrStatus means that the discovery service answered with another status than 200.
+	// ErrStatus means that the status of the discovery service's response is not 200.
 	ErrStatus = errors.New("unexpected status of the discovery service")
 	// ErrStreamEnded means that the discovery service ended its stream of events.
 	ErrStreamEnded = errors.New("the stream of events has ended")
@@ -30,7 +33,7 @@
 }
 
 // EventBatch holds the complete events of one read from the discovery service. An empty batch only shows that the
-// service is alive.
+// service responds.
 type EventBatch struct{ Events []Event }
 
 // Event is one numbered change.
@@ -42,34 +45,35 @@
 // DiscoveryCodec is the encoding of one connection to the discovery service: an HTTP request, then server-sent events.
 // The zero value is ready for a new connection.
 type DiscoveryCodec struct {
-	streaming bool // the head of the response is over
-	chunked   bool
-	body      []byte // of chunks, up to the end of the last line not yet complete
+	streaming bool   // the head of the response was decoded
+	chunked   bool   // the response has the chunked transfer encoding
+	body      []byte // of chunks: the part of the body that is not decoded yet, which is an incomplete line
 	event     pendingEvent
 }
 
-// pendingEvent is an event of which some lines have come.
+// pendingEvent is an event of which some lines were decoded.
 type pendingEvent struct {
 	Event
-	hasID, hasData bool
+	hasID   bool
+	hasData bool
 }
 
-// Urgent has the transport hand over events ahead of other messages: a drain applies from when the service has it,
-// however much waits.
+// Urgent has the transport deliver events ahead of other messages, as a drain applies from when it is published,
+// however many messages are queued.
 func (s *DiscoveryCodec) Urgent() {}
 
 // Append appends the HTTP request of a Subscribe.
-func (s *DiscoveryCodec) Append(b []byte, m any) ([]byte, error) {
-	r, ok := m.(Subscribe)
+func (s *DiscoveryCodec) Append(b []byte, message any) ([]byte, error) {
+	subscribe, ok := message.(Subscribe)
 	if !ok {
-		return b, fmt.Errorf("%w: %T to the discovery service", ErrUnsupported, m)
+		return b, fmt.Errorf("%w: %T to the discovery service", ErrUnsupported, message)
 	}
 	return fmt.Appendf(b, "GET /journal HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
-		r.Host, r.After), nil
+		subscribe.Host, subscribe.After), nil
 }
 
 // Decode decodes what is complete at the beginning of b into an *EventBatch, and returns how many bytes it took.
-func (s *DiscoveryCodec) Decode(b []byte) (m any, n int, err error) {
+func (s *DiscoveryCodec) Decode(b []byte) (message any, n int, err error) {
 	var batch *EventBatch
 	switch {
 	case !s.streaming:
@@ -85,56 +89,68 @@
 	return batch, n, nil
 }
 
+// decodeHead decodes the head of the response, once it is complete.
 func (s *DiscoveryCodec) decodeHead(b []byte) (*EventBatch, int, error) {
-	end := bytes.Index(b, []byte("\r\n\r\n"))
+	end := bytes.Index(b, []byte(headEnd))
 	if end < 0 {
 		if len(b) > MaxMessageSize {
 			return nil, 0, fmt.Errorf("%w: the head of the response has no end", ErrTooLong)
 		}
 		return nil, 0, nil
 	}
-	lines := strings.Split(string(b[:end]), "\r\n")
-	if parts := strings.Fields(lines[0]); len(parts) < 2 || parts[1] != "200" {
+	lines := strings.Split(string(b[:end]), lineEnd)
+	statusLine := strings.Fields(lines[0])
+	if len(statusLine) < 2 || statusLine[1] != "200" {
 		return nil, 0, fmt.Errorf("%w: %.60q", ErrStatus, lines[0])
 	}
-	for _, l := range lines[1:] {
-		name, value, _ := strings.Cut(l, ":")
+	for _, header := range lines[1:] {
+		name, value, _ := strings.Cut(header, ":")
 		if strings.EqualFold(name, "Transfer-Encoding") && strings.Contains(strings.ToLower(value), "chunked") {
 			s.chunked = true
 		}
 	}
 	s.streaming = true
-	return &EventBatch{}, end + 4, nil
+	return &EventBatch{}, end + len(headEnd), nil
 }
 
+// decodeChunk decodes one chunk, once it is complete.
 func (s *DiscoveryCodec) decodeChunk(b []byte) (*EventBatch, int, error) {
-	end := bytes.Index(b[:min(len(b), maxChunkHeader)], []byte("\r\n"))
+	end := bytes.Index(b[:min(len(b), maxChunkHeader)], []byte(lineEnd))
 	if end < 0 {
 		if len(b) >= maxChunkHeader {
 			return nil, 0, fmt.Errorf("%w: a chunk has no size", ErrMalformed)
 		}
 		return nil, 0, nil
 	}
-	digits, _, _ := strings.Cut(string(b[:end]), ";")
-	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
-	if err != nil || size > maxEventSize {
-		return nil, 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
-	}
-	if size == 0 {
-		return nil, 0, ErrStreamEnded
+	size, err := parseChunkSize(string(b[:end]))
+	if err != nil {
+		return nil, 0, err
 	}
-	from := end + 2
-	to := end + 2 + int(size)
-	if len(b) < to+2 {
+	from := end + len(lineEnd)
+	to := from + size
+	if len(b) < to+len(lineEnd) {
 		return nil, 0, nil
 	}
 	s.body = append(s.body, b[from:to]...)
 	batch, used, err := s.decodeLines(s.body)
 	s.body = append(s.body[:0], s.body[used:]...)
-	return batch, to + 2, err
+	return batch, to + len(lineEnd), err
+}
+
+// parseChunkSize decodes the line in front of a chunk. A chunk of no bytes ends the stream.
+func parseChunkSize(header string) (int, error) {
+	digits, _, _ := strings.Cut(header, ";")
+	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
+	if err != nil || size > maxEventSize {
+		return 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
+	}
+	if size == 0 {
+		return 0, ErrStreamEnded
+	}
+	return int(size), nil
 }
 
-// decodeLines takes all complete lines, and returns how many bytes they were.
+// decodeLines decodes all complete lines, and returns how many bytes they took.
 func (s *DiscoveryCodec) decodeLines(b []byte) (*EventBatch, int, error) {
 	batch := &EventBatch{}
 	used := 0
@@ -143,10 +159,10 @@
 		if end < 0 {
 			break
 		}
-		l := bytes.TrimSuffix(b[used:used+end], []byte("\r"))
+		text := bytes.TrimSuffix(b[used:used+end], []byte("\r"))
 		used += end + 1
-		if len(l) > 0 {
-			if err := s.event.addLine(l); err != nil {
+		if len(text) > 0 {
+			if err := s.event.addLine(text); err != nil {
 				return nil, used, err
 			}
 			continue
@@ -163,16 +179,16 @@
 }
 
 // addLine adds a line that is not empty. Comments and unknown fields are ignored.
-func (e *pendingEvent) addLine(l []byte) error {
-	name, value, _ := bytes.Cut(l, []byte(":"))
+func (e *pendingEvent) addLine(text []byte) error {
+	name, value, _ := bytes.Cut(text, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
-		id, err := strconv.ParseUint(string(value), 10, 64)
+		revision, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
 			return fmt.Errorf("%w: event number %.40q", ErrMalformed, value)
 		}
-		e.Revision = id
+		e.Revision = revision
 		e.hasID = true
 	case "data":
 		if e.hasData {
--- /dev/null
+++ b/internal/frontend/platform/codec/discovery_test.go
@@ -0,0 +1,80 @@
+package codec
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// readStream decodes a stream that is received in pieces of the size, as an event loop would.
+func readStream(codec *DiscoveryCodec, text string, size int) (events []Event, err error) {
+	var received []byte
+	for at := 0; at < len(text); at += size {
+		received = append(received, text[at:min(len(text), at+size)]...)
+		for len(received) > 0 {
+			batch, n, err := codec.Decode(received)
+			if err != nil {
+				return events, err
+			}
+			if n == 0 {
+				break
+			}
+			if batch != nil {
+				events = append(events, batch.(*EventBatch).Events...)
+			}
+			received = received[n:]
+		}
+	}
+	return events, nil
+}
+
+func TestDiscoveryCodec_StreamInPieces_SameEvents(t *testing.T) {
+	const events = ": up\n\nid: 4\ndata: {\"a\":\ndata: 1}\n\n:\n\nid: 5\r\ndata:x\r\n\r\nid: 6\ndata: cut o"
+	plain := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n" + events
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n" +
+		"15\r\n" + events[:21] + "\r\n" +
+		"5\r\n" + events[21:26] + "\r\n" +
+		"27\r\n" + events[26:65] + "\r\n"
+	require.Len(t, events, 71)
+	for _, size := range []int{1, 7, 1000} {
+		for _, text := range []string{plain, chunked} {
+			got, err := readStream(&DiscoveryCodec{}, text, size)
+			require.NoError(t, err)
+			assert.Equal(t, []Event{{4, []byte("{\"a\":\n1}")}, {5, []byte("x")}}, got)
+		}
+	}
+}
+
+func TestDiscoveryCodec_MalformedStream_Error(t *testing.T) {
+	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const plain = "HTTP/1.1 200 OK\r\n\r\n"
+	for text, want := range map[string]error{
+		"HTTP/1.1 503 Busy\r\n\r\n":                          ErrStatus,
+		plain + "id: four\n":                                 ErrMalformed,
+		chunked + "zz\r\n":                                   ErrMalformed,
+		chunked + "fffff0000\r\n":                            ErrMalformed,
+		chunked + strings.Repeat("1", maxChunkHeader):        ErrMalformed,
+		chunked + "0\r\n\r\n":                                ErrStreamEnded,
+		strings.Repeat("x", MaxMessageSize+1):                ErrTooLong,
+		plain + strings.Repeat("x", maxEventSize+1):          ErrTooLong,
+		plain + "data: " + strings.Repeat("x", 2) + "\n\r\n": nil,
+	} {
+		_, err := readStream(&DiscoveryCodec{}, text, len(text))
+		if want == nil {
+			require.NoError(t, err)
+			continue
+		}
+		require.ErrorIs(t, err, want, "%.60q", text)
+	}
+}
+
+func TestDiscoveryCodec_Append_SubscribeBytes(t *testing.T) {
+	b, err := (&DiscoveryCodec{}).Append(nil, Subscribe{Host: "h:1", After: 41})
+	require.NoError(t, err)
+	assert.Equal(t, "GET /journal HTTP/1.1\r\n"+
+		"Host: h:1\r\n"+
+		"Accept: text/event-stream\r\n"+
+		"Last-Event-ID: 41\r\n\r\n", string(b))
+}
--- a/internal/frontend/platform/codec/endpoints.go
+++ b/internal/frontend/platform/codec/endpoints.go
@@ -7,7 +7,7 @@
 	"grebeglade/placement"
 )
 
-// EndpointUpdate is an event about the list of nodes: the whole list, or what has changed in it.
+// EndpointUpdate is an event about nodes: a snapshot of the list, or the endpoints that have changed.
 type EndpointUpdate struct {
 	Snapshot  bool
 	Endpoints []Endpoint
@@ -26,42 +26,55 @@
 	FreeMemory float64
 }
 
-// endpoint is an Endpoint in the encoding of the discovery service. Names match without regard to case.
+// eventData is the data of an Event, as far as it is about nodes. Keys match without regard to case.
+type eventData struct {
+	Hosts *struct { // nil if the event is not about nodes
+		Snapshot  bool
+		Endpoints []endpoint
+	}
+}
+
+// endpoint is an Endpoint in the encoding of the discovery service. Keys match without regard to case.
 type endpoint struct {
-	Name, Address, Zone, Type, Status string
-	Group                             uint16
-	SinceMs                           float64 `json:"since_ms"`
-	Room                              []float64
+	Name    string
+	Address string
+	Zone    string
+	Type    string
+	Status  string
+	Group   uint16
+	SinceMs float64   `json:"since_ms"`
+	Room    []float64 // free cores and free memory
 }
 
-var nodeStates = map[string]placement.NodeState{"Ready": placement.Ready, "Terminating": placement.Draining, "Gone": placement.Removed}
+// nodeStates are the states of nodes by their names in the protocol.
+var nodeStates = map[string]placement.NodeState{
+	"Ready":       placement.Ready,
+	"Terminating": placement.Draining,
+	"Gone":        placement.Removed,
+}
 
 // DecodeEndpoints decodes the data of an Event. It returns false if the event is not about nodes.
-func DecodeEndpoints(data []byte) (update EndpointUpdate, ok bool, err error) {
-	var event struct {
-		Hosts *struct {
-			Snapshot  bool
-			Endpoints []endpoint
-		}
-	}
-	if err := json.Unmarshal(data, &event); err != nil {
+func DecodeEndpoints(data []byte) (update EndpointUpdate, aboutNodes bool, err error) {
+	var decoded eventData
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return update, false, fmt.Errorf("%w: event: %w", ErrMalformed, err)
 	}
-	if event.Hosts == nil {
+	if decoded.Hosts == nil {
 		return update, false, nil
 	}
-	update.Snapshot = event.Hosts.Snapshot
-	update.Endpoints = make([]Endpoint, 0, len(event.Hosts.Endpoints))
-	for i := range event.Hosts.Endpoints {
-		e, err := event.Hosts.Endpoints[i].decode()
+	update.Snapshot = decoded.Hosts.Snapshot
+	update.Endpoints = make([]Endpoint, 0, len(decoded.Hosts.Endpoints))
+	for i := range decoded.Hosts.Endpoints {
+		node, err := decoded.Hosts.Endpoints[i].decode()
 		if err != nil {
 			return EndpointUpdate{}, false, err
 		}
-		update.Endpoints = append(update.Endpoints, e)
+		update.Endpoints = append(update.Endpoints, node)
 	}
 	return update, true, nil
 }
 
+// decode checks an endpoint. Capacity that is not two numbers counts as none.
 func (e *endpoint) decode() (Endpoint, error) {
 	state, known := nodeStates[e.Status]
 	if !known {
--- a/internal/frontend/platform/codec/fuzz_test.go
+++ b/internal/frontend/platform/codec/fuzz_test.go
@@ -13,8 +13,11 @@
 	confirmation, err := ClientCodec{}.Append(nil, NewConfirmation(sampleTag, sampleDescription))
 	require.NoError(f, err)
 	for _, seed := range [][]byte{
-		offer, offer[:7],
-		confirmation, confirmation[:9], []byte(sampleRequest),
+		offer,
+		offer[:7],
+		confirmation,
+		confirmation[:9],
+		[]byte(sampleRequest),
 		{0xff, 0xff, 1},
 		{0, 9, 12},
 		[]byte("HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: x\n\n"),
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -4,11 +4,11 @@
 
 // Message is a message with a client or a node; its dynamic type is a pointer to one of the structs of this file.
 type Message interface {
-	// Envelope returns what every message has.
+	// Envelope returns the header.
 	Envelope() *Header
 }
 
-// Header is what every message has.
+// Header is the part that all messages share.
 type Header struct {
 	Tag Tag
 	// Load is the load report that a node attached to the message, or nil. Encoders ignore it.
@@ -28,13 +28,13 @@
 	CauseNormal       Cause = 16  // it has finished, or is not wanted any more
 	CauseCancelled    Cause = 31  // migrated, or ended by its own client
 	CauseNoCapacity   Cause = 34  // rejected; it never ran
-	CauseReset        Cause = 41  // cut, or lost; before the answer it may have run
+	CauseReset        Cause = 41  // lost; before the answer it may have run
 	CauseError        Cause = 47  // the node failed to start it
 	CauseInvalid      Cause = 88  // the request breaks the protocol
-	CauseNotDelivered Cause = 102 // it never left
+	CauseNotDelivered Cause = 102 // it was never sent
 )
 
-// Description is the description that a message carries, or that it carries none. The zero value carries none.
+// Description is the optional description of a message. The zero value is an absent one.
 type Description struct {
 	text    string
 	present bool
@@ -43,7 +43,7 @@
 // NewDescription returns a description that is present, even if its text is empty.
 func NewDescription(text string) Description { return Description{text: text, present: true} }
 
-// Text returns the text, and whether the message carries a description at all.
+// Text returns the text, and whether the description is present.
 func (d Description) Text() (string, bool) { return d.text, d.present }
 
 // Task is the workload that a client describes in a request.
@@ -61,7 +61,8 @@
 type PlaceRequest struct {
 	Header
 	Task
-	Timeout placement.Millis // for which the client waits for the answer, in ms from when it sent the request; above 0
+	// Timeout is how long the client waits for the answer, in ms from the sending of the request. It is above 0.
+	Timeout placement.Millis
 }
 
 // AdoptRequest is a client's statement that a node runs a workload already. It gets no answer.
@@ -92,10 +93,10 @@
 type Termination struct {
 	Header
 	Cause  Cause
-	Reason placement.Reason // what a node states beside the cause; encoders ignore it
+	Reason placement.Reason // that a node states beside the cause; encoders ignore it
 }
 
-// Migration notifies a client that its workload ends so that it can be placed anew.
+// Migration notifies a client that its workload ends so that it can be placed again.
 type Migration struct{ Header }
 
 // HealthCheck requests a HealthReply.
@@ -107,19 +108,19 @@
 	Passed bool
 }
 
-// Note is a measurement that a node makes of a workload that it runs.
+// Note is a node's measurement of a workload that it runs.
 type Note struct {
 	Header
 	Kind  placement.UsageKind
 	Value float64
 }
 
-// Ignorable is a message that needs no reaction beyond its load report: progress, an acknowledgement, a note that
-// cannot be used, or what only the other side of a connection may receive.
+// Ignorable is a message that needs no reaction beyond its load report: progress, an acknowledgement, a note of another
+// kind, or a message for the other side of a connection.
 type Ignorable struct{ Header }
 
-// Invalid is a message that is framed correctly and whose content breaks the protocol. The receiver decides what
-// becomes of the connection.
+// Invalid is a message that is framed correctly, but breaks the protocol. The receiver decides whether to close the
+// connection.
 type Invalid struct {
 	Header
 	Err error
--- a/internal/frontend/platform/codec/stored_test.go
+++ b/internal/frontend/platform/codec/stored_test.go
@@ -13,15 +13,15 @@
 	"grebeglade/placement"
 )
 
-// storedMessages reads testdata/messages.txt: a name and a quoted message a line. They were encoded by commit
-// 51e6872, but for those from clients, which are as the platform's page has them.
+// storedMessages reads testdata/messages.txt: a name and a quoted message a line. The messages from clients are
+// those of the platform's documentation; all others were encoded by commit 51e6872.
 func storedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
 	stored := map[string]string{}
-	for l := range strings.Lines(string(b)) {
-		name, quoted, _ := strings.Cut(strings.TrimSuffix(l, "\n"), " ")
+	for text := range strings.Lines(string(b)) {
+		name, quoted, _ := strings.Cut(strings.TrimSuffix(text, "\n"), " ")
 		stored[name], err = strconv.Unquote(quoted)
 		require.NoError(t, err, name)
 	}
@@ -54,32 +54,49 @@
 	}
 }
 
-// receivedFromNodes are the stored messages that nodes send.
+// headerWithLoad returns a header with a load report of the fields.
+func headerWithLoad(tag Tag, fields map[string]float64) Header {
+	load := settings.UnknownLoad()
+	for name, value := range fields {
+		settings.SetLoadField(load, name, value)
+	}
+	return Header{Tag: tag, Load: load}
+}
+
+// receivedFromNodes are the stored messages that nodes send, terminations aside.
 func receivedFromNodes() map[string]Message {
 	header := Header{Tag: sampleTag}
-	loaded := func(tag Tag, fields map[string]float64) Header {
-		load := settings.UnknownLoad()
-		for name, v := range fields {
-			settings.SetLoadField(load, name, v)
-		}
-		return Header{Tag: tag, Load: load}
-	}
-	ended := func(r placement.Reason) *Termination {
-		return &Termination{
-			Header: header,
-			Cause:  CauseReset,
-			Reason: r,
-		}
-	}
 	return map[string]Message{
 		"from-node/confirmation":                        NewConfirmation(sampleTag, storedDescription),
 		"from-node/confirmation-with-empty-description": NewConfirmation(sampleTag, ""),
 		"from-node/confirmation-with-load": &Confirmation{
-			Header:      loaded(sampleTag, map[string]float64{"x0": 12, "x1": 40, "queue": 3, "util": 0.5}),
+			Header:      headerWithLoad(sampleTag, map[string]float64{"x0": 12, "x1": 40, "queue": 3, "util": 0.5}),
 			Description: NewDescription(storedDescription),
 		},
+		"from-node/running": &Note{Header: header, Kind: placement.Running},
+		"from-node/cores-used": &Note{
+			Header: header,
+			Kind:   placement.CoresUsed,
+			Value:  2.5,
+		},
+		"from-node/health-reply":    &HealthReply{Header: headerWithLoad(7, map[string]float64{"x0": 3}), Passed: true},
+		"from-node/progress":        &Ignorable{header},
+		"from-node/acknowledgement": &Ignorable{header},
+	}
+}
+
+// terminationsFromNodes are the stored terminations that nodes send.
+func terminationsFromNodes() map[string]Message {
+	ended := func(reason placement.Reason) *Termination {
+		return &Termination{
+			Header: Header{Tag: sampleTag},
+			Cause:  CauseReset,
+			Reason: reason,
+		}
+	}
+	return map[string]Message{
 		"from-node/rejection": &Termination{
-			Header: loaded(sampleTag, map[string]float64{"x0": 1.5, "x1": 2, "queue": 4, "util": 0.25}),
+			Header: headerWithLoad(sampleTag, map[string]float64{"x0": 1.5, "x1": 2, "queue": 4, "util": 0.25}),
 			Cause:  CauseNoCapacity,
 			Reason: placement.InsufficientCores,
 		},
@@ -94,15 +111,6 @@
 		"from-node/ended-oom":        ended(placement.Evicted),
 		"from-node/ended-preempted":  ended(placement.Preempted),
 		"from-node/ended-drained":    ended(placement.Drained),
-		"from-node/running":          &Note{Header: header, Kind: placement.Running},
-		"from-node/cores-used": &Note{
-			Header: header,
-			Kind:   placement.CoresUsed,
-			Value:  2.5,
-		},
-		"from-node/health-reply":    &HealthReply{Header: loaded(7, map[string]float64{"x0": 3}), Passed: true},
-		"from-node/progress":        &Ignorable{header},
-		"from-node/acknowledgement": &Ignorable{header},
 	}
 }
 
@@ -158,9 +166,9 @@
 
 func TestCodecs_EncodeAsStored(t *testing.T) {
 	stored := storedMessages(t)
-	for name, m := range sentToPeers() {
+	for name, message := range sentToPeers() {
 		t.Run(name, func(t *testing.T) {
-			b, err := codecOf(name).Append(nil, m)
+			b, err := codecOf(name).Append(nil, message)
 			require.NoError(t, err)
 			assert.Equal(t, stored[name], string(b))
 		})
@@ -172,15 +180,20 @@
 
 func TestCodecs_DecodeStored(t *testing.T) {
 	stored := storedMessages(t)
-	decoded := 1 // but for what goes to the discovery service
-	for _, messages := range []map[string]Message{sentToPeers(), receivedFromNodes(), receivedFromClients()} {
+	decoded := 1 // the message to the discovery service, which is only encoded
+	for _, messages := range []map[string]Message{
+		sentToPeers(),
+		receivedFromNodes(),
+		terminationsFromNodes(),
+		receivedFromClients(),
+	} {
 		for name, want := range messages {
 			t.Run(name, func(t *testing.T) {
-				m, n, err := codecOf(name).Decode([]byte(stored[name]))
+				message, n, err := codecOf(name).Decode([]byte(stored[name]))
 				require.NoError(t, err)
 				assert.Equal(t, len(stored[name]), n)
-				require.IsType(t, want, m)
-				assert.Equal(t, describe(want), describe(m.(Message)))
+				require.IsType(t, want, message)
+				assert.Equal(t, describe(want), describe(message.(Message)))
 			})
 			decoded++
 		}
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -17,7 +17,7 @@
 	errReplaced       = errors.New("replaced by another connection")
 	errEvicted        = errors.New("another node needs the descriptor")
 	errIdle           = errors.New("idle")
-	errNodeRemoved    = errors.New("the node is gone")
+	errNodeRemoved    = errors.New("the node was removed")
 	errAddressChanged = errors.New("the node's address has changed")
 	errAddressTaken   = errors.New("another node has its address")
 	errNoDescription  = errors.New("a confirmation without a description")
@@ -114,7 +114,7 @@
 	}
 }
 
-// removeNode removes a node and the connection to it, if the node is gone and has no workloads.
+// removeNode removes a node and the connection to it, if the node is no longer listed and has no workloads.
 func (nc *nodeConns) removeNode(now placement.Millis, n *node) {
 	if !nc.nodes.removable(n) {
 		return
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -139,7 +139,7 @@
 	return displaced
 }
 
-// removable reports whether a node is gone and has no workloads.
+// removable reports whether a node is no longer listed and has no workloads.
 func (t *nodeTable) removable(n *node) bool {
 	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
 }
--- a/internal/frontend/platform/running.go
+++ b/internal/frontend/platform/running.go
@@ -29,7 +29,7 @@
 func (b *binder) processEnded(now placement.Millis, n *node) { b.processRestarted(now, n, now+1) }
 
 // processRestarted handles the start of a node's process at the given time: workloads that ran there before have ended.
-// A node that is gone and has no workloads any more is removed.
+// A node that is no longer listed and has no workloads any more is removed.
 func (b *binder) processRestarted(now placement.Millis, n *node, startedAt placement.Millis) {
 	for _, w := range frontend.SortedValues(n.workloads) {
 		if w.running() && w.bind.runningSince < startedAt {
