--- a/internal/frontend/simulator/fields.go
+++ b/internal/frontend/simulator/fields.go
@@ -26,8 +26,10 @@
 	return r.data[r.offset-n : r.offset]
 }
 
+// remaining returns how many bytes were not read.
 func (r *fieldReader) remaining() int { return len(r.data) - r.offset }
 
+// skip reads n bytes that are not needed.
 func (r *fieldReader) skip(n int) { r.bytes(n) }
 
 func (r *fieldReader) uint8() uint8 {
@@ -60,7 +62,7 @@
 
 func (r *fieldReader) float32() float64 { return float64(math.Float32frombits(r.uint32())) }
 
-// count checks that the record can hold n elements of a size, and returns n, or 0 if it cannot.
+// count returns n if the rest of the record can hold n elements of the size in bytes, or fails and returns 0.
 func (r *fieldReader) count(n, size int) int {
 	if r.err == nil && n > r.remaining()/size {
 		r.err = fmt.Errorf("counts %d elements of %d bytes at %d of %d", n, size, r.offset, len(r.data))
--- a/internal/frontend/simulator/instance.go
+++ b/internal/frontend/simulator/instance.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// instance is one allocator. Instances share the reply and the lists of nodes, and nothing else. It implements
-// allocator.Host: the engine's actions become records of the reply.
+// instance is one allocator. Instances share only the reply and the lists of nodes. It implements allocator.Host: the
+// engine's actions become records of the reply.
 type instance struct {
 	number     uint16
 	engine     *allocator.Engine
@@ -15,42 +15,43 @@
 	reply      *reply
 }
 
-func newInstance(number uint16, request attachRequest, r *reply) (*instance, error) {
+// newInstance returns an instance whose engine is not started.
+func newInstance(number uint16, request startRequest, r *reply) (*instance, error) {
 	received, err := settings.FromPairs(request.settings)
 	if err != nil {
 		return nil, err
 	}
-	in := &instance{
+	started := &instance{
 		number:     number,
 		loadFields: received.ReportFields,
 		reply:      r,
 	}
-	in.engine = allocator.New(received.Settings, request.seed, in, allocator.Options{})
-	return in, nil
+	started.engine = allocator.New(received.Settings, request.seed, started, allocator.Options{})
+	return started, nil
 }
 
-// handle passes a record to the engine. Records of unknown codes are skipped.
-func (in *instance) handle(now placement.Millis, code requestCode, r *fieldReader) error {
+// handle passes a record to the engine.
+func (in *instance) handle(now placement.Millis, code requestCode, fields *fieldReader) error {
 	switch code {
-	case codePong:
-		return in.handleHealthCheckEnded(now, r)
-	case codeNewTask:
-		return in.handleRequest(now, r)
-	case codeSettled:
-		return in.handleBindEnded(now, r)
-	case codeStanding:
-		return in.handleRunningWorkload(now, r)
-	case codeHint:
-		return in.handleUsageReport(now, r)
-	case codeDropped:
-		return in.handleWithdrawal(now, r)
-	case codeLanded:
-		return in.handleBindAccepted(now, r)
+	case codeHealthCheckEnded:
+		return in.handleHealthCheckEnded(now, fields)
+	case codePlaceRequest:
+		return in.handleRequest(now, fields)
+	case codeBindEnded:
+		return in.handleBindEnded(now, fields)
+	case codeRunningWorkload:
+		return in.handleRunningWorkload(now, fields)
+	case codeUsageReport:
+		return in.handleUsageReport(now, fields)
+	case codeWithdrawal:
+		return in.handleWithdrawal(now, fields)
+	case codeBindAccepted:
+		return in.handleBindAccepted(now, fields)
 	case codeWakeup:
-		return in.handleWakeup(now, r)
-	default:
-		return nil
+		return in.handleWakeup(now, fields)
+	case codeInstanceStart, codeInstanceStop, codeNodeList, codeNodeUpdate, codePeerMessage: // see server
 	}
+	return nil
 }
 
 func (in *instance) handleHealthCheckEnded(now placement.Millis, r *fieldReader) error {
@@ -149,22 +150,22 @@
 // SubscribeNodes implements allocator.Actions.
 func (in *instance) SubscribeNodes() { in.reply.subscribe(in.number) }
 
-// Answer implements allocator.Actions. The simulator knows by itself that a workload was placed.
-func (in *instance) Answer(id placement.WorkloadID, v allocator.Verdict, _ placement.NodeID) {
-	switch v {
+// Answer implements allocator.Actions. That a workload was placed is not sent: the simulator has confirmed it itself.
+func (in *instance) Answer(id placement.WorkloadID, verdict allocator.Verdict, _ placement.NodeID) {
+	switch verdict {
 	case allocator.Rejected:
 		in.reply.reject(in.number, id)
 	case allocator.Unschedulable:
 		in.reply.unschedulable(in.number, id)
-	case allocator.Placed:
+	case allocator.Placed: // not sent
 	}
 }
 
-// NotifyEnded implements allocator.Actions. The simulator knows by itself.
+// NotifyEnded implements allocator.Actions. It sends nothing: the simulator has reported the end itself.
 func (in *instance) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
 
-// Forget implements allocator.Actions. There is nothing to forget.
+// Forget implements allocator.Actions. An instance has no state of a workload beside the engine's.
 func (in *instance) Forget(placement.WorkloadID) {}
 
 // Wake implements allocator.Host.
-func (in *instance) Wake(at placement.Millis) { in.reply.alarm(in.number, at) }
+func (in *instance) Wake(at placement.Millis) { in.reply.wakeAt(in.number, at) }
--- a/internal/frontend/simulator/reply.go
+++ b/internal/frontend/simulator/reply.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"io"
 
 	"grebeglade/placement"
@@ -10,22 +11,22 @@
 // replyCode says what a record of a reply is.
 type replyCode uint8
 
-// Codes of the records that are sent, by the protocol's names.
+// Codes of the records that are sent, with the protocol's names.
 const (
-	codeBind     replyCode = 67 // a workload is offered to a node
-	codeObserve  replyCode = 68 // discovery is to send its changes
-	codeAbort    replyCode = 70 // a workload is unschedulable
-	codeTest     replyCode = 71 // a node is to be checked
-	codeTakeOff  replyCode = 72 // a running workload is to be migrated
-	codeAlarm    replyCode = 74 // the instance is to be called at a time
-	codePushBack replyCode = 76 // a workload is rejected
+	codeBind          replyCode = 67 // bind: a workload is offered to a node
+	codeSubscribe     replyCode = 68 // observe: discovery is to send its changes
+	codeUnschedulable replyCode = 70 // abort: a workload is unschedulable
+	codeCheckHealth   replyCode = 71 // test: a node is to be checked
+	codeMigrate       replyCode = 72 // take off: a running workload is to be migrated
+	codeWakeAt        replyCode = 74 // alarm: the instance is to be called at a time
+	codeReject        replyCode = 76 // push back: a workload is rejected
 )
 
 const (
-	replyHeaderSize = 4 + 4
-	observeChanges  = 1 // in codeObserve: changes are wanted, from now on
-	noRetryAfter    = 0 // in codePushBack: no advice when to request again
-	alarmName       = 0 // in codeAlarm: what the simulator returns; no instance has to tell its alarms apart
+	replyHeaderSize    = 4 + 4
+	subscribeToChanges = 1 // in codeSubscribe: changes are to be sent from now on
+	noRetryAfter       = 0 // in codeReject: no advice when to request again
+	timerName          = 0 // in codeWakeAt: returned at the wake-up; an instance has no use for it
 )
 
 // reply collects the records that answer one batch.
@@ -47,36 +48,36 @@
 }
 
 func (p *reply) bind(instance uint16, workload placement.WorkloadID, node placement.NodeID, timeout placement.Millis) {
-	f := binary.BigEndian.AppendUint32(p.fields, uint32(workload))
-	f = binary.BigEndian.AppendUint32(f, uint32(node))
-	f = binary.BigEndian.AppendUint64(f, nanos(timeout))
-	p.add(codeBind, instance, f)
+	fields := binary.BigEndian.AppendUint32(p.fields, uint32(workload))
+	fields = binary.BigEndian.AppendUint32(fields, uint32(node))
+	fields = binary.BigEndian.AppendUint64(fields, nanos(timeout))
+	p.add(codeBind, instance, fields)
 }
 
 func (p *reply) migrate(instance uint16, workload placement.WorkloadID) {
-	p.add(codeTakeOff, instance, binary.BigEndian.AppendUint32(p.fields, uint32(workload)))
+	p.add(codeMigrate, instance, binary.BigEndian.AppendUint32(p.fields, uint32(workload)))
 }
 
 func (p *reply) checkHealth(instance uint16, node placement.NodeID) {
-	p.add(codeTest, instance, binary.BigEndian.AppendUint32(p.fields, uint32(node)))
+	p.add(codeCheckHealth, instance, binary.BigEndian.AppendUint32(p.fields, uint32(node)))
 }
 
 func (p *reply) subscribe(instance uint16) {
-	p.add(codeObserve, instance, append(p.fields, observeChanges))
+	p.add(codeSubscribe, instance, append(p.fields, subscribeToChanges))
 }
 
 func (p *reply) reject(instance uint16, workload placement.WorkloadID) {
-	f := binary.BigEndian.AppendUint32(p.fields, uint32(workload))
-	p.add(codePushBack, instance, binary.BigEndian.AppendUint64(f, noRetryAfter))
+	fields := binary.BigEndian.AppendUint32(p.fields, uint32(workload))
+	p.add(codeReject, instance, binary.BigEndian.AppendUint64(fields, noRetryAfter))
 }
 
 func (p *reply) unschedulable(instance uint16, workload placement.WorkloadID) {
-	p.add(codeAbort, instance, binary.BigEndian.AppendUint32(p.fields, uint32(workload)))
+	p.add(codeUnschedulable, instance, binary.BigEndian.AppendUint32(p.fields, uint32(workload)))
 }
 
-func (p *reply) alarm(instance uint16, at placement.Millis) {
-	f := binary.BigEndian.AppendUint64(p.fields, nanos(at))
-	p.add(codeAlarm, instance, binary.BigEndian.AppendUint32(f, alarmName))
+func (p *reply) wakeAt(instance uint16, at placement.Millis) {
+	fields := binary.BigEndian.AppendUint64(p.fields, nanos(at))
+	p.add(codeWakeAt, instance, binary.BigEndian.AppendUint32(fields, timerName))
 }
 
 // writeTo writes the reply, which is empty afterwards.
@@ -85,10 +86,10 @@
 	binary.BigEndian.PutUint32(header[:], uint32(p.count))
 	binary.BigEndian.PutUint32(header[4:], uint32(len(p.records)))
 	if _, err := w.Write(header[:]); err != nil {
-		return err
+		return fmt.Errorf("write reply: %w", err)
 	}
 	if _, err := w.Write(p.records); err != nil {
-		return err
+		return fmt.Errorf("write reply: %w", err)
 	}
 	p.count = 0
 	p.records = p.records[:0]
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -1,83 +1,15 @@
 package simulator
 
-import (
-	"math"
+import "grebeglade/placement"
 
-	"grebeglade/placement"
-)
-
-// requestCode says what a record of a batch is.
-type requestCode uint8
-
-// Codes of the records that are known, by the protocol's names.
-const (
-	codeAttach    requestCode = 1  // an instance starts
-	codePong      requestCode = 2  // a health check has ended
-	codeDatagram  requestCode = 3  // another instance has sent a message, which none does
-	codeNewTask   requestCode = 4  // a client requests a workload
-	codeSettled   requestCode = 5  // a bind has ended
-	codeStanding  requestCode = 6  // the instance takes charge of a workload that is running
-	codeSheet     requestCode = 7  // a numbered list of nodes, for all instances
-	codeHint      requestCode = 8  // a report on a bind
-	codeDirectory requestCode = 9  // a report of node discovery
-	codeDropped   requestCode = 10 // a client has withdrawn its workload
-	codeLanded    requestCode = 11 // a node has confirmed a bind
-	codePowerOff  requestCode = 12 // an instance is killed
-	codeWakeup    requestCode = 13 // a timer of the instance has fired
-	lastKnownCode             = codeWakeup
-)
-
-// Values of the fields that are enumerations, by the protocol's names. Other values are skipped or have a default.
-const (
-	nodeReady    = 1
-	nodeDraining = 2
-
-	updateDelta  = 0
-	updateFailed = 2
-	updateCached = 3
-	updateFull   = 4
-
-	hintRuns  = 1
-	hintCores = 2
-
-	outcomeOK            = 0
-	outcomeFull          = 2
-	outcomeTimeout       = 3
-	outcomeConnectFailed = 4
-	outcomeMoot          = 7
-
-	optionCameAgain = 16 // a bit: the workload came before, and was rejected, failed, migrated or lost
-)
-
-// Sizes of elements that are counted, and of fields that are skipped, in bytes.
-const (
-	nodeSize      = 30
-	loadValueSize = 4
-
-	alarmNameSize = 4
-	durationSize  = 8
-	hostSize      = 4
-	stampSize     = 8 // the version of a list of nodes
-	tenantSize    = 2
-	unitIDSize    = 8 // the identity that a workload keeps when it is requested again
-	weightSize    = 4
-)
-
-// nanosPerMillis converts between the times of the protocol and those of the engine.
-const nanosPerMillis = 1e6
-
-func millis(nanos uint64) placement.Millis { return placement.Millis(float64(nanos) / nanosPerMillis) }
-
-func nanos(t placement.Millis) uint64 { return uint64(math.Round(float64(t) * nanosPerMillis)) }
-
-// attachRequest starts an instance.
-type attachRequest struct {
+// startRequest starts an instance.
+type startRequest struct {
 	seed     uint64
 	settings string // lines of path=value
 }
 
-func decodeAttach(r *fieldReader) (attachRequest, error) {
-	m := attachRequest{seed: r.uint64()}
+func decodeStart(r *fieldReader) (startRequest, error) {
+	m := startRequest{seed: r.uint64()}
 	m.settings = string(r.bytes(r.count(int(r.uint32()), 1)))
 	return m, r.err
 }
@@ -97,24 +29,24 @@
 	return l, r.err
 }
 
+// decodeNode decodes an element of a list of nodes. The fields are read in the order of the record.
 func decodeNode(r *fieldReader) placement.Node {
-	n := placement.Node{
-		FreeCores:  r.float32(),
-		ID:         placement.NodeID(r.uint32()),
-		Zone:       placement.ZoneID(r.uint16()),
-		FreeMemory: r.float32(),
-		Kind:       placement.KindID(r.uint8()),
-		Cell:       placement.CellID(r.uint16()),
-		State:      nodeState(r.uint8()),
-		StartedAt:  placement.DistantPast,
-	}
+	node := placement.Node{StartedAt: placement.DistantPast}
+	node.FreeCores = r.float32()
+	node.ID = placement.NodeID(r.uint32())
+	node.Zone = placement.ZoneID(r.uint16())
+	node.FreeMemory = r.float32()
+	node.Kind = placement.KindID(r.uint8())
+	node.Cell = placement.CellID(r.uint16())
+	node.State = nodeState(r.uint8())
 	r.skip(weightSize)
 	if started := r.uint64(); started > 0 {
-		n.StartedAt = millis(started)
+		node.StartedAt = millis(started)
 	}
-	return n
+	return node
 }
 
+// nodeState returns the state of that code. A node in any other state gets no binds.
 func nodeState(code uint8) placement.NodeState {
 	switch code {
 	case nodeReady:
@@ -126,21 +58,22 @@
 	}
 }
 
-// nodeUpdate notifies an instance of the node list that is current, or that discovery has failed.
+// nodeUpdate notifies an instance of the current node list, or that discovery has failed.
 type nodeUpdate struct {
 	kind  placement.NodeUpdateKind
-	known bool // whether the kind is one that is known
-	list  uint32
+	known bool   // whether the kind is of this version of the protocol
+	list  uint32 // the list's number
 }
 
 func decodeNodeUpdate(r *fieldReader) (nodeUpdate, error) {
-	m := nodeUpdate{}
+	var m nodeUpdate
 	m.kind, m.known = nodeUpdateKind(r.uint8())
-	r.skip(stampSize)
+	r.skip(revisionSize)
 	m.list = r.uint32()
 	return m, r.err
 }
 
+// nodeUpdateKind returns the kind of that code, and whether it is known.
 func nodeUpdateKind(code uint8) (kind placement.NodeUpdateKind, known bool) {
 	switch code {
 	case updateDelta:
@@ -156,21 +89,23 @@
 	}
 }
 
-// decodeRequest returns the workload that a client requests.
+// decodeRequest decodes the workload that a client requests.
 func decodeRequest(r *fieldReader) (placement.Workload, error) {
-	w := placement.Workload{ID: placement.WorkloadID(r.uint32()), Group: placement.GroupID(r.uint16())}
-	r.skip(tenantSize + unitIDSize)
+	var w placement.Workload
+	w.ID = placement.WorkloadID(r.uint32())
+	w.Group = placement.GroupID(r.uint16())
+	r.skip(tenantSize + requestKeySize)
 	w.PendingTimeout = millis(r.uint64())
 	r.skip(durationSize)
 	w.Service = placement.ServiceID(r.uint64())
 	w.Cores = r.float32()
 	w.Memory = r.float32()
-	w.Retried = r.uint8()&optionCameAgain != 0
+	w.Retried = r.uint8()&optionRetried != 0
 	return w, r.err
 }
 
-// runningWorkload is one that its instance takes charge of: it was running before the instance started, or a node has
-// accepted a bind that was given up.
+// runningWorkload is a workload that its instance adopts: it was running before the instance started, or a node has
+// accepted a bind that was abandoned.
 type runningWorkload struct {
 	workload placement.Workload
 	node     placement.NodeID
@@ -195,8 +130,10 @@
 }
 
 func decodeBindAccepted(r *fieldReader) (bindAccepted, error) {
-	m := bindAccepted{workload: placement.WorkloadID(r.uint32()), bind: int(r.uint8())}
-	r.skip(hostSize + durationSize)
+	var m bindAccepted
+	m.workload = placement.WorkloadID(r.uint32())
+	m.bind = int(r.uint8())
+	r.skip(nodeIDSize + durationSize)
 	return m, r.err
 }
 
@@ -205,23 +142,26 @@
 	workload placement.WorkloadID
 	bind     int
 	kind     placement.UsageKind
-	known    bool // whether the kind is one that is known
+	known    bool // whether the kind is of this version of the protocol
 	level    float64
 }
 
 func decodeUsageReport(r *fieldReader) (usageReport, error) {
-	m := usageReport{workload: placement.WorkloadID(r.uint32()), bind: int(r.uint8())}
+	var m usageReport
+	m.workload = placement.WorkloadID(r.uint32())
+	m.bind = int(r.uint8())
 	m.kind, m.known = usageKind(r.uint8())
-	r.skip(hostSize)
+	r.skip(nodeIDSize)
 	m.level = r.float32()
 	return m, r.err
 }
 
+// usageKind returns the kind of that code, and whether it is known.
 func usageKind(code uint8) (kind placement.UsageKind, known bool) {
 	switch code {
-	case hintRuns:
+	case usageRunning:
 		return placement.Running, true
-	case hintCores:
+	case usageCores:
 		return placement.CoresUsed, true
 	default:
 		return 0, false
@@ -257,15 +197,17 @@
 	return placement.Reason(code)
 }
 
+// resultKind returns the result of a bind of that code. Any other code, also that of success, leaves the outcome
+// unknown.
 func resultKind(code uint8) placement.ResultKind {
 	switch code {
-	case outcomeFull:
+	case resultRejected:
 		return placement.RejectedByNode
-	case outcomeTimeout:
+	case resultTimedOut:
 		return placement.TimedOut
-	case outcomeConnectFailed:
+	case resultNotDelivered:
 		return placement.NotDelivered
-	case outcomeMoot:
+	case resultNotAttempted:
 		return placement.NotAttempted
 	default:
 		return placement.OutcomeUnknown
@@ -281,7 +223,9 @@
 
 func decodeHealthCheckEnded(r *fieldReader) (healthCheckEnded, error) {
 	r.skip(durationSize)
-	m := healthCheckEnded{healthy: r.uint8() == outcomeOK, node: placement.NodeID(r.uint32())}
+	var m healthCheckEnded
+	m.healthy = r.uint8() == healthOK
+	m.node = placement.NodeID(r.uint32())
 	m.load = decodeLoad(r)
 	return m, r.err
 }
@@ -299,8 +243,8 @@
 	return id, r.err
 }
 
-// decodeWakeup checks a record of which nothing is needed: every alarm has the same name.
+// decodeWakeup checks the record of a wake-up. Its only field is not needed, as all timers have the same name.
 func decodeWakeup(r *fieldReader) error {
-	r.skip(alarmNameSize)
+	r.skip(timerNameSize)
 	return r.err
 }
--- a/internal/frontend/simulator/server.go
+++ b/internal/frontend/simulator/server.go
@@ -20,11 +20,14 @@
 }
 
 // Serve answers batches until the input ends, which is no error between two batches. A batch that cannot be decoded
-// ends it; the error names the place, and is a *RecordError if the batch itself is whole.
-func Serve(r io.Reader, w io.Writer) error {
-	s := &server{instances: map[uint16]*instance{}, lists: map[uint32][]placement.Node{}}
-	in := bufio.NewReaderSize(r, bufferSize)
-	out := bufio.NewWriterSize(w, bufferSize)
+// ends it; the error names the place, and is a *RecordError if the batch itself is complete.
+func Serve(input io.Reader, output io.Writer) error {
+	srv := &server{
+		instances: map[uint16]*instance{},
+		lists:     map[uint32][]placement.Node{},
+	}
+	in := bufio.NewReaderSize(input, bufferSize)
+	out := bufio.NewWriterSize(output, bufferSize)
 	for {
 		b, err := readBatch(in)
 		if errors.Is(err, io.EOF) {
@@ -33,86 +36,104 @@
 		if err != nil {
 			return err
 		}
-		now := millis(b.time)
-		if err := b.forEach(func(r record) error { return s.handle(now, r) }); err != nil {
-			return err
-		}
-		if err := s.reply.writeTo(out); err != nil {
-			return err
-		}
-		if err := out.Flush(); err != nil {
+		if err := srv.answer(b, out); err != nil {
 			return err
 		}
 	}
 }
 
-// handle carries one record out.
-func (s *server) handle(now placement.Millis, rec record) error {
-	r := &fieldReader{data: rec.fields}
-	if rec.code == codeSheet {
-		return s.handleNodeList(r)
+// answer handles a batch and writes the reply.
+func (s *server) answer(b batch, out *bufio.Writer) error {
+	now := millis(b.time)
+	if err := b.forEach(func(r record) error { return s.handle(now, r) }); err != nil {
+		return err
 	}
-	if rec.code == 0 || rec.code > lastKnownCode {
-		return nil // of a later version of the protocol
+	if err := s.reply.writeTo(out); err != nil {
+		return err
 	}
-	number := r.uint16()
-	if r.err != nil {
-		return r.err
+	if err := out.Flush(); err != nil {
+		return fmt.Errorf("write reply: %w", err)
 	}
-	if rec.code == codeAttach {
-		return s.handleAttach(now, number, r)
+	return nil
+}
+
+// handle handles one record. Records of unknown codes are skipped.
+func (s *server) handle(now placement.Millis, rec record) error {
+	fields := &fieldReader{data: rec.fields}
+	if rec.code == codeNodeList {
+		return s.handleNodeList(fields)
 	}
-	in := s.instances[number]
-	if in == nil {
+	if !rec.code.known() {
 		return nil
 	}
-	switch rec.code {
-	case codePowerOff:
-		delete(s.instances, number)
+	number := fields.uint16()
+	if fields.err != nil {
+		return fields.err
+	}
+	if rec.code == codeInstanceStart {
+		return s.handleStart(now, number, fields)
+	}
+	if target := s.instances[number]; target != nil {
+		return s.handleFor(now, target, rec.code, fields)
+	}
+	return nil
+}
+
+// handleFor handles a record for an instance that runs.
+func (s *server) handleFor(now placement.Millis, target *instance, code requestCode, fields *fieldReader) error {
+	switch code {
+	case codeInstanceStop:
+		delete(s.instances, target.number)
 		return nil
-	case codeDirectory:
-		return s.handleNodeUpdate(now, in, r)
-	default:
-		return in.handle(now, rec.code, r)
+	case codeNodeUpdate:
+		return s.handleNodeUpdate(now, target, fields)
+	case codeHealthCheckEnded, codePlaceRequest, codeBindEnded, codeRunningWorkload, codeUsageReport,
+		codeWithdrawal, codeBindAccepted, codeWakeup:
+		return target.handle(now, code, fields)
+	case codeInstanceStart, codeNodeList: // not for a running instance; see handle
+	case codePeerMessage: // no instance sends any
 	}
+	return nil
 }
 
+// handleNodeList stores a list of nodes.
 func (s *server) handleNodeList(r *fieldReader) error {
-	l, err := decodeNodeList(r)
+	list, err := decodeNodeList(r)
 	if err == nil {
-		s.lists[l.number] = l.nodes
+		s.lists[list.number] = list.nodes
 	}
 	return err
 }
 
-// handleAttach starts an instance. One that has the same number ends.
-func (s *server) handleAttach(now placement.Millis, number uint16, r *fieldReader) error {
-	request, err := decodeAttach(r)
+// handleStart starts an instance, in place of one that has the same number.
+func (s *server) handleStart(now placement.Millis, number uint16, r *fieldReader) error {
+	request, err := decodeStart(r)
 	if err != nil {
 		return err
 	}
-	in, err := newInstance(number, request, &s.reply)
+	started, err := newInstance(number, request, &s.reply)
 	if err != nil {
 		return err
 	}
-	s.instances[number] = in
-	in.engine.Start(now)
+	s.instances[number] = started
+	started.engine.Start(now)
 	return nil
 }
 
-func (s *server) handleNodeUpdate(now placement.Millis, in *instance, r *fieldReader) error {
-	m, err := decodeNodeUpdate(r)
-	if err != nil || !m.known {
+// handleNodeUpdate passes a list of nodes, or that discovery has failed, to an instance.
+func (s *server) handleNodeUpdate(now placement.Millis, target *instance, r *fieldReader) error {
+	update, err := decodeNodeUpdate(r)
+	if err != nil || !update.known {
 		return err
 	}
-	if m.kind == placement.PollFailed {
-		in.engine.UpdateNodes(now, m.kind, nil)
+	if update.kind == placement.PollFailed {
+		target.engine.UpdateNodes(now, update.kind, nil)
 		return nil
 	}
-	nodes, ok := s.lists[m.list]
-	if !ok {
-		return fmt.Errorf("names list %d, which was never sent", m.list)
+	nodes, sent := s.lists[update.list]
+	if !sent {
+		return fmt.Errorf("names list %d, which was never sent", update.list)
 	}
-	in.engine.UpdateNodes(now, m.kind, nodes)
+	target.engine.UpdateNodes(now, update.kind, nodes)
 	return nil
 }
--- a/internal/frontend/simulator/server_test.go
+++ b/internal/frontend/simulator/server_test.go
@@ -3,16 +3,22 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"errors"
 	"io"
+	"math"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-const testInstance = 3
+const (
+	testInstance = 3 // number of the instance
+	testNode     = 9 // id of the one node
+	testWorkload = 6
+)
 
+// testSettings are settings of one allocator, one class and one kind of nodes.
 const testSettings = `balancers=1
 ordinal=0
 zone=0
@@ -41,23 +47,25 @@
 a.later.key=7
 `
 
-// encodeRecord returns a record of the test's instance whose fields follow in order.
+// encodeRecord returns a record for the test's instance with the fields in their order.
 func encodeRecord(t *testing.T, code requestCode, fields ...any) []byte {
 	t.Helper()
 	body := binary.BigEndian.AppendUint16(nil, testInstance)
-	for _, f := range fields {
+	for _, field := range fields {
 		var err error
-		body, err = binary.Append(body, binary.BigEndian, f)
+		body, err = binary.Append(body, binary.BigEndian, field)
 		require.NoError(t, err)
 	}
 	return encodeRecordBody(code, body)
 }
 
+// encodeRecordBody returns a record with a body, which for most codes begins with the number of an instance.
 func encodeRecordBody(code requestCode, body []byte) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{uint8(code)}, uint32(len(body)))
 	return append(b, body...)
 }
 
+// encodeBatch returns a batch of records at a time of 8 s.
 func encodeBatch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, uint32(12+len(body)))
@@ -66,29 +74,47 @@
 	return append(b, body...)
 }
 
-func encodeAttach(t *testing.T, settings string) []byte {
+// encodeStart starts the test's instance.
+func encodeStart(t *testing.T, settings string) []byte {
 	t.Helper()
-	return encodeRecord(t, codeAttach, uint64(5), uint32(len(settings)), []byte(settings))
+	return encodeRecord(t, codeInstanceStart, uint64(5), uint32(len(settings)), []byte(settings))
 }
 
-// encodeSheet returns list 0 with one ready node 9 of kind 0.
-func encodeSheet() []byte {
+// encodeNodeList returns list 0 with one ready node of kind 0.
+func encodeNodeList() []byte {
 	b := binary.BigEndian.AppendUint32(nil, 0)
 	b = binary.BigEndian.AppendUint32(b, 1)
-	b = binary.BigEndian.AppendUint32(b, 0x41400000) // 12 cores free
-	b = binary.BigEndian.AppendUint32(b, 9)
-	b = append(b, 0, 0, 0x41, 0x40, 0, 0, 0, 0, 1, 1) // zone, 12 of memory free, kind, cell, ready
-	return encodeRecordBody(codeSheet, append(b, make([]byte, 12)...))
+	b = binary.BigEndian.AppendUint32(b, math.Float32bits(12)) // free cores
+	b = binary.BigEndian.AppendUint32(b, testNode)
+	b = append(b, 0, 0)                                        // zone
+	b = binary.BigEndian.AppendUint32(b, math.Float32bits(12)) // free memory
+	b = append(b, 0, 0, 1, nodeReady)                          // kind, cell, state
+	b = append(b, make([]byte, weightSize+8)...)               // weight, start time
+	return encodeRecordBody(codeNodeList, b)
 }
 
-func encodeNewTask(t *testing.T, id uint32) []byte {
+// encodePlaceRequest requests the test's workload.
+func encodePlaceRequest(t *testing.T) []byte {
 	t.Helper()
-	return encodeRecord(t, codeNewTask, id, uint32(0), uint64(77), uint64(6e9), uint64(0), uint64(4), float32(1), float32(1), uint8(0))
+	const (
+		group          = uint16(0)
+		tenant         = uint16(0)
+		requestKey     = uint64(77)
+		pendingTimeout = uint64(6e9)
+		duration       = uint64(0)
+		service        = uint64(4)
+		cores          = float32(1)
+		memory         = float32(1)
+		options        = uint8(0)
+	)
+	return encodeRecord(t, codePlaceRequest, uint32(testWorkload), group, tenant, requestKey,
+		pendingTimeout, duration, service, cores, memory, options)
 }
 
-func encodeDirectory(t *testing.T, kind uint8) []byte {
+// encodeNodeUpdate names list 0.
+func encodeNodeUpdate(t *testing.T, kind uint8) []byte {
 	t.Helper()
-	return encodeRecord(t, codeDirectory, kind, uint64(1), uint32(0))
+	return encodeRecord(t, codeNodeUpdate, kind, uint64(1), uint32(0))
 }
 
 // serve returns what Serve writes in answer to an input.
@@ -98,68 +124,111 @@
 	return out.Bytes(), err
 }
 
-func TestServe_NewTask_IsBound(t *testing.T) {
-	out, err := serve(encodeBatch(encodeAttach(t, testSettings), encodeSheet(), encodeDirectory(t, 3), encodeNewTask(t, 6)))
+// countRecords counts the records of a code and size, header aside, in a reply.
+func countRecords(out []byte, code replyCode, size uint8) int {
+	return bytes.Count(out, []byte{uint8(code), 0, 0, 0, size})
+}
+
+// Sizes of the records of a reply, header aside.
+const (
+	bindSize          = 18
+	rejectSize        = 14
+	unschedulableSize = 6
+)
+
+func TestServe_PlaceRequest_Bound(t *testing.T) {
+	out, err := serve(encodeBatch(
+		encodeStart(t, testSettings), encodeNodeList(), encodeNodeUpdate(t, updateCached), encodePlaceRequest(t)))
 	require.NoError(t, err)
-	assert.Contains(t, string(out), string([]byte{uint8(codeBind), 0, 0, 0, 18, 0, testInstance, 0, 0, 0, 6, 0, 0, 0, 9}))
+	assert.Contains(t, string(out), string([]byte{
+		uint8(codeBind), 0, 0, 0, bindSize, 0, testInstance, 0, 0, 0, testWorkload, 0, 0, 0, testNode,
+	}))
 }
 
-func TestServe_UnknownAndUnexpectedRecords_AreSkipped(t *testing.T) {
-	landed := encodeRecord(t, codeLanded, uint32(6), uint8(0), uint32(9), uint64(1))
-	dropped := encodeRecord(t, codeDropped, uint32(6))
-	settled := encodeRecord(t, codeSettled, uint32(6), uint8(1), uint8(0), uint32(0), uint8(0), uint64(1), uint32(9), uint8(0))
+func TestServe_UnknownAndUnexpectedRecords_Skipped(t *testing.T) {
+	accepted := encodeRecord(t, codeBindAccepted, uint32(testWorkload), uint8(0), uint32(testNode), uint64(1))
+	withdrawn := encodeRecord(t, codeWithdrawal, uint32(testWorkload))
+	ended := encodeRecord(t, codeBindEnded, uint32(testWorkload), uint8(1), uint8(0), uint32(0), uint8(0), uint64(1),
+		uint32(testNode), uint8(0))
+	unknown := encodeRecord(t, 99, uint32(1))
 	out, err := serve(append(
-		encodeBatch(encodeAttach(t, testSettings), encodeSheet(), encodeDirectory(t, 3), encodeRecord(t, 99, uint32(1)),
-			landed, dropped, encodeNewTask(t, 6)),
-		encodeBatch(landed, landed, dropped, settled, settled, dropped)...))
+		encodeBatch(encodeStart(t, testSettings), encodeNodeList(), encodeNodeUpdate(t, updateCached), unknown,
+			accepted, withdrawn, encodePlaceRequest(t)),
+		encodeBatch(accepted, accepted, withdrawn, ended, ended, withdrawn)...))
 	require.NoError(t, err)
-	assert.Equal(t, 1, bytes.Count(out, []byte{uint8(codeBind), 0, 0, 0, 18}))
-	assert.Zero(t, bytes.Count(out, []byte{uint8(codePushBack), 0, 0, 0, 14}))
-	assert.Zero(t, bytes.Count(out, []byte{uint8(codeAbort), 0, 0, 0, 6}))
+	assert.Equal(t, 1, countRecords(out, codeBind, bindSize))
+	assert.Zero(t, countRecords(out, codeReject, rejectSize))
+	assert.Zero(t, countRecords(out, codeUnschedulable, unschedulableSize))
 }
 
-func TestServe_PoweredOffInstance_IsNotServed(t *testing.T) {
-	out, err := serve(encodeBatch(encodeAttach(t, testSettings), encodeSheet(), encodeDirectory(t, 3),
-		encodeRecord(t, codePowerOff), encodeNewTask(t, 6)))
+func TestServe_InstanceStopped_NotServed(t *testing.T) {
+	out, err := serve(encodeBatch(
+		encodeStart(t, testSettings), encodeNodeList(), encodeNodeUpdate(t, updateCached),
+		encodeRecord(t, codeInstanceStop), encodePlaceRequest(t)))
 	require.NoError(t, err)
-	assert.Zero(t, bytes.Count(out, []byte{uint8(codeBind), 0, 0, 0, 18}))
-}
-
-func TestServe_MalformedInput_IsNamed(t *testing.T) {
-	whole := encodeBatch(encodeAttach(t, testSettings), encodeSheet())
-	long := encodeBatch(encodeRecord(t, codeDropped, uint32(6)))
-	binary.BigEndian.PutUint32(long[17:], 1<<30)
-	overrun := encodeSheet()
-	binary.BigEndian.PutUint32(overrun[9:], 1<<31)
-	for name, c := range map[string]struct {
-		input    []byte
-		want     string
-		inRecord bool // whether the batch is whole, and one of its records is not
-	}{
-		"cut short":            {whole[:len(whole)-3], "cut short", false},
-		"cut in its header":    {whole[:5], "cut short", false},
-		"oversized frame":      {[]byte{0xff, 0xff, 0xff, 0xff}, "claims 4294967295 bytes", false},
-		"oversized record":     {long, "record 0 (code 10) at byte 16: claims 1073741824 bytes", true},
-		"too many records":     {encodeBatch()[:12], "cut short", false},
-		"count overruns":       {encodeBatch(overrun), "record 0 (code 7) at byte 16: counts 2147483648 elements", true},
-		"record too small":     {encodeBatch(encodeAttach(t, testSettings), encodeSheet(), encodeRecord(t, codeDirectory, uint8(0))), "record 2 (code 9)", true},
-		"list never sent":      {encodeBatch(encodeAttach(t, testSettings), encodeDirectory(t, 0)), "list 0, which was never sent", true},
-		"setting missing":      {encodeBatch(encodeAttach(t, "zone=0")), "setting balancers is missing", true},
-		"setting not numeric":  {encodeBatch(encodeAttach(t, "balancers=many\n"+testSettings[12:])), `setting balancers is "many"`, true},
-		"no room for instance": {encodeBatch(encodeRecordBody(codeDropped, []byte{0})), "record 0 (code 10) at byte 16: needs 2 bytes", true},
+	assert.Zero(t, countRecords(out, codeBind, bindSize))
+}
+
+// malformedInput is an input that Serve cannot decode.
+type malformedInput struct {
+	input     []byte
+	wantError string
+}
+
+func TestServe_MalformedBatch_ErrorNamesTheFault(t *testing.T) {
+	complete := encodeBatch(encodeStart(t, testSettings), encodeNodeList())
+	for name, c := range map[string]malformedInput{
+		"body cut short":         {complete[:len(complete)-3], "cut short"},
+		"header cut short":       {complete[:5], "cut short"},
+		"too large":              {[]byte{0xff, 0xff, 0xff, 0xff}, "claims 4294967295 bytes"},
+		"header without its end": {encodeBatch()[:12], "cut short"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := serve(c.input)
+			require.ErrorContains(t, err, c.wantError)
+			var inRecord *RecordError
+			assert.NotErrorAs(t, err, &inRecord)
+			assert.NotErrorIs(t, err, io.EOF)
+		})
+	}
+}
+
+func TestServe_MalformedRecord_ErrorNamesTheRecord(t *testing.T) {
+	oversized := encodeBatch(encodeRecord(t, codeWithdrawal, uint32(testWorkload)))
+	binary.BigEndian.PutUint32(oversized[batchHeaderSize+1:], 1<<30)
+	oversizedCount := encodeNodeList()
+	binary.BigEndian.PutUint32(oversizedCount[recordHeaderSize+4:], 1<<31)
+	shortRecord := encodeRecord(t, codeNodeUpdate, uint8(0))
+	manyAllocators := strings.Replace(testSettings, "balancers=1", "balancers=many", 1)
+	for name, c := range map[string]malformedInput{
+		"larger than its batch": {oversized, "record 0 (code 10) at byte 16: claims 1073741824 bytes"},
+		"list longer than its record": {
+			encodeBatch(oversizedCount), "record 0 (code 7) at byte 16: counts 2147483648 elements",
+		},
+		"too small": {
+			encodeBatch(encodeStart(t, testSettings), encodeNodeList(), shortRecord), "record 2 (code 9)",
+		},
+		"list never sent": {
+			encodeBatch(encodeStart(t, testSettings), encodeNodeUpdate(t, updateDelta)), "list 0, which was never sent",
+		},
+		"setting missing":     {encodeBatch(encodeStart(t, "zone=0")), "setting balancers is missing"},
+		"setting not numeric": {encodeBatch(encodeStart(t, manyAllocators)), `setting balancers is "many"`},
+		"no instance number": {
+			encodeBatch(encodeRecordBody(codeWithdrawal, []byte{0})), "record 0 (code 10) at byte 16: needs 2 bytes",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := serve(c.input)
-			require.ErrorContains(t, err, c.want)
+			require.ErrorContains(t, err, c.wantError)
 			var inRecord *RecordError
-			assert.Equal(t, c.inRecord, errors.As(err, &inRecord))
+			require.ErrorAs(t, err, &inRecord)
 			assert.NotErrorIs(t, err, io.EOF)
 		})
 	}
 }
 
-func TestServe_InputEndsBehindTheSizeOfABatch(t *testing.T) {
-	whole := encodeBatch(encodeAttach(t, testSettings))
-	_, err := serve(whole[:4])
+func TestServe_InputEndsBehindTheSizeOfABatch_NoError(t *testing.T) {
+	complete := encodeBatch(encodeStart(t, testSettings))
+	_, err := serve(complete[:sizedFrom])
 	require.NoError(t, err, "as at the end of the input between two batches")
 }
