--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -66,8 +66,8 @@
 	assert.Empty(t, harness.sentAbout(harness.nodeConn, 8))
 }
 
-// An offer that waits for the connection to its node is not sent if its client has gone or its node is draining by
-// then.
+// An offer that waits for the connection to its node is not sent if its client has disconnected or its node is
+// draining by then.
 func TestBinder_PendingOfferNotNeededAnyMore_NotSent(t *testing.T) {
 	for name, meanwhile := range map[string]func(harness *testHarness){
 		"client disconnected": func(harness *testHarness) { harness.closeConn(harness.clientConn, errClosed) },
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -18,8 +18,7 @@
 	maxPendingChecks = 64
 )
 
-// lifecycleState is how far a frontend is between its start and its end. It only goes forward, or from starting to
-// draining.
+// lifecycleState is the state of a frontend between its start and its end. It only goes forward, and may skip ready.
 type lifecycleState uint8
 
 const (
--- a/internal/frontend/platform/nodehealth.go
+++ b/internal/frontend/platform/nodehealth.go
@@ -25,7 +25,7 @@
 	h.conns.await(h.nodes.get(id), &pendingCheck{checker: h, number: h.pending.Begin(id)})
 }
 
-// completed hands the engine the reply to a health check. It reports whether the node had such a check pending.
+// completed passes the reply to a health check to the engine. It reports whether the node had such a check pending.
 func (h *healthChecker) completed(now placement.Millis, n *node, reply *codec.HealthReply) bool {
 	return h.pending.Complete(now, uint64(reply.Tag), n.id, reply.Load)
 }
