--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -5,8 +5,8 @@
 // Counters are what every frontend counts since its start. A frontend embeds them in its own.
 //
 // The Host counts binds, migrations and health checks as the engine starts them. The frontend counts requests and
-// withdrawals where it decodes them, and final answers with CountAnswer where it sends them: what one answer to a client
-// is differs between protocols, since a gang's parts have no answers of their own.
+// withdrawals where it decodes them, and final answers with CountAnswer where it sends them: what one answer to a
+// client is differs between protocols, since a gang's parts have no answers of their own.
 type Counters struct {
 	Requests      uint64 // scheduling requests of clients
 	Placed        uint64 // requests answered with a node
@@ -15,12 +15,12 @@
 	Withdrawn     uint64 // requests that their client cancelled
 	Binds         uint64 // offers to nodes, retries among them
 	Migrations    uint64 // running workloads that were stopped to be placed anew
-	HealthChecks  uint64
+	HealthChecks  uint64 // health checks of nodes
 }
 
 // CountAnswer counts one final answer to a client.
-func (c *Counters) CountAnswer(v allocator.Verdict) {
-	switch v {
+func (c *Counters) CountAnswer(verdict allocator.Verdict) {
+	switch verdict {
 	case allocator.Placed:
 		c.Placed++
 	case allocator.Rejected:
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// clientShare is the share of the file descriptors for clients' connections. Clients are to use a third; the margin is
-	// for those that use more. The rest is for nodes, the discovery service, the listener and the event loops.
+	// clientShare is the share of the file descriptors for clients' connections. By the platform's rules clients use a
+	// third; the margin is for those that use more. The rest is for nodes, the discovery service, the listener and the
+	// event loops.
 	clientShare = 0.4
-	// extraClientConns is how many connections more are accepted, so that there is a choice which one is closed.
+	// extraClientConns is how many connections beyond their share are accepted, so that the one to evict can be chosen.
 	extraClientConns = 8
-	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a reply
-	// within 3 s.
+	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a
+	// reply within 3 s.
 	firstMessageTimeout = placement.Millis(2000)
 	// maxUndelivered bounds the notifications that wait for a connection of a client.
 	maxUndelivered = 4096
-	// undeliveredTTL is how long, in ms, they wait.
+	// undeliveredTTL is how long, in ms, such a notification waits.
 	undeliveredTTL = 10 * endGrace
 )
 
@@ -27,7 +28,7 @@
 // clientConn is a connection of a client.
 type clientConn struct {
 	id           transport.ConnID
-	active       bool // a message has come
+	active       bool // a message was received
 	placed       int  // workloads placed or adopted for it
 	lastReceived placement.Millis
 	unanswered   map[placement.WorkloadID]*workload // requests of this connection without a final answer
@@ -54,7 +55,11 @@
 }
 
 func newClientConns(env *environment) *clientConns {
-	return &clientConns{environment: env, conns: map[transport.ConnID]*clientConn{}, limit: env.config.maxClientConns()}
+	return &clientConns{
+		environment: env,
+		conns:       map[transport.ConnID]*clientConn{},
+		limit:       env.config.maxClientConns(),
+	}
 }
 
 // get returns the connection of that id, or nil.
@@ -62,7 +67,11 @@
 
 // opened admits a connection. Beyond the limit one is evicted, which may be the new one.
 func (cs *clientConns) opened(now placement.Millis, id transport.ConnID) {
-	c := &clientConn{id: id, lastReceived: now, unanswered: map[placement.WorkloadID]*workload{}}
+	c := &clientConn{
+		id:           id,
+		lastReceived: now,
+		unanswered:   map[placement.WorkloadID]*workload{},
+	}
 	cs.conns[id] = c
 	if len(cs.conns) > cs.limit {
 		cs.evictConnection(now, c)
@@ -75,8 +84,9 @@
 	})
 }
 
-// evictConnection closes the first connection in the eviction order among those without an unanswered request. It guards
-// against clients that open connections by the thousand and keep them. If all have requests, the latest is closed.
+// evictConnection closes the first connection in the eviction order among those without an unanswered request. It
+// guards against clients that open connections by the thousand and keep them. If all have requests, the latest is
+// closed.
 func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
 	var first *clientConn
 	for _, c := range cs.conns {
@@ -90,8 +100,8 @@
 	cs.disconnect(now, first)
 }
 
-// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads, then
-// those that were silent for longer.
+// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads,
+// then those that were silent for longer.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	switch {
 	case c.active != other.active:
@@ -104,7 +114,7 @@
 	return c.id < other.id
 }
 
-// disconnect closes a connection from our side.
+// disconnect closes a connection and handles its end.
 func (cs *clientConns) disconnect(now placement.Millis, c *clientConn) {
 	cs.net.Close(c.id)
 	cs.closed(now, c)
@@ -116,9 +126,8 @@
 	cs.requests.cancelAll(now, c.unanswered)
 }
 
-// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection with
-// the most placed workloads: that is a client that stays, not one that sends a single request. Without any, the message
-// waits for a connection.
+// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection
+// with the most placed workloads, which is likely to stay open. Without any, the message waits for a connection.
 func (cs *clientConns) notify(w *workload, m codec.Message) {
 	if cs.conns[w.client] != nil {
 		cs.net.Send(w.client, m)
@@ -131,7 +140,7 @@
 	if len(cs.undelivered) >= maxUndelivered {
 		cs.undelivered = cs.undelivered[1:]
 	}
-	cs.undelivered = append(cs.undelivered, notification{m, cs.host.Now() + undeliveredTTL})
+	cs.undelivered = append(cs.undelivered, notification{message: m, expiresAt: cs.host.Now() + undeliveredTTL})
 }
 
 // mostPlaced returns the last connection in the eviction order among those with placed workloads, or nil.
