--- /dev/null
+++ b/internal/frontend/native/acceptor.go
@@ -0,0 +1,77 @@
+package native
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// acceptor handles the connections of clients and operators until their hello.
+type acceptor struct {
+	*environment
+	connections *connections
+	clients     *clientSessions
+	workloads   *workloadTable
+}
+
+// opened handles a connection that was accepted. It is refused if no hello comes in time.
+func (a *acceptor) opened(now placement.Millis, id transport.ConnID) {
+	a.connections.add(id, &connection{})
+	a.host.Schedule(now+helloTimeout, func(placement.Millis) {
+		if a.connections.awaitsHello(id) {
+			a.connections.refuse(id, errHelloTimeout)
+		}
+	})
+}
+
+// received handles the first frame of a connection: the hello of a client or an operator, or the connection is refused.
+func (a *acceptor) received(now placement.Millis, id transport.ConnID, peer *connection, frame *pb.Frame) {
+	hello, err := helloOf(frame, acceptRole)
+	switch {
+	case err != nil:
+		a.connections.refuse(id, err)
+	case hello.Role == pb.Role_CLIENT:
+		a.clientConnected(now, id, peer, hello)
+	default: // an operator: acceptRole accepts no other role
+		peer.role = hello.Role
+		a.network.Send(id, a.hello())
+	}
+}
+
+// acceptRole returns why a peer may not connect to an allocator, or nil.
+func acceptRole(hello *pb.Hello) error {
+	if hello.Role != pb.Role_CLIENT && hello.Role != pb.Role_OPERATOR {
+		return fmt.Errorf("an allocator serves owners and operators, not the role %s", hello.Role)
+	}
+	return nil
+}
+
+// clientConnected begins a client's session, in place of an earlier one under the same name.
+func (a *acceptor) clientConnected(
+	now placement.Millis, id transport.ConnID, peer *connection, hello *pb.Hello,
+) {
+	if earlier, ok := a.clients.connected(hello.Name); ok {
+		a.connections.refuse(earlier.conn, fmt.Errorf("another connection came in under the name %s", hello.Name))
+	}
+	peer.role = hello.Role
+	peer.client = a.clients.open(id, hello.Name)
+	peer.client.transit.delay(now, hello.SentMs)
+	a.network.Send(id, a.hello(a.running(now, hello.Name)...))
+}
+
+// running are a client's placed workloads, in the order of the ids of their binds.
+func (a *acceptor) running(now placement.Millis, client string) []*pb.RunningWorkload {
+	var running []*pb.RunningWorkload
+	placed := a.workloads.ofClient(client, func(w *workload) bool { return w.state == workloadPlaced })
+	for _, w := range placed {
+		running = append(running, &pb.RunningWorkload{Offer: a.workloads.offer(now, w)})
+	}
+	slices.SortStableFunc(running, func(x, y *pb.RunningWorkload) int {
+		return cmp.Compare(x.Offer.Bind.Workload, y.Offer.Bind.Workload)
+	})
+	return running
+}
--- /dev/null
+++ b/internal/frontend/native/binder.go
@@ -0,0 +1,155 @@
+package native
+
+import (
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// binder carries out the engine's binds: it sends offers and stops to the nodes, and keeps the state of each workload's
+// last bind on the way there.
+type binder struct {
+	*environment
+	workloads *workloadTable
+	nodes     *nodeTable
+	sender    *nodeSender
+	durable   *durableBinds
+	// persisting are the workloads whose last bind is being written to the journal, also those that the engine has
+	// forgotten meanwhile.
+	persisting map[placement.WorkloadID]*workload
+}
+
+func newBinder(
+	env *environment, workloads *workloadTable, nodes *nodeTable, sender *nodeSender, durable *durableBinds,
+) *binder {
+	return &binder{
+		environment: env,
+		workloads:   workloads,
+		nodes:       nodes,
+		sender:      sender,
+		durable:     durable,
+		persisting:  map[placement.WorkloadID]*workload{},
+	}
+}
+
+// pendingBind is a bind whose offer was not sent yet. It keeps its number, since its workload may have later binds. It is
+// passed by value, so that a bind which is sent at once needs no allocation for it.
+type pendingBind struct {
+	workload *workload
+	number   int
+	node     placement.NodeID
+	offer    *pb.Offer
+}
+
+// isLast reports whether the workload has no later bind.
+func (p pendingBind) isLast() bool { return p.workload.lastBind() == p.number }
+
+// offer begins a bind of a workload to a node, which may accept it within the timeout. An offer that must be durable is
+// sent once the journal has it.
+func (b *binder) offer(w *workload, node placement.NodeID, timeout placement.Millis) {
+	w.bindNodes = append(w.bindNodes, node)
+	w.bindState = bindNotSent
+	offer := b.workloads.offer(b.host.Now(), w)
+	offer.AcceptWithinMs = float64(timeout)
+	bind := pendingBind{
+		workload: w,
+		number:   w.lastBind(),
+		node:     node,
+		offer:    offer,
+	}
+	if b.durable.required(w.request.Group) {
+		b.persist(bind)
+		return
+	}
+	b.send(bind)
+}
+
+// persist makes a bind durable and then sends its offer, unless what the placement was decided by has changed meanwhile:
+// the bind has ended, the node is no longer ready or was restarted, or more of the service was found running. A bind that
+// could not be made durable is not sent.
+func (b *binder) persist(bind pendingBind) {
+	began := b.host.Now()
+	incarnation := b.nodes.incarnation(bind.node)
+	w := bind.workload
+	w.bindState = bindPersisting
+	b.persisting[w.id] = w
+	b.durable.persist(began, w, bind.node, bind.offer.Bind, func(now placement.Millis, err error) {
+		b.host.Handle(now, func() { b.persisted(now, bind, began, incarnation, err) })
+	})
+}
+
+// persisted handles the journal's result for a bind that was begun at the given time, to a node that had the given
+// incarnation then.
+func (b *binder) persisted(now placement.Millis, bind pendingBind, began placement.Millis, incarnation uint64, err error) {
+	valid := b.finishPersisting(bind, incarnation)
+	switch {
+	case err != nil:
+		b.counters.BindsNotPersisted++
+		b.log.Error("bind not persisted, offer not sent",
+			"workload", bind.workload.id, "bind", bind.number, "node", bind.node, "error", err)
+		b.notSent(bind)
+	case !valid:
+		b.notSent(bind)
+	default:
+		b.counters.BindsPersisted++
+		bind.offer.AcceptWithinMs -= float64(now - began)
+		b.send(bind)
+	}
+}
+
+// finishPersisting ends the time in which a bind is written to the journal. It reports whether the placement decision
+// still holds, so that the offer may be sent.
+func (b *binder) finishPersisting(bind pendingBind, incarnation uint64) bool {
+	if !bind.isLast() {
+		return false // a later bind of the workload is on its way
+	}
+	w := bind.workload
+	delete(b.persisting, w.id)
+	_, held := b.workloads.get(w.id)
+	if !held || w.bindState != bindPersisting {
+		return false
+	}
+	n, known := b.nodes.get(bind.node)
+	return known && n.incarnation == incarnation && n.state() == placement.Ready
+}
+
+// outdate keeps binds of a service from being sent that were decided before more of the service was found running.
+func (b *binder) outdate(service uint64) {
+	for _, w := range b.persisting {
+		if w.request.Service == service && w.bindState == bindPersisting {
+			w.bindState = bindOutdated
+		}
+	}
+}
+
+// send sends the offer of a bind, if its node is connected.
+func (b *binder) send(bind pendingBind) {
+	if !b.sender.offer(bind.node, bind.offer) {
+		b.notSent(bind)
+		return
+	}
+	bind.workload.bindState = bindSent
+}
+
+// notSent undoes a bind whose offer was never sent. The engine is notified once it is idle. The state of the bind does not
+// change if it was cancelled meanwhile, or if the workload has a later bind.
+func (b *binder) notSent(bind pendingBind) {
+	w := bind.workload
+	if bind.isLast() && w.bindState != bindStopRequested {
+		w.bindState = bindNotSent
+	}
+	b.durable.forget(w, bind.offer.Bind)
+	b.host.Defer(func(now placement.Millis) {
+		result := placement.Result{Kind: placement.NotDelivered}
+		b.host.Engine().BindEnded(now, w.id, bind.number, bind.node, result)
+	})
+}
+
+// rejected undoes a bind that its node rejected.
+func (b *binder) rejected(w *workload, id *pb.BindID) { b.durable.forget(w, id) }
+
+// stop carries out the engine's stop of a workload's last bind. With onlyWaiting, a workload that its node has accepted
+// runs on.
+func (b *binder) stop(w *workload, onlyWaiting bool) {
+	w.bindState = bindStopRequested
+	b.sender.stop(w.lastNode(), b.workloads.bindID(w), onlyWaiting)
+}
--- a/internal/frontend/native/binds_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -88,7 +88,7 @@
 			n := change(x)
 			journal.done[0](x.now, nil)
 			assert.Equal(t, name == unchanged, len(x.offers(n)) == 1)
-			assert.Empty(t, x.f.binds.persisting)
+			assert.Empty(t, x.f.binder.persisting)
 		})
 	}
 }
@@ -101,7 +101,7 @@
 	require.Len(t, journal.done, 1)
 	journal.done[0](x.now, errors.New("disk full"))
 	assert.Empty(t, x.offers(n))
-	assert.Empty(t, x.f.binds.persisting)
+	assert.Empty(t, x.f.binder.persisting)
 	assert.Equal(t, uint64(1), x.f.Counters.BindsNotPersisted)
 	x.runUntil(200)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, x.verdicts(), "a bind that was not sent cannot have run")
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -61,16 +61,16 @@
 
 // stateSizes are the sizes of everything that the frontend keeps.
 func (x *fixture) stateSizes() map[string]int {
-	f, nodes := x.f, x.f.nodes.table
+	f, nodes := x.f, x.f.nodes
 	return map[string]int{
 		"connections": len(f.connections.byID), "clients": len(f.clients.byName), "nodes": len(nodes.sorted),
 		"workloads": len(f.workloads.byID), "requests": len(f.workloads.byRequest), "keys": len(f.workloads.byKey),
 		"adopted binds": len(f.workloads.byAdopted), "gangs": len(f.gangs.byRequest),
-		"deferred calls": f.core.DeferredCalls(), "timers": f.core.PendingTimers(),
+		"deferred calls": f.host.DeferredCalls(), "timers": f.host.PendingTimers(),
 		"zones": len(nodes.zones.byName), "zone numbers": len(nodes.zones.used),
 		"cells": len(nodes.cells.byName), "cell numbers": len(nodes.cells.used), "removed nodes": len(nodes.removed),
-		"health checks": f.nodes.healthChecks.Len(),
-		"engine":        f.core.Engine().WorkloadCount(), "pending requests": f.Pending(),
+		"health checks": f.healthChecks.pending.Len(),
+		"engine":        f.host.Engine().WorkloadCount(), "pending requests": f.Pending(),
 	}
 }
 
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -18,7 +18,12 @@
 }
 
 func newCatalog(c Config) *catalog {
-	t := &catalog{settings: c.Settings, groupNames: c.GroupNames, kindNames: c.KindNames, groups: make(map[string]int, len(c.GroupNames))}
+	t := &catalog{
+		settings:   c.Settings,
+		groupNames: c.GroupNames,
+		kindNames:  c.KindNames,
+		groups:     make(map[string]int, len(c.GroupNames)),
+	}
 	for i, name := range c.GroupNames {
 		t.groups[name] = i
 	}
@@ -47,33 +52,54 @@
 }
 
 // workload is a request as the engine takes it.
-func (t *catalog) workload(id placement.WorkloadID, r *pb.PlaceRequest) placement.Workload {
+func (t *catalog) workload(id placement.WorkloadID, request *pb.PlaceRequest) placement.Workload {
 	return placement.Workload{
-		ID: id, Service: placement.ServiceID(r.Service), Group: t.groupID(r.Group),
-		Cores: r.Cores, Memory: r.Memory, PendingTimeout: placement.Millis(r.PendingTimeoutMs), Retried: r.Retried,
+		ID:             id,
+		Service:        placement.ServiceID(request.Service),
+		Group:          t.groupID(request.Group),
+		Cores:          request.Cores,
+		Memory:         request.Memory,
+		PendingTimeout: placement.Millis(request.PendingTimeoutMs),
+		Retried:        request.Retried,
 	}
 }
 
-// effect is what a second start of a group's workloads does.
-func (t *catalog) effect(group string) placement.Idempotency {
+// idempotency is what a second start of a group's workloads does. Those of an unknown group are taken as idempotent.
+func (t *catalog) idempotency(group string) placement.Idempotency {
 	if i, ok := t.groups[group]; ok {
 		return t.settings.Groups[i].Idempotency
 	}
 	return placement.Idempotent
 }
 
+// gangRequest is a request for a gang as the gang's state machine takes it. The timeout is what is left of the client's.
+func (t *catalog) gangRequest(r *pb.GangRequest, timeout placement.Millis) gang.Request {
+	request := gang.Request{
+		MinParts:       int(r.MinParts),
+		PendingTimeout: timeout,
+		ReplaceTimeout: placement.Millis(r.ReplaceTimeoutMs),
+	}
+	if r.Replace {
+		request.OnLoss = gang.ReplaceOnLoss
+	}
+	for _, part := range r.Parts {
+		request.Parts = append(request.Parts, t.gangPart(part))
+	}
+	return request
+}
+
 // gangPart is a part of a gang as the gang's state machine takes it. Its size is its largest share of a node of any kind.
 func (t *catalog) gangPart(r *pb.PlaceRequest) gang.Part {
-	part := gang.Part{Idempotency: t.effect(r.Group)}
-	for _, k := range t.settings.NodeKinds {
-		part.Size = max(part.Size, min(1, r.Cores/k.Cores), min(1, r.Memory/k.Memory))
+	part := gang.Part{Idempotency: t.idempotency(r.Group)}
+	for _, kind := range t.settings.NodeKinds {
+		part.Size = max(part.Size, min(1, r.Cores/kind.Cores), min(1, r.Memory/kind.Memory))
 	}
 	return part
 }
 
 // fitsSomeKind reports whether a request is within the size of any kind of node.
 func (t *catalog) fitsSomeKind(r *pb.PlaceRequest) bool {
-	return slices.ContainsFunc(t.settings.NodeKinds, func(k placement.NodeKind) bool {
-		return r.Cores <= k.Cores && r.Memory <= k.Memory
+	return slices.ContainsFunc(t.settings.NodeKinds, func(kind placement.NodeKind) bool {
+		return r.Cores <= kind.Cores && r.Memory <= kind.Memory
 	})
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -2,6 +2,7 @@
 
 import (
 	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -16,10 +17,14 @@
 // clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under the same
 // name takes the place of the earlier one.
 type clientSessions struct {
-	*core
+	*environment
 	byName map[string]*clientSession
 }
 
+func newClientSessions(env *environment) *clientSessions {
+	return &clientSessions{environment: env, byName: map[string]*clientSession{}}
+}
+
 func (s *clientSessions) open(c transport.ConnID, name string) *clientSession {
 	session := &clientSession{name: name, conn: c}
 	s.byName[name] = session
@@ -51,6 +56,20 @@
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
+// notifyEnded notifies a client that a workload or a gang of it has ended.
+func (s *clientSessions) notifyEnded(name string, end *pb.WorkloadEnded) {
+	s.send(name, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: end}})
+}
+
+// requestDelay is how much of a request's time had passed when it was received, in ms: what the network delayed it as far
+// as is known, or what it may have waited while this process was stopped. It is called once for each request, since the
+// session keeps the transit time.
+func (s *clientSessions) requestDelay(
+	now placement.Millis, session *clientSession, sentMs float64,
+) placement.Millis {
+	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
+}
+
 // markEnded notes in the client's session that a request was answered or withdrawn.
 func (s *clientSessions) markEnded(name string, request uint64, withdrawn bool) {
 	if session, ok := s.byName[name]; ok {
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"log/slog"
 
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/transport"
@@ -29,52 +28,61 @@
 // connection is what is known of the peer of a connection to a node or of one that was accepted.
 type connection struct {
 	role   pb.Role        // unspecified until the hello of a peer that connected to us
-	client *clientSession // of the role OWNER
+	client *clientSession // of the role CLIENT
 	node   *node          // of the role NODE
 }
 
+// closeHandler handles the end of a connection.
+type closeHandler interface {
+	Closed(now placement.Millis, conn transport.ConnID, reason error)
+}
+
 // connections are the open connections, but for the one to the discovery service.
 type connections struct {
-	byID    map[transport.ConnID]*connection
-	network transport.FrameNetwork
-	log     *slog.Logger
-	// closed handles the end of a connection that disconnect ends, as if the peer had closed it.
-	closed func(c transport.ConnID, reason error)
+	*environment
+	byID map[transport.ConnID]*connection
+	// closeHandler handles the end of a connection that disconnect ends, as if the peer had closed it.
+	closeHandler closeHandler
 }
 
-func (t *connections) add(c transport.ConnID, conn *connection) { t.byID[c] = conn }
+func newConnections(env *environment, handler closeHandler) *connections {
+	return &connections{environment: env, byID: map[transport.ConnID]*connection{}, closeHandler: handler}
+}
 
-func (t *connections) get(c transport.ConnID) (conn *connection, open bool) {
-	conn, open = t.byID[c]
-	return conn, open
+func (t *connections) add(id transport.ConnID, peer *connection) { t.byID[id] = peer }
+
+// get returns what is known of the peer, if the connection is open.
+func (t *connections) get(id transport.ConnID) (peer *connection, open bool) {
+	peer, open = t.byID[id]
+	return peer, open
 }
 
-func (t *connections) remove(c transport.ConnID) { delete(t.byID, c) }
+func (t *connections) remove(id transport.ConnID) { delete(t.byID, id) }
 
 // disconnect ends a connection from this side.
-func (t *connections) disconnect(c transport.ConnID, reason error) {
-	t.network.Close(c)
-	t.closed(c, reason)
+func (t *connections) disconnect(id transport.ConnID, reason error) {
+	t.network.Close(id)
+	t.closeHandler.Closed(t.host.Now(), id, reason)
 }
 
 // refuse ends a connection after sending the peer the reason.
-func (t *connections) refuse(c transport.ConnID, reason error) {
+func (t *connections) refuse(id transport.ConnID, reason error) {
 	t.log.Warn("connection rejected", "reason", reason)
-	t.network.Send(c, transport.RefusalFrame(reason.Error()))
-	t.disconnect(c, reason)
+	t.network.Send(id, transport.RefusalFrame(reason.Error()))
+	t.disconnect(id, reason)
+}
+
+// awaitsHello reports whether a connection is open and its peer has sent no hello.
+func (t *connections) awaitsHello(id transport.ConnID) bool {
+	peer, open := t.get(id)
+	return open && peer.role == pb.Role_ROLE_UNSPECIFIED
 }
 
 // helloOf returns the hello that is a peer's first frame. The error is one of transport.CheckHello or of accepts.
-func helloOf(f *pb.Frame, accepts func(*pb.Hello) error) (*pb.Hello, error) {
-	h, err := transport.CheckHello(f)
+func helloOf(frame *pb.Frame, accepts func(*pb.Hello) error) (*pb.Hello, error) {
+	hello, err := transport.CheckHello(frame)
 	if err != nil {
 		return nil, err
 	}
-	return h, accepts(h)
-}
-
-// awaitsHello reports whether a connection is open and its peer has sent no hello.
-func (t *connections) awaitsHello(c transport.ConnID) bool {
-	conn, open := t.get(c)
-	return open && conn.role == pb.Role_ROLE_UNSPECIFIED
+	return hello, accepts(hello)
 }
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -8,7 +8,7 @@
 
 // discovery is the subscription to the discovery service. The engine requests it when no update has come for too long.
 type discovery struct {
-	*core
+	*environment
 	address     string
 	connections *connections
 	membership  *membership
@@ -32,26 +32,29 @@
 	if d.address == "" {
 		return
 	}
-	c := d.network.Dial(d.address)
-	d.state, d.conn = sessionConnecting, c
-	d.Schedule(now+helloTimeout, func(placement.Millis) {
-		if d.conn == c && d.state == sessionConnecting {
-			d.connections.disconnect(c, errHelloTimeout)
+	conn := d.network.Dial(d.address)
+	d.state = sessionConnecting
+	d.conn = conn
+	d.host.Schedule(now+helloTimeout, func(placement.Millis) {
+		if d.conn == conn && d.state == sessionConnecting {
+			d.connections.disconnect(conn, errHelloTimeout)
 		}
 	})
 }
 
-// closed handles the end of the connection, or that dialling failed.
+// closed handles the end of the connection, or that it could not be dialed.
 func (d *discovery) closed(now placement.Millis, reason error) {
 	d.log.Warn("no connection to discovery service", "address", d.address, "reason", reason)
 	unanswered := d.unanswered
-	d.state, d.conn, d.unanswered = sessionDisconnected, 0, false
+	d.state = sessionDisconnected
+	d.conn = 0
+	d.unanswered = false
 	if unanswered {
-		d.Engine().UpdateNodes(now, placement.PollFailed, nil)
+		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
 	}
-	delay := d.RetryDelay(reconnectBackoff, d.failures)
+	delay := d.host.RetryDelay(reconnectBackoff, d.failures)
 	d.failures++
-	d.Schedule(now+delay, d.dial)
+	d.host.Schedule(now+delay, d.dial)
 }
 
 // subscribe requests the changes since the last update, and further ones as they come.
@@ -61,26 +64,29 @@
 		return // handshake calls subscribe again
 	}
 	d.counters.DiscoveryCalls++
-	d.network.Send(d.conn, &pb.Frame{Body: &pb.Frame_NodeListRequest{NodeListRequest: &pb.NodeListRequest{
-		Watch: true, Epoch: d.epoch, Revision: d.revision,
-	}}})
+	request := &pb.NodeListRequest{
+		Watch:    true,
+		Epoch:    d.epoch,
+		Revision: d.revision,
+	}
+	d.network.Send(d.conn, &pb.Frame{Body: &pb.Frame_NodeListRequest{NodeListRequest: request}})
 }
 
 // received handles a frame of the discovery service.
-func (d *discovery) received(now placement.Millis, f *pb.Frame) {
+func (d *discovery) received(now placement.Millis, frame *pb.Frame) {
 	if d.state != sessionConnected {
-		d.handshake(f)
+		d.handshake(frame)
 		return
 	}
-	if u := f.GetNodeListUpdate(); u != nil {
-		d.updated(now, u)
+	if update := frame.GetNodeListUpdate(); update != nil {
+		d.updated(now, update)
 	}
 }
 
 // handshake handles the first frame: a hello of a discovery service, or the connection ends.
-func (d *discovery) handshake(f *pb.Frame) {
-	_, err := helloOf(f, func(h *pb.Hello) error {
-		if h.Role != pb.Role_DISCOVERY {
+func (d *discovery) handshake(frame *pb.Frame) {
+	_, err := helloOf(frame, func(hello *pb.Hello) error {
+		if hello.Role != pb.Role_DISCOVERY {
 			return errNoDiscovery
 		}
 		return nil
@@ -89,33 +95,36 @@
 		d.connections.disconnect(d.conn, err)
 		return
 	}
-	d.state, d.failures = sessionConnected, 0
+	d.state = sessionConnected
+	d.failures = 0
 	if d.unanswered {
 		d.subscribe()
 	}
 }
 
 // updated handles an answer to the subscription, or an update that came by itself.
-func (d *discovery) updated(now placement.Millis, u *pb.NodeListUpdate) {
+func (d *discovery) updated(now placement.Millis, update *pb.NodeListUpdate) {
 	d.unanswered = false
-	if u.Kind == pb.NodeListUpdate_POLL_FAILED {
-		d.Engine().UpdateNodes(now, placement.PollFailed, nil)
+	if update.Kind == pb.NodeListUpdate_POLL_FAILED {
+		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
 		return
 	}
-	sameEpoch, snapshot := u.Epoch == d.epoch, u.Kind == pb.NodeListUpdate_SNAPSHOT
+	sameEpoch := update.Epoch == d.epoch
+	snapshot := update.Kind == pb.NodeListUpdate_SNAPSHOT
 	switch {
 	case !sameEpoch && !snapshot:
 		// A delta cannot be applied to a revision from before a restart of the service.
 		d.revision = 0
 		d.subscribe()
 		return
-	case sameEpoch && u.Revision < d.revision:
+	case sameEpoch && update.Revision < d.revision:
 		return // an answer older than one that was handled
-	case sameEpoch && u.Revision == d.revision && !snapshot:
-		d.Engine().UpdateNodes(now, placement.Delta, nil) // nothing has changed, and the subscription is alive
+	case sameEpoch && update.Revision == d.revision && !snapshot:
+		d.host.Engine().UpdateNodes(now, placement.Delta, nil) // nothing has changed, and the subscription is alive
 		return
 	}
-	d.epoch, d.revision = u.Epoch, u.Revision
-	d.recorder.discoveryRevision(now, u)
-	d.membership.update(now, u)
+	d.epoch = update.Epoch
+	d.revision = update.Revision
+	d.recorder.discoveryRevision(now, update)
+	d.membership.update(now, update)
 }
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -15,18 +15,26 @@
 	wallClockOffset float64
 }
 
+// newDurableBinds makes the registry from the binds that earlier incarnations left in the journal.
 func newDurableBinds(c Config) *durableBinds {
 	if c.Journal == nil {
 		return &durableBinds{}
 	}
-	rules := make(map[string]recovery.GroupPolicy, len(c.GroupNames))
+	policies := make(map[string]recovery.GroupPolicy, len(c.GroupNames))
 	for i, name := range c.GroupNames {
-		rules[name] = recovery.GroupPolicy{Idempotency: c.Settings.Groups[i].Idempotency, KeyWindow: c.Settings.Groups[i].KeyWindow}
+		group := &c.Settings.Groups[i]
+		policies[name] = recovery.GroupPolicy{Idempotency: group.Idempotency, KeyWindow: group.KeyWindow}
+	}
+	settings := recovery.Settings{
+		Groups:     policies,
+		Retention:  c.AtMostOnceRetention,
+		MaxEntries: c.MaxDurableKeys,
 	}
-	settings := recovery.Settings{Groups: rules, Retention: c.AtMostOnceRetention, MaxEntries: c.MaxDurableKeys}
 	return &durableBinds{
-		enabled: true, journal: c.Journal, wallClockOffset: c.WallClockOffset,
-		registry: recovery.New(settings, c.RecoveredBinds, c.WallClockOffset),
+		enabled:         true,
+		journal:         c.Journal,
+		registry:        recovery.New(settings, c.RecoveredBinds, c.WallClockOffset),
+		wallClockOffset: c.WallClockOffset,
 	}
 }
 
@@ -55,18 +63,22 @@
 
 // persist makes a workload's bind durable. It calls done once, with nil when it is, or with the error of the journal.
 func (d *durableBinds) persist(
-	now placement.Millis, wl *workload, node placement.NodeID, id *pb.BindID, done func(now placement.Millis, err error),
+	now placement.Millis, w *workload, node placement.NodeID, id *pb.BindID, done func(now placement.Millis, err error),
 ) {
 	bind := d.registry.RecordBind(d.unixTime(now), recovery.Bind{
-		Key: wl.request.Key, Group: wl.request.Group, Node: uint32(node), Incarnation: id.Incarnation, Workload: id.Workload,
-		Number: id.Number,
+		Key:         w.request.Key,
+		Group:       w.request.Group,
+		Node:        uint32(node),
+		Incarnation: id.Incarnation,
+		Workload:    id.Workload,
+		Number:      id.Number,
 	})
 	d.journal.PersistBind(bind, done)
 }
 
 // forget removes a bind that its node never accepted, if no other bind of the key is in doubt.
-func (d *durableBinds) forget(wl *workload, id *pb.BindID) {
-	if d.enabled && d.registry.Forget(wl.request.Key, id.Incarnation, id.Number) {
-		d.journal.ForgetBind(wl.request.Key, id.Incarnation, id.Number)
+func (d *durableBinds) forget(w *workload, id *pb.BindID) {
+	if d.enabled && d.registry.Forget(w.request.Key, id.Incarnation, id.Number) {
+		d.journal.ForgetBind(w.request.Key, id.Incarnation, id.Number)
 	}
 }
--- /dev/null
+++ b/internal/frontend/native/engineactions.go
@@ -0,0 +1,67 @@
+package native
+
+import (
+	"grebeglade/internal/allocator"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// engineActions is a Frontend as its engine sees it. The engine is at work while these methods run, so that they defer
+// each result that they report back to it.
+type engineActions struct{ *Frontend }
+
+var _ allocator.Actions = engineActions{}
+
+// Bind implements allocator.Actions.
+func (a engineActions) Bind(id placement.WorkloadID, _ int, node placement.NodeID, timeout placement.Millis) {
+	a.binder.offer(a.workloads.held(id), node, timeout)
+}
+
+// Stop implements allocator.Actions.
+func (a engineActions) Stop(
+	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyWaiting bool,
+) {
+	a.binder.stop(a.workloads.held(id), onlyWaiting)
+}
+
+// CheckHealth implements allocator.Actions.
+func (a engineActions) CheckHealth(node placement.NodeID) { a.healthChecks.check(node) }
+
+// SubscribeNodes implements allocator.Actions.
+func (a engineActions) SubscribeNodes() { a.discovery.subscribe() }
+
+// Answer implements allocator.Actions.
+func (a engineActions) Answer(id placement.WorkloadID, v allocator.Verdict, node placement.NodeID) {
+	w := a.workloads.held(id)
+	a.workloads.markAnswered(w, v)
+	if w.gang != nil {
+		a.gangParts.answered(w, v)
+		return
+	}
+	a.requests.answer(w, v, node)
+}
+
+// NotifyEnded implements allocator.Actions.
+func (a engineActions) NotifyEnded(
+	id placement.WorkloadID, _ placement.NodeID, migrating bool, reason placement.Reason,
+) {
+	w := a.workloads.held(id)
+	if w.gang != nil {
+		finished := !migrating && !a.interrupted && reason == placement.ReasonUnspecified
+		a.gangParts.ended(w, finished)
+		return
+	}
+	a.clients.notifyEnded(w.client, &pb.WorkloadEnded{
+		RequestId: w.request.RequestId,
+		Reason:    endReasonOf(reason, migrating, a.interrupted),
+	})
+}
+
+// Forget implements allocator.Actions.
+func (a engineActions) Forget(id placement.WorkloadID) {
+	w := a.workloads.held(id)
+	if w.gang != nil && w.state.withdrawn() {
+		a.gangParts.ended(w, false)
+	}
+	a.workloads.remove(w)
+}
--- /dev/null
+++ b/internal/frontend/native/environment.go
@@ -0,0 +1,92 @@
+package native
+
+import (
+	"cmp"
+	"log/slog"
+
+	"grebeglade/internal/allocator"
+	"grebeglade/internal/eventlog"
+	"grebeglade/internal/frontend"
+	"grebeglade/internal/replay"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+	"grebeglade/trace/tracepb"
+)
+
+const (
+	defaultEventLogSize = 1 << 14
+	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect that it
+	// was stopped.
+	maxWakeInterval = placement.Millis(20)
+)
+
+// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded.
+type environment struct {
+	config   Config
+	log      *slog.Logger
+	host     *frontend.Host
+	network  transport.FrameNetwork // from Start on
+	eventLog *eventlog.Log
+	recorder traceRecorder
+	counters *Counters
+	// interrupted is set while the engine is called with an event that may end workloads from outside; see reportEnds.
+	interrupted bool
+}
+
+func newEnvironment(c Config, counters *Counters) *environment {
+	if c.Log == nil {
+		c.Log = slog.New(slog.DiscardHandler)
+	}
+	return &environment{
+		config:   c,
+		log:      c.Log,
+		eventLog: eventlog.New(cmp.Or(c.EventLogSize, defaultEventLogSize)),
+		counters: counters,
+	}
+}
+
+// startHost makes the engine and its host. With a trace, the engine's placement module is one that records its calls.
+func (e *environment) startHost(actions allocator.Actions) {
+	c := &e.config
+	settings := WithSpreadVariants(c.Settings)
+	options := allocator.Options{EnforceTimeouts: true, Log: e.eventLog}
+	if c.Trace != nil {
+		recorder := replay.NewRecorder(replay.RecorderConfig{
+			Source:     &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset},
+			Settings:   settings,
+			Seed:       c.Seed,
+			GroupNames: groupNamesWithVariants(c.GroupNames),
+			KindNames:  c.KindNames,
+			ZoneNames:  []string{c.Zone},
+		}, c.Trace)
+		e.recorder.recorder = recorder
+		options.Module = recorder
+	}
+	e.host = frontend.NewHost(frontend.Config{
+		Settings:        settings,
+		Seed:            c.Seed,
+		Engine:          options,
+		Actions:         actions,
+		MaxWakeInterval: maxWakeInterval,
+		Counters:        &e.counters.Counters,
+	})
+}
+
+// hello is the frontend's first frame on every connection.
+func (e *environment) hello(running ...*pb.RunningWorkload) *pb.Frame {
+	return transport.HelloFrame(&pb.Hello{
+		Role:             pb.Role_ALLOCATOR,
+		Name:             e.config.Name,
+		Incarnation:      e.config.Incarnation,
+		RunningWorkloads: running,
+	})
+}
+
+// reportEnds calls the engine with an event that may end workloads. If interrupted, those that end without a reason are
+// reported to their clients as lost, not as finished.
+func (e *environment) reportEnds(interrupted bool, call func()) {
+	e.interrupted = interrupted
+	call()
+	e.interrupted = false
+}
--- a/internal/frontend/native/fixture_test.go
+++ b/internal/frontend/native/fixture_test.go
@@ -182,7 +182,7 @@
 // firstNode is the known node with the smallest id.
 func (x *fixture) firstNode() *node { return x.knownNodes()[0] }
 
-func (x *fixture) knownNodes() []*node { return x.f.nodes.table.sorted }
+func (x *fixture) knownNodes() []*node { return x.f.nodes.sorted }
 
 // request sends a client's request.
 func (x *fixture) request(id uint64, group string, change ...func(*pb.PlaceRequest)) {
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -2,137 +2,212 @@
 // what the engine decides becomes frames. It is a handler of package transport, so it runs alike on sockets and in virtual
 // time.
 //
-// Each of its parts owns its state: the client sessions, the workloads by id, request and idempotency key, the binds on
-// their way to the nodes and their durability, the nodes and the connections to them, the subscription to the discovery
-// service, and the gangs. Frontend puts them together and hands each event to the part that it concerns. Where a workload
-// goes is decided by the engine's placement module alone.
+// Tables own state and call nobody; handlers act on the tables and call only parts that stand above them here:
 //
-// A request takes this way: Frontend.Received hands the client's frame to requests, which rejects it or gives it an id in
-// the workload table and schedules it with the engine. The engine calls actions.Bind, and binds sends the offer, after the
-// journal has it where it must be durable. The node's answer reaches nodeSessions, which notifies the engine, and the
-// engine calls actions.Answer, from which requests answers the client. What an action reports to the engine is deferred
-// until the engine is idle.
+//	part                          owns                                                calls
+//	workloadTable                 workloads by id, request, idempotency key and bind  -
+//	nodeTable                     nodes, each with its session; zones and cells       -
+//	gangTable                     gangs by request, each with its state machine       -
+//	catalog                       names of priority groups and node kinds             -
+//	durableBinds                  registry of the binds that must be durable          the journal
+//	clientSessions                clients' sessions, each with its request history    the network
+//	connections                   open connections and their peers                    the network, closeHandler
+//	nodeSender                    -                                                   the network, nodeTable
+//	binder                        binds that are being persisted                      nodeSender, durableBinds
+//	healthChecker                 health checks in flight                             the network, nodeTable
+//	gangAnswers                   -                                                   clientSessions, gangTable
+//	gangExecutor                  -                                                   engine, gangAnswers, nodeSender
+//	gangParts                     -                                                   gangExecutor, nodeSender
+//	gangRecovery                  -                                                   engine, gangExecutor
+//	requestValidator              whether requests are admitted                       the tables
+//	gangHandler                   -                                                   gangExecutor, requestValidator
+//	requestHandler                -                                                   engine, gangHandler, requestValidator
+//	acceptor                      -                                                   connections, clientSessions
+//	replyHandler                  -                                                   engine, binder, gangParts
+//	reconciler                    -                                                   engine, binder, gangParts, gangRecovery
+//	nodeSessions                  the nodes' sessions, in the nodeTable               engine, replyHandler, reconciler
+//	membership                    the nodes' entries, in the nodeTable                engine, nodeSessions
+//	discovery                     place in the discovery service's updates            membership
+//	status                        -                                                   the tables
+//
+// Two arrows go back, both to Frontend: the engine calls engineActions, and connections pass what they close themselves to
+// Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's placement module alone.
+//
+// A request takes this way: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives it an id
+// in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder sends the offer,
+// after the journal has it where it must be durable. The node's reply reaches replyHandler, which notifies the engine, and
+// the engine calls engineActions.Answer, from which requestHandler answers the client. What an action reports to the engine
+// is deferred until the engine is idle.
 //
 // Times are milliseconds on a clock that never steps back. A Frontend belongs to one goroutine.
 package native
 
 import (
-	"cmp"
-	"fmt"
-	"log/slog"
-
-	"grebeglade/internal/allocator"
 	"grebeglade/internal/eventlog"
-	"grebeglade/internal/frontend"
-	"grebeglade/internal/replay"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
-	"grebeglade/trace/tracepb"
 )
 
-const (
-	defaultEventLogSize = 1 << 14
-	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect that it
-	// was stopped.
-	maxWakeInterval = placement.Millis(20)
-)
+var _ transport.FrameHandler = (*Frontend)(nil)
 
-// Frontend is an allocator on the protocol. New makes one, and a transport starts it.
+// Frontend is an allocator on the protocol. New makes one, and a transport starts it. It has a field for each part that
+// events and the engine's actions go to.
 type Frontend struct {
-	Counters    Counters
-	core        *core
-	connections *connections
-	clients     *clientSessions
-	requests    *requests
-	workloads   *workloadTable
-	binds       *binds
-	nodes       *nodeSessions
-	discovery   *discovery
-	gangs       *gangs
-	status      *status
+	*environment
+	Counters Counters
+
+	clients      *clientSessions
+	workloads    *workloadTable
+	gangs        *gangTable
+	nodes        *nodeTable
+	connections  *connections
+	validator    *requestValidator
+	acceptor     *acceptor
+	requests     *requestHandler
+	binder       *binder
+	gangParts    *gangParts
+	healthChecks *healthChecker
+	nodeSessions *nodeSessions
+	discovery    *discovery
+	status       *status
 }
 
 // New makes an allocator's frontend with its engine.
 func New(c Config) *Frontend {
 	f := &Frontend{}
-	shared := newCore(c, &f.Counters)
-	f.core = shared
+	env := newEnvironment(c, &f.Counters)
+	f.environment = env
+	env.startHost(engineActions{f})
+
 	f.workloads = newWorkloadTable(c)
-	f.clients = &clientSessions{core: shared, byName: map[string]*clientSession{}}
-	f.connections = &connections{byID: map[transport.ConnID]*connection{}, log: shared.log}
-	f.connections.closed = func(c transport.ConnID, reason error) { f.Closed(shared.Now(), c, reason) }
-	f.wire(newCatalog(c), newNodeTable(c), newDurableBinds(c))
-	shared.Host = newHost(c, shared, &actions{
-		core: shared, workloads: f.workloads, clients: f.clients, requests: f.requests, binds: f.binds, nodes: f.nodes,
-		discovery: f.discovery, gangs: f.gangs,
-	})
-	f.nodes.healthChecks = frontend.NewHealthChecks(shared.Host, healthCheckTimeout)
+	f.gangs = newGangTable()
+	f.nodes = newNodeTable(c)
+	f.clients = newClientSessions(env)
+	f.connections = newConnections(env, f)
+	f.status = &status{environment: env, workloads: f.workloads, nodes: f.nodes, gangs: f.gangs}
+
+	catalog := newCatalog(c)
+	durable := newDurableBinds(c)
+	sender := &nodeSender{environment: env, nodes: f.nodes}
+	f.binder = newBinder(env, f.workloads, f.nodes, sender, durable)
+	f.healthChecks = newHealthChecker(env, f.nodes)
+	executor := f.newGangExecutor(catalog, sender)
+	f.gangParts = &gangParts{
+		environment: env,
+		workloads:   f.workloads,
+		catalog:     catalog,
+		sender:      sender,
+		executor:    executor,
+	}
+	f.addClientHandlers(catalog, durable, executor)
+	f.addNodeHandlers(catalog, sender, executor)
 	return f
 }
 
-// wire makes the parts that work on the tables, and connects them with each other.
-func (f *Frontend) wire(catalog *catalog, nodes *nodeTable, durable *durableBinds) {
-	f.binds = &binds{
-		core: f.core, workloads: f.workloads, nodes: nodes, durable: durable, persisting: map[placement.WorkloadID]*workload{},
+// newGangExecutor makes what carries out the decisions of gangs.
+func (f *Frontend) newGangExecutor(catalog *catalog, sender *nodeSender) *gangExecutor {
+	answers := &gangAnswers{
+		environment: f.environment,
+		gangs:       f.gangs,
+		clients:     f.clients,
+		workloads:   f.workloads,
+		nodes:       f.nodes,
 	}
-	f.gangs = &gangs{
-		core: f.core, workloads: f.workloads, clients: f.clients, nodes: nodes, binds: f.binds, catalog: catalog,
-		byRequest: map[requestID]*gangRequest{},
+	return &gangExecutor{
+		environment: f.environment,
+		gangs:       f.gangs,
+		workloads:   f.workloads,
+		catalog:     catalog,
+		sender:      sender,
+		answers:     answers,
 	}
-	f.requests = &requests{
-		core: f.core, connections: f.connections, clients: f.clients, workloads: f.workloads, nodes: nodes, durable: durable,
-		gangs: f.gangs, catalog: catalog,
-	}
-	f.requests.admission = &gangAdmission{
-		core: f.core, requests: f.requests, clients: f.clients, workloads: f.workloads, durable: durable, gangs: f.gangs,
-	}
-	f.nodes = &nodeSessions{
-		core: f.core, table: nodes, connections: f.connections, workloads: f.workloads, binds: f.binds, gangs: f.gangs,
+}
+
+// addClientHandlers makes what handles the frames of clients.
+func (f *Frontend) addClientHandlers(catalog *catalog, durable *durableBinds, executor *gangExecutor) {
+	f.validator = &requestValidator{
+		workloads:    f.workloads,
+		gangs:        f.gangs,
+		catalog:      catalog,
+		maxWorkloads: f.config.MaxWorkloads,
 	}
-	f.nodes.reconciler = &reconciler{
-		core: f.core, workloads: f.workloads, binds: f.binds, clients: f.clients, gangs: f.gangs, catalog: catalog,
-		recovery: &gangRecovery{core: f.core, workloads: f.workloads, gangs: f.gangs},
+	f.acceptor = &acceptor{
+		environment: f.environment,
+		connections: f.connections,
+		clients:     f.clients,
+		workloads:   f.workloads,
 	}
-	f.discovery = &discovery{
-		core: f.core, address: f.core.config.DiscoveryAddress, connections: f.connections,
-		membership: &membership{
-			core: f.core, table: nodes, sessions: f.nodes, connections: f.connections, catalog: catalog,
+	f.requests = &requestHandler{
+		environment: f.environment,
+		connections: f.connections,
+		clients:     f.clients,
+		workloads:   f.workloads,
+		nodes:       f.nodes,
+		durable:     durable,
+		validator:   f.validator,
+		catalog:     catalog,
+		gangs: &gangHandler{
+			environment: f.environment,
+			clients:     f.clients,
+			durable:     durable,
+			validator:   f.validator,
+			catalog:     catalog,
+			gangs:       f.gangs,
+			executor:    executor,
 		},
 	}
-	f.status = &status{core: f.core, workloads: f.workloads, nodes: nodes, gangs: f.gangs}
 }
 
-func newCore(c Config, counters *Counters) *core {
-	if c.Log == nil {
-		c.Log = slog.New(slog.DiscardHandler)
+// addNodeHandlers makes what handles the frames of nodes and of the discovery service.
+func (f *Frontend) addNodeHandlers(catalog *catalog, sender *nodeSender, executor *gangExecutor) {
+	f.nodeSessions = &nodeSessions{
+		environment: f.environment,
+		nodes:       f.nodes,
+		connections: f.connections,
+		replies: &replyHandler{
+			environment: f.environment,
+			workloads:   f.workloads,
+			binder:      f.binder,
+			gangParts:   f.gangParts,
+		},
+		healthChecks: f.healthChecks,
+		reconciler: &reconciler{
+			environment: f.environment,
+			workloads:   f.workloads,
+			clients:     f.clients,
+			catalog:     catalog,
+			binder:      f.binder,
+			sender:      sender,
+			gangParts:   f.gangParts,
+			recovery: &gangRecovery{
+				environment: f.environment,
+				workloads:   f.workloads,
+				catalog:     catalog,
+				gangs:       f.gangs,
+				executor:    executor,
+			},
+		},
 	}
-	return &core{config: c, log: c.Log, counters: counters, eventLog: eventlog.New(cmp.Or(c.EventLogSize, defaultEventLogSize))}
-}
-
-// newHost makes the engine and its host. With a trace, the engine's placement module is one that records its calls.
-func newHost(c Config, shared *core, a allocator.Actions) *frontend.Host {
-	settings := WithSpreadVariants(c.Settings)
-	options := allocator.Options{EnforceTimeouts: true, Log: shared.eventLog}
-	if c.Trace != nil {
-		recorder := replay.NewRecorder(replay.RecorderConfig{
-			Source:   &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset},
-			Settings: settings, Seed: c.Seed, GroupNames: groupNamesWithVariants(c.GroupNames), KindNames: c.KindNames, ZoneNames: []string{c.Zone},
-		}, c.Trace)
-		shared.recorder.recorder = recorder
-		options.Module = recorder
+	f.discovery = &discovery{
+		environment: f.environment,
+		address:     f.config.DiscoveryAddress,
+		connections: f.connections,
+		membership: &membership{
+			environment: f.environment,
+			nodes:       f.nodes,
+			connections: f.connections,
+			catalog:     catalog,
+			sessions:    f.nodeSessions,
+		},
 	}
-	return frontend.NewHost(frontend.Config{
-		Settings: settings, Seed: c.Seed, Engine: options, Actions: a, MaxWakeInterval: maxWakeInterval,
-		Counters: &shared.counters.Counters,
-	})
 }
 
 // FlushTrace hands over what the trace has not been handed yet.
-func (f *Frontend) FlushTrace() { f.core.recorder.flush() }
+func (f *Frontend) FlushTrace() { f.recorder.flush() }
 
 // EventLog returns what happened, by revision.
-func (f *Frontend) EventLog() *eventlog.Log { return f.core.eventLog }
+func (f *Frontend) EventLog() *eventlog.Log { return f.eventLog }
 
 // Pending returns the number of requests that have no final answer, each gang counted as one.
 func (f *Frontend) Pending() int { return f.workloads.pending + f.gangs.unanswered }
@@ -141,109 +216,69 @@
 func (f *Frontend) WorkloadCount() int { return f.workloads.count() }
 
 // Drain has every further request rejected. What is pending is still answered; Pending returns how much is left.
-func (f *Frontend) Drain() { f.requests.draining = true }
+func (f *Frontend) Drain() { f.validator.draining = true }
 
 // Start begins to work on a network. It is called once, before any other event.
 func (f *Frontend) Start(now placement.Millis, network transport.FrameNetwork) {
-	f.core.network, f.connections.network = network, network
-	f.core.Attach(now, network)
-	f.core.Handle(now, func() {
-		f.core.Engine().Start(now)
+	f.network = network
+	f.host.Attach(now, network)
+	f.host.Handle(now, func() {
+		f.host.Engine().Start(now)
 		f.discovery.dial(now)
 	})
 }
 
 // Wake handles a wake-up.
-func (f *Frontend) Wake(now placement.Millis) { f.core.Wake(now) }
-
-// Opened handles a connection that was accepted, or that was dialled and is open now.
-func (f *Frontend) Opened(now placement.Millis, c transport.ConnID) {
-	f.core.Handle(now, func() {
-		switch conn, open := f.connections.get(c); {
-		case f.discovery.owns(c):
-			f.core.network.Send(c, f.core.hello())
-		case !open:
-			f.accepted(now, c)
-		case conn.node != nil:
-			f.core.network.Send(c, f.core.hello())
-		}
-	})
-}
+func (f *Frontend) Wake(now placement.Millis) { f.host.Wake(now) }
 
-// accepted handles a connection from a peer that has not sent its hello.
-func (f *Frontend) accepted(now placement.Millis, c transport.ConnID) {
-	f.connections.add(c, &connection{})
-	f.core.Schedule(now+helloTimeout, func(placement.Millis) {
-		if f.connections.awaitsHello(c) {
-			f.connections.refuse(c, errHelloTimeout)
+// Opened handles a connection that was accepted, or that was dialed and is open now.
+func (f *Frontend) Opened(now placement.Millis, conn transport.ConnID) {
+	f.host.Handle(now, func() {
+		switch peer, open := f.connections.get(conn); {
+		case f.discovery.owns(conn):
+			f.network.Send(conn, f.hello())
+		case !open:
+			f.acceptor.opened(now, conn)
+		case peer.node != nil:
+			f.network.Send(conn, f.hello())
 		}
 	})
 }
 
 // Received handles a frame. Frames of connections that have ended are ignored.
-func (f *Frontend) Received(now placement.Millis, c transport.ConnID, frame *pb.Frame) {
-	f.core.Handle(now, func() {
-		conn, open := f.connections.get(c)
+func (f *Frontend) Received(now placement.Millis, conn transport.ConnID, frame *pb.Frame) {
+	f.host.Handle(now, func() {
+		peer, open := f.connections.get(conn)
 		switch {
-		case f.discovery.owns(c):
+		case f.discovery.owns(conn):
 			f.discovery.received(now, frame)
 		case !open:
-		case conn.node != nil:
-			f.nodes.received(now, c, conn.node, frame)
-		case conn.role == pb.Role_ROLE_UNSPECIFIED:
-			f.handshake(now, c, conn, frame)
-		case conn.client != nil:
-			f.requests.received(now, conn.client, frame)
-		case conn.role == pb.Role_OPERATOR && frame.GetQuery() != nil:
-			f.core.network.Send(c, &pb.Frame{Body: &pb.Frame_State{State: f.status.answer(now, frame.GetQuery())}})
-		}
-	})
-}
-
-// handshake handles the first frame of an accepted connection: the hello of a client or an operator, or the connection is
-// refused.
-func (f *Frontend) handshake(now placement.Millis, c transport.ConnID, conn *connection, frame *pb.Frame) {
-	h, err := helloOf(frame, func(h *pb.Hello) error {
-		if h.Role != pb.Role_CLIENT && h.Role != pb.Role_OPERATOR {
-			return fmt.Errorf("an allocator serves owners and operators, not the role %s", h.Role)
+		case peer.node != nil:
+			f.nodeSessions.received(now, conn, peer.node, frame)
+		case peer.role == pb.Role_ROLE_UNSPECIFIED:
+			f.acceptor.received(now, conn, peer, frame)
+		case peer.client != nil:
+			f.requests.received(now, peer.client, frame)
+		case peer.role == pb.Role_OPERATOR && frame.GetQuery() != nil:
+			f.status.received(now, conn, frame.GetQuery())
 		}
-		return nil
 	})
-	switch {
-	case err != nil:
-		f.connections.refuse(c, err)
-	case h.Role == pb.Role_CLIENT:
-		f.clientConnected(now, c, conn, h)
-	default:
-		conn.role = h.Role
-		f.core.network.Send(c, f.core.hello())
-	}
-}
-
-// clientConnected begins a client's session, in place of an earlier one under the same name.
-func (f *Frontend) clientConnected(now placement.Millis, c transport.ConnID, conn *connection, h *pb.Hello) {
-	if earlier, ok := f.clients.connected(h.Name); ok {
-		f.connections.refuse(earlier.conn, fmt.Errorf("another connection came in under the name %s", h.Name))
-	}
-	conn.role, conn.client = h.Role, f.clients.open(c, h.Name)
-	conn.client.transit.delay(now, h.SentMs)
-	f.core.network.Send(c, f.core.hello(f.requests.running(now, h.Name)...))
 }
 
-// Closed handles the end of a connection, or that dialling it failed.
-func (f *Frontend) Closed(now placement.Millis, c transport.ConnID, reason error) {
-	f.core.Handle(now, func() {
-		conn, open := f.connections.get(c)
-		f.connections.remove(c)
+// Closed handles the end of a connection, or that it could not be dialed.
+func (f *Frontend) Closed(now placement.Millis, conn transport.ConnID, reason error) {
+	f.host.Handle(now, func() {
+		peer, open := f.connections.get(conn)
+		f.connections.remove(conn)
 		switch {
-		case f.discovery.owns(c):
+		case f.discovery.owns(conn):
 			f.discovery.closed(now, reason)
 		case !open:
-		case conn.node != nil:
-			f.nodes.closed(now, c, conn.node, reason)
-		case conn.client != nil:
-			f.clients.close(conn.client)
-			f.requests.clientDisconnected(now, conn.client.name)
+		case peer.node != nil:
+			f.nodeSessions.closed(now, conn, peer.node, reason)
+		case peer.client != nil:
+			f.clients.close(peer.client)
+			f.requests.clientDisconnected(now, peer.client.name)
 		}
 	})
 }
--- /dev/null
+++ b/internal/frontend/native/gangexecutor.go
@@ -0,0 +1,139 @@
+package native
+
+import (
+	"grebeglade/internal/allocator"
+	"grebeglade/internal/gang"
+	"grebeglade/placement"
+)
+
+// gangExecutor carries out what the gangs' state machines decide: it requests parts from the engine and has them stopped,
+// notifies nodes and clients, and sets timers.
+type gangExecutor struct {
+	*environment
+	gangs     *gangTable
+	workloads *workloadTable
+	catalog   *catalog
+	sender    *nodeSender
+	answers   *gangAnswers
+}
+
+// execute carries out what a gang's state machine decided.
+func (e *gangExecutor) execute(now placement.Millis, g *gangRequest, decided []gang.Action) {
+	for _, action := range decided {
+		e.executeOne(now, g, action)
+	}
+	if g.tracedState != g.state.State {
+		e.recorder.gangState(now, g)
+	}
+	g.tracedState = g.state.State
+}
+
+func (e *gangExecutor) executeOne(now placement.Millis, g *gangRequest, action gang.Action) {
+	switch action.Kind {
+	case gang.Attempt:
+		e.attempt(now, g, action)
+	case gang.RequestPart:
+		e.host.Engine().Schedule(now, e.requestPart(now, g, action.Part, action.Timeout))
+	case gang.StopPart:
+		e.stopPart(now, g, action.Part)
+	case gang.AnswerPlaced:
+		e.answers.placed(g)
+	case gang.AnswerRejected:
+		e.answers.rejected(g)
+	case gang.AnswerUnschedulable:
+		e.answers.unschedulable(g)
+	case gang.ConfirmParts:
+		e.confirmParts(g)
+	case gang.ReportEnd:
+		e.answers.ended(g)
+	case gang.SetTimer:
+		e.setTimer(now, g, action.At)
+	case gang.Forget:
+		e.gangs.remove(g)
+	}
+}
+
+// attempt requests the parts of a gang together: at least MinParts of them are offered to nodes, or none.
+func (e *gangExecutor) attempt(now placement.Millis, g *gangRequest, action gang.Action) {
+	requests := make([]placement.Workload, len(action.Parts))
+	for i, part := range action.Parts {
+		requests[i] = e.requestPart(now, g, part, g.expires-now)
+	}
+	sent := e.host.Engine().ScheduleGang(now, requests, action.MinParts)
+	offered := make([]bool, len(g.parts))
+	for i, part := range action.Parts {
+		offered[part] = sent[i]
+		if !sent[i] {
+			g.parts[part] = 0
+		}
+	}
+	e.execute(now, g, g.state.AttemptResult(offered))
+}
+
+// requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
+func (e *gangExecutor) requestPart(
+	now placement.Millis, g *gangRequest, part int, timeout placement.Millis,
+) placement.Workload {
+	held := e.workloads.addPart(now, g, part)
+	g.parts[part] = held.id
+	e.recorder.request(now, held)
+	requested := e.catalog.workload(held.id, held.request)
+	requested.PendingTimeout = timeout
+	requested.Retried = requested.Retried || g.state.Attempts() > 1
+	requested.Group = spreadVariant(requested.Group, g.request.Spread, len(e.catalog.groupNames))
+	return requested
+}
+
+// stopPart has a part stopped. One that the engine has forgotten has ended already. The stop of one that was withdrawn is
+// sent again, since the first one may have been lost.
+func (e *gangExecutor) stopPart(now placement.Millis, g *gangRequest, part int) {
+	id := g.parts[part]
+	w, held := e.workloads.get(id)
+	switch {
+	case !held:
+		e.deferEvent(g, id, part, func(now placement.Millis) []gang.Action {
+			return g.state.PartEnded(now, part, false)
+		})
+	case w.state.withdrawn():
+		e.sender.stop(w.lastNode(), e.workloads.bindID(w), false)
+	default:
+		e.workloads.markWithdrawn(w)
+		e.counters.GangPartStops++
+		e.host.Engine().Withdraw(now, id)
+	}
+}
+
+// confirmParts notifies the nodes of the running parts that their gang runs.
+func (e *gangExecutor) confirmParts(g *gangRequest) {
+	for part, id := range g.parts {
+		if w, held := e.workloads.get(id); held && g.state.Parts[part] == gang.PartRunning {
+			e.sender.confirmGang(w.lastNode(), e.workloads.bindID(w))
+		}
+	}
+}
+
+// setTimer has a gang's state machine called at the given time, if the gang is held by then. A timer is set for a minute at
+// most, as in the engine, so that those of gangs that have ended are bounded.
+func (e *gangExecutor) setTimer(now placement.Millis, g *gangRequest, at placement.Millis) {
+	e.host.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
+		switch {
+		case !e.gangs.holds(g):
+		case now < at:
+			e.setTimer(now, g, at)
+		default:
+			e.execute(now, g, g.state.TimerFired(now))
+		}
+	})
+}
+
+// deferEvent hands a gang's state machine an event of a part, and carries out what it decides, once the engine is idle. It
+// has no effect if the gang is recovering or has ended, or the part has another workload by then.
+func (e *gangExecutor) deferEvent(
+	g *gangRequest, id placement.WorkloadID, part int, event func(now placement.Millis) []gang.Action,
+) {
+	e.host.Defer(func(now placement.Millis) {
+		if !g.recovering() && e.gangs.holds(g) && g.parts[part] == id {
+			e.execute(now, g, event(now))
+		}
+	})
+}
--- /dev/null
+++ b/internal/frontend/native/ganghandler.go
@@ -0,0 +1,112 @@
+package native
+
+import (
+	"slices"
+
+	"grebeglade/internal/gang"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// gangHandler handles the clients' requests for gangs and their withdrawals: it admits a request and starts its gang, or
+// rejects it at once.
+type gangHandler struct {
+	*environment
+	clients   *clientSessions
+	durable   *durableBinds
+	validator *requestValidator
+	catalog   *catalog
+	gangs     *gangTable
+	executor  *gangExecutor
+}
+
+// request starts a gang, or rejects it at once with the reason.
+func (h *gangHandler) request(now placement.Millis, session *clientSession, request *pb.GangRequest) {
+	h.counters.Requests++
+	delay := h.clients.requestDelay(now, session, request.SentMs)
+	id := requestID{session.name, request.RequestId}
+	if _, held := h.gangs.get(id); held || session.history.contains(id.request) {
+		h.counters.DuplicateRequests++
+		return
+	}
+	completeGangRequest(request)
+	if err := h.validator.validateGang(request); err != nil {
+		h.counters.NotAdmitted++
+		h.answer(id, pb.Verdict_REJECTED, err.Error())
+		return
+	}
+	if h.boundBefore(now, request) {
+		h.counters.AnsweredFromJournal++
+		h.answer(id, pb.Verdict_UNSCHEDULABLE, reasonPartKeyBound)
+		return
+	}
+	h.start(now, id, request, placement.Millis(request.PendingTimeoutMs)-delay)
+}
+
+// completeGangRequest sets what a request may leave out, and gives each part what is said of the whole gang.
+func completeGangRequest(request *pb.GangRequest) {
+	if request.MinParts == 0 {
+		request.MinParts = uint32(len(request.Parts))
+	}
+	for _, part := range request.Parts {
+		part.RequestId = request.RequestId
+		part.PendingTimeoutMs = request.PendingTimeoutMs
+	}
+}
+
+// boundBefore reports whether an earlier incarnation left a bind of a part's key.
+func (h *gangHandler) boundBefore(now placement.Millis, request *pb.GangRequest) bool {
+	return slices.ContainsFunc(request.Parts, func(part *pb.PlaceRequest) bool {
+		return h.durable.boundBefore(now, part.Key)
+	})
+}
+
+// answer answers a request for a gang that is not started.
+func (h *gangHandler) answer(id requestID, v pb.Verdict, reason string) {
+	h.clients.answer(id.client, &pb.Answer{RequestId: id.request, Verdict: v, Reason: reason})
+}
+
+// start starts a gang that was admitted. Its client waits for the given time from now.
+func (h *gangHandler) start(now placement.Millis, id requestID, request *pb.GangRequest, timeout placement.Millis) {
+	g := &gangRequest{
+		id:         id,
+		request:    request,
+		state:      gang.New(now, h.catalog.gangRequest(request, timeout), gangSeed(h.config.Seed, id)),
+		parts:      make([]placement.WorkloadID, len(request.Parts)),
+		receivedAt: now,
+		expires:    now + timeout,
+		answerDue:  true,
+	}
+	h.gangs.add(g)
+	h.counters.Gangs++
+	h.recorder.gangRequest(now, g, timeout)
+	h.executor.execute(now, g, g.state.Start(now))
+}
+
+// withdrawRequest handles a client's withdrawal of a request, and reports whether the request was one for a gang.
+func (h *gangHandler) withdrawRequest(now placement.Millis, id requestID) bool {
+	g, held := h.gangs.get(id)
+	if held {
+		h.withdraw(now, g)
+	}
+	return held
+}
+
+// withdraw rolls a gang back that its client no longer wants. Of a gang that is recovering it has no effect: its parts are decided about
+// together, once the others had time to be found.
+func (h *gangHandler) withdraw(now placement.Millis, g *gangRequest) {
+	if g.recovering() {
+		return
+	}
+	h.counters.Withdrawn++
+	h.executor.execute(now, g, g.state.Withdraw(now))
+}
+
+// clientDisconnected withdraws the gangs of a client that have no answer yet, since it can be sent none.
+func (h *gangHandler) clientDisconnected(now placement.Millis, client string) {
+	for _, g := range h.gangs.sorted() {
+		if h.gangs.holds(g) && g.id.client == client && g.answerDue {
+			h.withdraw(now, g)
+		}
+	}
+}
--- /dev/null
+++ b/internal/frontend/native/gangparts.go
@@ -0,0 +1,73 @@
+package native
+
+import (
+	"grebeglade/internal/allocator"
+	"grebeglade/internal/gang"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// gangParts hands the gangs' state machines what happens to their parts. The engine may be at work while its methods run.
+type gangParts struct {
+	*environment
+	workloads *workloadTable
+	catalog   *catalog
+	sender    *nodeSender
+	executor  *gangExecutor
+}
+
+// event hands a gang's state machine what happened to a part, once the engine is idle.
+func (p *gangParts) event(w *workload, event func(now placement.Millis) []gang.Action) {
+	p.executor.deferEvent(w.gang, w.id, w.part, event)
+}
+
+// answered handles the engine's final answer for a part. A node that accepts a workload may still have to start it, unless
+// the settings say that it confirms those that run.
+func (p *gangParts) answered(w *workload, v allocator.Verdict) {
+	p.recorder.answer(p.host.Now(), w, v, w.lastNode(), reasonPartOfGang)
+	switch v {
+	case allocator.Placed:
+		if p.config.Settings.ConfirmsRunning {
+			p.running(w)
+		}
+	case allocator.Rejected:
+		p.event(w, func(now placement.Millis) []gang.Action { return w.gang.state.PartFailed(now, w.part, false) })
+	case allocator.Unschedulable:
+		p.mayRun(w)
+	}
+}
+
+// mayRun handles a part that may run where its last bind went, though its answer is unknown. The gang is rolled back, so
+// the part must not run on. Its bind is stopped, unless it was: the stop of an at-most-once workload that timed out leaves
+// it alone where the node has accepted it, so that one is stopped again.
+func (p *gangParts) mayRun(w *workload) {
+	node := w.lastNode()
+	bind := p.workloads.bindID(w)
+	stopped := w.bindState == bindStopRequested && p.catalog.idempotency(w.request.Group) != placement.AtMostOnce
+	p.event(w, func(now placement.Millis) []gang.Action {
+		if !stopped {
+			p.sender.stop(node, bind, false)
+		}
+		return w.gang.state.PartFailed(now, w.part, true)
+	})
+}
+
+// running handles that a workload runs, if it is a part of a gang.
+func (p *gangParts) running(w *workload) {
+	if w.gang != nil {
+		p.event(w, func(placement.Millis) []gang.Action { return w.gang.state.PartStarted(w.part) })
+	}
+}
+
+// ended handles that a part runs no more, or never will.
+func (p *gangParts) ended(w *workload, finished bool) {
+	p.event(w, func(now placement.Millis) []gang.Action { return w.gang.state.PartEnded(now, w.part, finished) })
+}
+
+// repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
+// connection.
+func (p *gangParts) repeatConfirmation(n *node, w *workload, running *pb.RunningWorkload) {
+	if w.gang != nil && !running.Confirmed && w.gang.runs() {
+		p.sender.confirmGang(n.id, running.Offer.Bind)
+	}
+}
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -9,46 +9,52 @@
 // gangRecoveryTime is how long, in ms, parts that are found on nodes after a restart wait for the other parts.
 const gangRecoveryTime = placement.Millis(1500)
 
-// gangRecovery puts gangs that an earlier incarnation started together again, from the parts that are found on nodes.
+// gangRecovery restores gangs that an earlier incarnation started, from the parts that are found on nodes.
 type gangRecovery struct {
-	*core
+	*environment
 	workloads *workloadTable
-	gangs     *gangs
+	catalog   *catalog
+	gangs     *gangTable
+	executor  *gangExecutor
 }
 
 // partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes on if it
 // was confirmed to run, or all of it is stopped.
-func (r *gangRecovery) partFound(now placement.Millis, wl *workload, s *pb.RunningWorkload) {
-	of := s.Offer.Gang
-	id := requestID{wl.client, wl.request.RequestId}
-	g, found := r.gangs.get(id)
+func (r *gangRecovery) partFound(now placement.Millis, w *workload, running *pb.RunningWorkload) {
+	id := requestID{w.client, w.request.RequestId}
+	recovered, found := r.gangs.get(id)
 	if !found {
-		g = r.begin(now, id, of)
+		recovered = r.begin(now, id, running.Offer.Gang)
 	}
-	part := int(of.Part)
-	if !g.recovering() || part >= len(g.parts) || g.parts[part] != 0 {
+	part := int(running.Offer.Gang.Part)
+	if !recovered.lacks(part) {
 		// It was found too late, or twice.
-		r.workloads.markWithdrawn(wl)
-		r.Engine().Withdraw(now, wl.id)
+		r.workloads.markWithdrawn(w)
+		r.host.Engine().Withdraw(now, w.id)
 		return
 	}
-	wl.gang, wl.part = g, part
-	g.parts[part], g.request.Parts[part] = wl.id, wl.request
-	g.confirmed = g.confirmed || s.Confirmed
+	w.gang = recovered
+	w.part = part
+	recovered.addFound(w, running.Confirmed)
 }
 
 // begin begins to recover a gang, of which the given part was found first.
 func (r *gangRecovery) begin(now placement.Millis, id requestID, part *pb.GangPart) *gangRequest {
 	parts := min(max(part.Of, part.Part+1), maxGangParts)
 	g := &gangRequest{
-		id: id, receivedAt: now, parts: make([]placement.WorkloadID, parts),
+		id: id,
 		request: &pb.GangRequest{
-			RequestId: id.request, MinParts: part.MinParts, Replace: part.Replace, ReplaceTimeoutMs: part.ReplaceTimeoutMs,
-			Parts: make([]*pb.PlaceRequest, parts),
+			RequestId:        id.request,
+			MinParts:         part.MinParts,
+			Replace:          part.Replace,
+			ReplaceTimeoutMs: part.ReplaceTimeoutMs,
+			Parts:            make([]*pb.PlaceRequest, parts),
 		},
+		parts:      make([]placement.WorkloadID, parts),
+		receivedAt: now,
 	}
 	r.gangs.add(g)
-	r.Schedule(now+gangRecoveryTime, func(now placement.Millis) { r.finish(now, g) })
+	r.host.Schedule(now+gangRecoveryTime, func(now placement.Millis) { r.finish(now, g) })
 	return g
 }
 
@@ -64,7 +70,8 @@
 			g.request.Parts[part] = &pb.PlaceRequest{}
 		}
 	}
-	var decided []gang.Action
-	g.state, decided = gang.Recover(now, r.gangs.stateRequest(g.request, 0), running, g.confirmed, r.gangs.seed(g.id.request))
-	r.gangs.execute(now, g, decided)
+	request := r.catalog.gangRequest(g.request, 0)
+	state, decided := gang.Recover(now, request, running, g.confirmed, gangSeed(r.config.Seed, g.id))
+	g.state = state
+	r.executor.execute(now, g, decided)
 }
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -9,10 +9,15 @@
 )
 
 const (
-	leaseMargin  = placement.Millis(3e3) // ms beyond a start's timeout for which a part runs whose gang was not confirmed
+	// leaseMargin is how long, in ms, a part whose gang was not confirmed runs beyond the timeout of its start.
+	leaseMargin = placement.Millis(3e3)
+	// maxGangParts is how many parts a gang may have.
 	maxGangParts = 1000
 )
 
+// gangSeed is the seed of a gang's state machine.
+func gangSeed(seed uint64, id requestID) uint64 { return seed ^ id.request }
+
 // gangRequest is a client's request for a gang.
 type gangRequest struct {
 	id          requestID
@@ -32,6 +37,18 @@
 // runs reports whether enough of the gang's parts run, and its client has its answer.
 func (g *gangRequest) runs() bool { return !g.recovering() && g.state.State == gang.Running }
 
+// lacks reports whether the gang is recovering and the part was not found yet.
+func (g *gangRequest) lacks(part int) bool {
+	return g.recovering() && part < len(g.parts) && g.parts[part] == 0
+}
+
+// addFound adds a part of a recovering gang. Confirmed is whether the part's node knew that the gang runs.
+func (g *gangRequest) addFound(w *workload, confirmed bool) {
+	g.parts[w.part] = w.id
+	g.request.Parts[w.part] = w.request
+	g.confirmed = g.confirmed || confirmed
+}
+
 // offerPart is the description of the gang in the offer of a part. The node ends the part after its lease, unless the
 // gang is confirmed by then.
 func (g *gangRequest) offerPart(now placement.Millis, part int) *pb.GangPart {
@@ -40,20 +57,24 @@
 		lease = placement.Millis(g.request.ReplaceTimeoutMs) + leaseMargin
 	}
 	return &pb.GangPart{
-		Part: uint32(part), Of: uint32(len(g.parts)), MinParts: g.request.MinParts, LeaseMs: float64(lease),
-		Replace: g.request.Replace, ReplaceTimeoutMs: g.request.ReplaceTimeoutMs,
+		Part:             uint32(part),
+		Of:               uint32(len(g.parts)),
+		MinParts:         g.request.MinParts,
+		LeaseMs:          float64(lease),
+		Replace:          g.request.Replace,
+		ReplaceTimeoutMs: g.request.ReplaceTimeoutMs,
 	}
 }
 
 // unrequestedParts counts the parts that have no workload now.
 func (g *gangRequest) unrequestedParts() int {
-	n := 0
+	count := 0
 	for _, id := range g.parts {
 		if id == 0 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // endReason is the reason that the client gets for the end of its running gang.
--- /dev/null
+++ b/internal/frontend/native/gangtable.go
@@ -0,0 +1,62 @@
+package native
+
+import (
+	"maps"
+	"slices"
+)
+
+// gangTable holds the gangs, by the request that each was started by.
+type gangTable struct {
+	byRequest  map[requestID]*gangRequest
+	unanswered int // gangs whose client waits for its final answer
+}
+
+func newGangTable() *gangTable { return &gangTable{byRequest: map[requestID]*gangRequest{}} }
+
+// get returns the gang of that request, if it is held.
+func (t *gangTable) get(id requestID) (*gangRequest, bool) {
+	g, held := t.byRequest[id]
+	return g, held
+}
+
+func (t *gangTable) add(g *gangRequest) {
+	t.byRequest[g.id] = g
+	if g.answerDue {
+		t.unanswered++
+	}
+}
+
+// holds reports whether a gang is still held: another may have come under its request since.
+func (t *gangTable) holds(g *gangRequest) bool { return t.byRequest[g.id] == g }
+
+// remove forgets a gang that has ended. Its client no longer waits for an answer.
+func (t *gangTable) remove(g *gangRequest) {
+	t.markAnswered(g)
+	delete(t.byRequest, g.id)
+}
+
+// markAnswered notes that the client no longer waits for an answer.
+func (t *gangTable) markAnswered(g *gangRequest) {
+	if g.answerDue {
+		g.answerDue = false
+		t.unanswered--
+	}
+}
+
+// sorted returns the gangs in the order of their clients and requests.
+func (t *gangTable) sorted() []*gangRequest {
+	all := make([]*gangRequest, 0, len(t.byRequest))
+	for _, id := range slices.SortedFunc(maps.Keys(t.byRequest), compareRequestIDs) {
+		all = append(all, t.byRequest[id])
+	}
+	return all
+}
+
+// unrequestedParts counts the parts that have no workload now. A gang that waits for its next attempt holds its place.
+func (t *gangTable) unrequestedParts() int {
+	count := 0
+	for _, g := range t.byRequest {
+		count += g.unrequestedParts()
+	}
+	return count
+}
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -128,8 +128,8 @@
 			}
 			seen[n.entry.Cell] = n.cell
 		}
-		require.LessOrEqual(t, len(x.f.nodes.table.cells.byName), 2*fleet+11)
-		require.Len(t, x.f.nodes.table.cells.used, len(x.f.nodes.table.cells.byName))
+		require.LessOrEqual(t, len(x.f.nodes.cells.byName), 2*fleet+11)
+		require.Len(t, x.f.nodes.cells.used, len(x.f.nodes.cells.byName))
 	}
 }
 
@@ -148,13 +148,13 @@
 	entry.UpForMs = 601.5
 	x.snapshot(entry)
 	assert.InDelta(t, float64(startedAt), float64(x.firstNode().entry.StartedAt), 0)
-	assert.Empty(t, x.f.nodes.table.removed)
+	assert.Empty(t, x.f.nodes.removed)
 	x.f.Closed(x.now, x.firstNode().session.conn, transport.ErrConnectionRefused)
 	x.snapshot()
-	assert.Len(t, x.f.nodes.table.removed, 1)
+	assert.Len(t, x.f.nodes.removed, 1)
 	x.setTime(20e3)
 	x.snapshot()
-	assert.Empty(t, x.f.nodes.table.removed, "it has warmed up by then")
+	assert.Empty(t, x.f.nodes.removed, "it has warmed up by then")
 }
 
 func TestNodes_BeyondMaximum_Unused(t *testing.T) {
@@ -187,13 +187,13 @@
 	x := newFixture(t)
 	n := x.node(1)
 	x.network.take(n)
-	x.f.nodes.checkHealth(1)
+	x.f.healthChecks.check(1)
 	check := x.network.take(n)[0].GetHealthCheck()
 	require.NotNil(t, check)
-	assert.Equal(t, 1, x.f.nodes.healthChecks.Len())
+	assert.Equal(t, 1, x.f.healthChecks.pending.Len())
 	x.receive(n, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: check.Id}}})
-	assert.Zero(t, x.f.nodes.healthChecks.Len())
-	x.f.nodes.checkHealth(2)
-	assert.Zero(t, x.f.nodes.healthChecks.Len(), "an unknown node fails it at once")
-	assert.Equal(t, 1, x.f.core.DeferredCalls())
+	assert.Zero(t, x.f.healthChecks.pending.Len())
+	x.f.healthChecks.check(2)
+	assert.Zero(t, x.f.healthChecks.pending.Len(), "an unknown node fails it at once")
+	assert.Equal(t, 1, x.f.host.DeferredCalls())
 }
--- /dev/null
+++ b/internal/frontend/native/nodesender.go
@@ -0,0 +1,39 @@
+package native
+
+import (
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// nodeSender sends frames to the nodes that are connected. To any other node nothing is sent, and nothing waits for a
+// connection: an offer would reach a node that drains or was restarted meanwhile, and measured gains were none
+// (docs/review-findings.md). What a stop was to end is named by the node at its next hello.
+type nodeSender struct {
+	*environment
+	nodes *nodeTable
+}
+
+// send sends a frame, and reports whether the node is connected.
+func (s *nodeSender) send(id placement.NodeID, frame *pb.Frame) bool {
+	n, known := s.nodes.get(id)
+	if !known || !n.connected() {
+		return false
+	}
+	s.network.Send(n.session.conn, frame)
+	return true
+}
+
+// offer sends an offer, and reports whether the node is connected.
+func (s *nodeSender) offer(id placement.NodeID, offer *pb.Offer) bool {
+	return s.send(id, &pb.Frame{Body: &pb.Frame_Offer{Offer: offer}})
+}
+
+// stop has a node stop a workload. With onlyWaiting, a workload that the node has accepted runs on.
+func (s *nodeSender) stop(id placement.NodeID, bind *pb.BindID, onlyWaiting bool) {
+	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind, OnlyWaiting: onlyWaiting}}})
+}
+
+// confirmGang notifies a node that the gang of one of its parts runs, so that the part's lease no longer applies.
+func (s *nodeSender) confirmGang(id placement.NodeID, bind *pb.BindID) {
+	s.send(id, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: &pb.ConfirmGang{Bind: bind}}})
+}
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -5,7 +5,6 @@
 	"maps"
 	"slices"
 
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -13,70 +12,6 @@
 // maxNodes is how many nodes are kept: under half of the numbers that zones and cells have.
 const maxNodes = 1 << 15
 
-// node is a node that the discovery service has listed. membership changes what comes from that service, nodeSessions the
-// session and what the node reports itself.
-type node struct {
-	id          placement.NodeID
-	entry       placement.Node // of the discovery service
-	kind        string
-	zone        string
-	cell        string // with its zone in front
-	address     string
-	incarnation uint64
-	updatedAt   placement.Millis // when the discovery service last listed it
-	draining    bool             // by its own account
-	lastRefusal string           // of a connection or a bind, for operators
-	session     nodeSession
-}
-
-// sessionState is how far a connection that this side dials is.
-type sessionState uint8
-
-const (
-	sessionDisconnected sessionState = iota
-	sessionConnecting                // dialled, and the peer has not sent its hello
-	sessionConnected
-)
-
-// nodeSession is the connection to a node.
-type nodeSession struct {
-	state    sessionState
-	conn     transport.ConnID // 0 while disconnected
-	failures int              // dials that failed since the node was last connected
-	dials    uint64           // in all
-}
-
-func (n *node) connected() bool { return n.session.state == sessionConnected }
-
-// state is the node's state for placement. Its own account of draining counts before the entry of the discovery service,
-// which is later, until the node reports otherwise or is restarted.
-func (n *node) state() placement.NodeState {
-	if n.draining && n.entry.State == placement.Ready {
-		return placement.Draining
-	}
-	return n.entry.State
-}
-
-// placementEntry is the node as the engine sees it.
-func (n *node) placementEntry() placement.Node {
-	e := n.entry
-	e.State = n.state()
-	return e
-}
-
-// setIncarnation notes that the node was started, if it is another incarnation than the known one. When that was is worked
-// out once: the delay of messages differs, and the placement module would take another start time for another start.
-// A negative upFor, in ms, means longer ago than is remembered.
-func (n *node) setIncarnation(now placement.Millis, incarnation uint64, upFor float64) {
-	if n.incarnation == incarnation {
-		return
-	}
-	n.incarnation, n.entry.StartedAt, n.draining = incarnation, placement.DistantPast, false
-	if upFor >= 0 {
-		n.entry.StartedAt = now - placement.Millis(upFor)
-	}
-}
-
 // nodeStart is an incarnation of a node and when it was started.
 type nodeStart struct {
 	incarnation uint64
@@ -89,21 +24,27 @@
 	zones     numbering[placement.ZoneID]
 	cells     numbering[placement.CellID]
 	localZone string
-	// removed are the starts of nodes that were removed while warming up. One that is named again has the start time that
-	// was worked out before, or the placement module would take its warm-up budget for unused.
+	// removed are the starts of nodes that were removed while warming up. One that is listed again has the start time that
+	// was computed before, or the placement module would take its warm-up budget for unused.
 	removed map[placement.NodeID]nodeStart
 	warmUp  placement.Millis // how long a node is warming up after its start, in ms
 }
 
 func newNodeTable(c Config) *nodeTable {
 	return &nodeTable{
-		zones: newNumbering[placement.ZoneID](c.Zone), cells: newNumbering[placement.CellID](""), localZone: c.Zone,
-		removed: map[placement.NodeID]nodeStart{}, warmUp: c.Settings.WarmUpDuration,
+		zones:     newNumbering[placement.ZoneID](c.Zone),
+		cells:     newNumbering[placement.CellID](""),
+		localZone: c.Zone,
+		removed:   map[placement.NodeID]nodeStart{},
+		warmUp:    c.Settings.WarmUpDuration,
 	}
 }
 
-func (t *nodeTable) search(id placement.NodeID) (int, bool) {
-	return slices.BinarySearchFunc(t.sorted, id, func(n *node, id placement.NodeID) int { return cmp.Compare(n.id, id) })
+// search returns where the node of that id is or would be in sorted, and whether it is there.
+func (t *nodeTable) search(id placement.NodeID) (index int, known bool) {
+	return slices.BinarySearchFunc(t.sorted, id, func(n *node, id placement.NodeID) int {
+		return cmp.Compare(n.id, id)
+	})
 }
 
 // count returns the number of known nodes.
@@ -138,20 +79,32 @@
 	}
 	n = &node{id: id}
 	if s, ok := t.removed[id]; ok && s.incarnation == incarnation {
-		n.incarnation, n.entry.StartedAt = s.incarnation, s.startedAt
+		n.incarnation = s.incarnation
+		n.entry.StartedAt = s.startedAt
 	}
 	delete(t.removed, id)
 	t.sorted = slices.Insert(t.sorted, i, n)
 	return n, true
 }
 
-// describe takes over an entry of the discovery service. Cells are distinguished by their zone too: two zones may each
+// describe applies an entry of the discovery service. Cells are distinguished by their zone too: two zones may each
 // have a cell of one name, and an idempotency key that is known in one of them is not known in the other.
 func (t *nodeTable) describe(n *node, e *pb.NodeEntry, kind placement.KindID) {
-	n.address, n.zone, n.cell, n.kind = e.Address, e.Zone, e.Zone+"/"+e.Cell, e.Kind
+	n.listing = listing{
+		kind:    e.Kind,
+		zone:    e.Zone,
+		cell:    e.Zone + "/" + e.Cell,
+		address: e.Address,
+	}
 	n.entry = placement.Node{
-		ID: n.id, State: nodeStateOf(e.State), Kind: kind, Zone: t.zones.number(e.Zone), Cell: t.cells.number(n.cell),
-		StartedAt: n.entry.StartedAt, FreeCores: e.FreeCores, FreeMemory: e.FreeMemory,
+		ID:         n.id,
+		State:      nodeStateOf(e.State),
+		Kind:       kind,
+		Zone:       t.zones.number(n.zone),
+		Cell:       t.cells.number(n.cell),
+		StartedAt:  n.entry.StartedAt,
+		FreeCores:  e.FreeCores,
+		FreeMemory: e.FreeMemory,
 	}
 }
 
@@ -170,7 +123,7 @@
 
 // remove forgets nodes, and the names of zones and cells that no other node has.
 func (t *nodeTable) remove(now placement.Millis, gone map[*node]bool) {
-	for n := range gone {
+	for n := range gone { // in any order: each has an entry of its own
 		if now-n.entry.StartedAt < t.warmUp {
 			t.removed[n.id] = nodeStart{n.incarnation, n.entry.StartedAt}
 		}
@@ -180,9 +133,11 @@
 		return
 	}
 	t.sorted = slices.DeleteFunc(t.sorted, func(n *node) bool { return gone[n] })
-	zones, cells := map[string]bool{t.localZone: true}, map[string]bool{}
+	zones := map[string]bool{t.localZone: true}
+	cells := map[string]bool{}
 	for _, n := range t.sorted {
-		zones[n.zone], cells[n.cell] = true, true
+		zones[n.zone] = true
+		cells[n.cell] = true
 	}
 	t.zones.retain(zones)
 	t.cells.retain(cells)
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -66,8 +66,8 @@
 	return placement.Removed
 }
 
-// noteKindOf translates the kind of a note; kinds that the engine ignores are not ok.
-func noteKindOf(k pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
+// usageKindOf translates the kind of a note; kinds that the engine ignores are not ok.
+func usageKindOf(k pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
 	switch k {
 	case pb.UsageReport_RUNNING:
 		return placement.Running, true
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -7,13 +7,14 @@
 
 // reconciler compares the workloads in a node's hello with those that the engine holds there.
 type reconciler struct {
-	*core
+	*environment
 	workloads *workloadTable
-	binds     *binds
 	clients   *clientSessions
-	gangs     *gangs
-	recovery  *gangRecovery
 	catalog   *catalog
+	binder    *binder
+	sender    *nodeSender
+	gangParts *gangParts
+	recovery  *gangRecovery
 }
 
 // bindRef names a workload's bind by its number.
@@ -22,78 +23,81 @@
 	bind     int
 }
 
-// reconcile takes the workloads of ours that a node runs. Those that it does not name have ended; those that it names and
-// the engine does not hold are adopted or stopped.
-func (r *reconciler) reconcile(now placement.Millis, n *node, running []*pb.RunningWorkload) {
+// reconcile handles the workloads of ours that a node runs. Those that it does not name have ended; those that it names
+// and the engine does not hold are adopted or stopped.
+func (r *reconciler) reconcile(now placement.Millis, n *node, reported []*pb.RunningWorkload) {
 	named := map[bindRef]bool{}
 	var unknown []*pb.RunningWorkload
-	for _, s := range running {
-		offer := s.GetOffer()
-		wl, bind, found := r.workloads.find(n.id, offer.GetBind())
+	for _, running := range reported {
+		offer := running.GetOffer()
+		w, bind, found := r.workloads.find(n.id, offer.GetBind())
 		switch {
-		case found && r.Engine().IsPlaced(wl.id, bind):
-			named[bindRef{wl.id, bind}] = true
-			r.held(n, wl, s)
+		case found && r.host.Engine().IsPlaced(w.id, bind):
+			named[bindRef{w.id, bind}] = true
+			r.held(n, w, running)
 		case offer.GetBind() != nil && offer.Request != nil:
-			unknown = append(unknown, s)
+			unknown = append(unknown, running)
 		}
 	}
 	r.reportEnds(true, func() {
-		r.Engine().ReconcileNode(now, n.id, func(id placement.WorkloadID, bind int) bool { return named[bindRef{id, bind}] })
+		r.host.Engine().ReconcileNode(now, n.id, func(id placement.WorkloadID, bind int) bool {
+			return named[bindRef{id, bind}]
+		})
 	})
-	for _, s := range unknown {
-		r.notHeld(now, n, s)
+	for _, running := range unknown {
+		r.notHeld(now, n, running)
 	}
 }
 
 // held repeats what may have been lost with the node's last connection, for a workload that the engine holds there.
-func (r *reconciler) held(n *node, wl *workload, s *pb.RunningWorkload) {
+func (r *reconciler) held(n *node, w *workload, running *pb.RunningWorkload) {
 	switch {
-	case wl.bindState == bindStopRequested:
-		r.binds.stop(n.id, s.Offer.Bind, false)
-	case s.Running:
-		r.gangs.partRunning(wl)
-		r.gangs.repeatConfirmation(n, wl, s)
+	case w.bindState == bindStopRequested:
+		r.sender.stop(n.id, running.Offer.Bind, false)
+	case running.Running:
+		r.gangParts.running(w)
+		r.gangParts.repeatConfirmation(n, w, running)
 	}
 }
 
 // notHeld handles a workload that the engine does not hold: one that nobody wants is stopped, any other is adopted.
-func (r *reconciler) notHeld(now placement.Millis, n *node, s *pb.RunningWorkload) {
-	if r.unwanted(s.Offer) {
-		r.binds.stop(n.id, s.Offer.Bind, false)
+func (r *reconciler) notHeld(now placement.Millis, n *node, running *pb.RunningWorkload) {
+	if r.unwanted(running.Offer) {
+		r.sender.stop(n.id, running.Offer.Bind, false)
 		return
 	}
 	if r.workloads.adoptionIDsExhausted() {
-		r.log.Error("workload not adopted", "node", n.id, "client", s.Offer.Client,
+		r.log.Error("workload not adopted", "node", n.id, "client", running.Offer.Client,
 			"reason", "no workload id is left; restart the allocator")
 		return
 	}
-	r.adopt(now, n, s)
+	r.adopt(now, n, running)
 }
 
 // unwanted reports whether a workload that the engine does not hold is to be stopped:
 //   - its client withdrew it, and the stop was lost with the connection;
-//   - it is a copy that this incarnation gave up, or of a workload that is held elsewhere, and it is part of a gang, which
-//     must not run in part, or a stop can still limit its effect.
-func (r *reconciler) unwanted(o *pb.Offer) bool {
-	ours := o.Bind.Incarnation == r.config.Incarnation
-	if ours && r.clients.withdrew(o.Client, o.Request.RequestId) {
+//   - it is a copy that this incarnation abandoned, or of a workload that is held elsewhere, and it is part of a gang,
+//     which must not run in part, or a stop can still limit its effect.
+func (r *reconciler) unwanted(offer *pb.Offer) bool {
+	ours := offer.Bind.Incarnation == r.config.Incarnation
+	if ours && r.clients.withdrew(offer.Client, offer.Request.RequestId) {
 		return true
 	}
-	givenUp := ours || r.workloads.hasKey(o.Request.Key)
-	return givenUp && (o.Gang != nil || r.Engine().StopsDuplicates(r.catalog.groupID(o.Request.Group)))
+	abandoned := ours || r.workloads.hasKey(offer.Request.Key)
+	group := r.catalog.groupID(offer.Request.Group)
+	return abandoned && (offer.Gang != nil || r.host.Engine().StopsDuplicates(group))
 }
 
 // adopt has the engine hold a workload that was found on a node.
-func (r *reconciler) adopt(now placement.Millis, n *node, s *pb.RunningWorkload) {
-	wl := r.workloads.adopt(now, n.id, s.Offer)
-	r.recorder.request(now, wl)
-	r.binds.outdate(wl.request.Service)
-	r.Engine().Adopt(now, r.catalog.workload(wl.id, wl.request), n.id)
-	if s.Running {
-		r.Engine().ReportUsage(now, wl.id, 0, placement.Running, 1)
+func (r *reconciler) adopt(now placement.Millis, n *node, running *pb.RunningWorkload) {
+	w := r.workloads.adopt(now, n.id, running.Offer)
+	r.recorder.request(now, w)
+	r.binder.outdate(w.request.Service)
+	r.host.Engine().Adopt(now, r.catalog.workload(w.id, w.request), n.id)
+	if running.Running {
+		r.host.Engine().ReportUsage(now, w.id, 0, placement.Running, 1)
 	}
-	if s.Offer.Gang != nil {
-		r.recovery.partFound(now, wl, s)
+	if running.Offer.Gang != nil {
+		r.recovery.partFound(now, w, running)
 	}
 }
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -5,6 +5,7 @@
 
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/gang"
+	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -14,17 +15,22 @@
 
 // status answers the queries of operators.
 type status struct {
-	*core
+	*environment
 	workloads *workloadTable
 	nodes     *nodeTable
-	gangs     *gangs
+	gangs     *gangTable
 }
 
-// answer answers a query.
-func (s *status) answer(now placement.Millis, q *pb.Query) *pb.State {
+// received answers a query that came on the given connection.
+func (s *status) received(now placement.Millis, conn transport.ConnID, query *pb.Query) {
+	s.network.Send(conn, &pb.Frame{Body: &pb.Frame_State{State: s.answer(now, query)}})
+}
+
+// answer returns the answer to a query.
+func (s *status) answer(now placement.Millis, query *pb.Query) *pb.State {
 	state := &pb.State{Revision: s.eventLog.Revision()}
-	limit := int(cmp.Or(q.Limit, defaultStatusLimit))
-	switch q.Kind {
+	limit := int(cmp.Or(query.Limit, defaultStatusLimit))
+	switch query.Kind {
 	case pb.Query_WORKLOADS:
 		state.Workloads, state.LeftOut = s.workloadStates(now, limit)
 	case pb.Query_GANGS:
@@ -38,8 +44,8 @@
 // workloadStates returns the first workloads by id, and how many more there are.
 func (s *status) workloadStates(now placement.Millis, limit int) (states []*pb.WorkloadState, omitted uint32) {
 	all := frontend.SortedValues(s.workloads.byID)
-	for _, wl := range all[:min(len(all), limit)] {
-		states = append(states, workloadStateOf(now, wl))
+	for _, w := range all[:min(len(all), limit)] {
+		states = append(states, workloadStateOf(now, w))
 	}
 	return states, uint32(max(0, len(all)-limit))
 }
@@ -59,7 +65,8 @@
 	all := s.nodes.sorted
 	for _, n := range all[:min(len(all), limit)] {
 		state := nodeStatusOf(now, n)
-		state.Residents, state.BindsInFlight = placed[n.id], unanswered[n.id]
+		state.Residents = placed[n.id]
+		state.BindsInFlight = unanswered[n.id]
 		states = append(states, state)
 	}
 	return states, uint32(max(0, len(all)-limit))
@@ -67,59 +74,83 @@
 
 // countByNode counts the workloads by the node of their last bind: those that are placed there, and those that are not.
 func (s *status) countByNode() (placed, unanswered map[placement.NodeID]uint32) {
-	placed, unanswered = map[placement.NodeID]uint32{}, map[placement.NodeID]uint32{}
-	for _, wl := range s.workloads.byID {
+	placed = map[placement.NodeID]uint32{}
+	unanswered = map[placement.NodeID]uint32{}
+	for _, w := range s.workloads.byID {
 		switch {
-		case len(wl.bindNodes) == 0:
-		case wl.state.accepted():
-			placed[wl.lastNode()]++
+		case len(w.bindNodes) == 0:
+		case w.state.accepted():
+			placed[w.lastNode()]++
 		default:
-			unanswered[wl.lastNode()]++
+			unanswered[w.lastNode()]++
 		}
 	}
 	return placed, unanswered
 }
 
-func workloadStateOf(now placement.Millis, wl *workload) *pb.WorkloadState {
-	s := &pb.WorkloadState{
-		Workload: uint64(wl.id), Client: wl.client, RequestId: wl.request.RequestId, Key: wl.request.Key, Service: wl.request.Service,
-		Group: wl.request.Group, Cores: wl.request.Cores, Memory: wl.request.Memory, Binds: uint32(len(wl.bindNodes)),
-		SinceMs: float64(now - wl.receivedAt), State: "pending", Node: uint32(wl.lastNode()),
-	}
-	switch {
-	case wl.state.withdrawn():
-		s.State = "stopping"
-	case wl.state == workloadPlaced:
-		s.State = "placed"
+// workloadStateOf is a workload as operators are shown it.
+func workloadStateOf(now placement.Millis, w *workload) *pb.WorkloadState {
+	return &pb.WorkloadState{
+		Workload:  uint64(w.id),
+		Client:    w.client,
+		RequestId: w.request.RequestId,
+		Key:       w.request.Key,
+		Service:   w.request.Service,
+		Group:     w.request.Group,
+		Cores:     w.request.Cores,
+		Memory:    w.request.Memory,
+		Binds:     uint32(len(w.bindNodes)),
+		SinceMs:   float64(now - w.receivedAt),
+		State:     w.state.String(),
+		Node:      uint32(w.lastNode()),
 	}
-	return s
 }
 
+// nodeStatusOf is a node as operators are shown it, without the counts of its workloads.
 func nodeStatusOf(now placement.Millis, n *node) *pb.NodeStatus {
 	return &pb.NodeStatus{
-		Id: uint32(n.id), Kind: n.kind, Zone: n.zone, Address: n.address, FreeCores: n.entry.FreeCores,
-		FreeMemory: n.entry.FreeMemory, ListedMs: float64(now - n.updatedAt), LastRejection: n.lastRefusal,
-		State:      [...]string{"ready", "draining", "gone"}[n.state()],
-		Connection: [...]string{"none", "dialling", "open"}[n.session.state],
+		Id:            uint32(n.id),
+		Kind:          n.kind,
+		Zone:          n.zone,
+		Address:       n.address,
+		FreeCores:     n.entry.FreeCores,
+		FreeMemory:    n.entry.FreeMemory,
+		ListedMs:      float64(now - n.updatedAt),
+		LastRejection: n.lastRejection,
+		State:         nodeStateNames[n.state()],
+		Connection:    n.session.state.String(),
 	}
 }
 
+// nodeStateNames are the states of nodes as operators are shown them. They are part of the command line's output.
+var nodeStateNames = [...]string{
+	placement.Ready:    "ready",
+	placement.Draining: "draining",
+	placement.Removed:  "gone",
+}
+
+// gangStatusOf is a gang as operators are shown it.
 func gangStatusOf(now placement.Millis, g *gangRequest) *pb.GangStatus {
-	s := &pb.GangStatus{
-		Client: g.id.client, RequestId: g.id.request, State: "found", Parts: uint32(len(g.parts)), MinParts: g.request.MinParts,
-		SinceMs: float64(now - g.receivedAt),
+	status := &pb.GangStatus{
+		Client:    g.id.client,
+		RequestId: g.id.request,
+		State:     "found",
+		Parts:     uint32(len(g.parts)),
+		MinParts:  g.request.MinParts,
+		SinceMs:   float64(now - g.receivedAt),
 	}
 	for _, id := range g.parts {
-		s.Workloads = append(s.Workloads, uint64(id))
+		status.Workloads = append(status.Workloads, uint64(id))
 	}
 	if g.recovering() {
-		return s
+		return status
 	}
-	s.State, s.Attempts = g.state.State.String(), uint32(g.state.Attempts())
+	status.State = g.state.State.String()
+	status.Attempts = uint32(g.state.Attempts())
 	for _, part := range g.state.Parts {
 		if part == gang.PartRunning {
-			s.Running++
+			status.Running++
 		}
 	}
-	return s
+	return status
 }
--- /dev/null
+++ b/internal/frontend/native/workloadtable.go
@@ -0,0 +1,216 @@
+package native
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"grebeglade/internal/allocator"
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// maxRequestedID is the last id that a request may get. The ids after it are for workloads that are found on nodes and for
+// parts of gangs.
+const maxRequestedID = placement.WorkloadID(math.MaxUint32 - 1<<20)
+
+// workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and by bind.
+// With it, the requestHandler distinguishes a repeated request from a new one.
+type workloadTable struct {
+	allocator   string // by which nodes know our binds
+	incarnation uint64
+
+	byID      map[placement.WorkloadID]*workload
+	byRequest map[requestID]placement.WorkloadID // but for parts of gangs, which share their gang's request
+	byKey     map[uint64]placement.WorkloadID
+	byAdopted map[adoptedBind]placement.WorkloadID
+	lastID    placement.WorkloadID
+	pending   int // requests without a final answer, but for gangs
+}
+
+func newWorkloadTable(c Config) *workloadTable {
+	return &workloadTable{
+		allocator:   c.Name,
+		incarnation: c.Incarnation,
+		byID:        map[placement.WorkloadID]*workload{},
+		byRequest:   map[requestID]placement.WorkloadID{},
+		byKey:       map[uint64]placement.WorkloadID{},
+		byAdopted:   map[adoptedBind]placement.WorkloadID{},
+	}
+}
+
+// count returns the number of workloads that the engine holds.
+func (t *workloadTable) count() int { return len(t.byID) }
+
+// get returns the workload of that id, if the engine holds it.
+func (t *workloadTable) get(id placement.WorkloadID) (*workload, bool) {
+	w, ok := t.byID[id]
+	return w, ok
+}
+
+// held returns a workload that the engine names, and that is held for that reason.
+func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
+
+// hasKey reports whether a workload of that idempotency key is held.
+func (t *workloadTable) hasKey(key uint64) bool {
+	_, ok := t.byKey[key]
+	return ok
+}
+
+// hasRequest reports whether a workload of that request is held.
+func (t *workloadTable) hasRequest(id requestID) bool {
+	_, ok := t.byRequest[id]
+	return ok
+}
+
+// requested returns the workload of a request, if it is held.
+func (t *workloadTable) requested(id requestID) (*workload, bool) {
+	if w, ok := t.byRequest[id]; ok {
+		return t.get(w)
+	}
+	return nil, false
+}
+
+// idsExhausted reports whether no id is left for requests.
+func (t *workloadTable) idsExhausted() bool { return t.lastID >= maxRequestedID }
+
+// adoptionIDsExhausted reports whether no id at all is left.
+func (t *workloadTable) adoptionIDsExhausted() bool { return t.lastID == math.MaxUint32 }
+
+// add gives the workload of a new request the next id.
+func (t *workloadTable) add(now placement.Millis, client string, r *pb.PlaceRequest) *workload {
+	w := t.insert(&workload{
+		client:     client,
+		request:    r,
+		receivedAt: now,
+	})
+	t.byRequest[requestID{client, r.RequestId}] = w.id
+	t.byKey[r.Key] = w.id
+	t.pending++
+	return w
+}
+
+// addPart gives a part of a gang the next id. It has no request of its own.
+func (t *workloadTable) addPart(now placement.Millis, g *gangRequest, part int) *workload {
+	r := g.request.Parts[part]
+	w := t.insert(&workload{
+		client:     g.id.client,
+		request:    r,
+		receivedAt: now,
+		gang:       g,
+		part:       part,
+	})
+	t.byKey[r.Key] = w.id
+	return w
+}
+
+// adopt gives a workload that was found on a node the next id. Its key may be held by another one.
+func (t *workloadTable) adopt(now placement.Millis, node placement.NodeID, o *pb.Offer) *workload {
+	w := t.insert(&workload{
+		client:     o.Client,
+		request:    o.Request,
+		receivedAt: now,
+		state:      workloadPlaced,
+		bindNodes:  []placement.NodeID{node},
+		bindState:  bindSent,
+		adopted:    o.Bind,
+	})
+	t.byAdopted[adoptedBindOf(node, o.Bind)] = w.id
+	t.byRequest[requestID{w.client, w.request.RequestId}] = w.id
+	if !t.hasKey(w.request.Key) {
+		t.byKey[w.request.Key] = w.id
+	}
+	return w
+}
+
+func (t *workloadTable) insert(w *workload) *workload {
+	t.lastID++
+	w.id = t.lastID
+	t.byID[w.id] = w
+	return w
+}
+
+// remove forgets a workload that the engine has forgotten.
+func (t *workloadTable) remove(w *workload) {
+	delete(t.byID, w.id)
+	if request := (requestID{w.client, w.request.RequestId}); t.byRequest[request] == w.id {
+		delete(t.byRequest, request)
+	}
+	if w.adopted != nil {
+		delete(t.byAdopted, adoptedBindOf(w.bindNodes[0], w.adopted))
+	}
+	if t.byKey[w.request.Key] == w.id {
+		delete(t.byKey, w.request.Key)
+	}
+}
+
+// markAnswered changes a workload's state by its final answer.
+func (t *workloadTable) markAnswered(w *workload, v allocator.Verdict) {
+	t.change(w, w.state.afterAnswer(v))
+}
+
+// markWithdrawn changes a workload's state by its withdrawal.
+func (t *workloadTable) markWithdrawn(w *workload) { t.change(w, w.state.afterWithdrawal()) }
+
+func (t *workloadTable) change(w *workload, to workloadState) {
+	if w.state == workloadPending && w.gang == nil {
+		t.pending--
+	}
+	w.state = to
+}
+
+// ofClient returns a client's workloads that are wanted, in the order of their ids.
+func (t *workloadTable) ofClient(client string, wanted func(*workload) bool) []*workload {
+	var found []*workload
+	for _, w := range t.byID {
+		if w.client == client && wanted(w) {
+			found = append(found, w)
+		}
+	}
+	slices.SortFunc(found, func(x, y *workload) int { return cmp.Compare(x.id, y.id) })
+	return found
+}
+
+// bindID is the identity of a workload's last bind on the wire.
+func (t *workloadTable) bindID(w *workload) *pb.BindID {
+	if w.adopted != nil {
+		return w.adopted
+	}
+	return &pb.BindID{
+		Allocator:   t.allocator,
+		Incarnation: t.incarnation,
+		Workload:    uint64(w.id),
+		Number:      uint32(w.lastBind()),
+	}
+}
+
+// offer is a workload's last bind as it is sent, without the time until which it may be accepted.
+func (t *workloadTable) offer(now placement.Millis, w *workload) *pb.Offer {
+	offer := &pb.Offer{
+		Bind:    t.bindID(w),
+		Client:  w.client,
+		Request: w.request,
+	}
+	if w.gang != nil {
+		offer.Gang = w.gang.offerPart(now, w.part)
+	}
+	return offer
+}
+
+// find returns the workload and the number of its bind that a node names, if it is a bind of ours to that node.
+func (t *workloadTable) find(node placement.NodeID, b *pb.BindID) (w *workload, bind int, ok bool) {
+	if b == nil || b.Allocator != t.allocator {
+		return nil, 0, false
+	}
+	if id, adopted := t.byAdopted[adoptedBindOf(node, b)]; adopted {
+		return t.byID[id], 0, true
+	}
+	if b.Incarnation != t.incarnation || b.Workload > math.MaxUint32 {
+		return nil, 0, false
+	}
+	w, held := t.byID[placement.WorkloadID(b.Workload)]
+	if !held || w.adopted != nil || int(b.Number) >= len(w.bindNodes) || w.bindNodes[b.Number] != node {
+		return nil, 0, false
+	}
+	return w, int(b.Number), true
+}
