--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -22,7 +22,8 @@
 	for _, action := range decided {
 		e.executeOne(now, g, action)
 	}
-	if g.tracedState != g.state.State {
+	// A trace holds the state's text, and some states share one.
+	if g.tracedState.String() != g.state.State.String() {
 		e.recorder.gangState(now, g)
 	}
 	g.tracedState = g.state.State
