--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -18,6 +18,7 @@
 	persisting map[placement.WorkloadID]*workload
 }
 
+// newBinder returns a binder without binds.
 func newBinder(
 	env *environment, workloads *workloadTable, nodes *nodeTable, sender *nodeSender, durable *durableBinds,
 ) *binder {
@@ -31,8 +32,8 @@
 	}
 }
 
-// pendingBind is a bind whose offer was not sent yet. It keeps its number, since its workload may have later binds. It is
-// passed by value, so that a bind which is sent at once needs no allocation for it.
+// pendingBind is a bind whose offer was not sent yet. It keeps its number, since its workload may have later binds.
+// It is passed by value, so that a bind which is sent at once needs no allocation for it.
 type pendingBind struct {
 	workload *workload
 	number   int
@@ -63,9 +64,9 @@
 	b.send(bind)
 }
 
-// persist makes a bind durable and then sends its offer, unless what the placement was decided by has changed meanwhile:
-// the bind has ended, the node is no longer ready or was restarted, or more of the service was found running. A bind that
-// could not be made durable is not sent.
+// persist makes a bind durable and then sends its offer, unless what the placement was decided by has changed
+// meanwhile: the bind has ended, the node is no longer ready or was restarted, or more of the service was found
+// running. A bind that could not be made durable is not sent.
 func (b *binder) persist(bind pendingBind) {
 	began := b.host.Now()
 	incarnation := b.nodes.incarnation(bind.node)
@@ -73,14 +74,16 @@
 	w.bindState = bindPersisting
 	b.persisting[w.id] = w
 	b.durable.persist(began, w, bind.node, bind.offer.Bind, func(now placement.Millis, err error) {
-		b.host.Handle(now, func() { b.persisted(now, bind, began, incarnation, err) })
+		b.host.Handle(now, func() {
+			valid := b.finishPersisting(bind, incarnation)
+			bind.offer.AcceptWithinMs -= float64(now - began)
+			b.persisted(bind, valid, err)
+		})
 	})
 }
 
-// persisted handles the journal's result for a bind that was begun at the given time, to a node that had the given
-// incarnation then.
-func (b *binder) persisted(now placement.Millis, bind pendingBind, began placement.Millis, incarnation uint64, err error) {
-	valid := b.finishPersisting(bind, incarnation)
+// persisted handles the journal's result for a bind. It is valid if the placement decision still holds.
+func (b *binder) persisted(bind pendingBind, valid bool, err error) {
 	switch {
 	case err != nil:
 		b.counters.BindsNotPersisted++
@@ -91,7 +94,6 @@
 		b.notSent(bind)
 	default:
 		b.counters.BindsPersisted++
-		bind.offer.AcceptWithinMs -= float64(now - began)
 		b.send(bind)
 	}
 }
@@ -130,8 +132,8 @@
 	bind.workload.bindState = bindSent
 }
 
-// notSent undoes a bind whose offer was never sent. The engine is notified once it is idle. The state of the bind does not
-// change if it was cancelled meanwhile, or if the workload has a later bind.
+// notSent undoes a bind whose offer was never sent. The engine is notified once it is idle. The state of the bind
+// does not change if it was cancelled meanwhile, or if the workload has a later bind.
 func (b *binder) notSent(bind pendingBind) {
 	w := bind.workload
 	if bind.isLast() && w.bindState != bindStopRequested {
--- a/internal/frontend/native/binder_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -55,9 +55,10 @@
 	assert.Equal(t, 1, x.f.WorkloadCount())
 }
 
-// Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or was
-// restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided before. Found by
-// a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have 3.
+// Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or
+// was restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided
+// before. Found by a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have
+// 3.
 func TestBind_ChangeWhilePersisting_NotSent(t *testing.T) {
 	running := &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
 		Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9}, Client: "o",
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -12,8 +12,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Three days, a minute at a time: nodes are replaced in new cells, clients connect under new names, send requests with weeks
-// of time and leave, gangs start and end, connections break. All state stays within a bound.
+// Three days, a minute at a time: nodes are replaced in new cells, clients connect under new names, send requests
+// with weeks of time and leave, gangs start and end, connections break. All state stays within a bound.
 func TestFrontend_StateOverDays_StaysBounded(t *testing.T) {
 	x := newFixture(t, func(c *Config) { c.EventLogSize = 100 })
 	for minute := range uint32(3 * 24 * 60) {
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -17,6 +17,7 @@
 	groups     map[string]int
 }
 
+// newCatalog makes a catalog of the configured names.
 func newCatalog(c Config) *catalog {
 	t := &catalog{
 		settings:   c.Settings,
@@ -72,7 +73,8 @@
 	return placement.Idempotent
 }
 
-// gangRequest is a request for a gang as the gang's state machine takes it. The timeout is what is left of the client's.
+// gangRequest is a request for a gang as the gang's state machine takes it. The timeout is what is left of the
+// client's.
 func (t *catalog) gangRequest(r *pb.GangRequest, timeout placement.Millis) gang.Request {
 	request := gang.Request{
 		MinParts:       int(r.MinParts),
@@ -88,7 +90,8 @@
 	return request
 }
 
-// gangPart is a part of a gang as the gang's state machine takes it. Its size is its largest share of a node of any kind.
+// gangPart is a part of a gang as the gang's state machine takes it. Its size is its largest share of a node of any
+// kind.
 func (t *catalog) gangPart(r *pb.PlaceRequest) gang.Part {
 	part := gang.Part{Idempotency: t.idempotency(r.Group)}
 	for _, kind := range t.settings.NodeKinds {
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -14,8 +14,8 @@
 	transit transitTimes
 }
 
-// clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under the same
-// name takes the place of the earlier one.
+// clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under
+// the same name takes the place of the earlier one.
 type clientSessions struct {
 	*environment
 	byName map[string]*clientSession
@@ -61,9 +61,9 @@
 	s.send(name, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: end}})
 }
 
-// requestDelay is how much of a request's time had passed when it was received, in ms: what the network delayed it as far
-// as is known, or what it may have waited while this process was stopped. It is called once for each request, since the
-// session keeps the transit time.
+// requestDelay is how much of a request's time had passed when it was received, in ms: what the network delayed it
+// as far as is known, or what it may have waited while this process was stopped. It is called once for each
+// request, since the session keeps the transit time.
 func (s *clientSessions) requestDelay(
 	now placement.Millis, session *clientSession, sentMs float64,
 ) placement.Millis {
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -16,7 +16,8 @@
 // node unused for long after it is back.
 var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
 
-// Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer, and operators see errWrongNode.
+// Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer, and operators see
+// errWrongNode.
 var (
 	errHelloTimeout   = errors.New("no hello came in time")
 	errConnectTimeout = errors.New("no connection in time")
@@ -46,7 +47,11 @@
 }
 
 func newConnections(env *environment, handler closeHandler) *connections {
-	return &connections{environment: env, byID: map[transport.ConnID]*connection{}, closeHandler: handler}
+	return &connections{
+		environment:  env,
+		byID:         map[transport.ConnID]*connection{},
+		closeHandler: handler,
+	}
 }
 
 func (t *connections) add(id transport.ConnID, peer *connection) { t.byID[id] = peer }
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -16,25 +16,25 @@
 }
 
 // newDurableBinds makes the registry from the binds that earlier incarnations left in the journal.
-func newDurableBinds(c Config) *durableBinds {
-	if c.Journal == nil {
+func newDurableBinds(config Config) *durableBinds {
+	if config.Journal == nil {
 		return &durableBinds{}
 	}
-	policies := make(map[string]recovery.GroupPolicy, len(c.GroupNames))
-	for i, name := range c.GroupNames {
-		group := &c.Settings.Groups[i]
+	policies := make(map[string]recovery.GroupPolicy, len(config.GroupNames))
+	for i, name := range config.GroupNames {
+		group := &config.Settings.Groups[i]
 		policies[name] = recovery.GroupPolicy{Idempotency: group.Idempotency, KeyWindow: group.KeyWindow}
 	}
 	settings := recovery.Settings{
 		Groups:     policies,
-		Retention:  c.AtMostOnceRetention,
-		MaxEntries: c.MaxDurableKeys,
+		Retention:  config.AtMostOnceRetention,
+		MaxEntries: config.MaxDurableKeys,
 	}
 	return &durableBinds{
 		enabled:         true,
-		journal:         c.Journal,
-		registry:        recovery.New(settings, c.RecoveredBinds, c.WallClockOffset),
-		wallClockOffset: c.WallClockOffset,
+		journal:         config.Journal,
+		registry:        recovery.New(settings, config.RecoveredBinds, config.WallClockOffset),
+		wallClockOffset: config.WallClockOffset,
 	}
 }
 
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -48,24 +48,28 @@
 
 // startHost makes the engine and its host. With a trace, the engine's placement module is one that records its calls.
 func (e *environment) startHost(actions allocator.Actions) {
-	c := &e.config
-	settings := WithSpreadVariants(c.Settings)
+	config := &e.config
+	settings := WithSpreadVariants(config.Settings)
 	options := allocator.Options{EnforceTimeouts: true, Log: e.eventLog}
-	if c.Trace != nil {
+	if config.Trace != nil {
 		recorder := replay.NewRecorder(replay.RecorderConfig{
-			Source:     &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset},
+			Source: &tracepb.Source{
+				Allocator:   config.Name,
+				Incarnation: config.Incarnation,
+				WallMs:      config.WallClockOffset,
+			},
 			Settings:   settings,
-			Seed:       c.Seed,
-			GroupNames: groupNamesWithVariants(c.GroupNames),
-			KindNames:  c.KindNames,
-			ZoneNames:  []string{c.Zone},
-		}, c.Trace)
+			Seed:       config.Seed,
+			GroupNames: groupNamesWithVariants(config.GroupNames),
+			KindNames:  config.KindNames,
+			ZoneNames:  []string{config.Zone},
+		}, config.Trace)
 		e.recorder.recorder = recorder
 		options.Module = recorder
 	}
 	e.host = frontend.NewHost(frontend.Config{
 		Settings:        settings,
-		Seed:            c.Seed,
+		Seed:            config.Seed,
 		Engine:          options,
 		Actions:         actions,
 		MaxWakeInterval: maxWakeInterval,
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -1,43 +1,44 @@
-// Package native is the allocator's frontend on the project's own protobuf protocol: frames become calls of the engine, and
-// what the engine decides becomes frames. It is a handler of package transport, so it runs alike on sockets and in virtual
-// time.
+// Package native is the allocator's frontend on the project's own protobuf protocol: frames become calls of the
+// engine, and what the engine decides becomes frames. It is a handler of package transport, so it runs alike on
+// sockets and in virtual time.
 //
 // Tables own state and call nobody; handlers act on the tables and call only parts that stand above them here:
 //
-//	part                          owns                                                calls
-//	workloadTable                 workloads by id, request, idempotency key and bind  -
-//	nodeTable                     nodes, each with its session; zones and cells       -
-//	gangTable                     gangs by request, each with its state machine       -
-//	catalog                       names of priority groups and node kinds             -
-//	durableBinds                  registry of the binds that must be durable          the journal
-//	clientSessions                clients' sessions, each with its request history    the network
-//	connections                   open connections and their peers                    the network, closeHandler
-//	nodeSender                    -                                                   the network, nodeTable
-//	binder                        binds that are being persisted                      nodeSender, durableBinds
-//	healthChecker                 health checks in flight                             the network, nodeTable
-//	gangAnswers                   -                                                   clientSessions, gangTable
-//	gangExecutor                  -                                                   engine, gangAnswers, nodeSender
-//	gangParts                     -                                                   gangExecutor, nodeSender
-//	gangRecovery                  -                                                   engine, gangExecutor
-//	requestValidator              whether requests are admitted                       the tables
-//	gangHandler                   -                                                   gangExecutor, requestValidator
-//	requestHandler                -                                                   engine, gangHandler, requestValidator
-//	acceptor                      -                                                   connections, clientSessions
-//	replyHandler                  -                                                   engine, binder, gangParts
-//	reconciler                    -                                                   engine, binder, gangParts, gangRecovery
-//	nodeSessions                  the nodes' sessions, in the nodeTable               engine, replyHandler, reconciler
-//	membership                    the nodes' entries, in the nodeTable                engine, nodeSessions
-//	discovery                     place in the discovery service's updates            membership
-//	status                        -                                                   the tables
+//	part              owns                                     calls
+//	workloadTable     workloads by id, request, key and bind   -
+//	nodeTable         nodes and their sessions; zones, cells   -
+//	gangTable         gangs by request, and their states       -
+//	catalog           names of groups and node kinds           -
+//	durableBinds      registry of durable binds                the journal
+//	clientSessions    clients' sessions and request histories  the network
+//	connections       open connections and their peers         the network, closeHandler
+//	nodeSender        -                                        the network, nodeTable
+//	binder            binds that are being persisted           nodeSender, durableBinds
+//	healthChecker     health checks in flight                  the network, nodeTable
+//	gangAnswers       -                                        clientSessions, gangTable
+//	gangExecutor      -                                        engine, gangAnswers, nodeSender
+//	gangParts         -                                        gangExecutor, nodeSender
+//	gangRecovery      -                                        engine, gangExecutor
+//	requestValidator  whether requests are admitted            the tables
+//	gangHandler       -                                        gangExecutor, requestValidator
+//	requestHandler    -                                        engine, gangHandler, requestValidator
+//	acceptor          -                                        connections, clientSessions
+//	replyHandler      -                                        engine, binder, gangParts
+//	reconciler        -                                        engine, binder, gangParts, gangRecovery
+//	nodeSessions      the nodes' sessions, in the nodeTable    engine, replyHandler, reconciler
+//	membership        the nodes' entries, in the nodeTable     engine, nodeSessions
+//	discovery         revision of the last update              membership
+//	status            -                                        the tables
 //
-// Two arrows go back, both to Frontend: the engine calls engineActions, and connections pass what they close themselves to
-// Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's placement module alone.
+// Two arrows go back, both to Frontend: the engine calls engineActions, and connections pass what they close
+// themselves to Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's
+// placement module alone.
 //
-// A request takes this way: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives it an id
-// in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder sends the offer,
-// after the journal has it where it must be durable. The node's reply reaches replyHandler, which notifies the engine, and
-// the engine calls engineActions.Answer, from which requestHandler answers the client. What an action reports to the engine
-// is deferred until the engine is idle.
+// A request takes this way: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives
+// it an id in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder
+// sends the offer, after the journal has it where it must be durable. The node's reply reaches replyHandler, which
+// notifies the engine, and the engine calls engineActions.Answer, from which requestHandler answers the client.
+// What an action reports to the engine is deferred until the engine is idle.
 //
 // Times are milliseconds on a clock that never steps back. A Frontend belongs to one goroutine.
 package native
@@ -52,7 +53,7 @@
 var _ transport.FrameHandler = (*Frontend)(nil)
 
 // Frontend is an allocator on the protocol. New makes one, and a transport starts it. It has a field for each part that
-// events and the engine's actions go to.
+// events and the engine's actions go to; see the table above.
 type Frontend struct {
 	*environment
 	Counters Counters
@@ -74,21 +75,26 @@
 }
 
 // New makes an allocator's frontend with its engine.
-func New(c Config) *Frontend {
+func New(config Config) *Frontend {
 	f := &Frontend{}
-	env := newEnvironment(c, &f.Counters)
+	env := newEnvironment(config, &f.Counters)
 	f.environment = env
 	env.startHost(engineActions{f})
 
-	f.workloads = newWorkloadTable(c)
+	f.workloads = newWorkloadTable(config)
 	f.gangs = newGangTable()
-	f.nodes = newNodeTable(c)
+	f.nodes = newNodeTable(config)
 	f.clients = newClientSessions(env)
 	f.connections = newConnections(env, f)
-	f.status = &status{environment: env, workloads: f.workloads, nodes: f.nodes, gangs: f.gangs}
+	f.status = &status{
+		environment: env,
+		workloads:   f.workloads,
+		nodes:       f.nodes,
+		gangs:       f.gangs,
+	}
 
-	catalog := newCatalog(c)
-	durable := newDurableBinds(c)
+	catalog := newCatalog(config)
+	durable := newDurableBinds(config)
 	sender := &nodeSender{environment: env, nodes: f.nodes}
 	f.binder = newBinder(env, f.workloads, f.nodes, sender, durable)
 	f.healthChecks = newHealthChecker(env, f.nodes)
@@ -172,22 +178,7 @@
 			gangParts:   f.gangParts,
 		},
 		healthChecks: f.healthChecks,
-		reconciler: &reconciler{
-			environment: f.environment,
-			workloads:   f.workloads,
-			clients:     f.clients,
-			catalog:     catalog,
-			binder:      f.binder,
-			sender:      sender,
-			gangParts:   f.gangParts,
-			recovery: &gangRecovery{
-				environment: f.environment,
-				workloads:   f.workloads,
-				catalog:     catalog,
-				gangs:       f.gangs,
-				executor:    executor,
-			},
-		},
+		reconciler:   f.newReconciler(catalog, sender, executor),
 	}
 	f.discovery = &discovery{
 		environment: f.environment,
@@ -203,6 +194,26 @@
 	}
 }
 
+// newReconciler makes what compares the workloads on a node with those that the engine holds.
+func (f *Frontend) newReconciler(catalog *catalog, sender *nodeSender, executor *gangExecutor) *reconciler {
+	return &reconciler{
+		environment: f.environment,
+		workloads:   f.workloads,
+		clients:     f.clients,
+		catalog:     catalog,
+		binder:      f.binder,
+		sender:      sender,
+		gangParts:   f.gangParts,
+		recovery: &gangRecovery{
+			environment: f.environment,
+			workloads:   f.workloads,
+			catalog:     catalog,
+			gangs:       f.gangs,
+			executor:    executor,
+		},
+	}
+}
+
 // FlushTrace hands over what the trace has not been handed yet.
 func (f *Frontend) FlushTrace() { f.recorder.flush() }
 
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// gangExecutor carries out what the gangs' state machines decide: it requests parts from the engine and has them stopped,
-// notifies nodes and clients, and sets timers.
+// gangExecutor carries out what the gangs' state machines decide: it requests parts from the engine and has them
+// stopped, notifies nodes and clients, and sets timers.
 type gangExecutor struct {
 	*environment
 	gangs     *gangTable
@@ -29,6 +29,7 @@
 	g.tracedState = g.state.State
 }
 
+// executeOne carries out one action.
 func (e *gangExecutor) executeOne(now placement.Millis, g *gangRequest, action gang.Action) {
 	switch action.Kind {
 	case gang.Attempt:
@@ -85,8 +86,8 @@
 	return requested
 }
 
-// stopPart has a part stopped. One that the engine has forgotten has ended already. The stop of one that was withdrawn is
-// sent again, since the first one may have been lost.
+// stopPart has a part stopped. One that the engine has forgotten has ended already. The stop of one that was
+// withdrawn is sent again, since the first one may have been lost.
 func (e *gangExecutor) stopPart(now placement.Millis, g *gangRequest, part int) {
 	id := g.parts[part]
 	w, held := e.workloads.get(id)
@@ -113,8 +114,8 @@
 	}
 }
 
-// setTimer has a gang's state machine called at the given time, if the gang is held by then. A timer is set for a minute at
-// most, as in the engine, so that those of gangs that have ended are bounded.
+// setTimer has a gang's state machine called at the given time, if the gang is held by then. A timer is set for a
+// minute at most, as in the engine, so that those of gangs that have ended are bounded.
 func (e *gangExecutor) setTimer(now placement.Millis, g *gangRequest, at placement.Millis) {
 	e.host.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
 		switch {
@@ -127,8 +128,8 @@
 	})
 }
 
-// deferEvent hands a gang's state machine an event of a part, and carries out what it decides, once the engine is idle. It
-// has no effect if the gang is recovering or has ended, or the part has another workload by then.
+// deferEvent hands a gang's state machine an event of a part, and carries out what it decides, once the engine is
+// idle. It has no effect if the gang is recovering or has ended, or the part has another workload by then.
 func (e *gangExecutor) deferEvent(
 	g *gangRequest, id placement.WorkloadID, part int, event func(now placement.Millis) []gang.Action,
 ) {
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -8,8 +8,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangHandler handles the clients' requests for gangs and their withdrawals: it admits a request and starts its gang, or
-// rejects it at once.
+// gangHandler handles the clients' requests for gangs and their withdrawals: it admits a request and starts its
+// gang, or rejects it at once.
 type gangHandler struct {
 	*environment
 	clients   *clientSessions
@@ -63,7 +63,11 @@
 
 // answer answers a request for a gang that is not started.
 func (h *gangHandler) answer(id requestID, v pb.Verdict, reason string) {
-	h.clients.answer(id.client, &pb.Answer{RequestId: id.request, Verdict: v, Reason: reason})
+	h.clients.answer(id.client, &pb.Answer{
+		RequestId: id.request,
+		Verdict:   v,
+		Reason:    reason,
+	})
 }
 
 // start starts a gang that was admitted. Its client waits for the given time from now.
@@ -92,8 +96,8 @@
 	return held
 }
 
-// withdraw rolls a gang back that its client no longer wants. Of a gang that is recovering it has no effect: its parts are decided about
-// together, once the others had time to be found.
+// withdraw rolls a gang back that its client no longer wants. Of a gang that is recovering it has no effect: its
+// parts are decided about together, once the others had time to be found.
 func (h *gangHandler) withdraw(now placement.Millis, g *gangRequest) {
 	if g.recovering() {
 		return
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -7,7 +7,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangParts hands the gangs' state machines what happens to their parts. The engine may be at work while its methods run.
+// gangParts hands the gangs' state machines what happens to their parts. The engine may be at work while its
+// methods run.
 type gangParts struct {
 	*environment
 	workloads *workloadTable
@@ -21,8 +22,8 @@
 	p.executor.deferEvent(w.gang, w.id, w.part, event)
 }
 
-// answered handles the engine's final answer for a part. A node that accepts a workload may still have to start it, unless
-// the settings say that it confirms those that run.
+// answered handles the engine's final answer for a part. A node that accepts a workload may still have to start it,
+// unless the settings say that it confirms those that run.
 func (p *gangParts) answered(w *workload, v allocator.Verdict) {
 	p.recorder.answer(p.host.Now(), w, v, w.lastNode(), reasonPartOfGang)
 	switch v {
@@ -37,9 +38,9 @@
 	}
 }
 
-// mayRun handles a part that may run where its last bind went, though its answer is unknown. The gang is rolled back, so
-// the part must not run on. Its bind is stopped, unless it was: the stop of an at-most-once workload that timed out leaves
-// it alone where the node has accepted it, so that one is stopped again.
+// mayRun handles a part that may run where its last bind went, though its answer is unknown. The gang is rolled
+// back, so the part must not run on. Its bind is stopped, unless it was: the stop of an at-most-once workload that
+// timed out leaves it alone where the node has accepted it, so that one is stopped again.
 func (p *gangParts) mayRun(w *workload) {
 	node := w.lastNode()
 	bind := p.workloads.bindID(w)
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -18,8 +18,8 @@
 	executor  *gangExecutor
 }
 
-// partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes on if it
-// was confirmed to run, or all of it is stopped.
+// partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes
+// on if it was confirmed to run, or all of it is stopped.
 func (r *gangRecovery) partFound(now placement.Millis, w *workload, running *pb.RunningWorkload) {
 	id := requestID{w.client, w.request.RequestId}
 	recovered, found := r.gangs.get(id)
--- a/internal/frontend/native/gangs_test.go
+++ b/internal/frontend/native/gangs_test.go
@@ -10,8 +10,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// A part whose lease expired has not finished. It was taken for finished, and its gang was confirmed with one part of three
-// left. Found by a search (seed 72, run 537), where a node's clock was stepped ahead.
+// A part whose lease expired has not finished. It was taken for finished, and its gang was confirmed with one part
+// of three left. Found by a search (seed 72, run 537), where a node's clock was stepped ahead.
 func TestGang_PartLeaseExpired_NotFinished(t *testing.T) {
 	x := newFixture(t)
 	n := x.node(1)
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -14,8 +14,8 @@
 	sessions    *nodeSessions
 }
 
-// update applies a snapshot or a delta of the discovery service: to the node table, then to the engine, and then the nodes
-// are dialed or removed.
+// update applies a snapshot or a delta of the discovery service: to the node table, then to the engine, and then
+// the nodes are dialed or removed.
 func (m *membership) update(now placement.Millis, update *pb.NodeListUpdate) {
 	m.counters.DiscoveryEntries += uint64(len(update.Entries))
 	kind := placement.Delta
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -24,7 +24,8 @@
 	return w, bind, ok
 }
 
-// offerReplied handles a node's reply to an offer. The load report that comes with it counts also if the bind is unknown.
+// offerReplied handles a node's reply to an offer. The load report that comes with it counts also if the bind is
+// unknown.
 func (h *replyHandler) offerReplied(now placement.Millis, n *node, reply *pb.OfferReply) {
 	w, bind, ok := h.findBind(n, reply.Bind)
 	load := loadOf(reply.Load)
--- a/internal/frontend/native/nodes_test.go
+++ b/internal/frontend/native/nodes_test.go
@@ -40,7 +40,8 @@
 	assert.Equal(t, placement.Ready, x.firstNode().state())
 }
 
-// A restarted node says so in its hello, before the discovery service does. Nothing is offered to it until it is connected.
+// A restarted node says so in its hello, before the discovery service does. Nothing is offered to it until it is
+// connected.
 func TestNode_Restarted_HelloCountsBeforeDiscovery(t *testing.T) {
 	x := newFixture(t)
 	n := x.node(1)
@@ -63,8 +64,8 @@
 	assert.Equal(t, placement.Draining, x.firstNode().entry.State)
 }
 
-// Each failed dial set a timer for the next, and updates of the node dialled it besides: each such dial began a series of
-// retries of its own. An unreachable node that was updated every 200 ms was dialled ever more often.
+// Each failed dial set a timer for the next, and updates of the node dialled it besides: each such dial began a
+// series of retries of its own. An unreachable node that was updated every 200 ms was dialled ever more often.
 func TestNode_UpdatedWhileUnreachable_DialedInOneSeries(t *testing.T) {
 	x := newFixture(t)
 	dials := func(duration placement.Millis) int {
@@ -92,8 +93,8 @@
 	assert.LessOrEqual(t, last, 330, "no more after minutes")
 }
 
-// Cells were numbered by their names alone: rack 1 of one zone was rack 1 of another, and a workload that might run in the one
-// was offered again in the other, where its idempotency key is not known.
+// Cells were numbered by their names alone: rack 1 of one zone was rack 1 of another, and a workload that might run
+// in the one was offered again in the other, where its idempotency key is not known.
 func TestCells_SameNameInTwoZones_NumberedApart(t *testing.T) {
 	x := newFixture(t)
 	x.snapshot(nodeEntry(1, "x", "rack-1"), nodeEntry(2, "y", "rack-1"), nodeEntry(3, "y", "rack-1"))
@@ -133,8 +134,8 @@
 	}
 }
 
-// The placement module takes another start time for another start, after which nothing was sent to the node yet. The delay
-// of updates differs by some ms, so the start time is worked out once.
+// The placement module takes another start time for another start, after which nothing was sent to the node yet.
+// The delay of updates differs by some ms, so the start time is worked out once.
 func TestNode_RemovedAndNamedAgain_KeepsStartTime(t *testing.T) {
 	x := newFixture(t)
 	entry := nodeEntry(1, "z", "c")
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -138,8 +138,8 @@
 	s.reconciler.reconcile(now, n, hello.RunningWorkloads)
 }
 
-// setDraining records a node's own statement of whether it drains. It outlasts the connection: the node takes it back at
-// its next hello, or by a restart.
+// setDraining records a node's own statement of whether it drains. It outlasts the connection: the node takes it
+// back at its next hello, or by a restart.
 func (s *nodeSessions) setDraining(now placement.Millis, n *node, draining bool) {
 	if n.draining == draining {
 		return
@@ -155,5 +155,10 @@
 
 // logConnection adds the start or end of a connection to the event log.
 func (s *nodeSessions) logConnection(now placement.Millis, n *node, detail uint8) {
-	s.eventLog.Add(eventlog.Event{At: now, Kind: eventlog.NodeConnection, Detail: detail, Node: n.id})
+	s.eventLog.Add(eventlog.Event{
+		At:     now,
+		Kind:   eventlog.NodeConnection,
+		Detail: detail,
+		Node:   n.id,
+	})
 }
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -67,8 +67,8 @@
 	return 0
 }
 
-// getOrAdd returns the node of that id. A new one has the start time that it had before it was removed, if it is the same
-// incarnation still. It is not ok where the table is full.
+// getOrAdd returns the node of that id. A new one has the start time that it had before it was removed, if it is
+// the same incarnation still. It is not ok where the table is full.
 func (t *nodeTable) getOrAdd(id placement.NodeID, incarnation uint64) (n *node, ok bool) {
 	i, known := t.search(id)
 	if known {
--- a/internal/frontend/native/numbering.go
+++ b/internal/frontend/native/numbering.go
@@ -1,6 +1,6 @@
 package native
 
-// numbering gives each name of a zone or cell a number of its own, in the order in which the names are met. There are
+// numbering gives each name of a zone or cell a number of its own, in the order in which the names occur. There are
 // never more names than nodes are kept, and so fewer than numbers. A number that is free again is the last to be given
 // out, so that what still refers to it has forgotten it by then.
 type numbering[T ~uint16] struct {
@@ -11,7 +11,11 @@
 
 // newNumbering returns a numbering in which the given name has the number 0.
 func newNumbering[T ~uint16](first string) numbering[T] {
-	return numbering[T]{byName: map[string]T{first: 0}, used: map[T]bool{0: true}, next: 1}
+	return numbering[T]{
+		byName: map[string]T{first: 0},
+		used:   map[T]bool{0: true},
+		next:   1,
+	}
 }
 
 // number returns the number of a name, a new one if the name is new.
@@ -24,7 +28,8 @@
 		n.next++
 	}
 	number = n.next
-	n.byName[name], n.used[number] = number, true
+	n.byName[name] = number
+	n.used[number] = true
 	n.next++
 	return number
 }
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -11,9 +11,10 @@
 // maxReportAge is the age, in ms, from which a load report is ignored.
 const maxReportAge = placement.Millis(100e3)
 
-// reasonOf translates a node's reason for rejecting or ending a workload.
-func reasonOf(w pb.Reason) placement.Reason {
-	switch w {
+// reasonOf translates a node's reason for rejecting or ending a workload. Reasons that are only for clients, and
+// those of a later version of the protocol, are no reason.
+func reasonOf(reason pb.Reason) placement.Reason {
+	switch reason {
 	case pb.Reason_INSUFFICIENT_CORES:
 		return placement.InsufficientCores
 	case pb.Reason_INSUFFICIENT_MEMORY:
@@ -28,61 +29,69 @@
 		return placement.Preempted
 	case pb.Reason_DRAINED:
 		return placement.Drained
+	case pb.Reason_REASON_UNSPECIFIED, pb.Reason_FINISHED, pb.Reason_STOPPED, pb.Reason_LOST, pb.Reason_MIGRATED,
+		pb.Reason_LEASE_EXPIRED:
 	}
 	return placement.ReasonUnspecified
 }
 
-// endReasonOf returns the reason that a client gets for the end of its workload. Where the node gives none, the workload
-// has finished, unless it was interrupted.
-func endReasonOf(r placement.Reason, migrating, interrupted bool) pb.Reason {
+// endReasonOf returns the reason that a client gets for the end of its workload. Where the node gives none, the
+// workload has finished, unless it was interrupted.
+func endReasonOf(reason placement.Reason, migrating, interrupted bool) pb.Reason {
 	switch {
 	case migrating:
 		return pb.Reason_MIGRATED
-	case r == placement.Evicted:
+	case reason == placement.Evicted:
 		return pb.Reason_EVICTED
-	case r == placement.Preempted:
+	case reason == placement.Preempted:
 		return pb.Reason_PREEMPTED
-	case r == placement.Drained:
+	case reason == placement.Drained:
 		return pb.Reason_DRAINED
-	case r == placement.ReasonUnspecified && interrupted:
+	case reason == placement.ReasonUnspecified && interrupted:
 		return pb.Reason_LOST
 	}
 	return pb.Reason_FINISHED
 }
 
-// interrupts reports whether an end that a node reports was not the workload's own: its node stopped or lost it, or ended
-// its lease.
-func interrupts(w pb.Reason) bool {
-	return w == pb.Reason_LOST || w == pb.Reason_STOPPED || w == pb.Reason_LEASE_EXPIRED
+// interrupts reports whether an end that a node reports was not the workload's own: its node stopped or lost it, or
+// ended its lease.
+func interrupts(reason pb.Reason) bool {
+	return reason == pb.Reason_LOST || reason == pb.Reason_STOPPED || reason == pb.Reason_LEASE_EXPIRED
 }
 
-func nodeStateOf(s pb.NodeEntry_State) placement.NodeState {
-	switch s {
+// nodeStateOf translates the state of a node in the node list. A node in a state of a later version of the protocol
+// gets no binds.
+func nodeStateOf(state pb.NodeEntry_State) placement.NodeState {
+	switch state {
 	case pb.NodeEntry_READY:
 		return placement.Ready
 	case pb.NodeEntry_DRAINING:
 		return placement.Draining
+	case pb.NodeEntry_REMOVED:
 	}
 	return placement.Removed
 }
 
-// usageKindOf translates the kind of a note; kinds that the engine ignores are not ok.
-func usageKindOf(k pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
-	switch k {
+// usageKindOf translates the kind of a usage report. Kinds that the engine does not know are not ok.
+func usageKindOf(reported pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
+	switch reported {
 	case pb.UsageReport_RUNNING:
 		return placement.Running, true
 	case pb.UsageReport_CORES_USED:
 		return placement.CoresUsed, true
+	case pb.UsageReport_KIND_UNSPECIFIED, pb.UsageReport_MEMORY_USED:
 	}
 	return 0, false
 }
 
+// verdictOf translates the engine's final answer.
 func verdictOf(v allocator.Verdict) pb.Verdict {
 	switch v {
 	case allocator.Placed:
 		return pb.Verdict_PLACED
 	case allocator.Rejected:
 		return pb.Verdict_REJECTED
+	case allocator.Unschedulable:
 	}
 	return pb.Verdict_UNSCHEDULABLE
 }
@@ -100,7 +109,9 @@
 		return *v
 	}
 	return &placement.LoadReport{
-		SpareCores: value(l.SpareCores), SpareMemory: value(l.SpareMemory), Backlog: value(l.Backlog),
+		SpareCores:  value(l.SpareCores),
+		SpareMemory: value(l.SpareMemory),
+		Backlog:     value(l.Backlog),
 		Utilization: value(l.Utilization),
 	}
 }
--- a/internal/frontend/native/reconcile_test.go
+++ b/internal/frontend/native/reconcile_test.go
@@ -42,8 +42,9 @@
 	assert.Equal(t, o.Bind, x.network.take(n)[1].GetStop().GetBind())
 }
 
-// A workload was withdrawn while its answer was under way, and its stop was lost with the connection. An at-most-once one that
-// its node named again was adopted, since it may have had an effect, and ran to its end for nobody.
+// A workload was withdrawn while its answer was under way, and its stop was lost with the connection. An
+// at-most-once one that its node named again was adopted, since it may have had an effect, and ran to its end for
+// nobody.
 func TestReconcile_WithdrawnWorkload_Stopped(t *testing.T) {
 	for _, group := range []string{"once", "serve"} {
 		t.Run(group, func(t *testing.T) {
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -77,11 +77,15 @@
 // reject answers a request that does not reach the engine.
 func (h *requestHandler) reject(now placement.Millis, id requestID, v pb.Verdict, reason string) {
 	h.eventLog.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted})
-	h.clients.answer(id.client, &pb.Answer{RequestId: id.request, Verdict: v, Reason: reason})
+	h.clients.answer(id.client, &pb.Answer{
+		RequestId: id.request,
+		Verdict:   v,
+		Reason:    reason,
+	})
 }
 
-// answeredFromJournal answers a request whose key the journal knows, or that it has no capacity for, and reports whether it
-// did. The answer is final at once, since the outcome of an earlier bind cannot be found out.
+// answeredFromJournal answers a request whose key the journal knows, or that it has no capacity for, and reports
+// whether it did. The answer is final at once, since the outcome of an earlier bind cannot be found out.
 func (h *requestHandler) answeredFromJournal(
 	now placement.Millis, id requestID, request *pb.PlaceRequest,
 ) bool {
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -64,8 +64,8 @@
 	assert.InDelta(t, 3000-20, x.offer(n).AcceptWithinMs, 1)
 }
 
-// A process without anything to do did not notice a stall of 60 ms, and took a request that had waited through it for a new
-// one: its answer was sent 2 ms after its client had given up. Found by a search.
+// A process without anything to do did not notice a stall of 60 ms, and took a request that had waited through it
+// for a new one: its answer was sent 2 ms after its client had given up. Found by a search.
 func TestRequest_AfterShortStallWhileIdle_HasLessTimeLeft(t *testing.T) {
 	x := newFixture(t)
 	n := x.node(1)
@@ -77,8 +77,8 @@
 	assert.Greater(t, left, 6000-20.0-100)
 }
 
-// A request that arrived again after its answer was answered twice; one that arrived after its withdrawal was placed for
-// nobody. Both need a network, or a client, that repeats or reorders what it sends.
+// A request that arrived again after its answer was answered twice; one that arrived after its withdrawal was
+// placed for nobody. Both need a network, or a client, that repeats or reorders what it sends.
 func TestRequest_RepeatedAfterAnswerOrWithdrawal_Ignored(t *testing.T) {
 	x := newFixture(t)
 	x.request(1, "unknown")
--- a/internal/frontend/native/spread.go
+++ b/internal/frontend/native/spread.go
@@ -12,9 +12,13 @@
 	scope placement.Scope
 }
 
-// spreadScopes are the scopes that a gang may request. Each group of the settings has a variant for each of them, so that
-// the placement module needs no notion of gangs.
-var spreadScopes = []spreadScope{{"node", placement.ScopeNode}, {"cell", placement.ScopeCell}, {"zone", placement.ScopeZone}}
+// spreadScopes are the scopes that a gang may request. Each group of the settings has a variant for each of them,
+// so that the placement module needs no notion of gangs.
+var spreadScopes = []spreadScope{
+	{"node", placement.ScopeNode},
+	{"cell", placement.ScopeCell},
+	{"zone", placement.ScopeZone},
+}
 
 // WithSpreadVariants returns the settings with the variants of each group added after the groups themselves.
 func WithSpreadVariants(s placement.Settings) placement.Settings {
@@ -22,7 +26,8 @@
 	s.Groups = slices.Clone(base)
 	for _, spread := range spreadScopes {
 		for _, g := range base {
-			g.SpreadScope, g.MaxPerScope = spread.scope, 1
+			g.SpreadScope = spread.scope
+			g.MaxPerScope = 1
 			s.Groups = append(s.Groups, g)
 		}
 	}
--- a/internal/frontend/native/transit.go
+++ b/internal/frontend/native/transit.go
@@ -7,23 +7,32 @@
 )
 
 const (
-	maxTransitTimes = 64                     // frames of a session that are compared: some of them were not delayed
-	transitWindow   = placement.Millis(60e3) // ms for which a frame counts; over a longer time two clocks may drift apart by more than the answer margin
+	// maxTransitTimes is how many frames of a session are compared: some of them were not delayed.
+	maxTransitTimes = 64
+	// transitWindow is how long, in ms, a frame is compared with later ones. In a longer time, two clocks may drift
+	// apart by more than the answer margin.
+	transitWindow = placement.Millis(60e3)
 )
 
-// transitTimes estimates how long the network delayed the frames of a session, by comparing how long they were in transit.
-// That is known up to a constant only, since the sender's clock is not ours.
+// transitTimes estimates how long the network delayed the frames of a session, by comparing how long they were in
+// transit. That is known up to a constant only, since the sender's clock is not ours.
 //
-// A client counts its pending timeout from when it sent the request. One that the network delays by more than the placement
-// module's answer margin would be answered after its client gave up. A wider margin for all requests costs far more than
-// taking the delay from those requests alone that arrived late (see docs/review-findings.md). Not covered are delays of
-// every frame of the last minute alike, clients that send no times, and the way of the answer back.
+// A client counts its pending timeout from when it sent the request. One that the network delays by more than the
+// placement module's answer margin would be answered after its client gave up. A wider margin for all requests
+// costs far more than taking the delay from those requests alone that arrived late (see docs/review-findings.md).
+// Not covered are delays of every frame of the last minute alike, clients that send no times, and the transit of the
+// answer.
 type transitTimes []transitTime
 
-type transitTime struct{ receivedAt, duration placement.Millis }
+// transitTime is how long a frame was in transit, by the clocks of both sides, in ms.
+type transitTime struct {
+	receivedAt placement.Millis
+	duration   placement.Millis
+}
 
-// delay adds a frame that was sent at the given time of its sender's clock, in ms, and returns how much longer it was in
-// transit than the quickest of the recent ones. Frames without a valid time are not delayed as far as is known.
+// delay adds a frame that was sent at the given time of its sender's clock, in ms, and returns how much longer it
+// was in transit than the quickest of the recent ones. Frames without a valid time are not delayed as far as is
+// known.
 func (t *transitTimes) delay(now placement.Millis, sent float64) placement.Millis {
 	if !(sent > 0) || math.IsInf(sent, 0) {
 		return 0
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -20,7 +20,8 @@
 	workloadStopping                        // withdrawn or stopped after it was placed
 )
 
-// String returns the state's name for operators, who are shown fewer states. The names are part of the command line's output.
+// String returns the state's name for operators, who are shown fewer states. The names are part of the command
+// line's output.
 func (s workloadState) String() string {
 	switch s {
 	case workloadPlaced:
@@ -74,8 +75,8 @@
 	bindStopRequested                  // the engine has cancelled it
 )
 
-// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds. Of which
-// gang it is a part is set where it is added, or by gangRecovery.
+// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds. Of
+// which gang it is a part is set where it is added, or by gangRecovery.
 type workload struct {
 	id         placement.WorkloadID
 	client     string
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -10,12 +10,12 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxRequestedID is the last id that a request may get. The ids after it are for workloads that are found on nodes and for
-// parts of gangs.
+// maxRequestedID is the last id that a request may get. The ids after it are for workloads that are found on nodes
+// and for parts of gangs.
 const maxRequestedID = placement.WorkloadID(math.MaxUint32 - 1<<20)
 
-// workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and by bind.
-// With it, the requestHandler distinguishes a repeated request from a new one.
+// workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and
+// by bind. With it, the requestHandler distinguishes a repeated request from a new one.
 type workloadTable struct {
 	allocator   string // by which nodes know our binds
 	incarnation uint64
