--- a/internal/frontend/native/acceptor.go
+++ b/internal/frontend/native/acceptor.go
@@ -18,7 +18,7 @@
 	workloads   *workloadTable
 }
 
-// opened handles a connection that was accepted. It is refused if no hello comes in time.
+// opened handles a connection that was accepted. It is refused if there is no hello within helloTimeout.
 func (a *acceptor) opened(now placement.Millis, id transport.ConnID) {
 	a.connections.add(id, &connection{})
 	a.host.Schedule(now+helloTimeout, func(placement.Millis) {
--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -6,7 +6,7 @@
 )
 
 // binder carries out the engine's binds: it sends offers and stops to the nodes, and keeps the state of each workload's
-// last bind on the way there.
+// last bind until the node has its offer.
 type binder struct {
 	*environment
 	workloads *workloadTable
@@ -102,7 +102,7 @@
 // still holds, so that the offer may be sent.
 func (b *binder) finishPersisting(bind pendingBind, incarnation uint64) bool {
 	if !bind.isLast() {
-		return false // a later bind of the workload is on its way
+		return false // the workload has a later bind
 	}
 	w := bind.workload
 	delete(b.persisting, w.id)
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -15,7 +15,7 @@
 }
 
 // clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under
-// the same name takes the place of the earlier one.
+// the same name replaces the earlier one.
 type clientSessions struct {
 	*environment
 	byName map[string]*clientSession
@@ -50,7 +50,7 @@
 	}
 }
 
-// answer sends a request's final answer, and notes that the request has ended.
+// answer sends a request's final answer, and records that the request has ended.
 func (s *clientSessions) answer(name string, a *pb.Answer) {
 	s.markEnded(name, a.RequestId, false)
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
@@ -70,7 +70,7 @@
 	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
 }
 
-// markEnded notes in the client's session that a request was answered or withdrawn.
+// markEnded records in the client's session that a request was answered or withdrawn.
 func (s *clientSessions) markEnded(name string, request uint64, withdrawn bool) {
 	if session, ok := s.byName[name]; ok {
 		session.history.add(request, withdrawn)
--- a/internal/frontend/native/config.go
+++ b/internal/frontend/native/config.go
@@ -12,7 +12,7 @@
 // Config is what a Frontend is made from. It is one struct, though a large one, since the fields are set
 // independently of each other.
 type Config struct {
-	Name             string // of the allocator, kept over restarts
+	Name             string // of the allocator, the same after a restart
 	Incarnation      uint64 // grows with each start of the allocator
 	Seed             uint64 // of the placement module, of backoff and of gangs
 	Settings         placement.Settings
@@ -26,7 +26,7 @@
 	Trace            replay.Sink // receives every call of the placement module; nil for no trace
 	WallClockOffset  float64     // Unix time, in ms, at which the frontend's clock was 0; needed with Trace and Journal
 
-	Journal        BindJournal     // keeps binds over a crash; nil for none
+	Journal        BindJournal     // keeps binds after a crash; nil for none
 	RecoveredBinds []recovery.Bind // what earlier incarnations left in the journal
 	// AtMostOnceRetention is how long, in ms, the key of an at-most-once workload is known after its last bind.
 	AtMostOnceRetention placement.Millis
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -6,7 +6,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// discovery is the subscription to the discovery service. The engine requests it when no update has come for too long.
+// discovery is the subscription to the discovery service. The engine requests it when there was no update for too long.
 type discovery struct {
 	*environment
 	address     string
@@ -16,7 +16,8 @@
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
 	failures int              // dials that failed since the last hello
-	// unanswered is set while the subscription that the engine requested has no reply. The call is sent after the hello.
+	// unanswered is set while the subscription that the engine requested has no reply. The call is sent after the
+	// hello.
 	unanswered bool
 	epoch      uint64 // of the last update
 	revision   uint64 // of the last update; 0 for none of this epoch
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -76,7 +76,7 @@
 	d.journal.PersistBind(bind, done)
 }
 
-// forget removes a bind that its node never accepted, if no other bind of the key is in doubt.
+// forget removes a bind that its node never accepted, if no other bind of the key has an unknown outcome.
 func (d *durableBinds) forget(w *workload, id *pb.BindID) {
 	if d.enabled && d.registry.Forget(w.request.Key, id.Incarnation, id.Number) {
 		d.journal.ForgetBind(w.request.Key, id.Incarnation, id.Number)
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -15,9 +15,10 @@
 )
 
 const (
+	// defaultEventLogSize is how many events the event log holds, if the configuration states no number.
 	defaultEventLogSize = 1 << 14
-	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect that it
-	// was stopped.
+	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect
+	// that it was stopped.
 	maxWakeInterval = placement.Millis(20)
 )
 
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -2,7 +2,7 @@
 // engine, and what the engine decides becomes frames. It is a handler of package transport, so it runs alike on
 // sockets and in virtual time.
 //
-// Tables own state and call nobody; handlers act on the tables and call only parts that stand above them here:
+// Tables own state and call no other part; handlers act on the tables and call only parts that are listed before them:
 //
 //	part              owns                                     calls
 //	workloadTable     workloads by id, request, key and bind   -
@@ -34,7 +34,7 @@
 // themselves to Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's
 // placement module alone.
 //
-// A request takes this way: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives
+// How a request is handled: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives
 // it an id in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder
 // sends the offer, after the journal has it where it must be durable. The node's reply reaches replyHandler, which
 // notifies the engine, and the engine calls engineActions.Answer, from which requestHandler answers the client.
@@ -214,7 +214,7 @@
 	}
 }
 
-// FlushTrace hands over what the trace has not been handed yet.
+// FlushTrace passes what was recorded since the last call to Config.Trace.
 func (f *Frontend) FlushTrace() { f.recorder.flush() }
 
 // EventLog returns what happened, by revision.
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -30,46 +30,46 @@
 }
 
 // executeOne carries out one action.
-func (e *gangExecutor) executeOne(now placement.Millis, g *gangRequest, action gang.Action) {
+func (e *gangExecutor) executeOne(now placement.Millis, request *gangRequest, action gang.Action) {
 	switch action.Kind {
 	case gang.Attempt:
-		e.attempt(now, g, action)
+		e.attempt(now, request, action)
 	case gang.RequestPart:
-		e.host.Engine().Schedule(now, e.requestPart(now, g, action.Part, action.Timeout))
+		e.host.Engine().Schedule(now, e.requestPart(now, request, action.Part, action.Timeout))
 	case gang.StopPart:
-		e.stopPart(now, g, action.Part)
+		e.stopPart(now, request, action.Part)
 	case gang.AnswerPlaced:
-		e.answers.placed(g)
+		e.answers.placed(request)
 	case gang.AnswerRejected:
-		e.answers.rejected(g)
+		e.answers.rejected(request)
 	case gang.AnswerUnschedulable:
-		e.answers.unschedulable(g)
+		e.answers.unschedulable(request)
 	case gang.ConfirmParts:
-		e.confirmParts(g)
+		e.confirmParts(request)
 	case gang.ReportEnd:
-		e.answers.ended(g)
+		e.answers.ended(request)
 	case gang.SetTimer:
-		e.setTimer(now, g, action.At)
+		e.setTimer(now, request, action.At)
 	case gang.Forget:
-		e.gangs.remove(g)
+		e.gangs.remove(request)
 	}
 }
 
 // attempt requests the parts of a gang together: at least MinParts of them are offered to nodes, or none.
-func (e *gangExecutor) attempt(now placement.Millis, g *gangRequest, action gang.Action) {
+func (e *gangExecutor) attempt(now placement.Millis, request *gangRequest, action gang.Action) {
 	requests := make([]placement.Workload, len(action.Parts))
 	for i, part := range action.Parts {
-		requests[i] = e.requestPart(now, g, part, g.expires-now)
+		requests[i] = e.requestPart(now, request, part, request.expires-now)
 	}
 	sent := e.host.Engine().ScheduleGang(now, requests, action.MinParts)
-	offered := make([]bool, len(g.parts))
+	offered := make([]bool, len(request.parts))
 	for i, part := range action.Parts {
 		offered[part] = sent[i]
 		if !sent[i] {
-			g.parts[part] = 0
+			request.parts[part] = 0
 		}
 	}
-	e.execute(now, g, g.state.AttemptResult(offered))
+	e.execute(now, request, request.state.AttemptResult(offered))
 }
 
 // requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -43,7 +43,7 @@
 	h.start(now, id, request, placement.Millis(request.PendingTimeoutMs)-delay)
 }
 
-// completeGangRequest sets what a request may leave out, and gives each part what is said of the whole gang.
+// completeGangRequest sets the default of MinParts, and gives each part the request's id and timeout.
 func completeGangRequest(request *pb.GangRequest) {
 	if request.MinParts == 0 {
 		request.MinParts = uint32(len(request.Parts))
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -20,28 +20,28 @@
 
 // partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes
 // on if it was confirmed to run, or all of it is stopped.
-func (r *gangRecovery) partFound(now placement.Millis, w *workload, running *pb.RunningWorkload) {
-	id := requestID{w.client, w.request.RequestId}
-	recovered, found := r.gangs.get(id)
-	if !found {
+func (r *gangRecovery) partFound(now placement.Millis, found *workload, running *pb.RunningWorkload) {
+	id := requestID{found.client, found.request.RequestId}
+	recovered, known := r.gangs.get(id)
+	if !known {
 		recovered = r.begin(now, id, running.Offer.Gang)
 	}
 	part := int(running.Offer.Gang.Part)
 	if !recovered.lacks(part) {
 		// It was found too late, or twice.
-		r.workloads.markWithdrawn(w)
-		r.host.Engine().Withdraw(now, w.id)
+		r.workloads.markWithdrawn(found)
+		r.host.Engine().Withdraw(now, found.id)
 		return
 	}
-	w.gang = recovered
-	w.part = part
-	recovered.addFound(w, running.Confirmed)
+	found.gang = recovered
+	found.part = part
+	recovered.addFound(found, running.Confirmed)
 }
 
 // begin begins to recover a gang, of which the given part was found first.
 func (r *gangRecovery) begin(now placement.Millis, id requestID, part *pb.GangPart) *gangRequest {
 	parts := min(max(part.Of, part.Part+1), maxGangParts)
-	g := &gangRequest{
+	recovered := &gangRequest{
 		id: id,
 		request: &pb.GangRequest{
 			RequestId:        id.request,
@@ -53,25 +53,25 @@
 		parts:      make([]placement.WorkloadID, parts),
 		receivedAt: now,
 	}
-	r.gangs.add(g)
-	r.host.Schedule(now+gangRecoveryTime, func(now placement.Millis) { r.finish(now, g) })
-	return g
+	r.gangs.add(recovered)
+	r.host.Schedule(now+gangRecoveryTime, func(now placement.Millis) { r.finish(now, recovered) })
+	return recovered
 }
 
 // finish decides about a gang by the parts that were found.
-func (r *gangRecovery) finish(now placement.Millis, g *gangRequest) {
-	if !r.gangs.holds(g) {
+func (r *gangRecovery) finish(now placement.Millis, recovered *gangRequest) {
+	if !r.gangs.holds(recovered) {
 		return
 	}
-	running := make([]bool, len(g.parts))
-	for part, id := range g.parts {
+	running := make([]bool, len(recovered.parts))
+	for part, id := range recovered.parts {
 		_, running[part] = r.workloads.get(id)
-		if g.request.Parts[part] == nil {
-			g.request.Parts[part] = &pb.PlaceRequest{}
+		if recovered.request.Parts[part] == nil {
+			recovered.request.Parts[part] = &pb.PlaceRequest{}
 		}
 	}
-	request := r.catalog.gangRequest(g.request, 0)
-	state, decided := gang.Recover(now, request, running, g.confirmed, gangSeed(r.config.Seed, g.id))
-	g.state = state
-	r.executor.execute(now, g, decided)
+	request := r.catalog.gangRequest(recovered.request, 0)
+	state, decided := gang.Recover(now, request, running, recovered.confirmed, gangSeed(r.config.Seed, recovered.id))
+	recovered.state = state
+	r.executor.execute(now, recovered, decided)
 }
--- a/internal/frontend/native/gangtable.go
+++ b/internal/frontend/native/gangtable.go
@@ -35,7 +35,7 @@
 	delete(t.byRequest, g.id)
 }
 
-// markAnswered notes that the client no longer waits for an answer.
+// markAnswered records that the client no longer waits for an answer.
 func (t *gangTable) markAnswered(g *gangRequest) {
 	if g.answerDue {
 		g.answerDue = false
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -50,8 +50,8 @@
 		return nil, false
 	}
 	n.updatedAt = now
-	// An entry of an earlier incarnation than the node itself has named is late. Applying it would undo a drain, and end
-	// a warm-up.
+	// An entry of an earlier incarnation than the node itself has named is late. Applying it would undo a drain,
+	// and end a warm-up.
 	if entry.Incarnation < n.incarnation {
 		return n, true
 	}
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -27,7 +27,7 @@
 // offerReplied handles a node's reply to an offer. The load report that comes with it counts also if the bind is
 // unknown.
 func (h *replyHandler) offerReplied(now placement.Millis, n *node, reply *pb.OfferReply) {
-	w, bind, ok := h.findBind(n, reply.Bind)
+	offered, bind, ok := h.findBind(n, reply.Bind)
 	load := loadOf(reply.Load)
 	switch {
 	case !ok:
@@ -35,18 +35,18 @@
 			h.host.Engine().ReportLoad(now, n.id, *load)
 		}
 	case reply.Accepted:
-		h.host.Engine().BindConfirmed(now, w.id, bind, load)
-	case h.host.Engine().IsPlaced(w.id, bind):
+		h.host.Engine().BindConfirmed(now, offered.id, bind, load)
+	case h.host.Engine().IsPlaced(offered.id, bind):
 		// A node may not reject what it accepted. The workload's end will be reported by itself.
 		h.counters.UnmatchedReplies++
 	default:
 		n.lastRejection = reply.Text
-		h.recorder.nodeRejection(now, w, n.id, reply.Text)
-		h.binder.rejected(w, reply.Bind)
-		h.host.Engine().BindEnded(now, w.id, bind, n.id, placement.Result{
+		h.recorder.nodeRejection(now, offered, n.id, reply.Text)
+		h.binder.rejected(offered, reply.Bind)
+		h.host.Engine().BindEnded(now, offered.id, bind, n.id, placement.Result{
 			Kind:   placement.RejectedByNode,
 			Reason: reasonOf(reply.Reason),
-			Final:  w.state.withdrawn(),
+			Final:  offered.state.withdrawn(),
 			Load:   load,
 		})
 	}
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -24,8 +24,8 @@
 	zones     numbering[placement.ZoneID]
 	cells     numbering[placement.CellID]
 	localZone string
-	// removed are the starts of nodes that were removed while warming up. One that is listed again has the start time that
-	// was computed before, or the placement module would take its warm-up budget for unused.
+	// removed are the starts of nodes that were removed while warming up. One that is listed again has the start
+	// time that was computed before, or the placement module would take its warm-up budget for unused.
 	removed map[placement.NodeID]nodeStart
 	warmUp  placement.Millis // how long a node is warming up after its start, in ms
 }
@@ -89,22 +89,22 @@
 
 // describe applies an entry of the discovery service. Cells are distinguished by their zone too: two zones may each
 // have a cell of one name, and an idempotency key that is known in one of them is not known in the other.
-func (t *nodeTable) describe(n *node, e *pb.NodeEntry, kind placement.KindID) {
+func (t *nodeTable) describe(n *node, listed *pb.NodeEntry, kind placement.KindID) {
 	n.listing = listing{
-		kind:    e.Kind,
-		zone:    e.Zone,
-		cell:    e.Zone + "/" + e.Cell,
-		address: e.Address,
+		kind:    listed.Kind,
+		zone:    listed.Zone,
+		cell:    listed.Zone + "/" + listed.Cell,
+		address: listed.Address,
 	}
 	n.entry = placement.Node{
 		ID:         n.id,
-		State:      nodeStateOf(e.State),
+		State:      nodeStateOf(listed.State),
 		Kind:       kind,
 		Zone:       t.zones.number(n.zone),
 		Cell:       t.cells.number(n.cell),
 		StartedAt:  n.entry.StartedAt,
-		FreeCores:  e.FreeCores,
-		FreeMemory: e.FreeMemory,
+		FreeCores:  listed.FreeCores,
+		FreeMemory: listed.FreeMemory,
 	}
 }
 
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -98,8 +98,8 @@
 
 // loadOf translates a load report. It returns nil where there is none, or one older than maxReportAge; values that the
 // report lacks are NaN.
-func loadOf(l *pb.Load) *placement.LoadReport {
-	if l == nil || !(placement.Millis(l.AgeMs) < maxReportAge) {
+func loadOf(load *pb.Load) *placement.LoadReport {
+	if load == nil || !(placement.Millis(load.AgeMs) < maxReportAge) {
 		return nil
 	}
 	value := func(v *float64) float64 {
@@ -109,9 +109,9 @@
 		return *v
 	}
 	return &placement.LoadReport{
-		SpareCores:  value(l.SpareCores),
-		SpareMemory: value(l.SpareMemory),
-		Backlog:     value(l.Backlog),
-		Utilization: value(l.Utilization),
+		SpareCores:  value(load.SpareCores),
+		SpareMemory: value(load.SpareMemory),
+		Backlog:     value(load.Backlog),
+		Utilization: value(load.Utilization),
 	}
 }
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// notHeld handles a workload that the engine does not hold: one that nobody wants is stopped, any other is adopted.
+// notHeld handles a workload that the engine does not hold: an unwanted one is stopped, any other is adopted.
 func (r *reconciler) notHeld(now placement.Millis, n *node, running *pb.RunningWorkload) {
 	if r.unwanted(running.Offer) {
 		r.sender.stop(n.id, running.Offer.Bind, false)
--- a/internal/frontend/native/requesthistory.go
+++ b/internal/frontend/native/requesthistory.go
@@ -13,7 +13,7 @@
 	oldest int             // in order, once it is full
 }
 
-// add notes that a request has ended. One that was ever withdrawn stays so.
+// add records that a request has ended. One that was ever withdrawn stays so.
 func (h *requestHistory) add(request uint64, withdrawn bool) {
 	before, known := h.ended[request]
 	if h.ended == nil {
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -89,20 +89,20 @@
 }
 
 // workloadStateOf is a workload as operators are shown it.
-func workloadStateOf(now placement.Millis, w *workload) *pb.WorkloadState {
+func workloadStateOf(now placement.Millis, held *workload) *pb.WorkloadState {
 	return &pb.WorkloadState{
-		Workload:  uint64(w.id),
-		Client:    w.client,
-		RequestId: w.request.RequestId,
-		Key:       w.request.Key,
-		Service:   w.request.Service,
-		Group:     w.request.Group,
-		Cores:     w.request.Cores,
-		Memory:    w.request.Memory,
-		Binds:     uint32(len(w.bindNodes)),
-		SinceMs:   float64(now - w.receivedAt),
-		State:     w.state.String(),
-		Node:      uint32(w.lastNode()),
+		Workload:  uint64(held.id),
+		Client:    held.client,
+		RequestId: held.request.RequestId,
+		Key:       held.request.Key,
+		Service:   held.request.Service,
+		Group:     held.request.Group,
+		Cores:     held.request.Cores,
+		Memory:    held.request.Memory,
+		Binds:     uint32(len(held.bindNodes)),
+		SinceMs:   float64(now - held.receivedAt),
+		State:     held.state.String(),
+		Node:      uint32(held.lastNode()),
 	}
 }
 
@@ -130,24 +130,24 @@
 }
 
 // gangStatusOf is a gang as operators are shown it.
-func gangStatusOf(now placement.Millis, g *gangRequest) *pb.GangStatus {
+func gangStatusOf(now placement.Millis, request *gangRequest) *pb.GangStatus {
 	status := &pb.GangStatus{
-		Client:    g.id.client,
-		RequestId: g.id.request,
+		Client:    request.id.client,
+		RequestId: request.id.request,
 		State:     "found",
-		Parts:     uint32(len(g.parts)),
-		MinParts:  g.request.MinParts,
-		SinceMs:   float64(now - g.receivedAt),
+		Parts:     uint32(len(request.parts)),
+		MinParts:  request.request.MinParts,
+		SinceMs:   float64(now - request.receivedAt),
 	}
-	for _, id := range g.parts {
+	for _, id := range request.parts {
 		status.Workloads = append(status.Workloads, uint64(id))
 	}
-	if g.recovering() {
+	if request.recovering() {
 		return status
 	}
-	status.State = g.state.State.String()
-	status.Attempts = uint32(g.state.Attempts())
-	for _, part := range g.state.Parts {
+	status.State = request.state.State.String()
+	status.Attempts = uint32(request.state.Attempts())
+	for _, part := range request.state.Parts {
 		if part == gang.PartRunning {
 			status.Running++
 		}
--- a/internal/frontend/native/tracerecorder.go
+++ b/internal/frontend/native/tracerecorder.go
@@ -7,7 +7,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// traceRecorder writes what goes on around the placement module to the trace. Without a trace it does nothing.
+// traceRecorder adds to the trace what the placement module does not see: requests and answers of clients,
+// rejections of nodes, revisions of the node list, and gangs. Without a trace it does nothing.
 type traceRecorder struct{ recorder *replay.Recorder }
 
 func (t traceRecorder) flush() {
--- a/internal/frontend/native/transit.go
+++ b/internal/frontend/native/transit.go
@@ -18,7 +18,7 @@
 // transit. That is known up to a constant only, since the sender's clock is not ours.
 //
 // A client counts its pending timeout from when it sent the request. One that the network delays by more than the
-// placement module's answer margin would be answered after its client gave up. A wider margin for all requests
+// placement module's answer margin would be answered after its client's timeout. A wider margin for all requests
 // costs far more than taking the delay from those requests alone that arrived late (see docs/review-findings.md).
 // Not covered are delays of every frame of the last minute alike, clients that send no times, and the transit of the
 // answer.
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -56,7 +56,7 @@
 // accepted reports whether the workload was placed on the node of its last bind.
 func (s workloadState) accepted() bool { return s == workloadPlaced || s == workloadStopping }
 
-// bindState is what has become of a workload's last bind on its way to the node. Each bind begins as not sent:
+// bindState is how far a workload's last bind is before the node has its offer. Each bind begins as not sent:
 //
 //	notSent -> persisting -> sent       if the journal must have it first
 //	notSent -> sent                     if not
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -105,22 +105,22 @@
 }
 
 // adopt gives a workload that was found on a node the next id. Its key may be held by another one.
-func (t *workloadTable) adopt(now placement.Millis, node placement.NodeID, o *pb.Offer) *workload {
-	w := t.insert(&workload{
-		client:     o.Client,
-		request:    o.Request,
+func (t *workloadTable) adopt(now placement.Millis, node placement.NodeID, offer *pb.Offer) *workload {
+	adopted := t.insert(&workload{
+		client:     offer.Client,
+		request:    offer.Request,
 		receivedAt: now,
 		state:      workloadPlaced,
 		bindNodes:  []placement.NodeID{node},
 		bindState:  bindSent,
-		adopted:    o.Bind,
+		adopted:    offer.Bind,
 	})
-	t.byAdopted[adoptedBindOf(node, o.Bind)] = w.id
-	t.byRequest[requestID{w.client, w.request.RequestId}] = w.id
-	if !t.hasKey(w.request.Key) {
-		t.byKey[w.request.Key] = w.id
+	t.byAdopted[adoptedBindOf(node, offer.Bind)] = adopted.id
+	t.byRequest[requestID{adopted.client, adopted.request.RequestId}] = adopted.id
+	if !t.hasKey(adopted.request.Key) {
+		t.byKey[adopted.request.Key] = adopted.id
 	}
-	return w
+	return adopted
 }
 
 func (t *workloadTable) insert(w *workload) *workload {
