--- a/internal/frontend/native/binder_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -11,99 +11,80 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func TestOffer_ConnectionLostBeforeAnswer_OutcomeUnknown(t *testing.T) {
-	x := newFixture(t)
-	n := x.node(1)
-	x.request(1, "once")
-	o := x.offer(n)
-	x.setTime(5)
-	x.disconnect(n)
-	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, x.verdicts())
+func TestOffer_ConnectionLostBeforeReply_OutcomeUnknown(t *testing.T) {
+	harness := newHarness(t)
+	nodeConn := harness.startNode(1)
+	harness.request(1, atMostOnce)
+	offer := harness.offer(nodeConn)
+	harness.setTime(5)
+	harness.closeConn(nodeConn, errReset)
+	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, harness.verdicts())
 	// The node had accepted it: it may have had an effect, so it runs on, and is adopted.
-	n = x.reconnectNode(&pb.RunningWorkload{Offer: o})
-	for _, f := range x.network.take(n) {
-		assert.Nil(t, f.GetStop())
+	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
+	for _, frame := range harness.network.take(nodeConn) {
+		assert.Nil(t, frame.GetStop())
 	}
-	assert.Equal(t, 1, x.f.WorkloadCount())
-	// An idempotent copy that nobody waits for is stopped.
-	x.request(2, "serve")
-	o = x.offer(n)
-	x.disconnect(n)
-	n = x.reconnectNode(&pb.RunningWorkload{Offer: o})
-	assert.Equal(t, o.Bind, x.network.take(n)[1].GetStop().GetBind())
+	assert.Equal(t, 1, harness.WorkloadCount())
+	// An idempotent copy that no client waits for is stopped.
+	harness.request(2, idempotent)
+	offer = harness.offer(nodeConn)
+	harness.closeConn(nodeConn, errReset)
+	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
+	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
 }
 
-func TestOfferAnswer_OfUnknownBind_Ignored(t *testing.T) {
-	x := newFixture(t)
-	n, other := x.node(1), x.node(2)
-	x.request(1, "serve")
-	offered, another := n, other
-	if len(x.network.sent[other]) > len(x.network.sent[n]) {
-		offered, another = other, n
-	}
-	o := x.offer(offered)
-	x.answerOffer(another, o.Bind, true, 0) // a node that it was not offered to
-	old := &pb.BindID{Allocator: "a", Incarnation: 4, Workload: o.Bind.Workload}
-	x.answerOffer(offered, old, true, 0) // of an earlier incarnation of the allocator
-	x.answerOffer(offered, nil, true, 0)
-	x.answerOffer(offered, &pb.BindID{Allocator: "b", Incarnation: 5, Workload: o.Bind.Workload}, true, 0)
-	assert.Empty(t, x.verdicts())
-	assert.Equal(t, uint64(4), x.f.Counters.UnmatchedReplies)
-	x.answerOffer(offered, o.Bind, true, 0)
-	x.answerOffer(offered, o.Bind, false, pb.Reason_INSUFFICIENT_CORES) // a rejection after the acceptance
-	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, x.verdicts())
-	assert.Equal(t, 1, x.f.WorkloadCount())
-}
-
-// Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or
-// was restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided
-// before. Found by a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have
-// 3.
+// Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or was
+// restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided before.
+// Found by a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have 3.
 func TestBind_ChangeWhilePersisting_NotSent(t *testing.T) {
-	running := &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
-		Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: 9}, Client: "o",
-		Request: &pb.PlaceRequest{RequestId: 70, Key: 700, Service: 1, Group: "once", Cores: 1, Memory: 1},
-	}}
 	const unchanged = "nothing changes"
-	for name, change := range map[string]func(x *fixture) transport.ConnID{
-		"node drains": func(x *fixture) transport.ConnID {
-			n := x.connectNode(1, 1, -1)
-			x.setDraining(n, true)
-			return n
+	for name, change := range map[string]func(harness *testHarness) transport.ConnID{
+		"node drains": func(harness *testHarness) transport.ConnID {
+			nodeConn := harness.connectNode(1, nodeIncarnation, longRunning)
+			harness.setDraining(nodeConn, true)
+			return nodeConn
+		},
+		"node draining by discovery": func(harness *testHarness) transport.ConnID {
+			nodeConn := harness.connectNode(1, nodeIncarnation, longRunning)
+			harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation, longRunning)
+			return nodeConn
+		},
+		"node restarted": func(harness *testHarness) transport.ConnID {
+			return harness.connectNode(1, nodeIncarnation+1, 0)
+		},
+		"more of the service runs": func(harness *testHarness) transport.ConnID {
+			running := runningOf(earlierOffer(9, atMostOnce))
+			return harness.connectNode(1, nodeIncarnation, longRunning, running)
 		},
-		"node draining by discovery": func(x *fixture) transport.ConnID {
-			n := x.connectNode(1, 1, -1)
-			x.update(1, pb.NodeEntry_DRAINING, 1, -1)
-			return n
+		unchanged: func(harness *testHarness) transport.ConnID {
+			return harness.connectNode(1, nodeIncarnation, longRunning)
 		},
-		"node restarted":           func(x *fixture) transport.ConnID { return x.connectNode(1, 2, 0) },
-		"more of the service runs": func(x *fixture) transport.ConnID { return x.connectNode(1, 1, -1, running) },
-		unchanged:                  func(x *fixture) transport.ConnID { return x.connectNode(1, 1, -1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			journal := &slowJournal{}
-			x := newFixture(t, func(c *Config) { c.Journal = journal })
-			x.update(1, pb.NodeEntry_READY, 1, -1)
-			x.request(1, "once")
+			journal := &fakeJournal{}
+			harness := newHarness(t, func(c *Config) { c.Journal = journal })
+			harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
+			harness.request(1, atMostOnce)
 			require.Len(t, journal.done, 1)
-			n := change(x)
-			journal.done[0](x.now, nil)
-			assert.Equal(t, name == unchanged, len(x.offers(n)) == 1)
-			assert.Empty(t, x.f.binder.persisting)
+			nodeConn := change(harness)
+			journal.done[0](harness.now, nil)
+			assert.Equal(t, name == unchanged, len(harness.offers(nodeConn)) == 1)
+			assert.Empty(t, harness.binder.persisting)
 		})
 	}
 }
 
 func TestBind_JournalFails_NotSent(t *testing.T) {
-	journal := &slowJournal{}
-	x := newFixture(t, func(c *Config) { c.Journal = journal })
-	n := x.node(1)
-	x.request(1, "once", func(a *pb.PlaceRequest) { a.PendingTimeoutMs = 100 })
+	journal := &fakeJournal{}
+	harness := newHarness(t, func(c *Config) { c.Journal = journal })
+	nodeConn := harness.startNode(1)
+	harness.request(1, atMostOnce, func(request *pb.PlaceRequest) { request.PendingTimeoutMs = 100 })
 	require.Len(t, journal.done, 1)
-	journal.done[0](x.now, errors.New("disk full"))
-	assert.Empty(t, x.offers(n))
-	assert.Empty(t, x.f.binder.persisting)
-	assert.Equal(t, uint64(1), x.f.Counters.BindsNotPersisted)
-	x.runUntil(200)
-	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, x.verdicts(), "a bind that was not sent cannot have run")
+	journal.done[0](harness.now, errors.New("disk full"))
+	assert.Empty(t, harness.offers(nodeConn))
+	assert.Empty(t, harness.binder.persisting)
+	assert.Equal(t, uint64(1), harness.Counters.BindsNotPersisted)
+	harness.advanceTo(200)
+	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, harness.verdicts(),
+		"a bind that was not sent cannot have run")
 }
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -12,100 +11,121 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
+const (
+	boundsDays    = 3
+	boundsMinutes = boundsDays * 24 * 60
+	monthMs       = 30 * 24 * 3600e3
+)
+
 // Three days, a minute at a time: nodes are replaced in new cells, clients connect under new names, send requests
 // with weeks of time and leave, gangs start and end, connections break. All state stays within a bound.
 func TestFrontend_StateOverDays_StaysBounded(t *testing.T) {
-	x := newFixture(t, func(c *Config) { c.EventLogSize = 100 })
-	for minute := range uint32(3 * 24 * 60) {
-		id, client := minute+1, transport.ConnID(1e6+minute)
-		e := nodeEntry(id, "z", fmt.Sprint("cell-", minute))
-		e.Address, e.UpForMs = fmt.Sprint("at-", id), 5
-		x.snapshot(e)
-		n := x.network.dialed[e.Address]
-		require.NotZero(t, n)
-		x.f.Opened(x.now, n)
-		x.receive(n, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n", Node: id, Incarnation: 1, UpForMs: 5}))
-		x.runUntil(x.now + 25e3) // warm-up budgets apply only some time after the start
-		x.f.Opened(x.now, client)
-		x.receive(client, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: fmt.Sprint("client-", minute), Incarnation: 1, SentMs: 1}))
-		part := func(k uint64) *pb.PlaceRequest {
-			return &pb.PlaceRequest{Key: uint64(minute)*10 + k, Service: uint64(minute), Group: "serve", Cores: 1, Memory: 1, ExpectedRuntimeMs: 1}
-		}
-		a := part(0)
-		a.RequestId, a.PendingTimeoutMs = 1, 30*24*3600e3
-		x.receive(client, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: a}})
-		x.receive(client, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: &pb.GangRequest{
-			RequestId: 2, PendingTimeoutMs: 30 * 24 * 3600e3, Parts: []*pb.PlaceRequest{part(1), part(2)},
-		}}})
-		offers := x.offers(n)
-		require.Len(t, offers, 3)
-		for _, o := range offers {
-			x.startWorkload(n, o.Bind)
-		}
-		x.runUntil(x.now + 1e3)
-		for _, o := range offers {
-			x.endWorkload(n, o.Bind, pb.Reason_FINISHED)
-		}
-		x.f.Closed(x.now, client, transport.ErrClosedByPeer)
-		x.f.Closed(x.now, n, transport.ErrClosedByPeer)
-		x.runUntil(x.now + 34e3)
-		clear(x.network.sent)
-		clear(x.network.closed)
-		for part, n := range x.stateSizes() {
-			require.LessOrEqual(t, n, 16, "minute %d: %s", minute, part)
+	harness := newHarness(t, func(c *Config) { c.EventLogSize = 100 })
+	for minute := range uint32(boundsMinutes) {
+		harness.playMinute(minute)
+		for part, size := range harness.stateSizes() {
+			require.LessOrEqual(t, size, 16, "minute %d: %s", minute, part)
 		}
 	}
-	assert.EqualValues(t, 2*3*24*60, x.f.Counters.Requests)
-	assert.EqualValues(t, 3*24*60, x.f.Counters.GangsPlaced)
+	assert.EqualValues(t, 2*boundsMinutes, harness.Counters.Requests)
+	assert.EqualValues(t, boundsMinutes, harness.Counters.GangsPlaced)
 }
 
-// stateSizes are the sizes of everything that the frontend keeps.
-func (x *fixture) stateSizes() map[string]int {
-	f, nodes := x.f, x.f.nodes
-	return map[string]int{
-		"connections": len(f.connections.byID), "clients": len(f.clients.byName), "nodes": len(nodes.sorted),
-		"workloads": len(f.workloads.byID), "requests": len(f.workloads.byRequest), "keys": len(f.workloads.byKey),
-		"adopted binds": len(f.workloads.byAdopted), "gangs": len(f.gangs.byRequest),
-		"deferred calls": f.host.DeferredCalls(), "timers": f.host.PendingTimers(),
-		"zones": len(nodes.zones.byName), "zone numbers": len(nodes.zones.used),
-		"cells": len(nodes.cells.byName), "cell numbers": len(nodes.cells.used), "removed nodes": len(nodes.removed),
-		"health checks": f.healthChecks.pending.Len(),
-		"engine":        f.host.Engine().WorkloadCount(), "pending requests": f.Pending(),
+// playMinute lets a minute pass in which a new node and a new client connect, a workload and a gang run and end,
+// and both disconnect.
+func (h *testHarness) playMinute(minute uint32) {
+	h.t.Helper()
+	nodeConn := h.replaceNode(minute)
+	h.advance(25e3) // warm-up budgets apply only some time after the start
+	client := transport.ConnID(1e6 + minute)
+	h.connectNewClient(client, minute)
+	h.requestOfMinute(client, minute)
+	offers := h.offers(nodeConn)
+	require.Len(h.t, offers, 3)
+	for _, offer := range offers {
+		h.startWorkload(nodeConn, offer.Bind)
 	}
+	h.advance(1e3)
+	for _, offer := range offers {
+		h.endWorkload(nodeConn, offer.Bind, pb.Reason_FINISHED)
+	}
+	h.closeConn(client, errClosed)
+	h.closeConn(nodeConn, errClosed)
+	h.advance(34e3)
+	clear(h.network.sent)
+	clear(h.network.closed)
+}
+
+// replaceNode has the discovery service list one new node alone, in a new cell, and connects it.
+func (h *testHarness) replaceNode(minute uint32) transport.ConnID {
+	h.t.Helper()
+	const upForMs = 5
+	id := minute + 1
+	entry := listEntry(id, "z", fmt.Sprint("cell-", minute))
+	entry.Address = fmt.Sprint("at-", id)
+	entry.UpForMs = upForMs
+	h.publishSnapshot(entry)
+	nodeConn := h.network.dialed[entry.Address]
+	require.NotZero(h.t, nodeConn)
+	h.openConn(nodeConn)
+	h.receive(nodeConn, transport.HelloFrame(&pb.Hello{
+		Role:        pb.Role_NODE,
+		Name:        "n",
+		Node:        id,
+		Incarnation: nodeIncarnation,
+		UpForMs:     upForMs,
+	}))
+	return nodeConn
 }
 
-func TestWorkloadIDs_LastOnes_KeptForAdoption(t *testing.T) {
-	x := newFixture(t)
-	n := x.node(1)
-	x.f.workloads.lastID = maxRequestedID - 1
-	x.request(1, "serve")
-	x.offer(n)
-	x.request(2, "serve")
-	f := x.network.take(clientConn)
-	assert.Equal(t, "the allocator has named all its workloads; restart it", f[0].GetAnswer().GetReason())
-	running := func(no uint64) *pb.RunningWorkload {
-		return &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
-			Bind: &pb.BindID{Allocator: "a", Incarnation: 3, Workload: no}, Client: "o",
-			Request: &pb.PlaceRequest{RequestId: 70 + no, Key: 700 + no, Service: 1, Group: "serve", Cores: 1, Memory: 1},
-		}}
+// connectNewClient connects a client under a new name, which sends the time of its frames.
+func (h *testHarness) connectNewClient(client transport.ConnID, minute uint32) {
+	h.openConn(client)
+	hello := clientHello(fmt.Sprint("client-", minute))
+	hello.GetHello().SentMs = 1
+	h.receive(client, hello)
+}
+
+// requestOfMinute sends a request for a workload and one for a gang of two parts, each with a month of time.
+func (h *testHarness) requestOfMinute(client transport.ConnID, minute uint32) {
+	part := func(number uint64) *pb.PlaceRequest {
+		request := gangPartRequest(uint64(minute)*10 + number)
+		request.Service = uint64(minute)
+		request.ExpectedRuntimeMs = 1
+		return request
 	}
-	x.f.workloads.lastID = math.MaxUint32 - 1
-	x.disconnect(n)
-	x.reconnectNode(running(1), running(2))
-	assert.EqualValues(t, uint32(math.MaxUint32), x.f.workloads.lastID, "the id 0 is never given out")
-	assert.Equal(t, 1, x.f.WorkloadCount())
+	request := part(0)
+	request.RequestId = 1
+	request.PendingTimeoutMs = monthMs
+	h.receive(client, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: request}})
+	h.receive(client, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: &pb.GangRequest{
+		RequestId:        2,
+		PendingTimeoutMs: monthMs,
+		Parts:            []*pb.PlaceRequest{part(1), part(2)},
+	}}})
 }
 
-// A gang that waits for its next attempt has no workloads, and was not counted under the limit.
-func TestGang_WaitingForRetry_CountsAgainstMaxWorkloads(t *testing.T) {
-	x := newFixture(t, func(c *Config) { c.MaxWorkloads = 3 })
-	n := x.node(1)
-	x.requestGang(1)
-	for _, o := range x.offers(n) {
-		x.answerOffer(n, o.Bind, false, pb.Reason_QUEUE_FULL)
+// stateSizes are the sizes of everything that the frontend keeps.
+func (h *testHarness) stateSizes() map[string]int {
+	return map[string]int{
+		"connections":      len(h.connections.byID),
+		"clients":          len(h.clients.byName),
+		"nodes":            len(h.nodes.sorted),
+		"removed nodes":    len(h.nodes.removed),
+		"zones":            len(h.nodes.zones.byName),
+		"zone numbers":     len(h.nodes.zones.used),
+		"cells":            len(h.nodes.cells.byName),
+		"cell numbers":     len(h.nodes.cells.used),
+		"workloads":        len(h.workloads.byID),
+		"requests":         len(h.workloads.byRequest),
+		"keys":             len(h.workloads.byKey),
+		"adopted binds":    len(h.workloads.byAdopted),
+		"persisting binds": len(h.binder.persisting),
+		"gangs":            len(h.gangs.byRequest),
+		"health checks":    h.healthChecks.pending.Len(),
+		"deferred calls":   h.host.DeferredCalls(),
+		"timers":           h.host.PendingTimers(),
+		"engine":           h.host.Engine().WorkloadCount(),
+		"pending requests": h.Pending(),
 	}
-	require.Len(t, x.f.gangs.byRequest, 1)
-	require.Equal(t, 0, x.f.WorkloadCount())
-	x.requestGang(2)
-	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, x.verdicts())
 }
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -13,43 +13,57 @@
 )
 
 func TestDiscovery_OlderUpdate_Ignored(t *testing.T) {
-	x := newFixture(t)
-	x.node(1)
-	x.update(1, pb.NodeEntry_DRAINING, 1, -1)
-	x.revision -= 2
-	x.update(1, pb.NodeEntry_READY, 1, -1)
-	assert.Equal(t, placement.Draining, x.firstNode().entry.State)
-	// Changes since a restart of the service mean nothing without a snapshot.
-	x.network.take(x.discovery)
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{Epoch: 2, Revision: 1}}})
-	assert.NotNil(t, x.network.take(x.discovery)[0].GetNodeListRequest())
-	assert.Len(t, x.knownNodes(), 1)
-	x.receive(x.discovery, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
-		Epoch: 2, Revision: 1, Kind: pb.NodeListUpdate_SNAPSHOT,
-	}}})
-	assert.Equal(t, placement.Removed, x.firstNode().entry.State, "kept while it is connected")
+	harness := newHarness(t)
+	harness.startNode(1)
+	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation, longRunning)
+	harness.revision -= 2
+	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
+	assert.Equal(t, placement.Draining, harness.firstNode().entry.State)
+}
+
+func TestDiscovery_ServiceRestarted_DeltaOnlyAfterSnapshot(t *testing.T) {
+	harness := newHarness(t)
+	harness.startNode(1)
+	harness.network.take(harness.discoveryConn)
+	harness.receive(harness.discoveryConn, nodeListUpdate(&pb.NodeListUpdate{
+		Kind:     pb.NodeListUpdate_DELTA,
+		Epoch:    2,
+		Revision: 1,
+	}))
+	assert.NotNil(t, harness.network.take(harness.discoveryConn)[0].GetNodeListRequest())
+	assert.Len(t, harness.nodes.sorted, 1)
+	harness.receive(harness.discoveryConn, nodeListUpdate(&pb.NodeListUpdate{
+		Kind:     pb.NodeListUpdate_SNAPSHOT,
+		Epoch:    2,
+		Revision: 1,
+	}))
+	assert.Equal(t, placement.Removed, harness.firstNode().entry.State, "kept while it is connected")
 }
 
 // polled has the engine subscribe by itself.
-func polled(c *Config) { c.Settings.PolledDiscovery, c.Settings.PollInterval = true, 3000 }
+func polled(c *Config) {
+	c.Settings.PolledDiscovery = true
+	c.Settings.PollInterval = 3000
+}
 
 func TestDiscovery_Disconnected_PollFailsAndDialedAgainWithBackoff(t *testing.T) {
-	x := newFixture(t, polled)
-	x.runUntil(100)
-	require.Equal(t, uint64(1), x.f.Counters.DiscoveryCalls)
+	harness := newHarness(t, polled)
+	harness.advanceTo(100)
+	require.Equal(t, uint64(1), harness.Counters.DiscoveryCalls)
+	dialed := harness.network.dialed
 	for _, delay := range []placement.Millis{100, 200, 400} {
-		before := x.network.dialed[discoveryAddress]
-		x.f.Closed(x.now, before, transport.ErrConnectionRefused)
-		closedAt := x.now
-		x.runUntil(closedAt + delay*3/4 - 1)
-		assert.Equal(t, before, x.network.dialed[discoveryAddress], "dialled before the shortest delay after %v ms", delay)
-		x.runUntil(closedAt + delay*5/4)
-		assert.NotEqual(t, before, x.network.dialed[discoveryAddress], "not dialled by the longest delay after %v ms", delay)
+		before := dialed[discoveryAddress]
+		harness.closeConn(before, errRefused)
+		closedAt := harness.now
+		harness.advanceTo(closedAt + delay*3/4 - 1)
+		assert.Equal(t, before, dialed[discoveryAddress], "dialed before the shortest delay after %v ms", delay)
+		harness.advanceTo(closedAt + delay*5/4)
+		assert.NotEqual(t, before, dialed[discoveryAddress], "not dialed by the longest delay after %v ms", delay)
 	}
 	failed := 0
-	events, _ := x.f.EventLog().Since(0)
-	for _, e := range events {
-		if e.Kind == eventlog.NodesUpdated && e.Detail == uint8(placement.PollFailed) {
+	events, _ := harness.EventLog().Since(0)
+	for _, event := range events {
+		if event.Kind == eventlog.NodesUpdated && event.Detail == uint8(placement.PollFailed) {
 			failed++
 		}
 	}
@@ -57,39 +71,31 @@
 }
 
 func TestDiscovery_NoHello_Disconnected(t *testing.T) {
-	x := newFixture(t)
-	x.disconnect(x.discovery)
-	x.runUntil(200)
-	c := x.network.dialed[discoveryAddress]
-	x.f.Opened(x.now, c)
-	assert.NotNil(t, x.network.take(c)[0].GetHello())
-	x.runUntil(x.now + helloTimeout)
-	assert.True(t, x.network.closed[c])
+	harness := newHarness(t)
+	harness.reconnectDiscovery()
+	assert.NotNil(t, harness.network.take(harness.discoveryConn)[0].GetHello())
+	harness.advance(helloTimeout)
+	assert.True(t, harness.network.closed[harness.discoveryConn])
 }
 
 func TestDiscovery_PeerOfAnotherRole_Disconnected(t *testing.T) {
-	x := newFixture(t)
-	x.disconnect(x.discovery)
-	x.runUntil(200)
-	c := x.network.dialed[discoveryAddress]
-	x.f.Opened(x.now, c)
-	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n"}))
-	assert.True(t, x.network.closed[c])
+	harness := newHarness(t)
+	harness.reconnectDiscovery()
+	harness.receive(harness.discoveryConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n"}))
+	assert.True(t, harness.network.closed[harness.discoveryConn])
 }
 
 func TestDiscovery_Reconnected_SubscribesFromLastRevision(t *testing.T) {
-	x := newFixture(t, polled)
-	x.node(1)
-	x.update(1, pb.NodeEntry_READY, 1, -1)
-	x.disconnect(x.discovery)
-	x.runUntil(200)
-	c := x.network.dialed[discoveryAddress]
-	x.f.Opened(x.now, c)
-	x.receive(c, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: 1}))
-	x.runUntil(2000)
-	sent := x.network.take(c)
+	harness := newHarness(t, polled)
+	harness.startNode(1)
+	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
+	harness.reconnectDiscovery()
+	harness.receive(harness.discoveryConn, discoveryHello())
+	harness.advanceTo(2000)
+	sent := harness.network.take(harness.discoveryConn)
 	require.Greater(t, len(sent), 1)
 	call := sent[1].GetNodeListRequest()
 	assert.True(t, call.GetWatch())
-	assert.Equal(t, []uint64{1, x.revision}, []uint64{call.GetEpoch(), call.GetRevision()})
+	assert.Equal(t, uint64(1), call.GetEpoch())
+	assert.Equal(t, harness.revision, call.GetRevision())
 }
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -61,7 +61,8 @@
 	}
 	kind, configured := m.catalog.kindID(entry.Kind)
 	if !configured && !known {
-		m.log.Warn("node kind unknown, node gets no binds", "node", id, "kind", entry.Kind, "known", m.catalog.kindNames)
+		m.log.Warn("node kind unknown, node gets no binds",
+			"node", id, "kind", entry.Kind, "known", m.catalog.kindNames)
 	}
 	m.nodes.describe(n, entry, kind)
 	return n, true
--- /dev/null
+++ b/internal/frontend/native/nodetable_test.go
@@ -0,0 +1,99 @@
+package native
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
+)
+
+// Cells were numbered by their names alone: rack 1 of one zone was rack 1 of another, and a workload that might run in
+// the one was offered again in the other, where its idempotency key is not known.
+func TestCells_SameNameInTwoZones_NumberedApart(t *testing.T) {
+	harness := newHarness(t)
+	harness.publishSnapshot(
+		listEntry(1, "x", "rack-1"),
+		listEntry(2, "y", "rack-1"),
+		listEntry(3, "y", "rack-1"),
+	)
+	cell := func(i int) placement.CellID { return harness.nodes.sorted[i].entry.Cell }
+	assert.NotEqual(t, cell(0), cell(1))
+	assert.Equal(t, cell(1), cell(2))
+}
+
+// Cell numbers were never given back. After 65,536 cells they began anew, and two cells in use had the same number.
+func TestCells_NumbersReused_NeverTwiceAtATime(t *testing.T) {
+	harness := newHarness(t)
+	const fleet = 50
+	for generation := range 1500 { // 75,000 cells
+		var entries []*pb.NodeEntry
+		for i := range fleet {
+			cell := fmt.Sprint("cell-", generation, "-", i)
+			entries = append(entries, listEntry(uint32(generation*fleet+i+1), "z", cell))
+		}
+		for i := range 5 { // that stay
+			entries = append(entries, listEntry(uint32(1e6+i), "z", fmt.Sprint("stable-", i)))
+		}
+		harness.publishSnapshot(entries...)
+		harness.refuseDials()
+		harness.publishSnapshot(entries...)
+		harness.requireDistinctCells()
+		require.LessOrEqual(t, len(harness.nodes.cells.byName), 2*fleet+11)
+		require.Len(t, harness.nodes.cells.used, len(harness.nodes.cells.byName))
+	}
+}
+
+// requireDistinctCells requires that no two cells of known nodes have the same number.
+func (h *testHarness) requireDistinctCells() {
+	h.t.Helper()
+	names := map[placement.CellID]string{}
+	for _, n := range h.nodes.sorted {
+		if other, used := names[n.entry.Cell]; used && other != n.cell {
+			require.Failf(h.t, "one number for two cells", "%s and %s", other, n.cell)
+		}
+		names[n.entry.Cell] = n.cell
+	}
+}
+
+// The placement module takes another start time for another start, after which nothing was sent to the node yet. The
+// delay of updates differs by some ms, so the start time is computed once.
+func TestNode_RemovedAndListedAgain_KeepsStartTime(t *testing.T) {
+	harness := newHarness(t)
+	entry := listEntry(1, "z", "c")
+	entry.UpForMs = 100
+	harness.publishSnapshot(entry)
+	startedAt := harness.firstNode().entry.StartedAt
+	harness.closeConn(harness.firstNode().session.conn, errRefused)
+	harness.publishSnapshot()
+	require.Empty(t, harness.nodes.sorted)
+	harness.setTime(500)
+	entry.UpForMs = 601.5
+	harness.publishSnapshot(entry)
+	assert.InDelta(t, float64(startedAt), float64(harness.firstNode().entry.StartedAt), 0)
+	assert.Empty(t, harness.nodes.removed)
+	harness.closeConn(harness.firstNode().session.conn, errRefused)
+	harness.publishSnapshot()
+	assert.Len(t, harness.nodes.removed, 1)
+	harness.setTime(20e3)
+	harness.publishSnapshot()
+	assert.Empty(t, harness.nodes.removed, "it has warmed up by then")
+}
+
+func TestNodes_BeyondMaximum_Unused(t *testing.T) {
+	harness := newHarness(t)
+	var entries []*pb.NodeEntry
+	for i := range uint32(maxNodes + 5) {
+		entry := listEntry(i+1, "z", "c")
+		entry.Address = ""
+		entries = append(entries, entry)
+	}
+	harness.publishSnapshot(entries...)
+	assert.Len(t, harness.nodes.sorted, maxNodes)
+	harness.publishSnapshot(entries[maxNodes:]...)
+	harness.publishSnapshot(entries[maxNodes:]...)
+	assert.Len(t, harness.nodes.sorted, 5, "the others are removed")
+}
--- a/internal/frontend/native/status_test.go
+++ b/internal/frontend/native/status_test.go
@@ -6,46 +6,70 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 func TestStatus_ShowsWorkloadsAndNodes(t *testing.T) {
-	x := newFixture(t)
-	n := x.node(1)
-	x.request(1, "serve")
-	x.answerOffer(n, x.offer(n).Bind, true, 0)
-	x.request(2, "serve")
-	x.answerOffer(n, x.offer(n).Bind, false, pb.Reason_INSUFFICIENT_CORES)
-	x.request(3, "serve", func(a *pb.PlaceRequest) { a.Cores = 0.5 })
-	x.f.Opened(x.now, operatorConn)
-	x.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
-	state := func(w pb.Query_Kind) *pb.State {
-		x.network.take(operatorConn)
-		x.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: w}}})
-		return x.network.take(operatorConn)[0].GetState()
-	}
-	wls := state(pb.Query_WORKLOADS).Workloads
-	require.Len(t, wls, 2)
-	assert.Equal(t, []string{"placed", "pending"}, []string{wls[0].State, wls[1].State})
-	nodes := state(pb.Query_NODES).Nodes
-	assert.Equal(t, []uint32{1, 1}, []uint32{nodes[0].Residents, nodes[0].BindsInFlight})
+	harness := newHarness(t)
+	nodeConn := harness.startNode(1)
+	harness.request(1, idempotent)
+	harness.acceptOffer(nodeConn, harness.offer(nodeConn).Bind)
+	harness.request(2, idempotent)
+	harness.rejectOffer(nodeConn, harness.offer(nodeConn).Bind, pb.Reason_INSUFFICIENT_CORES)
+	harness.request(3, idempotent, func(request *pb.PlaceRequest) { request.Cores = 0.5 })
+	harness.connectOperator()
+	workloads := harness.query(pb.Query_WORKLOADS).Workloads
+	require.Len(t, workloads, 2)
+	assert.Equal(t, "placed", workloads[0].State)
+	assert.Equal(t, "pending", workloads[1].State)
+	nodes := harness.query(pb.Query_NODES).Nodes
+	require.Len(t, nodes, 1)
+	assert.EqualValues(t, 1, nodes[0].Residents)
+	assert.EqualValues(t, 1, nodes[0].BindsInFlight)
+	assert.Equal(t, "ready", nodes[0].State)
 	assert.Equal(t, "open", nodes[0].Connection)
 }
 
 func TestStatus_ShowsGangs(t *testing.T) {
-	x := newFixture(t)
-	n := x.node(1)
-	x.requestGang(1)
-	x.startWorkload(n, x.offers(n)[0].Bind)
-	x.f.Opened(x.now, operatorConn)
-	x.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
-	x.network.take(operatorConn)
-	x.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: pb.Query_GANGS}}})
-	gangs := x.network.take(operatorConn)[0].GetState().Gangs
+	harness := newHarness(t)
+	nodeConn := harness.startNode(1)
+	harness.requestGang(1)
+	harness.startWorkload(nodeConn, harness.offers(nodeConn)[0].Bind)
+	harness.connectOperator()
+	gangs := harness.query(pb.Query_GANGS).Gangs
 	require.Len(t, gangs, 1)
-	g := gangs[0]
-	assert.Equal(t, "starting", g.State)
-	assert.Equal(t, []uint32{2, 2, 1, 1}, []uint32{g.Parts, g.MinParts, g.Running, g.Attempts})
-	assert.Len(t, g.Workloads, 2)
+	shown := gangs[0]
+	assert.Equal(t, "starting", shown.State)
+	assert.EqualValues(t, 2, shown.Parts)
+	assert.EqualValues(t, 2, shown.MinParts)
+	assert.EqualValues(t, 1, shown.Running)
+	assert.EqualValues(t, 1, shown.Attempts)
+	assert.Len(t, shown.Workloads, 2)
+}
+
+func TestStates_NamesForOperators(t *testing.T) {
+	for state, name := range map[workloadState]string{
+		workloadPending:    "pending",
+		workloadPlaced:     "placed",
+		workloadNotPlaced:  "pending",
+		workloadCancelling: "stopping",
+		workloadStopping:   "stopping",
+	} {
+		assert.Equal(t, name, state.String())
+	}
+	for state, name := range map[placement.NodeState]string{
+		placement.Ready:    "ready",
+		placement.Draining: "draining",
+		placement.Removed:  "gone",
+	} {
+		assert.Equal(t, name, nodeStateNames[state])
+	}
+	for state, name := range map[sessionState]string{
+		sessionDisconnected: "none",
+		sessionConnecting:   "dialling",
+		sessionConnected:    "open",
+	} {
+		assert.Equal(t, name, state.String())
+	}
 }
--- a/internal/frontend/native/trace_test.go
+++ b/internal/frontend/native/trace_test.go
@@ -15,24 +15,31 @@
 type fakeSink map[string]int
 
 func (s fakeSink) Put(records []*trace.Record) {
-	for _, r := range records {
-		s[strings.TrimPrefix(fmt.Sprintf("%T", r.Body), "*tracepb.Record_")]++
+	for _, record := range records {
+		s[strings.TrimPrefix(fmt.Sprintf("%T", record.Body), "*tracepb.Record_")]++
 	}
 }
 
 func TestTrace_RecordsWhatHappensAroundThePlacementModule(t *testing.T) {
 	sink := fakeSink{}
-	x := newFixture(t, func(c *Config) { c.Trace = sink })
-	n := x.node(1)
-	x.request(1, "serve")
-	x.receive(n, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{
-		Bind: x.offer(n).Bind, Reason: pb.Reason_INSUFFICIENT_CORES, Text: "full",
+	harness := newHarness(t, func(c *Config) { c.Trace = sink })
+	nodeConn := harness.startNode(1)
+	harness.request(1, idempotent)
+	harness.receive(nodeConn, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{
+		Bind:   harness.offer(nodeConn).Bind,
+		Reason: pb.Reason_INSUFFICIENT_CORES,
+		Text:   "full",
 	}}})
-	x.runUntil(6000)
-	x.requestGang(2)
-	x.f.FlushTrace()
+	harness.advanceTo(6000)
+	harness.requestGang(2)
+	harness.FlushTrace()
 	for kind, count := range map[string]int{
-		"Start": 1, "DiscoveryUpdated": 2, "OfferRejected": 1, "RequestAnswered": 1, "RequestReceived": 3, "GangRequested": 1,
+		"Start":            1,
+		"DiscoveryUpdated": 2,
+		"OfferRejected":    1,
+		"RequestAnswered":  1,
+		"RequestReceived":  3,
+		"GangRequested":    1,
 	} {
 		assert.Equal(t, count, sink[kind], kind)
 	}
--- a/internal/frontend/native/workloadtable_test.go
+++ b/internal/frontend/native/workloadtable_test.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -42,3 +43,19 @@
 	assert.False(t, table.hasRequest(requestID{"c", 1}))
 	assert.True(t, table.hasKey(2))
 }
+
+func TestWorkloadTable_LastIDs_KeptForAdoption(t *testing.T) {
+	harness := newHarness(t)
+	nodeConn := harness.startNode(1)
+	harness.workloads.lastID = maxRequestedID - 1
+	harness.request(1, idempotent)
+	harness.offer(nodeConn)
+	harness.request(2, idempotent)
+	sent := harness.network.take(clientConn)
+	assert.Equal(t, "the allocator has named all its workloads; restart it", sent[0].GetAnswer().GetReason())
+	harness.workloads.lastID = math.MaxUint32 - 1
+	harness.closeConn(nodeConn, errReset)
+	harness.reconnectNode(runningOf(earlierOffer(1, idempotent)), runningOf(earlierOffer(2, idempotent)))
+	assert.EqualValues(t, uint32(math.MaxUint32), harness.workloads.lastID, "the id 0 is never given out")
+	assert.Equal(t, 1, harness.WorkloadCount())
+}
