--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -14,8 +14,9 @@
 	transit transitTimes
 }
 
-// clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under
-// the same name replaces the earlier one.
+// clientSessions are the sessions of the connected clients. Unlike on the platform, where a client is a connection
+// and notifications wait for its next one, a client has a name, and nothing waits: its next hello is answered with
+// what runs. A client has one at a time: a later connection under the same name replaces the earlier one.
 type clientSessions struct {
 	*environment
 	byName map[string]*clientSession
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -47,30 +47,18 @@
 	}
 }
 
-// startHost makes the engine and its host. With a trace, the engine's placement module is one that records its calls.
-func (e *environment) startHost(actions allocator.Actions) {
-	config := &e.config
-	settings := WithSpreadVariants(config.Settings)
+// newHost returns the engine's host. With a trace, the engine's placement module is one that records its calls.
+func (e *environment) newHost(actions allocator.Actions) *frontend.Host {
+	settings := WithSpreadVariants(e.config.Settings)
 	options := allocator.Options{EnforceTimeouts: true, Log: e.eventLog}
-	if config.Trace != nil {
-		recorder := replay.NewRecorder(replay.RecorderConfig{
-			Source: &tracepb.Source{
-				Allocator:   config.Name,
-				Incarnation: config.Incarnation,
-				WallMs:      config.WallClockOffset,
-			},
-			Settings:   settings,
-			Seed:       config.Seed,
-			GroupNames: groupNamesWithVariants(config.GroupNames),
-			KindNames:  config.KindNames,
-			ZoneNames:  []string{config.Zone},
-		}, config.Trace)
+	if e.config.Trace != nil {
+		recorder := newRecorder(&e.config, settings)
 		e.recorder.recorder = recorder
 		options.Module = recorder
 	}
-	e.host = frontend.NewHost(frontend.Config{
+	return frontend.NewHost(frontend.Config{
 		Settings:        settings,
-		Seed:            config.Seed,
+		Seed:            e.config.Seed,
 		Engine:          options,
 		Actions:         actions,
 		MaxWakeInterval: maxWakeInterval,
@@ -78,6 +66,22 @@
 	})
 }
 
+// newRecorder returns a placement module that records its calls in the trace.
+func newRecorder(config *Config, settings placement.Settings) *replay.Recorder {
+	return replay.NewRecorder(replay.RecorderConfig{
+		Source: &tracepb.Source{
+			Allocator:   config.Name,
+			Incarnation: config.Incarnation,
+			WallMs:      config.WallClockOffset,
+		},
+		Settings:   settings,
+		Seed:       config.Seed,
+		GroupNames: groupNamesWithVariants(config.GroupNames),
+		KindNames:  config.KindNames,
+		ZoneNames:  []string{config.Zone},
+	}, config.Trace)
+}
+
 // hello is the frontend's first frame on every connection.
 func (e *environment) hello(running ...*pb.RunningWorkload) *pb.Frame {
 	return transport.HelloFrame(&pb.Hello{
--- a/internal/frontend/native/nodehealth.go
+++ b/internal/frontend/native/nodehealth.go
@@ -9,7 +9,8 @@
 // healthCheckTimeout is how long, in ms, a node may take to reply to a health check.
 const healthCheckTimeout = placement.Millis(250)
 
-// healthChecker checks the health of nodes for the engine.
+// healthChecker checks the health of nodes for the engine. Unlike on the platform, a check does not wait for a
+// connection.
 type healthChecker struct {
 	*environment
 	nodes   *nodeTable
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -16,8 +16,11 @@
 	nodeConnected
 )
 
-// nodeSessions holds the connections to the nodes: it dials the nodes and completes the handshakes. What the nodes send
-// then goes to the parts that it concerns.
+// nodeSessions holds the connections to the nodes: it dials the nodes and completes the handshakes. What the nodes
+// send then goes to the parts that it concerns.
+//
+// Unlike on the platform, where a node is dialed on need and connections are evicted for others, every listed node
+// stays connected: its hello names the workloads that run there, and the node table bounds the connections.
 type nodeSessions struct {
 	*environment
 	nodes        *nodeTable
@@ -65,7 +68,9 @@
 	s.redial(now, n)
 }
 
-// redial dials a node after a backoff, unless it was dialed meanwhile: that dial has a retry of its own.
+// redial dials a node after a backoff, unless it was dialed meanwhile: that dial has a retry of its own. On the
+// platform a flag keeps the timer to one; here an update of the node list dials at once, so that timers are
+// distinguished by the number of dials before them.
 func (s *nodeSessions) redial(now placement.Millis, n *node) {
 	delay := s.host.RetryDelay(reconnectBackoff, n.session.failures)
 	n.session.failures++
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -18,7 +18,9 @@
 	startedAt   placement.Millis
 }
 
-// nodeTable holds the nodes in the order of their ids, and the numbers of their zones and cells.
+// nodeTable holds the nodes in the order of their ids, and the numbers of their zones and cells. Unlike on the
+// platform, the protocol gives nodes their ids and incarnations, and an address that another node takes over needs
+// no care: the hello names the node.
 type nodeTable struct {
 	sorted    []*node
 	zones     numbering[placement.ZoneID]
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -16,6 +16,9 @@
 
 // workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and
 // by bind. With it, the requestHandler distinguishes a repeated request from a new one.
+//
+// On the platform a tag of the client names a workload in all cases. Here a request, a key, and a bind of an earlier
+// incarnation each do, and the last ids are reserved for adopted workloads and for parts of gangs.
 type workloadTable struct {
 	allocator   string // by which nodes know our binds
 	incarnation uint64
