--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -47,8 +47,7 @@
 // offer begins a bind of a workload to a node, which may accept it within the timeout. An offer that must be durable is
 // sent once the journal has it.
 func (b *binder) offer(w *workload, node placement.NodeID, timeout placement.Millis) {
-	w.bindNodes = append(w.bindNodes, node)
-	w.bindState = bindNotSent
+	w.beginBind(node)
 	offer := b.workloads.offer(b.host.Now(), w)
 	offer.AcceptWithinMs = float64(timeout)
 	bind := pendingBind{
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -59,7 +59,7 @@
 func (e *gangExecutor) attempt(now placement.Millis, request *gangRequest, action gang.Action) {
 	requests := make([]placement.Workload, len(action.Parts))
 	for i, part := range action.Parts {
-		requests[i] = e.requestPart(now, request, part, request.expires-now)
+		requests[i] = e.requestPart(now, request, part, request.deadline-now)
 	}
 	sent := e.host.Engine().ScheduleGang(now, requests, action.MinParts)
 	offered := make([]bool, len(request.parts))
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -78,7 +78,7 @@
 		state:      gang.New(now, h.catalog.gangRequest(request, timeout), gangSeed(h.config.Seed, id)),
 		parts:      make([]placement.WorkloadID, len(request.Parts)),
 		receivedAt: now,
-		expires:    now + timeout,
+		deadline:   now + timeout,
 		answerDue:  true,
 	}
 	h.gangs.add(g)
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -25,7 +25,7 @@
 	state       *gang.Gang             // nil while the gang is recovering; see recovering
 	parts       []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
 	receivedAt  placement.Millis
-	expires     placement.Millis // when the client gives up
+	deadline    placement.Millis // until which the client waits for its answer
 	answerDue   bool             // the client waits for its final answer
 	confirmed   bool             // of one that is recovering: a part's node knew that the gang runs
 	tracedState gang.State       // the last one that the trace has
@@ -52,7 +52,7 @@
 // offerPart is the description of the gang in the offer of a part. The node ends the part after its lease, unless the
 // gang is confirmed by then.
 func (g *gangRequest) offerPart(now placement.Millis, part int) *pb.GangPart {
-	lease := max(0, g.expires-now) + leaseMargin
+	lease := max(0, g.deadline-now) + leaseMargin
 	if g.runs() {
 		lease = placement.Millis(g.request.ReplaceTimeoutMs) + leaseMargin
 	}
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -38,7 +38,7 @@
 	for _, n := range updated {
 		m.sessions.dial(now, n)
 	}
-	m.removeGone(now)
+	m.removeUnlisted(now)
 }
 
 // enter applies one entry. It is not ok where the node table is full.
@@ -68,14 +68,14 @@
 	return n, true
 }
 
-// removeGone forgets the nodes that the discovery service has removed and that are not connected.
-func (m *membership) removeGone(now placement.Millis) {
-	gone := map[*node]bool{}
+// removeUnlisted forgets the nodes that the discovery service has removed and that are not connected.
+func (m *membership) removeUnlisted(now placement.Millis) {
+	unlisted := map[*node]bool{}
 	for _, n := range m.nodes.sorted {
 		if n.entry.State == placement.Removed && n.session.state == sessionDisconnected {
 			m.sessions.lost(now, n)
-			gone[n] = true
+			unlisted[n] = true
 		}
 	}
-	m.nodes.remove(now, gone)
+	m.nodes.remove(now, unlisted)
 }
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -124,17 +124,17 @@
 }
 
 // remove forgets nodes, and the names of zones and cells that no other node has.
-func (t *nodeTable) remove(now placement.Millis, gone map[*node]bool) {
-	for n := range gone { // in any order: each has an entry of its own
+func (t *nodeTable) remove(now placement.Millis, unlisted map[*node]bool) {
+	for n := range unlisted { // in any order: each has an entry of its own
 		if now-n.entry.StartedAt < t.warmUp {
 			t.removed[n.id] = nodeStart{n.incarnation, n.entry.StartedAt}
 		}
 	}
 	maps.DeleteFunc(t.removed, func(_ placement.NodeID, s nodeStart) bool { return now-s.startedAt >= t.warmUp })
-	if len(gone) == 0 {
+	if len(unlisted) == 0 {
 		return
 	}
-	t.sorted = slices.DeleteFunc(t.sorted, func(n *node) bool { return gone[n] })
+	t.sorted = slices.DeleteFunc(t.sorted, func(n *node) bool { return unlisted[n] })
 	zones := map[string]bool{t.localZone: true}
 	cells := map[string]bool{}
 	for _, n := range t.sorted {
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -101,6 +101,12 @@
 // lastBind is the number of the last bind, -1 if there was none.
 func (w *workload) lastBind() int { return len(w.bindNodes) - 1 }
 
+// beginBind begins the next bind, to the given node.
+func (w *workload) beginBind(node placement.NodeID) {
+	w.bindNodes = append(w.bindNodes, node)
+	w.bindState = bindNotSent
+}
+
 // requestID names a request: its number counts within its client.
 type requestID struct {
 	client  string
