--- a/internal/simulation/audit/allocator.go
+++ b/internal/simulation/audit/allocator.go
@@ -2,179 +2,179 @@
 
 import (
 	"grebeglade/internal/simulation/observer"
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// allocatorState is what an allocator knows, and what it has not ended yet.
+// allocatorState is what an allocator has been notified of, and the binds that it has not ended yet.
 type allocatorState struct {
 	name        string
 	incarnation uint64 // by its own hello
 	pauses      []pause
 	nodes       map[uint32]*nodeView
 	openBinds   map[observer.BindKey]*bind
-	epoch       uint64 // of the last discovery update that counted, and its revision
-	revision    uint64
+	epoch       uint64 // of the last discovery update that counted
+	revision    uint64 // of the same update
 }
 
+// pause is a time in which a process did not run.
 type pause struct{ from, until placement.Millis }
 
-// nodeView is what an allocator has been notified of about a node.
-type nodeView struct {
-	incarnation        uint64
-	removed            bool             // from the discovery service's list
-	drainedByDiscovery placement.Millis // since when the discovery service lists it as draining or gone, or notDraining
-	drainedByNode      placement.Millis // since when the node itself drains, or notDraining
-}
-
-// setDrain records a node's own statement that it drains, or does not.
-func (v *nodeView) setDrain(now placement.Millis, draining bool) {
-	if !draining {
-		v.drainedByNode = notDraining
-	} else if v.drainedByNode == notDraining {
-		v.drainedByNode = now
-	}
-}
-
-// peer is the process at the other end of a connection, by its hello.
-type peer struct {
-	role pb.Role
-	name string
-	node uint32
-}
-
+// allocator returns the state of an allocator, which is empty at first.
 func (a *Auditor) allocator(name string) *allocatorState {
 	s := a.allocators[name]
 	if s == nil {
-		s = &allocatorState{name: name, nodes: map[uint32]*nodeView{}, openBinds: map[observer.BindKey]*bind{}}
+		s = &allocatorState{name: name}
+		s.reset()
 		a.allocators[name] = s
 	}
 	return s
 }
 
-func (s *allocatorState) view(node uint32) *nodeView {
-	v := s.nodes[node]
-	if v == nil {
-		v = &nodeView{drainedByDiscovery: notDraining, drainedByNode: notDraining}
-		s.nodes[node] = v
-	}
-	return v
+// reset drops what a killed allocator knew.
+func (s *allocatorState) reset() {
+	s.nodes = map[uint32]*nodeView{}
+	s.openBinds = map[observer.BindKey]*bind{}
 }
 
-// helloReceived records who is at the other end of a connection.
-func (a *Auditor) helloReceived(now placement.Millis, p *observer.Process, c transport.ConnID, h *pb.Hello) {
-	if a.peers[p] == nil {
-		a.peers[p] = map[transport.ConnID]*peer{}
-	}
-	a.peers[p][c] = &peer{role: h.Role, name: h.Name, node: h.Node}
-	if p.Role == pb.Role_ALLOCATOR && h.Role == pb.Role_NODE {
-		a.reconcileNode(now, a.allocator(p.Name), h)
+// wasPaused reports whether a pause excuses that a deadline has passed without an answer: a paused allocator answers as
+// soon as it runs again.
+func (s *allocatorState) wasPaused(deadline, now placement.Millis) bool {
+	for _, p := range s.pauses {
+		from := p.from - pauseTolerance
+		until := p.until + pauseTolerance
+		if deadline > from && deadline < until && now <= until {
+			return true
+		}
 	}
+	return false
 }
 
-// reconcileNode takes a node's list of the workloads that run on it: binds that it does not name have ended.
-func (a *Auditor) reconcileNode(now placement.Millis, s *allocatorState, h *pb.Hello) {
-	v := s.view(h.Node)
-	v.incarnation = max(v.incarnation, h.Incarnation)
-	// The end of a connection does not end a drain. Only the node does, by this hello or by a new incarnation.
-	v.setDrain(now, h.Draining)
-	named := map[observer.BindKey]bool{}
-	for _, running := range h.RunningWorkloads {
-		k := observer.KeyOf(running.Offer.Bind)
-		named[k] = true
-		// Workloads that an earlier incarnation placed belong to this one now, and count for the spread.
-		if s.openBinds[k] == nil && k.Incarnation < s.incarnation {
-			r := &request{
-				ref: requestRef{running.Offer.Client, running.Offer.Request.RequestId}, ask: running.Offer.Request, allocator: s.name, excused: true,
-			}
-			s.openBinds[k] = &bind{key: k, node: h.Node, sentAt: now, closed: true, accepted: true, request: r}
+// closeBinds records that no replies come from a node any more for the binds that were sent to it.
+func (s *allocatorState) closeBinds(node uint32) {
+	for _, b := range s.openBinds {
+		if b.node == node {
+			b.closed = true
 		}
 	}
-	for k, b := range s.openBinds {
-		if b.node == h.Node && !named[k] {
-			delete(s.openBinds, k)
+}
+
+// endBinds ends the binds on a node, except those to be kept.
+func (s *allocatorState) endBinds(node uint32, kept map[observer.BindKey]bool) {
+	for key, b := range s.openBinds {
+		if b.node == node && !kept[key] {
+			delete(s.openBinds, key)
 		}
 	}
 }
 
-// endBindsOnRemovedNode ends the binds on a node that the discovery service has removed and that is not connected any more.
-func (a *Auditor) endBindsOnRemovedNode(p *observer.Process, s *allocatorState, node uint32) {
-	if !s.view(node).removed {
+// reconcileNode handles a node's hello, which names the workloads that run on it: other binds have ended.
+func (s *allocatorState) reconcileNode(now placement.Millis, hello *pb.Hello) {
+	view := s.view(hello.Node)
+	view.incarnation = max(view.incarnation, hello.Incarnation)
+	// The end of a connection does not end a drain. Only the node does, by this hello or by a new incarnation.
+	view.setDrainedByNode(now, hello.Draining)
+	for _, running := range hello.RunningWorkloads {
+		s.adopt(now, hello.Node, running.Offer)
+	}
+	s.endBinds(hello.Node, runningBinds(hello))
+}
+
+// adopt adds a workload that an earlier incarnation of the allocator placed. It belongs to this one now, and counts for
+// the spread of its service.
+func (s *allocatorState) adopt(now placement.Millis, node uint32, offer *pb.Offer) {
+	key := observer.KeyOf(offer.Bind)
+	if s.openBinds[key] != nil || key.Incarnation >= s.incarnation {
 		return
 	}
-	for _, other := range a.peers[p] {
-		if other.role == pb.Role_NODE && other.node == node {
-			return
-		}
+	s.openBinds[key] = &bind{
+		key:      key,
+		node:     node,
+		sentAt:   now,
+		closed:   true,
+		accepted: true,
+		request: &request{
+			ref:        requestRef{offer.Client, offer.Request.RequestId},
+			spec:       offer.Request,
+			allocator:  s.name,
+			clientView: clientView{excused: true},
+		},
 	}
-	for k, b := range s.openBinds {
-		if b.node == node {
-			delete(s.openBinds, k)
-		}
+}
+
+// runningBinds returns the binds of the workloads that a node's hello names.
+func runningBinds(hello *pb.Hello) map[observer.BindKey]bool {
+	named := map[observer.BindKey]bool{}
+	for _, running := range hello.RunningWorkloads {
+		named[observer.KeyOf(running.Offer.Bind)] = true
 	}
+	return named
 }
 
 // atAllocator handles a frame at an allocator's end.
-func (a *Auditor) atAllocator(now placement.Millis, p *observer.Process, c transport.ConnID, seen frame) {
-	s := a.allocator(p.Name)
-	other := a.peers[p][c]
-	if other == nil {
-		other = &peer{}
-	}
-	switch b := seen.message.Body.(type) {
+func (a *Auditor) atAllocator(seen frame) {
+	state := a.allocator(seen.process.Name)
+	other, _ := a.connections.peerOf(seen)
+	switch body := seen.message.Body.(type) {
+	case *pb.Frame_Hello:
+		state.incarnation = body.Hello.Incarnation // its own, as received ones do not come here
 	case *pb.Frame_PlaceRequest:
-		a.requestReceived(p, requestRef{other.name, b.PlaceRequest.RequestId}, seen)
+		state.requestReceived(a.requests.find(other.name, body.PlaceRequest.RequestId), seen)
 	case *pb.Frame_GangRequest:
-		a.requestReceived(p, requestRef{other.name, b.GangRequest.RequestId}, seen)
+		state.requestReceived(a.requests.find(other.name, body.GangRequest.RequestId), seen)
 	case *pb.Frame_Withdraw:
-		if r := a.requests[requestRef{other.name, b.Withdraw.RequestId}]; r != nil {
-			r.withdrawn = true
-			r.frames = append(r.frames, seen)
-		}
+		state.withdrawReceived(a.requests.find(other.name, body.Withdraw.RequestId), seen)
 	case *pb.Frame_Answer:
-		a.answerSent(now, a.requests[requestRef{other.name, b.Answer.RequestId}], b.Answer, seen)
+		a.answerSent(a.requests.find(other.name, body.Answer.RequestId), body.Answer, seen)
 	case *pb.Frame_NodeListUpdate:
-		a.discoveryUpdate(now, p, s, b.NodeListUpdate)
+		a.discoveryUpdate(body.NodeListUpdate, seen)
 	case *pb.Frame_Drain:
-		s.view(other.node).setDrain(now, b.Drain.Draining)
+		state.view(other.node).setDrainedByNode(seen.at, body.Drain.Draining)
 	case *pb.Frame_Offer:
-		a.offerSent(now, s, other.node, b.Offer, seen)
+		a.offerSent(state, other.node, body.Offer, seen)
 	case *pb.Frame_Stop:
-		a.stopSent(now, s, c, b.Stop, seen)
+		a.gangs.stopSeen(body.Stop, seen)
+		state.stopSeen(body.Stop)
 	case *pb.Frame_OfferReply:
-		s.offerAnswered(now, b.OfferReply, seen)
+		state.replyReceived(body.OfferReply, seen)
 	case *pb.Frame_End:
-		s.bindEnded(b.End, seen)
+		state.bindEnded(body.End, seen)
 	}
 }
 
-func (a *Auditor) requestReceived(p *observer.Process, ref requestRef, seen frame) {
-	if r := a.requests[ref]; r != nil {
-		r.received, r.allocator = true, p.Name
+func (s *allocatorState) requestReceived(r *request, seen frame) {
+	if r != nil {
+		r.received = true
+		r.allocator = s.name
 		r.frames = append(r.frames, seen)
 	}
 }
 
-func (a *Auditor) stopSent(now placement.Millis, s *allocatorState, c transport.ConnID, stop *pb.Stop, seen frame) {
-	k := observer.KeyOf(stop.Bind)
-	if seen.sent && !stop.OnlyWaiting && a.gangs.partBinds[k] {
-		a.checkPartStop(now, c, k, seen)
+func (s *allocatorState) withdrawReceived(r *request, seen frame) {
+	if r != nil {
+		r.withdrawn = true
+		r.frames = append(r.frames, seen)
 	}
-	if b := s.openBinds[k]; b != nil && b.key.Incarnation < s.incarnation {
+}
+
+// stopSeen handles a stop. A workload of an earlier incarnation does not count for the spread once it is stopped.
+func (s *allocatorState) stopSeen(stop *pb.Stop) {
+	b := s.openBinds[observer.KeyOf(stop.Bind)]
+	if b != nil && b.key.Incarnation < s.incarnation {
 		b.accepted = false
 	}
 }
 
-// offerAnswered takes a node's reply. One that accepts after the offer's timeout is to a bind that was given up; its stop is on
-// the way.
-func (s *allocatorState) offerAnswered(now placement.Millis, reply *pb.OfferReply, seen frame) {
+// replyReceived handles a node's reply to an offer. An acceptance after the offer's timeout comes too late: the
+// allocator has abandoned that bind, and sends a stop.
+func (s *allocatorState) replyReceived(reply *pb.OfferReply, seen frame) {
 	b := s.openBinds[observer.KeyOf(reply.Bind)]
 	if b == nil {
 		return
 	}
 	b.request.frames = append(b.request.frames, seen)
-	b.closed, b.accepted = true, reply.Accepted && now <= b.sentAt+b.timeout
+	b.closed = true
+	b.accepted = reply.Accepted && seen.at <= b.sentAt+b.timeout
 	if !reply.Accepted {
 		b.neverRan = true
 		delete(s.openBinds, b.key)
@@ -182,82 +182,44 @@
 }
 
 func (s *allocatorState) bindEnded(end *pb.End, seen frame) {
-	if b := s.openBinds[observer.KeyOf(end.Bind)]; b != nil {
-		b.request.frames = append(b.request.frames, seen)
-		b.closed = true
-		delete(s.openBinds, b.key)
-	}
-}
-
-// discoveryUpdate takes an update of the node list. Updates that are older than the last one, or that belong to another epoch and
-// are no snapshot, do not count.
-func (a *Auditor) discoveryUpdate(now placement.Millis, p *observer.Process, s *allocatorState, u *pb.NodeListUpdate) {
-	snapshot := u.Kind == pb.NodeListUpdate_SNAPSHOT
-	if u.Kind == pb.NodeListUpdate_POLL_FAILED || u.Epoch == s.epoch && u.Revision < s.revision || u.Epoch != s.epoch && !snapshot {
+	b := s.openBinds[observer.KeyOf(end.Bind)]
+	if b == nil {
 		return
 	}
-	s.epoch, s.revision = u.Epoch, u.Revision
-	current, outdated := s.currentEntries(u)
-	for id, v := range s.nodes {
-		e := current[id]
-		switch {
-		case e != nil && e.State == pb.NodeEntry_READY:
-			v.drainedByDiscovery, v.removed = notDraining, false
-		case e == nil && !snapshot, outdated[id]:
-		default:
-			if v.drainedByDiscovery == notDraining {
-				v.drainedByDiscovery = now
-			}
-			if v.removed = e == nil || e.State == pb.NodeEntry_REMOVED; v.removed {
-				a.endBindsOnRemovedNode(p, s, id)
-			}
-		}
-	}
-}
-
-// currentEntries sorts out the entries about an earlier incarnation of a node than the allocator knows.
-func (s *allocatorState) currentEntries(u *pb.NodeListUpdate) (current map[uint32]*pb.NodeEntry, outdated map[uint32]bool) {
-	current, outdated = make(map[uint32]*pb.NodeEntry, len(u.Entries)), map[uint32]bool{}
-	for _, e := range u.Entries {
-		v := s.view(e.Id)
-		if e.Incarnation < v.incarnation {
-			delete(current, e.Id)
-			outdated[e.Id] = true
-			continue
-		}
-		current[e.Id] = e
-		if e.Incarnation > v.incarnation {
-			v.drainedByNode = notDraining
-		}
-		v.incarnation = e.Incarnation
-	}
-	return current, outdated
+	b.request.frames = append(b.request.frames, seen)
+	b.closed = true
+	delete(s.openBinds, b.key)
 }
 
 // answerSent checks an answer as it leaves the allocator.
-func (a *Auditor) answerSent(now placement.Millis, r *request, answer *pb.Answer, seen frame) {
-	if r == nil {
-		a.report(1, now, 0, nil, "an answer for no ask", seen)
+func (a *Auditor) answerSent(req *request, answer *pb.Answer, seen frame) {
+	now := seen.at
+	if req == nil {
+		a.report(ruleAnswer, now, 0, nil, "an answer for no ask", seen)
 		return
 	}
-	r.frames = append(r.frames, seen)
-	if r.verdict != pb.Verdict_VERDICT_UNSPECIFIED {
-		a.report(1, now, 0, r, "a second answer")
+	req.frames = append(req.frames, seen)
+	if req.verdict != pb.Verdict_VERDICT_UNSPECIFIED {
+		a.report(ruleAnswer, now, 0, req, "a second answer")
 	}
-	r.verdict = answer.Verdict
-	if r.gang {
-		a.gangAnswered(now, r, answer.Verdict)
-		return
+	req.verdict = answer.Verdict
+	switch {
+	case req.gang:
+		a.gangs.answered(now, req)
+	case req.verdict == pb.Verdict_REJECTED:
+		a.checkRejection(now, req)
 	}
-	g := a.terms.Groups[r.ask.Group]
-	if answer.Verdict != pb.Verdict_REJECTED || g.Idempotency == placement.Idempotent ||
-		g.Idempotency == placement.IdempotentByKey && g.KeyScope == placement.ScopeAll {
+}
+
+// checkRejection reports a rejection, which says that a retry is safe, of a workload that may have run and must not run
+// again anywhere.
+func (a *Auditor) checkRejection(now placement.Millis, r *request) {
+	group := a.terms.Groups[r.spec.Group]
+	keyKnownEverywhere := group.Idempotency == placement.IdempotentByKey && group.KeyScope == placement.ScopeAll
+	if group.Idempotency == placement.Idempotent || keyKnownEverywhere {
 		return
 	}
-	for _, b := range r.binds {
-		if !b.neverRan {
-			a.report(2, now, b.node, r, "rejected although a bind may have run")
-			return
-		}
+	if b := r.bindThatMayHaveRun(); b != nil {
+		a.report(ruleIdempotency, now, b.node, r, "rejected although a bind may have run")
 	}
 }
--- a/internal/simulation/audit/audit_test.go
+++ b/internal/simulation/audit/audit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"compress/gzip"
+	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
@@ -28,74 +29,81 @@
 	return h
 }
 
-// suspects are the workloads and nodes that a plain reading of a history finds at fault for a rule, by none of the auditor's
-// code.
-type suspects struct{ workloads, nodes map[uint64]bool }
+// ruleSuspects are the workloads and nodes that may have broken a rule, found without the code of the auditor.
+type ruleSuspects struct {
+	workloads map[uint64]bool // by key
+	nodes     map[uint64]bool
+}
 
-func suspectsOf(h *observer.History, rule int) suspects {
-	s := suspects{workloads: map[uint64]bool{}, nodes: map[uint64]bool{}}
+// suspectsOf reads from a history who may have broken a rule.
+func suspectsOf(t *testing.T, history *observer.History, rule int) ruleSuspects {
+	t.Helper()
+	suspects := ruleSuspects{workloads: map[uint64]bool{}, nodes: map[uint64]bool{}}
 	switch rule {
-	case 1:
-		s.addWrongAnswerCounts(h)
-	case 2:
-		s.addSimultaneousOffers(h)
-	case 3:
-		s.addDrainingNodes(h)
-	case 4:
-		s.addRestartedNodes(h)
-	case 5:
-		s.addCrowdedServices(h)
+	case ruleAnswer:
+		suspects.addWrongAnswerCounts(history)
+	case ruleIdempotency:
+		suspects.addSimultaneousOffers(history)
+	case ruleDrain:
+		suspects.addDrainingNodes(history)
+	case ruleWarmUp:
+		suspects.addRestartedNodes(history)
+	case ruleSpread:
+		suspects.addCrowdedServices(history)
+	default:
+		require.Failf(t, "no suspects are known", "rule %d", rule)
 	}
-	return s
+	return suspects
 }
 
 // requestKeys returns the workload key of each request.
 func requestKeys(h *observer.History) map[uint64]uint64 {
 	keys := map[uint64]uint64{}
 	for _, e := range h.Events() {
-		if ask := e.Frame.GetPlaceRequest(); ask != nil && e.Kind == observer.FrameSent {
-			keys[ask.RequestId] = ask.Key
+		if request := e.Frame.GetPlaceRequest(); request != nil && e.Kind == observer.FrameSent {
+			keys[request.RequestId] = request.Key
 		}
 	}
 	return keys
 }
 
 // addWrongAnswerCounts adds the workloads whose requests got no answer, or more than one.
-func (s suspects) addWrongAnswerCounts(h *observer.History) {
+func (s ruleSuspects) addWrongAnswerCounts(h *observer.History) {
 	answers := map[uint64]int{}
 	for _, e := range h.Events() {
 		if answer := e.Frame.GetAnswer(); answer != nil && e.Kind == observer.FrameReceived {
 			answers[answer.RequestId]++
 		}
 	}
-	for ask, key := range requestKeys(h) {
-		if answers[ask] != 1 {
+	for requestID, key := range requestKeys(h) {
+		if answers[requestID] != 1 {
 			s.workloads[key] = true
 		}
 	}
 }
 
 // addSimultaneousOffers adds the workloads of requests for which two offers were sent at the same time.
-func (s suspects) addSimultaneousOffers(h *observer.History) {
+func (s ruleSuspects) addSimultaneousOffers(h *observer.History) {
 	type offer struct {
-		ask uint64
-		at  placement.Millis
+		requestID uint64
+		at        placement.Millis
 	}
-	keys, offers := requestKeys(h), map[offer]int{}
+	keys := requestKeys(h)
+	offers := map[offer]int{}
 	for _, e := range h.Events() {
 		if o := e.Frame.GetOffer(); o != nil && e.Kind == observer.FrameSent {
 			offers[offer{o.Request.RequestId, e.At}]++
 		}
 	}
-	for o, n := range offers {
-		if n > 1 {
-			s.workloads[keys[o.ask]] = true
+	for o, count := range offers {
+		if count > 1 {
+			s.workloads[keys[o.requestID]] = true
 		}
 	}
 }
 
 // addDrainingNodes adds the nodes that drain at some time.
-func (s suspects) addDrainingNodes(h *observer.History) {
+func (s ruleSuspects) addDrainingNodes(h *observer.History) {
 	for _, e := range h.Events() {
 		if e.Frame.GetDrain() != nil || e.Frame.GetRegister().GetState() == pb.NodeEntry_DRAINING {
 			s.nodes[uint64(max(e.Frame.GetRegister().GetId(), uint32(e.Process.ID)))] = true
@@ -104,11 +112,12 @@
 }
 
 // addRestartedNodes adds the nodes that start more than once.
-func (s suspects) addRestartedNodes(h *observer.History) {
+func (s ruleSuspects) addRestartedNodes(h *observer.History) {
 	starts := map[*observer.Process]int{}
 	for _, e := range h.Events() {
 		if e.Kind == observer.ProcessStarted && e.Process.Role == pb.Role_NODE {
-			if starts[e.Process]++; starts[e.Process] > 1 {
+			starts[e.Process]++
+			if starts[e.Process] > 1 {
 				s.nodes[uint64(e.Process.ID)] = true
 			}
 		}
@@ -116,7 +125,7 @@
 }
 
 // addCrowdedServices adds the workloads of services of which more than two were offered to one node.
-func (s suspects) addCrowdedServices(h *observer.History) {
+func (s ruleSuspects) addCrowdedServices(h *observer.History) {
 	type place struct {
 		node    int
 		service uint64
@@ -140,27 +149,36 @@
 	}
 }
 
-// Each rule's check fails for the workload or node that is at fault, and passes on the same scenario with an unchanged engine.
 func TestCheck_RecordedHistories(t *testing.T) {
-	for _, honest := range []string{"honest", "cold-honest"} {
-		a := Check(recorded(t, honest))
-		assert.Empty(t, a.Violations, honest)
-		assert.Greater(t, a.Frames, 400)
+	for _, name := range []string{"honest", "cold-honest"} {
+		t.Run(name+" keeps the rules", func(t *testing.T) {
+			audited := Check(recorded(t, name))
+			assert.Empty(t, audited.Violations)
+			assert.Greater(t, audited.Frames, 400)
+		})
 	}
 	for name, rule := range map[string]int{
-		"no-answer": 1, "two-answers": 1, "two-binds": 2, "drain-deaf": 3, "cold-blind": 4, "spread-blind": 5,
+		"no-answer":    ruleAnswer,
+		"two-answers":  ruleAnswer,
+		"two-binds":    ruleIdempotency,
+		"drain-deaf":   ruleDrain,
+		"cold-blind":   ruleWarmUp,
+		"spread-blind": ruleSpread,
 	} {
-		h := recorded(t, name)
-		suspects := suspectsOf(h, rule)
-		found := 0
-		for _, b := range Check(h).Violations {
-			if b.Rule != rule {
-				continue // a second bind may also be one too many in a place, or reach a node that drains
+		t.Run(fmt.Sprintf("%s breaks rule %d", name, rule), func(t *testing.T) {
+			history := recorded(t, name)
+			suspects := suspectsOf(t, history, rule)
+			found := 0
+			for _, violation := range Check(history).Violations {
+				if violation.Rule != rule {
+					continue // a second bind may also be one too many in a scope, or reach a node that is draining
+				}
+				found++
+				suspected := suspects.workloads[violation.Workload] || suspects.nodes[uint64(violation.Node)]
+				assert.True(t, suspected, "workload %d, node %d", violation.Workload, violation.Node)
+				assert.NotEmpty(t, violation.Frames)
 			}
-			found++
-			assert.True(t, suspects.workloads[b.Workload] || suspects.nodes[uint64(b.Node)], "%s: workload %d, node %d", name, b.Workload, b.Node)
-			assert.NotEmpty(t, b.Frames, name)
-		}
-		assert.NotZero(t, found, name)
+			assert.NotZero(t, found)
+		})
 	}
 }
--- a/internal/simulation/audit/client.go
+++ b/internal/simulation/audit/client.go
@@ -3,69 +3,81 @@
 import (
 	"fmt"
 
-	"grebeglade/internal/simulation/observer"
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
 // atClient handles a frame at a client's end.
-func (a *Auditor) atClient(now placement.Millis, p *observer.Process, c transport.ConnID, seen frame) {
-	switch b := seen.message.Body.(type) {
+func (a *Auditor) atClient(seen frame) {
+	client := seen.process.Name
+	switch body := seen.message.Body.(type) {
 	case *pb.Frame_PlaceRequest:
-		a.addRequest(now, p, c, seen, &request{ref: requestRef{p.Name, b.PlaceRequest.RequestId}, ask: b.PlaceRequest}, b.PlaceRequest.PendingTimeoutMs)
+		sent := body.PlaceRequest
+		r := &request{ref: requestRef{client, sent.RequestId}, spec: sent}
+		a.requestSent(r, sent.PendingTimeoutMs, seen)
 	case *pb.Frame_GangRequest:
-		r := &request{ref: requestRef{p.Name, b.GangRequest.RequestId}, ask: b.GangRequest.Parts[0], gang: true}
-		a.addRequest(now, p, c, seen, r, b.GangRequest.PendingTimeoutMs)
-	case *pb.Frame_Withdraw:
-		if r := a.requests[requestRef{p.Name, b.Withdraw.RequestId}]; r != nil && !r.answered {
-			r.frames = append(r.frames, seen)
-			a.checkAnswered(now+2*clockTolerance, r) // a client also withdraws as the pending timeout ends
-			r.excused = true
+		sent := body.GangRequest
+		r := &request{
+			ref:  requestRef{client, sent.RequestId},
+			spec: sent.Parts[0],
+			gang: true,
 		}
+		a.requestSent(r, sent.PendingTimeoutMs, seen)
+	case *pb.Frame_Withdraw:
+		a.withdrawSent(a.requests.find(client, body.Withdraw.RequestId), seen)
 	case *pb.Frame_Answer:
-		a.answerReceived(now, a.requests[requestRef{p.Name, b.Answer.RequestId}], seen)
+		a.answerReceived(a.requests.find(client, body.Answer.RequestId), seen)
 	}
 }
 
-func (a *Auditor) addRequest(now placement.Millis, p *observer.Process, c transport.ConnID, seen frame, r *request, timeoutMs float64) {
-	r.deadline = now + placement.Millis(timeoutMs) + a.terms.AnswerSlack
-	if other := a.peers[p][c]; other != nil {
+// requestSent records a request, which is due to be answered once its allocator has received it.
+func (a *Auditor) requestSent(r *request, pendingTimeoutMs float64, seen frame) {
+	r.deadline = seen.at + placement.Millis(pendingTimeoutMs) + a.terms.AnswerSlack
+	if other, ok := a.connections.peerOf(seen); ok {
 		r.allocator = other.name
 	}
 	r.frames = append(r.frames, seen)
-	a.requests[r.ref] = r
-	a.requestOrder = append(a.requestOrder, r)
+	a.requests.add(r)
 }
 
-// answerReceived checks an answer as it reaches the client.
-func (a *Auditor) answerReceived(now placement.Millis, r *request, seen frame) {
-	if r == nil {
-		a.report(1, now, 0, nil, "an answer for no ask", seen)
+// withdrawSent records that a client waits for no answer any more. It also withdraws as the pending timeout ends, so a
+// deadline that is about to pass is checked now.
+func (a *Auditor) withdrawSent(r *request, seen frame) {
+	if r == nil || r.answered {
 		return
 	}
 	r.frames = append(r.frames, seen)
-	if r.answered {
-		a.report(1, now, 0, r, "a second answer")
+	a.checkAnswered(seen.at+2*clockTolerance, r)
+	r.excused = true
+}
+
+// answerReceived checks an answer as it reaches the client.
+func (a *Auditor) answerReceived(req *request, seen frame) {
+	now := seen.at
+	if req == nil {
+		a.report(ruleAnswer, now, 0, nil, "an answer for no ask", seen)
+		return
+	}
+	req.frames = append(req.frames, seen)
+	if req.answered {
+		a.report(ruleAnswer, now, 0, req, "a second answer")
 	}
-	a.checkAnswered(now, r)
-	if !r.answered && !r.excused {
-		allowed := max(1, placement.Millis(r.ask.PendingTimeoutMs)+a.terms.AnswerSlack)
-		a.LimitUse.Answer = max(a.LimitUse.Answer, 1-float64((r.deadline-now)/allowed))
+	a.checkAnswered(now, req)
+	if !req.answered && !req.excused {
+		allowed := max(1, placement.Millis(req.spec.PendingTimeoutMs)+a.terms.AnswerSlack)
+		a.LimitUse.Answer = max(a.LimitUse.Answer, 1-float64((req.deadline-now)/allowed))
 	}
-	r.answered = true
+	req.answered = true
 }
 
-// checkAnswered reports a request that has no answer although its deadline has passed.
+// checkAnswered reports, once, a request that has no answer although its deadline has passed.
 func (a *Auditor) checkAnswered(now placement.Millis, r *request) {
-	if r.excused || r.answered || !r.received || now <= r.deadline+clockTolerance {
+	if r.excused || r.answered || !r.received {
 		return
 	}
-	for _, p := range a.allocator(r.allocator).pauses {
-		if r.deadline > p.from-pauseTolerance && r.deadline < p.until+pauseTolerance && now <= p.until+pauseTolerance {
-			return // a paused allocator answers as soon as it runs again
-		}
+	if now <= r.deadline+clockTolerance || a.allocator(r.allocator).wasPaused(r.deadline, now) {
+		return
 	}
-	a.report(1, now, 0, r, fmt.Sprintf("no answer within %.0f ms", r.ask.PendingTimeoutMs))
+	a.report(ruleAnswer, now, 0, r, fmt.Sprintf("no answer within %.0f ms", r.spec.PendingTimeoutMs))
 	r.excused = true
 }
--- a/internal/simulation/audit/frame.go
+++ b/internal/simulation/audit/frame.go
@@ -4,15 +4,18 @@
 	"fmt"
 
 	"grebeglade/internal/simulation/observer"
+	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// frame is a frame as it was seen at one end.
+// frame is a frame as it was seen at one end of a connection.
 type frame struct {
-	at      placement.Millis
-	process string
-	sent    bool
+	at      placement.Millis // when it was sent, or handed to the process
+	arrived placement.Millis // before it waited for the process, if it did
+	process *observer.Process
+	conn    transport.ConnID
+	sent    bool // by the process, not received
 	message *pb.Frame
 }
 
@@ -22,28 +25,37 @@
 	if f.sent {
 		direction = "sends"
 	}
-	return fmt.Sprintf("%.1f ms %s %s %s", float64(f.at), f.process, direction, describe(f.message))
+	return fmt.Sprintf("%.1f ms %s %s %s", float64(f.at), f.process.Name, direction, describe(f.message))
 }
 
-func describe(f *pb.Frame) string {
-	switch b := f.Body.(type) {
+// describe returns the content of a frame in a few words, or its kind alone where the rules depend on no more.
+func describe(message *pb.Frame) string {
+	switch body := message.Body.(type) {
 	case *pb.Frame_PlaceRequest:
-		return fmt.Sprintf("ask %d (%s, key %d, %.0f ms left)", b.PlaceRequest.RequestId, b.PlaceRequest.Group, b.PlaceRequest.Key, b.PlaceRequest.PendingTimeoutMs)
+		request := body.PlaceRequest
+		return fmt.Sprintf("ask %d (%s, key %d, %.0f ms left)",
+			request.RequestId, request.Group, request.Key, request.PendingTimeoutMs)
 	case *pb.Frame_Withdraw:
-		return fmt.Sprintf("withdraw %d", b.Withdraw.RequestId)
+		return fmt.Sprintf("withdraw %d", body.Withdraw.RequestId)
 	case *pb.Frame_Answer:
-		return fmt.Sprintf("answer %d %s node %d %q", b.Answer.RequestId, b.Answer.Verdict, b.Answer.Node, b.Answer.Reason)
+		answer := body.Answer
+		return fmt.Sprintf("answer %d %s node %d %q", answer.RequestId, answer.Verdict, answer.Node, answer.Reason)
 	case *pb.Frame_Offer:
-		return fmt.Sprintf("offer of %s/%d, to be accepted within %.0f ms", observer.KeyOf(b.Offer.Bind), b.Offer.Request.RequestId,
-			b.Offer.AcceptWithinMs)
+		offer := body.Offer
+		return fmt.Sprintf("offer of %s/%d, to be accepted within %.0f ms",
+			observer.KeyOf(offer.Bind), offer.Request.RequestId, offer.AcceptWithinMs)
 	case *pb.Frame_OfferReply:
-		key := observer.KeyOf(b.OfferReply.Bind)
-		if b.OfferReply.Accepted {
-			return "yes to " + key.String()
-		}
-		return fmt.Sprintf("no to %s: %s %q", key, b.OfferReply.Reason, b.OfferReply.Text)
+		return describeReply(body.OfferReply)
 	case *pb.Frame_End:
-		return fmt.Sprintf("end of %s: %s", observer.KeyOf(b.End.Bind), b.End.Reason)
+		return fmt.Sprintf("end of %s: %s", observer.KeyOf(body.End.Bind), body.End.Reason)
 	}
-	return pb.FrameKind(f)
+	return pb.FrameKind(message)
+}
+
+func describeReply(reply *pb.OfferReply) string {
+	key := observer.KeyOf(reply.Bind)
+	if reply.Accepted {
+		return "yes to " + key.String()
+	}
+	return fmt.Sprintf("no to %s: %s %q", key, reply.Reason, reply.Text)
 }
--- a/internal/simulation/audit/gangpart.go
+++ b/internal/simulation/audit/gangpart.go
@@ -10,10 +10,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-const (
-	// notRunning stands in place of the time since which a part runs.
-	notRunning = placement.Millis(-1)
-)
+// notRunning is the value of the time since which a part runs, while it does not.
+const notRunning = placement.Millis(-1)
 
 // gangPart is one part on a node.
 type gangPart struct {
@@ -22,120 +20,148 @@
 	node         uint32
 	runningSince placement.Millis // or notRunning
 	cores        float64
-	seen         frame // its offer
+	offer        frame
 }
 
-// partRequest returns the request that the rules on binds hold a part to: one of its own, with its key.
-func (s *gangAuditor) partRequest(r *request, o *pb.Offer) *request {
-	g := s.gangOf(o)
-	p := g.partRequests[o.Request.Key]
-	if p == nil {
-		p = &request{ref: r.ref, ask: o.Request, allocator: r.allocator, received: true, excused: true}
-		g.partRequests[o.Request.Key] = p
+// partRequest returns the request that the rules on binds hold a part to: one of its own, with its workload key.
+func (a *gangAuditor) partRequest(gangRequest *request, offer *pb.Offer) *request {
+	g := a.gangOf(offer)
+	part := g.partRequests[offer.Request.Key]
+	if part == nil {
+		part = &request{
+			ref:           gangRequest.ref,
+			spec:          offer.Request,
+			allocator:     gangRequest.allocator,
+			clientView:    clientView{excused: true},
+			allocatorView: allocatorView{received: true},
+		}
+		g.partRequests[offer.Request.Key] = part
 	}
-	// A part of a gang that was placed may be replaced; one of a gang that was given up may not be offered.
-	p.verdict = pb.Verdict_VERDICT_UNSPECIFIED
-	if r.verdict == pb.Verdict_REJECTED || r.verdict == pb.Verdict_UNSCHEDULABLE {
-		p.verdict = r.verdict
+	// A part of a gang that was placed may be replaced; one of an abandoned gang may not be offered.
+	part.verdict = pb.Verdict_VERDICT_UNSPECIFIED
+	if gangRequest.verdict == pb.Verdict_REJECTED || gangRequest.verdict == pb.Verdict_UNSCHEDULABLE {
+		part.verdict = gangRequest.verdict
 	}
-	p.withdrawn = r.withdrawn
-	return p
+	part.withdrawn = gangRequest.withdrawn
+	return part
 }
 
-// partOffered records an offer of a part as it reaches a node.
-func (s *gangAuditor) partOffered(node uint32, o *pb.Offer, seen frame) {
-	if o.Gang == nil {
+// partOffered records an offer of a part as it reaches a node. Offers of other workloads are ignored.
+func (a *gangAuditor) partOffered(node uint32, offer *pb.Offer, seen frame) {
+	if offer.Gang == nil {
+		return
+	}
+	key := observer.KeyOf(offer.Bind)
+	a.partBinds[key] = true
+	g := a.gangOf(offer)
+	if a.parts[key] != nil {
 		return
 	}
-	k := observer.KeyOf(o.Bind)
-	s.partBinds[k] = true
-	g := s.gangOf(o)
-	if s.parts[k] == nil {
-		s.parts[k] = &gangPart{gang: g, number: o.Gang.Part, node: node, runningSince: notRunning, cores: o.Request.Cores, seen: seen}
+	a.parts[key] = &gangPart{
+		gang:         g,
+		number:       offer.Gang.Part,
+		node:         node,
+		runningSince: notRunning,
+		cores:        offer.Request.Cores,
+		offer:        seen,
 	}
 }
 
-// gangPartAnswered takes a node's reply to the offer of a part.
-func (a *Auditor) gangPartAnswered(now placement.Millis, reply *pb.OfferReply) {
-	k := observer.KeyOf(reply.Bind)
-	p := a.gangs.parts[k]
+// partAnswered handles a node's reply to the offer of a part. Replies to other offers are ignored.
+func (a *gangAuditor) partAnswered(now placement.Millis, reply *pb.OfferReply) {
+	key := observer.KeyOf(reply.Bind)
+	part := a.parts[key]
+	if part == nil {
+		return
+	}
+	running := part.runningSince != notRunning
 	switch {
-	case p == nil:
-	case !reply.Accepted:
-		if p.runningSince != notRunning {
-			a.endGangPart(now, k, pb.Reason_STOPPED)
-		}
-	case p.runningSince == notRunning:
-		p.runningSince = now
-		p.gang.running[p.number] = p
-		a.updateGang(now, p.gang)
+	case reply.Accepted && !running:
+		part.runningSince = now
+		part.gang.running[part.number] = part
+		a.updateCompleteness(now, part.gang)
+	case !reply.Accepted && running:
+		a.partEnded(now, key, pb.Reason_STOPPED)
 	}
 }
 
-// endGangPart takes the end of a part on its node.
-func (a *Auditor) endGangPart(now placement.Millis, k observer.BindKey, reason pb.Reason) {
-	p := a.gangs.parts[k]
-	g := p.gang
-	a.gangs.addCoreTime(now, p)
+// partEnded handles the end of a part on its node. Ends of other binds are ignored.
+func (a *gangAuditor) partEnded(now placement.Millis, key observer.BindKey, reason pb.Reason) {
+	part := a.parts[key]
+	if part == nil {
+		return
+	}
+	g := part.gang
+	a.coreTime.addPart(now, part)
 	if reason == pb.Reason_FINISHED && g.started {
 		g.ending = true
 	}
-	if g.running[p.number] == p {
-		delete(g.running, p.number)
+	if g.running[part.number] == part {
+		delete(g.running, part.number)
 	}
-	p.runningSince = notRunning
-	delete(a.gangs.parts, k)
-	a.updateGang(now, g)
+	part.runningSince = notRunning
+	delete(a.parts, key)
+	a.updateCompleteness(now, g)
 }
 
-// reconcileGangParts takes a node's list, sent to an allocator, of that allocator's workloads: parts that it does not name have
-// ended while the allocator was not connected.
-func (a *Auditor) reconcileGangParts(now placement.Millis, node uint32, allocator string, h *pb.Hello) {
-	named := map[observer.BindKey]bool{}
-	for _, running := range h.RunningWorkloads {
-		named[observer.KeyOf(running.Offer.Bind)] = true
-	}
-	for _, k := range a.gangs.sortedParts() {
-		if p := a.gangs.parts[k]; p.node == node && k.Allocator == allocator && p.runningSince != notRunning && !named[k] {
-			a.endGangPart(now, k, pb.Reason_LOST)
+// reconcileNode handles a node's hello to an allocator, which names that allocator's workloads on it: other parts have
+// ended while the two were not connected.
+func (a *gangAuditor) reconcileNode(now placement.Millis, node uint32, allocator string, hello *pb.Hello) {
+	named := runningBinds(hello)
+	for _, key := range a.sortedParts() {
+		part := a.parts[key]
+		listedHere := part.node == node && key.Allocator == allocator
+		running := part.runningSince != notRunning
+		if listedHere && running && !named[key] {
+			a.partEnded(now, key, pb.Reason_LOST)
 		}
 	}
 }
 
-// loseGangParts ends the parts on a node that was killed.
-func (a *Auditor) loseGangParts(now placement.Millis, node uint32) {
-	for _, k := range a.gangs.sortedParts() {
-		if a.gangs.parts[k].node == node {
-			a.endGangPart(now, k, pb.Reason_LOST)
+// nodeKilled ends the parts on a node.
+func (a *gangAuditor) nodeKilled(now placement.Millis, node uint32) {
+	for _, key := range a.sortedParts() {
+		if a.parts[key].node == node {
+			a.partEnded(now, key, pb.Reason_LOST)
 		}
 	}
 }
 
-// sortedParts returns the keys of the parts on nodes in a fixed order, so that floating-point sums over them do not depend on
-// the order of the map.
-func (s *gangAuditor) sortedParts() []observer.BindKey {
-	return slices.SortedFunc(maps.Keys(s.parts), func(x, y observer.BindKey) int {
-		return cmp.Or(cmp.Compare(x.Allocator, y.Allocator), cmp.Compare(x.Incarnation, y.Incarnation),
-			cmp.Compare(x.Workload, y.Workload), cmp.Compare(x.Number, y.Number))
+// sortedParts returns the keys of the parts on nodes in a fixed order, so that floating-point sums over them do not
+// depend on the order of the map.
+func (a *gangAuditor) sortedParts() []observer.BindKey {
+	return slices.SortedFunc(maps.Keys(a.parts), func(x, y observer.BindKey) int {
+		return cmp.Or(
+			cmp.Compare(x.Allocator, y.Allocator),
+			cmp.Compare(x.Incarnation, y.Incarnation),
+			cmp.Compare(x.Workload, y.Workload),
+			cmp.Compare(x.Number, y.Number),
+		)
 	})
 }
 
-// addCoreTime counts the time for which a part has run.
-func (s *gangAuditor) addCoreTime(now placement.Millis, p *gangPart) {
-	if p.runningSince == notRunning {
+// coreTime is for how long parts of gangs ran, in core seconds.
+type coreTime struct {
+	total  float64
+	wasted float64 // of that, in gangs that did not start
+}
+
+// addPart adds the time for which a part has run, if it runs.
+func (t *coreTime) addPart(now placement.Millis, part *gangPart) {
+	if part.runningSince == notRunning {
 		return
 	}
-	spent := float64(now-p.runningSince) / 1000 * p.cores
-	s.coreTime += spent
-	if !p.gang.started {
-		s.wastedCoreTime += spent
+	spent := float64(now-part.runningSince) / 1000 * part.cores
+	t.total += spent
+	if !part.gang.started {
+		t.wasted += spent
 	}
 }
 
-// WastedCoreShare returns the share of the core time of gang parts that went to gangs which did not start.
-func (a *Auditor) WastedCoreShare() float64 {
-	if a.gangs.coreTime == 0 {
+// wastedShare returns the wasted share of the total, or 0 if no part ran.
+func (t *coreTime) wastedShare() float64 {
+	if t.total == 0 {
 		return 0
 	}
-	return a.gangs.wastedCoreTime / a.gangs.coreTime
+	return t.wasted / t.total
 }
--- a/internal/simulation/audit/gangrules.go
+++ b/internal/simulation/audit/gangrules.go
@@ -7,63 +7,94 @@
 	"slices"
 
 	"grebeglade/internal/simulation/observer"
-	"grebeglade/internal/transport"
 	"grebeglade/placement"
+	pb "grebeglade/proto/grebeglade/v1"
 )
 
 const (
-	// maxIncomplete is how long a part may run beyond its lease without the rest of its gang: leases run from acceptance, and
-	// a node may be paused when one ends.
+	// maxIncomplete is how long a part may run beyond its lease without the rest of its gang: leases run from
+	// acceptance, and a node may be paused when one ends.
 	maxIncomplete = placement.Millis(5e3)
 	// stopRetryDelay is how long a stop may be unanswered before it is repeated.
 	stopRetryDelay = placement.Millis(1e3)
-	// maxPartBinds is the number of binds of one part. Each attempt at a gang and each replacement has those of an ordinary
-	// workload; the limit guards against retries without end.
+	// maxPartBinds is the number of binds of one part. Each attempt at a gang and each replacement has those of an
+	// ordinary workload; the limit guards against retries without end.
 	maxPartBinds = 24
 )
 
-// partStop is the last stop of a part.
-type partStop struct {
-	conn transport.ConnID
-	seen frame
-}
-
-func (a *Auditor) checkGangRejection(now placement.Millis, g *gang) {
+// checkRejection reports, once, a rejection of a gang with an at-most-once part that may have run: a rejection says
+// that a retry is safe.
+func (a *gangAuditor) checkRejection(now placement.Millis, g *gang) {
 	for _, key := range slices.Sorted(maps.Keys(g.partRequests)) {
-		p := g.partRequests[key]
-		if a.terms.Groups[p.ask.Group].Idempotency != placement.AtMostOnce {
+		part := g.partRequests[key]
+		if a.groups[part.spec.Group].Idempotency != placement.AtMostOnce {
 			continue
 		}
-		for _, b := range p.binds {
-			if !b.neverRan {
-				a.report(2, now, b.node, p, "a group rejected although a part that must not run twice may have run")
-				return
-			}
+		if b := part.bindThatMayHaveRun(); b != nil {
+			a.findings.report(ruleIdempotency, now, b.node, part,
+				"a group rejected although a part that must not run twice may have run")
+			return
 		}
 	}
 }
 
 // checkIncomplete reports, once, a gang that is incomplete for longer than its lease and maxIncomplete.
-func (a *Auditor) checkIncomplete(now placement.Millis, g *gang) {
-	if g.incompleteSince == complete || g.reported || g.started && a.gangs.stoppedAllocators[g.allocator] ||
-		now-g.incompleteSince <= g.lease+maxIncomplete {
+func (a *gangAuditor) checkIncomplete(now placement.Millis, g *gang) {
+	if g.reported || !a.incompleteTooLong(now, g) {
 		return
 	}
 	g.reported = true
-	a.gangs.incomplete++
-	var frames []frame
+	a.incomplete++
+	message := fmt.Sprintf("group %d of %s has %d parts standing of %d needed for %.0f ms",
+		g.ref.number, g.ref.client, len(g.running), g.minParts, now-g.incompleteSince)
+	a.findings.report(ruleGang, now, 0, nil, message, g.runningOffers()...)
+}
+
+// incompleteTooLong reports whether a gang is incomplete for longer than its lease and maxIncomplete. Parts of a gang
+// that had started may run on while its allocator is away, which replaces the missing ones once it is back.
+func (a *gangAuditor) incompleteTooLong(now placement.Millis, g *gang) bool {
+	if g.incompleteSince == complete {
+		return false
+	}
+	if g.started && a.stoppedAllocators[g.allocator] {
+		return false
+	}
+	return now-g.incompleteSince > g.lease+maxIncomplete
+}
+
+// runningOffers returns the offers of the parts that run, by time and then by number of the part.
+func (g *gang) runningOffers() []frame {
+	var offers []frame
 	for _, number := range slices.Sorted(maps.Keys(g.running)) {
-		frames = append(frames, g.running[number].seen)
+		offers = append(offers, g.running[number].offer)
 	}
-	slices.SortStableFunc(frames, func(x, y frame) int { return cmp.Compare(x.at, y.at) })
-	a.report(6, now, 0, nil, fmt.Sprintf("group %d of %s has %d parts standing of %d needed for %.0f ms", g.ref.number, g.ref.client,
-		len(g.running), g.minParts, now-g.incompleteSince), frames...)
+	slices.SortStableFunc(offers, func(x, y frame) int { return cmp.Compare(x.at, y.at) })
+	return offers
 }
 
-// checkPartStop reports a stop that is repeated too early on the same connection.
-func (a *Auditor) checkPartStop(now placement.Millis, c transport.ConnID, k observer.BindKey, seen frame) {
-	if last, ok := a.gangs.lastStop[k]; ok && last.conn == c && now-last.seen.at < stopRetryDelay {
-		a.report(6, now, 0, nil, "a part stopped twice", last.seen, seen)
+// checkPartBinds reports the parts of a gang that had more binds than maxPartBinds.
+func (a *gangAuditor) checkPartBinds(now placement.Millis, g *gang) {
+	for _, key := range slices.Sorted(maps.Keys(g.partRequests)) {
+		part := g.partRequests[key]
+		count := len(part.binds)
+		if count <= maxPartBinds {
+			continue
+		}
+		message := fmt.Sprintf("a part of group %d of %s has had %d binds", g.ref.number, g.ref.client, count)
+		a.findings.report(ruleGang, now, 0, part, message)
+	}
+}
+
+// stopSeen handles a stop at an allocator, and reports one of a running part that is repeated too early on the same
+// connection.
+func (a *gangAuditor) stopSeen(stop *pb.Stop, seen frame) {
+	key := observer.KeyOf(stop.Bind)
+	if !seen.sent || stop.OnlyWaiting || !a.partBinds[key] {
+		return
+	}
+	last, repeated := a.lastStop[key]
+	if repeated && last.conn == seen.conn && seen.at-last.at < stopRetryDelay {
+		a.findings.report(ruleGang, seen.at, 0, nil, "a part stopped twice", last, seen)
 	}
-	a.gangs.lastStop[k] = partStop{c, seen}
+	a.lastStop[key] = seen
 }
