--- a/internal/simulation/observer/file_test.go
+++ b/internal/simulation/observer/file_test.go
@@ -5,7 +5,9 @@
 	"compress/gzip"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
+	"syscall"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -25,45 +27,113 @@
 	return h
 }
 
+// withLine returns the lines with the one at the index replaced.
+func withLine(lines []string, index int, line string) []string {
+	lines[index] = line + "\n"
+	return lines
+}
+
+// damagedFiles are ways in which the lines of a history's file may be damaged, each with the error of reading it.
+var damagedFiles = map[string]struct {
+	damage func(lines []string) []string
+	want   string
+}{
+	"empty file": {
+		damage: func([]string) []string { return nil },
+		want:   "x:1: the history is cut off",
+	},
+	"no end": {
+		damage: func(lines []string) []string { return lines[:len(lines)-1] },
+		want:   "the history is cut off",
+	},
+	"line that is not JSON": {
+		damage: func(lines []string) []string { return withLine(lines, 1, "{]") },
+		want:   "x:2: invalid character",
+	},
+	"no header": {
+		damage: func(lines []string) []string { return lines[1:] },
+		want:   "x:1: json: unknown field \"at\"",
+	},
+	"two lines swapped": {
+		damage: func(lines []string) []string {
+			mirror := len(lines) - 1 - 9
+			lines[9], lines[mirror] = lines[mirror], lines[9]
+			return lines
+		},
+		want: "before the line above",
+	},
+	"line missing": {
+		damage: func(lines []string) []string { return append(lines[:20:20], lines[21:]...) },
+		want:   "lines stand before the end",
+	},
+	"line after the end": {
+		damage: func(lines []string) []string { return append(lines, "\n{}\n") },
+		want:   "something stands behind the end",
+	},
+	"two documents on a line": {
+		damage: func(lines []string) []string { return withLine(lines, 2, strings.TrimSpace(lines[2])+"{}") },
+		want:   "something stands behind the document",
+	},
+	"process without its start": {
+		damage: func(lines []string) []string { return append(lines[:1:1], lines[2:]...) },
+		want:   "it is not its start in a known role",
+	},
+	"unknown kind of event": {
+		damage: func(lines []string) []string { return withLine(lines, 3, `{"at":0,"who":"list","what":"hums"}`) },
+		want:   "is nothing that is seen",
+	},
+	"frame missing": {
+		damage: func(lines []string) []string { return withLine(lines, 3, `{"at":0,"who":"list","what":"sends"}`) },
+		want:   "a frame is missing, or one too many",
+	},
+	"second start without an end": {
+		damage: func(lines []string) []string {
+			return withLine(lines, 3, `{"at":0,"who":"list","what":"starts"}`)
+		},
+		want: "\"list\" starts, and did so before",
+	},
+	"unknown field": {
+		damage: func(lines []string) []string { return withLine(lines, 3, `{"sometime":0}`) },
+		want:   "x:4: json: unknown field \"sometime\"",
+	},
+	"unknown field in a frame": {
+		damage: func(lines []string) []string {
+			return withLine(lines, 3, `{"at":0,"who":"list","what":"sends","frame":{"asks":{}}}`)
+		},
+		want: "unknown field \"asks\"",
+	},
+}
+
 func TestReadHistory_ReportsDamageWithLine(t *testing.T) {
 	var text bytes.Buffer
 	require.NoError(t, recorded(t, "honest").Write(&text))
-	lines := strings.SplitAfter(strings.TrimSpace(text.String()), "\n")
-	last := len(lines) - 1
-	for want, change := range map[string]func(l []string) []string{
-		"x:1: the history is cut off":           func(l []string) []string { return nil },
-		"the history is cut off":                func(l []string) []string { return l[:last] },
-		"x:2: invalid character":                func(l []string) []string { l[1] = "{]\n"; return l },
-		"x:1: json: unknown field \"at\"":       func(l []string) []string { return l[1:] },
-		"before the line above":                 func(l []string) []string { l[9], l[last-9] = l[last-9], l[9]; return l },
-		"lines stand before the end":            func(l []string) []string { return append(l[:20:20], l[21:]...) },
-		"something stands behind the end":       func(l []string) []string { return append(l, "\n{}\n") },
-		"something stands behind the document":  func(l []string) []string { l[2] = strings.TrimSpace(l[2]) + "{}\n"; return l },
-		"it is not its start in a known role":   func(l []string) []string { return append(l[:1:1], l[2:]...) },
-		"is nothing that is seen":               func(l []string) []string { l[3] = `{"at":0,"who":"list","what":"hums"}` + "\n"; return l },
-		"a frame is missing, or one too many":   func(l []string) []string { l[3] = `{"at":0,"who":"list","what":"sends"}` + "\n"; return l },
-		"\"list\" starts, and did so before":    func(l []string) []string { l[3] = `{"at":0,"who":"list","what":"starts"}` + "\n"; return l },
-		"x:4: json: unknown field \"sometime\"": func(l []string) []string { l[3] = `{"sometime":0}` + "\n"; return l },
-		"unknown field \"asks\"": func(l []string) []string {
-			l[3] = `{"at":0,"who":"list","what":"sends","frame":{"asks":{}}}` + "\n"
-			return l
-		},
-	} {
-		_, err := ReadHistory("x", strings.NewReader(strings.Join(change(append([]string{}, lines...)), "")))
-		require.ErrorContains(t, err, want)
+	intact := strings.SplitAfter(strings.TrimSpace(text.String()), "\n")
+	for name, test := range damagedFiles {
+		t.Run(name, func(t *testing.T) {
+			damaged := strings.Join(test.damage(slices.Clone(intact)), "")
+			_, err := ReadHistory("x", strings.NewReader(damaged))
+			require.ErrorContains(t, err, test.want)
+		})
 	}
-	h, err := ReadHistory("x", strings.NewReader(strings.Join(lines, "")))
+}
+
+func TestReadHistory_ReadsWhatWasWritten(t *testing.T) {
+	var written bytes.Buffer
+	require.NoError(t, recorded(t, "honest").Write(&written))
+	history, err := ReadHistory("x", strings.NewReader(strings.TrimSpace(written.String())))
 	require.NoError(t, err)
 	var again bytes.Buffer
-	require.NoError(t, h.Write(&again))
-	assert.Equal(t, strings.TrimSpace(text.String()), strings.TrimSpace(again.String()), "what is read is what was written")
+	require.NoError(t, history.Write(&again))
+	assert.Equal(t, strings.TrimSpace(written.String()), strings.TrimSpace(again.String()))
 }
 
 func TestHistoryWriteFile_DiskFullIsReported(t *testing.T) {
 	const full = "/dev/full" // takes a file's bytes and fails when they are written
 	if _, err := os.Stat(full); err != nil {
 		require.ErrorIs(t, err, os.ErrNotExist)
-		return
+		return // this system has no such device
 	}
-	require.Error(t, recorded(t, "honest").WriteFile(full))
+	err := recorded(t, "honest").WriteFile(full)
+	require.ErrorIs(t, err, syscall.ENOSPC)
+	require.ErrorContains(t, err, "write the history")
 }
--- a/internal/simulation/observer/history.go
+++ b/internal/simulation/observer/history.go
@@ -61,38 +61,62 @@
 }
 
 // Frame implements Observer.
-func (h *History) Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame) {
+func (h *History) Frame(
+	now, arrived placement.Millis, process *Process, conn transport.ConnID, sent bool, frame *pb.Frame,
+) {
 	kind := FrameReceived
 	if sent {
 		kind = FrameSent
 	}
-	h.add(Event{Kind: kind, At: now, Arrived: arrived, Process: p, Conn: c, Frame: f})
+	h.add(Event{
+		Kind:    kind,
+		At:      now,
+		Arrived: arrived,
+		Process: process,
+		Conn:    conn,
+		Frame:   frame,
+	})
 }
 
 // Connection implements Observer.
-func (h *History) Connection(now placement.Millis, p *Process, c transport.ConnID, open bool) {
+func (h *History) Connection(now placement.Millis, process *Process, conn transport.ConnID, open bool) {
 	kind := ConnectionClosed
 	if open {
 		kind = ConnectionOpened
 	}
-	h.add(Event{Kind: kind, At: now, Process: p, Conn: c})
+	h.add(Event{
+		Kind:    kind,
+		At:      now,
+		Process: process,
+		Conn:    conn,
+	})
 }
 
 // Process implements Observer.
-func (h *History) Process(now placement.Millis, p *Process, running bool) {
+func (h *History) Process(now placement.Millis, process *Process, running bool) {
 	kind := ProcessKilled
 	if running {
 		kind = ProcessStarted
 	}
-	h.add(Event{Kind: kind, At: now, Process: p})
+	h.add(Event{
+		Kind:    kind,
+		At:      now,
+		Process: process,
+	})
 }
 
 // Pause implements Observer.
-func (h *History) Pause(now placement.Millis, p *Process, until placement.Millis) {
-	h.add(Event{Kind: ProcessPaused, At: now, Until: until, Process: p})
+func (h *History) Pause(now placement.Millis, process *Process, until placement.Millis) {
+	h.add(Event{
+		Kind:    ProcessPaused,
+		At:      now,
+		Until:   until,
+		Process: process,
+	})
 }
 
-// End ends the history and sorts its events by time. Events of one process keep their order, as its clock never steps back.
+// End ends the history and sorts its events by time. Events of one process keep their order, as its clock never steps
+// back.
 func (h *History) End(now placement.Millis) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,18 +127,23 @@
 // Ended returns the time at which the run ended.
 func (h *History) Ended() placement.Millis { return h.ended }
 
-// Replay notifies o of everything in the history.
-func (h *History) Replay(o Observer) {
-	for _, e := range h.events {
-		switch e.Kind {
-		case FrameSent, FrameReceived:
-			o.Frame(e.At, e.Arrived, e.Process, e.Conn, e.Kind == FrameSent, e.Frame)
-		case ConnectionOpened, ConnectionClosed:
-			o.Connection(e.At, e.Process, e.Conn, e.Kind == ConnectionOpened)
-		case ProcessStarted, ProcessKilled:
-			o.Process(e.At, e.Process, e.Kind == ProcessStarted)
-		case ProcessPaused:
-			o.Pause(e.At, e.Process, e.Until)
-		}
+// Replay notifies an observer of everything in the history.
+func (h *History) Replay(to Observer) {
+	for _, event := range h.events {
+		event.replay(to)
+	}
+}
+
+// replay notifies an observer of the event.
+func (e *Event) replay(to Observer) {
+	switch e.Kind {
+	case FrameSent, FrameReceived:
+		to.Frame(e.At, e.Arrived, e.Process, e.Conn, e.Kind == FrameSent, e.Frame)
+	case ConnectionOpened, ConnectionClosed:
+		to.Connection(e.At, e.Process, e.Conn, e.Kind == ConnectionOpened)
+	case ProcessStarted, ProcessKilled:
+		to.Process(e.At, e.Process, e.Kind == ProcessStarted)
+	case ProcessPaused:
+		to.Pause(e.At, e.Process, e.Until)
 	}
 }
--- a/internal/simulation/observer/observer.go
+++ b/internal/simulation/observer/observer.go
@@ -21,13 +21,13 @@
 // Observer is notified of everything that passes at one end of a connection.
 type Observer interface {
 	// Frame is called when a process has sent a frame, or is handed one, which may have waited since it arrived.
-	Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame)
+	Frame(now, arrived placement.Millis, process *Process, conn transport.ConnID, sent bool, frame *pb.Frame)
 	// Connection is called when a connection opens or closes.
-	Connection(now placement.Millis, p *Process, c transport.ConnID, open bool)
+	Connection(now placement.Millis, process *Process, conn transport.ConnID, open bool)
 	// Process is called when a process starts or is killed.
-	Process(now placement.Millis, p *Process, running bool)
+	Process(now placement.Millis, process *Process, running bool)
 	// Pause is called when a process stops running until the given time.
-	Pause(now placement.Millis, p *Process, until placement.Millis)
+	Pause(now placement.Millis, process *Process, until placement.Millis)
 }
 
 // Discard ignores everything.
@@ -49,30 +49,32 @@
 type Tee []Observer
 
 // Frame implements Observer.
-func (t Tee) Frame(now, arrived placement.Millis, p *Process, c transport.ConnID, sent bool, f *pb.Frame) {
+func (t Tee) Frame(
+	now, arrived placement.Millis, process *Process, conn transport.ConnID, sent bool, frame *pb.Frame,
+) {
 	for _, o := range t {
-		o.Frame(now, arrived, p, c, sent, f)
+		o.Frame(now, arrived, process, conn, sent, frame)
 	}
 }
 
 // Connection implements Observer.
-func (t Tee) Connection(now placement.Millis, p *Process, c transport.ConnID, open bool) {
+func (t Tee) Connection(now placement.Millis, process *Process, conn transport.ConnID, open bool) {
 	for _, o := range t {
-		o.Connection(now, p, c, open)
+		o.Connection(now, process, conn, open)
 	}
 }
 
 // Process implements Observer.
-func (t Tee) Process(now placement.Millis, p *Process, running bool) {
+func (t Tee) Process(now placement.Millis, process *Process, running bool) {
 	for _, o := range t {
-		o.Process(now, p, running)
+		o.Process(now, process, running)
 	}
 }
 
 // Pause implements Observer.
-func (t Tee) Pause(now placement.Millis, p *Process, until placement.Millis) {
+func (t Tee) Pause(now placement.Millis, process *Process, until placement.Millis) {
 	for _, o := range t {
-		o.Pause(now, p, until)
+		o.Pause(now, process, until)
 	}
 }
 
@@ -86,7 +88,12 @@
 
 // KeyOf returns the key of a bind.
 func KeyOf(b *pb.BindID) BindKey {
-	return BindKey{b.GetAllocator(), b.GetIncarnation(), b.GetWorkload(), b.GetNumber()}
+	return BindKey{
+		Allocator:   b.GetAllocator(),
+		Incarnation: b.GetIncarnation(),
+		Workload:    b.GetWorkload(),
+		Number:      b.GetNumber(),
+	}
 }
 
 // String returns the key as it is shown in reports.
