--- /dev/null
+++ b/internal/simulation/network/lifecycle.go
@@ -0,0 +1,82 @@
+package network
+
+import (
+	"math"
+
+	"grebeglade/internal/oracle"
+	"grebeglade/internal/transport"
+	"grebeglade/placement"
+)
+
+// lifecycle is the state of the process: whether it runs, and what it is called with.
+type lifecycle struct {
+	newHandler  func(incarnation uint64) transport.FrameHandler
+	handler     transport.FrameHandler // nil while the process does not run
+	incarnation uint64
+	paused      bool
+	deferred    []func(now placement.Millis) // calls that wait for the end of the pause
+	arrivedAt   placement.Millis             // arrival of the frame that is being delivered, by the host's clock
+}
+
+// Handler returns the handler of the running process, or nil while it does not run.
+func (i *Interceptor) Handler() transport.FrameHandler { return i.handler }
+
+// Alive reports whether the process runs.
+func (i *Interceptor) Alive() bool { return i.handler != nil }
+
+// Restart starts the process with the next incarnation, unless it runs.
+func (i *Interceptor) Restart(now placement.Millis) {
+	if i.handler != nil {
+		return
+	}
+	i.incarnation++
+	i.Uptime = append(i.Uptime, oracle.Span{From: now, Until: placement.Millis(math.Inf(1))})
+	i.handler = i.newHandler(i.incarnation)
+	i.observer.Process(now, &i.Process, true)
+	i.handler.Start(i.clock.toLocal(now), i)
+}
+
+// Kill ends the process at once: its connections break, and its state is lost.
+func (i *Interceptor) Kill(now placement.Millis) {
+	if i.handler == nil {
+		return
+	}
+	i.Uptime[len(i.Uptime)-1].Until = now
+	i.observer.Process(now, &i.Process, false)
+	if i.OnKill != nil {
+		i.OnKill(i.handler)
+	}
+	i.handler = nil
+	i.deferred = nil
+	i.cut.dropQueues()
+	i.closeAll(now)
+}
+
+// Pause stops the process until Resume is called. What happens meanwhile is delivered to it then.
+func (i *Interceptor) Pause(now, until placement.Millis) {
+	if i.handler != nil {
+		i.paused = true
+		i.observer.Pause(now, &i.Process, until)
+	}
+}
+
+// Resume lets a paused process run on.
+func (i *Interceptor) Resume(now placement.Millis) {
+	i.paused = false
+	waiting := i.deferred
+	i.deferred = nil
+	for _, call := range waiting {
+		if i.handler != nil {
+			call(now)
+		}
+	}
+}
+
+// deliver calls the process, now or when it resumes.
+func (i *Interceptor) deliver(now placement.Millis, call func(now placement.Millis)) {
+	if i.paused {
+		i.deferred = append(i.deferred, call)
+	} else if i.handler != nil {
+		call(now)
+	}
+}
--- a/internal/simulation/network/messagefault.go
+++ b/internal/simulation/network/messagefault.go
@@ -26,8 +26,8 @@
 // MessageFault is a fault that hits one frame between an allocator and its nodes. Tests try each kind at each frame.
 type MessageFault struct {
 	Kind     MessageFaultKind
-	Frame    int  // counted from 1 over the frames of offers, their answers, stops, ends, notes and keeps, both ways
-	Restarts bool // a crashed allocator starts again after CrashDuration
+	Frame    int  // from 1, over the frames that workloads depend on, in both directions; see Injector.selects
+	Restarts bool // a crashed allocator restarts after CrashDuration
 }
 
 const (
@@ -36,6 +36,9 @@
 	CrashDuration = placement.Millis(900)
 )
 
+// errInjectedClose is why a connection closes that a fault has closed.
+var errInjectedClose = errors.New("cut")
+
 // Injector is a handler that applies a MessageFault to the frames of the handler that it wraps.
 type Injector struct {
 	transport.FrameHandler
@@ -57,7 +60,7 @@
 func (i *Injector) Dial(addr string) transport.ConnID { return i.net.Dial(addr) }
 
 // Close implements transport.FrameNetwork.
-func (i *Injector) Close(c transport.ConnID) { i.net.Close(c) }
+func (i *Injector) Close(conn transport.ConnID) { i.net.Close(conn) }
 
 // WakeAt implements transport.FrameNetwork.
 func (i *Injector) WakeAt(t placement.Millis) { i.net.WakeAt(t) }
@@ -65,10 +68,11 @@
 // Now implements transport.FrameNetwork.
 func (i *Injector) Now() placement.Millis { return i.net.Now() }
 
-// selects counts a frame and reports whether it is the one to be hit.
-func (i *Injector) selects(f *pb.Frame) bool {
-	switch f.Body.(type) {
-	case *pb.Frame_Offer, *pb.Frame_OfferReply, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_UsageReport, *pb.Frame_ConfirmGang:
+// selects counts a frame that a workload depends on, and reports whether it is the one to be hit.
+func (i *Injector) selects(frame *pb.Frame) bool {
+	switch frame.Body.(type) {
+	case *pb.Frame_Offer, *pb.Frame_OfferReply, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_UsageReport,
+		*pb.Frame_ConfirmGang:
 		*i.Frames++
 		return *i.Frames == i.Fault.Frame
 	}
@@ -76,24 +80,25 @@
 }
 
 // Send implements transport.FrameNetwork.
-func (i *Injector) Send(c transport.ConnID, f *pb.Frame) {
-	if !i.selects(f) {
-		i.net.Send(c, f)
+func (i *Injector) Send(conn transport.ConnID, frame *pb.Frame) {
+	if !i.selects(frame) {
+		i.net.Send(conn, frame)
 		return
 	}
-	i.inject(i.net.Now(), c, func(placement.Millis) { i.net.Send(c, f) })
+	i.inject(i.net.Now(), conn, func(placement.Millis) { i.net.Send(conn, frame) })
 }
 
 // Received implements transport.FrameHandler.
-func (i *Injector) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
-	if !i.selects(f) {
-		i.FrameHandler.Received(now, c, f)
+func (i *Injector) Received(now placement.Millis, conn transport.ConnID, frame *pb.Frame) {
+	if !i.selects(frame) {
+		i.FrameHandler.Received(now, conn, frame)
 		return
 	}
-	i.inject(now, c, func(now placement.Millis) { i.FrameHandler.Received(now, c, f) })
+	i.inject(now, conn, func(now placement.Millis) { i.FrameHandler.Received(now, conn, frame) })
 }
 
-func (i *Injector) inject(now placement.Millis, c transport.ConnID, pass func(now placement.Millis)) {
+// inject applies the fault to a frame on a connection. Calling pass lets the frame through.
+func (i *Injector) inject(now placement.Millis, conn transport.ConnID, pass func(now placement.Millis)) {
 	switch i.Fault.Kind {
 	case LoseFrame:
 	case DuplicateFrame:
@@ -102,8 +107,8 @@
 	case DelayFrame:
 		i.Schedule(now+messageDelay, pass)
 	case CloseConnection:
-		i.net.Close(c)
-		i.Schedule(now, func(now placement.Millis) { i.Closed(now, c, errors.New("cut")) })
+		i.net.Close(conn)
+		i.Schedule(now, func(now placement.Millis) { i.Closed(now, conn, errInjectedClose) })
 	case CrashAllocator:
 		i.Schedule(now, i.Crash)
 	}
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
 	"grebeglade/internal/simulation/observer"
@@ -13,100 +14,128 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNet keeps what is sent.
-type fakeNet struct{ sent []*pb.Frame }
+// recordingNetwork records what is sent.
+type recordingNetwork struct{ sent []*pb.Frame }
 
-func (w *fakeNet) Dial(string) transport.ConnID         { return 1 }
-func (w *fakeNet) Send(_ transport.ConnID, f *pb.Frame) { w.sent = append(w.sent, f) }
-func (w *fakeNet) Close(transport.ConnID)               {}
-func (w *fakeNet) WakeAt(placement.Millis)              {}
-func (w *fakeNet) Now() placement.Millis                { return 0 }
+func (n *recordingNetwork) Dial(string) transport.ConnID             { return 1 }
+func (n *recordingNetwork) Send(_ transport.ConnID, frame *pb.Frame) { n.sent = append(n.sent, frame) }
+func (n *recordingNetwork) Close(transport.ConnID)                   {}
+func (n *recordingNetwork) WakeAt(placement.Millis)                  {}
+func (n *recordingNetwork) Now() placement.Millis                    { return 0 }
 
-// hearer is a party that notes when it heard what.
-type hearer struct {
+// recordingHandler records the health checks that it receives, and the times of these and of its wake-ups.
+type recordingHandler struct {
 	transport.FrameHandler
-	heard []uint64
-	at    []placement.Millis
+	received []uint64 // ids
+	at       []placement.Millis
 }
 
-func (h *hearer) Start(placement.Millis, transport.FrameNetwork)   {}
-func (h *hearer) Opened(placement.Millis, transport.ConnID)        {}
-func (h *hearer) Closed(placement.Millis, transport.ConnID, error) {}
-func (h *hearer) Wake(now placement.Millis)                        { h.at = append(h.at, now) }
-func (h *hearer) Received(now placement.Millis, _ transport.ConnID, f *pb.Frame) {
-	h.heard, h.at = append(h.heard, f.GetHealthCheck().GetId()), append(h.at, now)
+func (h *recordingHandler) Start(placement.Millis, transport.FrameNetwork)   {}
+func (h *recordingHandler) Opened(placement.Millis, transport.ConnID)        {}
+func (h *recordingHandler) Closed(placement.Millis, transport.ConnID, error) {}
+func (h *recordingHandler) Wake(now placement.Millis)                        { h.at = append(h.at, now) }
+
+func (h *recordingHandler) Received(now placement.Millis, _ transport.ConnID, frame *pb.Frame) {
+	h.received = append(h.received, frame.GetHealthCheck().GetId())
+	h.at = append(h.at, now)
+}
+
+// testProcess is a recordingHandler behind an interceptor, with connection 1 open. Delayed frames wait in virtual time.
+type testProcess struct {
+	*Interceptor
+	handler *recordingHandler
+	network *recordingNetwork
+	virtual *Virtual
 }
 
-// troubled is a gate with one connection, and a queue of what the network holds up.
-func troubled(t *FrameFaults) (*Interceptor, *hearer, *Virtual) {
-	h, v := &hearer{}, NewVirtual(1)
-	g := NewInterceptor("x", pb.Role_NODE, 1, observer.Discard{}, func(uint64) transport.FrameHandler { return h })
-	g.Start(0, &fakeNet{})
-	g.Opened(0, 1)
-	if t != nil {
-		t.Random = rand.New(rand.NewPCG(1, 1))
+// newTestProcess starts the process, with these faults or nil for none.
+func newTestProcess(faults *FrameFaults) testProcess {
+	process := testProcess{
+		handler: &recordingHandler{},
+		network: &recordingNetwork{},
+		virtual: NewVirtual(1),
 	}
-	g.SetFrameFaults(t, func(at placement.Millis, do func(now placement.Millis)) { v.RunAt(nil, at, do) })
-	return g, h, v
+	newHandler := func(uint64) transport.FrameHandler { return process.handler }
+	process.Interceptor = NewInterceptor("x", pb.Role_NODE, 1, observer.Discard{}, newHandler)
+	process.Start(0, process.network)
+	process.Opened(0, 1)
+	if faults != nil {
+		faults.Random = rand.New(rand.NewPCG(1, 1))
+	}
+	process.SetFrameFaults(faults, process.schedule)
+	return process
 }
 
-func probe(id uint64) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{Id: id}}}
+// schedule calls do in virtual time.
+func (p testProcess) schedule(at placement.Millis, do func(now placement.Millis)) {
+	p.virtual.RunAt(nil, at, do)
 }
 
-// hear brings ten frames, a millisecond apart.
-func hear(g *Interceptor, v *Virtual) {
-	for i := range uint64(10) {
-		v.RunAt(nil, placement.Millis(i), func(now placement.Millis) { g.Received(now, 1, probe(i)) })
+// receiveTen lets ten frames with the ids 0 to 9 arrive, a millisecond apart, and waits until all are delivered.
+func (p testProcess) receiveTen() {
+	for id := range uint64(10) {
+		p.schedule(placement.Millis(id), func(now placement.Millis) { p.Received(now, 1, healthCheck(id)) })
 	}
-	v.Run(1000, func() bool { return false })
+	p.virtual.Run(1000, func() bool { return false })
 }
 
-func TestInterceptor_DuplicatesDelaysAndReorders(t *testing.T) {
+func healthCheck(id uint64) *pb.Frame {
+	return &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: &pb.HealthCheck{Id: id}}}
+}
+
+func TestInterceptor_FrameFaults(t *testing.T) {
 	inOrder := []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}
-	g, h, v := troubled(&FrameFaults{Share: 1, Duplicate: true})
-	hear(g, v)
-	assert.Len(t, h.heard, 20)
-
-	g, h, v = troubled(&FrameFaults{Share: 0.5, Delay: 50})
-	hear(g, v)
-	assert.Equal(t, inOrder, h.heard, "a stream keeps its order")
-	assert.Greater(t, h.at[9], placement.Millis(9))
-
-	g, h, v = troubled(&FrameFaults{Share: 0.5, Delay: 50, Reorder: true})
-	hear(g, v)
-	assert.ElementsMatch(t, inOrder, h.heard)
-	assert.NotEqual(t, inOrder, h.heard)
-
-	// What is held up when the trouble ends still comes first.
-	g, h, v = troubled(&FrameFaults{Share: 1, Delay: 50})
-	v.RunAt(nil, 4.5, func(placement.Millis) { g.SetFrameFaults(nil, g.schedule) })
-	hear(g, v)
-	assert.Equal(t, inOrder, h.heard)
+	t.Run("duplicated frames arrive twice", func(t *testing.T) {
+		process := newTestProcess(&FrameFaults{Share: 1, Duplicate: true})
+		process.receiveTen()
+		assert.Len(t, process.handler.received, 20)
+	})
+	t.Run("delayed frames keep the order of the stream", func(t *testing.T) {
+		process := newTestProcess(&FrameFaults{Share: 0.5, Delay: 50})
+		process.receiveTen()
+		assert.Equal(t, inOrder, process.handler.received)
+		assert.Greater(t, process.handler.at[9], placement.Millis(9))
+	})
+	t.Run("reordered frames arrive in another order", func(t *testing.T) {
+		process := newTestProcess(&FrameFaults{
+			Share:   0.5,
+			Delay:   50,
+			Reorder: true,
+		})
+		process.receiveTen()
+		assert.ElementsMatch(t, inOrder, process.handler.received)
+		assert.NotEqual(t, inOrder, process.handler.received)
+	})
+	t.Run("frames that are delayed when the faults end still come first", func(t *testing.T) {
+		process := newTestProcess(&FrameFaults{Share: 1, Delay: 50})
+		process.schedule(4.5, func(placement.Millis) { process.SetFrameFaults(nil, process.schedule) })
+		process.receiveTen()
+		assert.Equal(t, inOrder, process.handler.received)
+	})
 }
 
 func TestInterceptor_CutDirection(t *testing.T) {
-	g, h, _ := troubled(nil)
-	g.CutDirection(false)
-	g.Received(1, 1, probe(1))
-	assert.Empty(t, h.heard)
-	g.Send(1, probe(2))
-	assert.Len(t, g.net.(*fakeNet).sent, 1)
-	g.Heal(2)
-	assert.Equal(t, []uint64{1}, h.heard, "it arrives once the cut ends")
-
-	g.CutDirection(true)
-	g.Received(3, 1, probe(3))
-	g.Send(1, probe(4))
-	assert.Equal(t, []uint64{1, 3}, h.heard)
-	assert.Len(t, g.net.(*fakeNet).sent, 1)
-	g.BreakConnections(4)
-	g.Heal(5)
-	assert.Len(t, g.net.(*fakeNet).sent, 1, "what was held when the connection broke is lost")
+	process := newTestProcess(nil)
+	process.CutDirection(false)
+	process.Received(1, 1, healthCheck(1))
+	assert.Empty(t, process.handler.received)
+	process.Send(1, healthCheck(2))
+	assert.Len(t, process.network.sent, 1)
+	process.Heal(2)
+	assert.Equal(t, []uint64{1}, process.handler.received, "a queued frame arrives once the cut ends")
+
+	process.CutDirection(true)
+	process.Received(3, 1, healthCheck(3))
+	process.Send(1, healthCheck(4))
+	assert.Equal(t, []uint64{1, 3}, process.handler.received)
+	assert.Len(t, process.network.sent, 1)
+	process.BreakConnections(4)
+	process.Heal(5)
+	assert.Len(t, process.network.sent, 1, "a frame that is queued when the connection breaks is lost")
 }
 
-// A wake-up that was set by a clock of another pace must not come before its time by that clock: the party would
-// ask for the same again at the same instant, and virtual time would stand still.
+// A wake-up that was set by a clock of another rate must not come before its time by that clock: the process would ask
+// for the same again at the same instant, and virtual time would stop.
 func TestClock_WakeUpsAreNeverEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := clock{
@@ -116,16 +145,42 @@
 		k.own = k.host + placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "ahead"))
 		at := k.own + placement.Millis(rapid.Float64Range(0, 1e5).Draw(t, "due"))
 		if k.toLocal(k.toHost(at)) < at {
-			t.Fatalf("%v is shown too early", at)
+			t.Fatalf("a wake-up at %v comes too early", at)
 		}
 	})
 }
 
 func TestInterceptor_SetClock(t *testing.T) {
-	g, h, _ := troubled(nil)
-	g.SetClock(100, 2, 50)
-	g.Wake(110)
-	g.SetClock(110, 1, -1000)
-	g.Wake(120)
-	assert.Equal(t, []placement.Millis{150, 170, 170, 180}, h.at)
+	p := newTestProcess(nil)
+	p.SetClock(100, 2, 50)
+	p.Wake(110)
+	p.SetClock(110, 1, -1000)
+	p.Wake(120)
+	assert.Equal(t, []placement.Millis{150, 170, 170, 180}, p.handler.at)
+}
+
+func TestVirtual_DialOfAnUnknownAddressIsClosed(t *testing.T) {
+	for _, addr := range []string{"virtual:7", "virtual:-1", "127.0.0.1:80"} {
+		t.Run(addr, func(t *testing.T) {
+			v := NewVirtual(1)
+			dialer := &dialingHandler{addr: addr}
+			_, err := v.AddHandler(dialer, "zone")
+			require.NoError(t, err)
+			v.Run(1, func() bool { return false })
+			require.ErrorContains(t, dialer.closed, addr)
+		})
+	}
+}
+
+// dialingHandler dials an address as it starts, and records why that connection closed.
+type dialingHandler struct {
+	recordingHandler
+	addr   string
+	closed error
+}
+
+func (h *dialingHandler) Start(_ placement.Millis, net transport.FrameNetwork) { net.Dial(h.addr) }
+
+func (h *dialingHandler) Closed(_ placement.Millis, _ transport.ConnID, reason error) {
+	h.closed = reason
 }
--- a/internal/simulation/network/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -17,12 +17,17 @@
 	latencyJitter    = 0.3
 )
 
+const (
+	addressFormat = "virtual:%d" // with the endpoint's index
+	seedStream    = 0x9e3779b97f4a7c15
+)
+
 // Host runs handlers: a Virtual network, or the event loop on sockets.
 type Host interface {
 	// AddHandler adds a handler and returns the address at which others reach it.
-	AddHandler(p transport.FrameHandler, zone string) (addr string, err error)
+	AddHandler(handler transport.FrameHandler, zone string) (addr string, err error)
 	// RunAt calls do on the handler's goroutine at that time.
-	RunAt(p transport.FrameHandler, at placement.Millis, do func(now placement.Millis))
+	RunAt(handler transport.FrameHandler, at placement.Millis, do func(now placement.Millis))
 }
 
 // Virtual is a network with a virtual clock. What happens in it depends on the seed and the handlers alone.
@@ -30,10 +35,10 @@
 	now       placement.Millis
 	events    timerqueue.Queue[event]
 	endpoints []*endpoint
-	byHandler map[transport.FrameHandler]*endpoint
-	rng       *rand.Rand
+	random    *rand.Rand // of latencies
 }
 
+// eventKind is what an event does.
 type eventKind uint8
 
 const (
@@ -44,53 +49,36 @@
 	eventWake
 )
 
+// event is something that is due at a time.
 type event struct {
 	kind   eventKind
-	at     *endpoint
-	conn   transport.ConnID
-	frame  *pb.Frame
-	do     func(now placement.Millis)
-	wakeID uint64
-	reason error
-}
-
-// endpoint is a handler in the virtual network, and the network as the handler sees it.
-type endpoint struct {
-	network *Virtual
-	index   int
-	handler transport.FrameHandler
-	zone    string
-	ends    []*connectionEnd // by ConnID-1
-	// The wake-up that counts, if there is one.
-	wakeID      uint64
-	wakeAt      placement.Millis
-	wakePending bool
-}
-
-// connectionEnd is one side of a connection.
-type connectionEnd struct {
-	at   *endpoint
-	id   transport.ConnID
-	peer *connectionEnd
-	open bool             // as far as this side is concerned
-	last placement.Millis // arrival of the last frame that was sent from here
+	at     *endpoint                  // of all but eventCall
+	conn   transport.ConnID           // of eventOpened, eventFrame and eventClosed
+	frame  *pb.Frame                  // of eventFrame
+	do     func(now placement.Millis) // of eventCall
+	wakeID uint64                     // of eventWake
+	reason error                      // of eventClosed
 }
 
 // NewVirtual returns an empty network at time 0.
 func NewVirtual(seed uint64) *Virtual {
-	return &Virtual{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byHandler: map[transport.FrameHandler]*endpoint{}}
+	return &Virtual{random: rand.New(rand.NewPCG(seed, seedStream))}
 }
 
 // Now returns the virtual time.
 func (v *Virtual) Now() placement.Millis { return v.now }
 
 // AddHandler implements Host.
-func (v *Virtual) AddHandler(p transport.FrameHandler, zone string) (string, error) {
-	r := &endpoint{network: v, index: len(v.endpoints), handler: p, zone: zone}
-	v.endpoints = append(v.endpoints, r)
-	v.byHandler[p] = r
-	v.events.Push(v.now, event{kind: eventCall, do: func(now placement.Millis) { p.Start(now, r) }})
-	return fmt.Sprintf("virtual:%d", r.index), nil
+func (v *Virtual) AddHandler(handler transport.FrameHandler, zone string) (string, error) {
+	added := &endpoint{
+		network: v,
+		handler: handler,
+		zone:    zone,
+	}
+	addr := fmt.Sprintf(addressFormat, len(v.endpoints))
+	v.endpoints = append(v.endpoints, added)
+	v.RunAt(handler, v.now, func(now placement.Millis) { handler.Start(now, added) })
+	return addr, nil
 }
 
 // RunAt implements Host.
@@ -100,10 +88,14 @@
 
 // Run handles events until that time, or until done returns true.
 func (v *Virtual) Run(until placement.Millis, done func() bool) {
-	for at, ok := v.events.NextTime(); ok && at <= until && !done(); at, ok = v.events.NextTime() {
-		_, _, e := v.events.Pop()
+	for {
+		at, ok := v.events.NextTime()
+		if !ok || at > until || done() {
+			break
+		}
+		_, _, next := v.events.Pop()
 		v.now = max(v.now, at)
-		v.handle(e)
+		v.handle(next)
 	}
 	if !done() {
 		v.now = max(v.now, until)
@@ -114,26 +106,10 @@
 	switch e.kind {
 	case eventCall:
 		e.do(v.now)
-		return
 	case eventWake:
-		if e.wakeID == e.at.wakeID {
-			e.at.wakePending = false
-			e.at.handler.Wake(v.now)
-		}
-		return
-	}
-	side := e.at.ends[e.conn-1]
-	if !side.open {
-		return
-	}
-	switch e.kind {
-	case eventOpened:
-		e.at.handler.Opened(v.now, e.conn)
-	case eventFrame:
-		e.at.handler.Received(v.now, e.conn, e.frame)
-	case eventClosed:
-		side.open = false
-		e.at.handler.Closed(v.now, e.conn, e.reason)
+		e.at.wake(e.wakeID)
+	case eventOpened, eventFrame, eventClosed:
+		e.at.handleConnectionEvent(e)
 	}
 }
 
@@ -143,63 +119,24 @@
 	if from.zone != to.zone {
 		base = crossZoneLatency
 	}
-	return base * placement.Millis(1+latencyJitter*v.rng.Float64())
+	return base * placement.Millis(1+latencyJitter*v.random.Float64())
 }
 
 // send schedules an event at the other end of a connection, after everything that was sent before it.
 func (v *Virtual) send(from *connectionEnd, e event) {
 	to := from.peer
 	from.last = max(from.last, v.now+v.latency(from.at, to.at))
-	e.at, e.conn = to.at, to.id
+	e.at = to.at
+	e.conn = to.id
 	v.events.Push(from.last, e)
 }
 
-func (r *endpoint) newEnd() *connectionEnd {
-	e := &connectionEnd{at: r, id: transport.ConnID(len(r.ends) + 1), open: true}
-	r.ends = append(r.ends, e)
-	return e
-}
-
-func (r *endpoint) Now() placement.Millis { return r.network.now }
-
-func (r *endpoint) Dial(addr string) transport.ConnID {
-	a := r.newEnd()
-	var no int
-	if _, err := fmt.Sscanf(addr, "virtual:%d", &no); err != nil || no < 0 || no >= len(r.network.endpoints) {
-		r.network.events.Push(r.network.now, event{kind: eventClosed, at: r, conn: a.id, reason: fmt.Errorf("no party at %s", addr)})
-		return a.id
-	}
-	b := r.network.endpoints[no].newEnd()
-	a.peer, b.peer = b, a
-	r.network.send(a, event{kind: eventOpened})
-	b.last = a.last
-	b.last = max(b.last, a.last) + r.network.latency(b.at, a.at)
-	r.network.events.Push(b.last, event{kind: eventOpened, at: a.at, conn: a.id})
-	return a.id
-}
-
-func (r *endpoint) Send(c transport.ConnID, f *pb.Frame) {
-	if e := r.ends[c-1]; e.open && e.peer != nil {
-		r.network.send(e, event{kind: eventFrame, frame: f})
-	}
-}
-
-func (r *endpoint) Close(c transport.ConnID) {
-	e := r.ends[c-1]
-	if !e.open {
-		return
-	}
-	e.open = false
-	if e.peer != nil {
-		r.network.send(e, event{kind: eventClosed, reason: transport.ErrClosedByPeer})
-	}
-}
-
-func (r *endpoint) WakeAt(t placement.Millis) {
-	if t = max(t, r.network.now); r.wakePending && t == r.wakeAt {
-		return
+// findEndpoint returns the endpoint at an address, or nil.
+func (v *Virtual) findEndpoint(addr string) *endpoint {
+	var index int
+	_, err := fmt.Sscanf(addr, addressFormat, &index)
+	if err != nil || index < 0 || index >= len(v.endpoints) {
+		return nil
 	}
-	r.wakeID++
-	r.wakeAt, r.wakePending = t, true
-	r.network.events.Push(t, event{kind: eventWake, at: r, wakeID: r.wakeID})
+	return v.endpoints[index]
 }
