--- a/internal/simulation/audit/auditor.go
+++ b/internal/simulation/audit/auditor.go
@@ -60,7 +60,7 @@
 	return a
 }
 
-// Process implements observer.Observer. A killed allocator loses its state, and owes no answers.
+// Process implements observer.Observer. A killed allocator loses its state, and no answers of it are due any more.
 func (a *Auditor) Process(now placement.Millis, process *observer.Process, running bool) {
 	switch process.Role {
 	case pb.Role_NODE:
--- a/internal/simulation/audit/frame.go
+++ b/internal/simulation/audit/frame.go
@@ -11,7 +11,7 @@
 
 // frame is a frame as it was seen at one end of a connection.
 type frame struct {
-	at      placement.Millis // when it was sent, or handed to the process
+	at      placement.Millis // when it was sent, or delivered to the process
 	arrived placement.Millis // before it waited for the process, if it did
 	process *observer.Process
 	conn    transport.ConnID
--- a/internal/simulation/audit/node.go
+++ b/internal/simulation/audit/node.go
@@ -47,7 +47,7 @@
 	return false
 }
 
-// register records a node's own entry. A new incarnation starts anew.
+// register records a node's own entry. A new incarnation has no arrivals yet.
 func (n *nodeState) register(now placement.Millis, entry *pb.NodeEntry) {
 	n.zone = entry.Zone
 	n.cell = entry.Cell
--- a/internal/simulation/audit/request.go
+++ b/internal/simulation/audit/request.go
@@ -86,7 +86,7 @@
 	return t.byRef[requestRef{client, number}]
 }
 
-// excuseAllocator records that an allocator owes no answers any more.
+// excuseAllocator records that no answers of an allocator are due any more.
 func (t *requestTable) excuseAllocator(allocator string) {
 	for _, r := range t.sent {
 		if r.allocator == allocator && !r.answered {
@@ -95,7 +95,7 @@
 	}
 }
 
-// excuseConnection records that an allocator owes a client no answers any more.
+// excuseConnection records that no answers of an allocator to a client are due any more.
 func (t *requestTable) excuseConnection(client, allocator string) {
 	for _, r := range t.sent {
 		if r.ref.client == client && r.allocator == allocator && !r.answered {
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// wake notifies the handler of a wake-up, unless it was set anew since.
+// wake notifies the handler of a wake-up, unless a later one has replaced it.
 func (p *endpoint) wake(id uint64) {
 	if id == p.wakeID {
 		p.wakePending = false
--- a/internal/simulation/network/framefaults.go
+++ b/internal/simulation/network/framefaults.go
@@ -32,7 +32,7 @@
 	return f.Delay * placement.Millis(f.Random.Float64())
 }
 
-// mayReorder reports whether a frame may be overtaken by others.
+// mayReorder reports whether a frame may be overtaken by others. Without faults, nil, none may.
 func (f *FrameFaults) mayReorder(frame *pb.Frame) bool {
 	return f != nil && f.Reorder && !orderMatters(frame)
 }
--- a/internal/simulation/network/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -19,7 +19,8 @@
 
 const (
 	addressFormat = "virtual:%d" // with the endpoint's index
-	seedStream    = 0x9e3779b97f4a7c15
+	// seedStream is the second half of the seed. Any constant will do, but another one gives other runs.
+	seedStream = 0x9e3779b97f4a7c15
 )
 
 // Host runs handlers: a Virtual network, or the event loop on sockets.
--- a/internal/simulation/observer/file_test.go
+++ b/internal/simulation/observer/file_test.go
@@ -128,7 +128,7 @@
 }
 
 func TestHistoryWriteFile_DiskFullIsReported(t *testing.T) {
-	const full = "/dev/full" // takes a file's bytes and fails when they are written
+	const full = "/dev/full" // can be opened; every write fails with ENOSPC
 	if _, err := os.Stat(full); err != nil {
 		require.ErrorIs(t, err, os.ErrNotExist)
 		return // this system has no such device
--- a/internal/simulation/observer/observer.go
+++ b/internal/simulation/observer/observer.go
@@ -20,7 +20,8 @@
 
 // Observer is notified of everything that passes at one end of a connection.
 type Observer interface {
-	// Frame is called when a process has sent a frame, or is handed one, which may have waited since it arrived.
+	// Frame is called when a process has sent a frame, or when one is delivered to it, which may have waited since it
+	// arrived.
 	Frame(now, arrived placement.Millis, process *Process, conn transport.ConnID, sent bool, frame *pb.Frame)
 	// Connection is called when a connection opens or closes.
 	Connection(now placement.Millis, process *Process, conn transport.ConnID, open bool)
