--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -82,8 +82,8 @@
 func (c *client) close() { _ = c.conn.Close() }
 
 // toFlag adds the flag that names the allocator to talk to.
-func toFlag(c *cobra.Command, to *string) {
-	c.Flags().StringVar(to, "to", defaultAllocator(),
+func toFlag(cmd *cobra.Command, to *string) {
+	cmd.Flags().StringVar(to, "to", defaultAllocator(),
 		"address of the allocator; GREBEGLADE_ADDR in the environment sets it for all commands")
 }
 
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -102,56 +101,3 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &names))
 	assert.Subset(t, names, []string{"rough", "quiet"})
 }
-
-func TestWriteOutput_FailedWriteRemovesTheFile(t *testing.T) {
-	name := filepath.Join(t.TempDir(), "out")
-	errWrite := errors.New("disk full")
-
-	err := writeOutput(name, func(*os.File) error { return errWrite })
-
-	require.ErrorIs(t, err, errWrite)
-	require.ErrorAs(t, err, new(runError))
-	assert.NoFileExists(t, name)
-}
-
-func TestWriteOutput_FailedCloseIsAnError(t *testing.T) {
-	name := filepath.Join(t.TempDir(), "out")
-
-	err := writeOutput(name, func(f *os.File) error { return f.Close() }) // so that the close after it fails
-
-	require.ErrorIs(t, err, os.ErrClosed)
-	assert.NoFileExists(t, name)
-}
-
-func TestWriteOutput_ExistingFileIsKept(t *testing.T) {
-	name := filepath.Join(t.TempDir(), "out")
-	require.NoError(t, os.WriteFile(name, []byte("mine"), 0o600))
-
-	err := writeOutput(name, func(*os.File) error { return nil })
-
-	require.ErrorContains(t, err, "is there already")
-	kept, err := os.ReadFile(name)
-	require.NoError(t, err)
-	assert.Equal(t, "mine", string(kept))
-}
-
-func TestParseTime_AbsoluteAndRelative(t *testing.T) {
-	const first = 5000
-	for text, want := range map[string]float64{
-		"":                         0,
-		"+90s":                     first + 90e3,
-		"1970-01-01T00:00:01.500Z": 1500,
-	} {
-		t.Run(text, func(t *testing.T) {
-			at, err := parseTime("from", text, first)
-			require.NoError(t, err)
-			assert.InDelta(t, want, at, 0)
-		})
-	}
-	for _, text := range []string{"+90", "yesterday"} {
-		t.Run(text, func(t *testing.T) {
-			_, err := parseTime("from", text, first)
-			assert.ErrorContains(t, err, "--from \""+text+"\" is no time; write one such as")
-		})
-	}
-}
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -7,31 +7,31 @@
 )
 
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Inspect configuration files"}
-	c.AddCommand(configCheckCommand())
-	return c
+	cmd := &cobra.Command{Use: "config", Short: "Inspect configuration files"}
+	cmd.AddCommand(configCheckCommand())
+	return cmd
 }
 
 func configCheckCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Report everything that is wrong with an allocator's configuration",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			configuration, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return printJSON(c, configuration)
+				return printJSON(cmd, configuration)
 			}
-			c.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, %d groups, %d node kinds\n",
+			cmd.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, %d groups, %d node kinds\n",
 				args[0], configuration.Name, configuration.Settings.Ordinal, configuration.Settings.Allocators,
 				configuration.ListenAddress, configuration.DiscoveryAddress, len(configuration.GroupNames), len(configuration.KindNames))
 			return nil
 		},
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -16,18 +16,22 @@
 	minDemoLength = time.Second
 )
 
+const demoHelp = `
+Starts a discovery service, nodes, clients and two allocators on loopback sockets and runs a rough scenario:
+stalls, a crash, another program on the nodes, a burst, slow nodes, a late endpoint list, a rolling deploy.
+Then audits what passed. Exit status 0 only if every rule held.
+`
+
 func demoCommand() *cobra.Command {
 	var length time.Duration
 	var asJSON bool
 	var o simulation.Options
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a rough scenario on loopback sockets, without any file or other program",
-		Long: "Starts a discovery service, nodes, clients and two allocators on loopback sockets and runs a rough scenario:\n" +
-			"stalls, a crash, another program on the nodes, a burst, slow nodes, a late endpoint list, a rolling deploy.\n" +
-			"Then audits what passed. Exit status 0 only if every rule held.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		Long:  helpText(demoHelp),
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if length < minDemoLength {
 				return fmt.Errorf("--for %s is too short for a scenario; give %s or more", length, minDemoLength)
 			}
@@ -36,16 +40,16 @@
 				return err
 			}
 			s.SetLength(placement.Millis(milliseconds(length)))
-			result, err := runScenario(c, s, o, false)
+			result, err := runScenario(cmd, s, o, false)
 			if err != nil {
 				return err
 			}
-			return printResult(c, result, asJSON)
+			return printResult(cmd, result, asJSON)
 		},
 	}
-	c.Flags().DurationVar(&length, "for", 20*time.Second, "how long clients request workloads")
-	c.Flags().StringVar(&o.TraceDirectory, "trace", "", "record each allocator into a directory of its own below this one")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the faults and of what is requested")
-	jsonFlag(c, &asJSON)
-	return c
+	cmd.Flags().DurationVar(&length, "for", 20*time.Second, "how long clients request workloads")
+	cmd.Flags().StringVar(&o.TraceDirectory, "trace", "", "record each allocator into a directory of its own below this one")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the faults and of what is requested")
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -7,23 +7,23 @@
 )
 
 func labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Run scenarios with faults against emulated nodes, discovery service and clients"}
-	c.AddCommand(
+	cmd := &cobra.Command{Use: "lab", Short: "Run scenarios with faults against emulated nodes, discovery service and clients"}
+	cmd.AddCommand(
 		labListCommand(), labPlayCommand(), labCheckCommand(), labHuntCommand(), labFleetCommand(), labLoadCommand(),
 		labRunCommand(), labCompareCommand(), labReportCommand(),
 	)
-	return c
+	return cmd
 }
 
 func labListCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "list",
 		Short: "List the scenarios that come with the program",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if asJSON {
-				return printJSON(c, scenario.Names())
+				return printJSON(cmd, scenario.Names())
 			}
 			rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
 			for _, name := range scenario.Names() {
@@ -33,9 +33,9 @@
 				}
 				rows = append(rows, []string{name, s.About})
 			}
-			return printTable(c, rows)
+			return printTable(cmd, rows)
 		},
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -9,22 +9,26 @@
 	"grebeglade/internal/simulation/observer"
 )
 
+const labCheckHelp = `
+Audits the rules from nothing but what a history holds: frames with their times and directions, connections,
+starts and ends of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is truncated, out of order
+or malformed.
+`
+
 func labCheckCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Audit runs that were recorded with 'lab play --history'",
-		Long: "Audits the rules from nothing but what a history holds: frames with their times and directions, connections,\n" +
-			"starts and ends of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is truncated, out of order\n" +
-			"or malformed.",
-		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return checkHistories(c, args, asJSON) },
+		Long:  helpText(labCheckHelp),
+		Args:  cobra.MinimumNArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return checkHistories(cmd, args, asJSON) },
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
 
-func checkHistories(c *cobra.Command, names []string, asJSON bool) error {
+func checkHistories(cmd *cobra.Command, names []string, asJSON bool) error {
 	found := map[string][]audit.Violation{}
 	anyBroken := false
 	for _, name := range names {
@@ -36,12 +40,12 @@
 		found[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
 		anyBroken = anyBroken || len(result.Violations) > 0
 		if !asJSON {
-			c.Printf("%s: ", name)
-			printAudit(c, result.Frames, result.Violations, result.MoreViolations)
+			cmd.Printf("%s: ", name)
+			printAudit(cmd, result.Frames, result.Violations, result.MoreViolations)
 		}
 	}
 	if asJSON {
-		if err := printJSON(c, found); err != nil {
+		if err := printJSON(cmd, found); err != nil {
 			return err
 		}
 	}
--- a/internal/command/lab_fleet.go
+++ b/internal/command/lab_fleet.go
@@ -14,25 +14,29 @@
 	seed      uint64
 }
 
+const labFleetHelp = `
+Runs the discovery service and the nodes of a scenario on loopback until it is stopped, so that
+'grebeglade serve' has something to place on. There are no faults; stop and restart it to see what allocators
+do then.
+`
+
 func labFleetCommand() *cobra.Command {
 	var o fleetOptions
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "fleet",
 		Short: "Run an emulated discovery service and nodes, for an allocator started by hand",
-		Long: "Runs the discovery service and the nodes of a scenario on loopback until it is stopped, so that\n" +
-			"'grebeglade serve' has something to place on. There are no faults; stop and restart it to see what allocators\n" +
-			"do then.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return o.run(c) },
+		Long:  helpText(labFleetHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
-	c.Flags().StringVar(&o.scenario, "script", "quiet", "scenario whose nodes to run")
-	c.Flags().StringVar(&o.discovery, "list", "127.0.0.1:7071", "address that the discovery service listens on")
-	c.Flags().IntVar(&o.nodes, "nodes", 0, "so many nodes instead of the scenario's")
-	c.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the nodes' properties")
-	return c
+	cmd.Flags().StringVar(&o.scenario, "script", "quiet", "scenario whose nodes to run")
+	cmd.Flags().StringVar(&o.discovery, "list", "127.0.0.1:7071", "address that the discovery service listens on")
+	cmd.Flags().IntVar(&o.nodes, "nodes", 0, "so many nodes instead of the scenario's")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the nodes' properties")
+	return cmd
 }
 
-func (o *fleetOptions) run(c *cobra.Command) error {
+func (o *fleetOptions) run(cmd *cobra.Command) error {
 	s, err := scenario.Open(o.scenario)
 	if err != nil {
 		return err
@@ -43,7 +47,7 @@
 		return runError{err}
 	}
 	defer loop.Close()
-	c.Printf("%d nodes run; the discovery service listens on %s\n", s.NodeCount(), address)
-	<-c.Context().Done()
+	cmd.Printf("%d nodes run; the discovery service listens on %s\n", s.NodeCount(), address)
+	<-cmd.Context().Done()
 	return nil
 }
--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -24,17 +24,21 @@
 	asJSON  bool
 }
 
+const labHuntHelp = `
+Draws scenarios with overlapping faults at random, runs them in virtual time on all cores, and reduces each that
+breaks a rule to the fewest faults and the smallest size that still break it. Exit status 1 if one does.
+`
+
 func labHuntCommand() *cobra.Command {
 	var o huntOptions
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "hunt --seconds N",
 		Short: "Search for scenarios that break a rule, or in which most is lost",
-		Long: "Draws scenarios with overlapping faults at random, runs them in virtual time on all cores, and reduces each that\n" +
-			"breaks a rule to the fewest faults and the smallest size that still break it. Exit status 1 if one does.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return o.run(c) },
+		Long:  helpText(labHuntHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
-	f := c.Flags()
+	f := cmd.Flags()
 	f.IntVar(&o.seconds, "seconds", 0, "search for so long; reduction comes after")
 	f.IntVar(&o.search.MaxRuns, "days", 0, "search over so many scenarios")
 	f.Uint64Var(&o.search.Seed, "seed", 1, "seed of the scenarios that are drawn")
@@ -43,8 +47,8 @@
 	f.IntVar(&o.search.KeepWorst, "worst", 1, "scenarios to keep that break nothing and lose most")
 	f.StringVarP(&o.dir, "output", "o", "", "directory for what is found, as scenario files")
 	f.StringVar(&o.mutant, "break", "", "let the allocators break a rule on purpose, to see the search find it")
-	jsonFlag(c, &o.asJSON)
-	return c
+	jsonFlag(cmd, &o.asJSON)
+	return cmd
 }
 
 func (o *huntOptions) check() error {
@@ -55,13 +59,13 @@
 	return checkMutant(o.mutant)
 }
 
-func (o *huntOptions) run(c *cobra.Command) error {
+func (o *huntOptions) run(cmd *cobra.Command) error {
 	if err := o.check(); err != nil {
 		return err
 	}
 	o.search.MaxTime, o.search.Mutant = time.Duration(o.seconds)*time.Second, simulation.Mutant(o.mutant)
-	report, err := o.search.Run(c.Context(), func(scenarios, found int) {
-		c.PrintErrf("%d scenarios, %d break a rule\n", scenarios, found)
+	report, err := o.search.Run(cmd.Context(), func(scenarios, found int) {
+		cmd.PrintErrf("%d scenarios, %d break a rule\n", scenarios, found)
 	})
 	if err != nil {
 		return runError{err}
@@ -70,11 +74,11 @@
 		return runError{err}
 	}
 	if o.asJSON {
-		if err := printJSON(c, report); err != nil {
+		if err := printJSON(cmd, report); err != nil {
 			return err
 		}
 	} else {
-		printHunt(c, report, o.dir)
+		printHunt(cmd, report, o.dir)
 	}
 	if slices.ContainsFunc(report.Findings, breaksRule) {
 		return errProblemFound
@@ -104,19 +108,19 @@
 	return nil
 }
 
-func printHunt(c *cobra.Command, r *search.Report, dir string) {
+func printHunt(cmd *cobra.Command, r *search.Report, dir string) {
 	n := r.Nearest
-	c.Printf("%d scenarios in %.0f s. Nearest approach to a limit, which is 1: answers %.3f, drains %.3f, cold nodes %.3f, spread %.3f.\n",
+	cmd.Printf("%d scenarios in %.0f s. Nearest approach to a limit, which is 1: answers %.3f, drains %.3f, cold nodes %.3f, spread %.3f.\n",
 		r.Runs, r.Seconds, n.Answer, n.Drain, n.Cold, n.Spread)
 	for _, f := range r.Findings {
 		if breaksRule(f) {
-			c.Printf("RULE %d BROKEN in scenario %d and %d others: %s; reduced: %s; seed %d\n", f.Rule, f.Run, f.Times-1, f.What, f.Reduction, f.Seed)
+			cmd.Printf("RULE %d BROKEN in scenario %d and %d others: %s; reduced: %s; seed %d\n", f.Rule, f.Run, f.Times-1, f.What, f.Reduction, f.Seed)
 		} else {
-			c.Printf("Most lost in scenario %d: %.1f%% of the workloads wanted were not placed at their first request; seed %d\n",
+			cmd.Printf("Most lost in scenario %d: %.1f%% of the workloads wanted were not placed at their first request; seed %d\n",
 				f.Run, 100*f.Lost, f.Seed)
 		}
 	}
 	if dir != "" && len(r.Findings) > 0 {
-		c.Printf("Run them again: grebeglade lab play %s --virtual --seed SEED\n", filepath.Join(dir, "NAME.hcl"))
+		cmd.Printf("Run them again: grebeglade lab play %s --virtual --seed SEED\n", filepath.Join(dir, "NAME.hcl"))
 	}
 }
--- a/internal/command/lab_load.go
+++ b/internal/command/lab_load.go
@@ -1,11 +1,7 @@
 package command
 
 import (
-	"cmp"
 	"errors"
-	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -27,19 +23,23 @@
 	asJSON bool
 }
 
+const labLoadHelp = `
+Sends requests at times that are fixed beforehand, whether or not answers come: at random (Poisson), in bursts,
+with a rate that grows, or as recorded in a trace. Latency counts from when a request was due. Ends by itself,
+once all are answered. Exit status 1 if an answer is missing, late or given twice, or if the tool itself did not
+keep up.
+`
+
 func labLoadCommand() *cobra.Command {
 	var o loadOptions
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "load --target ADDR",
 		Short: "Send requests to a running allocator at a fixed rate, and measure its answers",
-		Long: "Sends requests at times that are fixed beforehand, whether or not answers come: at random (Poisson), in bursts,\n" +
-			"with a rate that grows, or as recorded in a trace. Latency counts from when a request was due. Ends by itself,\n" +
-			"once all are answered. Exit status 1 if an answer is missing, late or given twice, or if the tool itself did not\n" +
-			"keep up.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return o.measure(c) },
+		Long:  helpText(labLoadHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return o.measure(cmd) },
 	}
-	f := c.Flags()
+	f := cmd.Flags()
 	f.StringVar(&o.run.Target, "target", defaultAllocator(), "address of the allocator")
 	f.IntVar(&o.run.Connections, "connections", 2, "connections, each a client of its own")
 	f.StringVar(&o.run.Name, "name", "load", "name of the clients")
@@ -59,8 +59,8 @@
 	f.StringSliceVar(&o.traces, "trace", nil, "send what this trace, a file or directory, recorded, at its times; several for several allocators")
 	f.Float64Var(&o.speed, "speed", 1, "times as fast as the trace")
 	f.Uint64Var(&o.seed, "seed", 1, "seed of the times and services")
-	jsonFlag(c, &o.asJSON)
-	return c
+	jsonFlag(cmd, &o.asJSON)
+	return cmd
 }
 
 func (o *loadOptions) check() error {
@@ -71,30 +71,30 @@
 	return nil
 }
 
-func (o *loadOptions) measure(c *cobra.Command) error {
+func (o *loadOptions) measure(cmd *cobra.Command) error {
 	if err := o.check(); err != nil {
 		return err
 	}
-	schedule, closeSchedule, err := o.schedule(c)
+	schedule, closeSchedule, err := o.schedule(cmd)
 	if err != nil {
 		return err
 	}
 	defer closeSchedule()
 	if !o.asJSON {
 		o.run.OnProgress = func(p loadgen.Progress) {
-			c.PrintErrf("%3.0f s: %d requests sent, %d answered, %d placed\n", p.At.Seconds(), p.Sent, p.Answered, p.Placed)
+			cmd.PrintErrf("%3.0f s: %d requests sent, %d answered, %d placed\n", p.At.Seconds(), p.Sent, p.Answered, p.Placed)
 		}
 	}
-	result, err := loadgen.Run(c.Context(), schedule, o.run)
+	result, err := loadgen.Run(cmd.Context(), schedule, o.run)
 	if err != nil {
 		return runError{err}
 	}
 	if o.asJSON {
-		if err := printJSON(c, result); err != nil {
+		if err := printJSON(cmd, result); err != nil {
 			return err
 		}
 	} else {
-		printLoad(c, result)
+		printLoad(cmd, result)
 	}
 	if !result.Good() {
 		return errProblemFound
@@ -103,12 +103,12 @@
 }
 
 // schedule returns the requests to send, and what to call once all are sent.
-func (o *loadOptions) schedule(c *cobra.Command) (s loadgen.Schedule, closeSchedule func(), err error) {
+func (o *loadOptions) schedule(cmd *cobra.Command) (s loadgen.Schedule, closeSchedule func(), err error) {
 	if len(o.traces) == 0 {
-		s, err = o.randomSchedule(c)
+		s, err = o.randomSchedule(cmd)
 		return s, func() {}, err
 	}
-	files, err := openTraces(c, o.traces)
+	files, err := openTraces(cmd, o.traces)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -120,9 +120,9 @@
 	return s, files.close, nil
 }
 
-func (o *loadOptions) randomSchedule(c *cobra.Command) (loadgen.Schedule, error) {
+func (o *loadOptions) randomSchedule(cmd *cobra.Command) (loadgen.Schedule, error) {
 	o.rate.To = o.rate.From
-	if c.Flags().Changed("ramp-to") {
+	if cmd.Flags().Changed("ramp-to") {
 		o.rate.To = o.ramp
 	}
 	if err := o.rate.Check(); err != nil {
@@ -130,45 +130,3 @@
 	}
 	return loadgen.NewRandom(o.rate, o.shape, o.seed), nil
 }
-
-func printLoad(c *cobra.Command, r *loadgen.Result) {
-	c.Printf("%d requests were due and %d sent in %.1f s: %.1f of %.1f a second.\n", r.Due, r.Sent, r.Seconds, r.SentPerSec, r.DuePerSec)
-	c.Printf("Placed %d, rejected %d, unschedulable %d, unanswered %d, answered late %d; %d of those placed have ended.\n",
-		r.Placed, r.Rejected, r.Unschedulable, r.Unanswered, r.Late, r.Ended)
-	if r.Overrun {
-		c.Printf("THE TOOL DID NOT KEEP UP: it sent half of the requests up to %.1f ms and one in a hundred %.1f ms or more late. What\n"+
-			"follows is the tool's own delay and not the allocator's; request less, or from more than one machine.\n",
-			r.SendDelay.Median, r.SendDelay.P99)
-	}
-	// As with everything else printed here, a reader who went away is no failure.
-	_ = printTable(c, [][]string{
-		{"MS FROM WHEN IT WAS DUE", "COUNT", "50%", "90%", "99%", "99.9%", "MOST"},
-		latencyRow("to any answer", r.Latency),
-		latencyRow("to a yes", r.PlacedLatency),
-		latencyRow("until it was sent", r.SendDelay),
-	})
-	for _, reason := range byFrequency(r.Reasons) {
-		c.Printf("%d times: %s\n", r.Reasons[reason], reason)
-	}
-	for _, wrong := range r.Wrong {
-		c.Printf("WRONG: %s\n", wrong)
-	}
-	if r.Broken != "" {
-		c.Printf("A CONNECTION BROKE: %s\n", r.Broken)
-	}
-}
-
-func latencyRow(name string, l loadgen.Latency) []string {
-	row := []string{name, fmt.Sprint(l.Count)}
-	for _, ms := range []float64{l.Median, l.P90, l.P99, l.P999, l.Max} {
-		row = append(row, fmt.Sprintf("%.2f", ms))
-	}
-	return row
-}
-
-// byFrequency returns the keys with the most frequent first.
-func byFrequency(counts map[string]int) []string {
-	return slices.SortedFunc(maps.Keys(counts), func(x, y string) int {
-		return cmp.Or(cmp.Compare(counts[y], counts[x]), cmp.Compare(x, y))
-	})
-}
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -55,38 +55,38 @@
 	var to string
 	var most uint32
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   l.use,
 		Short: l.short,
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := queryState(to, l.query, most)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return printJSON(c, newStateDocument(s))
+				return printJSON(cmd, newStateDocument(s))
 			}
-			return printList(c, append([][]string{l.header}, l.rows(s)...), s.LeftOut)
+			return printList(cmd, append([][]string{l.header}, l.rows(s)...), s.LeftOut)
 		},
 	}
-	toFlag(c, &to)
-	c.Flags().Uint32Var(&most, "most", 1000, "list so many at most")
-	jsonFlag(c, &asJSON)
-	return c
+	toFlag(cmd, &to)
+	cmd.Flags().Uint32Var(&most, "most", 1000, "list so many at most")
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
 
 // queryState returns the state of an allocator, with at most so many entries.
 func queryState(to string, what pb.Query_Kind, most uint32) (*pb.State, error) {
-	c, err := dial(to, pb.Role_OPERATOR, "")
+	cmd, err := dial(to, pb.Role_OPERATOR, "")
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
-	if err := c.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: what, Limit: most}}}); err != nil {
+	defer cmd.close()
+	if err := cmd.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: what, Limit: most}}}); err != nil {
 		return nil, err
 	}
-	f, err := c.receive(replyTimeout)
+	f, err := cmd.receive(replyTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -12,13 +12,13 @@
 )
 
 // jsonFlag adds the flag --json.
-func jsonFlag(c *cobra.Command, on *bool) {
-	c.Flags().BoolVar(on, "json", false, "print one JSON document")
+func jsonFlag(cmd *cobra.Command, on *bool) {
+	cmd.Flags().BoolVar(on, "json", false, "print one JSON document")
 }
 
 // printJSON prints one document.
-func printJSON(c *cobra.Command, v any) error {
-	encoder := json.NewEncoder(c.OutOrStdout())
+func printJSON(cmd *cobra.Command, v any) error {
+	encoder := json.NewEncoder(cmd.OutOrStdout())
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(v); err != nil {
 		return runError{err}
@@ -27,8 +27,8 @@
 }
 
 // printTable prints aligned columns; the first row is the header.
-func printTable(c *cobra.Command, rows [][]string) error {
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+func printTable(cmd *cobra.Command, rows [][]string) error {
+	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		if _, err := fmt.Fprintln(w, strings.Join(row, "\t")); err != nil {
 			return runError{err}
@@ -41,12 +41,12 @@
 }
 
 // printList prints a table of which some rows were left out.
-func printList(c *cobra.Command, rows [][]string, leftOut uint32) error {
-	if err := printTable(c, rows); err != nil {
+func printList(cmd *cobra.Command, rows [][]string, leftOut uint32) error {
+	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
 	if leftOut > 0 {
-		c.PrintErrf("%d more are left out; --most lists more\n", leftOut)
+		cmd.PrintErrf("%d more are left out; --most lists more\n", leftOut)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/command/output_file_test.go
@@ -0,0 +1,43 @@
+package command
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestWriteOutput_FailedWriteRemovesTheFile(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+	errWrite := errors.New("disk full")
+
+	err := writeOutput(name, func(*os.File) error { return errWrite })
+
+	require.ErrorIs(t, err, errWrite)
+	require.ErrorAs(t, err, new(runError))
+	assert.NoFileExists(t, name)
+}
+
+func TestWriteOutput_FailedCloseIsAnError(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+
+	err := writeOutput(name, func(f *os.File) error { return f.Close() }) // so that the close after it fails
+
+	require.ErrorIs(t, err, os.ErrClosed)
+	assert.NoFileExists(t, name)
+}
+
+func TestWriteOutput_ExistingFileIsKept(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "out")
+	require.NoError(t, os.WriteFile(name, []byte("mine"), 0o600))
+
+	err := writeOutput(name, func(*os.File) error { return nil })
+
+	require.ErrorContains(t, err, "is there already")
+	kept, err := os.ReadFile(name)
+	require.NoError(t, err)
+	assert.Equal(t, "mine", string(kept))
+}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -31,22 +31,26 @@
 // errNoConfig means that the platform's environment lacks the path of the configuration.
 var errNoConfig = errors.New("NODE_CONFIG is not set; give the path of the platform's configuration")
 
+const platformHelp = `
+Runs an allocator that speaks the shared platform's protocol. NODE_CONFIG names its configuration, NODE_LISTEN
+the address that it listens on. On SIGHUP it reads the discovery service's address again. On SIGTERM it answers
+pending requests and exits; placed workloads keep running.
+`
+
 func platformCommand() *cobra.Command {
 	var verbose bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "platform",
 		Short: "Run an allocator on the shared platform",
-		Long: "Runs an allocator that speaks the shared platform's protocol. NODE_CONFIG names its configuration, NODE_LISTEN\n" +
-			"the address that it listens on. On SIGHUP it reads the discovery service's address again. On SIGTERM it answers\n" +
-			"pending requests and exits; placed workloads keep running.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return runPlatform(c, verbose) },
+		Long:  helpText(platformHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return runPlatform(cmd, verbose) },
 	}
-	c.Flags().BoolVar(&verbose, "verbose", false, "log each message that is not accepted")
-	return c
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "log each message that is not accepted")
+	return cmd
 }
 
-func runPlatform(c *cobra.Command, verbose bool) error {
+func runPlatform(cmd *cobra.Command, verbose bool) error {
 	// Caught before anything else: a reload during the start must not end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -60,12 +64,12 @@
 		return err
 	}
 	limitProcess(configuration.Limits)
-	s, err := startPlatform(configuration, file, platformLogger(c.ErrOrStderr(), verbose))
+	s, err := startPlatform(configuration, file, platformLogger(cmd.ErrOrStderr(), verbose))
 	if err != nil {
 		return runError{err}
 	}
 	defer s.loop.Close()
-	return s.serve(c.Context().Done(), hangups)
+	return s.serve(cmd.Context().Done(), hangups)
 }
 
 func platformLogger(w io.Writer, verbose bool) *slog.Logger {
--- /dev/null
+++ b/internal/command/platform_client_test.go
@@ -0,0 +1,64 @@
+package command
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// platformClient is one client connection to the program.
+type platformClient struct {
+	net.Conn
+	t       *testing.T
+	replies *bufio.Reader
+}
+
+func (p *process) connect(t *testing.T) *platformClient {
+	t.Helper()
+	c, err := net.Dial("tcp", p.address)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = c.Close() })
+	return &platformClient{c, t, bufio.NewReader(c)}
+}
+
+func (c *platformClient) send(text string) {
+	c.t.Helper()
+	_, err := io.WriteString(c, text)
+	require.NoError(c.t, err)
+}
+
+func (c *platformClient) receive() string {
+	c.t.Helper()
+	require.NoError(c.t, c.SetReadDeadline(time.Now().Add(replyLimit)))
+	line, err := c.replies.ReadString('\n')
+	require.NoError(c.t, err)
+	return strings.TrimSpace(line)
+}
+
+// awaitDraining waits until the program's health checks report that it drains.
+func (c *platformClient) awaitDraining() {
+	for reply := ""; !strings.Contains(reply, `"rc":0`); reply = c.receive() {
+		c.send(healthCheck)
+	}
+}
+
+// Messages of the platform's protocol, as clients see them.
+const (
+	healthCheck = `{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}` + "\n"
+	healthy     = `{"verb":"ECHOED","tag":"0000000000000001","opts":{},"rc":1}`
+)
+
+func startRequest(tag int) string {
+	return fmt.Sprintf(`{"verb":"START","tag":"%016x","opts":{"class":"tiles","left":"6000","key":"aa",`+
+		`"extras":"cores:1;memory:1;service:%x"},"blob":"what is asked"}`+"\n", tag, tag)
+}
+
+func placedReply(tag int) string {
+	return fmt.Sprintf(`{"verb":"STARTED","tag":"%016x","opts":{},"blob":"taken by a node"}`, tag)
+}
--- /dev/null
+++ b/internal/command/platform_emulators_test.go
@@ -0,0 +1,106 @@
+package command
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/internal/frontend/platform/codec"
+)
+
+// emulateDiscovery emulates the discovery service, which has no events. It reports the event from which each subscriber
+// resumes.
+func emulateDiscovery(t *testing.T) (address string, subscribed <-chan string) {
+	t.Helper()
+	subscribers := make(chan string, 10)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		subscribers <- r.Header.Get("Last-Event-ID")
+		for r.Context().Err() == nil {
+			if _, err := io.WriteString(w, ": here\n\n"); err != nil {
+				return
+			}
+			w.(http.Flusher).Flush()
+			select {
+			case <-r.Context().Done():
+			case <-time.After(time.Second):
+			}
+		}
+	}))
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	return s.Listener.Addr().String(), subscribers
+}
+
+// emulatedNode is a node that accepts every bind.
+type emulatedNode struct {
+	offered chan<- codec.Tag // reports binds as they arrive; nil for none
+	release <-chan struct{}  // each answer waits for a value or the close; nil for no wait
+}
+
+// listen starts the node and returns its address.
+func (n emulatedNode) listen(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go n.serve(c)
+		}
+	}()
+	return l.Addr().String()
+}
+
+func (n emulatedNode) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	var received []byte
+	part := make([]byte, 4096)
+	for {
+		size, err := c.Read(part)
+		received = append(received, part[:size]...)
+		var answered bool
+		if received, answered = n.answerAll(c, received); !answered || err != nil {
+			return
+		}
+	}
+}
+
+// answerAll answers the complete messages and returns the rest, and false once the connection is lost.
+func (n emulatedNode) answerAll(c net.Conn, received []byte) (rest []byte, ok bool) {
+	for {
+		m, used, err := codec.NodeCodec{}.Decode(received)
+		if err != nil || used == 0 {
+			return received, true
+		}
+		received = received[used:]
+		if offer, ok := m.(*codec.Offer); ok && !n.accept(c, offer.Tag) {
+			return nil, false
+		}
+	}
+}
+
+func (n emulatedNode) accept(c net.Conn, tag codec.Tag) bool {
+	if n.offered != nil {
+		n.offered <- tag
+	}
+	if n.release != nil {
+		<-n.release
+	}
+	out, err := codec.NodeCodec{}.Append(nil, codec.NewConfirmation(tag, "taken by a node"))
+	if err != nil {
+		return false
+	}
+	_, err = c.Write(out)
+	return err == nil
+}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -18,24 +18,28 @@
 	grace    time.Duration
 }
 
+const serveHelp = `
+Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones
+are answered, and exits; placed workloads keep running. A second signal ends it at once.
+`
+
 func serveCommand() *cobra.Command {
 	var o serveOptions
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run an allocator",
-		Long: "Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones\n" +
-			"are answered, and exits; placed workloads keep running. A second signal ends it at once.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return o.run(c) },
+		Long:  helpText(serveHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
-	c.Flags().StringVar(&o.file, "config", "", "the allocator's configuration, in HCL")
-	c.Flags().StringVar(&o.traceDir, "trace", "", "record calls and decisions into files of this directory")
-	c.Flags().DurationVar(&o.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
-	requireFlag(c, "config")
-	return c
+	cmd.Flags().StringVar(&o.file, "config", "", "the allocator's configuration, in HCL")
+	cmd.Flags().StringVar(&o.traceDir, "trace", "", "record calls and decisions into files of this directory")
+	cmd.Flags().DurationVar(&o.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
+	requireFlag(cmd, "config")
+	return cmd
 }
 
-func (o *serveOptions) run(c *cobra.Command) error {
+func (o *serveOptions) run(cmd *cobra.Command) error {
 	configuration, err := config.Load(o.file)
 	if err != nil {
 		return err
@@ -43,14 +47,14 @@
 	if o.traceDir != "" {
 		configuration.Trace.Dir = o.traceDir
 	}
-	d, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, c.ErrOrStderr()))
+	d, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, cmd.ErrOrStderr()))
 	if err != nil {
 		return runError{err}
 	}
 	defer d.Close()
-	<-c.Context().Done()
+	<-cmd.Context().Done()
 	if unanswered := o.drain(d); unanswered > 0 {
-		c.PrintErrf("left without an answer: %d workloads\n", unanswered)
+		cmd.PrintErrf("left without an answer: %d workloads\n", unanswered)
 		return errProblemFound
 	}
 	return nil
--- /dev/null
+++ b/internal/command/state_repair.go
@@ -0,0 +1,54 @@
+package command
+
+import (
+	"errors"
+
+	"github.com/spf13/cobra"
+
+	"grebeglade/internal/storage"
+)
+
+const stateRepairHelp = `
+Names the place of the damage and what follows it. With --drop, truncates the file there and sets later ones aside;
+the original of each stays beside it under a name that ends in .damaged. A run-once workload whose bind is dropped may
+be started a second time if its client retries. No allocator may run in the directory meanwhile.
+`
+
+func stateRepairCommand() *cobra.Command {
+	var drop bool
+	cmd := &cobra.Command{
+		Use:   "repair DIR",
+		Short: "Report what a repair of a damaged state directory would drop, or drop it",
+		Long:  helpText(stateRepairHelp),
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return repairState(cmd, args[0], drop) },
+	}
+	cmd.Flags().BoolVar(&drop, "drop", false, "set aside what cannot be read and everything after it")
+	return cmd
+}
+
+func repairState(cmd *cobra.Command, path string, drop bool) error {
+	disk, err := openStateDir(path)
+	if err != nil {
+		return err
+	}
+	repair, err := storage.PlanRepair(disk)
+	if err != nil {
+		return runError{err}
+	}
+	if repair == nil {
+		cmd.Printf("%s is intact; there is nothing to repair.\n", path)
+		return nil
+	}
+	cmd.Printf("%s is damaged at byte %d; %d good records follow, and these files: %v.\n",
+		repair.File, repair.Offset, repair.LostEntries, repair.DroppedFiles)
+	if !drop {
+		cmd.Println("Nothing is changed. Give --drop to have all of that set aside.")
+		return errProblemFound
+	}
+	if err := repair.Apply(disk); err != nil {
+		return runError{errors.Join(errors.New("the repair stopped half way"), err)}
+	}
+	cmd.Println("It is set aside, under names that end in .damaged.")
+	return nil
+}
--- a/internal/command/submit_gang.go
+++ b/internal/command/submit_gang.go
@@ -71,7 +71,7 @@
 }
 
 // submitGang submits the gang of a file.
-func (o *submitOptions) submitGang(c *cobra.Command) error {
+func (o *submitOptions) submitGang(cmd *cobra.Command) error {
 	request, err := readGang(o.gangFile)
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 			return err
 		}
 	}
-	return s.print(c, o.asJSON)
+	return s.print(cmd, o.asJSON)
 }
 
 // formatNodes names the nodes of a gang's parts in their order.
--- /dev/null
+++ b/internal/command/trace_extract.go
@@ -0,0 +1,26 @@
+package command
+
+import (
+	"github.com/spf13/cobra"
+
+	"grebeglade/internal/replay"
+)
+
+func traceExtractCommand() *cobra.Command {
+	var workload uint32
+	cmd := &cobra.Command{
+		Use:   "extract FILE|DIR... --workload ID",
+		Short: "Print the few calls that a decision rests on, as a test in Go",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
+			x, err := replay.ReproduceFiles(files, workload)
+			if err != nil {
+				return runError{err}
+			}
+			return x.Print(cmd.OutOrStdout())
+		}),
+	}
+	cmd.Flags().Uint32Var(&workload, "workload", 0, "whose decision")
+	requireFlag(cmd, "workload")
+	return cmd
+}
--- a/internal/command/trace_replay.go
+++ b/internal/command/trace_replay.go
@@ -11,26 +11,31 @@
 	"grebeglade/placement"
 )
 
+const traceReplayHelp = `
+Prints "identical" if the module decides everything as recorded, or shows the first decision that differs, with what
+came before. Exit status 1 if one differs. Files of one allocator must be given from its start on.
+
+With --what-if the module gets other settings, and the requests are counted that it decides differently. What
+nodes would have answered is unknown: recorded answers are used where a workload is bound as it was, wherever
+that is; where the two differ the workload is left out from there on.
+`
+
 func traceReplayCommand() *cobra.Command {
 	var whatIf string
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "replay FILE|DIR...",
 		Short: "Call the placement module with the recorded calls again and compare every decision",
-		Long: "Prints \"identical\" if the module decides everything as recorded, or shows the first decision that differs, with what\n" +
-			"came before. Exit status 1 if one differs. Files of one allocator must be given from its start on.\n\n" +
-			"With --what-if the module gets other settings, and the requests are counted that it decides differently. What\n" +
-			"nodes would have answered is unknown: recorded answers are used where a workload is bound as it was, wherever\n" +
-			"that is; where the two differ the workload is left out from there on.",
-		Args: cobra.MinimumNArgs(1),
-		RunE: withTraces(func(c *cobra.Command, files traceFiles) error { return replayTraces(c, files, whatIf, asJSON) }),
+		Long:  helpText(traceReplayHelp),
+		Args:  cobra.MinimumNArgs(1),
+		RunE:  withTraces(func(cmd *cobra.Command, files traceFiles) error { return replayTraces(cmd, files, whatIf, asJSON) }),
 	}
-	c.Flags().StringVar(&whatIf, "what-if", "", "an allocator's configuration to decide with instead")
-	jsonFlag(c, &asJSON)
-	return c
+	cmd.Flags().StringVar(&whatIf, "what-if", "", "an allocator's configuration to decide with instead")
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
 
-func replayTraces(c *cobra.Command, files traceFiles, whatIf string, asJSON bool) error {
+func replayTraces(cmd *cobra.Command, files traceFiles, whatIf string, asJSON bool) error {
 	var o replay.Options
 	if whatIf != "" {
 		configuration, err := config.Load(whatIf)
@@ -45,7 +50,7 @@
 	if err != nil {
 		return runError{err}
 	}
-	if err := printReplays(c, reports, asJSON); err != nil {
+	if err := printReplays(cmd, reports, asJSON); err != nil {
 		return err
 	}
 	for _, r := range reports {
@@ -69,50 +74,31 @@
 	return s, nil
 }
 
-func printReplays(c *cobra.Command, reports []*replay.Report, asJSON bool) error {
+func printReplays(cmd *cobra.Command, reports []*replay.Report, asJSON bool) error {
 	if asJSON {
-		return printJSON(c, reports)
+		return printJSON(cmd, reports)
 	}
 	for _, r := range reports {
-		printReplay(c, r)
+		printReplay(cmd, r)
 	}
 	return nil
 }
 
-func printReplay(c *cobra.Command, r *replay.Report) {
+func printReplay(cmd *cobra.Command, r *replay.Report) {
 	switch {
 	case r.WhatIf != nil:
 		w := r.WhatIf
-		c.Printf("%s, with other settings: of %d asks %d go to the same node, %d to another, %d are rejected that were bound, "+
+		cmd.Printf("%s, with other settings: of %d asks %d go to the same node, %d to another, %d are rejected that were bound, "+
 			"%d are bound that were rejected, %d are rejected as before.\nWhat nodes would have answered is unknown.\n",
 			r.Source, w.Requests, w.SameNode, w.OtherNode, w.NowRejected, w.NowBound, w.StillRejected)
 	case r.Identical():
-		c.Printf("%s: identical, %d decisions\n", r.Source, r.Decisions)
+		cmd.Printf("%s: identical, %d decisions\n", r.Source, r.Decisions)
 	default:
 		d := r.Differ
-		c.Printf("%s: DIFFERS after %d decisions, at revision %d\n  call:     %s\n  recorded: %s\n  decided:  %s\n  before it:\n",
+		cmd.Printf("%s: DIFFERS after %d decisions, at revision %d\n  call:     %s\n  recorded: %s\n  decided:  %s\n  before it:\n",
 			r.Source, r.Same, d.Revision, d.Call, d.Recorded, d.Decided)
 		for _, before := range d.Before {
-			c.Printf("    %s\n", before)
+			cmd.Printf("    %s\n", before)
 		}
 	}
 }
-
-func traceExtractCommand() *cobra.Command {
-	var workload uint32
-	c := &cobra.Command{
-		Use:   "extract FILE|DIR... --workload ID",
-		Short: "Print the few calls that a decision rests on, as a test in Go",
-		Args:  cobra.MinimumNArgs(1),
-		RunE: withTraces(func(c *cobra.Command, files traceFiles) error {
-			x, err := replay.ReproduceFiles(files, workload)
-			if err != nil {
-				return runError{err}
-			}
-			return x.Print(c.OutOrStdout())
-		}),
-	}
-	c.Flags().Uint32Var(&workload, "workload", 0, "whose decision")
-	requireFlag(c, "workload")
-	return c
-}
--- a/internal/command/trace_span.go
+++ b/internal/command/trace_span.go
@@ -13,9 +13,9 @@
 // spanFlags are the bounds of a span of time as the flags give them: absolute, or relative to the first record.
 type spanFlags struct{ from, to string }
 
-func (f *spanFlags) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.from, "from", "", `from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
-	c.Flags().StringVar(&f.to, "to", "", "up to this time, in the same forms")
+func (f *spanFlags) add(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.from, "from", "", `from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
+	cmd.Flags().StringVar(&f.to, "to", "", "up to this time, in the same forms")
 }
 
 // span returns the bounds as times, by what the files hold.
--- a/internal/command/trace_summary.go
+++ b/internal/command/trace_summary.go
@@ -14,45 +14,45 @@
 
 func traceSummaryCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "summary FILE|DIR...",
 		Short: "Count requests, outcomes, waits and rejections by nodes",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: withTraces(func(c *cobra.Command, files traceFiles) error {
+		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
 			s, err := trace.Summarise(files)
 			if err != nil {
 				return runError{err}
 			}
 			if asJSON {
-				return printJSON(c, s)
+				return printJSON(cmd, s)
 			}
-			return printSummary(c, s)
+			return printSummary(cmd, s)
 		}),
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
 
-func printSummary(c *cobra.Command, s *trace.Summary) error {
-	c.Printf("%d records of %s, from %s to %s\n\n", s.Records, strings.Join(s.Sources, ", "), formatTime(s.FromMs), formatTime(s.ToMs))
+func printSummary(cmd *cobra.Command, s *trace.Summary) error {
+	cmd.Printf("%d records of %s, from %s to %s\n\n", s.Records, strings.Join(s.Sources, ", "), formatTime(s.FromMs), formatTime(s.ToMs))
 	rows := [][]string{{
 		"GROUP", "ASKS", "PLACED", "REJECTED", "UNSCHEDULABLE", "OPEN", "BINDS", "WAIT, MEDIAN", "P99", "LONGEST",
 	}}
 	for _, g := range s.Groups {
 		rows = append(rows, outcomesRow(g))
 	}
-	if err := printTable(c, rows); err != nil {
+	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
-	c.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.OutcomeUnknown, s.NotDelivered)
-	if err := printRejections(c, s.NodeRejections); err != nil {
+	cmd.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.OutcomeUnknown, s.NotDelivered)
+	if err := printRejections(cmd, s.NodeRejections); err != nil {
 		return err
 	}
 	if s.Missing > 0 {
-		c.Printf("MISSING: %d records could not be recorded\n", s.Missing)
+		cmd.Printf("MISSING: %d records could not be recorded\n", s.Missing)
 	}
 	for _, d := range s.Damage {
-		c.Printf("DAMAGED: %s\n", d)
+		cmd.Printf("DAMAGED: %s\n", d)
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-func printRejections(c *cobra.Command, rejections []trace.NodeRejection) error {
+func printRejections(cmd *cobra.Command, rejections []trace.NodeRejection) error {
 	if len(rejections) == 0 {
 		return nil
 	}
@@ -73,11 +73,11 @@
 	for _, r := range rejections[:min(len(rejections), maxRejectionsShown)] {
 		rows = append(rows, []string{formatUint(r.Node), r.Reason, strconv.Itoa(r.Count)})
 	}
-	if err := printTable(c, rows); err != nil {
+	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
 	if more := len(rejections) - maxRejectionsShown; more > 0 {
-		c.Printf("and %d more; --json lists all\n", more)
+		cmd.Printf("and %d more; --json lists all\n", more)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/command/trace_verify.go
@@ -0,0 +1,48 @@
+package command
+
+import (
+	"github.com/spf13/cobra"
+
+	"grebeglade/trace"
+)
+
+func traceVerifyCommand() *cobra.Command {
+	var asJSON bool
+	cmd := &cobra.Command{
+		Use:   "verify FILE|DIR...",
+		Short: "Read each file to its end and report what is wrong with it",
+		Args:  cobra.MinimumNArgs(1),
+		RunE:  withTraces(func(cmd *cobra.Command, files traceFiles) error { return verifyTraces(cmd, files, asJSON) }),
+	}
+	jsonFlag(cmd, &asJSON)
+	return cmd
+}
+
+func verifyTraces(cmd *cobra.Command, files traceFiles, asJSON bool) error {
+	var checks []*trace.Check
+	wrong := false
+	for _, f := range files {
+		check := trace.Verify(f)
+		checks = append(checks, check)
+		wrong = wrong || len(check.Wrong) > 0
+		if !asJSON {
+			printCheck(cmd, check)
+		}
+	}
+	if asJSON {
+		if err := printJSON(cmd, checks); err != nil {
+			return err
+		}
+	}
+	if wrong {
+		return errProblemFound
+	}
+	return nil
+}
+
+func printCheck(cmd *cobra.Command, check *trace.Check) {
+	cmd.Printf("%d records in %d blocks, index %s\n", check.Records, check.Blocks, check.Index)
+	for _, w := range check.Wrong {
+		cmd.Printf("  %s\n", w)
+	}
+}
