--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -18,56 +18,59 @@
 	residentsHelp   = "placed workloads on each node"
 )
 
+type benchOptions struct {
+	nodes     []int
+	residents int
+	held      int // workloads whose memory is measured
+	length    time.Duration
+	sockets   bool
+	asJSON    bool
+}
+
+// benchResult is what JSON shows of a benchmark.
+type benchResult struct {
+	Rates  []benchmark.Rates `json:"rates"`
+	Memory *benchmark.Memory `json:"memory,omitempty"`
+}
+
+var errBenchFlags = errors.New("--nodes takes 1 to 20000 each, --residents 0 or more, --for a time above 0")
+
 const benchHelp = `
 Measures decisions a second of the placement module alone, of the engine, and of the whole path over loopback
 sockets with nodes that accept at once, alternating in one run: the ratios hold on any machine. A decision is a
 workload's whole lifecycle: request, bind, confirmation, end.
 `
 
+// benchCommand defines "bench".
 func benchCommand() *cobra.Command {
-	var o benchOptions
+	var options benchOptions
 	cmd := &cobra.Command{
 		Use:   "bench",
 		Short: "Measure how fast an allocator decides, and how much memory it needs",
 		Long:  helpText(benchHelp),
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	f := cmd.Flags()
-	f.IntSliceVar(&o.nodes, "nodes", []int{10, 100, 1000}, "sizes of the fleet")
-	f.IntVar(&o.residents, "residents", 10, residentsHelp)
-	f.IntVar(&o.held, "held", 100000, "placed workloads whose memory is measured, 0 for none")
-	f.DurationVar(&o.length, "for", time.Second, measurementHelp)
-	f.BoolVar(&o.sockets, "sockets", true, "measure over sockets too")
-	jsonFlag(cmd, &o.asJSON)
+	flags := cmd.Flags()
+	flags.IntSliceVar(&options.nodes, "nodes", []int{10, 100, 1000}, "sizes of the fleet")
+	flags.IntVar(&options.residents, "residents", 10, residentsHelp)
+	flags.IntVar(&options.held, "held", 100000, "placed workloads whose memory is measured, 0 for none")
+	flags.DurationVar(&options.length, "for", time.Second, measurementHelp)
+	flags.BoolVar(&options.sockets, "sockets", true, "measure over sockets too")
+	jsonFlag(cmd, &options.asJSON)
 	cmd.AddCommand(benchTraceCommand(), benchStateCommand())
 	return cmd
 }
 
-type benchOptions struct {
-	nodes     []int
-	residents int
-	held      int
-	length    time.Duration
-	sockets   bool
-	asJSON    bool
-}
-
-// benchResult is what JSON shows of a benchmark.
-type benchResult struct {
-	Rates  []benchmark.Rates `json:"rates"`
-	Memory *benchmark.Memory `json:"memory,omitempty"`
-}
-
-var errBenchFlags = errors.New("--nodes takes 1 to 20000 each, --residents 0 or more, --for a time above 0")
-
+// run measures each size of the fleet, then the memory, and prints the result.
 func (o *benchOptions) run(cmd *cobra.Command) error {
 	var result benchResult
-	for _, n := range o.nodes {
-		if n < 1 || n > maxBenchNodes || o.residents < 0 || o.length <= 0 {
+	for _, nodes := range o.nodes {
+		if nodes < 1 || nodes > maxBenchNodes || o.residents < 0 || o.length <= 0 {
 			return errBenchFlags
 		}
-		rates, err := benchmark.MeasureRates(benchmark.Fleet{Nodes: n, Residents: o.residents}, o.length, o.sockets)
+		fleet := benchmark.Fleet{Nodes: nodes, Residents: o.residents}
+		rates, err := benchmark.MeasureRates(fleet, o.length, o.sockets)
 		if err != nil {
 			return runError{err}
 		}
@@ -86,23 +89,38 @@
 	return o.print(cmd, result)
 }
 
+// print prints a row for each size of the fleet, and then the memory.
 func (o *benchOptions) print(cmd *cobra.Command, result benchResult) error {
-	rows := [][]string{{"NODES", "MODULE/S", "ENGINE/S", "RATIO", "SOCKETS/S", "RATIO", "ASK TO OFFER, MEDIAN", "P99"}}
-	for i, r := range result.Rates {
-		row := []string{
-			strconv.Itoa(o.nodes[i]), fmt.Sprintf("%.0f", r.Module), fmt.Sprintf("%.0f", r.Engine), fmt.Sprintf("%.2f", r.EngineRatio),
-		}
-		if o.sockets {
-			row = append(row, fmt.Sprintf("%.0f", r.Sockets), fmt.Sprintf("%.2f", r.SocketsRatio),
-				fmt.Sprintf("%.2f ms", r.OfferMedianMs), fmt.Sprintf("%.2f ms", r.Offer99Ms))
-		}
-		rows = append(rows, row)
+	rows := [][]string{
+		{"NODES", "MODULE/S", "ENGINE/S", "RATIO", "SOCKETS/S", "RATIO", "ASK TO OFFER, MEDIAN", "P99"},
+	}
+	for i := range result.Rates {
+		rows = append(rows, o.ratesRow(o.nodes[i], &result.Rates[i]))
 	}
 	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
-	if m := result.Memory; m != nil {
-		cmd.Printf("%d residents hold %.1f MiB, %.0f bytes each\n", o.held, float64(m.Bytes)/bytesPerMiB, m.BytesPerResident)
+	if memory := result.Memory; memory != nil {
+		cmd.Printf("%d residents hold %.1f MiB, %.0f bytes each\n",
+			o.held, float64(memory.Bytes)/bytesPerMiB, memory.BytesPerResident)
 	}
 	return nil
 }
+
+// ratesRow returns the row for a fleet. It ends before the columns for sockets if these are not measured.
+func (o *benchOptions) ratesRow(nodes int, rates *benchmark.Rates) []string {
+	row := []string{
+		strconv.Itoa(nodes),
+		fmt.Sprintf("%.0f", rates.Module),
+		fmt.Sprintf("%.0f", rates.Engine),
+		fmt.Sprintf("%.2f", rates.EngineRatio),
+	}
+	if !o.sockets {
+		return row
+	}
+	return append(row,
+		fmt.Sprintf("%.0f", rates.Sockets),
+		fmt.Sprintf("%.2f", rates.SocketsRatio),
+		fmt.Sprintf("%.2f ms", rates.OfferMedianMs),
+		fmt.Sprintf("%.2f ms", rates.Offer99Ms))
+}
--- a/internal/command/bench_state.go
+++ b/internal/command/bench_state.go
@@ -17,23 +17,26 @@
 	asJSON bool
 }
 
+// benchStateCommand defines "bench state".
 func benchStateCommand() *cobra.Command {
-	var o benchStateOptions
+	var options benchStateOptions
 	cmd := &cobra.Command{
 		Use:   "state",
 		Short: "Measure what a state directory costs if every workload is run-once",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	f := cmd.Flags()
-	f.IntVar(&o.fleet.Nodes, "nodes", 100, "nodes to place on")
-	f.IntVar(&o.fleet.Residents, "residents", 10, residentsHelp)
-	f.StringVar(&o.dir, "dir", "", "directory on the disk to measure; by default where the system keeps temporary files")
-	f.DurationVar(&o.length, "for", time.Second, measurementHelp)
-	jsonFlag(cmd, &o.asJSON)
+	flags := cmd.Flags()
+	flags.IntVar(&options.fleet.Nodes, "nodes", 100, "nodes to place on")
+	flags.IntVar(&options.fleet.Residents, "residents", 10, residentsHelp)
+	flags.StringVar(&options.dir, "dir", "",
+		"directory on the disk to measure; by default where the system keeps temporary files")
+	flags.DurationVar(&options.length, "for", time.Second, measurementHelp)
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
+// run measures the costs of a state directory and prints them.
 func (o *benchStateOptions) run(cmd *cobra.Command) error {
 	if o.fleet.Nodes < 1 || o.length <= 0 {
 		return errors.New("--nodes takes 1 or more, --for a time above 0")
@@ -45,17 +48,26 @@
 	if o.asJSON {
 		return printJSON(cmd, costs)
 	}
+	return printStateCosts(cmd, costs)
+}
+
+// printStateCosts prints a row for each way of syncing, and then how long the directory takes to read at a start.
+func printStateCosts(cmd *cobra.Command, costs *benchmark.StateResult) error {
 	rows := [][]string{{"SYNC", "PLACED/S", "RATIO", "ASK TO OFFER 50%", "99%"}}
-	for _, s := range costs.Costs {
+	for _, cost := range costs.Costs {
 		rows = append(rows, []string{
-			s.Sync, fmt.Sprintf("%.0f", s.Placed), fmt.Sprintf("%.3f", s.Ratio), fmt.Sprintf("%.2f ms", s.Median), fmt.Sprintf("%.2f ms", s.P99),
+			cost.Sync,
+			fmt.Sprintf("%.0f", cost.Placed),
+			fmt.Sprintf("%.3f", cost.Ratio),
+			fmt.Sprintf("%.2f ms", cost.Median),
+			fmt.Sprintf("%.2f ms", cost.P99),
 		})
 	}
 	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
-	for _, s := range costs.Reads {
-		cmd.Printf("%d keys known, %.1f MiB: read in %.1f ms\n", s.Keys, s.MiB, s.Ms)
+	for _, read := range costs.Reads {
+		cmd.Printf("%d keys known, %.1f MiB: read in %.1f ms\n", read.Keys, read.MiB, read.Ms)
 	}
 	return nil
 }
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -2,12 +2,9 @@
 
 import (
 	"bufio"
-	"fmt"
 	"net"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -28,9 +25,14 @@
 func dial(address string, role pb.Role, name string) (*client, error) {
 	conn, err := net.DialTimeout("tcp", address, replyTimeout)
 	if err != nil {
-		return nil, runError{fmt.Errorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to", address, err)}
+		return nil, runErrorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to",
+			address, err)
+	}
+	c := &client{
+		conn:      conn,
+		in:        bufio.NewReader(conn),
+		connected: time.Now(),
 	}
-	c := &client{conn: conn, in: bufio.NewReader(conn), connected: time.Now()}
 	if err := c.hello(address, role, name); err != nil {
 		c.close()
 		return nil, err
@@ -38,17 +40,23 @@
 	return c, nil
 }
 
+// hello sends the client's hello and checks the allocator's.
 func (c *client) hello(address string, role pb.Role, name string) error {
-	hello := &pb.Hello{Role: role, Name: name, Incarnation: 1, SentMs: c.clock()}
+	hello := &pb.Hello{
+		Role:        role,
+		Name:        name,
+		Incarnation: 1,
+		SentMs:      c.clock(),
+	}
 	if err := c.send(transport.HelloFrame(hello)); err != nil {
 		return err
 	}
-	f, err := c.receive(replyTimeout)
+	reply, err := c.receive(replyTimeout)
 	if err != nil {
 		return err
 	}
-	if _, err := transport.CheckHello(f); err != nil {
-		return runError{fmt.Errorf("%s: %w", address, err)}
+	if _, err := transport.CheckHello(reply); err != nil {
+		return runErrorf("%s: %w", address, err)
 	}
 	return nil
 }
@@ -56,38 +64,29 @@
 // clock returns the milliseconds since the connection was made, with which a client's frames are stamped.
 func (c *client) clock() float64 { return milliseconds(time.Since(c.connected)) }
 
-func (c *client) send(f *pb.Frame) error {
-	b, err := transport.AppendFrame(nil, f)
-	if err == nil {
-		_, err = c.conn.Write(b)
-	}
+// send writes a frame.
+func (c *client) send(frame *pb.Frame) error {
+	encoded, err := transport.AppendFrame(nil, frame)
 	if err != nil {
-		return runError{err}
+		return runErrorf("encode a frame: %w", err)
+	}
+	if _, err := c.conn.Write(encoded); err != nil {
+		return runErrorf("send to the allocator: %w", err)
 	}
 	return nil
 }
 
+// receive reads the next frame, which must be complete before the timeout.
 func (c *client) receive(timeout time.Duration) (*pb.Frame, error) {
 	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		return nil, runError{err}
+		return nil, runErrorf("set the deadline of a reply: %w", err)
 	}
-	f, err := transport.ReadFrame(c.in, maxReplySize)
+	frame, err := transport.ReadFrame(c.in, maxReplySize)
 	if err != nil {
-		return nil, runError{fmt.Errorf("no answer: %w", err)}
+		return nil, runErrorf("no answer: %w", err)
 	}
-	return f, nil
+	return frame, nil
 }
 
 // close ends the connection. All replies have been read, so an error does not matter.
 func (c *client) close() { _ = c.conn.Close() }
-
-// toFlag adds the flag that names the allocator to talk to.
-func toFlag(cmd *cobra.Command, to *string) {
-	cmd.Flags().StringVar(to, "to", defaultAllocator(),
-		"address of the allocator; GREBEGLADE_ADDR in the environment sets it for all commands")
-}
-
-// defaultAllocator returns the address of the allocator to talk to if none is given.
-func defaultAllocator() string { return environmentOr("GREBEGLADE_ADDR", "127.0.0.1:7070") }
-
-func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -12,6 +12,7 @@
 	return cmd
 }
 
+// configCheckCommand defines "config check".
 func configCheckCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -19,19 +20,28 @@
 		Short: "Report everything that is wrong with an allocator's configuration",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			configuration, err := config.Load(args[0])
+			file := args[0]
+			configuration, err := config.Load(file)
 			if err != nil {
 				return err
 			}
-			if asJSON {
-				return printJSON(cmd, configuration)
-			}
-			cmd.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, %d groups, %d node kinds\n",
-				args[0], configuration.Name, configuration.Settings.Ordinal, configuration.Settings.Allocators,
-				configuration.ListenAddress, configuration.DiscoveryAddress, len(configuration.GroupNames), len(configuration.KindNames))
-			return nil
+			return printOutput(cmd, asJSON, configuration, func() { printConfiguration(cmd, file, configuration) })
 		},
 	}
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
+
+// printConfiguration says that a file is valid, and what it holds.
+func printConfiguration(cmd *cobra.Command, file string, configuration *config.Allocator) {
+	cmd.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, "+
+		"%d groups, %d node kinds\n",
+		file,
+		configuration.Name,
+		configuration.Settings.Ordinal,
+		configuration.Settings.Allocators,
+		configuration.ListenAddress,
+		configuration.DiscoveryAddress,
+		len(configuration.GroupNames),
+		len(configuration.KindNames))
+}
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"github.com/spf13/cobra"
 )
@@ -16,12 +17,23 @@
 // errProblemFound ends a command that is done and found something wrong, which it has printed.
 var errProblemFound = errors.New("something is wrong")
 
+// problemIf returns errProblemFound if a command has found and printed something wrong, and nil otherwise.
+func problemIf(found bool) error {
+	if found {
+		return errProblemFound
+	}
+	return nil
+}
+
 // runError ends a command that could not do its work although its input was good.
 type runError struct{ err error }
 
 func (e runError) Error() string { return e.err.Error() }
 func (e runError) Unwrap() error { return e.err }
 
+// runErrorf returns a runError with the message and the wrapped errors of fmt.Errorf.
+func runErrorf(format string, args ...any) error { return runError{fmt.Errorf(format, args...)} }
+
 // inputError is a command's error about its input, as opposed to cobra's errors about the command line.
 type inputError struct{ err error }
 
@@ -48,7 +60,8 @@
 	return exitBadInput
 }
 
-// markInputErrors wraps the commands below c so that their own errors can be distinguished from cobra's.
+// markInputErrors makes cmd and all commands below it return their own errors as inputErrors, so that these can be
+// distinguished from cobra's.
 func markInputErrors(cmd *cobra.Command) {
 	if run := cmd.RunE; run != nil {
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -6,15 +6,27 @@
 	"grebeglade/internal/simulation/scenario"
 )
 
+// labCommand defines "lab".
 func labCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "lab", Short: "Run scenarios with faults against emulated nodes, discovery service and clients"}
+	cmd := &cobra.Command{
+		Use:   "lab",
+		Short: "Run scenarios with faults against emulated nodes, discovery service and clients",
+	}
 	cmd.AddCommand(
-		labListCommand(), labPlayCommand(), labCheckCommand(), labHuntCommand(), labFleetCommand(), labLoadCommand(),
-		labRunCommand(), labCompareCommand(), labReportCommand(),
+		labListCommand(),
+		labPlayCommand(),
+		labCheckCommand(),
+		labHuntCommand(),
+		labFleetCommand(),
+		labLoadCommand(),
+		labRunCommand(),
+		labCompareCommand(),
+		labReportCommand(),
 	)
 	return cmd
 }
 
+// labListCommand defines "lab list".
 func labListCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -25,17 +37,22 @@
 			if asJSON {
 				return printJSON(cmd, scenario.Names())
 			}
-			rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
-			for _, name := range scenario.Names() {
-				s, err := scenario.Open(name)
-				if err != nil {
-					return err
-				}
-				rows = append(rows, []string{name, s.About})
-			}
-			return printTable(cmd, rows)
+			return printScenarios(cmd)
 		},
 	}
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
+
+// printScenarios prints the name of each scenario and what happens in it.
+func printScenarios(cmd *cobra.Command) error {
+	rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
+	for _, name := range scenario.Names() {
+		script, err := scenario.Open(name)
+		if err != nil {
+			return err
+		}
+		rows = append(rows, []string{name, script.About})
+	}
+	return printTable(cmd, rows)
+}
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -15,6 +16,7 @@
 or malformed.
 `
 
+// labCheckCommand defines "lab check".
 func labCheckCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -28,16 +30,17 @@
 	return cmd
 }
 
+// checkHistories audits files and prints the violations in each. The error is errProblemFound if there are any.
 func checkHistories(cmd *cobra.Command, names []string, asJSON bool) error {
-	found := map[string][]audit.Violation{}
+	violations := map[string][]audit.Violation{} // by file
 	anyBroken := false
 	for _, name := range names {
-		h, err := readHistory(name)
+		history, err := readHistory(name)
 		if err != nil {
 			return err
 		}
-		result := audit.Check(h)
-		found[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
+		result := audit.Check(history)
+		violations[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
 		anyBroken = anyBroken || len(result.Violations) > 0
 		if !asJSON {
 			cmd.Printf("%s: ", name)
@@ -45,21 +48,18 @@
 		}
 	}
 	if asJSON {
-		if err := printJSON(cmd, found); err != nil {
+		if err := printJSON(cmd, violations); err != nil {
 			return err
 		}
 	}
-	if anyBroken {
-		return errProblemFound
-	}
-	return nil
+	return problemIf(anyBroken)
 }
 
 func readHistory(name string) (*observer.History, error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read a history: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	return observer.ReadHistory(name, f)
+	defer func() { _ = file.Close() }() // it was only read
+	return observer.ReadHistory(name, file)
 }
--- a/internal/command/lab_compare.go
+++ b/internal/command/lab_compare.go
@@ -3,34 +3,14 @@
 import (
 	"fmt"
 	"math"
+	"slices"
+	"strconv"
 
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/experiment"
 )
 
-// comparison is a difference as JSON shows it; bounds that are not finite are left out.
-type comparison struct {
-	Cell     string   `json:"cell"`
-	Measure  string   `json:"measure"`
-	A        float64  `json:"a"`
-	B        float64  `json:"b"`
-	Mean     float64  `json:"b_minus_a"`
-	Low      *float64 `json:"low_95,omitempty"`
-	High     *float64 `json:"high_95,omitempty"`
-	Smallest *float64 `json:"smallest_seen,omitempty"`
-	Pairs    int      `json:"pairs"`
-	Sure     bool     `json:"sure"`
-	Verdict  string   `json:"verdict"`
-}
-
-func newComparison(d *experiment.Difference) comparison {
-	return comparison{
-		Cell: d.Cell, Measure: d.Measure, A: d.A, B: d.B, Mean: d.Delta.Mean, Low: finite(d.Delta.Low),
-		High: finite(d.Delta.High), Smallest: finite(d.Delta.SmallestDetectable), Pairs: d.Delta.N, Sure: d.Significant, Verdict: d.Verdict,
-	}
-}
-
 type compareOptions struct {
 	showEqual bool
 	asJSON    bool
@@ -42,20 +22,22 @@
 been. Exit status 1 if anything is worse beyond chance.
 `
 
+// labCompareCommand defines "lab compare".
 func labCompareCommand() *cobra.Command {
-	var o compareOptions
+	var options compareOptions
 	cmd := &cobra.Command{
 		Use:   "compare A B",
 		Short: "Show how one experiment, or one cell of it, differs from another",
 		Long:  helpText(labCompareHelp),
 		Args:  cobra.ExactArgs(2),
-		RunE:  func(cmd *cobra.Command, args []string) error { return o.run(cmd, args[0], args[1]) },
+		RunE:  func(cmd *cobra.Command, args []string) error { return options.run(cmd, args[0], args[1]) },
 	}
-	cmd.Flags().BoolVar(&o.showEqual, "all", false, "show also what is the same in every pair")
-	jsonFlag(cmd, &o.asJSON)
+	cmd.Flags().BoolVar(&options.showEqual, "all", false, "show also what is the same in every pair")
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
+// run prints the differences of B from A. The error is errProblemFound if B is worse in any measure.
 func (o *compareOptions) run(cmd *cobra.Command, nameA, nameB string) error {
 	a, err := experiment.OpenSide(nameA)
 	if err != nil {
@@ -72,22 +54,19 @@
 	if err := o.print(cmd, differences); err != nil {
 		return err
 	}
-	for i := range differences {
-		if differences[i].IsWorse() {
-			return errProblemFound
-		}
-	}
-	return nil
+	isWorse := func(d experiment.Difference) bool { return d.IsWorse() }
+	return problemIf(slices.ContainsFunc(differences, isWorse))
 }
 
+// print prints all differences as JSON, or as a table without the measures that are equal, unless these are wanted.
 func (o *compareOptions) print(cmd *cobra.Command, differences []experiment.Difference) error {
 	var comparisons []comparison
 	rows := [][]string{{"CELL", "FIGURE", "A", "B", "B - A", "95% FROM", "TO", "PAIRS", "VERDICT"}}
 	for i := range differences {
-		d := &differences[i]
-		comparisons = append(comparisons, newComparison(d))
-		if o.showEqual || !d.IsEqual() {
-			rows = append(rows, differenceRow(d))
+		difference := &differences[i]
+		comparisons = append(comparisons, newComparison(difference))
+		if o.showEqual || !difference.IsEqual() {
+			rows = append(rows, differenceRow(difference))
 		}
 	}
 	if o.asJSON {
@@ -96,10 +75,61 @@
 	return printTable(cmd, rows)
 }
 
+// differenceRow returns the row of a table for a difference.
 func differenceRow(d *experiment.Difference) []string {
 	return []string{
-		d.Cell, d.Measure, formatShort(d.A), formatShort(d.B), formatShort(d.Delta.Mean), formatShort(d.Delta.Low),
-		formatShort(d.Delta.High), fmt.Sprint(d.Delta.N), d.Verdict,
+		d.Cell,
+		d.Measure,
+		formatShort(d.A),
+		formatShort(d.B),
+		formatShort(d.Delta.Mean),
+		formatShort(d.Delta.Low),
+		formatShort(d.Delta.High),
+		strconv.Itoa(d.Delta.N),
+		d.Verdict,
+	}
+}
+
+// formatShort formats a measure with four significant digits.
+func formatShort(v float64) string { return fmt.Sprintf("%.4g", v) }
+
+// comparison is an experiment.Difference as JSON shows it.
+type comparison struct {
+	Cell    string  `json:"cell"`
+	Measure string  `json:"measure"`
+	A       float64 `json:"a"`
+	B       float64 `json:"b"`
+	delta
+	Sure    bool   `json:"sure"`
+	Verdict string `json:"verdict"`
+}
+
+// delta is an experiment.Estimate as JSON shows it, among the fields of a comparison. JSON has no infinity, so bounds
+// that are not finite are left out.
+type delta struct {
+	Mean     float64  `json:"b_minus_a"`
+	Low      *float64 `json:"low_95,omitempty"`
+	High     *float64 `json:"high_95,omitempty"`
+	Smallest *float64 `json:"smallest_seen,omitempty"`
+	Pairs    int      `json:"pairs"`
+}
+
+// newComparison converts a difference for JSON.
+func newComparison(difference *experiment.Difference) comparison {
+	return comparison{
+		Cell:    difference.Cell,
+		Measure: difference.Measure,
+		A:       difference.A,
+		B:       difference.B,
+		delta: delta{
+			Mean:     difference.Delta.Mean,
+			Low:      finite(difference.Delta.Low),
+			High:     finite(difference.Delta.High),
+			Smallest: finite(difference.Delta.SmallestDetectable),
+			Pairs:    difference.Delta.N,
+		},
+		Sure:    difference.Significant,
+		Verdict: difference.Verdict,
 	}
 }
 
@@ -110,5 +140,3 @@
 	}
 	return &v
 }
-
-func formatShort(v float64) string { return fmt.Sprintf("%.4g", v) }
--- a/internal/command/lab_fleet.go
+++ b/internal/command/lab_fleet.go
@@ -20,34 +20,37 @@
 do then.
 `
 
+// labFleetCommand defines "lab fleet".
 func labFleetCommand() *cobra.Command {
-	var o fleetOptions
+	var options fleetOptions
 	cmd := &cobra.Command{
 		Use:   "fleet",
 		Short: "Run an emulated discovery service and nodes, for an allocator started by hand",
 		Long:  helpText(labFleetHelp),
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	cmd.Flags().StringVar(&o.scenario, "script", "quiet", "scenario whose nodes to run")
-	cmd.Flags().StringVar(&o.discovery, "list", "127.0.0.1:7071", "address that the discovery service listens on")
-	cmd.Flags().IntVar(&o.nodes, "nodes", 0, "so many nodes instead of the scenario's")
-	cmd.Flags().Uint64Var(&o.seed, "seed", 1, "seed of the nodes' properties")
+	flags := cmd.Flags()
+	flags.StringVar(&options.scenario, "script", "quiet", "scenario whose nodes to run")
+	flags.StringVar(&options.discovery, "list", "127.0.0.1:7071", "address that the discovery service listens on")
+	flags.IntVar(&options.nodes, "nodes", 0, "so many nodes instead of the scenario's")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the nodes' properties")
 	return cmd
 }
 
+// run serves the fleet until the command's context is done.
 func (o *fleetOptions) run(cmd *cobra.Command) error {
-	s, err := scenario.Open(o.scenario)
+	script, err := scenario.Open(o.scenario)
 	if err != nil {
 		return err
 	}
-	s.Resize(0, max(0, o.nodes))
-	loop, address, err := simulation.StartFleet(s, o.seed, o.discovery, nil)
+	script.Resize(0, max(0, o.nodes))
+	loop, address, err := simulation.StartFleet(script, o.seed, o.discovery, nil)
 	if err != nil {
 		return runError{err}
 	}
 	defer loop.Close()
-	cmd.Printf("%d nodes run; the discovery service listens on %s\n", s.NodeCount(), address)
+	cmd.Printf("%d nodes run; the discovery service listens on %s\n", script.NodeCount(), address)
 	<-cmd.Context().Done()
 	return nil
 }
--- a/internal/command/lab_load.go
+++ b/internal/command/lab_load.go
@@ -15,10 +15,10 @@
 type loadOptions struct {
 	run    loadgen.Options
 	rate   loadgen.Rate
+	ramp   float64 // requests a second at the end, if the flag is given
 	shape  loadgen.Shape
 	seed   uint64
-	ramp   float64
-	traces []string
+	traces []string // to send instead of random requests
 	speed  float64
 	asJSON bool
 }
@@ -30,47 +30,65 @@
 keep up.
 `
 
+// labLoadCommand defines "lab load".
 func labLoadCommand() *cobra.Command {
-	var o loadOptions
+	var options loadOptions
 	cmd := &cobra.Command{
 		Use:   "load --target ADDR",
 		Short: "Send requests to a running allocator at a fixed rate, and measure its answers",
 		Long:  helpText(labLoadHelp),
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return o.measure(cmd) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.measure(cmd) },
 	}
-	f := cmd.Flags()
-	f.StringVar(&o.run.Target, "target", defaultAllocator(), "address of the allocator")
-	f.IntVar(&o.run.Connections, "connections", 2, "connections, each a client of its own")
-	f.StringVar(&o.run.Name, "name", "load", "name of the clients")
-	f.Float64Var(&o.rate.From, "rate", 50, "requests a second")
-	f.Float64Var(&o.ramp, "ramp-to", 0, "let the rate grow, or fall, evenly to this one")
-	f.DurationVar(&o.rate.For, "for", 20*time.Second, "how long to send requests")
-	f.BoolVar(&o.rate.Evenly, "evenly", false, "at even intervals instead of at random")
-	f.Float64Var(&o.rate.Burst, "burst", 1, "times as many requests during bursts")
-	f.DurationVar(&o.rate.BurstFor, "burst-for", time.Second, "how long a burst lasts")
-	f.DurationVar(&o.rate.Every, "burst-every", 5*time.Second, "from the beginning of a burst to that of the next")
-	f.StringVar(&o.shape.Group, "group", "serve", "priority group of the workloads")
-	f.Float64Var(&o.shape.Cores, "cores", 0.5, "that each requests")
-	f.Float64Var(&o.shape.Memory, "memory", 1, "that each requests")
-	f.IntVar(&o.shape.Services, "services", 10, "services that they belong to")
-	f.DurationVar(&o.shape.PendingTimeout, "pending", 6*time.Second, "pending timeout of a request")
-	f.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each runs")
-	f.StringSliceVar(&o.traces, "trace", nil, "send what this trace, a file or directory, recorded, at its times; several for several allocators")
-	f.Float64Var(&o.speed, "speed", 1, "times as fast as the trace")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of the times and services")
-	jsonFlag(cmd, &o.asJSON)
+	flags := cmd.Flags()
+	flags.StringVar(&options.run.Target, "target", defaultAllocator(), "address of the allocator")
+	flags.IntVar(&options.run.Connections, "connections", 2, "connections, each a client of its own")
+	flags.StringVar(&options.run.Name, "name", "load", "name of the clients")
+	options.addRateFlags(cmd)
+	options.addShapeFlags(cmd)
+	flags.StringSliceVar(&options.traces, "trace", nil,
+		"send what this trace, a file or directory, recorded, at its times; several for several allocators")
+	flags.Float64Var(&options.speed, "speed", 1, "times as fast as the trace")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the times and services")
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
+// addRateFlags adds the flags for when requests are sent.
+func (o *loadOptions) addRateFlags(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	flags.Float64Var(&o.rate.From, "rate", 50, "requests a second")
+	flags.Float64Var(&o.ramp, "ramp-to", 0, "let the rate grow, or fall, evenly to this one")
+	flags.DurationVar(&o.rate.For, "for", 20*time.Second, "how long to send requests")
+	flags.BoolVar(&o.rate.Evenly, "evenly", false, "at even intervals instead of at random")
+	flags.Float64Var(&o.rate.Burst, "burst", 1, "times as many requests during bursts")
+	flags.DurationVar(&o.rate.BurstFor, "burst-for", time.Second, "how long a burst lasts")
+	flags.DurationVar(&o.rate.Every, "burst-every", 5*time.Second, "from the beginning of a burst to that of the next")
+}
+
+// addShapeFlags adds the flags for what is requested.
+func (o *loadOptions) addShapeFlags(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	flags.StringVar(&o.shape.Group, "group", "serve", "priority group of the workloads")
+	flags.Float64Var(&o.shape.Cores, "cores", 0.5, "that each requests")
+	flags.Float64Var(&o.shape.Memory, "memory", 1, "that each requests")
+	flags.IntVar(&o.shape.Services, "services", 10, "services that they belong to")
+	flags.DurationVar(&o.shape.PendingTimeout, "pending", 6*time.Second, "pending timeout of a request")
+	flags.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each runs")
+}
+
+// check checks the values of the flags. A NaN for the cores is refused as well.
 func (o *loadOptions) check() error {
-	s := &o.shape
-	if o.run.Connections < 1 || s.Services < 1 || !(s.Cores > 0) || s.Memory < 0 || s.PendingTimeout <= 0 || s.RunTime < 0 {
+	counted := o.run.Connections >= 1 && o.shape.Services >= 1
+	sized := o.shape.Cores > 0 && !(o.shape.Memory < 0)
+	timed := o.shape.PendingTimeout > 0 && o.shape.RunTime >= 0
+	if !counted || !sized || !timed {
 		return errLoadFlags
 	}
 	return nil
 }
 
+// measure sends the requests and prints the result. The error is errProblemFound if that is not good.
 func (o *loadOptions) measure(cmd *cobra.Command) error {
 	if err := o.check(); err != nil {
 		return err
@@ -81,45 +99,37 @@
 	}
 	defer closeSchedule()
 	if !o.asJSON {
-		o.run.OnProgress = func(p loadgen.Progress) {
-			cmd.PrintErrf("%3.0f s: %d requests sent, %d answered, %d placed\n", p.At.Seconds(), p.Sent, p.Answered, p.Placed)
-		}
+		o.run.OnProgress = func(p loadgen.Progress) { printLoadProgress(cmd, p) }
 	}
 	result, err := loadgen.Run(cmd.Context(), schedule, o.run)
 	if err != nil {
 		return runError{err}
 	}
-	if o.asJSON {
-		if err := printJSON(cmd, result); err != nil {
-			return err
-		}
-	} else {
-		printLoad(cmd, result)
-	}
-	if !result.Good() {
-		return errProblemFound
+	if err := printOutput(cmd, o.asJSON, result, func() { printLoad(cmd, result) }); err != nil {
+		return err
 	}
-	return nil
+	return problemIf(!result.Good())
 }
 
 // schedule returns the requests to send, and what to call once all are sent.
-func (o *loadOptions) schedule(cmd *cobra.Command) (s loadgen.Schedule, closeSchedule func(), err error) {
+func (o *loadOptions) schedule(cmd *cobra.Command) (schedule loadgen.Schedule, closeSchedule func(), err error) {
 	if len(o.traces) == 0 {
-		s, err = o.randomSchedule(cmd)
-		return s, func() {}, err
+		schedule, err = o.randomSchedule(cmd)
+		return schedule, func() {}, err
 	}
 	files, err := openTraces(cmd, o.traces)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err = loadgen.FromTrace(files, o.speed, o.shape.RunTime)
+	schedule, err = loadgen.FromTrace(files, o.speed, o.shape.RunTime)
 	if err != nil {
 		files.close()
 		return nil, nil, err
 	}
-	return s, files.close, nil
+	return schedule, files.close, nil
 }
 
+// randomSchedule returns requests at random times. The rate stays the same unless --ramp-to is given.
 func (o *loadOptions) randomSchedule(cmd *cobra.Command) (loadgen.Schedule, error) {
 	o.rate.To = o.rate.From
 	if cmd.Flags().Changed("ramp-to") {
--- a/internal/command/lab_play_output.go
+++ b/internal/command/lab_play_output.go
@@ -12,67 +12,87 @@
 	"grebeglade/internal/simulation/audit"
 )
 
-const maxBrokenShown = 5 // breaks of rules; --json shows more
+const (
+	maxBrokenShown  = 5 // breaks of rules; --json shows more
+	millisPerSecond = 1000
+)
 
+// printProgress prints how far a run on sockets has come.
 func printProgress(cmd *cobra.Command, p simulation.Progress) {
-	const millisPerSecond = 1000
+	at := float64(min(p.At, p.Of)) / millisPerSecond
+	of := float64(p.Of) / millisPerSecond
 	cmd.PrintErrf("%4.0f of %.0f s: %d requests, %d placed, %d rejected, %d unschedulable, %d waiting\n",
-		float64(min(p.At, p.Of))/millisPerSecond, float64(p.Of)/millisPerSecond, p.Requests, p.Placed, p.Rejected, p.Unschedulable, p.Pending)
+		at, of, p.Requests, p.Placed, p.Rejected, p.Unschedulable, p.Pending)
 }
 
-// printResult prints what a run came to. The error is errProblemFound if a rule broke.
-func printResult(cmd *cobra.Command, r *simulation.Result, asJSON bool) error {
-	if asJSON {
-		if err := printJSON(cmd, r); err != nil {
-			return err
-		}
-	} else {
-		printResultText(cmd, r)
+// printResult prints the result of a run. The error is errProblemFound if a rule broke.
+func printResult(cmd *cobra.Command, result *simulation.Result, asJSON bool) error {
+	if err := printOutput(cmd, asJSON, result, func() { printResultText(cmd, result) }); err != nil {
+		return err
 	}
-	if len(r.Violations) > 0 {
-		return errProblemFound
+	return problemIf(len(result.Violations) > 0)
+}
+
+func printResultText(cmd *cobra.Command, result *simulation.Result) {
+	printRunCounts(cmd, result)
+	if result.Gangs > 0 {
+		printGangCounts(cmd, result)
 	}
-	return nil
+	if ends := describeEnds(result.Ended); len(ends) > 0 {
+		cmd.Printf("Of those placed have ended: %s.\n", strings.Join(ends, ", "))
+	}
+	printAudit(cmd, result.Frames, result.Violations, result.MoreViolations)
 }
 
-func printResultText(cmd *cobra.Command, r *simulation.Result) {
-	how := "on loopback sockets"
-	if r.Virtual {
-		how = "in virtual time"
+// printRunCounts prints the size of a run and the outcomes of the requests in it.
+func printRunCounts(cmd *cobra.Command, result *simulation.Result) {
+	medium := "on loopback sockets"
+	if result.Virtual {
+		medium = "in virtual time"
 	}
 	cmd.Printf("Scenario %q (%s), seed %d, %s: %d allocators, %d nodes, %.0f s, run in %.1f s.\n",
-		r.Name, r.About, r.Seed, how, r.Allocators, r.Nodes, r.ScenarioSeconds, r.RanSeconds)
-	cmd.Printf("Clients sent %d requests for %d workloads. Placed %d, rejected %d, unschedulable %d, withdrawn %d, lost with their "+
-		"allocator or connection %d, without an answer %d.\n", r.Workloads, r.FirstRequests, r.Placed, r.Rejected,
-		r.Unschedulable, r.Withdrawn, r.Disconnected, r.Unanswered)
-	cmd.Printf("It took %d binds and %d migrations; half of the workloads were placed within %.0f ms, 99%% within %.0f ms.\n",
-		r.Binds, r.Migrations, r.WaitMedian, r.Wait99)
-	if r.Gangs > 0 {
-		cmd.Printf("Of %d gangs %d were placed, half of them within %.0f ms, and %d were abandoned; %.1f%% of the parts' core time went to "+
-			"gangs that were not placed. Parts left of incomplete gangs: %d.\n", r.Gangs, r.GangsPlaced, r.GangMedian, r.GangsAbandoned,
-			100*r.GangWasted, r.PartialLeft)
-	}
+		result.Name, result.About, result.Seed, medium,
+		result.Allocators, result.Nodes, result.ScenarioSeconds, result.RanSeconds)
+	cmd.Printf("Clients sent %d requests for %d workloads. Placed %d, rejected %d, unschedulable %d, withdrawn %d, "+
+		"lost with their allocator or connection %d, without an answer %d.\n",
+		result.Workloads, result.FirstRequests, result.Placed, result.Rejected,
+		result.Unschedulable, result.Withdrawn, result.Disconnected, result.Unanswered)
+	cmd.Printf("It took %d binds and %d migrations; half of the workloads were placed within %.0f ms, "+
+		"99%% within %.0f ms.\n",
+		result.Binds, result.Migrations, result.WaitMedian, result.Wait99)
+}
+
+// printGangCounts prints the outcomes of a run's gangs.
+func printGangCounts(cmd *cobra.Command, result *simulation.Result) {
+	cmd.Printf("Of %d gangs %d were placed, half of them within %.0f ms, and %d were abandoned; "+
+		"%.1f%% of the parts' core time went to gangs that were not placed. Parts left of incomplete gangs: %d.\n",
+		result.Gangs, result.GangsPlaced, result.GangMedian, result.GangsAbandoned,
+		100*result.GangWasted, result.PartialLeft)
+}
+
+// describeEnds returns how many workloads ended for each reason, in the order of the reasons' names.
+func describeEnds(ended map[string]int) []string {
 	var ends []string
-	for _, reason := range slices.Sorted(maps.Keys(r.Ended)) {
-		ends = append(ends, fmt.Sprintf("%d %s", r.Ended[reason], strings.ReplaceAll(strings.ToLower(reason), "_", " ")))
-	}
-	if len(ends) > 0 {
-		cmd.Printf("Of those placed have ended: %s.\n", strings.Join(ends, ", "))
+	for _, reason := range slices.Sorted(maps.Keys(ended)) {
+		text := strings.ReplaceAll(strings.ToLower(reason), "_", " ")
+		ends = append(ends, fmt.Sprintf("%d %s", ended[reason], text))
 	}
-	printAudit(cmd, r.Frames, r.Violations, r.MoreViolations)
+	return ends
 }
 
-// printAudit prints whether the rules held, and the frames of the first breaks. More is how many breaks were not kept.
-func printAudit(cmd *cobra.Command, frames int, broken []audit.Violation, more int) {
-	if len(broken) == 0 {
+// printAudit prints whether the rules held, and the frames of the first violations. Further violations, whose frames
+// were not kept, are counted by more.
+func printAudit(cmd *cobra.Command, frames int, violations []audit.Violation, more int) {
+	if len(violations) == 0 {
 		cmd.Printf("All rules held, by the %d frames that passed.\n", frames)
 		return
 	}
-	cmd.Printf("RULES WERE BROKEN, %d times:\n", len(broken)+more)
-	for _, b := range broken[:min(len(broken), maxBrokenShown)] {
-		cmd.Printf("  rule %d at %.0f ms: %s (workload %d, node %d)\n", b.Rule, b.At, b.Message, b.Workload, b.Node)
-		for _, f := range b.Frames {
-			cmd.Printf("    %s\n", f)
+	cmd.Printf("RULES WERE BROKEN, %d times:\n", len(violations)+more)
+	for _, violation := range violations[:min(len(violations), maxBrokenShown)] {
+		cmd.Printf("  rule %d at %.0f ms: %s (workload %d, node %d)\n",
+			violation.Rule, violation.At, violation.Message, violation.Workload, violation.Node)
+		for _, frame := range violation.Frames {
+			cmd.Printf("    %s\n", frame)
 		}
 	}
 }
--- a/internal/command/lab_run.go
+++ b/internal/command/lab_run.go
@@ -22,21 +22,24 @@
 killed, the same command resumes it. Exit status 1 if a rule broke in any run, or a run failed.
 `
 
+// labRunCommand defines "lab run".
 func labRunCommand() *cobra.Command {
-	var o experimentOptions
+	var options experimentOptions
 	cmd := &cobra.Command{
 		Use:   "run EXPERIMENT.hcl -o DIR",
 		Short: "Run an experiment: scenarios with something varied, each with the same seeds",
 		Long:  helpText(labRunHelp),
 		Args:  cobra.ExactArgs(1),
-		RunE:  func(cmd *cobra.Command, args []string) error { return o.run(cmd, args[0]) },
+		RunE:  func(cmd *cobra.Command, args []string) error { return options.run(cmd, args[0]) },
 	}
-	cmd.Flags().StringVarP(&o.dir, "output", "o", "", "directory for the results; by default named like the experiment")
-	cmd.Flags().IntVar(&o.workers, "workers", 0, "concurrent runs, instead of what the experiment says")
-	jsonFlag(cmd, &o.asJSON)
+	flags := cmd.Flags()
+	flags.StringVarP(&options.dir, "output", "o", "", "directory for the results; by default named like the experiment")
+	flags.IntVar(&options.workers, "workers", 0, "concurrent runs, instead of what the experiment says")
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
+// run runs or resumes an experiment and prints a summary. The error is errProblemFound if a run failed or broke a rule.
 func (o *experimentOptions) run(cmd *cobra.Command, file string) error {
 	plan, err := experiment.Open(file)
 	if err != nil {
@@ -51,37 +54,33 @@
 	if o.workers > 0 {
 		plan.Workers = o.workers
 	}
-	report, err := plan.Run(cmd.Context(), o.dir, func(r experiment.Run, done, of int) { printRun(cmd, r, done, of) })
+	onRun := func(run experiment.Run, done, of int) { printRun(cmd, run, done, of) }
+	report, err := plan.Run(cmd.Context(), o.dir, onRun)
 	if err != nil {
 		return runError{err}
 	}
-	if o.asJSON {
-		if err := printJSON(cmd, report); err != nil {
-			return err
-		}
-	} else {
-		printExperiment(cmd, report, o.dir)
-	}
-	if report.Failed+report.Broken > 0 {
-		return errProblemFound
+	if err := printOutput(cmd, o.asJSON, report, func() { printExperiment(cmd, report, o.dir) }); err != nil {
+		return err
 	}
-	return nil
+	return problemIf(report.Failed+report.Broken > 0)
 }
 
-func printRun(cmd *cobra.Command, r experiment.Run, done, of int) {
-	if r.Error != "" {
-		cmd.PrintErrf("cell %d (%s), seed %d: %s\n", r.Cell, strings.Join(r.Levels, " / "), r.Seed, r.Error)
+// printRun prints the error of a run, if any, and now and then how many runs are done.
+func printRun(cmd *cobra.Command, run experiment.Run, done, of int) {
+	if run.Error != "" {
+		cmd.PrintErrf("cell %d (%s), seed %d: %s\n", run.Cell, strings.Join(run.Levels, " / "), run.Seed, run.Error)
 	}
 	if done%progressInterval == 0 || done == of {
 		cmd.PrintErrf("%d of %d runs\n", done, of)
 	}
 }
 
-func printExperiment(cmd *cobra.Command, r *experiment.Report, dir string) {
+// printExperiment prints how many runs are done, and how to see their results.
+func printExperiment(cmd *cobra.Command, report *experiment.Report, dir string) {
 	cmd.Printf("%d of %d runs are done (%d of them before), in %.0f s; %d failed, in %d a rule broke.\n",
-		r.Done, r.Total, r.Earlier, r.Seconds, r.Failed, r.Broken)
-	if r.StopReason != "" {
-		cmd.Printf("It is not complete: %s.\n", r.StopReason)
+		report.Done, report.Total, report.Earlier, report.Seconds, report.Failed, report.Broken)
+	if report.StopReason != "" {
+		cmd.Printf("It is not complete: %s.\n", report.StopReason)
 	}
 	cmd.Printf("Read it: grebeglade lab report %s\n", dir)
 }
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -1,8 +1,6 @@
 package command
 
 import (
-	"fmt"
-	"strconv"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -29,13 +27,15 @@
 	}.command()
 }
 
+// nodesCommand defines "nodes".
 func nodesCommand() *cobra.Command {
 	return listing{
 		use:   "nodes",
 		short: "List the nodes that an allocator knows",
 		query: pb.Query_NODES,
 		header: []string{
-			"NODE", "STATE", "CONNECTION", "KIND", "ZONE", "FREE CORES", "FREE MEMORY", "OURS", "OUT", "LISTED", "LAST REFUSAL",
+			"NODE", "STATE", "CONNECTION", "KIND", "ZONE", "FREE CORES", "FREE MEMORY", "OURS", "OUT", "LISTED",
+			"LAST REFUSAL",
 		},
 		rows: nodeRows,
 	}.command()
@@ -51,83 +51,122 @@
 	}.command()
 }
 
+// listOptions are the flags of a listing.
+type listOptions struct {
+	to     string
+	most   uint32
+	asJSON bool
+}
+
+// command defines the command of a listing.
 func (l listing) command() *cobra.Command {
-	var to string
-	var most uint32
-	var asJSON bool
+	var options listOptions
 	cmd := &cobra.Command{
 		Use:   l.use,
 		Short: l.short,
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := queryState(to, l.query, most)
-			if err != nil {
-				return err
-			}
-			if asJSON {
-				return printJSON(cmd, newStateDocument(s))
-			}
-			return printList(cmd, append([][]string{l.header}, l.rows(s)...), s.LeftOut)
-		},
+		RunE:  func(cmd *cobra.Command, _ []string) error { return l.run(cmd, &options) },
 	}
-	toFlag(cmd, &to)
-	cmd.Flags().Uint32Var(&most, "most", 1000, "list so many at most")
-	jsonFlag(cmd, &asJSON)
+	toFlag(cmd, &options.to)
+	cmd.Flags().Uint32Var(&options.most, "most", 1000, "list so many at most")
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-// queryState returns the state of an allocator, with at most so many entries.
-func queryState(to string, what pb.Query_Kind, most uint32) (*pb.State, error) {
-	cmd, err := dial(to, pb.Role_OPERATOR, "")
+// run queries the allocator and prints the list.
+func (l listing) run(cmd *cobra.Command, options *listOptions) error {
+	state, err := queryState(options.to, l.query, options.most)
+	if err != nil {
+		return err
+	}
+	if options.asJSON {
+		return printJSON(cmd, newStateDocument(state))
+	}
+	rows := append([][]string{l.header}, l.rows(state)...)
+	return printList(cmd, rows, state.LeftOut)
+}
+
+// queryState returns the state of an allocator, with at most limit entries.
+func queryState(to string, kind pb.Query_Kind, limit uint32) (*pb.State, error) {
+	connection, err := dial(to, pb.Role_OPERATOR, "")
 	if err != nil {
 		return nil, err
 	}
-	defer cmd.close()
-	if err := cmd.send(&pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: what, Limit: most}}}); err != nil {
+	defer connection.close()
+	query := &pb.Query{Kind: kind, Limit: limit}
+	if err := connection.send(&pb.Frame{Body: &pb.Frame_Query{Query: query}}); err != nil {
 		return nil, err
 	}
-	f, err := cmd.receive(replyTimeout)
+	reply, err := connection.receive(replyTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if f.GetState() == nil {
-		return nil, runError{fmt.Errorf("the allocator answered with %s", pb.FrameKind(f))}
+	state := reply.GetState()
+	if state == nil {
+		return nil, runErrorf("the allocator answered with %s", pb.FrameKind(reply))
 	}
-	return f.GetState(), nil
+	return state, nil
 }
 
-func workloadRows(s *pb.State) [][]string {
+// workloadRows returns a row for each workload, in the columns of workloadsCommand.
+func workloadRows(state *pb.State) [][]string {
 	var rows [][]string
-	for _, w := range s.Workloads {
+	for _, workload := range state.Workloads {
 		rows = append(rows, []string{
-			strconv.FormatUint(w.Workload, 10), w.State, formatUint(w.Node), w.Group, strconv.FormatUint(w.Service, 10),
-			formatAmount(w.Cores), formatAmount(w.Memory), formatUint(w.Binds), formatAge(w.SinceMs), w.Client,
+			formatUint(workload.Workload),
+			workload.State,
+			formatUint(workload.Node),
+			workload.Group,
+			formatUint(workload.Service),
+			formatAmount(workload.Cores),
+			formatAmount(workload.Memory),
+			formatUint(workload.Binds),
+			formatAge(workload.SinceMs),
+			workload.Client,
 		})
 	}
 	return rows
 }
 
-func nodeRows(s *pb.State) [][]string {
+// nodeRows returns a row for each node, in the columns of nodesCommand.
+func nodeRows(state *pb.State) [][]string {
 	var rows [][]string
-	for _, n := range s.Nodes {
+	for _, node := range state.Nodes {
 		rows = append(rows, []string{
-			formatUint(n.Id), n.State, n.Connection, n.Kind, n.Zone, formatAmount(n.FreeCores), formatAmount(n.FreeMemory),
-			formatUint(n.Residents), formatUint(n.BindsInFlight), formatAge(n.ListedMs), n.LastRejection,
+			formatUint(node.Id),
+			node.State,
+			node.Connection,
+			node.Kind,
+			node.Zone,
+			formatAmount(node.FreeCores),
+			formatAmount(node.FreeMemory),
+			formatUint(node.Residents),
+			formatUint(node.BindsInFlight),
+			formatAge(node.ListedMs),
+			node.LastRejection,
 		})
 	}
 	return rows
 }
 
-func gangRows(s *pb.State) [][]string {
+// gangRows returns a row for each gang, in the columns of gangsCommand.
+func gangRows(state *pb.State) [][]string {
 	var rows [][]string
-	for _, g := range s.Gangs {
-		workloads := make([]string, len(g.Workloads))
-		for i, id := range g.Workloads {
-			workloads[i] = strconv.FormatUint(id, 10)
+	for _, gang := range state.Gangs {
+		workloads := make([]string, len(gang.Workloads))
+		for i, id := range gang.Workloads {
+			workloads[i] = formatUint(id)
 		}
 		rows = append(rows, []string{
-			strconv.FormatUint(g.RequestId, 10), g.State, formatUint(g.Running), formatUint(g.MinParts), formatUint(g.Parts),
-			formatUint(g.Attempts), formatAge(g.SinceMs), g.Client, strings.Join(workloads, " "),
+			formatUint(gang.RequestId),
+			gang.State,
+			formatUint(gang.Running),
+			formatUint(gang.MinParts),
+			formatUint(gang.Parts),
+			formatUint(gang.Attempts),
+			formatAge(gang.SinceMs),
+			gang.Client,
+			strings.Join(workloads, " "),
 		})
 	}
 	return rows
--- a/internal/command/lists_document.go
+++ b/internal/command/lists_document.go
@@ -2,8 +2,8 @@
 
 import pb "grebeglade/proto/grebeglade/v1"
 
-// stateDocument is an allocator's state as --json prints it. Its keys are those of earlier versions, so that scripts that
-// read it go on working when a field of the protocol is renamed.
+// stateDocument is an allocator's state as --json prints it. Its keys are those of earlier versions, so that scripts
+// that read it still work when a field of the protocol is renamed.
 type stateDocument struct {
 	Workloads []workloadDocument `json:"workloads,omitempty"`
 	Nodes     []nodeDocument     `json:"nodes,omitempty"`
@@ -12,7 +12,7 @@
 	Gangs     []gangDocument     `json:"gangs,omitempty"`
 }
 
-// workloadDocument is a pb.WorkloadState.
+// workloadDocument is a pb.WorkloadState, with one field for each of the message.
 type workloadDocument struct {
 	Workload       uint64  `json:"workload,omitempty"`
 	Client         string  `json:"owner,omitempty"`
@@ -28,7 +28,7 @@
 	SinceMs        float64 `json:"since_ms,omitempty"`
 }
 
-// nodeDocument is a pb.NodeStatus.
+// nodeDocument is a pb.NodeStatus, with one field for each of the message.
 type nodeDocument struct {
 	ID            uint32  `json:"id,omitempty"`
 	State         string  `json:"state,omitempty"`
@@ -44,7 +44,7 @@
 	LastRejection string  `json:"last_refusal,omitempty"`
 }
 
-// gangDocument is a pb.GangStatus.
+// gangDocument is a pb.GangStatus, with one field for each of the message.
 type gangDocument struct {
 	Client    string   `json:"owner,omitempty"`
 	RequestID uint64   `json:"ask,omitempty"`
@@ -57,64 +57,68 @@
 	Workloads []uint64 `json:"workloads,omitempty"`
 }
 
-func newStateDocument(s *pb.State) stateDocument {
-	document := stateDocument{Revision: s.Revision, LeftOut: s.LeftOut}
-	for _, w := range s.Workloads {
-		document.Workloads = append(document.Workloads, newWorkloadDocument(w))
+// newStateDocument converts an allocator's state for JSON.
+func newStateDocument(state *pb.State) stateDocument {
+	document := stateDocument{Revision: state.Revision, LeftOut: state.LeftOut}
+	for _, workload := range state.Workloads {
+		document.Workloads = append(document.Workloads, newWorkloadDocument(workload))
 	}
-	for _, n := range s.Nodes {
-		document.Nodes = append(document.Nodes, newNodeDocument(n))
+	for _, node := range state.Nodes {
+		document.Nodes = append(document.Nodes, newNodeDocument(node))
 	}
-	for _, g := range s.Gangs {
-		document.Gangs = append(document.Gangs, newGangDocument(g))
+	for _, gang := range state.Gangs {
+		document.Gangs = append(document.Gangs, newGangDocument(gang))
 	}
 	return document
 }
 
-func newWorkloadDocument(w *pb.WorkloadState) workloadDocument {
+// newWorkloadDocument converts the state of a workload for JSON.
+func newWorkloadDocument(workload *pb.WorkloadState) workloadDocument {
 	return workloadDocument{
-		Workload:       w.Workload,
-		Client:         w.Client,
-		RequestID:      w.RequestId,
-		IdempotencyKey: w.Key,
-		Service:        w.Service,
-		Group:          w.Group,
-		Cores:          w.Cores,
-		Memory:         w.Memory,
-		State:          w.State,
-		Node:           w.Node,
-		Binds:          w.Binds,
-		SinceMs:        w.SinceMs,
+		Workload:       workload.Workload,
+		Client:         workload.Client,
+		RequestID:      workload.RequestId,
+		IdempotencyKey: workload.Key,
+		Service:        workload.Service,
+		Group:          workload.Group,
+		Cores:          workload.Cores,
+		Memory:         workload.Memory,
+		State:          workload.State,
+		Node:           workload.Node,
+		Binds:          workload.Binds,
+		SinceMs:        workload.SinceMs,
 	}
 }
 
-func newNodeDocument(n *pb.NodeStatus) nodeDocument {
+// newNodeDocument converts the status of a node for JSON.
+func newNodeDocument(node *pb.NodeStatus) nodeDocument {
 	return nodeDocument{
-		ID:            n.Id,
-		State:         n.State,
-		Kind:          n.Kind,
-		Zone:          n.Zone,
-		Address:       n.Address,
-		Connection:    n.Connection,
-		FreeCores:     n.FreeCores,
-		FreeMemory:    n.FreeMemory,
-		ListedMs:      n.ListedMs,
-		Residents:     n.Residents,
-		BindsInFlight: n.BindsInFlight,
-		LastRejection: n.LastRejection,
+		ID:            node.Id,
+		State:         node.State,
+		Kind:          node.Kind,
+		Zone:          node.Zone,
+		Address:       node.Address,
+		Connection:    node.Connection,
+		FreeCores:     node.FreeCores,
+		FreeMemory:    node.FreeMemory,
+		ListedMs:      node.ListedMs,
+		Residents:     node.Residents,
+		BindsInFlight: node.BindsInFlight,
+		LastRejection: node.LastRejection,
 	}
 }
 
-func newGangDocument(g *pb.GangStatus) gangDocument {
+// newGangDocument converts the status of a gang for JSON.
+func newGangDocument(gang *pb.GangStatus) gangDocument {
 	return gangDocument{
-		Client:    g.Client,
-		RequestID: g.RequestId,
-		State:     g.State,
-		Parts:     g.Parts,
-		MinParts:  g.MinParts,
-		Running:   g.Running,
-		Attempts:  g.Attempts,
-		SinceMs:   g.SinceMs,
-		Workloads: g.Workloads,
+		Client:    gang.Client,
+		RequestID: gang.RequestId,
+		State:     gang.State,
+		Parts:     gang.Parts,
+		MinParts:  gang.MinParts,
+		Running:   gang.Running,
+		Attempts:  gang.Attempts,
+		SinceMs:   gang.SinceMs,
+		Workloads: gang.Workloads,
 	}
 }
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -11,9 +11,13 @@
 	"github.com/spf13/cobra"
 )
 
-// jsonFlag adds the flag --json.
-func jsonFlag(cmd *cobra.Command, on *bool) {
-	cmd.Flags().BoolVar(on, "json", false, "print one JSON document")
+// printOutput prints v as one JSON document if asJSON is set, and calls printText otherwise.
+func printOutput(cmd *cobra.Command, asJSON bool, v any, printText func()) error {
+	if asJSON {
+		return printJSON(cmd, v)
+	}
+	printText()
+	return nil
 }
 
 // printJSON prints one document.
@@ -21,26 +25,26 @@
 	encoder := json.NewEncoder(cmd.OutOrStdout())
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(v); err != nil {
-		return runError{err}
+		return runErrorf("print JSON: %w", err)
 	}
 	return nil
 }
 
 // printTable prints aligned columns; the first row is the header.
 func printTable(cmd *cobra.Command, rows [][]string) error {
-	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
+	table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 	for _, row := range rows {
-		if _, err := fmt.Fprintln(w, strings.Join(row, "\t")); err != nil {
-			return runError{err}
+		if _, err := fmt.Fprintln(table, strings.Join(row, "\t")); err != nil {
+			return runErrorf("print a table: %w", err)
 		}
 	}
-	if err := w.Flush(); err != nil {
-		return runError{err}
+	if err := table.Flush(); err != nil {
+		return runErrorf("print a table: %w", err)
 	}
 	return nil
 }
 
-// printList prints a table of which some rows were left out.
+// printList prints a table of which leftOut rows were left out, and says so on standard error.
 func printList(cmd *cobra.Command, rows [][]string, leftOut uint32) error {
 	if err := printTable(cmd, rows); err != nil {
 		return err
@@ -51,11 +55,16 @@
 	return nil
 }
 
-func formatUint(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
+func formatUint[T uint32 | uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
 
-func formatAmount(v float64) string { return strconv.FormatFloat(v, 'f', -1, 32) }
+// formatAmount formats an amount of cores or memory with the digits that a float32 needs.
+func formatAmount(amount float64) string { return strconv.FormatFloat(amount, 'f', -1, 32) }
 
 // formatAge formats milliseconds as a duration in tenths of a second.
 func formatAge(ms float64) string {
-	return time.Duration(ms * float64(time.Millisecond)).Truncate(time.Millisecond).Round(100 * time.Millisecond).String()
+	age := time.Duration(ms * float64(time.Millisecond))
+	return age.Truncate(time.Millisecond).Round(100 * time.Millisecond).String()
 }
+
+// milliseconds returns a duration in milliseconds, with fractions.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	heapShare         = 0.5                    // of the process's memory, for Go's heap: its code and the sockets need the rest
-	drainPollInterval = 20 * time.Millisecond  // between looks at whether all requests are answered
+	heapShare         = 0.5                    // of the process's memory; code and sockets need the rest
+	drainPollInterval = 20 * time.Millisecond  // between checks of whether all requests are answered
 	reloadInterval    = 100 * time.Millisecond // between attempts to read a configuration
 	maxReloadAttempts = 10                     // a new configuration counts as applied 4 s after its signal
 )
@@ -37,6 +37,7 @@
 pending requests and exits; placed workloads keep running.
 `
 
+// platformCommand defines "platform".
 func platformCommand() *cobra.Command {
 	var verbose bool
 	cmd := &cobra.Command{
@@ -50,6 +51,7 @@
 	return cmd
 }
 
+// runPlatform runs the frontend with the configuration that the environment names, until it has drained.
 func runPlatform(cmd *cobra.Command, verbose bool) error {
 	// Caught before anything else: a reload during the start must not end the process.
 	hangups := make(chan os.Signal, 1)
@@ -64,12 +66,12 @@
 		return err
 	}
 	limitProcess(configuration.Limits)
-	s, err := startPlatform(configuration, file, platformLogger(cmd.ErrOrStderr(), verbose))
+	server, err := startPlatform(configuration, file, platformLogger(cmd.ErrOrStderr(), verbose))
 	if err != nil {
 		return runError{err}
 	}
-	defer s.loop.Close()
-	return s.serve(cmd.Context().Done(), hangups)
+	defer server.loop.Close()
+	return server.serve(cmd.Context().Done(), hangups)
 }
 
 func platformLogger(w io.Writer, verbose bool) *slog.Logger {
@@ -80,7 +82,7 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-// limitProcess makes Go's runtime keep to the process's limits, which it does not learn by itself.
+// limitProcess applies the platform's limits to Go's runtime, which does not learn them by itself.
 func limitProcess(limits platform.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Floor(limits.Cores))))
 	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
@@ -95,33 +97,43 @@
 	log      *slog.Logger
 
 	reloadDue      <-chan time.Time // nil unless a reload is under way
-	reloadAttempts int              // failed ones
+	reloadAttempts int              // that failed, of this reload
 }
 
+// startPlatform listens on the configured address and starts the event loop. The caller closes the loop.
 func startPlatform(configuration *platform.Config, file string, log *slog.Logger) (*platformServer, error) {
-	s := &platformServer{
-		frontend: platform.New(configuration, log), loop: transport.NewLoop(nil), file: file, listen: configuration.Listen, log: log,
+	server := &platformServer{
+		frontend: platform.New(configuration, log),
+		loop:     transport.NewLoop(nil),
+		file:     file,
+		listen:   configuration.Listen,
+		log:      log,
 	}
 	newCodec := func() transport.Codec { return codec.ClientCodec{} }
-	if _, err := s.loop.Listen(s.frontend, newCodec, configuration.Listen, s.frontend.Limits()); err != nil {
+	limits := server.frontend.Limits()
+	if _, err := server.loop.Listen(server.frontend, newCodec, configuration.Listen, limits); err != nil {
 		return nil, err
 	}
-	s.loop.Run()
-	log.Info("serving", "allocator", configuration.Name, "listen", configuration.Listen, "discovery", configuration.DiscoveryAddress)
-	return s, nil
+	server.loop.Run()
+	log.Info("serving",
+		"allocator", configuration.Name,
+		"listen", configuration.Listen,
+		"discovery", configuration.DiscoveryAddress)
+	return server, nil
 }
 
-// serve runs until the frontend has drained after stop, or its listener fails.
+// serve runs until the frontend has drained after stop is closed, or the event loop fails.
 func (s *platformServer) serve(stop <-chan struct{}, hangups <-chan os.Signal) error {
-	var drainPoll <-chan time.Time // nil until stop
+	var drainPoll <-chan time.Time // nil until stop is closed
 	for {
 		select {
 		case <-hangups:
-			s.reloadAttempts, s.reloadDue = 0, time.After(0)
+			s.reloadAttempts = 0
+			s.reloadDue = time.After(0)
 		case <-s.reloadDue:
 			s.reload()
 		case <-stop:
-			stop = nil
+			stop = nil // a closed channel would be selected again and again
 			s.loop.Call(s.frontend, s.frontend.Drain)
 			ticker := time.NewTicker(drainPollInterval)
 			defer ticker.Stop()
@@ -137,13 +149,15 @@
 	}
 }
 
-// reload reads the configuration and applies it. A file that cannot be read may be half written, so it is read again a
-// few times.
+// reload reads the configuration and applies it. A file that cannot be read may be half written, so it is read again
+// after a while, maxReloadAttempts times at most; then the configuration stays as it was.
 func (s *platformServer) reload() {
 	s.reloadDue = nil
 	configuration, err := platform.ReadConfig(s.file, s.listen)
 	if err == nil {
-		s.loop.Call(s.frontend, func(now placement.Millis) { s.frontend.Reload(now, configuration.DiscoveryAddress) })
+		s.loop.Call(s.frontend, func(now placement.Millis) {
+			s.frontend.Reload(now, configuration.DiscoveryAddress)
+		})
 		return
 	}
 	s.reloadAttempts++
@@ -154,6 +168,7 @@
 	s.log.Error("configuration not reloaded", "error", err)
 }
 
+// drained tells whether all requests are answered.
 func (s *platformServer) drained() bool {
 	drained := false
 	s.loop.Call(s.frontend, func(now placement.Millis) { drained = s.frontend.Drained(now) })
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -23,22 +23,25 @@
 are answered, and exits; placed workloads keep running. A second signal ends it at once.
 `
 
+// serveCommand defines "serve".
 func serveCommand() *cobra.Command {
-	var o serveOptions
+	var options serveOptions
 	cmd := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run an allocator",
 		Long:  helpText(serveHelp),
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	cmd.Flags().StringVar(&o.file, "config", "", "the allocator's configuration, in HCL")
-	cmd.Flags().StringVar(&o.traceDir, "trace", "", "record calls and decisions into files of this directory")
-	cmd.Flags().DurationVar(&o.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
+	flags := cmd.Flags()
+	flags.StringVar(&options.file, "config", "", "the allocator's configuration, in HCL")
+	flags.StringVar(&options.traceDir, "trace", "", "record calls and decisions into files of this directory")
+	flags.DurationVar(&options.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
 	requireFlag(cmd, "config")
 	return cmd
 }
 
+// run serves until the command's context is done, and then drains.
 func (o *serveOptions) run(cmd *cobra.Command) error {
 	configuration, err := config.Load(o.file)
 	if err != nil {
@@ -47,24 +50,24 @@
 	if o.traceDir != "" {
 		configuration.Trace.Dir = o.traceDir
 	}
-	d, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, cmd.ErrOrStderr()))
+	allocator, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, cmd.ErrOrStderr()))
 	if err != nil {
 		return runError{err}
 	}
-	defer d.Close()
+	defer allocator.Close()
 	<-cmd.Context().Done()
-	if unanswered := o.drain(d); unanswered > 0 {
+	unanswered := o.drain(allocator)
+	if unanswered > 0 {
 		cmd.PrintErrf("left without an answer: %d workloads\n", unanswered)
-		return errProblemFound
 	}
-	return nil
+	return problemIf(unanswered > 0)
 }
 
 // drain drains the daemon for the grace period at most, or until a further signal.
-func (o *serveOptions) drain(d *daemon.Daemon) (unanswered int) {
+func (o *serveOptions) drain(allocator *daemon.Daemon) (unanswered int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, o.grace)
 	defer cancel()
-	return d.Drain(ctx)
+	return allocator.Drain(ctx)
 }
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -15,15 +15,20 @@
 	return cmd
 }
 
-// openStateDir opens a directory that must exist.
+// openStateDir opens a state directory, which must exist: storage.OpenDir would create it.
 func openStateDir(path string) (storage.Disk, error) {
-	if info, err := os.Stat(path); err != nil || !info.IsDir() {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, fmt.Errorf("no state directory: %w; the setting state.dir names the one of an allocator", err)
+	}
+	if !info.IsDir() {
 		return nil, fmt.Errorf("%s is no directory; the setting state.dir names the one of an allocator", path)
 	}
 	return storage.OpenDir(path)
 }
 
-// inspectState reads a directory without changing it. A damaged one is something wrong, not bad input.
+// inspectState reads a state directory without changing it. If the directory is damaged, the error is a runError, since
+// the input is good.
 func inspectState(path string) (*storage.Contents, error) {
 	disk, err := openStateDir(path)
 	if err != nil {
--- a/internal/command/state_repair.go
+++ b/internal/command/state_repair.go
@@ -1,8 +1,6 @@
 package command
 
 import (
-	"errors"
-
 	"github.com/spf13/cobra"
 
 	"grebeglade/internal/storage"
@@ -14,6 +12,7 @@
 be started a second time if its client retries. No allocator may run in the directory meanwhile.
 `
 
+// stateRepairCommand defines "state repair".
 func stateRepairCommand() *cobra.Command {
 	var drop bool
 	cmd := &cobra.Command{
@@ -27,6 +26,8 @@
 	return cmd
 }
 
+// repairState prints the plan of a repair, and carries it out if drop is set. The error is errProblemFound if a
+// directory is damaged and stays so.
 func repairState(cmd *cobra.Command, path string, drop bool) error {
 	disk, err := openStateDir(path)
 	if err != nil {
@@ -47,7 +48,7 @@
 		return errProblemFound
 	}
 	if err := repair.Apply(disk); err != nil {
-		return runError{errors.Join(errors.New("the repair stopped half way"), err)}
+		return runErrorf("the repair stopped half way: %w", err)
 	}
 	cmd.Println("It is set aside, under names that end in .damaged.")
 	return nil
--- a/internal/command/state_show.go
+++ b/internal/command/state_show.go
@@ -9,23 +9,7 @@
 	"grebeglade/internal/storage"
 )
 
-// durableBind is a bind as JSON shows it.
-type durableBind struct {
-	Key         uint64    `json:"key"`
-	Group       string    `json:"group"`
-	Node        uint32    `json:"node"`
-	Incarnation uint64    `json:"incarnation"`
-	Bind        uint32    `json:"bind"`
-	ExpiresAt   time.Time `json:"until"`
-}
-
-func (b *durableBind) row() []string {
-	return []string{
-		fmt.Sprint(b.Key), b.Group, fmt.Sprint(b.Node), fmt.Sprintf("%d of life %d", b.Bind, b.Incarnation),
-		b.ExpiresAt.Format(time.RFC3339),
-	}
-}
-
+// stateShowCommand defines "state show".
 func stateShowCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -44,19 +28,45 @@
 	return cmd
 }
 
+// printBinds prints the binds of a state directory as JSON or as a table.
 func printBinds(cmd *cobra.Command, contents *storage.Contents, asJSON bool) error {
-	binds := []durableBind{}
+	binds := []durableBind{} // never null in JSON
 	rows := [][]string{{"KEY", "GROUP", "LAST NODE", "BIND", "KNOWN UNTIL"}}
 	for _, entry := range contents.LiveBinds {
-		b := durableBind{
-			Key: entry.Key, Group: entry.Group, Node: entry.Node, Incarnation: entry.Incarnation, Bind: entry.Number,
-			ExpiresAt: time.UnixMilli(int64(entry.ExpiresUnixMs)).UTC(),
+		bind := durableBind{
+			Key:         entry.Key,
+			Group:       entry.Group,
+			Node:        entry.Node,
+			Incarnation: entry.Incarnation,
+			Bind:        entry.Number,
+			ExpiresAt:   time.UnixMilli(int64(entry.ExpiresUnixMs)).UTC(),
 		}
-		binds = append(binds, b)
-		rows = append(rows, b.row())
+		binds = append(binds, bind)
+		rows = append(rows, bind.row())
 	}
 	if asJSON {
 		return printJSON(cmd, binds)
 	}
 	return printTable(cmd, rows)
 }
+
+// durableBind is a bind as JSON shows it.
+type durableBind struct {
+	Key         uint64    `json:"key"`
+	Group       string    `json:"group"`
+	Node        uint32    `json:"node"`
+	Incarnation uint64    `json:"incarnation"`
+	Bind        uint32    `json:"bind"`
+	ExpiresAt   time.Time `json:"until"`
+}
+
+// row returns the row of a table for a bind.
+func (b *durableBind) row() []string {
+	return []string{
+		formatUint(b.Key),
+		b.Group,
+		formatUint(b.Node),
+		fmt.Sprintf("%d of life %d", b.Bind, b.Incarnation),
+		b.ExpiresAt.Format(time.RFC3339),
+	}
+}
--- a/internal/command/submission.go
+++ b/internal/command/submission.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -9,14 +10,24 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-var verdictNames = map[pb.Verdict]string{
-	pb.Verdict_PLACED:        verdictPlaced,
-	pb.Verdict_REJECTED:      "rejected",
-	pb.Verdict_UNSCHEDULABLE: "unschedulable",
-}
+// Verdicts as they are printed.
+const (
+	verdictPlaced        = "placed"
+	verdictRejected      = "rejected"
+	verdictUnschedulable = "unschedulable"
+)
 
-// submission is the answer to a request, and the end of what was placed.
+// submission is a request to place a workload or a gang.
 type submission struct {
+	frame         *pb.Frame
+	id            uint64
+	key           uint64        // 0 for a gang, whose parts have keys of their own
+	answerTimeout time.Duration // from when the request is sent
+	endTimeout    time.Duration // from the answer to the end of what was placed
+}
+
+// submissionOutcome is the answer to a request, and the end of what was placed.
+type submissionOutcome struct {
 	Request uint64   `json:"ask"`
 	Key     uint64   `json:"key"`
 	Verdict string   `json:"verdict"`
@@ -27,67 +38,90 @@
 	Ended   string   `json:"ended,omitempty"`
 }
 
-// exchange sends a request and waits for its answer.
-func (s *submission) exchange(connection *client, request *pb.Frame, timeout time.Duration) error {
-	began := time.Now()
-	if err := connection.send(request); err != nil {
-		return err
+// exchange sends the request and waits for its answer. The error is a runError if the allocator refuses the connection.
+func (s *submission) exchange(connection *client) (*submissionOutcome, error) {
+	start := time.Now()
+	if err := connection.send(s.frame); err != nil {
+		return nil, err
 	}
 	for {
-		f, err := connection.receive(timeout)
+		frame, err := connection.receive(s.answerTimeout)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		if r := f.GetRefusal(); r != nil {
-			return runError{errors.New(r.Reason)}
+		if refusal := frame.GetRefusal(); refusal != nil {
+			return nil, runError{errors.New(refusal.Reason)}
 		}
-		if a := f.GetAnswer(); a != nil && a.RequestId == s.Request {
-			s.Verdict, s.Node, s.Nodes, s.Reason = verdictNames[a.Verdict], a.Node, a.Nodes, a.Reason
-			s.TookMs = milliseconds(time.Since(began))
-			return nil
+		if answer := frame.GetAnswer(); answer != nil && answer.RequestId == s.id {
+			return s.outcome(answer, time.Since(start)), nil
 		}
 	}
 }
 
-// awaitEnd waits until what was placed has ended.
-func (s *submission) awaitEnd(connection *client, timeout time.Duration) error {
+// outcome returns the outcome by an answer that took so long.
+func (s *submission) outcome(answer *pb.Answer, took time.Duration) *submissionOutcome {
+	return &submissionOutcome{
+		Request: s.id,
+		Key:     s.key,
+		Verdict: verdictName(answer.Verdict),
+		Node:    answer.Node,
+		Nodes:   answer.Nodes,
+		Reason:  answer.Reason,
+		TookMs:  milliseconds(took),
+	}
+}
+
+// awaitEnd waits until what was placed has ended, and sets why.
+func (s *submission) awaitEnd(connection *client, outcome *submissionOutcome) error {
 	for {
-		f, err := connection.receive(timeout)
+		frame, err := connection.receive(s.endTimeout)
 		if err != nil {
 			return err
 		}
-		if o := f.GetWorkloadEnded(); o != nil && o.RequestId == s.Request {
-			s.Ended = o.Reason.String()
+		if ended := frame.GetWorkloadEnded(); ended != nil && ended.RequestId == s.id {
+			outcome.Ended = ended.Reason.String()
 			return nil
 		}
 	}
 }
 
-// print prints the outcome. The error is errProblemFound if nothing was placed.
-func (s *submission) print(cmd *cobra.Command, asJSON bool) error {
-	if asJSON {
-		if err := printJSON(cmd, s); err != nil {
-			return err
-		}
-	} else {
-		s.printText(cmd)
+// print prints the outcome as text.
+func (o *submissionOutcome) print(cmd *cobra.Command) {
+	switch {
+	case o.Verdict != verdictPlaced:
+		cmd.Printf("%s after %.0f ms: %s\n", o.Verdict, o.TookMs, o.Reason)
+	case len(o.Nodes) > 0:
+		cmd.Printf("placed after %.0f ms, on nodes %s\n", o.TookMs, formatNodes(o.Nodes))
+	default:
+		cmd.Printf("placed on node %d after %.0f ms\n", o.Node, o.TookMs)
 	}
-	if s.Verdict != verdictPlaced {
-		return errProblemFound
+	if o.Ended != "" {
+		cmd.Printf("ended: %s\n", o.Ended)
 	}
-	return nil
 }
 
-func (s *submission) printText(cmd *cobra.Command) {
-	switch {
-	case s.Verdict != verdictPlaced:
-		cmd.Printf("%s after %.0f ms: %s\n", s.Verdict, s.TookMs, s.Reason)
-	case len(s.Nodes) > 0:
-		cmd.Printf("placed after %.0f ms, on nodes %s\n", s.TookMs, formatNodes(s.Nodes))
-	default:
-		cmd.Printf("placed on node %d after %.0f ms\n", s.Node, s.TookMs)
+// verdictName returns a verdict as it is printed, "" for one that this version does not know.
+func verdictName(verdict pb.Verdict) string {
+	switch verdict {
+	case pb.Verdict_PLACED:
+		return verdictPlaced
+	case pb.Verdict_REJECTED:
+		return verdictRejected
+	case pb.Verdict_UNSCHEDULABLE:
+		return verdictUnschedulable
+	case pb.Verdict_VERDICT_UNSPECIFIED:
 	}
-	if s.Ended != "" {
-		cmd.Printf("ended: %s\n", s.Ended)
+	return ""
+}
+
+// formatNodes names the nodes of a gang's parts in their order.
+func formatNodes(nodes []uint32) string {
+	names := make([]string, len(nodes))
+	for i, node := range nodes {
+		names[i] = formatUint(node)
+		if node == 0 {
+			names[i] = "none"
+		}
 	}
+	return strings.Join(names, ", ")
 }
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -11,89 +11,126 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-const (
-	verdictPlaced = "placed"
-	endGrace      = time.Hour // how long beyond its expected duration a workload's end is waited for
-)
+// endGrace is how long beyond its expected duration a workload's end is waited for.
+const endGrace = time.Hour
 
 type submitOptions struct {
 	to       string
-	group    string
 	client   string
-	gangFile string
-	cores    float64
-	memory   float64
-	service  uint64
-	key      uint64
-	runsFor  time.Duration
-	pending  time.Duration
+	workload workloadOptions
+	gangFile string // to submit a gang instead of a workload
 	wait     bool
 	asJSON   bool
 }
 
+// workloadOptions describe the workload to submit.
+type workloadOptions struct {
+	group   string
+	cores   float64
+	memory  float64
+	service uint64
+	key     uint64 // 0 for a random one
+	runsFor time.Duration
+	pending time.Duration
+}
+
 const submitHelp = `
 Requests the placement of one workload and prints its one answer: placed, rejected (a retry does no harm) or
 unschedulable (it may have run). Exit status 0 only if it was placed.
 `
 
+// submitCommand defines "submit".
 func submitCommand() *cobra.Command {
-	var o submitOptions
+	var options submitOptions
 	cmd := &cobra.Command{
 		Use:   "submit --group NAME --cores N --memory N | submit --gang FILE",
 		Short: "Request the placement of a workload, or of a gang that starts together, and print the answer",
 		Long:  helpText(submitHelp),
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.gangFile != "" {
-				return o.submitGang(cmd)
+			if options.gangFile != "" {
+				return options.submitGang(cmd)
 			}
-			return o.submitWorkload(cmd)
+			return options.submitWorkload(cmd)
 		},
 	}
-	f := cmd.Flags()
-	toFlag(cmd, &o.to)
-	f.StringVar(&o.group, "group", "", "priority group")
-	f.Float64Var(&o.cores, "cores", 0, "cores that it requests")
-	f.Float64Var(&o.memory, "memory", 0, "memory that it requests, in the unit of the node kinds")
-	f.Uint64Var(&o.service, "service", 1, "service that it belongs to")
-	f.Uint64Var(&o.key, "key", 0, "idempotency key; give the same in a retry (default: random)")
-	f.DurationVar(&o.runsFor, "runs-for", 10*time.Second, "how long it is expected to run")
-	f.DurationVar(&o.pending, "pending", 6*time.Second, "pending timeout: how long to wait for the answer")
-	f.StringVar(&o.client, "owner", fmt.Sprintf("submit-%d", os.Getpid()), "name of the client")
-	f.BoolVar(&o.wait, "wait", false, "wait until a placed workload has ended")
-	jsonFlag(cmd, &o.asJSON)
-	f.StringVar(&o.gangFile, "gang", "", "file in HCL with a gang, whose parts start together or not at all")
+	flags := cmd.Flags()
+	toFlag(cmd, &options.to)
+	options.workload.addFlags(cmd)
+	flags.StringVar(&options.client, "owner", fmt.Sprintf("submit-%d", os.Getpid()), "name of the client")
+	flags.BoolVar(&options.wait, "wait", false, "wait until a placed workload has ended")
+	jsonFlag(cmd, &options.asJSON)
+	flags.StringVar(&options.gangFile, "gang", "",
+		"file in HCL with a gang, whose parts start together or not at all")
 	return cmd
 }
 
-// submitWorkload submits one workload.
+func (o *workloadOptions) addFlags(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	flags.StringVar(&o.group, "group", "", "priority group")
+	flags.Float64Var(&o.cores, "cores", 0, "cores that it requests")
+	flags.Float64Var(&o.memory, "memory", 0, "memory that it requests, in the unit of the node kinds")
+	flags.Uint64Var(&o.service, "service", 1, "service that it belongs to")
+	flags.Uint64Var(&o.key, "key", 0, "idempotency key; give the same in a retry (default: random)")
+	flags.DurationVar(&o.runsFor, "runs-for", 10*time.Second, "how long it is expected to run")
+	flags.DurationVar(&o.pending, "pending", 6*time.Second, "pending timeout: how long to wait for the answer")
+}
+
+// request returns the request to place the workload, with a random id, and a random key if none is given.
+func (o *workloadOptions) request() *pb.PlaceRequest {
+	key := o.key
+	if key == 0 {
+		key = rand.Uint64()
+	}
+	return &pb.PlaceRequest{
+		RequestId:         rand.Uint64(),
+		Key:               key,
+		Service:           o.service,
+		Group:             o.group,
+		Cores:             o.cores,
+		Memory:            o.memory,
+		PendingTimeoutMs:  milliseconds(o.pending),
+		ExpectedRuntimeMs: milliseconds(o.runsFor),
+	}
+}
+
+// submitWorkload submits the workload that the flags describe.
 func (o *submitOptions) submitWorkload(cmd *cobra.Command) error {
 	for _, name := range []string{"group", "cores", "memory"} {
 		if !cmd.Flags().Changed(name) {
 			return fmt.Errorf("--%s is missing; give --group, --cores and --memory, or --gang FILE", name)
 		}
 	}
-	if o.key == 0 {
-		o.key = rand.Uint64()
-	}
 	connection, err := dial(o.to, pb.Role_CLIENT, o.client)
 	if err != nil {
 		return err
 	}
 	defer connection.close()
-	request := &pb.PlaceRequest{
-		RequestId: rand.Uint64(), Key: o.key, Service: o.service, Group: o.group, Cores: o.cores, Memory: o.memory,
-		PendingTimeoutMs: milliseconds(o.pending), ExpectedRuntimeMs: milliseconds(o.runsFor), SentMs: connection.clock(),
-	}
-	s := submission{Request: request.RequestId, Key: o.key}
-	frame := &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: request}}
-	if err := s.exchange(connection, frame, o.pending+replyTimeout); err != nil {
+	request := o.workload.request()
+	request.SentMs = connection.clock()
+	return o.submit(cmd, connection, &submission{
+		frame:         &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: request}},
+		id:            request.RequestId,
+		key:           request.Key,
+		answerTimeout: o.workload.pending + replyTimeout,
+		endTimeout:    o.workload.runsFor + endGrace,
+	})
+}
+
+// submit sends a request and prints its outcome. The error is errProblemFound if nothing was placed.
+func (o *submitOptions) submit(cmd *cobra.Command, connection *client, request *submission) error {
+	outcome, err := request.exchange(connection)
+	if err != nil {
 		return err
 	}
-	if o.wait && s.Verdict == verdictPlaced {
-		if err := s.awaitEnd(connection, o.runsFor+endGrace); err != nil {
+	placed := outcome.Verdict == verdictPlaced
+	if o.wait && placed {
+		if err := request.awaitEnd(connection, outcome); err != nil {
 			return err
 		}
 	}
-	return s.print(cmd, o.asJSON)
+	if err := printOutput(cmd, o.asJSON, outcome, func() { outcome.print(cmd) }); err != nil {
+		return err
+	}
+	return problemIf(!placed)
 }
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -9,6 +9,7 @@
 Where a command takes files, a directory stands for the trace files in it, in the order of writing.
 `
 
+// traceCommand defines "trace".
 func traceCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "trace",
@@ -16,8 +17,15 @@
 		Long:  helpText(traceHelp),
 	}
 	cmd.AddCommand(
-		traceSummaryCommand(), traceCutCommand(), traceMergeCommand(), traceAnonymiseCommand(), traceVerifyCommand(),
-		traceExportCommand(), traceShowCommand(), traceReplayCommand(), traceExtractCommand(),
+		traceSummaryCommand(),
+		traceCutCommand(),
+		traceMergeCommand(),
+		traceAnonymiseCommand(),
+		traceVerifyCommand(),
+		traceExportCommand(),
+		traceShowCommand(),
+		traceReplayCommand(),
+		traceExtractCommand(),
 	)
 	return cmd
 }
--- a/internal/command/trace_anonymise.go
+++ b/internal/command/trace_anonymise.go
@@ -21,32 +21,30 @@
 pseudonyms cannot be replayed: some choices rest on the ids themselves.
 `
 
+// traceAnonymiseCommand defines "trace anonymise".
 func traceAnonymiseCommand() *cobra.Command {
-	var o anonymiseOptions
+	var options anonymiseOptions
 	cmd := &cobra.Command{
 		Use:   "anonymise FILE --key-file FILE -o FILE",
 		Short: "Replace everything that identifies someone or something by pseudonyms",
 		Long:  helpText(traceAnonymiseHelp),
 		Args:  cobra.ExactArgs(1),
-		RunE:  o.run,
+		RunE:  options.run,
 	}
-	outputFlag(cmd, &o.out)
-	cmd.Flags().StringVar(&o.keyFile, "key-file", "", "file with the key, 16 bytes or more")
-	cmd.Flags().BoolVar(&o.coarsen, "coarsen", false, "also round cores, memory and the like to powers of two")
+	outputFlag(cmd, &options.out)
+	cmd.Flags().StringVar(&options.keyFile, "key-file", "", "file with the key, 16 bytes or more")
+	cmd.Flags().BoolVar(&options.coarsen, "coarsen", false,
+		"also round cores, memory and the like to powers of two")
 	requireFlag(cmd, "key-file")
 	return cmd
 }
 
+// run writes a copy of the trace under pseudonyms.
 func (o *anonymiseOptions) run(cmd *cobra.Command, args []string) error {
-	key, err := os.ReadFile(o.keyFile)
+	anonymiser, err := o.anonymiser()
 	if err != nil {
 		return err
 	}
-	a, err := trace.NewAnonymiser(key)
-	if err != nil {
-		return fmt.Errorf("%s: %w", o.keyFile, err)
-	}
-	a.Coarse = o.coarsen
 	files, err := openTraces(cmd, args)
 	if err != nil {
 		return err
@@ -56,15 +54,29 @@
 	if err != nil {
 		return err
 	}
-	header, err := a.Header(file.Header)
+	header, err := anonymiser.Header(file.Header)
 	if err != nil {
 		return runError{err}
 	}
-	return writeOutput(o.out, func(f *os.File) error {
-		w, err := trace.NewWriter(f, header)
+	return writeOutput(o.out, func(out *os.File) error {
+		writer, err := trace.NewWriter(out, header)
 		if err != nil {
 			return err
 		}
-		return trace.Anonymise(file, w, a)
+		return trace.Anonymise(file, writer, anonymiser)
 	})
 }
+
+// anonymiser returns an anonymiser with the key of the key file.
+func (o *anonymiseOptions) anonymiser() (*trace.Anonymiser, error) {
+	key, err := os.ReadFile(o.keyFile)
+	if err != nil {
+		return nil, fmt.Errorf("read the key: %w", err)
+	}
+	anonymiser, err := trace.NewAnonymiser(key)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", o.keyFile, err)
+	}
+	anonymiser.Coarse = o.coarsen
+	return anonymiser, nil
+}
--- a/internal/command/trace_cut.go
+++ b/internal/command/trace_cut.go
@@ -8,36 +8,42 @@
 	"grebeglade/trace"
 )
 
+type cutOptions struct {
+	bounds spanFlags
+	out    string
+}
+
+// traceCutCommand defines "trace cut".
 func traceCutCommand() *cobra.Command {
-	var out string
-	var bounds spanFlags
+	var options cutOptions
 	cmd := &cobra.Command{
 		Use:   "cut FILE -o FILE --from TIME --to TIME",
 		Short: "Copy the records of a span of time",
 		Args:  cobra.ExactArgs(1),
-		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
-			file, err := files.only("cut")
-			if err != nil {
-				return err
-			}
-			span, err := bounds.span(files)
-			if err != nil {
-				return err
-			}
-			return writeOutput(out, func(f *os.File) error { return cutTrace(cmd, f, file, span) })
-		}),
+		RunE:  withTraces(options.run),
 	}
-	outputFlag(cmd, &out)
-	bounds.add(cmd)
+	outputFlag(cmd, &options.out)
+	options.bounds.addFlags(cmd)
 	return cmd
 }
 
-func cutTrace(cmd *cobra.Command, to *os.File, from *trace.Reader, span trace.Span) error {
-	w, err := trace.NewWriter(to, trace.CopyHeader(from.Header))
+// run copies the records and prints how many there are.
+func (o *cutOptions) run(cmd *cobra.Command, files traceFiles) error {
+	file, err := files.only("cut")
+	if err != nil {
+		return err
+	}
+	span, err := o.bounds.span(files)
 	if err != nil {
 		return err
 	}
-	err = trace.Cut(from, w, span)
-	cmd.PrintErrf("%d records\n", w.Records)
-	return err
+	return writeOutput(o.out, func(out *os.File) error {
+		writer, err := trace.NewWriter(out, trace.CopyHeader(file.Header))
+		if err != nil {
+			return err
+		}
+		err = trace.Cut(file, writer, span)
+		cmd.PrintErrf("%d records\n", writer.Records)
+		return err
+	})
 }
--- a/internal/command/trace_export.go
+++ b/internal/command/trace_export.go
@@ -8,6 +8,7 @@
 	"grebeglade/trace"
 )
 
+// traceExportCommand defines "trace export".
 func traceExportCommand() *cobra.Command {
 	var out string
 	cmd := &cobra.Command{
@@ -15,14 +16,19 @@
 		Short: "Write one row for each decision, for common tools",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
-			return writeOutput(out, func(f *os.File) error {
-				rows, err := trace.Export(files, f)
-				cmd.PrintErrf("%d rows\n", rows)
-				return err
-			})
+			return exportTraces(cmd, files, out)
 		}),
 	}
 	cmd.Flags().StringVar(&out, "parquet", "", "Parquet file to write; it must not exist yet")
 	requireFlag(cmd, "parquet")
 	return cmd
 }
+
+// exportTraces writes the decisions of all files and prints how many there are.
+func exportTraces(cmd *cobra.Command, files traceFiles, name string) error {
+	return writeOutput(name, func(out *os.File) error {
+		rows, err := trace.Export(files, out)
+		cmd.PrintErrf("%d rows\n", rows)
+		return err
+	})
+}
--- a/internal/command/trace_extract.go
+++ b/internal/command/trace_extract.go
@@ -6,6 +6,7 @@
 	"grebeglade/internal/replay"
 )
 
+// traceExtractCommand defines "trace extract".
 func traceExtractCommand() *cobra.Command {
 	var workload uint32
 	cmd := &cobra.Command{
@@ -13,11 +14,11 @@
 		Short: "Print the few calls that a decision rests on, as a test in Go",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
-			x, err := replay.ReproduceFiles(files, workload)
+			reproduction, err := replay.ReproduceFiles(files, workload)
 			if err != nil {
 				return runError{err}
 			}
-			return x.Print(cmd.OutOrStdout())
+			return reproduction.Print(cmd.OutOrStdout())
 		}),
 	}
 	cmd.Flags().Uint32Var(&workload, "workload", 0, "whose decision")
--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -14,7 +14,8 @@
 // traceFiles are open trace files.
 type traceFiles []*trace.Reader
 
-// openTraces opens files, and those in directories. Files without even a header are skipped with a message.
+// openTraces opens files, and those in directories. Files without even a header are skipped with a message, and damage
+// in the others is reported.
 func openTraces(cmd *cobra.Command, args []string) (traceFiles, error) {
 	names, err := traceNames(args)
 	if err != nil {
@@ -22,7 +23,7 @@
 	}
 	var files traceFiles
 	for _, name := range names {
-		r, err := trace.Open(name)
+		reader, err := trace.Open(name)
 		if errors.Is(err, trace.ErrEmpty) {
 			cmd.PrintErrf("%s: empty; skipped\n", name)
 			continue
@@ -31,22 +32,22 @@
 			files.close()
 			return nil, err
 		}
-		for _, d := range r.Damage {
-			cmd.PrintErrf("%s: %s\n", name, d)
+		for _, damage := range reader.Damage {
+			cmd.PrintErrf("%s: %s\n", name, damage)
 		}
-		files = append(files, r)
+		files = append(files, reader)
 	}
 	return files, nil
 }
 
 // close closes the files. They were only read, so an error does not matter.
 func (files traceFiles) close() {
-	for _, r := range files {
-		_ = r.Close()
+	for _, reader := range files {
+		_ = reader.Close()
 	}
 }
 
-// only returns the one file of a command that takes no more.
+// only returns the single file of a command that takes no more.
 func (files traceFiles) only(command string) (*trace.Reader, error) {
 	if len(files) != 1 {
 		return nil, fmt.Errorf("%s takes one file, not %d; merge them first", command, len(files))
@@ -54,7 +55,7 @@
 	return files[0], nil
 }
 
-// withTraces makes a RunE of a function that takes the open files.
+// withTraces makes a RunE of a function that takes the files which the arguments name. They are closed after it.
 func withTraces(run func(cmd *cobra.Command, files traceFiles) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		files, err := openTraces(cmd, args)
@@ -72,7 +73,7 @@
 	for _, arg := range args {
 		info, err := os.Stat(arg)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("find a trace: %w", err)
 		}
 		if !info.IsDir() {
 			names = append(names, arg)
@@ -87,16 +88,17 @@
 	return names, nil
 }
 
-// tracesBelow returns the trace files of a directory and of its subdirectories, which hold one allocator each.
+// tracesBelow returns the trace files of a directory and of its subdirectories, which hold one allocator each. As in
+// trace.ListFiles, a directory that cannot be read has none.
 func tracesBelow(dir string) []string {
 	names, _, _ := trace.ListFiles(dir)
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return names
 	}
-	for _, e := range entries {
-		if e.IsDir() {
-			names = append(names, tracesBelow(filepath.Join(dir, e.Name()))...)
+	for _, entry := range entries {
+		if entry.IsDir() {
+			names = append(names, tracesBelow(filepath.Join(dir, entry.Name()))...)
 		}
 	}
 	return names
--- a/internal/command/trace_merge.go
+++ b/internal/command/trace_merge.go
@@ -9,42 +9,50 @@
 	"grebeglade/trace/tracepb"
 )
 
+type mergeOptions struct {
+	out    string
+	asJSON bool
+}
+
 const traceMergeHelp = `
 Records are ordered by time; those of one allocator always by incarnation and revision. Records that are in
 several files are copied once. Clocks that differ are reported.
 `
 
+// traceMergeCommand defines "trace merge".
 func traceMergeCommand() *cobra.Command {
-	var out string
-	var asJSON bool
+	var options mergeOptions
 	cmd := &cobra.Command{
 		Use:   "merge FILE|DIR... -o FILE",
 		Short: "Merge the traces of many allocators, or many files of one, into one file",
 		Long:  helpText(traceMergeHelp),
 		Args:  cobra.MinimumNArgs(1),
-		RunE:  withTraces(func(cmd *cobra.Command, files traceFiles) error { return mergeTraces(cmd, files, out, asJSON) }),
+		RunE:  withTraces(options.run),
 	}
-	outputFlag(cmd, &out)
-	jsonFlag(cmd, &asJSON)
+	outputFlag(cmd, &options.out)
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-func mergeTraces(cmd *cobra.Command, files traceFiles, out string, asJSON bool) error {
+// run merges the files and prints a report.
+func (o *mergeOptions) run(cmd *cobra.Command, files traceFiles) error {
 	var report *trace.MergeReport
-	err := writeOutput(out, func(f *os.File) (err error) {
-		create := func(h *tracepb.Header) (*trace.Writer, error) { return trace.NewWriter(f, h) }
+	err := writeOutput(o.out, func(out *os.File) error {
+		create := func(header *tracepb.Header) (*trace.Writer, error) { return trace.NewWriter(out, header) }
+		var err error
 		report, err = trace.Merge(files, create)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if asJSON {
-		return printJSON(cmd, report)
-	}
-	cmd.Printf("%d records of %d files, %d that stood in several\n", report.Records, len(files), report.Duplicates)
-	for _, s := range report.Clocks {
-		cmd.Printf("CLOCKS DIFFER: %s\n", s)
+	return printOutput(cmd, o.asJSON, report, func() { printMerge(cmd, report, len(files)) })
+}
+
+// printMerge prints how many records were copied, and which allocators' clocks differ.
+func printMerge(cmd *cobra.Command, report *trace.MergeReport, files int) {
+	cmd.Printf("%d records of %d files, %d that stood in several\n", report.Records, files, report.Duplicates)
+	for _, difference := range report.Clocks {
+		cmd.Printf("CLOCKS DIFFER: %s\n", difference)
 	}
-	return nil
 }
--- a/internal/command/trace_show.go
+++ b/internal/command/trace_show.go
@@ -1,7 +1,6 @@
 package command
 
 import (
-	"fmt"
 	"iter"
 
 	"github.com/spf13/cobra"
@@ -17,36 +16,40 @@
 	asJSON bool
 }
 
+// traceShowCommand defines "trace show".
 func traceShowCommand() *cobra.Command {
-	var o showOptions
+	var options showOptions
 	cmd := &cobra.Command{
 		Use:   "show FILE|DIR...",
 		Short: "Print records, one a line",
 		Args:  cobra.MinimumNArgs(1),
-		RunE:  withTraces(o.run),
+		RunE:  withTraces(options.run),
 	}
-	o.bounds.add(cmd)
-	f := cmd.Flags()
-	f.Uint32Var(&o.filter.Workload, "workload", 0, "only what concerns this workload")
-	f.Uint64Var(&o.filter.Service, "service", 0, "only what concerns workloads of this service")
-	f.Uint32Var(&o.filter.Node, "node", 0, "only what concerns this node")
-	f.IntVar(&o.most, "most", 1000, "show so many at most")
-	jsonFlag(cmd, &o.asJSON)
+	options.bounds.addFlags(cmd)
+	flags := cmd.Flags()
+	flags.Uint32Var(&options.filter.Workload, "workload", 0, "only what concerns this workload")
+	flags.Uint64Var(&options.filter.Service, "service", 0, "only what concerns workloads of this service")
+	flags.Uint32Var(&options.filter.Node, "node", 0, "only what concerns this node")
+	flags.IntVar(&options.most, "most", 1000, "show so many at most")
+	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
+// run prints the records that match, as they are read or as one document, and how many were left out.
 func (o *showOptions) run(cmd *cobra.Command, files traceFiles) error {
 	span, err := o.bounds.span(files)
 	if err != nil {
 		return err
 	}
-	lines, matched := []string{}, 0
+	lines := []string{} // never null in JSON
+	matched := 0
 	for _, file := range files {
-		for r := range o.matching(cmd, file, span) {
-			if matched++; matched > o.most {
+		for record := range o.matching(cmd, file, span) {
+			matched++
+			if matched > o.most {
 				continue
 			}
-			line := formatRecord(file, r)
+			line := formatRecord(file, record)
 			lines = append(lines, line)
 			if !o.asJSON {
 				cmd.Println(line)
@@ -66,12 +69,12 @@
 func (o *showOptions) matching(cmd *cobra.Command, file *trace.Reader, span trace.Span) iter.Seq[*trace.Record] {
 	return func(yield func(*trace.Record) bool) {
 		match := o.filter.Matcher()
-		for r, err := range file.Records(span) {
+		for record, err := range file.Records(span) {
 			if err != nil {
 				cmd.PrintErrln(err)
 				continue
 			}
-			if match(r) && !yield(r) {
+			if match(record) && !yield(record) {
 				return
 			}
 		}
@@ -79,10 +82,11 @@
 }
 
 // formatRecord describes a record in a line, with its allocator if the file holds several.
-func formatRecord(file *trace.Reader, r *trace.Record) string {
-	line := fmt.Sprintf("%s %s", formatTime(file.UnixMillis(r)), replay.Describe(r))
-	if sources := file.Header.Sources; len(sources) > 1 && int(r.Source) < len(sources) {
-		line = sources[r.Source].Allocator + " " + line
+func formatRecord(file *trace.Reader, record *trace.Record) string {
+	line := formatTime(file.UnixMillis(record)) + " " + replay.Describe(record)
+	sources := file.Header.Sources
+	if len(sources) > 1 && int(record.Source) < len(sources) {
+		return sources[record.Source].Allocator + " " + line
 	}
 	return line
 }
--- a/internal/command/trace_span.go
+++ b/internal/command/trace_span.go
@@ -10,15 +10,20 @@
 	"grebeglade/trace"
 )
 
-// spanFlags are the bounds of a span of time as the flags give them: absolute, or relative to the first record.
-type spanFlags struct{ from, to string }
+// spanFlags are the bounds of a span of time as the flags give them: absolute, or relative to the first record. An
+// empty one is no bound.
+type spanFlags struct {
+	from string
+	to   string
+}
 
-func (f *spanFlags) add(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.from, "from", "", `from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
+func (f *spanFlags) addFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.from, "from", "",
+		`from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
 	cmd.Flags().StringVar(&f.to, "to", "", "up to this time, in the same forms")
 }
 
-// span returns the bounds as times, by what the files hold.
+// span returns the bounds as Unix times. Relative ones count from the first record of the files.
 func (f *spanFlags) span(files traceFiles) (trace.Span, error) {
 	first := firstMillis(files)
 	from, err := parseTime("from", f.from, first)
@@ -35,17 +40,18 @@
 	return trace.Span{FromMs: from, ToMs: to}, nil
 }
 
-// parseTime returns Unix milliseconds, 0 for "". A text that begins with "+" is relative to the first record.
+// parseTime parses the value of a flag and returns Unix milliseconds, 0 for "". A text that begins with "+" is relative
+// to first, the time of the first record.
 func parseTime(flag, text string, first float64) (float64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	if offset, relative := strings.CutPrefix(text, "+"); relative {
-		d, err := time.ParseDuration(offset)
+		duration, err := time.ParseDuration(offset)
 		if err != nil {
 			return 0, fmt.Errorf(`--%s %q is no time; write one such as "+90s"`, flag, text)
 		}
-		return first + milliseconds(d), nil
+		return first + milliseconds(duration), nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
@@ -56,8 +62,8 @@
 
 // firstMillis returns the time of the earliest record, 0 if there is none.
 func firstMillis(files traceFiles) (first float64) {
-	for _, r := range files {
-		if at := r.FirstUnixMillis(); at != 0 && (first == 0 || at < first) {
+	for _, reader := range files {
+		if at := reader.FirstUnixMillis(); at != 0 && (first == 0 || at < first) {
 			first = at
 		}
 	}
--- a/internal/command/trace_summary.go
+++ b/internal/command/trace_summary.go
@@ -12,6 +12,7 @@
 
 const maxRejectionsShown = 20 // --json shows all
 
+// traceSummaryCommand defines "trace summary".
 func traceSummaryCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -19,59 +20,81 @@
 		Short: "Count requests, outcomes, waits and rejections by nodes",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
-			s, err := trace.Summarise(files)
-			if err != nil {
-				return runError{err}
-			}
-			if asJSON {
-				return printJSON(cmd, s)
-			}
-			return printSummary(cmd, s)
+			return summariseTraces(cmd, files, asJSON)
 		}),
 	}
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
 
-func printSummary(cmd *cobra.Command, s *trace.Summary) error {
-	cmd.Printf("%d records of %s, from %s to %s\n\n", s.Records, strings.Join(s.Sources, ", "), formatTime(s.FromMs), formatTime(s.ToMs))
+func summariseTraces(cmd *cobra.Command, files traceFiles, asJSON bool) error {
+	summary, err := trace.Summarise(files)
+	if err != nil {
+		return runError{err}
+	}
+	if asJSON {
+		return printJSON(cmd, summary)
+	}
+	return printSummary(cmd, summary)
+}
+
+// printSummary prints the outcomes of each group, the rejections by nodes, and what is missing from the files.
+func printSummary(cmd *cobra.Command, summary *trace.Summary) error {
+	cmd.Printf("%d records of %s, from %s to %s\n\n",
+		summary.Records, strings.Join(summary.Sources, ", "), formatTime(summary.FromMs), formatTime(summary.ToMs))
 	rows := [][]string{{
 		"GROUP", "ASKS", "PLACED", "REJECTED", "UNSCHEDULABLE", "OPEN", "BINDS", "WAIT, MEDIAN", "P99", "LONGEST",
 	}}
-	for _, g := range s.Groups {
-		rows = append(rows, outcomesRow(g))
+	for _, outcomes := range summary.Groups {
+		rows = append(rows, outcomesRow(outcomes))
 	}
 	if err := printTable(cmd, rows); err != nil {
 		return err
 	}
-	cmd.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n", s.OutcomeUnknown, s.NotDelivered)
-	if err := printRejections(cmd, s.NodeRejections); err != nil {
+	cmd.Printf("\nBinds without an answer: %d. Nodes without a connection: %d.\n",
+		summary.OutcomeUnknown, summary.NotDelivered)
+	if err := printRejections(cmd, summary.NodeRejections); err != nil {
 		return err
 	}
-	if s.Missing > 0 {
-		cmd.Printf("MISSING: %d records could not be recorded\n", s.Missing)
+	if summary.Missing > 0 {
+		cmd.Printf("MISSING: %d records could not be recorded\n", summary.Missing)
 	}
-	for _, d := range s.Damage {
-		cmd.Printf("DAMAGED: %s\n", d)
+	for _, damage := range summary.Damage {
+		cmd.Printf("DAMAGED: %s\n", damage)
 	}
 	return nil
 }
 
-func outcomesRow(g *trace.Outcomes) []string {
-	ms := func(v float64) string { return fmt.Sprintf("%.1f ms", v) }
+// outcomesRow returns the row of a table for a group.
+func outcomesRow(outcomes *trace.Outcomes) []string {
 	return []string{
-		g.Group, strconv.Itoa(g.Requests), strconv.Itoa(g.Placed), strconv.Itoa(g.Rejected), strconv.Itoa(g.Unschedulable),
-		strconv.Itoa(g.Open), strconv.Itoa(g.Binds), ms(g.MedianMs), ms(g.P99Ms), ms(g.MaxMs),
+		outcomes.Group,
+		strconv.Itoa(outcomes.Requests),
+		strconv.Itoa(outcomes.Placed),
+		strconv.Itoa(outcomes.Rejected),
+		strconv.Itoa(outcomes.Unschedulable),
+		strconv.Itoa(outcomes.Open),
+		strconv.Itoa(outcomes.Binds),
+		formatWait(outcomes.MedianMs),
+		formatWait(outcomes.P99Ms),
+		formatWait(outcomes.MaxMs),
 	}
 }
 
+func formatWait(ms float64) string { return fmt.Sprintf("%.1f ms", ms) }
+
+// printRejections prints the most frequent rejections. An empty row sets their table apart from what comes before.
 func printRejections(cmd *cobra.Command, rejections []trace.NodeRejection) error {
 	if len(rejections) == 0 {
 		return nil
 	}
 	rows := [][]string{{"", ""}, {"NODE", "REFUSED FOR", "TIMES"}}
-	for _, r := range rejections[:min(len(rejections), maxRejectionsShown)] {
-		rows = append(rows, []string{formatUint(r.Node), r.Reason, strconv.Itoa(r.Count)})
+	for _, rejection := range rejections[:min(len(rejections), maxRejectionsShown)] {
+		rows = append(rows, []string{
+			formatUint(rejection.Node),
+			rejection.Reason,
+			strconv.Itoa(rejection.Count),
+		})
 	}
 	if err := printTable(cmd, rows); err != nil {
 		return err
--- a/internal/command/trace_verify.go
+++ b/internal/command/trace_verify.go
@@ -6,25 +6,29 @@
 	"grebeglade/trace"
 )
 
+// traceVerifyCommand defines "trace verify".
 func traceVerifyCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "verify FILE|DIR...",
 		Short: "Read each file to its end and report what is wrong with it",
 		Args:  cobra.MinimumNArgs(1),
-		RunE:  withTraces(func(cmd *cobra.Command, files traceFiles) error { return verifyTraces(cmd, files, asJSON) }),
+		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
+			return verifyTraces(cmd, files, asJSON)
+		}),
 	}
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
 
+// verifyTraces checks files and prints what is wrong. The error is errProblemFound if anything is.
 func verifyTraces(cmd *cobra.Command, files traceFiles, asJSON bool) error {
 	var checks []*trace.Check
-	wrong := false
-	for _, f := range files {
-		check := trace.Verify(f)
+	anyWrong := false
+	for _, file := range files {
+		check := trace.Verify(file)
 		checks = append(checks, check)
-		wrong = wrong || len(check.Wrong) > 0
+		anyWrong = anyWrong || len(check.Wrong) > 0
 		if !asJSON {
 			printCheck(cmd, check)
 		}
@@ -34,15 +38,12 @@
 			return err
 		}
 	}
-	if wrong {
-		return errProblemFound
-	}
-	return nil
+	return problemIf(anyWrong)
 }
 
 func printCheck(cmd *cobra.Command, check *trace.Check) {
 	cmd.Printf("%d records in %d blocks, index %s\n", check.Records, check.Blocks, check.Index)
-	for _, w := range check.Wrong {
-		cmd.Printf("  %s\n", w)
+	for _, wrong := range check.Wrong {
+		cmd.Printf("  %s\n", wrong)
 	}
 }
