--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -12,19 +12,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run runs a command line in this process.
-func run(args ...string) (code int, stdout, stderr string) {
-	var out, errs bytes.Buffer
-	code = Run(args, &out, &errs)
-	return code, out.String(), errs.String()
+// commandResult is what a command line came to.
+type commandResult struct {
+	code   int
+	stdout string
+	stderr string
 }
 
+// runCommand runs a command line, whose arguments are separated by spaces, in this process.
+func runCommand(line string) commandResult {
+	var stdout, stderr bytes.Buffer
+	code := Run(strings.Fields(line), &stdout, &stderr)
+	return commandResult{
+		code:   code,
+		stdout: stdout.String(),
+		stderr: stderr.String(),
+	}
+}
+
+// runJSON runs a command line that must succeed with --json, and decodes its output into document.
+func runJSON(t *testing.T, line string, document any) {
+	t.Helper()
+	result := runCommand(line + " --json")
+	require.Equal(t, exitOK, result.code, result.stdout+result.stderr)
+	require.NoError(t, json.Unmarshal([]byte(result.stdout), document), result.stdout)
+}
+
+const unknownMutant = `--break "nothing" is not known; known are [binds-more` // and so on
+
 func TestRun_ExitCode(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.hcl")
 	require.NoError(t, os.WriteFile(bad, []byte("kind \"k\" {\n  cores = -1\n}\n"), 0o600))
-	good, wrong := filepath.Join(t.TempDir(), "good"), filepath.Join(t.TempDir(), "wrong")
-	for _, c := range []struct {
-		args   string
+	good := filepath.Join(t.TempDir(), "good")
+	wrong := filepath.Join(t.TempDir(), "wrong")
+	for _, test := range []struct {
+		line   string
 		code   int
 		stderr string // what it contains
 	}{
@@ -35,7 +57,7 @@
 		{"lab check " + good + " " + wrong, exitProblem, ""},
 		{"lab check " + bad, exitBadInput, "bad.hcl:1: invalid character"},
 		{"lab check nowhere", exitBadInput, "no such file"},
-		{"lab play quiet --virtual --break nothing", exitBadInput, `--break "nothing" is not known; known are [binds-more`},
+		{"lab play quiet --virtual --break nothing", exitBadInput, unknownMutant},
 		{"lab play nothing --virtual", exitBadInput, `no script is named "nothing"`},
 		{"lab play quiet --nodes -1", exitBadInput, "must not be below 0"},
 		{"lab play", exitBadInput, "accepts 1 arg(s)"},
@@ -49,55 +71,53 @@
 		{"submit --cores 1", exitBadInput, "--group is missing"},
 		{"submit --gang " + bad, exitBadInput, "bad.hcl:1: no part; write at least one"},
 	} {
-		t.Run(c.args, func(t *testing.T) {
-			code, _, stderr := run(strings.Fields(c.args)...)
-			assert.Equal(t, c.code, code, c.args)
-			assert.Contains(t, stderr, c.stderr, c.args)
+		t.Run(test.line, func(t *testing.T) {
+			result := runCommand(test.line)
+			assert.Equal(t, test.code, result.code)
+			assert.Contains(t, result.stderr, test.stderr)
 		})
 	}
 }
 
 func TestRun_HelpIsSuggestedOnlyForMistakesInTheCommandLine(t *testing.T) {
-	for args, suggested := range map[string]bool{
+	for line, suggested := range map[string]bool{
 		"demo --fro 1s":              true,
 		"nothing":                    true,
 		"serve":                      true,
-		"serve --config flag.hcl":    false, // the name of the file is no matter of flags
+		"serve --config flag.hcl":    false, // the file is missing, not the flag
 		"lab play quiet --nodes -1":  false,
 		"nodes --to 127.0.0.1:1":     false,
 		"lab check unknown.history":  false,
 		"state check unknown":        false,
 		"trace summary --json a.gbt": false,
 	} {
-		t.Run(args, func(t *testing.T) {
-			_, _, stderr := run(strings.Fields(args)...)
+		t.Run(line, func(t *testing.T) {
+			stderr := runCommand(line).stderr
 			assert.Contains(t, stderr, "grebeglade: ")
 			assert.Equal(t, suggested, strings.Contains(stderr, "See 'grebeglade --help'."), stderr)
 		})
 	}
 }
 
-func TestRun_JSONIsOneDocumentWithStableNames(t *testing.T) {
-	line := strings.Fields("lab play rough --virtual --seed 3 --allocators 3 --nodes 12 --json")
-	code, out, _ := run(line...)
-	require.Zero(t, code)
+func TestLabPlay_JSONHasStableKeysAndRepeatsTheDigest(t *testing.T) {
+	const line = "lab play rough --virtual --seed 3 --allocators 3 --nodes 12"
 	var first map[string]any
-	require.NoError(t, json.Unmarshal([]byte(out), &first))
-	for _, name := range []string{
-		"name", "seed", "virtual", "allocators", "nodes", "workloads", "placed", "rejected", "unschedulable", "unanswered",
-		"binds", "moves", "digest", "broken",
+	runJSON(t, line, &first)
+	for _, key := range []string{
+		"name", "seed", "virtual", "allocators", "nodes", "workloads", "placed", "rejected", "unschedulable",
+		"unanswered", "binds", "moves", "digest", "broken",
 	} {
-		assert.Contains(t, first, name)
+		assert.Contains(t, first, key)
 	}
 	assert.Equal(t, []any{3.0, 12.0, true}, []any{first["allocators"], first["nodes"], first["virtual"]})
-	_, out, _ = run(line...)
+
 	var second map[string]any
-	require.NoError(t, json.Unmarshal([]byte(out), &second))
+	runJSON(t, line, &second)
 	assert.Equal(t, first["digest"], second["digest"])
+}
 
-	code, out, _ = run("lab", "list", "--json")
-	require.Zero(t, code)
+func TestLabList_JSONHasTheScenarios(t *testing.T) {
 	var names []string
-	require.NoError(t, json.Unmarshal([]byte(out), &names))
+	runJSON(t, "lab list", &names)
 	assert.Subset(t, names, []string{"rough", "quiet"})
 }
--- a/internal/command/output_file_test.go
+++ b/internal/command/output_file_test.go
@@ -24,7 +24,7 @@
 func TestWriteOutput_FailedCloseIsAnError(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "out")
 
-	err := writeOutput(name, func(f *os.File) error { return f.Close() }) // so that the close after it fails
+	err := writeOutput(name, func(file *os.File) error { return file.Close() }) // so that the close after it fails
 
 	require.ErrorIs(t, err, os.ErrClosed)
 	assert.NoFileExists(t, name)
@@ -37,7 +37,7 @@
 	err := writeOutput(name, func(*os.File) error { return nil })
 
 	require.ErrorContains(t, err, "is there already")
-	kept, err := os.ReadFile(name)
+	content, err := os.ReadFile(name)
 	require.NoError(t, err)
-	assert.Equal(t, "mine", string(kept))
+	assert.Equal(t, "mine", string(content))
 }
--- a/internal/command/platform_client_test.go
+++ b/internal/command/platform_client_test.go
@@ -19,12 +19,17 @@
 	replies *bufio.Reader
 }
 
-func (p *process) connect(t *testing.T) *platformClient {
+// connect opens a client connection, which is closed when the test ends.
+func (p *platformProcess) connect(t *testing.T) *platformClient {
 	t.Helper()
-	c, err := net.Dial("tcp", p.address)
+	conn, err := net.Dial("tcp", p.address)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() })
-	return &platformClient{c, t, bufio.NewReader(c)}
+	t.Cleanup(func() { _ = conn.Close() })
+	return &platformClient{
+		Conn:    conn,
+		t:       t,
+		replies: bufio.NewReader(conn),
+	}
 }
 
 func (c *platformClient) send(text string) {
@@ -33,6 +38,7 @@
 	require.NoError(c.t, err)
 }
 
+// receive returns the next reply, a line of JSON.
 func (c *platformClient) receive() string {
 	c.t.Helper()
 	require.NoError(c.t, c.SetReadDeadline(time.Now().Add(replyLimit)))
@@ -54,11 +60,13 @@
 	healthy     = `{"verb":"ECHOED","tag":"0000000000000001","opts":{},"rc":1}`
 )
 
+// startRequest returns a request to place a workload.
 func startRequest(tag int) string {
 	return fmt.Sprintf(`{"verb":"START","tag":"%016x","opts":{"class":"tiles","left":"6000","key":"aa",`+
 		`"extras":"cores:1;memory:1;service:%x"},"blob":"what is asked"}`+"\n", tag, tag)
 }
 
+// placedReply returns the final answer to a request whose workload a node has accepted.
 func placedReply(tag int) string {
 	return fmt.Sprintf(`{"verb":"STARTED","tag":"%016x","opts":{},"blob":"taken by a node"}`, tag)
 }
--- a/internal/command/platform_emulators_test.go
+++ b/internal/command/platform_emulators_test.go
@@ -13,12 +13,12 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-// emulateDiscovery emulates the discovery service, which has no events. It reports the event from which each subscriber
-// resumes.
+// emulateDiscovery starts a discovery service without events and returns its address. It reports the event from which
+// each subscriber resumes.
 func emulateDiscovery(t *testing.T) (address string, subscribed <-chan string) {
 	t.Helper()
 	subscribers := make(chan string, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		subscribers <- r.Header.Get("Last-Event-ID")
 		for r.Context().Err() == nil {
 			if _, err := io.WriteString(w, ": here\n\n"); err != nil {
@@ -32,10 +32,10 @@
 		}
 	}))
 	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return s.Listener.Addr().String(), subscribers
+	return server.Listener.Addr().String(), subscribers
 }
 
 // emulatedNode is a node that accepts every bind.
@@ -47,60 +47,62 @@
 // listen starts the node and returns its address.
 func (n emulatedNode) listen(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go n.serve(c)
+			go n.serve(conn)
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func (n emulatedNode) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
+// serve answers the binds on a connection until that is lost.
+func (n emulatedNode) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
 	var received []byte
 	part := make([]byte, 4096)
 	for {
-		size, err := c.Read(part)
+		size, err := conn.Read(part)
 		received = append(received, part[:size]...)
 		var answered bool
-		if received, answered = n.answerAll(c, received); !answered || err != nil {
+		if received, answered = n.answerAll(conn, received); !answered || err != nil {
 			return
 		}
 	}
 }
 
 // answerAll answers the complete messages and returns the rest, and false once the connection is lost.
-func (n emulatedNode) answerAll(c net.Conn, received []byte) (rest []byte, ok bool) {
+func (n emulatedNode) answerAll(conn net.Conn, received []byte) (rest []byte, ok bool) {
 	for {
-		m, used, err := codec.NodeCodec{}.Decode(received)
+		message, used, err := codec.NodeCodec{}.Decode(received)
 		if err != nil || used == 0 {
 			return received, true
 		}
 		received = received[used:]
-		if offer, ok := m.(*codec.Offer); ok && !n.accept(c, offer.Tag) {
+		if offer, ok := message.(*codec.Offer); ok && !n.accept(conn, offer.Tag) {
 			return nil, false
 		}
 	}
 }
 
-func (n emulatedNode) accept(c net.Conn, tag codec.Tag) bool {
+// accept confirms a bind, and returns false if the connection is lost.
+func (n emulatedNode) accept(conn net.Conn, tag codec.Tag) bool {
 	if n.offered != nil {
 		n.offered <- tag
 	}
 	if n.release != nil {
 		<-n.release
 	}
-	out, err := codec.NodeCodec{}.Append(nil, codec.NewConfirmation(tag, "taken by a node"))
+	confirmation, err := codec.NodeCodec{}.Append(nil, codec.NewConfirmation(tag, "taken by a node"))
 	if err != nil {
 		return false
 	}
-	_, err = c.Write(out)
+	_, err = conn.Write(confirmation)
 	return err == nil
 }
--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -21,25 +22,25 @@
 	node := emulatedNode{}.listen(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, first, node)
-	p := startPlatformProcess(t, file, "")
+	program := startPlatformProcess(t, file, "")
 	assert.Equal(t, "1", <-firstSubscribed)
-	c := p.connect(t)
-	c.send(healthCheck)
-	assert.JSONEq(t, healthy, c.receive())
-	c.send(startRequest(2))
-	assert.JSONEq(t, placedReply(2), c.receive())
+	client := program.connect(t)
+	client.send(healthCheck)
+	assert.JSONEq(t, healthy, client.receive())
+	client.send(startRequest(2))
+	assert.JSONEq(t, placedReply(2), client.receive())
 
 	require.NoError(t, os.WriteFile(file, []byte("{"), 0o600))
-	p.signal(t, syscall.SIGHUP)
-	c.send(healthCheck)
-	assert.JSONEq(t, healthy, c.receive(), "it keeps its configuration")
+	program.signal(t, syscall.SIGHUP)
+	client.send(healthCheck)
+	assert.JSONEq(t, healthy, client.receive(), "a wrong configuration is not applied")
 	writePlatformConfig(t, file, second, node)
-	p.signal(t, syscall.SIGHUP)
+	program.signal(t, syscall.SIGHUP)
 	assert.Equal(t, "1", <-secondSubscribed)
 
-	p.signal(t, syscall.SIGTERM)
-	c.awaitDraining()
-	require.NoError(t, p.Wait(), "it exits with 0")
+	program.signal(t, syscall.SIGTERM)
+	client.awaitDraining()
+	require.NoError(t, program.Wait(), "it exits with 0")
 }
 
 // A new configuration that is half written when the signal comes is read again: no second signal is needed.
@@ -48,14 +49,14 @@
 	second, secondSubscribed := emulateDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, first)
-	p := startPlatformProcess(t, file, "")
-	complete := platformConfig(second, 256)
+	program := startPlatformProcess(t, file, "")
+	complete := platformConfig(second, platformDescriptors)
 	require.NoError(t, os.WriteFile(file, complete[:len(complete)/2], 0o600))
-	p.signal(t, syscall.SIGHUP)
-	c := p.connect(t)
+	program.signal(t, syscall.SIGHUP)
+	client := program.connect(t)
 	for range 3 {
-		c.send(healthCheck)
-		assert.Contains(t, c.receive(), `"rc":1`)
+		client.send(healthCheck)
+		assert.Contains(t, client.receive(), `"rc":1`)
 	}
 	require.NoError(t, os.WriteFile(file, complete, 0o600))
 	select {
@@ -66,57 +67,69 @@
 }
 
 // A planned restart: requests that arrived before the signal, in part before it, or shortly after it are answered. A
-// second signal changes nothing, and a change of the discovery service's address is still followed.
+// second signal changes nothing, and a change of the discovery service's address is still applied.
 func TestPlatformShutdown_AnswersAllAcceptedRequests(t *testing.T) {
+	const partSize = 40 // bytes of a request that arrive before the signal
 	first, _ := emulateDiscovery(t)
 	second, secondSubscribed := emulateDiscovery(t)
-	offered, release := make(chan codec.Tag, 10), make(chan struct{})
+	offered := make(chan codec.Tag, 10)
+	release := make(chan struct{})
 	node := emulatedNode{offered: offered, release: release}.listen(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, first, node)
-	p := startPlatformProcess(t, file, "")
+	program := startPlatformProcess(t, file, "")
+	waiting := program.connect(t)
+	partial := program.connect(t)
+	late := program.connect(t)
+	observer := program.connect(t)
 
-	waiting, half, late, watch := p.connect(t), p.connect(t), p.connect(t), p.connect(t)
 	waiting.send(startRequest(2))
 	assert.Equal(t, codec.Tag(2), <-offered)
-	half.send(startRequest(3)[:40])
-	p.signal(t, syscall.SIGTERM)
-	watch.awaitDraining()
-	half.send(startRequest(3)[40:])
+	partial.send(startRequest(3)[:partSize])
+	program.signal(t, syscall.SIGTERM)
+	observer.awaitDraining()
+	partial.send(startRequest(3)[partSize:])
 	late.send(startRequest(4))
-	p.signal(t, syscall.SIGTERM)
+	program.signal(t, syscall.SIGTERM)
 	writePlatformConfig(t, file, second, node)
-	p.signal(t, syscall.SIGHUP)
+	program.signal(t, syscall.SIGHUP)
 	<-secondSubscribed
 	close(release)
-	for tag, c := range map[int]*platformClient{2: waiting, 3: half, 4: late} {
-		assert.JSONEq(t, placedReply(tag), c.receive())
+
+	for tag, client := range map[int]*platformClient{2: waiting, 3: partial, 4: late} {
+		assert.JSONEq(t, placedReply(tag), client.receive())
 	}
-	require.NoError(t, p.Wait())
+	require.NoError(t, program.Wait())
 }
 
 // More nodes than descriptors, and clients that open connections by hundreds and send nothing: the discovery service is
 // subscribed to, and every client is accepted and served. This guards against an event loop that ends for good when it
 // cannot accept.
 func TestPlatform_FewDescriptorsSufficeForManyNodesAndIdleClients(t *testing.T) {
-	const descriptors, idleClients, activeClients = 64, 100, 100
+	const (
+		descriptors   = 64
+		nodeCount     = 60
+		idleClients   = 100
+		activeClients = 100
+	)
 	discovery, subscribed := emulateDiscovery(t)
 	var nodes []string
-	for range 60 {
+	for range nodeCount {
 		nodes = append(nodes, emulatedNode{}.listen(t))
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, platformConfig(discovery, descriptors, nodes...), 0o600))
-	p := startPlatformProcess(t, file, `ulimit -n 64; exec "$0"`)
+	limited := fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptors)
+	program := startPlatformProcess(t, file, limited)
 	<-subscribed
 	for range idleClients {
-		p.connect(t)
+		program.connect(t)
 	}
 	for tag := 2; tag < 2+activeClients; tag++ {
-		c := p.connect(t)
-		c.send(startRequest(tag))
-		assert.JSONEq(t, placedReply(tag), c.receive())
-		require.NoError(t, c.Close())
+		client := program.connect(t)
+		client.send(startRequest(tag))
+		assert.JSONEq(t, placedReply(tag), client.receive())
+		require.NoError(t, client.Close())
 	}
 }
 
@@ -125,20 +138,20 @@
 	writePlatformConfig(t, file, "127.0.0.1:1", "127.0.0.1:1")
 	good, err := os.ReadFile(file)
 	require.NoError(t, err)
-	for want, change := range map[string]struct{ from, to string }{
+	for problem, change := range map[string]struct{ from, to string }{
 		"limits.sockets is 0":                        {`"sockets":256`, `"sockets":0`},
 		"limits.memory_mb is -1":                     {`"memory_mb":64`, `"memory_mb":-1`},
 		"journal is missing":                         {`"journal"`, `"other"`},
 		"setting balancers is missing":               {`"balancers"`, `"other"`},
 		"setting permissions.most_tries is \"many\"": {`"most_tries":4`, `"most_tries":"many"`},
 	} {
-		t.Run(want, func(t *testing.T) {
+		t.Run(problem, func(t *testing.T) {
 			changed := strings.Replace(string(good), change.from, change.to, 1)
 			require.NoError(t, os.WriteFile(file, []byte(changed), 0o600))
 			t.Setenv("NODE_CONFIG", file)
 			var stderr strings.Builder
-			assert.Equal(t, exitBadInput, Run([]string{"platform"}, io.Discard, &stderr), want)
-			assert.Contains(t, stderr.String(), want)
+			assert.Equal(t, exitBadInput, Run([]string{"platform"}, io.Discard, &stderr))
+			assert.Contains(t, stderr.String(), problem)
 		})
 	}
 }
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// commandLine is the variable that makes the test binary run as the program itself.
+// commandLine is the environment variable that makes the test binary run as the program itself.
 const commandLine = "GREBEGLADE_TEST_COMMAND"
 
 const replyLimit = 20 * time.Second // for anything that a test waits for
@@ -26,43 +26,67 @@
 	os.Exit(m.Run())
 }
 
-// process is the program as the platform starts it.
-type process struct {
+// startCommand starts a command line as a process of its own, and waits until it prints a line that contains ready.
+func startCommand(t *testing.T, line, ready string) *exec.Cmd {
+	t.Helper()
+	program := exec.Command(os.Args[0])
+	program.Env = append(os.Environ(), commandLine+"="+line)
+	read, write, err := os.Pipe()
+	require.NoError(t, err)
+	program.Stdout = write
+	program.Stderr = write
+	require.NoError(t, program.Start())
+	require.NoError(t, write.Close())
+	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have exited
+	lines := bufio.NewReader(read)
+	for printed := ""; !strings.Contains(printed, ready); {
+		printed, err = lines.ReadString('\n')
+		require.NoError(t, err, "%s ended before it was ready", line)
+	}
+	go func() { _, _ = io.Copy(io.Discard, lines) }()
+	return program
+}
+
+// platformProcess is the program as the platform starts it.
+type platformProcess struct {
 	*exec.Cmd
 	address string
 }
 
-// startPlatformProcess starts the program, by a shell's line that ends in exec if one is given, and waits until it
-// serves.
-func startPlatformProcess(t *testing.T, file, line string) *process {
+// startPlatformProcess starts the program and waits until it serves. If a line for the shell is given, the program is
+// started by that, which must end in exec "$0".
+func startPlatformProcess(t *testing.T, file, shellLine string) *platformProcess {
 	t.Helper()
-	p := &process{address: freeAddress(t), Cmd: exec.Command(os.Args[0])}
-	if line != "" {
-		p.Cmd = exec.Command("sh", "-c", line, os.Args[0])
+	program := &platformProcess{Cmd: exec.Command(os.Args[0]), address: freeAddress(t)}
+	if shellLine != "" {
+		program.Cmd = exec.Command("sh", "-c", shellLine, os.Args[0])
 	}
-	p.Env = append(os.Environ(), commandLine+"=platform", "NODE_CONFIG="+file, "NODE_LISTEN="+p.address)
-	log, err := p.StderrPipe()
+	program.Env = append(os.Environ(),
+		commandLine+"=platform",
+		"NODE_CONFIG="+file,
+		"NODE_LISTEN="+program.address)
+	log, err := program.StderrPipe()
 	require.NoError(t, err)
-	require.NoError(t, p.Start())
-	t.Cleanup(func() { _ = p.Process.Kill() }) // it may have exited
+	require.NoError(t, program.Start())
+	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have exited
 	lines := bufio.NewReader(log)
 	first, err := lines.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, first, "serving")
 	go func() { _, _ = io.Copy(io.Discard, lines) }()
-	return p
+	return program
 }
 
-// freeAddress returns a loopback address that nobody listens on.
-func freeAddress(t *testing.T) string {
+func (p *platformProcess) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	require.NoError(t, l.Close())
-	return l.Addr().String()
+	require.NoError(t, p.Process.Signal(signal))
 }
 
-func (p *process) signal(t *testing.T, s syscall.Signal) {
+// freeAddress returns a loopback address that nobody listens on.
+func freeAddress(t *testing.T) string {
 	t.Helper()
-	require.NoError(t, p.Process.Signal(s))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	require.NoError(t, listener.Close())
+	return listener.Addr().String()
 }
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -1,10 +1,7 @@
 package command
 
 import (
-	"bufio"
-	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -17,36 +14,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startCommand starts a command line as a process of its own, and waits until it prints a line with that text.
-func startCommand(t *testing.T, line, ready string) *exec.Cmd {
-	t.Helper()
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), commandLine+"="+line)
-	read, write, err := os.Pipe()
-	require.NoError(t, err)
-	c.Stdout, c.Stderr = write, write
-	require.NoError(t, c.Start())
-	require.NoError(t, write.Close())
-	t.Cleanup(func() { _ = c.Process.Kill() }) // it may have exited
-	lines := bufio.NewReader(read)
-	for printed := ""; !strings.Contains(printed, ready); {
-		printed, err = lines.ReadString('\n')
-		require.NoError(t, err, "%s ended before it was ready", line)
-	}
-	go func() { _, _ = io.Copy(io.Discard, lines) }()
-	return c
-}
+const (
+	fleetNodes    = 4
+	idempotentKey = 11 // of the run-once workload
+)
 
-const fleetNodes = 4
+// allocatorProcess is "grebeglade serve" with a fleet of its own, a state directory and a trace.
+type allocatorProcess struct {
+	*exec.Cmd
+	address  string
+	stateDir string
+	traceDir string
+}
 
-// startAllocator starts a fleet and an allocator with state directory and trace, and waits until every node is connected.
-// Groups are those of the fleet's scenario.
-func startAllocator(t *testing.T, dir string) (allocator *exec.Cmd, address string) {
+// startAllocator starts a fleet and an allocator, and waits until every node is connected. The allocator has the groups
+// of the fleet's scenario.
+func startAllocator(t *testing.T) *allocatorProcess {
 	t.Helper()
 	discovery := freeAddress(t)
 	startCommand(t, fmt.Sprintf("lab fleet --nodes %d --list %s", fleetNodes, discovery), "nodes run")
-	address = freeAddress(t)
+	dir := t.TempDir()
+	allocator := &allocatorProcess{
+		address:  freeAddress(t),
+		stateDir: filepath.Join(dir, "state"),
+		traceDir: filepath.Join(dir, "trace"),
+	}
 	file := filepath.Join(dir, "a.hcl")
+	allocator.writeConfig(t, file, discovery)
+	line := fmt.Sprintf("serve --config %s --trace %s", file, allocator.traceDir)
+	allocator.Cmd = startCommand(t, line, "serving")
+	require.Eventually(t, func() bool {
+		nodes := runCommand("nodes" + allocator.to()).stdout
+		return strings.Count(nodes, "open") == fleetNodes
+	}, replyLimit, 20*time.Millisecond, "every node is connected")
+	return allocator
+}
+
+// writeConfig writes the allocator's configuration into a file.
+func (a *allocatorProcess) writeConfig(t *testing.T, file, discovery string) {
+	t.Helper()
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, `
 allocator {
   listen = %q
@@ -61,73 +67,86 @@
 group "trace" {
   effect = "run-once"
 }
-`, address, discovery, filepath.Join(dir, "state")), 0o600))
-	allocator = startCommand(t, fmt.Sprintf("serve --config %s --trace %s", file, filepath.Join(dir, "trace")), "serving")
-	require.Eventually(t, func() bool {
-		_, out, _ := run("nodes", "--to", address)
-		return strings.Count(out, "open") == fleetNodes
-	}, replyLimit, 20*time.Millisecond, "every node is connected")
-	return allocator, address
+`, a.address, discovery, a.stateDir), 0o600))
 }
 
-// runJSON runs a command line that must succeed and decodes its output.
-func runJSON(t *testing.T, line string) map[string]any {
+// to returns the flag of a command line that connects to the allocator.
+func (a *allocatorProcess) to() string { return " --to " + a.address }
+
+// query runs a command line that connects to the allocator and must succeed, and decodes its JSON.
+func (a *allocatorProcess) query(t *testing.T, line string) map[string]any {
 	t.Helper()
-	code, out, stderr := run(strings.Fields(line + " --json")...)
-	require.Equal(t, exitOK, code, out+stderr)
 	var document map[string]any
-	require.NoError(t, json.Unmarshal([]byte(out), &document), out)
+	runJSON(t, line+a.to(), &document)
 	return document
 }
 
+// The cases share one allocator and follow each other: what one submits, later ones list and read from the files.
 func TestServe_SubmittedWorkloadsAreListedAndRecorded(t *testing.T) {
-	dir := t.TempDir()
-	allocator, address := startAllocator(t, dir)
-	to := " --to " + address
+	allocator := startAllocator(t)
+	t.Run("submit", func(t *testing.T) { checkSubmit(t, allocator) })
+	t.Run("lists", func(t *testing.T) { checkLists(t, allocator) })
+	t.Run("drain", func(t *testing.T) {
+		require.NoError(t, allocator.Process.Signal(syscall.SIGTERM))
+		require.NoError(t, allocator.Wait(), "it exits with 0")
+	})
+	t.Run("files", func(t *testing.T) { checkFiles(t, allocator) })
+}
 
-	placed := runJSON(t, "submit --group trace --cores 1 --memory 1 --key 11 --runs-for 60s"+to)
+// checkSubmit submits a workload and a gang that run on, a workload that ends, and one that fits on no node.
+func checkSubmit(t *testing.T, allocator *allocatorProcess) {
+	t.Helper()
+	line := fmt.Sprintf("submit --group trace --cores 1 --memory 1 --key %d --runs-for 60s", idempotentKey)
+	placed := allocator.query(t, line)
 	assert.Equal(t, "placed", placed["verdict"])
-	assert.InDelta(t, 11, placed["key"], 0)
+	assert.InDelta(t, idempotentKey, placed["key"], 0)
 	assert.NotZero(t, placed["node"])
-	ended := runJSON(t, "submit --group serve --cores 1 --memory 1 --runs-for 100ms --wait"+to)
+	ended := allocator.query(t, "submit --group serve --cores 1 --memory 1 --runs-for 100ms --wait")
 	assert.Equal(t, "FINISHED", ended["ended"])
 
-	code, out, _ := run(strings.Fields("submit --group serve --cores 5000 --memory 1 --pending 300ms" + to)...)
-	assert.Equal(t, exitProblem, code)
-	assert.Contains(t, out, "rejected after")
+	rejected := runCommand("submit --group serve --cores 5000 --memory 1 --pending 300ms" + allocator.to())
+	assert.Equal(t, exitProblem, rejected.code)
+	assert.Contains(t, rejected.stdout, "rejected after")
 
-	gang := filepath.Join(dir, "gang.hcl")
-	require.NoError(t, os.WriteFile(gang, []byte("part {\n  group = \"serve\"\n  count = 2\n  runs_for = \"60s\"\n}\n"), 0o600))
-	group := runJSON(t, "submit --gang "+gang+to)
-	assert.Equal(t, "placed", group["verdict"])
-	assert.Len(t, group["nodes"], 2)
-
-	assert.Len(t, runJSON(t, "workloads"+to)["workloads"], 3, "the one that ended is gone")
-	assert.Len(t, runJSON(t, "nodes"+to)["nodes"], fleetNodes)
-	assert.Len(t, runJSON(t, "gangs"+to)["gangs"], 1)
-	code, out, stderr := run(strings.Fields("workloads --most 1" + to)...)
-	assert.Equal(t, exitOK, code)
-	assert.Len(t, strings.Split(strings.TrimSpace(out), "\n"), 2, "a header and a row")
-	assert.Contains(t, stderr, "2 more are left out; --most lists more")
+	file := filepath.Join(t.TempDir(), "gang.hcl")
+	content := "part {\n  group = \"serve\"\n  count = 2\n  runs_for = \"60s\"\n}\n"
+	require.NoError(t, os.WriteFile(file, []byte(content), 0o600))
+	gang := allocator.query(t, "submit --gang "+file)
+	assert.Equal(t, "placed", gang["verdict"])
+	assert.Len(t, gang["nodes"], 2)
+}
 
-	require.NoError(t, allocator.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, allocator.Wait(), "it exits with 0")
+// checkLists checks what the allocator lists after checkSubmit.
+func checkLists(t *testing.T, allocator *allocatorProcess) {
+	t.Helper()
+	assert.Len(t, allocator.query(t, "workloads")["workloads"], 3, "the one that ended is not listed")
+	assert.Len(t, allocator.query(t, "nodes")["nodes"], fleetNodes)
+	assert.Len(t, allocator.query(t, "gangs")["gangs"], 1)
+	limited := runCommand("workloads --most 1" + allocator.to())
+	assert.Equal(t, exitOK, limited.code)
+	assert.Len(t, strings.Split(strings.TrimSpace(limited.stdout), "\n"), 2, "a header and a row")
+	assert.Contains(t, limited.stderr, "2 more are left out; --most lists more")
+}
 
-	code, out, _ = run("state", "show", filepath.Join(dir, "state"))
-	assert.Equal(t, exitOK, code)
-	assert.Contains(t, out, "\n11  ", "the key of the run-once workload")
-	summary := runJSON(t, "trace summary "+filepath.Join(dir, "trace"))
+// checkFiles checks the state directory and the trace that the allocator left after checkSubmit.
+func checkFiles(t *testing.T, allocator *allocatorProcess) {
+	t.Helper()
+	state := runCommand("state show " + allocator.stateDir)
+	assert.Equal(t, exitOK, state.code)
+	assert.Contains(t, state.stdout, fmt.Sprintf("\n%d  ", idempotentKey), "the key of the run-once workload")
+	var summary map[string]any
+	runJSON(t, "trace summary "+allocator.traceDir, &summary)
 	assert.Len(t, summary["groups"], 2)
-	code, out, _ = run("trace", "replay", filepath.Join(dir, "trace"))
-	assert.Equal(t, exitOK, code)
-	assert.Contains(t, out, "identical")
+	replayed := runCommand("trace replay " + allocator.traceDir)
+	assert.Equal(t, exitOK, replayed.code)
+	assert.Contains(t, replayed.stdout, "identical")
 }
 
 func TestLabLoad_MeasuresRunningAllocator(t *testing.T) {
-	_, address := startAllocator(t, t.TempDir())
-	_, out, stderr := run(strings.Fields("lab load --rate 20 --for 500ms --life 100ms --target " + address)...)
-	assert.Contains(t, out, "requests were due and")
-	assert.Contains(t, out, "unanswered 0, answered late 0")
-	assert.NotContains(t, out, "WRONG")
-	assert.NotContains(t, stderr, "grebeglade:")
+	allocator := startAllocator(t)
+	result := runCommand("lab load --rate 20 --for 500ms --life 100ms --target " + allocator.address)
+	assert.Contains(t, result.stdout, "requests were due and")
+	assert.Contains(t, result.stdout, "unanswered 0, answered late 0")
+	assert.NotContains(t, result.stdout, "WRONG")
+	assert.NotContains(t, result.stderr, "grebeglade:")
 }
