--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -28,10 +28,10 @@
 	requestLost                  // the connection was lost before the answer
 )
 
-// sentRequest is a request that was sent, until its workload has ended.
+// sentRequest is a request that was sent. It is removed when its workload has ended.
 type sentRequest struct {
-	due     time.Time
-	expires time.Time
+	due     time.Time // by the schedule
+	expires time.Time // its pending timeout
 	state   requestState
 }
 
@@ -53,7 +53,9 @@
 		return nil, fmt.Errorf("no allocator at %s: %w", target, err)
 	}
 	c := &client{
-		conn: conn, in: bufio.NewReaderSize(conn, bufferSize), out: bufio.NewWriterSize(conn, bufferSize),
+		conn:     conn,
+		in:       bufio.NewReaderSize(conn, bufferSize),
+		out:      bufio.NewWriterSize(conn, bufferSize),
 		requests: map[uint64]*sentRequest{},
 	}
 	if err := c.handshake(name); err != nil {
@@ -63,56 +65,84 @@
 	return c, nil
 }
 
+// handshake sends the client's hello and checks the allocator's. Each run is a new incarnation of the client.
 func (c *client) handshake(name string) error {
 	if err := c.conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return err
+		return fmt.Errorf("set the deadline of the handshake: %w", err)
+	}
+	hello := &pb.Hello{
+		Role:        pb.Role_CLIENT,
+		Name:        name,
+		Incarnation: uint64(time.Now().UnixNano()),
+		SentMs:      processTime(),
 	}
-	hello := &pb.Hello{Role: pb.Role_CLIENT, Name: name, Incarnation: uint64(time.Now().UnixNano()), SentMs: processTime()}
 	if err := c.send(transport.HelloFrame(hello)); err != nil {
 		return err
 	}
-	if err := c.out.Flush(); err != nil {
+	if err := c.flush(); err != nil {
 		return err
 	}
-	f, err := c.receive()
+	reply, err := c.receive()
 	if err != nil {
 		return err
 	}
-	if _, err := transport.CheckHello(f); err != nil {
+	if _, err := transport.CheckHello(reply); err != nil {
 		return err
 	}
-	return c.conn.SetDeadline(time.Time{})
+	if err := c.conn.SetDeadline(time.Time{}); err != nil {
+		return fmt.Errorf("clear the deadline of the handshake: %w", err)
+	}
+	return nil
 }
 
 // send puts a frame into the buffer.
-func (c *client) send(f *pb.Frame) error {
-	b, err := transport.AppendFrame(nil, f)
+func (c *client) send(frame *pb.Frame) error {
+	encoded, err := transport.AppendFrame(nil, frame)
 	if err != nil {
 		return err
 	}
-	_, err = c.out.Write(b)
-	return err
+	if _, err := c.out.Write(encoded); err != nil {
+		return fmt.Errorf("send to the allocator: %w", err)
+	}
+	return nil
+}
+
+// flush writes what is in the buffer.
+func (c *client) flush() error {
+	if err := c.out.Flush(); err != nil {
+		return fmt.Errorf("send to the allocator: %w", err)
+	}
+	return nil
 }
 
+// receive waits for the next frame.
 func (c *client) receive() (*pb.Frame, error) { return transport.ReadFrame(c.in, maxFrameSize) }
 
-// close ends the connection. Errors are of no interest: nothing that was sent is waited for any more.
+// close ends the connection. An error does not matter: no answer is waited for any more.
 func (c *client) close() { _ = c.conn.Close() }
 
-// requestFrame returns the frame of a request that has some time left until its pending timeout.
-func (c *client) requestFrame(number uint64, r Request, left time.Duration) *pb.Frame {
+// requestFrame returns the frame of a request, pendingTimeout before it expires.
+func (c *client) requestFrame(number uint64, request Request, pendingTimeout time.Duration) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
-		RequestId: number, Key: c.idempotencyKey(number), Service: r.Service, Group: r.Group, Cores: r.Cores, Memory: r.Memory,
-		PendingTimeoutMs: inMilliseconds(left), ExpectedRuntimeMs: inMilliseconds(r.RunTime), Retried: r.Retried, SentMs: processTime(),
+		RequestId:         number,
+		Key:               c.idempotencyKey(number),
+		Service:           request.Service,
+		Group:             request.Group,
+		Cores:             request.Cores,
+		Memory:            request.Memory,
+		PendingTimeoutMs:  inMilliseconds(pendingTimeout),
+		ExpectedRuntimeMs: inMilliseconds(request.RunTime),
+		Retried:           request.Retried,
+		SentMs:            processTime(),
 	}}}
 }
 
 // idempotencyKey returns a key that requests of other connections and runs do not have.
 func (c *client) idempotencyKey(number uint64) uint64 {
-	const numberFactor = 0x9e3779b97f4a7c15 // odd, and its bits spread: successive numbers give distant keys
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(c.conn.LocalAddr().String())) // a hash never returns an error
-	return h.Sum64() ^ uint64(time.Now().UnixNano())<<20 ^ number*numberFactor
+	const numberFactor = 0x9e3779b97f4a7c15 // odd, with well-mixed bits: successive numbers give distant keys
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(c.conn.LocalAddr().String())) // a hash never returns an error
+	return hash.Sum64() ^ uint64(time.Now().UnixNano())<<20 ^ number*numberFactor
 }
 
 // processStart is the zero of processTime.
--- a/internal/loadgen/fromtrace_test.go
+++ b/internal/loadgen/fromtrace_test.go
@@ -1,6 +1,7 @@
 package loadgen
 
 import (
+	"path/filepath"
 	"testing"
 	"time"
 
@@ -12,29 +13,50 @@
 	"grebeglade/trace"
 )
 
-func TestFromTrace_KeepsRecordedTimes(t *testing.T) {
+// recordTrace plays a short scenario in virtual time and returns the trace of its first allocator, and how many
+// requests the clients of all allocators sent.
+func recordTrace(t *testing.T) (file *trace.Reader, sent int) {
+	t.Helper()
 	dir := t.TempDir()
-	s, err := scenario.Open("quiet")
+	script, err := scenario.Open("quiet")
 	require.NoError(t, err)
-	s.SetLength(4000)
-	r, err := simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
+	script.SetLength(4000)
+	result, err := simulation.PlayVirtual(script, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
-	names, _, _ := trace.ListFiles(dir + "/allocator-1")
+	names, _, _ := trace.ListFiles(filepath.Join(dir, "allocator-1"))
 	require.NotEmpty(t, names)
-	f, err := trace.Open(names[0])
+	file, err = trace.Open(names[0])
 	require.NoError(t, err)
-	defer func() { assert.NoError(t, f.Close()) }()
-	slow, err := FromTrace([]*trace.Reader{f}, 1, time.Second)
+	t.Cleanup(func() { assert.NoError(t, file.Close()) })
+	return file, result.Workloads
+}
+
+func TestFromTrace_KeepsRecordedTimes(t *testing.T) {
+	file, sent := recordTrace(t)
+	schedule, err := FromTrace([]*trace.Reader{file}, 1, time.Second)
 	require.NoError(t, err)
-	fast, err := FromTrace([]*trace.Reader{f}, 2, time.Second)
+	requests := allRequests(schedule)
+	fastSchedule, err := FromTrace([]*trace.Reader{file}, 2, time.Second)
 	require.NoError(t, err)
-	x, y := allRequests(slow), allRequests(fast)
-	require.Len(t, y, len(x))
-	assert.Greater(t, len(x), r.Workloads/4)
-	assert.Zero(t, x[0].At)
-	assert.InDelta(t, float64(x[len(x)-1].At), 2*float64(y[len(y)-1].At), 10)
-	assert.NotEmpty(t, x[0].Group)
-	assert.Greater(t, x[0].PendingTimeout, time.Second)
-	_, err = FromTrace([]*trace.Reader{f}, 0, 0)
+	fastRequests := allRequests(fastSchedule)
+
+	require.Len(t, fastRequests, len(requests))
+	assert.Greater(t, len(requests), sent/4)
+	assert.Zero(t, requests[0].At)
+	last := float64(requests[len(requests)-1].At)
+	fastLast := float64(fastRequests[len(fastRequests)-1].At)
+	assert.InDelta(t, last, 2*fastLast, 10)
+	assert.NotEmpty(t, requests[0].Group)
+	assert.Greater(t, requests[0].PendingTimeout, time.Second)
+}
+
+func TestFromTrace_SpeedOfZeroIsAnError(t *testing.T) {
+	file, _ := recordTrace(t)
+	_, err := FromTrace([]*trace.Reader{file}, 0, 0)
 	require.ErrorContains(t, err, "speed")
 }
+
+func TestFromTrace_NoFileHasNoRequests(t *testing.T) {
+	_, err := FromTrace(nil, 1, time.Second)
+	require.ErrorIs(t, err, ErrNoRequests)
+}
--- a/internal/loadgen/random_test.go
+++ b/internal/loadgen/random_test.go
@@ -7,45 +7,98 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func allRequests(s Schedule) (requests []Request) {
-	for r, ok := s.Next(); ok; r, ok = s.Next() {
-		requests = append(requests, r)
+// allRequests returns the requests of a schedule.
+func allRequests(schedule Schedule) (requests []Request) {
+	for {
+		request, ok := schedule.Next()
+		if !ok {
+			return requests
+		}
+		requests = append(requests, request)
 	}
-	return requests
 }
 
 // countBetween counts the requests of an interval.
-func countBetween(requests []Request, from, until time.Duration) (n int) {
-	for _, r := range requests {
-		if from <= r.At && r.At < until {
-			n++
+func countBetween(requests []Request, from, until time.Duration) (count int) {
+	for _, request := range requests {
+		if from <= request.At && request.At < until {
+			count++
 		}
 	}
-	return n
+	return count
+}
+
+// steadyRate is a rate without bursts that does not change.
+func steadyRate(perSecond float64) Rate {
+	return Rate{
+		From: perSecond,
+		To:   perSecond,
+		For:  10 * time.Second,
+	}
 }
 
-var shape = Shape{Group: "serve", Cores: 1, Services: 5, PendingTimeout: time.Second, RunTime: time.Second}
+// randomRequests returns the requests at a rate, by the same seed in each call.
+func randomRequests(rate Rate) []Request { return allRequests(NewRandom(rate, testShape, 1)) }
 
-func TestMake_KeepsRate(t *testing.T) {
-	requests := allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1))
+var testShape = Shape{
+	Group:          "serve",
+	Cores:          1,
+	Services:       5,
+	PendingTimeout: time.Second,
+	RunTime:        time.Second,
+}
+
+// The tolerances are four standard deviations of a Poisson process.
+func TestRandom_SteadyRate(t *testing.T) {
+	rate := steadyRate(200)
+	requests := randomRequests(rate)
 	assert.InDelta(t, 2000, len(requests), 4*45)
-	assert.Equal(t, requests, allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 1)), "the same seed")
-	assert.NotEqual(t, requests, allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second}, shape, 2)))
-
-	even := allRequests(NewRandom(Rate{From: 200, To: 200, For: 10 * time.Second, Evenly: true}, shape, 1))
-	assert.InDelta(t, 2000, len(even), 1)
-	assert.InDelta(t, 5, float64(even[101].At-even[100].At)/1e6, 0.2)
-
-	ramp := allRequests(NewRandom(Rate{From: 0, To: 400, For: 10 * time.Second}, shape, 1))
-	assert.InDelta(t, 2000, len(ramp), 4*45)
-	assert.InDelta(t, 500, countBetween(ramp, 0, 5*time.Second), 4*23)
-
-	burst := allRequests(NewRandom(Rate{
-		From: 100, To: 100, For: 10 * time.Second, Burst: 5, BurstFor: time.Second, Every: 5 * time.Second,
-	}, shape, 1))
-	assert.InDelta(t, 1000, countBetween(burst, 0, time.Second)+countBetween(burst, 5*time.Second, 6*time.Second), 4*32)
-	assert.InDelta(t, 800, countBetween(burst, time.Second, 5*time.Second)+countBetween(burst, 6*time.Second, 10*time.Second), 4*29)
-	for _, r := range []Rate{{From: 1}, {For: 1}, {From: -1, To: 2, For: 1}, {From: 1, For: 1, Burst: 2}} {
-		assert.Error(t, r.Check())
+	assert.Equal(t, requests, randomRequests(rate), "the same seed")
+	assert.NotEqual(t, requests, allRequests(NewRandom(rate, testShape, 2)), "another seed")
+}
+
+func TestRandom_EvenIntervals(t *testing.T) {
+	rate := steadyRate(200)
+	rate.Evenly = true
+	requests := randomRequests(rate)
+	assert.InDelta(t, 2000, len(requests), 1)
+	interval := requests[101].At - requests[100].At
+	assert.InDelta(t, 5, inMilliseconds(interval), 0.2)
+}
+
+func TestRandom_GrowingRate(t *testing.T) {
+	rate := steadyRate(400)
+	rate.From = 0
+	requests := randomRequests(rate)
+	assert.InDelta(t, 2000, len(requests), 4*45)
+	assert.InDelta(t, 500, countBetween(requests, 0, 5*time.Second), 4*23)
+}
+
+func TestRandom_Bursts(t *testing.T) {
+	rate := steadyRate(100)
+	rate.Burst = 5
+	rate.BurstFor = time.Second
+	rate.Every = 5 * time.Second
+	requests := randomRequests(rate)
+	during := countBetween(requests, 0, time.Second) +
+		countBetween(requests, 5*time.Second, 6*time.Second)
+	between := countBetween(requests, time.Second, 5*time.Second) +
+		countBetween(requests, 6*time.Second, 10*time.Second)
+	assert.InDelta(t, 1000, during, 4*32)
+	assert.InDelta(t, 800, between, 4*29)
+}
+
+func TestRateCheck_ImpossibleRateIsAnError(t *testing.T) {
+	negative := steadyRate(2)
+	negative.From = -1
+	burstWithoutTimes := steadyRate(1)
+	burstWithoutTimes.Burst = 2
+	for name, rate := range map[string]Rate{
+		"no length":           {From: 1},
+		"no rate":             {For: time.Second},
+		"negative rate":       negative,
+		"burst without times": burstWithoutTimes,
+	} {
+		t.Run(name, func(t *testing.T) { assert.Error(t, rate.Check()) })
 	}
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -7,10 +7,8 @@
 	"time"
 )
 
-const (
-	progressInterval = time.Second
-	answerGrace      = 500 * time.Millisecond // after the last pending timeout, in which answers still come and count as late
-)
+// answerGrace is how long after the last pending timeout answers are still read, and count as late.
+const answerGrace = 500 * time.Millisecond
 
 // Options configure a load.
 type Options struct {
@@ -22,15 +20,15 @@
 
 // Run sends the requests of a schedule, and returns when the last is answered or its pending timeout has passed. If the
 // context ends earlier, Run returns what there is by then.
-func Run(ctx context.Context, s Schedule, o Options) (*Result, error) {
-	r := &runner{options: o, tally: newTally(o.Target)}
+func Run(ctx context.Context, schedule Schedule, options Options) (*Result, error) {
+	r := &runner{options: options, tally: newTally(options.Target)}
 	defer r.close()
 	if err := r.connect(); err != nil {
 		return nil, err
 	}
 	r.start = time.Now()
 	stopProgress := r.reportProgress()
-	lastSent, lastExpires := r.send(ctx, s)
+	lastSent, lastExpires := r.send(ctx, schedule)
 	stopProgress()
 	r.awaitAnswers(ctx, lastExpires)
 	r.close()
@@ -47,12 +45,13 @@
 	tally   *tally
 }
 
-// connect opens the connections. The clients' names are new in each run: the allocator would take requests with the same
-// client and number as those of an earlier run for repeated ones.
+// connect opens the connections and starts their readers. The clients' names are new in each run: the allocator would
+// treat requests with the client and number of an earlier run as repeated.
 func (r *runner) connect() error {
-	run := time.Now().UnixNano()
+	runID := time.Now().UnixNano()
 	for i := range max(1, r.options.Connections) {
-		c, err := connect(r.options.Target, fmt.Sprintf("%s-%x-%d", r.options.Name, run, i+1))
+		name := fmt.Sprintf("%s-%x-%d", r.options.Name, runID, i+1)
+		c, err := connect(r.options.Target, name)
 		if err != nil {
 			return err
 		}
@@ -62,31 +61,32 @@
 	return nil
 }
 
+// close closes the connections, which ends their readers.
 func (r *runner) close() {
 	for _, c := range r.clients {
 		c.close()
 	}
 }
 
-// read takes frames until the connection ends.
+// read counts frames until the connection ends.
 func (r *runner) read(c *client) {
 	for {
-		f, err := c.receive()
+		frame, err := c.receive()
 		if err != nil {
 			r.tally.countLost(c, err)
 			return
 		}
-		r.tally.countFrame(c, time.Now(), f)
+		r.tally.countFrame(c, time.Now(), frame)
 	}
 }
 
 // send sends each request when it is due, or as soon after as it can, and returns when the last was sent and when the
 // last pending timeout passes. Requests that are due together go out in one write.
-func (r *runner) send(ctx context.Context, s Schedule) (lastSent, lastExpires time.Time) {
+func (r *runner) send(ctx context.Context, schedule Schedule) (lastSent, lastExpires time.Time) {
 	defer r.flush()
 	lastSent = time.Now()
-	for n := 0; ctx.Err() == nil; n++ {
-		request, ok := s.Next()
+	for sent := 0; ctx.Err() == nil; sent++ {
+		request, ok := schedule.Next()
 		if !ok {
 			break
 		}
@@ -98,19 +98,20 @@
 		if expires.After(lastExpires) {
 			lastExpires = expires
 		}
-		c := r.clients[n%len(r.clients)]
-		r.sendRequest(c, request, due, expires)
+		client := r.clients[sent%len(r.clients)]
+		r.sendRequest(client, request, due, expires)
 		lastSent = time.Now()
-		if c.out.Buffered() > flushThreshold {
+		if client.out.Buffered() > flushThreshold {
 			r.flush()
 		}
 	}
 	return lastSent, lastExpires
 }
 
-// awaitTime returns true once a time has come, and false if the context ends before.
-func (r *runner) awaitTime(ctx context.Context, t time.Time) bool {
-	wait := time.Until(t)
+// awaitTime waits until a request is due, and returns false if the context ends before. What was sent earlier is
+// flushed first, so that it does not wait too.
+func (r *runner) awaitTime(ctx context.Context, due time.Time) bool {
+	wait := time.Until(due)
 	if wait <= 0 {
 		return true
 	}
@@ -123,7 +124,7 @@
 	}
 }
 
-// sendRequest puts a request into the buffer of its connection. What it is late leaves the allocator less time until the
+// sendRequest puts a request into the buffer of its connection. If it is late, the allocator has less time until the
 // pending timeout, as with any client.
 func (r *runner) sendRequest(c *client, request Request, due, expires time.Time) {
 	now := time.Now()
@@ -136,9 +137,10 @@
 	}
 }
 
+// flush writes what is in the buffers of all connections.
 func (r *runner) flush() {
 	for _, c := range r.clients {
-		if err := c.out.Flush(); err != nil {
+		if err := c.flush(); err != nil {
 			r.tally.countLost(c, err)
 		}
 	}
@@ -157,28 +159,3 @@
 		}
 	}
 }
-
-// reportProgress calls Options.Told once a second until the returned function is called.
-func (r *runner) reportProgress() (stop func()) {
-	if r.options.OnProgress == nil {
-		return func() {}
-	}
-	done := make(chan struct{})
-	var reporter sync.WaitGroup
-	reporter.Go(func() {
-		ticker := time.NewTicker(progressInterval)
-		defer ticker.Stop()
-		for {
-			select {
-			case <-done:
-				return
-			case <-ticker.C:
-				r.options.OnProgress(r.tally.progress(time.Since(r.start)))
-			}
-		}
-	})
-	return func() {
-		close(done)
-		reporter.Wait()
-	}
-}
--- a/internal/loadgen/schedule.go
+++ b/internal/loadgen/schedule.go
@@ -7,7 +7,8 @@
 	At             time.Duration // from the start of the load
 	Service        uint64
 	Group          string
-	Cores, Memory  float64
+	Cores          float64
+	Memory         float64
 	PendingTimeout time.Duration // after which the client gives up
 	RunTime        time.Duration // of the workload
 	Retried        bool          // the client has requested the workload before
@@ -25,10 +26,12 @@
 	next     int
 }
 
+// Next returns the requests in their order.
 func (s *fixedSchedule) Next() (Request, bool) {
 	if s.next == len(s.requests) {
 		return Request{}, false
 	}
+	request := s.requests[s.next]
 	s.next++
-	return s.requests[s.next-1], true
+	return request, true
 }
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -24,78 +24,95 @@
 	idle          chan struct{} // receives a value when no request is pending any more
 }
 
+// newTally returns a tally without requests.
 func newTally(target string) *tally {
 	return &tally{
-		result:  Result{Target: target, Reasons: map[string]int{}, Wrong: []string{}},
-		latency: newHistogram(), placedLatency: newHistogram(), sendDelay: newHistogram(),
-		idle: make(chan struct{}, 1),
+		result: Result{
+			Target: target,
+			Counts: Counts{
+				Wrong:   []string{}, // never null in JSON
+				Reasons: map[string]int{},
+			},
+		},
+		latency:       newHistogram(),
+		placedLatency: newHistogram(),
+		sendDelay:     newHistogram(),
+		idle:          make(chan struct{}, 1),
 	}
 }
 
-// countDue counts a request whose time has come, and returns its number if it is to be sent: its connection is open, and
-// its pending timeout has not passed yet.
-func (t *tally) countDue(c *client, now, due, expires time.Time) (number uint64, send bool) {
+// countDue counts a request whose time has come, and returns its number if it is to be sent: its connection is open,
+// and its pending timeout has not passed yet.
+func (t *tally) countDue(sender *client, now, due, expires time.Time) (number uint64, send bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Due++
-	if c.err != nil || !now.Before(expires) {
+	if sender.err != nil || !now.Before(expires) {
 		t.result.Unanswered++
 		return 0, false
 	}
 	t.result.Sent++
 	t.pending++
 	t.sendDelay.add(now.Sub(due))
-	c.last++
-	c.requests[c.last] = &sentRequest{due: due, expires: expires}
-	return c.last, true
+	sender.last++
+	sender.requests[sender.last] = &sentRequest{due: due, expires: expires}
+	return sender.last, true
 }
 
-// countFrame counts a frame from the allocator.
-func (t *tally) countFrame(c *client, now time.Time, f *pb.Frame) {
+// countFrame counts a frame from the allocator. Frames other than answers and ends of workloads do not matter here.
+func (t *tally) countFrame(c *client, now time.Time, frame *pb.Frame) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	switch b := f.Body.(type) {
+	switch body := frame.Body.(type) {
 	case *pb.Frame_Answer:
-		t.countAnswer(c, now, b.Answer)
+		t.countAnswer(c, now, body.Answer)
 	case *pb.Frame_WorkloadEnded:
-		t.countEnd(c, b.WorkloadEnded.RequestId)
+		t.countEnd(c, body.WorkloadEnded.RequestId)
 	}
 }
 
-func (t *tally) countAnswer(c *client, now time.Time, a *pb.Answer) {
-	r := c.requests[a.RequestId]
+// countAnswer counts the answer to a request, which must be its first.
+func (t *tally) countAnswer(c *client, now time.Time, answer *pb.Answer) {
+	request := c.requests[answer.RequestId]
 	switch {
-	case r == nil:
-		t.reportWrong("an answer for request %d, which waits for none", a.RequestId)
+	case request == nil:
+		t.reportWrong("an answer for request %d, which waits for none", answer.RequestId)
 		return
-	case r.state != requestPending:
-		t.reportWrong("a second answer for request %d", a.RequestId)
+	case request.state != requestPending:
+		t.reportWrong("a second answer for request %d", answer.RequestId)
 		return
 	}
-	latency := now.Sub(r.due)
+	latency := now.Sub(request.due)
 	t.latency.add(latency)
-	if now.After(r.expires) {
+	if now.After(request.expires) {
 		t.result.Late++
 	}
-	r.state = requestAnswered
-	switch a.Verdict {
+	request.state = requestAnswered
+	switch answer.Verdict {
 	case pb.Verdict_PLACED:
-		r.state = requestPlaced
+		request.state = requestPlaced
 		t.result.Placed++
 		t.placedLatency.add(latency)
 	case pb.Verdict_REJECTED:
 		t.result.Rejected++
-		t.result.Reasons[a.Reason]++
-	default:
-		t.result.Unschedulable++
-		t.result.Reasons[a.Reason]++
+		t.result.Reasons[answer.Reason]++
+	case pb.Verdict_UNSCHEDULABLE, pb.Verdict_VERDICT_UNSPECIFIED:
+		t.countUnschedulable(answer.Reason)
+	default: // of a later version of the protocol: the workload may have run
+		t.countUnschedulable(answer.Reason)
 	}
 	t.settle(1)
 }
 
+func (t *tally) countUnschedulable(reason string) {
+	t.result.Unschedulable++
+	t.result.Reasons[reason]++
+}
+
+// countEnd counts the end of a workload, which must have been placed.
 func (t *tally) countEnd(c *client, number uint64) {
-	r := c.requests[number]
-	if r == nil || r.state != requestPlaced {
+	request := c.requests[number]
+	if request == nil || request.state != requestPlaced {
 		t.reportWrong("the end of workload %d, which was not placed", number)
 		return
 	}
@@ -114,9 +131,9 @@
 	c.err = err
 	t.result.Broken = err.Error()
 	lost := 0
-	for _, r := range c.requests {
-		if r.state == requestPending {
-			r.state = requestLost
+	for _, request := range c.requests {
+		if request.state == requestPending {
+			request.state = requestLost
 			lost++
 		}
 	}
@@ -124,9 +141,9 @@
 	t.settle(lost)
 }
 
-// settle takes requests off the pending ones.
-func (t *tally) settle(n int) {
-	t.pending -= n
+// settle subtracts requests from the pending ones, and signals idle when none is left.
+func (t *tally) settle(requests int) {
+	t.pending -= requests
 	if t.pending > 0 {
 		return
 	}
@@ -136,6 +153,7 @@
 	}
 }
 
+// reportWrong adds a protocol violation to the result, up to maxWrong.
 func (t *tally) reportWrong(format string, args ...any) {
 	if len(t.result.Wrong) < maxWrong {
 		t.result.Wrong = append(t.result.Wrong, fmt.Sprintf(format, args...))
@@ -151,20 +169,29 @@
 func (t *tally) progress(at time.Duration) Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Progress{At: at, Sent: t.result.Sent, Answered: t.result.Sent - t.pending, Placed: t.result.Placed}
+	return Progress{
+		At:       at,
+		Sent:     t.result.Sent,
+		Answered: t.result.Sent - t.pending,
+		Placed:   t.result.Placed,
+	}
 }
 
 // finish returns the result of a load whose requests were sent within some time. What is pending stays unanswered.
 func (t *tally) finish(length time.Duration) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.result
-	r.Unanswered += t.pending
-	r.Seconds = length.Seconds()
-	if r.Seconds > 0 {
-		r.DuePerSec, r.SentPerSec = float64(r.Due)/r.Seconds, float64(r.Sent)/r.Seconds
+	result := t.result
+	result.Unanswered += t.pending
+	result.Seconds = length.Seconds()
+	if result.Seconds > 0 {
+		result.DuePerSec = float64(result.Due) / result.Seconds
+		result.SentPerSec = float64(result.Sent) / result.Seconds
 	}
-	r.Latency, r.PlacedLatency, r.SendDelay = t.latency.latency(), t.placedLatency.latency(), t.sendDelay.latency()
-	r.Overrun = float64(t.sendDelay.countAbove(maxSendDelay)) > maxLateShare*float64(max(1, r.Sent))
-	return &r
+	result.Latency = t.latency.latency()
+	result.PlacedLatency = t.placedLatency.latency()
+	result.SendDelay = t.sendDelay.latency()
+	late := t.sendDelay.countAbove(maxSendDelay)
+	result.Overrun = float64(late) > maxLateShare*float64(max(1, result.Sent))
+	return &result
 }
