--- a/cmd/grebeglade/main.go
+++ b/cmd/grebeglade/main.go
@@ -1,4 +1,4 @@
-// Command grebeglade places long-running work on a cluster's machines.
+// Command grebeglade places long-running workloads on a cluster's nodes.
 package main
 
 import (
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter serves the users' simulator on standard input and output: it makes the placement decisions of
-// the allocators that are simulated.
+// Command simulator-adapter serves the users' simulator on standard input and output: it makes the placement decisions
+// of the allocators that are simulated.
 package main
 
 import (
@@ -9,9 +9,11 @@
 	"grebeglade/internal/frontend/simulator"
 )
 
+const exitFailed = 1
+
 func main() {
 	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
