--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -18,24 +18,31 @@
 	grace    time.Duration
 }
 
+const serveHelp = `
+Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones
+are answered, and exits; placed workloads keep running. A second signal ends it at once.
+`
+
+// serveCommand defines "serve".
 func serveCommand() *cobra.Command {
-	var o serveOptions
-	c := &cobra.Command{
+	var options serveOptions
+	cmd := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run an allocator",
-		Long: "Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones\n" +
-			"are answered, and exits; placed workloads keep running. A second signal ends it at once.",
-		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return o.run(c) },
+		Long:  helpText(serveHelp),
+		Args:  cobra.NoArgs,
+		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
-	c.Flags().StringVar(&o.file, "config", "", "the allocator's configuration, in HCL")
-	c.Flags().StringVar(&o.traceDir, "trace", "", "record calls and decisions into files of this directory")
-	c.Flags().DurationVar(&o.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
-	requireFlag(c, "config")
-	return c
+	flags := cmd.Flags()
+	flags.StringVar(&options.file, "config", "", "the allocator's configuration, in HCL")
+	flags.StringVar(&options.traceDir, "trace", "", "record calls and decisions into files of this directory")
+	flags.DurationVar(&options.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
+	requireFlag(cmd, "config")
+	return cmd
 }
 
-func (o *serveOptions) run(c *cobra.Command) error {
+// run serves until the command's context is done, and then drains.
+func (o *serveOptions) run(cmd *cobra.Command) error {
 	configuration, err := config.Load(o.file)
 	if err != nil {
 		return err
@@ -43,24 +50,24 @@
 	if o.traceDir != "" {
 		configuration.Trace.Dir = o.traceDir
 	}
-	d, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, c.ErrOrStderr()))
+	allocator, err := daemon.Start(configuration, daemon.NewLogger(configuration.Log, cmd.ErrOrStderr()))
 	if err != nil {
 		return runError{err}
 	}
-	defer d.Close()
-	<-c.Context().Done()
-	if unanswered := o.drain(d); unanswered > 0 {
-		c.PrintErrf("left without an answer: %d workloads\n", unanswered)
-		return errProblemFound
+	defer allocator.Close()
+	<-cmd.Context().Done()
+	unanswered := o.drain(allocator)
+	if unanswered > 0 {
+		cmd.PrintErrf("left without an answer: %d workloads\n", unanswered)
 	}
-	return nil
+	return problemIf(unanswered > 0)
 }
 
 // drain drains the daemon for the grace period at most, or until a further signal.
-func (o *serveOptions) drain(d *daemon.Daemon) (unanswered int) {
+func (o *serveOptions) drain(allocator *daemon.Daemon) (unanswered int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, o.grace)
 	defer cancel()
-	return d.Drain(ctx)
+	return allocator.Drain(ctx)
 }
