--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -118,7 +118,7 @@
 // discoveryHello returns the hello of the discovery service.
 func discoveryHello() *pb.Hello {
 	return &pb.Hello{
-		Role:        pb.Role_LIST,
+		Role:        pb.Role_DISCOVERY,
 		Name:        "list",
 		Incarnation: 1,
 	}
@@ -126,8 +126,8 @@
 
 // snapshotFrame returns the discovery service's first update, with all nodes.
 func snapshotFrame(entries []*pb.NodeEntry) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_ListUpdate{ListUpdate: &pb.ListUpdate{
-		Kind:     pb.ListUpdate_WHOLE,
+	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
+		Kind:     pb.NodeListUpdate_SNAPSHOT,
 		Epoch:    1,
 		Revision: 1,
 		Entries:  entries,
@@ -223,7 +223,7 @@
 	c.received = bufio.NewReaderSize(conn, clientBufferSize)
 	out := &frameWriter{out: conn}
 	out.send(transport.HelloFrame(&pb.Hello{
-		Role:        pb.Role_OWNER,
+		Role:        pb.Role_CLIENT,
 		Name:        "owner",
 		Incarnation: 1,
 	}))
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -65,7 +65,7 @@
 		hello := nodeHello(i)
 		for id := uint64(first) + 1; id <= uint64(afterLast); id++ {
 			client := fmt.Sprintf("owner-%d", id%memoryClients)
-			hello.Standing = append(hello.Standing, resident(id, client, pendingTimeout))
+			hello.RunningWorkloads = append(hello.RunningWorkloads, resident(id, client, pendingTimeout))
 		}
 		conn := discovery + 1 + transport.ConnID(i)
 		frontend.Opened(0, conn)
--- a/internal/benchmark/node.go
+++ b/internal/benchmark/node.go
@@ -25,12 +25,12 @@
 		}
 		if offer := frame.GetOffer(); offer != nil {
 			if c.options.onOffer != nil {
-				c.options.onOffer(offer.Ask.Ask)
+				c.options.onOffer(offer.Request.RequestId)
 			}
 			replies.add(acceptedFrame(offer.Bind, load))
 			replies.add(finishedFrame(offer.Bind))
 		}
-		if check := frame.GetProbe(); check != nil {
+		if check := frame.GetHealthCheck(); check != nil {
 			replies.add(healthyFrame(check.Id, load))
 		}
 		if requests.Buffered() == 0 {
@@ -43,7 +43,7 @@
 func (c *cluster) helloWithResidents(i int) *pb.Hello {
 	hello := nodeHello(i)
 	for n := range c.fleet.Residents {
-		hello.Standing = append(hello.Standing, resident(uint64(i*c.fleet.Residents+n), "other", 0))
+		hello.RunningWorkloads = append(hello.RunningWorkloads, resident(uint64(i*c.fleet.Residents+n), "other", 0))
 	}
 	return hello
 }
@@ -61,7 +61,7 @@
 
 // acceptedFrame returns a node's reply that it has accepted a bind.
 func acceptedFrame(bind *pb.BindID, load *pb.Load) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_OfferAnswer{OfferAnswer: &pb.OfferAnswer{
+	return &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{
 		Bind:     bind,
 		Accepted: true,
 		Load:     load,
@@ -70,10 +70,10 @@
 
 // finishedFrame returns a node's notice that a workload has finished.
 func finishedFrame(bind *pb.BindID) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Why: pb.Why_FINISHED}}}
+	return &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Reason: pb.Reason_FINISHED}}}
 }
 
 // healthyFrame returns a node's reply to a health check.
 func healthyFrame(id uint64, load *pb.Load) *pb.Frame {
-	return &pb.Frame{Body: &pb.Frame_ProbeAnswer{ProbeAnswer: &pb.ProbeAnswer{Id: id, Load: load}}}
+	return &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: id, Load: load}}}
 }
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -7,31 +7,41 @@
 )
 
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Inspect configuration files"}
-	c.AddCommand(configCheckCommand())
-	return c
+	cmd := &cobra.Command{Use: "config", Short: "Inspect configuration files"}
+	cmd.AddCommand(configCheckCommand())
+	return cmd
 }
 
+// configCheckCommand defines "config check".
 func configCheckCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Report everything that is wrong with an allocator's configuration",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			configuration, err := config.Load(args[0])
+		RunE: func(cmd *cobra.Command, args []string) error {
+			file := args[0]
+			configuration, err := config.Load(file)
 			if err != nil {
 				return err
 			}
-			if asJSON {
-				return printJSON(c, configuration)
-			}
-			c.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, %d groups, %d node kinds\n",
-				args[0], configuration.Name, configuration.Settings.Ordinal, configuration.Settings.Allocators,
-				configuration.ListenAddress, configuration.DiscoveryAddress, len(configuration.GroupNames), len(configuration.KindNames))
-			return nil
+			return printOutput(cmd, asJSON, configuration, func() { printConfiguration(cmd, file, configuration) })
 		},
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
+}
+
+// printConfiguration says that a file is valid, and what it holds.
+func printConfiguration(cmd *cobra.Command, file string, configuration *config.Allocator) {
+	cmd.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, "+
+		"%d groups, %d node kinds\n",
+		file,
+		configuration.Name,
+		configuration.Settings.Ordinal,
+		configuration.Settings.Allocators,
+		configuration.ListenAddress,
+		configuration.DiscoveryAddress,
+		len(configuration.GroupNames),
+		len(configuration.KindNames))
 }
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -6,36 +6,53 @@
 	"grebeglade/internal/simulation/scenario"
 )
 
+// labCommand defines "lab".
 func labCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Run scenarios with faults against emulated nodes, discovery service and clients"}
-	c.AddCommand(
-		labListCommand(), labPlayCommand(), labCheckCommand(), labHuntCommand(), labFleetCommand(), labLoadCommand(),
-		labRunCommand(), labCompareCommand(), labReportCommand(),
+	cmd := &cobra.Command{
+		Use:   "lab",
+		Short: "Run scenarios with faults against emulated nodes, discovery service and clients",
+	}
+	cmd.AddCommand(
+		labListCommand(),
+		labPlayCommand(),
+		labCheckCommand(),
+		labHuntCommand(),
+		labFleetCommand(),
+		labLoadCommand(),
+		labRunCommand(),
+		labCompareCommand(),
+		labReportCommand(),
 	)
-	return c
+	return cmd
 }
 
+// labListCommand defines "lab list".
 func labListCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "list",
 		Short: "List the scenarios that come with the program",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if asJSON {
-				return printJSON(c, scenario.Names())
-			}
-			rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
-			for _, name := range scenario.Names() {
-				s, err := scenario.Open(name)
-				if err != nil {
-					return err
-				}
-				rows = append(rows, []string{name, s.About})
+				return printJSON(cmd, scenario.Names())
 			}
-			return printTable(c, rows)
+			return printScenarios(cmd)
 		},
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
+}
+
+// printScenarios prints the name of each scenario and what happens in it.
+func printScenarios(cmd *cobra.Command) error {
+	rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
+	for _, name := range scenario.Names() {
+		script, err := scenario.Open(name)
+		if err != nil {
+			return err
+		}
+		rows = append(rows, []string{name, script.About})
+	}
+	return printTable(cmd, rows)
 }
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -9,53 +10,56 @@
 	"grebeglade/internal/simulation/observer"
 )
 
+const labCheckHelp = `
+Audits the rules from nothing but what a history holds: frames with their times and directions, connections,
+starts and ends of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is truncated, out of order
+or malformed.
+`
+
+// labCheckCommand defines "lab check".
 func labCheckCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Audit runs that were recorded with 'lab play --history'",
-		Long: "Audits the rules from nothing but what a history holds: frames with their times and directions, connections,\n" +
-			"starts and ends of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is truncated, out of order\n" +
-			"or malformed.",
-		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return checkHistories(c, args, asJSON) },
+		Long:  helpText(labCheckHelp),
+		Args:  cobra.MinimumNArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return checkHistories(cmd, args, asJSON) },
 	}
-	jsonFlag(c, &asJSON)
-	return c
+	jsonFlag(cmd, &asJSON)
+	return cmd
 }
 
-func checkHistories(c *cobra.Command, names []string, asJSON bool) error {
-	found := map[string][]audit.Violation{}
+// checkHistories audits files and prints the violations in each. The error is errProblemFound if there are any.
+func checkHistories(cmd *cobra.Command, names []string, asJSON bool) error {
+	violations := map[string][]audit.Violation{} // by file
 	anyBroken := false
 	for _, name := range names {
-		h, err := readHistory(name)
+		history, err := readHistory(name)
 		if err != nil {
 			return err
 		}
-		result := audit.Check(h)
-		found[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
+		result := audit.Check(history)
+		violations[name] = append([]audit.Violation{}, result.Violations...) // never null in JSON
 		anyBroken = anyBroken || len(result.Violations) > 0
 		if !asJSON {
-			c.Printf("%s: ", name)
-			printAudit(c, result.Frames, result.Violations, result.MoreViolations)
+			cmd.Printf("%s: ", name)
+			printAudit(cmd, result.Frames, result.Violations, result.MoreViolations)
 		}
 	}
 	if asJSON {
-		if err := printJSON(c, found); err != nil {
+		if err := printJSON(cmd, violations); err != nil {
 			return err
 		}
 	}
-	if anyBroken {
-		return errProblemFound
-	}
-	return nil
+	return problemIf(anyBroken)
 }
 
 func readHistory(name string) (*observer.History, error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read a history: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
-	return observer.ReadHistory(name, f)
+	defer func() { _ = file.Close() }() // it was only read
+	return observer.ReadHistory(name, file)
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -2,6 +2,7 @@
 
 import (
 	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
@@ -13,13 +14,18 @@
 	transit transitTimes
 }
 
-// clientSessions are the sessions of the connected clients. A client has one at a time: a later connection under the same
-// name takes the place of the earlier one.
+// clientSessions are the sessions of the connected clients. Unlike on the platform, where a client is a connection
+// and notifications wait for its next one, a client has a name, and nothing waits: its next hello is answered with
+// what runs. A client has one at a time: a later connection under the same name replaces the earlier one.
 type clientSessions struct {
-	*core
+	*environment
 	byName map[string]*clientSession
 }
 
+func newClientSessions(env *environment) *clientSessions {
+	return &clientSessions{environment: env, byName: map[string]*clientSession{}}
+}
+
 func (s *clientSessions) open(c transport.ConnID, name string) *clientSession {
 	session := &clientSession{name: name, conn: c}
 	s.byName[name] = session
@@ -45,13 +51,27 @@
 	}
 }
 
-// answer sends a request's final answer, and notes that the request has ended.
+// answer sends a request's final answer, and records that the request has ended.
 func (s *clientSessions) answer(name string, a *pb.Answer) {
-	s.markEnded(name, a.Ask, false)
+	s.markEnded(name, a.RequestId, false)
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
-// markEnded notes in the client's session that a request was answered or withdrawn.
+// notifyEnded notifies a client that a workload or a gang of it has ended.
+func (s *clientSessions) notifyEnded(name string, end *pb.WorkloadEnded) {
+	s.send(name, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: end}})
+}
+
+// requestDelay is how much of a request's time had passed when it was received, in ms: what the network delayed it
+// as far as is known, or what it may have waited while this process was stopped. It is called once for each
+// request, since the session keeps the transit time.
+func (s *clientSessions) requestDelay(
+	now placement.Millis, session *clientSession, sentMs float64,
+) placement.Millis {
+	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
+}
+
+// markEnded records in the client's session that a request was answered or withdrawn.
 func (s *clientSessions) markEnded(name string, request uint64, withdrawn bool) {
 	if session, ok := s.byName[name]; ok {
 		session.history.add(request, withdrawn)
--- a/internal/frontend/native/workloads_test.go
+++ b/internal/frontend/native/workloadtable_test.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"math"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -28,8 +29,8 @@
 
 func TestWorkloadTable_Pending_CountsUnansweredRequests(t *testing.T) {
 	table := newWorkloadTable(Config{Name: "a", Incarnation: 1})
-	placed := table.add(0, "c", &pb.Ask{Ask: 1, Key: 1})
-	withdrawn := table.add(0, "c", &pb.Ask{Ask: 2, Key: 2})
+	placed := table.add(0, "c", &pb.PlaceRequest{RequestId: 1, Key: 1})
+	withdrawn := table.add(0, "c", &pb.PlaceRequest{RequestId: 2, Key: 2})
 	assert.Equal(t, 2, table.pending)
 	table.markAnswered(placed, allocator.Placed)
 	table.markWithdrawn(placed)
@@ -42,3 +43,19 @@
 	assert.False(t, table.hasRequest(requestID{"c", 1}))
 	assert.True(t, table.hasKey(2))
 }
+
+func TestWorkloadTable_LastIDs_KeptForAdoption(t *testing.T) {
+	harness := newHarness(t)
+	nodeConn := harness.startNode(1)
+	harness.workloads.lastID = maxRequestedID - 1
+	harness.request(1, idempotent)
+	harness.offer(nodeConn)
+	harness.request(2, idempotent)
+	sent := harness.network.take(clientConn)
+	assert.Equal(t, "the allocator has named all its workloads; restart it", sent[0].GetAnswer().GetReason())
+	harness.workloads.lastID = math.MaxUint32 - 1
+	harness.closeConn(nodeConn, errReset)
+	harness.reconnectNode(runningOf(earlierOffer(1, idempotent)), runningOf(earlierOffer(2, idempotent)))
+	assert.EqualValues(t, uint32(math.MaxUint32), harness.workloads.lastID, "the id 0 is never given out")
+	assert.Equal(t, 1, harness.WorkloadCount())
+}
