--- a/placement/bind.go
+++ b/placement/bind.go
@@ -30,6 +30,9 @@
 
 // advance records that the bind has come as far as state, if it had not before.
 func (b *bind) advance(state bindState) {
+	if b.state == bindSent && state > bindSent {
+		b.node.unanswered--
+	}
 	b.state = max(b.state, state)
 }
 
@@ -47,12 +50,16 @@
 		usedCores: math.NaN(),
 	}
 	n.binds = append(n.binds, added)
+	n.unanswered++
 	return added
 }
 
 // removeBind forgets a bind to n that has ended, and records that its resources are free again.
 func (n *node) removeBind(now Millis, ended *bind) {
 	n.binds = slices.DeleteFunc(n.binds, func(b *bind) bool { return b == ended })
+	if ended.state == bindSent {
+		n.unanswered--
+	}
 	released := ended.workload.request()
 	n.changes.add(now, resources{Cores: -released.Cores, Memory: -released.Memory})
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -77,8 +77,12 @@
 	return outliers[:min(len(outliers), ready/minNodesPerEjection)]
 }
 
-// hasOverdueBind reports whether a bind to n has been unanswered for longer than limit.
+// hasOverdueBind reports whether a bind to n has been unanswered for longer than limit. Each decision asks it of every
+// node, and few of them have an unanswered bind at a time.
 func (n *node) hasOverdueBind(now, limit Millis) bool {
+	if n.unanswered == 0 {
+		return false
+	}
 	for _, b := range n.binds {
 		if b.overdue(now, limit) {
 			return true
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -53,3 +53,19 @@
 	scheduler.health.checkCredit = 2
 	assert.NotContains(t, first, scheduler.health.dueChecks(1)[0], "unanswered ones are not checked again at once")
 }
+
+func TestNode_UnansweredBinds_AreCountedUntilTheirAnswerOrEnd(t *testing.T) {
+	scheduler := newFleet(t, 1)
+	n := scheduler.node(1)
+	confirmed := n.addBind(0, pendingWorkload(scheduler, idempotent, 1, 1))
+	failed := n.addBind(0, pendingWorkload(scheduler, idempotent, 1, 1))
+	require.Equal(t, 2, n.unanswered)
+	confirmed.advance(bindConfirmed)
+	assert.Equal(t, 1, n.unanswered)
+	confirmed.advance(bindRunning)
+	assert.Equal(t, 1, n.unanswered, "it was answered before")
+	n.removeBind(1, confirmed)
+	assert.Equal(t, 1, n.unanswered)
+	n.removeBind(1, failed)
+	assert.Zero(t, n.unanswered)
+}
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -19,6 +19,8 @@
 	size resources
 	// binds are our binds that are sent or placed there, oldest first.
 	binds []*bind
+	// unanswered is how many of binds are sent and not answered yet.
+	unanswered int
 	// changes are the recent steps in what our workloads request of it.
 	changes changeLog
 	// reports are its last load reports.
