--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -2,8 +2,8 @@
 // to for a key that has been bound before: in this incarnation or, according to the directory of package storage, in an
 // earlier one.
 //
-// It does no I/O; its caller writes the binds down and reads them back. Times are Unix milliseconds, because they have to
-// mean the same to the next incarnation. A key is in one of these states:
+// It does no I/O; its caller makes the binds durable and reads them back. Times are Unix milliseconds, because they
+// have to mean the same to the next incarnation. A key is in one of these states:
 //
 //	unknown    nothing that matters is known of it
 //	bound      one bind is known; it was accepted, or may have been
@@ -20,8 +20,8 @@
 //	any                 the last bind expires           unknown
 //	bound, rebound      the allocator restarts          inherited
 //
-// A rejection of the last bind of a rebound or inherited key says nothing about the binds before, so that the key stays
-// known. A request for a known key of an at-most-once group is answered that the workload may have run. So is one for an
-// inherited key of any group. One for a key that is bound or rebound in a group that is idempotent by key is scheduled:
-// within an incarnation the scheduler itself knows where the workload may go.
+// A rejection of the last bind of a rebound or inherited key says nothing about the binds before, so that the key
+// stays known. A request for a known key of an at-most-once group is answered that the workload may have run, as is a
+// request for an inherited key of any group. A request for a key that is bound or rebound in a group that is idempotent
+// by key is scheduled: within an incarnation the scheduler itself knows where the workload may go.
 package recovery
--- a/internal/recovery/registry.go
+++ b/internal/recovery/registry.go
@@ -12,7 +12,7 @@
 type Settings struct {
 	Groups     map[string]GroupPolicy
 	Retention  placement.Millis // for which the key of an AtMostOnce group is known after its last bind
-	MaxEntries int              // keys that may be known; 0 for no limit
+	MaxEntries int              // the most keys that may be known; 0 for no limit
 }
 
 // Bind is the last offer that was sent for a key.
@@ -67,25 +67,26 @@
 	inherited
 )
 
+// expired reports whether nothing has to be known of the key any more.
 func (e entry) expired(now float64) bool { return e.bind.ExpiresAt <= now }
 
-// New returns a registry with the binds that earlier incarnations have left.
-func New(s Settings, left []Bind, now float64) *Registry {
-	r := &Registry{settings: s, entries: make(map[uint64]entry, len(left))}
-	for _, b := range left {
-		e := entry{bind: b, state: inherited}
-		if !e.expired(now) {
-			r.entries[b.Key] = e
+// New returns a registry with the unexpired binds of earlier incarnations.
+func New(settings Settings, recovered []Bind, now float64) *Registry {
+	registry := &Registry{settings: settings, entries: make(map[uint64]entry, len(recovered))}
+	for _, bind := range recovered {
+		known := entry{bind: bind, state: inherited}
+		if !known.expired(now) {
+			registry.entries[bind.Key] = known
 		}
 	}
-	return r
+	return registry
 }
 
-// policy returns the policy of a group. A group that does not exist any more counts as at most once, since nobody can say
-// what a second run would do.
+// policy returns the policy of a group. A group that does not exist any more counts as at most once, since the
+// effect of a second run is unknown.
 func (r *Registry) policy(group string) GroupPolicy {
-	if p, ok := r.settings.Groups[group]; ok {
-		return p
+	if policy, ok := r.settings.Groups[group]; ok {
+		return policy
 	}
 	return GroupPolicy{Idempotency: placement.AtMostOnce}
 }
@@ -95,7 +96,8 @@
 	return r.policy(group).Idempotency != placement.Idempotent
 }
 
-// CheckAdmission returns what a request for a key may lead to. Whether the workload is running is for the caller to know.
+// CheckAdmission returns what a request for a key may lead to. The registry does not know whether the workload is still
+// running; the caller must.
 func (r *Registry) CheckAdmission(now float64, key uint64, group string) Admission {
 	e, known := r.entries[key]
 	if known && e.expired(now) {
@@ -103,10 +105,7 @@
 		known = false
 	}
 	if known {
-		if e.state == inherited || r.policy(e.bind.Group).Idempotency == placement.AtMostOnce {
-			return MayHaveRun
-		}
-		return Admit
+		return r.admitKnown(e)
 	}
 	if r.RequiresDurability(group) && r.full() {
 		r.prune(now)
@@ -117,6 +116,14 @@
 	return Admit
 }
 
+// admitKnown is CheckAdmission for a key that is known.
+func (r *Registry) admitKnown(e entry) Admission {
+	if e.state == inherited || r.policy(e.bind.Group).Idempotency == placement.AtMostOnce {
+		return MayHaveRun
+	}
+	return Admit
+}
+
 // KnownBeforeRestart reports whether an earlier incarnation has left a bind of a key.
 func (r *Registry) KnownBeforeRestart(now float64, key uint64) bool {
 	e, known := r.entries[key]
@@ -124,23 +131,27 @@
 }
 
 // RecordBind records a bind that is about to be sent, and returns it with the time at which it expires.
-func (r *Registry) RecordBind(now float64, b Bind) Bind {
-	retention := r.settings.Retention
-	if p := r.policy(b.Group); p.Idempotency == placement.IdempotentByKey {
-		retention = p.KeyWindow
-	}
-	b.ExpiresAt = now + float64(retention)
+func (r *Registry) RecordBind(now float64, bind Bind) Bind {
+	bind.ExpiresAt = now + float64(r.retention(bind.Group))
 	r.prune(now)
 	state := bound
-	if _, known := r.entries[b.Key]; known {
+	if _, known := r.entries[bind.Key]; known {
 		state = rebound
 	}
-	r.entries[b.Key] = entry{bind: b, state: state}
-	return b
+	r.entries[bind.Key] = entry{bind: bind, state: state}
+	return bind
+}
+
+// retention returns how long a key of a group must be known after its last bind.
+func (r *Registry) retention(group string) placement.Millis {
+	if policy := r.policy(group); policy.Idempotency == placement.IdempotentByKey {
+		return policy.KeyWindow
+	}
+	return r.settings.Retention
 }
 
-// Forget records that a bind was never accepted, or never sent. It reports whether nothing has to be known of the key any
-// more, which is not so if the key has been bound again since, or if an earlier bind of it may have been accepted.
+// Forget records that a bind was never accepted, or never sent. It reports whether the key has become unknown. The key
+// stays known if it has been bound again since, or if an earlier bind of it may have been accepted.
 func (r *Registry) Forget(key, incarnation uint64, number uint32) bool {
 	e, known := r.entries[key]
 	if !known || e.state != bound || e.bind.Incarnation != incarnation || e.bind.Number != number {
@@ -150,6 +161,7 @@
 	return true
 }
 
+// full reports whether no further key may become known.
 func (r *Registry) full() bool {
 	return r.settings.MaxEntries > 0 && len(r.entries) >= r.settings.MaxEntries
 }
--- a/internal/recovery/registry_test.go
+++ b/internal/recovery/registry_test.go
@@ -20,7 +20,18 @@
 }
 
 func newBind(key uint64, group string, number uint32) Bind {
-	return Bind{Key: key, Group: group, Incarnation: 1, Workload: key, Number: number}
+	return Bind{
+		Key:         key,
+		Group:       group,
+		Incarnation: 1,
+		Workload:    key,
+		Number:      number,
+	}
+}
+
+func expiringAt(time float64, bind Bind) Bind {
+	bind.ExpiresAt = time
+	return bind
 }
 
 func TestRegistry_RequiresDurability_UnlessIdempotent(t *testing.T) {
@@ -43,12 +54,13 @@
 }
 
 func TestRegistry_Inherited_MayHaveRunUntilExpired(t *testing.T) {
-	left := []Bind{newBind(1, "once", 0), newBind(2, "by-key", 0), newBind(3, "removed", 0), newBind(4, "once", 0)}
-	for i := range left {
-		left[i].ExpiresAt = 100
+	recovered := []Bind{
+		expiringAt(100, newBind(1, "once", 0)),
+		expiringAt(100, newBind(2, "by-key", 0)),
+		expiringAt(100, newBind(3, "removed", 0)),
+		expiringAt(5, newBind(4, "once", 0)),
 	}
-	left[3].ExpiresAt = 5
-	r := New(settings, left, 10)
+	r := New(settings, recovered, 10)
 	assert.Equal(t, 3, r.Len())
 	for key := range uint64(3) {
 		assert.True(t, r.KnownBeforeRestart(20, key+1), "key %d", key+1)
@@ -60,9 +72,7 @@
 }
 
 func TestRegistry_Inherited_NotForgottenAndReboundByNewBind(t *testing.T) {
-	left := newBind(1, "once", 0)
-	left.ExpiresAt = 100
-	r := New(settings, []Bind{left}, 10)
+	r := New(settings, []Bind{expiringAt(100, newBind(1, "once", 0))}, 10)
 	assert.False(t, r.Forget(1, 1, 0), "the earlier incarnation may have sent other binds")
 	r.RecordBind(20, newBind(1, "once", 1))
 	assert.False(t, r.KnownBeforeRestart(20, 1))
@@ -87,9 +97,9 @@
 }
 
 func TestRegistry_Full_RejectsUntilBindsExpire(t *testing.T) {
-	s := settings
-	s.MaxEntries = 2
-	r := New(s, nil, 0)
+	limited := settings
+	limited.MaxEntries = 2
+	r := New(limited, nil, 0)
 	r.RecordBind(0, newBind(1, "once", 0))
 	r.RecordBind(0, newBind(2, "once", 0))
 	assert.Equal(t, RegistryFull, r.CheckAdmission(10, 3, "once"))
--- a/internal/storage/benchmark_test.go
+++ b/internal/storage/benchmark_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkCommit measures a durable group of entries in the log and in bbolt on the same disk. Only the ratio within one
-// run is meaningful.
+// BenchmarkCommit measures a durable group of entries in the log and in bbolt on the same disk. Only the ratio within
+// one run is meaningful.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("log/%d", size), func(b *testing.B) { benchmarkLog(b, size) })
@@ -22,7 +22,7 @@
 	}
 }
 
-// benchmarkGroup returns group number i of a size.
+// benchmarkGroup returns the bind entries of one commit, whose keys no other commit has.
 func benchmarkGroup(i, size int) []*statepb.Entry {
 	entries := make([]*statepb.Entry, size)
 	for k := range entries {
@@ -31,19 +31,21 @@
 	return entries
 }
 
+// benchmarkLog commits durable groups of a size to a Log.
 func benchmarkLog(b *testing.B, size int) {
 	b.Helper()
-	d, err := OpenDir(b.TempDir())
+	disk, err := OpenDir(b.TempDir())
 	require.NoError(b, err)
-	l, _ := openLog(b, d, DefaultMaxLogSize)
+	log, _ := openLog(b, disk, DefaultMaxLogSize)
 	for i := 0; b.Loop(); i++ {
-		if err := l.Commit(benchmarkGroup(i, size), true); err != nil {
+		if err := log.Commit(benchmarkGroup(i, size), true); err != nil {
 			b.Fatal(err)
 		}
 	}
-	require.NoError(b, l.Close())
+	require.NoError(b, log.Close())
 }
 
+// benchmarkBolt commits groups of a size to a bbolt database.
 func benchmarkBolt(b *testing.B, size int) {
 	b.Helper()
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
@@ -57,17 +59,19 @@
 	require.NoError(b, db.Close())
 }
 
+// putBinds stores binds by their keys, as a registry in bbolt would.
 func putBinds(tx *bbolt.Tx, entries []*statepb.Entry) error {
 	bucket, err := tx.CreateBucketIfNotExists([]byte("binds"))
 	if err != nil {
 		return err
 	}
-	for _, e := range entries {
-		value, err := proto.Marshal(e.GetBind())
+	for _, entry := range entries {
+		bind := entry.GetBind()
+		value, err := proto.Marshal(bind)
 		if err != nil {
 			return err
 		}
-		if err := bucket.Put(binary.BigEndian.AppendUint64(nil, e.GetBind().Key), value); err != nil {
+		if err := bucket.Put(binary.BigEndian.AppendUint64(nil, bind.Key), value); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -13,54 +13,63 @@
 // crashLogSize is small enough for a log to be replaced by a snapshot several times in a history.
 const crashLogSize = 300
 
-// historyObserver is told what a history commits: entries just before they are committed, and that all so far are
-// durable.
+// historyObserver is notified of what a history commits.
 type historyObserver struct {
-	committing func(entries []*statepb.Entry)
-	durable    func()
+	committing func(entries []*statepb.Entry) // just before they are committed
+	durable    func()                         // once all entries so far are durable
 }
 
 // playHistory commits a history that has everything in it: durable commits and others, groups of entries, logs that are
 // replaced by snapshots, and a second incarnation.
-func playHistory(d Disk, observer historyObserver) error {
+func playHistory(disk Disk, observer historyObserver) error {
 	for i := range uint64(2) {
-		l, _, err := Open(d, &statepb.Incarnation{Number: testIncarnation + i, StartedUnixMs: nowUnixMs}, crashLogSize, unixMs)
-		if err != nil {
+		if err := playIncarnation(disk, i, observer); err != nil {
 			return err
 		}
-		for k := range uint64(12) {
-			durable := k%5 != 4
-			entries := historyEntries(i*100+k, k)
-			observer.committing(entries)
-			if err := l.Commit(entries, durable); err != nil {
-				return err
-			}
-			if durable {
-				observer.durable()
-			}
-		}
-		if err := l.Close(); err != nil {
+	}
+	return nil
+}
+
+// playIncarnation commits the history of one incarnation, counted from 0.
+func playIncarnation(disk Disk, index uint64, observer historyObserver) error {
+	incarnation := &statepb.Incarnation{Number: testIncarnation + index, StartedUnixMs: nowUnixMs}
+	log, _, err := Open(disk, incarnation, crashLogSize, unixMs)
+	if err != nil {
+		return err
+	}
+	for commit := range uint64(12) {
+		durable := commit%5 != 4
+		entries := historyEntries(index*100+commit, commit)
+		observer.committing(entries)
+		if err := log.Commit(entries, durable); err != nil {
 			return err
 		}
-		observer.durable()
+		if durable {
+			observer.durable()
+		}
 	}
+	if err := log.Close(); err != nil {
+		return err
+	}
+	observer.durable()
 	return nil
 }
 
-// historyEntries returns what commit number k of an incarnation consists of.
-func historyEntries(key, k uint64) []*statepb.Entry {
+// historyEntries returns the entries of a commit of an incarnation. Every commit binds its key. Some also forget
+// earlier keys and bind a further one.
+func historyEntries(key, commit uint64) []*statepb.Entry {
 	entries := []*statepb.Entry{bindEntry(key, 0)}
-	if k%3 == 1 {
+	if commit%3 == 1 {
 		entries = append(entries, forgetEntry(key-1, 0), bindEntry(key+50, 0))
 	}
-	if k%4 == 3 {
+	if commit%4 == 3 {
 		entries = append(entries, forgetEntry(key-2, 0))
 	}
 	return entries
 }
 
-// possibleStates follows a history and knows what a crash may leave of it: the state after the last entry that is durable,
-// or after any entry since.
+// possibleStates follows a history and knows what a crash may leave of it: the state after the last entry that is
+// durable, or after any entry since.
 type possibleStates struct {
 	live   liveBinds
 	states []string
@@ -70,11 +79,12 @@
 	return &possibleStates{live: liveBinds{}, states: []string{""}}
 }
 
+// observer returns the observer through which the states follow a history.
 func (p *possibleStates) observer() historyObserver {
 	return historyObserver{
 		committing: func(entries []*statepb.Entry) {
-			for _, e := range entries {
-				p.live.apply(e)
+			for _, entry := range entries {
+				p.live.apply(entry)
 				p.states = append(p.states, describeLive(p.live))
 			}
 		},
@@ -82,70 +92,69 @@
 	}
 }
 
-// failAt returns a fault of one operation.
-func failAt(number int, err error) func(Call) error {
-	return func(c Call) error {
-		if c.Number == number {
-			return err
-		}
-		return nil
-	}
-}
-
 // After a crash in the middle of any operation all that was durable is found, and nothing that was not committed. Then
 // the directory can be used again.
 func TestLog_CrashAtEveryOperation_LosesNothingDurable(t *testing.T) {
-	whole := NewMemoryDisk(1)
-	require.NoError(t, playHistory(whole, newPossibleStates().observer()))
+	withoutCrash := NewMemoryDisk(1)
+	require.NoError(t, playHistory(withoutCrash, newPossibleStates().observer()))
 	crashes := 0
-	for op := 1; op <= whole.Calls(); op++ {
+	for operation := 1; operation <= withoutCrash.Calls(); operation++ {
 		for seed := range uint64(8) {
-			d := NewMemoryDisk(seed)
-			d.InjectFault = failAt(op, ErrCrashed)
+			disk := NewMemoryDisk(seed)
+			disk.InjectFault = failAt(operation, ErrCrashed)
 			possible := newPossibleStates()
-			if playHistory(d, possible.observer()) == nil {
+			if playHistory(disk, possible.observer()) == nil {
 				continue // the crash came while obsolete files were removed, where errors are ignored
 			}
 			crashes++
-			c := inspectAfterCrash(t, d, "operation %d, seed %d", op, seed)
-			require.Contains(t, possible.states, describe(c.LiveBinds), "operation %d, seed %d", op, seed)
-			l, again := openLog(t, d, crashLogSize)
-			require.Equal(t, describe(c.LiveBinds), describe(again.LiveBinds))
-			require.NoError(t, l.Commit([]*statepb.Entry{bindEntry(999, 0)}, true))
-			require.NoError(t, l.Close())
+			found := inspectAfterCrash(t, disk, "operation %d, seed %d", operation, seed)
+			require.Contains(t, possible.states, describe(found.LiveBinds), "operation %d, seed %d", operation, seed)
+			log, again := openLog(t, disk, crashLogSize)
+			require.Equal(t, describe(found.LiveBinds), describe(again.LiveBinds))
+			commitDurably(t, log, bindEntry(999, 0))
+			require.NoError(t, log.Close())
 		}
 	}
 	assert.Greater(t, crashes, 500)
 }
 
-// Any one operation fails, as on a disk that is full for a moment, and the process goes on: entries whose commit succeeded
-// are durable, others are not live, and the next commit works.
+// Any one operation fails, as on a disk that is full for a moment, and the process goes on: entries whose commit
+// succeeded are durable, others are not live, and the next commit works.
 func TestLog_EveryOperationFailsOnce_LosesNothingCommitted(t *testing.T) {
-	for op := 1; op < 60; op++ {
-		d := NewMemoryDisk(uint64(op))
-		l, _ := openLog(t, d, crashLogSize)
-		first := d.Calls()
+	diskFull := errors.New("no space left on device")
+	for operation := 1; operation < 60; operation++ {
+		disk := NewMemoryDisk(uint64(operation))
+		log, _ := openLog(t, disk, crashLogSize)
+		fault := failAt(disk.Calls()+operation, diskFull)
 		var failed Operation
-		d.InjectFault = func(c Call) error {
-			if c.Number == first+op {
-				failed = c.Operation
-				return errors.New("no space left on device")
+		disk.InjectFault = func(call Call) error {
+			err := fault(call)
+			if err != nil {
+				failed = call.Operation
 			}
-			return nil
+			return err
 		}
-		committed := liveBinds{}
-		for i := range uint64(20) {
-			entries := []*statepb.Entry{bindEntry(i, 0)}
-			if i%3 == 2 {
-				entries = append(entries, forgetEntry(i-1, 0))
-			}
-			if l.Commit(entries, true) == nil {
-				for _, e := range entries {
-					committed.apply(e)
-				}
-			}
+		committed := commitShortHistory(log)
+		found := inspectAfterCrash(t, disk, "%s, operation %d", failed, operation)
+		require.Equal(t, describeLive(committed), describe(found.LiveBinds), "%s, operation %d", failed, operation)
+	}
+}
+
+// commitShortHistory commits binds, every third together with a Forget of the one before, and returns what is live of
+// the entries whose commit succeeded.
+func commitShortHistory(log *Log) liveBinds {
+	committed := liveBinds{}
+	for key := range uint64(20) {
+		entries := []*statepb.Entry{bindEntry(key, 0)}
+		if key%3 == 2 {
+			entries = append(entries, forgetEntry(key-1, 0))
+		}
+		if log.Commit(entries, true) != nil {
+			continue
+		}
+		for _, entry := range entries {
+			committed.apply(entry)
 		}
-		c := inspectAfterCrash(t, d, "%s, operation %d", failed, op)
-		require.Equal(t, describeLive(committed), describe(c.LiveBinds), "%s, operation %d", failed, op)
 	}
+	return committed
 }
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,6 +1,6 @@
 // Package storage keeps the durable state of an allocator in a directory: the binds of workloads that must not take
-// effect twice, as far as they may be running when the allocator crashes. Package recovery decides which binds these
-// are; package storage makes them durable and reads them back.
+// effect twice and that may be running when the allocator crashes. Package recovery decides which binds these are;
+// package storage makes them durable and reads them back.
 //
 // # Directory
 //
@@ -17,7 +17,7 @@
 // statepb. Times are Unix milliseconds, because they have to mean the same to the next incarnation.
 //
 // A log that ends in an incomplete record was truncated by a crash: the record had not been reported as durable and is
-// dropped. A record that cannot be read in front of one that can was changed afterwards, and is reported as a
+// dropped. A record that cannot be read, and is followed by one that can, was changed afterwards and is reported as a
 // *CorruptionError.
 //
 // The page docs/state.md describes the directory to operators.
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -15,11 +15,11 @@
 
 // Causes of a CorruptionError. A log whose last record is truncated, or has a wrong checksum, is not corrupt.
 var (
-	ErrTruncated      = errors.New("it ends in the middle of a record")
-	ErrNotStateFile   = errors.New("it is no file of a state directory")
-	ErrHeaderChecksum = errors.New("its header does not agree with its checksum")
-	ErrRecordChecksum = errors.New("a record does not agree with its checksum")
-	ErrTrailingBytes  = errors.New("something stands behind its record")
+	ErrTruncated      = errors.New("the file ends within a record")
+	ErrNotStateFile   = errors.New("not a file of a state directory")
+	ErrHeaderChecksum = errors.New("the checksum of the header does not match")
+	ErrRecordChecksum = errors.New("the checksum of a record does not match")
+	ErrTrailingBytes  = errors.New("unexpected bytes follow the record")
 )
 
 // VersionError reports a file that a later version of the program has written.
@@ -29,8 +29,8 @@
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("%s is of version %d and this program reads up to %d: start the program that wrote it, or a newer one",
-		e.File, e.Version, formatVersion)
+	const fix = "start the program that wrote it, or a newer one"
+	return fmt.Sprintf("%s is of version %d and this program reads up to %d: %s", e.File, e.Version, formatVersion, fix)
 }
 
 // CorruptionError reports a file that was changed after it was written, as opposed to truncated by a crash.
@@ -41,25 +41,30 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s is damaged at byte %d: %v; restore the directory from a backup, or see what 'grebeglade state repair' would drop",
-		e.File, e.Offset, e.Err)
+	const fix = "restore the directory from a backup, or see what 'grebeglade state repair' would drop"
+	return fmt.Sprintf("%s is damaged at byte %d: %v; %s", e.File, e.Offset, e.Err, fix)
 }
 
 func (e *CorruptionError) Unwrap() error { return e.Err }
 
-// Step is what was to be done with the disk that failed.
+// Step is what was being done when the disk failed.
 type Step string
 
 // Steps of a DiskError.
 const (
-	StepList   Step = "read the state directory"
+	StepCreate Step = "create the state directory"
+	StepLock   Step = "lock the state directory"
+	StepUnlock Step = "unlock the state directory"
+	StepList   Step = "list the state directory"
 	StepRead   Step = "read the state"
-	StepBegin  Step = "begin in the state directory"
+	StepBegin  Step = "begin an incarnation in the state directory"
 	StepAppend Step = "append to the log"
 	StepRotate Step = "replace the log by a snapshot"
+	StepClose  Step = "close the log"
+	StepRepair Step = "repair the state directory"
 )
 
-// DiskError reports something that could not be read from the disk, or written to it.
+// DiskError reports that the disk failed, and in which step.
 type DiskError struct {
 	Step Step
 	Err  error
@@ -68,3 +73,22 @@
 func (e *DiskError) Error() string { return fmt.Sprintf("%s: %v", e.Step, e.Err) }
 
 func (e *DiskError) Unwrap() error { return e.Err }
+
+// diskError returns a *DiskError with a cause, and nil if the cause is nil.
+func diskError(step Step, cause error) error {
+	if cause == nil {
+		return nil
+	}
+	return &DiskError{Step: step, Err: cause}
+}
+
+// lock locks a disk. The error is ErrInUse or a *DiskError.
+func lock(disk Disk) error {
+	err := disk.Lock()
+	if errors.Is(err, ErrInUse) {
+		return err // names the directory already
+	}
+	return diskError(StepLock, err)
+}
+
+func unlock(disk Disk) error { return diskError(StepUnlock, disk.Unlock()) }
--- a/internal/storage/directory.go
+++ b/internal/storage/filenames.go
@@ -12,7 +12,7 @@
 	logExtension       = ".log"
 	snapshotExtension  = ".snap"
 	temporaryExtension = ".new"     // follows that of a snapshot that is being written
-	damagedExtension   = ".damaged" // follows that of a file that a repair has put aside
+	damagedExtension   = ".damaged" // follows that of a file that a repair has renamed
 )
 
 func logName(number uint64) string      { return fileName(number, logExtension) }
@@ -32,44 +32,54 @@
 	return number, err == nil
 }
 
-// directoryFiles are the files of a directory by their kind. Files of other kinds are left alone.
+// directoryFiles are the files of a directory by their kind. Files of other kinds are ignored.
 type directoryFiles struct {
 	logs      []uint64 // in increasing order
 	snapshots []uint64 // in increasing order
 	temporary []string
 }
 
-func listFiles(d Disk) (directoryFiles, error) {
-	names, err := d.List()
+// listFiles returns the files of a disk. An error is a *DiskError.
+func listFiles(disk Disk) (directoryFiles, error) {
+	names, err := disk.List()
 	if err != nil {
 		return directoryFiles{}, &DiskError{Step: StepList, Err: err}
 	}
 	var files directoryFiles
 	for _, name := range names {
-		if n, ok := parseFileName(name, logExtension); ok {
-			files.logs = append(files.logs, n)
-		} else if n, ok := parseFileName(name, snapshotExtension); ok {
-			files.snapshots = append(files.snapshots, n)
-		} else if strings.HasSuffix(name, temporaryExtension) {
-			files.temporary = append(files.temporary, name)
-		}
+		files.add(name)
 	}
 	slices.Sort(files.logs)
 	slices.Sort(files.snapshots)
 	return files, nil
 }
 
+// add adds a file to those of its kind.
+func (f *directoryFiles) add(name string) {
+	if number, ok := parseFileName(name, logExtension); ok {
+		f.logs = append(f.logs, number)
+		return
+	}
+	if number, ok := parseFileName(name, snapshotExtension); ok {
+		f.snapshots = append(f.snapshots, number)
+		return
+	}
+	if strings.HasSuffix(name, temporaryExtension) {
+		f.temporary = append(f.temporary, name)
+	}
+}
+
 // obsolete returns the names of the files that the snapshot with a number replaces.
-func (f directoryFiles) obsolete(number uint64) []string {
+func (f *directoryFiles) obsolete(number uint64) []string {
 	names := slices.Clone(f.temporary)
-	for _, n := range f.logs {
-		if n < number {
-			names = append(names, logName(n))
+	for _, log := range f.logs {
+		if log < number {
+			names = append(names, logName(log))
 		}
 	}
-	for _, n := range f.snapshots {
-		if n < number {
-			names = append(names, snapshotName(n))
+	for _, snapshot := range f.snapshots {
+		if snapshot < number {
+			names = append(names, snapshotName(snapshot))
 		}
 	}
 	return names
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -18,7 +18,9 @@
 	checksumOffset = numberOffset + 8
 	headerSize     = checksumOffset + 4
 
-	recordHeaderSize = 4 + 4    // length and checksum in front of a payload
+	// A record is the length of its payload, a checksum of both, and the payload.
+	lengthSize       = 4
+	recordHeaderSize = lengthSize + 4
 	maxPayloadSize   = 64 << 20 // a larger length is corrupt, and no memory is allocated for it
 )
 
@@ -36,43 +38,53 @@
 // checkHeader checks the header of a file that should have a number. It returns ErrTruncated for a file that ends
 // within its header, and otherwise a *CorruptionError or a *VersionError.
 func checkHeader(name string, data []byte, number uint64) error {
-	corrupt := func(err error) error { return &CorruptionError{File: name, Offset: 0, Err: err} }
 	if len(data) < headerSize {
 		return ErrTruncated
 	}
 	if string(data[:versionOffset]) != magic {
-		return corrupt(ErrNotStateFile)
+		return corruptHeader(name, ErrNotStateFile)
 	}
 	// A later version may have another header, so that its checksum says nothing.
 	if v := binary.LittleEndian.Uint16(data[versionOffset:]); v > formatVersion {
 		return &VersionError{File: name, Version: v}
 	}
 	if binary.LittleEndian.Uint32(data[checksumOffset:]) != crc32.Checksum(data[:checksumOffset], castagnoli) {
-		return corrupt(ErrHeaderChecksum)
+		return corruptHeader(name, ErrHeaderChecksum)
 	}
-	if n := binary.LittleEndian.Uint64(data[numberOffset:]); n != number {
-		return corrupt(fmt.Errorf("its header says that it is number %d", n))
+	if stored := binary.LittleEndian.Uint64(data[numberOffset:]); stored != number {
+		return corruptHeader(name, fmt.Errorf("the header has number %d", stored))
 	}
 	return nil
 }
 
+func corruptHeader(name string, cause error) error {
+	return &CorruptionError{
+		File:   name,
+		Offset: 0,
+		Err:    cause,
+	}
+}
+
 // appendRecord appends a message with its length and checksum to b. After an error b has its former length.
 func appendRecord(b []byte, m proto.Message) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, recordHeaderSize)...)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
-		return b[:start], err
+		return b[:start], fmt.Errorf("encode a record: %w", err)
 	}
-	length, payload := b[start:start+4], b[start+recordHeaderSize:]
+	record := b[start:]
+	length := record[:lengthSize]
+	payload := record[recordHeaderSize:]
 	binary.LittleEndian.PutUint32(length, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(b[start+4:], recordChecksum(length, payload))
+	binary.LittleEndian.PutUint32(record[lengthSize:], recordChecksum(length, payload))
 	return b, nil
 }
 
 // recordChecksum covers the length too, and starts from ones: a run of zeros is not a valid record.
 func recordChecksum(length, payload []byte) uint32 {
-	return crc32.Update(crc32.Update(^uint32(0), castagnoli, length), castagnoli, payload)
+	checksum := crc32.Update(^uint32(0), castagnoli, length)
+	return crc32.Update(checksum, castagnoli, payload)
 }
 
 // cutRecord returns the payload of the first record of data, and what follows that record.
@@ -80,18 +92,20 @@
 	if len(data) < recordHeaderSize {
 		return nil, nil, ErrTruncated
 	}
-	length, body := binary.LittleEndian.Uint32(data), data[recordHeaderSize:]
+	length := binary.LittleEndian.Uint32(data)
 	if length > maxPayloadSize {
-		return nil, nil, fmt.Errorf("a record of %d bytes is none", length)
+		return nil, nil, fmt.Errorf("a record has %d bytes, which is more than %d", length, maxPayloadSize)
 	}
+	body := data[recordHeaderSize:]
 	if len(body) < int(length) {
 		return nil, nil, ErrTruncated
 	}
-	payload, rest = body[:length], body[length:]
-	if binary.LittleEndian.Uint32(data[4:]) != recordChecksum(data[:4], payload) {
+	payload = body[:length]
+	stored := binary.LittleEndian.Uint32(data[lengthSize:])
+	if stored != recordChecksum(data[:lengthSize], payload) {
 		return nil, nil, ErrRecordChecksum
 	}
-	return payload, rest, nil
+	return payload, body[length:], nil
 }
 
 // nextRecord returns the offset of the first valid record that begins behind the first byte of data. A record with an
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -11,10 +11,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
+const (
+	// testFile and testNumber are the name and number of the files that are decoded.
+	testFile   = "x"
+	testNumber = 7
+)
+
 // encodedLog returns a log with some binds, and the offset of the second one.
-func encodedLog(tb testing.TB, number uint64, binds int) (data []byte, second int) {
+func encodedLog(tb testing.TB, binds int) (data []byte, second int) {
 	tb.Helper()
-	data = encodeHeader(number)
+	data = encodeHeader(testNumber)
 	for i := range uint64(binds) {
 		var err error
 		data, err = appendRecord(data, bindEntry(i, 0))
@@ -26,11 +32,20 @@
 	return data, second
 }
 
+// requireCorruption requires a *CorruptionError at an offset with a cause.
+func requireCorruption(t *testing.T, err error, offset int, cause error) {
+	t.Helper()
+	var corruption *CorruptionError
+	require.ErrorAs(t, err, &corruption)
+	assert.Equal(t, offset, corruption.Offset)
+	require.ErrorIs(t, err, cause)
+}
+
 func TestDecodeLog_TruncatedAtEveryByte_KeepsCompleteRecords(t *testing.T) {
-	data, second := encodedLog(t, 7, 2)
+	data, second := encodedLog(t, 2)
 	for size := range len(data) {
 		entries := 0
-		truncated, err := decodeLog("x", data[:size], 7, func(*statepb.Entry) { entries++ })
+		truncated, err := decodeLog(testFile, data[:size], testNumber, func(*statepb.Entry) { entries++ })
 		require.NoError(t, err, "%d bytes", size)
 		switch {
 		case size < headerSize:
@@ -46,6 +61,7 @@
 }
 
 func TestDecodeLog_Corrupt_ReturnsCause(t *testing.T) {
+	const firstPayload = headerSize + recordHeaderSize
 	for name, c := range map[string]struct {
 		corrupt func(data []byte)
 		offset  int
@@ -53,58 +69,55 @@
 	}{
 		"other magic":       {func(b []byte) { b[0] = 'x' }, 0, ErrNotStateFile},
 		"header changed":    {func(b []byte) { b[checksumOffset] ^= 1 }, 0, ErrHeaderChecksum},
-		"payload changed":   {func(b []byte) { b[headerSize+recordHeaderSize] ^= 1 }, headerSize, ErrRecordChecksum},
+		"payload changed":   {func(b []byte) { b[firstPayload] ^= 1 }, headerSize, ErrRecordChecksum},
 		"length beyond end": {func(b []byte) { b[headerSize+1] = 1 }, headerSize, ErrTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
-			data, _ := encodedLog(t, 7, 3)
+			data, _ := encodedLog(t, 3)
 			c.corrupt(data)
-			_, err := decodeLog("x", data, 7, func(*statepb.Entry) {})
-			var corruption *CorruptionError
-			require.ErrorAs(t, err, &corruption)
-			assert.Equal(t, c.offset, corruption.Offset)
-			require.ErrorIs(t, err, c.cause)
+			_, err := decodeLog(testFile, data, testNumber, func(*statepb.Entry) {})
+			requireCorruption(t, err, c.offset, c.cause)
 		})
 	}
 }
 
 func TestDecodeSnapshot_Corrupt_ReturnsCause(t *testing.T) {
-	whole, err := encodeSnapshot(7, &statepb.Incarnation{Number: 5}, liveBinds{1: bindEntry(1, 0).GetBind()})
+	live := liveBinds{1: bindEntry(1, 0).GetBind()}
+	complete, err := encodeSnapshot(testNumber, &statepb.Incarnation{Number: 5}, live)
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		data   []byte
 		offset int
 		cause  error
 	}{
-		"truncated header": {whole[:headerSize-1], headerSize - 1, ErrTruncated},
-		"truncated record": {whole[:len(whole)-1], headerSize, ErrTruncated},
-		"trailing byte":    {append(bytes.Clone(whole), 0), len(whole), ErrTrailingBytes},
+		"truncated header": {complete[:headerSize-1], headerSize - 1, ErrTruncated},
+		"truncated record": {complete[:len(complete)-1], headerSize, ErrTruncated},
+		"trailing byte":    {append(bytes.Clone(complete), 0), len(complete), ErrTrailingBytes},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := decodeSnapshot("x", c.data, 7)
-			var corruption *CorruptionError
-			require.ErrorAs(t, err, &corruption)
-			assert.Equal(t, c.offset, corruption.Offset)
-			require.ErrorIs(t, err, c.cause)
+			_, err := decodeSnapshot(testFile, c.data, testNumber)
+			requireCorruption(t, err, c.offset, c.cause)
 		})
 	}
 }
 
 // Whatever a log holds, decoding ends, and no more is decoded than there is.
 func FuzzDecodeLog(f *testing.F) {
-	b, _ := encodedLog(f, 7, 4)
-	f.Add(b)
-	f.Add(b[:len(b)-5])
-	f.Add(encodeHeader(7))
+	valid, _ := encodedLog(f, 4)
+	f.Add(valid)
+	f.Add(valid[:len(valid)-5])
+	f.Add(encodeHeader(testNumber))
 	f.Add([]byte{})
-	f.Add(append(bytes.Clone(b[:60]), b...))
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Add(append(bytes.Clone(valid[:60]), valid...))
+	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded := 0
-		truncated, err := decodeLog("x", b, 7, func(e *statepb.Entry) { decoded += recordHeaderSize + proto.Size(e) })
-		if err == nil && truncated > len(b) {
+		truncated, err := decodeLog(testFile, data, testNumber, func(entry *statepb.Entry) {
+			decoded += recordHeaderSize + proto.Size(entry)
+		})
+		if err == nil && truncated > len(data) {
 			t.Fatal("more is truncated than there is")
 		}
-		if err == nil && truncated == 0 && len(b) > 0 && decoded > len(b)-headerSize {
+		if err == nil && truncated == 0 && len(data) > 0 && decoded > len(data)-headerSize {
 			t.Fatal("more was decoded than there is")
 		}
 	})
--- a/internal/storage/helpers_test.go
+++ b/internal/storage/helpers_test.go
@@ -23,49 +23,83 @@
 
 func unixMs() float64 { return nowUnixMs }
 
+// bindEntry returns the entry of a bind that expires in a day.
 func bindEntry(key uint64, number uint32) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bind{Bind: &statepb.Bind{
-		Key: key, Group: "once", Node: uint32(key % 7), Incarnation: testIncarnation, Workload: key, Number: number,
+		Key:           key,
+		Group:         "once",
+		Node:          uint32(key % 7),
+		Incarnation:   testIncarnation,
+		Workload:      key,
+		Number:        number,
 		ExpiresUnixMs: nowUnixMs + dayMs,
 	}}}
 }
 
+// forgetEntry returns the entry of a bind of the first incarnation that was never accepted.
 func forgetEntry(key uint64, number uint32) *statepb.Entry {
 	return ForgetEntry(key, testIncarnation, number)
 }
 
-func openLog(t require.TestingT, d Disk, maxSize int) (*Log, *Contents) {
-	l, c, err := Open(d, &statepb.Incarnation{Number: testIncarnation, StartedUnixMs: nowUnixMs}, maxSize, unixMs)
+// openLog opens a directory, and returns its contents from before.
+func openLog(t require.TestingT, disk Disk, maxSize int) (*Log, *Contents) {
+	incarnation := &statepb.Incarnation{Number: testIncarnation, StartedUnixMs: nowUnixMs}
+	log, contents, err := Open(disk, incarnation, maxSize, unixMs)
 	require.NoError(t, err)
-	return l, c
+	return log, contents
+}
+
+// commitDurably commits entries together, and requires that this succeeds.
+func commitDurably(t require.TestingT, log *Log, entries ...*statepb.Entry) {
+	require.NoError(t, log.Commit(entries, true))
+}
+
+// failAt returns a fault of one operation.
+func failAt(number int, err error) func(Call) error {
+	return func(call Call) error {
+		if call.Number == number {
+			return err
+		}
+		return nil
+	}
+}
+
+// failEvery returns a fault of every operation of some kinds.
+func failEvery(err error, operations ...Operation) func(Call) error {
+	return func(call Call) error {
+		if slices.Contains(operations, call.Operation) {
+			return err
+		}
+		return nil
+	}
 }
 
 // inspectAfterCrash crashes a disk, whose faults end, and returns what it holds then.
-func inspectAfterCrash(t require.TestingT, d *MemoryDisk, message ...any) *Contents {
-	d.Crash()
-	d.Recover()
-	d.InjectFault = nil
-	c, err := Inspect(d)
+func inspectAfterCrash(t require.TestingT, disk *MemoryDisk, message ...any) *Contents {
+	disk.Crash()
+	disk.Recover()
+	disk.InjectFault = nil
+	contents, err := Inspect(disk)
 	require.NoError(t, err, message...)
-	return c
+	return contents
 }
 
 // describe lists binds in a form that can be compared.
 func describe(binds []*statepb.Bind) string {
-	var b bytes.Buffer
-	for _, k := range binds {
-		fmt.Fprintln(&b, k.Key, k.Number, k.ExpiresUnixMs)
+	var lines bytes.Buffer
+	for _, bind := range binds {
+		fmt.Fprintln(&lines, bind.Key, bind.Number, bind.ExpiresUnixMs)
 	}
-	return b.String()
+	return lines.String()
 }
 
-// describeLive is describe for binds of which none has expired. It puts them in order by itself.
+// describeLive is describe for the live binds that have not expired. It sorts them itself, since sorted is under test.
 func describeLive(live liveBinds) string {
-	l := maps.Clone(live)
-	l.dropExpired(nowUnixMs)
+	unexpired := maps.Clone(live)
+	unexpired.dropExpired(nowUnixMs)
 	var binds []*statepb.Bind
-	for _, key := range slices.Sorted(maps.Keys(l)) {
-		binds = append(binds, l[key])
+	for _, key := range slices.Sorted(maps.Keys(unexpired)) {
+		binds = append(binds, unexpired[key])
 	}
 	return describe(binds)
 }
--- a/internal/storage/inspect.go
+++ b/internal/storage/inspect.go
@@ -12,12 +12,12 @@
 
 // Inspect reads a directory without changing or locking it. It returns a *CorruptionError, a *VersionError or a
 // *DiskError for one that cannot be read.
-func Inspect(d Disk) (*Contents, error) {
-	r, err := readDirectory(d)
+func Inspect(disk Disk) (*Contents, error) {
+	reader, err := readDirectory(disk)
 	if err != nil {
 		return nil, err
 	}
-	return r.contents, nil
+	return reader.contents, nil
 }
 
 // directoryReader collects what the latest snapshot and the logs since hold.
@@ -28,30 +28,35 @@
 	last     uint64 // the highest number of a file, 0 in a new directory
 }
 
-func readDirectory(d Disk) (*directoryReader, error) {
-	files, err := listFiles(d)
+// readDirectory reads the latest snapshot, if there is one, and the logs from its number on.
+func readDirectory(disk Disk) (*directoryReader, error) {
+	files, err := listFiles(disk)
 	if err != nil {
 		return nil, err
 	}
-	r := &directoryReader{disk: d, contents: &Contents{}, live: liveBinds{}}
+	reader := &directoryReader{
+		disk:     disk,
+		contents: &Contents{},
+		live:     liveBinds{},
+	}
 	if len(files.snapshots) > 0 {
-		r.last = files.snapshots[len(files.snapshots)-1]
-		if err := r.readSnapshot(r.last); err != nil {
+		reader.last = files.snapshots[len(files.snapshots)-1]
+		if err := reader.readSnapshot(reader.last); err != nil {
 			return nil, err
 		}
 	}
-	latestSnapshot := r.last
+	latestSnapshot := reader.last
 	for _, number := range files.logs {
-		r.last = max(r.last, number)
+		reader.last = max(reader.last, number)
 		if number < latestSnapshot {
 			continue
 		}
-		if err := r.readLog(number); err != nil {
+		if err := reader.readLog(number); err != nil {
 			return nil, err
 		}
 	}
-	r.contents.LiveBinds = r.live.sorted()
-	return r, nil
+	reader.contents.LiveBinds = reader.live.sorted()
+	return reader, nil
 }
 
 func (r *directoryReader) readFile(name string) ([]byte, error) {
@@ -63,36 +68,38 @@
 	return data, nil
 }
 
+// readSnapshot reads the snapshot with a number.
 func (r *directoryReader) readSnapshot(number uint64) error {
 	name := snapshotName(number)
 	data, err := r.readFile(name)
 	if err != nil {
 		return err
 	}
-	s, err := decodeSnapshot(name, data, number)
+	snapshot, err := decodeSnapshot(name, data, number)
 	if err != nil {
 		return err
 	}
-	r.contents.Incarnation = s.Incarnation
-	for _, l := range s.LiveBinds {
-		if b := l.GetBind(); b != nil {
-			r.live[b.Key] = b
+	r.contents.Incarnation = snapshot.Incarnation
+	for _, live := range snapshot.LiveBinds {
+		if bind := live.GetBind(); bind != nil {
+			r.live[bind.Key] = bind
 		}
 	}
 	return nil
 }
 
+// readLog applies the entries of the log with a number.
 func (r *directoryReader) readLog(number uint64) error {
 	name := logName(number)
 	data, err := r.readFile(name)
 	if err != nil {
 		return err
 	}
-	truncated, err := decodeLog(name, data, number, func(e *statepb.Entry) {
-		if incarnation := e.GetIncarnation(); incarnation != nil {
+	truncated, err := decodeLog(name, data, number, func(entry *statepb.Entry) {
+		if incarnation := entry.GetIncarnation(); incarnation != nil {
 			r.contents.Incarnation = incarnation
 		}
-		r.live.apply(e)
+		r.live.apply(entry)
 	})
 	r.contents.TruncatedBytes += truncated
 	return err
--- a/internal/storage/livebinds.go
+++ b/internal/storage/livebinds.go
@@ -10,23 +10,25 @@
 // liveBinds holds the last bind of each key that must still be known.
 type liveBinds map[uint64]*statepb.Bind
 
-// apply changes what is live according to an entry.
-func (l liveBinds) apply(e *statepb.Entry) {
-	switch body := e.Body.(type) {
+// apply changes what is live according to an entry. An entry of an incarnation, or of a kind that a later version has
+// added, changes nothing.
+func (l liveBinds) apply(entry *statepb.Entry) {
+	switch body := entry.Body.(type) {
 	case *statepb.Entry_Bind:
 		l[body.Bind.Key] = body.Bind
 	case *statepb.Entry_Forget:
-		f := body.Forget
-		if b, ok := l[f.Key]; ok && b.Number == f.Number && b.Incarnation == f.Incarnation {
-			delete(l, f.Key)
+		forget := body.Forget
+		last, live := l[forget.Key]
+		if live && last.Number == forget.Number && last.Incarnation == forget.Incarnation {
+			delete(l, forget.Key)
 		}
 	}
 }
 
 // dropExpired forgets the binds that have expired.
 func (l liveBinds) dropExpired(nowUnixMs float64) {
-	for key, b := range l {
-		if b.ExpiresUnixMs <= nowUnixMs {
+	for key, bind := range l {
+		if bind.ExpiresUnixMs <= nowUnixMs {
 			delete(l, key)
 		}
 	}
@@ -35,36 +37,41 @@
 // sorted returns the binds in the order of their keys.
 func (l liveBinds) sorted() []*statepb.Bind {
 	var binds []*statepb.Bind
-	for _, b := range l {
-		binds = append(binds, b)
+	for _, bind := range l {
+		binds = append(binds, bind)
 	}
 	slices.SortFunc(binds, func(x, y *statepb.Bind) int { return cmp.Compare(x.Key, y.Key) })
 	return binds
 }
 
-// undo remembers what is live of the keys of some entries, so that applying these can be taken back. A key that is not
-// live has a nil bind.
-func (l liveBinds) undo(entries []*statepb.Entry) (restore func()) {
-	before := make(map[uint64]*statepb.Bind, len(entries))
-	for _, e := range entries {
-		if key, ok := keyOf(e); ok {
-			before[key] = l[key]
+// savedBinds are the binds that were live for some keys. A key that was not live has a nil bind.
+type savedBinds map[uint64]*statepb.Bind
+
+// save returns what is live for the keys of some entries, so that applying these entries can be undone by restore.
+func (l liveBinds) save(entries []*statepb.Entry) savedBinds {
+	saved := make(savedBinds, len(entries))
+	for _, entry := range entries {
+		if key, ok := keyOf(entry); ok {
+			saved[key] = l[key]
 		}
 	}
-	return func() {
-		for key, b := range before {
-			if b == nil {
-				delete(l, key)
-			} else {
-				l[key] = b
-			}
+	return saved
+}
+
+// restore undoes what was applied since save.
+func (l liveBinds) restore(saved savedBinds) {
+	for key, bind := range saved {
+		if bind == nil {
+			delete(l, key)
+		} else {
+			l[key] = bind
 		}
 	}
 }
 
 // keyOf returns the key that an entry is about, if it is about one.
-func keyOf(e *statepb.Entry) (key uint64, ok bool) {
-	switch body := e.Body.(type) {
+func keyOf(entry *statepb.Entry) (key uint64, ok bool) {
+	switch body := entry.Body.(type) {
 	case *statepb.Entry_Bind:
 		return body.Bind.Key, true
 	case *statepb.Entry_Forget:
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -34,27 +34,32 @@
 // is necessary to exceed the one before, as when the clock was set back. A log that is longer than maxLogSize bytes is
 // replaced by a snapshot. The function unixMs returns the present time in Unix milliseconds.
 //
-// The contents are those from before the call. A truncated log is accepted. Other errors are ErrInUse, a
-// *CorruptionError or a *VersionError, which leave the directory unchanged, and a *DiskError.
-func Open(d Disk, incarnation *statepb.Incarnation, maxLogSize int, unixMs func() float64) (*Log, *Contents, error) {
-	if err := d.Lock(); err != nil {
+// The contents are those from before the call. A truncated log is no error. ErrInUse, a *CorruptionError and a
+// *VersionError leave the directory unchanged; any other error is a *DiskError.
+func Open(disk Disk, incarnation *statepb.Incarnation, maxLogSize int, unixMs func() float64) (*Log, *Contents, error) {
+	if err := lock(disk); err != nil {
 		return nil, nil, err
 	}
-	r, err := readDirectory(d)
+	reader, err := readDirectory(disk)
 	if err != nil {
-		return nil, nil, errors.Join(err, d.Unlock())
+		return nil, nil, errors.Join(err, unlock(disk))
 	}
-	if previous := r.contents.Incarnation; previous != nil && incarnation.Number <= previous.Number {
+	if previous := reader.contents.Incarnation; previous != nil && incarnation.Number <= previous.Number {
 		// The clock was set back, or two incarnations began at once. Nodes reject offers of an earlier incarnation.
 		incarnation.Number = previous.Number + 1
 	}
-	l := &Log{
-		disk: d, maxSize: maxLogSize, unixMs: unixMs, incarnation: incarnation, live: r.live, number: r.last,
+	log := &Log{
+		disk:        disk,
+		maxSize:     maxLogSize,
+		unixMs:      unixMs,
+		incarnation: incarnation,
+		live:        reader.live,
+		number:      reader.last,
 	}
-	if err := l.rotate(); err != nil {
-		return nil, nil, errors.Join(&DiskError{Step: StepBegin, Err: err}, d.Unlock())
+	if err := log.rotate(); err != nil {
+		return nil, nil, errors.Join(diskError(StepBegin, err), unlock(disk))
 	}
-	return l, r.contents, nil
+	return log, reader.contents, nil
 }
 
 // Commit appends entries to the log. With durable, they survive a crash of the machine once it returns; otherwise they
@@ -62,59 +67,62 @@
 //
 // After a write or a sync that failed the file is never used again, since a later sync that succeeds says nothing about
 // what the failed one has lost: all that is live, including these entries, goes to a new snapshot. If that fails too,
-// Commit returns an error, the entries are not live, and the next commit tries again.
+// Commit returns a *DiskError for each of the two steps, the entries are not live, and the next commit tries again.
 func (l *Log) Commit(entries []*statepb.Entry, durable bool) error {
-	restore := l.live.undo(entries)
-	for _, e := range entries {
-		l.live.apply(e)
+	saved := l.live.save(entries)
+	for _, entry := range entries {
+		l.live.apply(entry)
 	}
-	err := l.failure
-	if err == nil {
-		err = l.append(entries, durable)
-	}
-	if err == nil {
-		if l.size > max(l.maxSize, logBytesPerLiveBind*len(l.live)) {
-			// The new snapshot may have got its name before rotate failed. The next start would read it and not this log,
-			// so that nothing more may be written here; the next commit rotates again.
-			l.failure = l.rotate()
+	if err := l.append(entries, durable); err != nil {
+		l.failure = err
+		if rotateErr := l.rotate(); rotateErr != nil {
+			l.live.restore(saved)
+			return errors.Join(diskError(StepAppend, err), diskError(StepRotate, rotateErr))
 		}
 		return nil
 	}
-	l.failure = err
-	if rotateErr := l.rotate(); rotateErr != nil {
-		restore()
-		return errors.Join(
-			&DiskError{Step: StepAppend, Err: err},
-			&DiskError{Step: StepRotate, Err: rotateErr},
-		)
+	if l.tooLong() {
+		// The new snapshot may have got its name before rotate failed. The next start would read it and not this log,
+		// so that nothing more may be written here; the next commit rotates again.
+		l.failure = l.rotate()
 	}
 	return nil
 }
 
-// append writes entries to the current log in one piece.
-func (l *Log) append(entries []*statepb.Entry, durable bool) (err error) {
+// append writes entries to the current log in one piece, unless the log must not be written any more.
+func (l *Log) append(entries []*statepb.Entry, durable bool) error {
+	if l.failure != nil {
+		return l.failure
+	}
 	l.buffer = l.buffer[:0]
-	for _, e := range entries {
-		if l.buffer, err = appendRecord(l.buffer, e); err != nil {
+	for _, entry := range entries {
+		var err error
+		if l.buffer, err = appendRecord(l.buffer, entry); err != nil {
 			return err
 		}
 	}
-	n, err := l.file.Write(l.buffer)
-	l.size += n
-	if err == nil && durable {
-		err = l.file.Sync()
+	written, err := l.file.Write(l.buffer)
+	l.size += written
+	if err != nil || !durable {
+		return err
 	}
-	return err
+	return l.file.Sync()
+}
+
+// tooLong reports whether the current log should be replaced by a snapshot.
+func (l *Log) tooLong() bool {
+	return l.size > max(l.maxSize, logBytesPerLiveBind*len(l.live))
 }
 
 // LiveCount returns the number of keys that are known.
 func (l *Log) LiveCount() int { return len(l.live) }
 
-// Close makes all entries durable and unlocks the directory.
+// Close makes all entries durable and unlocks the directory. An error is a *DiskError, or several.
 func (l *Log) Close() error {
 	err := l.failure
 	if err == nil {
 		err = l.file.Sync()
 	}
-	return errors.Join(err, l.file.Close(), l.disk.Unlock())
+	err = errors.Join(err, l.file.Close())
+	return errors.Join(diskError(StepClose, err), unlock(l.disk))
 }
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -6,77 +6,116 @@
 	"path/filepath"
 	"testing"
 
-	"grebeglade/internal/storage/statepb"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
+const (
+	// repairEntries is the number of entries in a log that is to be corrupted.
+	repairEntries = 10
+	// corruptOffset is that of a byte within an entry in the middle of the log.
+	corruptOffset = headerSize + 200
+)
+
 func TestRepairPlan_CorruptLog_KeepsWhatItDrops(t *testing.T) {
 	path := t.TempDir()
-	d, err := OpenDir(path)
+	disk, err := OpenDir(path)
 	require.NoError(t, err)
-	l, _ := openLog(t, d, unlimited)
-	for i := range uint64(10) {
-		require.NoError(t, l.Commit([]*statepb.Entry{bindEntry(i, 0)}, true))
+	log, _ := openLog(t, disk, unlimited)
+	for key := range uint64(repairEntries) {
+		commitDurably(t, log, bindEntry(key, 0))
 	}
-	require.NoError(t, l.Close())
-	none, err := PlanRepair(d)
+	require.NoError(t, log.Close())
+	none, err := PlanRepair(disk)
 	require.NoError(t, err)
 	assert.Nil(t, none)
 
-	log := filepath.Join(path, logName(l.number))
-	b, err := os.ReadFile(log)
+	logPath := filepath.Join(path, logName(log.number))
+	corrupt, err := os.ReadFile(logPath)
 	require.NoError(t, err)
-	b[headerSize+200] ^= 1
-	require.NoError(t, os.WriteFile(log, b, 0o600))
-	_, _, err = Open(d, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
+	corrupt[corruptOffset] ^= 1
+	require.NoError(t, os.WriteFile(logPath, corrupt, 0o600))
+	err = openFails(t, disk)
 	var corruption *CorruptionError
 	require.ErrorAs(t, err, &corruption)
-	require.ErrorContains(t, err, logName(l.number)+" is damaged at byte ")
+	require.ErrorContains(t, err, logName(log.number)+" is damaged at byte ")
 	require.ErrorContains(t, err, "grebeglade state repair")
-	plan, err := PlanRepair(d)
+	plan, err := PlanRepair(disk)
 	require.NoError(t, err)
 	assert.Greater(t, plan.LostEntries, 3)
-	require.NoError(t, plan.Apply(d))
-	c, err := Inspect(d)
+	require.NoError(t, plan.Apply(disk))
+	contents, err := Inspect(disk)
 	require.NoError(t, err)
-	assert.Equal(t, 10, len(c.LiveBinds)+plan.LostEntries+1, "entries before the corrupt one, the corrupt one, entries behind it")
-	aside, err := os.ReadFile(log + damagedExtension)
+	const corruptEntries = 1
+	assert.Equal(t, repairEntries, len(contents.LiveBinds)+corruptEntries+plan.LostEntries)
+	kept, err := os.ReadFile(logPath + damagedExtension)
 	require.NoError(t, err)
-	assert.Equal(t, b, aside)
+	assert.Equal(t, corrupt, kept)
 }
 
 // corruptDirectory returns a disk with two logs, of which the first is corrupt.
-func corruptDirectory(t *testing.T) (d *MemoryDisk, plan *RepairPlan) {
+func corruptDirectory(t *testing.T) (disk *MemoryDisk, plan *RepairPlan) {
 	t.Helper()
-	d = NewMemoryDisk(1)
-	l, _ := openLog(t, d, unlimited)
-	for i := range uint64(10) {
-		require.NoError(t, l.Commit([]*statepb.Entry{bindEntry(i, 0)}, true))
+	disk = NewMemoryDisk(1)
+	log, _ := openLog(t, disk, unlimited)
+	for key := range uint64(repairEntries) {
+		commitDurably(t, log, bindEntry(key, 0))
 	}
-	require.NoError(t, l.Close())
-	d.visible[logName(l.number)].data[headerSize+200] ^= 1
-	require.NoError(t, writeFile(d, logName(l.number+1), encodeHeader(l.number+1)))
-	plan, err := PlanRepair(d)
+	require.NoError(t, log.Close())
+	disk.visible[logName(log.number)].data[corruptOffset] ^= 1
+	require.NoError(t, writeFile(disk, logName(log.number+1), encodeHeader(log.number+1)))
+	plan, err := PlanRepair(disk)
 	require.NoError(t, err)
-	require.Equal(t, []string{logName(l.number + 1)}, plan.DroppedFiles)
-	return d, plan
+	require.Equal(t, []string{logName(log.number + 1)}, plan.DroppedFiles)
+	return disk, plan
 }
 
 func TestRepairPlan_Apply_CorruptFileGone_ReturnsError(t *testing.T) {
-	d, plan := corruptDirectory(t)
-	require.NoError(t, d.Remove(plan.File))
-	require.ErrorIs(t, plan.Apply(d), fs.ErrNotExist)
-	_, err := d.Read(plan.DroppedFiles[0])
-	require.NoError(t, err, "later logs are left alone")
-	assert.False(t, d.locked)
+	disk, plan := corruptDirectory(t)
+	require.NoError(t, disk.Remove(plan.File))
+	require.ErrorIs(t, plan.Apply(disk), fs.ErrNotExist)
+	_, err := disk.Read(plan.DroppedFiles[0])
+	require.NoError(t, err, "later logs are not changed")
+	assert.False(t, disk.locked)
 }
 
 func TestRepairPlan_Apply_LaterLogGone_Succeeds(t *testing.T) {
-	d, plan := corruptDirectory(t)
-	require.NoError(t, d.Remove(plan.DroppedFiles[0]))
-	require.NoError(t, plan.Apply(d))
-	_, err := Inspect(d)
+	disk, plan := corruptDirectory(t)
+	require.NoError(t, disk.Remove(plan.DroppedFiles[0]))
+	require.NoError(t, plan.Apply(disk))
+	_, err := Inspect(disk)
 	require.NoError(t, err)
 }
+
+func TestPlanRepair_DiskFails_ReturnsDiskError(t *testing.T) {
+	disk, plan := corruptDirectory(t)
+	reads := 0
+	disk.InjectFault = func(call Call) error {
+		if call.Operation != OpRead || call.File != plan.File {
+			return nil
+		}
+		reads++
+		if reads == 1 {
+			return nil // the read in which the corruption is found
+		}
+		return errInputOutput
+	}
+	_, err := PlanRepair(disk)
+	requireDiskError(t, err, StepRead)
+}
+
+func TestRepairPlan_Apply_DiskFails_ReturnsDiskErrorAndUnlocks(t *testing.T) {
+	disk, plan := corruptDirectory(t)
+	disk.InjectFault = failEvery(errInputOutput, OpRename)
+	requireDiskError(t, plan.Apply(disk), StepRepair)
+	assert.False(t, disk.locked)
+}
+
+// requireDiskError requires a *DiskError with a step whose cause is errInputOutput.
+func requireDiskError(t *testing.T, err error, step Step) {
+	t.Helper()
+	require.ErrorIs(t, err, errInputOutput)
+	var failed *DiskError
+	require.ErrorAs(t, err, &failed)
+	assert.Equal(t, step, failed.Step)
+}
--- a/internal/storage/rotate_test.go
+++ b/internal/storage/rotate_test.go
@@ -37,7 +37,8 @@
 func TestOpen_SyncAndCloseFail_ReportsBoth(t *testing.T) {
 	for _, name := range []string{snapshotName(1) + temporaryExtension, logName(1)} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := Open(faultyDisk{NewMemoryDisk(1), name}, &statepb.Incarnation{Number: 1}, unlimited, unixMs)
+			disk := faultyDisk{MemoryDisk: NewMemoryDisk(1), name: name}
+			_, _, err := Open(disk, &statepb.Incarnation{Number: 1}, unlimited, unixMs)
 			require.ErrorIs(t, err, errSync)
 			require.ErrorIs(t, err, errClose)
 		})
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"grebeglade/internal/storage/statepb"
 
@@ -10,31 +11,39 @@
 
 // encodeSnapshot returns the file of a snapshot with a number. Equal contents give equal bytes.
 func encodeSnapshot(number uint64, incarnation *statepb.Incarnation, live liveBinds) ([]byte, error) {
-	s := &statepb.Snapshot{Incarnation: incarnation}
-	for _, b := range live.sorted() {
-		s.LiveBinds = append(s.LiveBinds, &statepb.LiveBind{Bind: b})
+	snapshot := &statepb.Snapshot{Incarnation: incarnation}
+	for _, bind := range live.sorted() {
+		snapshot.LiveBinds = append(snapshot.LiveBinds, &statepb.LiveBind{Bind: bind})
 	}
-	return appendRecord(encodeHeader(number), s)
+	return appendRecord(encodeHeader(number), snapshot)
 }
 
-// decodeSnapshot returns what a snapshot holds. A snapshot gets its name once it is complete and synced, so that one that
-// is truncated is corrupt.
+// decodeSnapshot returns what a snapshot holds. A snapshot gets its name once it is complete and synced, so that one
+// that is truncated is corrupt.
 func decodeSnapshot(name string, data []byte, number uint64) (*statepb.Snapshot, error) {
-	if err := checkHeader(name, data, number); errors.Is(err, ErrTruncated) {
-		return nil, &CorruptionError{File: name, Offset: len(data), Err: err}
-	} else if err != nil {
+	corrupt := func(offset int, cause error) error {
+		return &CorruptionError{
+			File:   name,
+			Offset: offset,
+			Err:    cause,
+		}
+	}
+	if err := checkHeader(name, data, number); err != nil {
+		if errors.Is(err, ErrTruncated) {
+			return nil, corrupt(len(data), err)
+		}
 		return nil, err
 	}
 	payload, rest, err := cutRecord(data[headerSize:])
 	if err != nil {
-		return nil, &CorruptionError{File: name, Offset: headerSize, Err: err}
+		return nil, corrupt(headerSize, err)
 	}
-	s := &statepb.Snapshot{}
-	if err := proto.Unmarshal(payload, s); err != nil {
-		return nil, &CorruptionError{File: name, Offset: headerSize, Err: err}
+	snapshot := &statepb.Snapshot{}
+	if err := proto.Unmarshal(payload, snapshot); err != nil {
+		return nil, corrupt(headerSize, fmt.Errorf("decode the snapshot: %w", err))
 	}
 	if len(rest) > 0 {
-		return nil, &CorruptionError{File: name, Offset: len(data) - len(rest), Err: ErrTrailingBytes}
+		return nil, corrupt(len(data)-len(rest), ErrTrailingBytes)
 	}
-	return s, nil
+	return snapshot, nil
 }
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -21,19 +21,29 @@
 
 var storedBinds = []*statepb.Bind{
 	{
-		Key: 3, Group: "once", Node: 3, Incarnation: 5, Workload: 3, Number: 1,
+		Key:           3,
+		Group:         "once",
+		Node:          3,
+		Incarnation:   5,
+		Workload:      3,
+		Number:        1,
 		ExpiresUnixMs: nowUnixMs + dayMs,
 	},
 	{
-		Key: 1<<63 + 7, Group: "Prüfung", Node: 4_000_000_000, Incarnation: 6, Workload: 1<<63 + 7, Number: 4,
+		Key:           1<<63 + 7,
+		Group:         "Prüfung",
+		Node:          4_000_000_000,
+		Incarnation:   6,
+		Workload:      1<<63 + 7,
+		Number:        4,
 		ExpiresUnixMs: nowUnixMs + dayMs,
 	},
 }
 
 func TestInspect_StoredDirectory_ReadsContents(t *testing.T) {
-	d, err := OpenDir(storedDirectory)
+	disk, err := OpenDir(storedDirectory)
 	require.NoError(t, err)
-	c, err := Inspect(d)
+	c, err := Inspect(disk)
 	require.NoError(t, err)
 	assert.EqualValues(t, 6, c.Incarnation.Number)
 	assert.Equal(t, []string{snapshotName(storedNumber), logName(storedNumber)}, c.Files)
@@ -47,40 +57,40 @@
 func TestOpen_StoredDirectory_BeginsNextIncarnation(t *testing.T) {
 	path := t.TempDir()
 	require.NoError(t, os.CopyFS(path, os.DirFS(storedDirectory)))
-	d, err := OpenDir(path)
+	disk, err := OpenDir(path)
 	require.NoError(t, err)
 	incarnation := &statepb.Incarnation{Number: 1}
-	l, c, err := Open(d, incarnation, unlimited, unixMs)
+	log, c, err := Open(disk, incarnation, unlimited, unixMs)
 	require.NoError(t, err)
 	assert.EqualValues(t, 7, incarnation.Number)
 	assert.Len(t, c.LiveBinds, len(storedBinds))
-	require.NoError(t, l.Close())
-	c, err = Inspect(d)
+	require.NoError(t, log.Close())
+	c, err = Inspect(disk)
 	require.NoError(t, err)
 	assert.Equal(t, describe(storedBinds), describe(c.LiveBinds))
 }
 
 func TestEncode_StoredContents_GivesStoredBytes(t *testing.T) {
-	d, err := OpenDir(storedDirectory)
+	disk, err := OpenDir(storedDirectory)
 	require.NoError(t, err)
 
-	stored, err := d.Read(snapshotName(storedNumber))
+	stored, err := disk.Read(snapshotName(storedNumber))
 	require.NoError(t, err)
-	s, err := decodeSnapshot(snapshotName(storedNumber), stored, storedNumber)
+	snapshot, err := decodeSnapshot(snapshotName(storedNumber), stored, storedNumber)
 	require.NoError(t, err)
 	live := liveBinds{}
-	for _, l := range s.LiveBinds {
-		live[l.Bind.Key] = l.Bind
+	for _, entry := range snapshot.LiveBinds {
+		live[entry.Bind.Key] = entry.Bind
 	}
-	again, err := encodeSnapshot(storedNumber, s.Incarnation, live)
+	again, err := encodeSnapshot(storedNumber, snapshot.Incarnation, live)
 	require.NoError(t, err)
 	assert.Equal(t, stored, again)
 
-	stored, err = d.Read(logName(storedNumber))
+	stored, err = disk.Read(logName(storedNumber))
 	require.NoError(t, err)
 	again = encodeHeader(storedNumber)
-	_, err = decodeLog(logName(storedNumber), stored, storedNumber, func(e *statepb.Entry) {
-		again, err = appendRecord(again, e)
+	_, err = decodeLog(logName(storedNumber), stored, storedNumber, func(entry *statepb.Entry) {
+		again, err = appendRecord(again, entry)
 		require.NoError(t, err)
 	})
 	require.NoError(t, err)
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -12,13 +12,13 @@
 const (
 	// GroupCommit syncs once for all entries that came while the sync before was under way.
 	GroupCommit SyncPolicy = iota
-	// SyncPerEntry syncs for each entry that somebody waits for.
+	// SyncPerEntry syncs once for each entry, provided that a caller waits for it.
 	SyncPerEntry
 	// NoSync leaves it to the system: a crash of the process loses nothing, one of the machine may.
 	NoSync
 )
 
-// maxQueuedEntries is how many entries may wait for the disk: more than a disk that works ever leaves waiting.
+// maxQueuedEntries is how many entries may wait for the disk: more than ever wait for a disk that works.
 const maxQueuedEntries = 1 << 16
 
 // Writer commits entries to a log on a goroutine of its own, so that its callers never wait for the disk. It is safe
@@ -33,6 +33,7 @@
 	stopped chan struct{} // closed by run
 }
 
+// queuedEntry is an entry that waits for the disk.
 type queuedEntry struct {
 	entry     *statepb.Entry
 	committed func(error) // nil if nobody waits for the entry
@@ -41,16 +42,19 @@
 // NewWriter returns a writer to a log, which must not be used by others any more.
 func NewWriter(l *Log, policy SyncPolicy) *Writer {
 	w := &Writer{
-		log: l, policy: policy,
-		wake: make(chan struct{}, 1), closing: make(chan struct{}), stopped: make(chan struct{}),
+		log:     l,
+		policy:  policy,
+		wake:    make(chan struct{}, 1),
+		closing: make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write queues an entry. The function committed is called on the writer's goroutine once the entry is durable, as far as
-// the policy says, or with the error for which it was not written. It may be nil: such an entry becomes durable with the
-// next one that has a function.
+// Write queues an entry. The function committed is called on the writer's goroutine once the entry is durable, as far
+// as the policy says, or with the error for which it was not written. It may be nil: such an entry becomes durable with
+// the next one that has a function.
 //
 // While too many entries are queued, committed is called with ErrBacklogFull before Write returns. An entry without
 // committed is dropped then: a Forget that is lost only leaves its key known until it expires.
@@ -67,6 +71,7 @@
 	}
 }
 
+// enqueue reports whether there was room in the queue.
 func (w *Writer) enqueue(e queuedEntry) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,14 +92,21 @@
 		case <-w.closing:
 			closing = true
 		}
-		w.mu.Lock()
-		batch, w.queue = w.queue, batch[:0]
-		w.mu.Unlock()
+		batch = w.takeQueue(batch[:0])
 		w.commitBatch(batch)
-		clear(batch)
+		clear(batch) // so that the entries can be collected
 	}
 }
 
+// takeQueue returns the queued entries, and leaves an empty slice in their place whose capacity is used next.
+func (w *Writer) takeQueue(empty []queuedEntry) []queuedEntry {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	queued := w.queue
+	w.queue = empty
+	return queued
+}
+
 // commitBatch commits entries in the groups that the policy prescribes.
 func (w *Writer) commitBatch(batch []queuedEntry) {
 	if w.policy != SyncPerEntry {
@@ -106,20 +118,21 @@
 	}
 }
 
-// commitGroup commits entries together and notifies those who wait for them.
+// commitGroup commits entries together and calls the functions that wait for them.
 func (w *Writer) commitGroup(group []queuedEntry) {
 	if len(group) == 0 {
 		return
 	}
-	entries, awaited := make([]*statepb.Entry, len(group)), false
-	for i, q := range group {
-		entries[i] = q.entry
-		awaited = awaited || q.committed != nil
+	entries := make([]*statepb.Entry, len(group))
+	awaited := false
+	for i, queued := range group {
+		entries[i] = queued.entry
+		awaited = awaited || queued.committed != nil
 	}
 	err := w.log.Commit(entries, awaited && w.policy != NoSync)
-	for _, q := range group {
-		if q.committed != nil {
-			q.committed(err)
+	for _, queued := range group {
+		if queued.committed != nil {
+			queued.committed(err)
 		}
 	}
 }
