--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -27,29 +27,31 @@
 // NewAnonymiser returns an anonymiser with a key of MinKeySize bytes or more.
 func NewAnonymiser(key []byte) (*Anonymiser, error) {
 	if len(key) < MinKeySize {
-		return nil, fmt.Errorf("the key has %d bytes; it must have %d or more, such as from: head -c 32 /dev/urandom", len(key), MinKeySize)
+		const fix = "such as from: head -c 32 /dev/urandom"
+		return nil, fmt.Errorf("the key has %d bytes; it must have %d or more, %s", len(key), MinKeySize, fix)
 	}
 	return &Anonymiser{key: key, roundKeys: map[string]*[feistelRounds]roundKey{}}, nil
 }
 
-// Anonymise copies a file under pseudonyms and closes w. Blocks and index are made anew; damaged parts are left out.
-func Anonymise(r *Reader, w *Writer, a *Anonymiser) error {
-	for rec, err := range r.Records(Span{}) {
-		if errors.As(err, new(Damage)) {
+// Anonymise copies a file under pseudonyms and closes the writer. Blocks and index are made anew; damaged parts are
+// left out.
+func Anonymise(reader *Reader, writer *Writer, anonymiser *Anonymiser) error {
+	for record, err := range reader.Records(Span{}) {
+		if errors.As(err, new(DamageError)) {
 			continue // what cannot be read identifies nobody
 		}
 		if err != nil {
 			return err
 		}
-		anonymous, err := a.Record(rec)
+		anonymous, err := anonymiser.Record(record)
 		if err != nil {
 			return err
 		}
-		if err := w.Append(anonymous); err != nil {
+		if err := writer.Append(anonymous); err != nil {
 			return err
 		}
 	}
-	return w.Close()
+	return writer.Close()
 }
 
 // Header returns a header under pseudonyms.
@@ -66,25 +68,26 @@
 }
 
 // message replaces the fields of a message in place.
-func (a *Anonymiser) message(m protoreflect.Message) error {
-	m.SetUnknown(nil)
+func (a *Anonymiser) message(message protoreflect.Message) error {
+	message.SetUnknown(nil)
 	var failed error
-	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
-		if f.Message() != nil {
-			failed = a.nested(f, v)
+	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		if field.Message() != nil {
+			failed = a.nested(field, value)
 		} else {
-			failed = a.field(m, f, v)
+			failed = a.field(message, field, value)
 		}
 		return failed == nil
 	})
 	return failed
 }
 
-func (a *Anonymiser) nested(f protoreflect.FieldDescriptor, v protoreflect.Value) error {
-	if !f.IsList() {
-		return a.message(v.Message())
+// nested replaces the fields of the message in a field, or of each message in a list of them.
+func (a *Anonymiser) nested(field protoreflect.FieldDescriptor, value protoreflect.Value) error {
+	if !field.IsList() {
+		return a.message(value.Message())
 	}
-	list := v.List()
+	list := value.List()
 	for i := range list.Len() {
 		if err := a.message(list.Get(i).Message()); err != nil {
 			return err
@@ -93,41 +96,57 @@
 	return nil
 }
 
-func (a *Anonymiser) field(m protoreflect.Message, f protoreflect.FieldDescriptor, v protoreflect.Value) error {
-	name := string(m.Descriptor().Name()) + "." + string(f.Name())
-	t, known := treatments[name]
+// field replaces the value of a field that is no message, or each value if it is a list.
+func (a *Anonymiser) field(
+	message protoreflect.Message, field protoreflect.FieldDescriptor, value protoreflect.Value,
+) error {
+	name := string(message.Descriptor().Name()) + "." + string(field.Name())
+	treatment, known := treatments[name]
 	if !known {
-		return fmt.Errorf("nothing says whether field %s names someone", name)
+		return fmt.Errorf("field %s cannot be anonymised: there is no treatment for it", name)
 	}
-	if !f.IsList() {
-		m.Set(f, a.value(t, f, v))
+	if !field.IsList() {
+		message.Set(field, a.value(treatment, field, value))
 		return nil
 	}
-	list := v.List()
+	list := value.List()
 	for i := range list.Len() {
-		list.Set(i, a.value(t, f, list.Get(i)))
+		list.Set(i, a.value(treatment, field, list.Get(i)))
 	}
 	return nil
 }
 
-func (a *Anonymiser) value(t treatment, f protoreflect.FieldDescriptor, v protoreflect.Value) protoreflect.Value {
-	switch t.action {
-	case wipe:
-		return f.Default()
+// value returns what replaces a value of a field.
+func (a *Anonymiser) value(
+	how treatment, field protoreflect.FieldDescriptor, value protoreflect.Value,
+) protoreflect.Value {
+	switch how.action {
+	case keep:
+		return value
+	case id:
+		return a.idValue(how.domain, field, value)
 	case text:
-		return protoreflect.ValueOfString(a.Text(v.String()))
+		return protoreflect.ValueOfString(a.Text(value.String()))
 	case amount:
-		if a.Coarse {
-			return protoreflect.ValueOfFloat64(roundToPowerOfTwo(v.Float()))
-		}
-	case id:
-		pseudonym := a.ID(t.domain, v.Uint(), idBits[t.domain])
-		if f.Kind() == protoreflect.Uint32Kind {
-			return protoreflect.ValueOfUint32(uint32(pseudonym))
+		if !a.Coarse {
+			return value
 		}
-		return protoreflect.ValueOfUint64(pseudonym)
+		return protoreflect.ValueOfFloat64(roundToPowerOfTwo(value.Float()))
+	case wipe:
+		return field.Default()
+	}
+	return value // there is no other action
+}
+
+// idValue returns the pseudonym of an id, in the type of its field.
+func (a *Anonymiser) idValue(
+	domain string, field protoreflect.FieldDescriptor, value protoreflect.Value,
+) protoreflect.Value {
+	pseudonym := a.ID(domain, value.Uint(), idBits[domain])
+	if field.Kind() == protoreflect.Uint32Kind {
+		return protoreflect.ValueOfUint32(uint32(pseudonym))
 	}
-	return v
+	return protoreflect.ValueOfUint64(pseudonym)
 }
 
 // roundToPowerOfTwo returns the nearest power of two, with the sign of v.
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"fmt"
+	"math"
 	"slices"
 	"testing"
 
@@ -15,100 +16,194 @@
 	"grebeglade/trace/tracepb"
 )
 
-// identifying returns a trace with an identifier in every field that can hold one, and the identifiers.
-func identifying() (h *tracepb.Header, records []*Record, words []string, ids []uint64) {
-	text := func(s string) string {
-		words = append(words, s)
-		return "farmer " + s + " of field 12"
-	}
-	id := func(v uint64) uint64 {
-		ids = append(ids, v)
-		return v
-	}
-	small := func(v uint32) uint32 { return uint32(id(uint64(v))) }
-	s := &tracepb.Source{Allocator: text("Lindqvist"), Incarnation: id(0x1122334455667788), WallMs: 5}
-	h = &tracepb.Header{Sources: []*tracepb.Source{s}, Tool: "grebeglade"}
-	w := &tracepb.Workload{Id: small(0x71829304), Service: id(0xa1b2c3d4e5f60718), Cores: 3.3}
-	records = []*Record{
-		{Body: &tracepb.Record_Start{Start: &tracepb.Start{
-			Source: s, Seed: id(0xfeedfacecafebeef), Groups: []string{text("Berg")}, Kinds: []string{text("Dal")},
-			Zones: []string{text("Holm")}, Settings: &tracepb.Settings{Zone: 51234, NodeKinds: []*tracepb.NodeKind{{Cores: 3.3}}},
-		}}},
-		{Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: w}}, Step: &tracepb.Step{Node: small(0x61524334)}},
-		{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{Workload: w, Node: small(0x61524335)}}},
-		{Body: &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Nodes: []*tracepb.Node{{Id: small(0x61524336), Cell: 61111, Zone: 62222}}}}},
-		{Body: &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}, Maintenance: &tracepb.Maintenance{
-			Migrations: []uint32{small(0x61524337)}, HealthChecks: []uint32{small(0x61524338)},
-		}},
-		{Body: &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{
-			Workload: w.Id, Client: text("Ek"), RequestId: id(0x0102030405060709), Key: id(0x1f2e3d4c5b6a7988),
-		}}},
-		{Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{Workload: w.Id, Node: small(0x61524339), Text: text("Sand")}}},
-		{Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: w.Id, Node: small(0x6152433a), Text: text("Lund")}}},
-		{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: &tracepb.DiscoveryUpdated{Epoch: id(0x2a3b4c5d6e7f8091), Revision: id(0x2a3b4c5d6e7f8092)}}},
-		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Reason: text("Strand")}}},
-	}
-	for i, r := range records {
-		r.Revision = uint64(i + 1)
-	}
-	return h, records, words, ids
-}
+// testKey is a key of a permitted length.
+var testKey = []byte("a key of sixteen bytes or more")
 
-func TestAnonymise_LeavesNoIdentifier(t *testing.T) {
-	h, records, words, ids := identifying()
-	a, err := NewAnonymiser([]byte("a key of sixteen bytes or more"))
+func newAnonymiser(t *testing.T, key []byte) *Anonymiser {
+	t.Helper()
+	anonymiser, err := NewAnonymiser(key)
 	require.NoError(t, err)
-	a.Coarse = true
-	anonymous, err := a.Header(h)
+	return anonymiser
+}
+
+// identifiers collects the identifiers that a trace is made with.
+type identifiers struct {
+	words []string
+	ids   []uint64
+}
+
+// text returns a text with a word that identifies someone.
+func (i *identifiers) text(word string) string {
+	i.words = append(i.words, word)
+	return "farmer " + word + " of field 12"
+}
+
+func (i *identifiers) id(number uint64) uint64 {
+	i.ids = append(i.ids, number)
+	return number
+}
+
+func (i *identifiers) id32(number uint32) uint32 { return uint32(i.id(uint64(number))) }
+
+// identifyingTrace returns a trace with an identifier in every field that can hold one, and the identifiers.
+func identifyingTrace() (*tracepb.Header, []*Record, *identifiers) {
+	made := &identifiers{}
+	source := &tracepb.Source{
+		Allocator:   made.text("Lindqvist"),
+		Incarnation: made.id(0x1122334455667788),
+		WallMs:      5,
+	}
+	workload := &tracepb.Workload{
+		Id:      made.id32(0x71829304),
+		Service: made.id(0xa1b2c3d4e5f60718),
+		Cores:   3.3,
+	}
+	records := append(identifyingCalls(made, source, workload), identifyingEvents(made, workload)...)
+	for i, record := range records {
+		record.Revision = uint64(i + 1)
+	}
+	return &tracepb.Header{Sources: []*tracepb.Source{source}, Tool: "grebeglade"}, records, made
+}
+
+// identifyingCalls returns the start of a source, and calls of its placement module with what they returned.
+func identifyingCalls(made *identifiers, source *tracepb.Source, workload *tracepb.Workload) []*Record {
+	start := &tracepb.Start{
+		Source:   source,
+		Seed:     made.id(0xfeedfacecafebeef),
+		Groups:   []string{made.text("Berg")},
+		Kinds:    []string{made.text("Dal")},
+		Zones:    []string{made.text("Holm")},
+		Settings: &tracepb.Settings{Zone: 51234, NodeKinds: []*tracepb.NodeKind{{Cores: 3.3}}},
+	}
+	step := &tracepb.Step{Node: made.id32(0x61524334)}
+	adopted := &tracepb.Adopt{Workload: workload, Node: made.id32(0x61524335)}
+	node := &tracepb.Node{
+		Id:   made.id32(0x61524336),
+		Cell: 61111,
+		Zone: 62222,
+	}
+	maintenance := &tracepb.Maintenance{
+		Migrations:   []uint32{made.id32(0x61524337)},
+		HealthChecks: []uint32{made.id32(0x61524338)},
+	}
+	updated := &tracepb.NodesUpdated{Nodes: []*tracepb.Node{node}}
+	return []*Record{
+		{Body: &tracepb.Record_Start{Start: start}},
+		{Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: workload}}, Step: step},
+		{Body: &tracepb.Record_Adopt{Adopt: adopted}},
+		{Body: &tracepb.Record_NodesUpdated{NodesUpdated: updated}},
+		{Body: &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}, Maintenance: maintenance},
+	}
+}
+
+// identifyingEvents returns the records of what happens around the calls.
+func identifyingEvents(made *identifiers, workload *tracepb.Workload) []*Record {
+	received := &tracepb.RequestReceived{
+		Workload:  workload.Id,
+		Client:    made.text("Ek"),
+		RequestId: made.id(0x0102030405060709),
+		Key:       made.id(0x1f2e3d4c5b6a7988),
+	}
+	rejected := &tracepb.OfferRejected{
+		Workload: workload.Id,
+		Node:     made.id32(0x61524339),
+		Text:     made.text("Sand"),
+	}
+	answered := &tracepb.RequestAnswered{
+		Workload: workload.Id,
+		Node:     made.id32(0x6152433a),
+		Text:     made.text("Lund"),
+	}
+	updated := &tracepb.DiscoveryUpdated{
+		Epoch:    made.id(0x2a3b4c5d6e7f8091),
+		Revision: made.id(0x2a3b4c5d6e7f8092),
+	}
+	return []*Record{
+		{Body: &tracepb.Record_RequestReceived{RequestReceived: received}},
+		{Body: &tracepb.Record_OfferRejected{OfferRejected: rejected}},
+		{Body: &tracepb.Record_RequestAnswered{RequestAnswered: answered}},
+		{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: updated}},
+		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Reason: made.text("Strand")}}},
+	}
+}
+
+// anonymise returns a reader of an anonymised copy, with rounded amounts, and the copy's bytes.
+func anonymise(t *testing.T, header *tracepb.Header, records []*Record) (*Reader, []byte) {
+	t.Helper()
+	anonymiser := newAnonymiser(t, testKey)
+	anonymiser.Coarse = true
+	anonymous, err := anonymiser.Header(header)
 	require.NoError(t, err)
 	var out bytes.Buffer
-	w, err := NewWriter(&out, anonymous)
+	writer, err := NewWriter(&out, anonymous)
 	require.NoError(t, err)
-	require.NoError(t, Anonymise(reader(t, file(t, h, records, 3)), w, a))
-	r := reader(t, out.Bytes())
-	got, damaged := all(r, Span{})
-	assert.Zero(t, damaged)
-	assert.Len(t, got, len(records))
-	// Everything in the file, decompressed: header, blocks, index.
-	raw := out.Bytes()[:r.blocks[0].Offset]
-	for _, b := range r.blocks {
-		_, block, err := r.readBlock(int64(b.Offset), nil)
+	original := newReader(t, encodeFile(t, header, records, 3))
+	require.NoError(t, Anonymise(original, writer, anonymiser))
+	return newReader(t, out.Bytes()), out.Bytes()
+}
+
+// decompressed returns everything in a file that is not compressed: header, blocks and index.
+func decompressed(t *testing.T, reader *Reader, encoded []byte) []byte {
+	t.Helper()
+	raw := slices.Clone(encoded[:reader.blocks[0].Offset])
+	for _, block := range reader.blocks {
+		_, records, err := reader.readBlock(int64(block.Offset), nil)
 		require.NoError(t, err)
-		raw = append(slices.Clone(raw), block...)
+		raw = append(raw, records...)
+	}
+	return raw
+}
+
+// encodings returns the forms in which a number may be found in a file.
+func encodings(number uint64) [][]byte {
+	littleEndian := binary.LittleEndian.AppendUint64(nil, number)
+	bigEndian := binary.BigEndian.AppendUint64(nil, number)
+	if number <= math.MaxUint32 {
+		littleEndian = littleEndian[:4]
+		bigEndian = bigEndian[4:]
+	}
+	return [][]byte{
+		littleEndian,
+		bigEndian,
+		protowire.AppendVarint(nil, number),
+		protowire.AppendVarint(nil, protowire.EncodeZigZag(int64(number))),
+		fmt.Appendf(nil, "%d", number),
+		fmt.Appendf(nil, "%x", number),
+		fmt.Appendf(nil, "%X", number),
 	}
-	for _, word := range words {
+}
+
+func TestAnonymise_LeavesNoIdentifier(t *testing.T) {
+	header, records, made := identifyingTrace()
+	reader, encoded := anonymise(t, header, records)
+	got, damaged := readAll(reader, Span{})
+	assert.Zero(t, damaged)
+	assert.Len(t, got, len(records))
+	raw := decompressed(t, reader, encoded)
+	for _, word := range made.words {
 		assert.NotContains(t, string(raw), word)
 	}
-	for _, v := range ids {
-		le, be := binary.LittleEndian.AppendUint64(nil, v), binary.BigEndian.AppendUint64(nil, v)
-		if v <= 0xffffffff {
-			le, be = le[:4], be[4:]
-		}
-		for _, form := range [][]byte{
-			le, be, protowire.AppendVarint(nil, v), protowire.AppendVarint(nil, protowire.EncodeZigZag(int64(v))),
-			fmt.Appendf(nil, "%d", v), fmt.Appendf(nil, "%x", v), fmt.Appendf(nil, "%X", v),
-		} {
-			assert.False(t, bytes.Contains(raw, form), "%x as %x", v, form)
+	for _, id := range made.ids {
+		for _, form := range encodings(id) {
+			assert.False(t, bytes.Contains(raw, form), "%x as %x", id, form)
 		}
 	}
-	assert.Equal(t, got[1].GetSchedule().Workload.Id, got[6].GetOfferRejected().Workload, "the same name has the same pseudonym")
-	assert.InDelta(t, 4, got[1].GetSchedule().Workload.Cores, 0, "rounded")
-	assert.True(t, r.Header.Anonymised)
+	scheduled := got[1].GetSchedule().Workload
+	assert.Equal(t, scheduled.Id, got[6].GetOfferRejected().Workload, "the same name has the same pseudonym")
+	assert.InDelta(t, 4, scheduled.Cores, 0, "rounded")
+	assert.True(t, reader.Header.Anonymised)
 }
 
 func TestAnonymiser_PseudonymsDependOnTheKey(t *testing.T) {
-	a, err := NewAnonymiser([]byte("a key of sixteen bytes or more"))
-	require.NoError(t, err)
-	other, err := NewAnonymiser([]byte("another key of sixteen bytes"))
-	require.NoError(t, err)
+	a := newAnonymiser(t, testKey)
+	other := newAnonymiser(t, []byte("another key of sixteen bytes"))
 	assert.NotEqual(t, a.ID("node", 5, 32), other.ID("node", 5, 32))
 	assert.NotEqual(t, a.Text("x"), other.Text("x"))
 }
 
 // Traces that were anonymised earlier must fit those of today under the same key.
 func TestAnonymiser_PseudonymsStayTheSame(t *testing.T) {
-	a, err := NewAnonymiser([]byte("a key of sixteen bytes or more"))
-	require.NoError(t, err)
+	a := newAnonymiser(t, testKey)
 	assert.Equal(t, uint64(300663936), a.ID("node", 5, 32))
 	assert.Equal(t, uint64(12778), a.ID("cell", 7, 16))
 	assert.Equal(t, uint64(9728660386877707078), a.ID("service", 1<<40, 64))
@@ -121,45 +216,53 @@
 }
 
 func TestAnonymiserID_IsPermutationWithoutOrder(t *testing.T) {
-	a, err := NewAnonymiser([]byte("a key of sixteen bytes or more"))
-	require.NoError(t, err)
+	const (
+		domain  = "cell"
+		bits    = 16
+		numbers = 1 << bits
+	)
+	anonymiser := newAnonymiser(t, testKey)
 	seen := map[uint64]bool{}
-	rising := 0
-	for v := range uint64(1 << 16) {
-		p := a.ID("cell", v, 16)
-		assert.False(t, seen[p])
-		seen[p] = true
-		if p > a.ID("cell", v+1, 16) {
-			rising++
+	descending := 0
+	for number := range uint64(numbers) {
+		pseudonym := anonymiser.ID(domain, number, bits)
+		assert.False(t, seen[pseudonym])
+		seen[pseudonym] = true
+		if pseudonym > anonymiser.ID(domain, number+1, bits) {
+			descending++
 		}
 	}
-	assert.Len(t, seen, 1<<16)
-	assert.InDelta(t, 1<<15, rising, 1<<10, "order is by chance")
-	assert.Zero(t, a.ID("cell", 0, 16))
+	assert.Len(t, seen, numbers)
+	assert.InDelta(t, numbers/2, descending, 1<<10, "the order is random")
+	assert.Zero(t, anonymiser.ID(domain, 0, bits))
 }
 
-// What becomes of a new field under pseudonyms must be decided on before it is written.
+// How a new field is anonymised must be decided before it is written.
 func TestTreatments_CoverEveryField(t *testing.T) {
-	var walk func(protoreflect.MessageDescriptor, map[protoreflect.FullName]bool)
-	walk = func(m protoreflect.MessageDescriptor, met map[protoreflect.FullName]bool) {
-		if met[m.FullName()] {
-			return
+	checked := map[protoreflect.FullName]bool{}
+	checkTreatments(t, (&Record{}).ProtoReflect().Descriptor(), checked)
+	checkTreatments(t, (&tracepb.Header{}).ProtoReflect().Descriptor(), checked)
+}
+
+// checkTreatments requires a treatment of each field of a message and of the messages within it.
+func checkTreatments(
+	t *testing.T, message protoreflect.MessageDescriptor, checked map[protoreflect.FullName]bool,
+) {
+	t.Helper()
+	if checked[message.FullName()] {
+		return
+	}
+	checked[message.FullName()] = true
+	for i := range message.Fields().Len() {
+		field := message.Fields().Get(i)
+		if field.Message() != nil {
+			checkTreatments(t, field.Message(), checked)
+			continue
 		}
-		met[m.FullName()] = true
-		for i := range m.Fields().Len() {
-			f := m.Fields().Get(i)
-			if f.Message() != nil {
-				walk(f.Message(), met)
-				continue
-			}
-			treatment, known := treatments[string(m.Name())+"."+string(f.Name())]
-			assert.True(t, known, f.FullName())
-			if f.Kind() == protoreflect.StringKind && f.Name() != "tool" && f.Name() != "state" {
-				assert.Equal(t, text, treatment.action, f.FullName())
-			}
+		treatment, known := treatments[string(message.Name())+"."+string(field.Name())]
+		assert.True(t, known, field.FullName())
+		if field.Kind() == protoreflect.StringKind && field.Name() != "tool" && field.Name() != "state" {
+			assert.Equal(t, text, treatment.action, field.FullName())
 		}
 	}
-	met := map[protoreflect.FullName]bool{}
-	walk((&Record{}).ProtoReflect().Descriptor(), met)
-	walk((&tracepb.Header{}).ProtoReflect().Descriptor(), met)
 }
--- a/trace/block.go
+++ b/trace/block.go
@@ -11,78 +11,104 @@
 	"grebeglade/trace/tracepb"
 )
 
-// blockHead precedes the compressed bytes of a block.
-type blockHead struct {
+// blockHeader precedes the compressed bytes of a block. The times and revisions are the least and the greatest of its
+// records.
+type blockHeader struct {
 	kind               uint32
 	packedSize         uint32 // of the compressed bytes
 	rawSize            uint32 // of the uncompressed bytes
 	records            uint32
-	firstMs, lastMs    float64 // Unix time, least and greatest
-	firstRev, lastRev  uint64  // least and greatest
 	compressedChecksum uint32
+	firstMs            float64 // Unix time
+	lastMs             float64 // Unix time
+	firstRevision      uint64
+	lastRevision       uint64
 }
 
-// include extends the ranges of time and revisions by a record.
-func (h *blockHead) include(unixMs float64, revision uint64) {
+// include extends the ranges of times and revisions by a record.
+func (h *blockHeader) include(unixMs float64, revision uint64) {
 	if h.records == 0 {
-		h.firstMs, h.lastMs, h.firstRev, h.lastRev = unixMs, unixMs, revision, revision
+		h.firstMs = unixMs
+		h.lastMs = unixMs
+		h.firstRevision = revision
+		h.lastRevision = revision
 	}
-	h.firstMs, h.lastMs = min(h.firstMs, unixMs), max(h.lastMs, unixMs)
-	h.firstRev, h.lastRev = min(h.firstRev, revision), max(h.lastRev, revision)
+	h.firstMs = min(h.firstMs, unixMs)
+	h.lastMs = max(h.lastMs, unixMs)
+	h.firstRevision = min(h.firstRevision, revision)
+	h.lastRevision = max(h.lastRevision, revision)
 	h.records++
 }
 
 // indexEntry returns the index's entry of a block at an offset.
-func (h *blockHead) indexEntry(offset int64) *tracepb.Block {
+func (h *blockHeader) indexEntry(offset int64) *tracepb.Block {
 	return &tracepb.Block{
-		Offset: uint64(offset), Records: uint64(h.records), FirstMs: h.firstMs, LastMs: h.lastMs,
-		FirstRevision: h.firstRev, LastRevision: h.lastRev,
+		Offset:        uint64(offset),
+		Records:       uint64(h.records),
+		FirstMs:       h.firstMs,
+		LastMs:        h.lastMs,
+		FirstRevision: h.firstRevision,
+		LastRevision:  h.lastRevision,
 	}
 }
 
 // size returns the bytes of the whole block.
-func (h *blockHead) size() int64 { return blockHeadSize + int64(h.packedSize) }
+func (h *blockHeader) size() int64 { return blockHeaderSize + int64(h.packedSize) }
 
-func (h *blockHead) encode() []byte {
-	b := make([]byte, 0, blockHeadSize)
-	le := binary.LittleEndian
-	for _, v := range []uint32{blockMagic, h.kind, h.packedSize, h.rawSize, h.records, h.compressedChecksum} {
-		b = le.AppendUint32(b, v)
-	}
-	for _, v := range []uint64{math.Float64bits(h.firstMs), math.Float64bits(h.lastMs), h.firstRev, h.lastRev} {
-		b = le.AppendUint64(b, v)
-	}
-	b = le.AppendUint32(b, 0) // reserved
-	return le.AppendUint32(b, checksum(b))
+// encode returns the header's bytes, as docs/trace-format.md lays them out.
+func (h *blockHeader) encode() []byte {
+	order := binary.LittleEndian
+	encoded := make([]byte, 0, blockHeaderSize)
+	encoded = order.AppendUint32(encoded, blockMagic)
+	encoded = order.AppendUint32(encoded, h.kind)
+	encoded = order.AppendUint32(encoded, h.packedSize)
+	encoded = order.AppendUint32(encoded, h.rawSize)
+	encoded = order.AppendUint32(encoded, h.records)
+	encoded = order.AppendUint32(encoded, h.compressedChecksum)
+	encoded = order.AppendUint64(encoded, math.Float64bits(h.firstMs))
+	encoded = order.AppendUint64(encoded, math.Float64bits(h.lastMs))
+	encoded = order.AppendUint64(encoded, h.firstRevision)
+	encoded = order.AppendUint64(encoded, h.lastRevision)
+	encoded = order.AppendUint32(encoded, 0) // reserved
+	return order.AppendUint32(encoded, checksum(encoded))
 }
 
-// decodeBlockHead decodes the first blockHeadSize bytes of b.
-func decodeBlockHead(b []byte) (blockHead, error) {
-	le := binary.LittleEndian
-	if le.Uint32(b) != blockMagic {
-		return blockHead{}, errors.New("no block begins here")
+// decodeBlockHeader decodes the first blockHeaderSize bytes of b.
+func decodeBlockHeader(b []byte) (blockHeader, error) {
+	order := binary.LittleEndian
+	if order.Uint32(b) != blockMagic {
+		return blockHeader{}, errors.New("no block begins here")
 	}
-	if checksum(b[:blockHeadSize-4]) != le.Uint32(b[blockHeadSize-4:]) {
-		return blockHead{}, errors.New("the block's head is damaged")
+	if checksum(b[:blockHeaderSize-4]) != order.Uint32(b[blockHeaderSize-4:]) {
+		return blockHeader{}, errors.New("the checksum of the block's header does not match")
 	}
-	h := blockHead{
-		kind: le.Uint32(b[4:]), packedSize: le.Uint32(b[8:]), rawSize: le.Uint32(b[12:]), records: le.Uint32(b[16:]),
-		compressedChecksum: le.Uint32(b[20:]),
-		firstMs:            math.Float64frombits(le.Uint64(b[24:])), lastMs: math.Float64frombits(le.Uint64(b[32:])),
-		firstRev: le.Uint64(b[40:]), lastRev: le.Uint64(b[48:]),
+	header := blockHeader{
+		kind:               order.Uint32(b[4:]),
+		packedSize:         order.Uint32(b[8:]),
+		rawSize:            order.Uint32(b[12:]),
+		records:            order.Uint32(b[16:]),
+		compressedChecksum: order.Uint32(b[20:]),
+		firstMs:            math.Float64frombits(order.Uint64(b[24:])),
+		lastMs:             math.Float64frombits(order.Uint64(b[32:])),
+		firstRevision:      order.Uint64(b[40:]),
+		lastRevision:       order.Uint64(b[48:]),
 	}
-	if size := max(h.rawSize, h.packedSize); size > maxBlockSize {
-		return blockHead{}, SizeError{Part: "a block", Size: int(size), Limit: maxBlockSize}
+	if size := max(header.rawSize, header.packedSize); size > maxBlockSize {
+		return blockHeader{}, SizeError{
+			Part:  "a block",
+			Size:  int(size),
+			Limit: maxBlockSize,
+		}
 	}
-	return h, nil
+	return header, nil
 }
 
 // decompress checks and decompresses a block's bytes. It reuses the memory of into.
-func (h *blockHead) decompress(d *zstd.Decoder, packed, into []byte) ([]byte, error) {
+func (h *blockHeader) decompress(decoder *zstd.Decoder, packed, into []byte) ([]byte, error) {
 	if checksum(packed) != h.compressedChecksum {
-		return nil, errors.New("the block's bytes are damaged")
+		return nil, errors.New("the checksum of the block does not match")
 	}
-	raw, err := d.DecodeAll(packed, into[:0])
+	raw, err := decoder.DecodeAll(packed, into[:0])
 	if err != nil {
 		return nil, fmt.Errorf("the block cannot be decompressed: %w", err)
 	}
--- a/trace/clocks.go
+++ b/trace/clocks.go
@@ -10,25 +10,41 @@
 )
 
 const (
-	// maxClockDifference is how far apart, in milliseconds, two allocators may receive the same revision of the endpoint
+	// maxClockDifference is how far apart, in milliseconds, two allocators may receive the same revision of the node
 	// list before their clocks are said to differ: pushes and polls alone take some hundred.
 	maxClockDifference = 1000
 	millisPerSecond    = 1000
 )
 
-// clockDifferences compares when sources received the same revisions of the endpoint list, and when incarnations of one
-// allocator started.
-func clockDifferences(h *tracepb.Header, received map[uint32]map[listRevision]float64) []string {
-	return append(differencesBetweenSources(h, received), clocksSetBack(h)...)
+// receptionTimes are the Unix times, in milliseconds, at which each source first received each revision of the node
+// list. Sources are given by their places in a header.
+type receptionTimes map[uint32]map[listRevision]float64
+
+// add records that a source has received a revision, unless it had received it before.
+func (t receptionTimes) add(source uint32, revision listRevision, unixMs float64) {
+	received := t[source]
+	if received == nil {
+		received = map[listRevision]float64{}
+		t[source] = received
+	}
+	if received[revision] == 0 {
+		received[revision] = unixMs
+	}
+}
+
+// clockDifferences describes the clocks that differ: between sources, by when they received the same revisions of the
+// node list, and between incarnations of one allocator, by when they started.
+func clockDifferences(header *tracepb.Header, received receptionTimes) []string {
+	return append(differencesBetweenSources(header, received), clocksSetBack(header)...)
 }
 
 // differencesBetweenSources compares each source with the first one.
-func differencesBetweenSources(h *tracepb.Header, received map[uint32]map[listRevision]float64) []string {
+func differencesBetweenSources(header *tracepb.Header, received receptionTimes) []string {
 	found := []string{}
 	sources := slices.Sorted(maps.Keys(received))
-	for _, s := range sources[min(1, len(sources)):] {
+	for _, source := range sources[min(1, len(sources)):] {
 		reference := sources[0]
-		differences := timeDifferences(received[s], received[reference])
+		differences := timeDifferences(received[source], received[reference])
 		if len(differences) == 0 {
 			continue
 		}
@@ -36,16 +52,24 @@
 		if math.Abs(median) <= maxClockDifference {
 			continue
 		}
-		direction := "earlier"
-		if median > 0 {
-			direction = "later"
-		}
-		found = append(found, fmt.Sprintf("%s hears the same news of the list %.1f s %s than %s (median of %d)",
-			KeyOf(h.Sources[s]), math.Abs(median)/millisPerSecond, direction, KeyOf(h.Sources[reference]), len(differences)))
+		found = append(found, fmt.Sprintf("%s receives the same revisions of the node list %s than %s (median of %d)",
+			KeyOf(header.Sources[source]),
+			describeDifference(median),
+			KeyOf(header.Sources[reference]),
+			len(differences)))
 	}
 	return found
 }
 
+// describeDifference returns a difference of times in words, as in "5.0 s later".
+func describeDifference(ms float64) string {
+	direction := "earlier"
+	if ms > 0 {
+		direction = "later"
+	}
+	return fmt.Sprintf("%.1f s %s", math.Abs(ms)/millisPerSecond, direction)
+}
+
 // timeDifferences returns how much later x received the revisions that both received, sorted.
 func timeDifferences(x, y map[listRevision]float64) []float64 {
 	var differences []float64
@@ -58,17 +82,20 @@
 	return differences
 }
 
-// clocksSetBack finds later incarnations whose clock was behind that of an earlier one at its start.
-func clocksSetBack(h *tracepb.Header) []string {
-	var found []string
-	if h.Anonymised {
+// clocksSetBack describes later incarnations whose clock was behind that of an earlier one at its start.
+func clocksSetBack(header *tracepb.Header) []string {
+	if header.Anonymised {
 		return nil // pseudonyms of incarnations have no order
 	}
-	for _, a := range h.Sources {
-		for _, b := range h.Sources {
-			if a.Allocator == b.Allocator && a.Incarnation < b.Incarnation && a.WallMs > b.WallMs {
-				found = append(found, fmt.Sprintf("the clock of %s stepped back by %.1f s or more between two starts", a.Allocator,
-					(a.WallMs-b.WallMs)/millisPerSecond))
+	var found []string
+	for _, earlier := range header.Sources {
+		for _, later := range header.Sources {
+			if earlier.Allocator != later.Allocator || earlier.Incarnation >= later.Incarnation {
+				continue
+			}
+			if back := earlier.WallMs - later.WallMs; back > 0 {
+				found = append(found, fmt.Sprintf("the clock of %s stepped back by %.1f s or more between two starts",
+					earlier.Allocator, back/millisPerSecond))
 			}
 		}
 	}
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -1,50 +1,51 @@
 package trace
 
-// Cut copies the records of a span, and before them each source's start, which says what they mean. It closes w.
-func Cut(r *Reader, w *Writer, s Span) error {
+// Cut copies the records of a span, and before them the start of each source, which defines the groups, node kinds and
+// zones that they refer to. It closes the writer.
+func Cut(reader *Reader, writer *Writer, span Span) error {
 	started := map[uint32]bool{}
-	for rec, err := range r.Records(s) {
+	for record, err := range reader.Records(span) {
 		if err != nil {
 			return err
 		}
-		if !started[rec.Source] {
-			started[rec.Source] = true
-			if err := copyStart(r, w, rec); err != nil {
+		if !started[record.Source] {
+			started[record.Source] = true
+			if err := copyStart(reader, writer, record); err != nil {
 				return err
 			}
 		}
-		if err := w.Append(rec); err != nil {
+		if err := writer.Append(record); err != nil {
 			return err
 		}
 	}
-	return w.Close()
+	return writer.Close()
 }
 
 // copyStart copies the start of the source of its first record in a span, unless that is the start itself.
-func copyStart(r *Reader, w *Writer, first *Record) error {
+func copyStart(reader *Reader, writer *Writer, first *Record) error {
 	if first.GetStart() != nil {
 		return nil
 	}
-	start, err := r.start(first.Source)
+	start, err := reader.start(first.Source)
 	if err != nil || start == nil {
 		return err
 	}
-	return w.Append(start)
+	return writer.Append(start)
 }
 
 // start returns a source's start, nil if the file lacks it.
 func (t *Reader) start(source uint32) (*Record, error) {
-	for rec, err := range t.Records(Span{}) {
+	for record, err := range t.Records(Span{}) {
 		if err != nil {
 			return nil, err
 		}
-		if rec.Source != source {
+		if record.Source != source {
 			continue
 		}
-		if rec.GetStart() == nil {
+		if record.GetStart() == nil {
 			return nil, nil
 		}
-		return rec, nil
+		return record, nil
 	}
 	return nil, nil
 }
--- a/trace/directory.go
+++ b/trace/directory.go
@@ -9,7 +9,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// FileExtension is how the names of trace files end.
+// FileExtension ends the names of trace files.
 const FileExtension = ".gbt"
 
 // ListFiles returns the trace files of a directory in the order of writing, with their sizes and the sum of these. A
@@ -19,12 +19,13 @@
 	if err != nil {
 		return nil, nil, 0
 	}
-	for _, e := range entries { // sorted by name
-		info, err := e.Info()
-		if err != nil || !strings.HasSuffix(e.Name(), FileExtension) || !info.Mode().IsRegular() {
+	for _, entry := range entries { // sorted by name
+		info, err := entry.Info()
+		if err != nil || !strings.HasSuffix(entry.Name(), FileExtension) || !info.Mode().IsRegular() {
 			continue
 		}
-		names, sizes = append(names, filepath.Join(dir, e.Name())), append(sizes, info.Size())
+		names = append(names, filepath.Join(dir, entry.Name()))
+		sizes = append(sizes, info.Size())
 		total += info.Size()
 	}
 	return names, sizes, total
@@ -35,6 +36,7 @@
 	return fmt.Sprintf("%s-%020d-%06d%s", strings.Map(fileNameRune, s.Allocator), s.Incarnation, n, FileExtension)
 }
 
+// fileNameRune returns the character itself if every file system allows it, otherwise an underscore.
 func fileNameRune(c rune) rune {
 	const allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 	if strings.ContainsRune(allowed, c) {
--- a/trace/errors.go
+++ b/trace/errors.go
@@ -15,31 +15,35 @@
 )
 
 // VersionError means that a file has a later major version than this package reads.
-type VersionError struct{ Major, Minor uint16 }
+type VersionError struct {
+	Major uint16
+	Minor uint16
+}
 
 func (e VersionError) Error() string {
 	return fmt.Sprintf("the trace is of format %d.%d and this program reads %d.x: read it with a newer grebeglade",
 		e.Major, e.Minor, Major)
 }
 
-// Damage is a part of a file that cannot be read. It is an error.
-type Damage struct {
-	Offset      int64
+// DamageError means that a part of a file cannot be read.
+type DamageError struct {
+	Offset      int64  // of the part in the file
 	LostRecords uint64 // 0 if unknown
-	Problem     string
+	Problem     string // what is wrong with the part
 }
 
-func (d Damage) Error() string {
-	if d.LostRecords > 0 {
-		return fmt.Sprintf("at byte %d: %s; %d records cannot be read", d.Offset, d.Problem, d.LostRecords)
+func (e DamageError) Error() string {
+	if e.LostRecords > 0 {
+		return fmt.Sprintf("at byte %d: %s; %d records cannot be read", e.Offset, e.Problem, e.LostRecords)
 	}
-	return fmt.Sprintf("at byte %d: %s", d.Offset, d.Problem)
+	return fmt.Sprintf("at byte %d: %s", e.Offset, e.Problem)
 }
 
 // SizeError means that a part of a trace is larger than the format allows.
 type SizeError struct {
-	Part        string // such as "a record"
-	Size, Limit int
+	Part  string // such as "a record"
+	Size  int    // in bytes
+	Limit int    // in bytes
 }
 
 func (e SizeError) Error() string {
--- a/trace/export.go
+++ b/trace/export.go
@@ -1,6 +1,7 @@
 package trace
 
 import (
+	"fmt"
 	"io"
 
 	"github.com/parquet-go/parquet-go"
@@ -37,32 +38,63 @@
 )
 
 // Export writes one row for each decision to a Parquet file.
-func Export(files []*Reader, w io.Writer) (rows int, err error) {
-	out := parquet.NewGenericWriter[Row](w, parquet.Compression(&parquet.Zstd))
-	e := exporter{open: map[workloadKey]*Row{}, groups: map[SourceKey][]string{}}
-	var batch []Row
-	for _, f := range files {
-		for r, err := range f.Records(Span{}) {
+func Export(files []*Reader, output io.Writer) (rows int, err error) {
+	batch := newRowBatch(output)
+	decisions := exporter{open: map[workloadKey]*Row{}, groups: map[SourceKey][]string{}}
+	for _, file := range files {
+		for record, err := range file.Records(Span{}) {
 			if err != nil {
 				return rows, err
 			}
-			row, decided := e.row(f, r)
+			row, decided := decisions.row(file, record)
 			if !decided {
 				continue
 			}
 			rows++
-			if batch = append(batch, row); len(batch) == rowBatchSize {
-				if _, err := out.Write(batch); err != nil {
-					return rows, err
-				}
-				batch = batch[:0]
+			if err := batch.add(row); err != nil {
+				return rows, err
 			}
 		}
 	}
-	if _, err := out.Write(batch); err != nil {
-		return rows, err
+	return rows, batch.close()
+}
+
+// rowBatch collects rows, which Parquet writes in batches.
+type rowBatch struct {
+	output *parquet.GenericWriter[Row]
+	rows   []Row
+}
+
+func newRowBatch(output io.Writer) *rowBatch {
+	return &rowBatch{output: parquet.NewGenericWriter[Row](output, parquet.Compression(&parquet.Zstd))}
+}
+
+// add adds a row, and writes the batch if it is complete.
+func (b *rowBatch) add(row Row) error {
+	b.rows = append(b.rows, row)
+	if len(b.rows) < rowBatchSize {
+		return nil
 	}
-	return rows, out.Close()
+	return b.write()
+}
+
+func (b *rowBatch) write() error {
+	if _, err := b.output.Write(b.rows); err != nil {
+		return fmt.Errorf("write rows of Parquet: %w", err)
+	}
+	b.rows = b.rows[:0]
+	return nil
+}
+
+// close writes the remaining rows and the end of the file.
+func (b *rowBatch) close() error {
+	if err := b.write(); err != nil {
+		return err
+	}
+	if err := b.output.Close(); err != nil {
+		return fmt.Errorf("finish the Parquet file: %w", err)
+	}
+	return nil
 }
 
 // exporter makes the rows of decisions. It follows each workload from its request to its end.
@@ -72,50 +104,65 @@
 }
 
 // row returns the row of a record, false if the record is no decision.
-func (e *exporter) row(f *Reader, r *Record) (row Row, decided bool) {
-	source := KeyOf(f.source(r))
-	at := f.UnixMillis(r)
-	var o *Row
-	switch b := r.Body.(type) {
+func (e *exporter) row(file *Reader, record *Record) (row Row, decided bool) {
+	source := KeyOf(file.source(record))
+	at := file.UnixMillis(record)
+	var last *Row
+	switch body := record.Body.(type) {
 	case *tracepb.Record_Start:
-		e.groups[source] = b.Start.Groups
+		e.groups[source] = body.Start.Groups
 		return Row{}, false
 	case *tracepb.Record_RequestReceived:
-		requested := e.workload(source, b.RequestReceived.Workload)
-		requested.Client, requested.Key = b.RequestReceived.Client, b.RequestReceived.Key
+		received := e.workload(source, body.RequestReceived.Workload)
+		received.Client = body.RequestReceived.Client
+		received.Key = body.RequestReceived.Key
 		return Row{}, false
 	case *tracepb.Record_Schedule:
-		o = e.request(source, b.Schedule.GetWorkload(), "place", at)
+		last = e.request(source, body.Schedule.GetWorkload(), "place", at)
 	case *tracepb.Record_Adopt:
-		o = e.request(source, b.Adopt.GetWorkload(), "adopt", at)
+		last = e.request(source, body.Adopt.GetWorkload(), "adopt", at)
 	case *tracepb.Record_StepResult:
-		o = e.workload(source, b.StepResult.Workload)
-		o.Call, o.Reason = ResultName(b.StepResult.Kind, unknownKind), b.StepResult.Reason
-		o.SinceRequestMs += at - o.AtUnixMs
-		o.AtUnixMs = at
+		last = e.workload(source, body.StepResult.Workload)
+		last.Call = ResultName(body.StepResult.Kind, unknownKind)
+		last.Reason = body.StepResult.Reason
+		last.SinceRequestMs += at - last.AtUnixMs
+		last.AtUnixMs = at
 	default:
 		return Row{}, false
 	}
-	o.Revision = r.Revision
-	o.Step, o.Node, o.TimeoutMs = StepName(r.Step.GetKind(), unknownKind), r.Step.GetNode(), r.Step.GetTimeout()
-	if r.Step.GetKind() >= stepRejected {
-		delete(e.open, workloadKey{source, o.Workload})
+	last.Revision = record.Revision
+	last.Step = StepName(record.Step.GetKind(), unknownKind)
+	last.Node = record.Step.GetNode()
+	last.TimeoutMs = record.Step.GetTimeout()
+	if record.Step.GetKind() >= stepRejected {
+		delete(e.open, workloadKey{source, last.Workload})
 	}
-	return *o, true
+	return *last, true
 }
 
+// workload returns the last row of a workload, a new one if there is none.
 func (e *exporter) workload(source SourceKey, id uint32) *Row {
-	k := workloadKey{source, id}
-	if e.open[k] == nil {
-		e.open[k] = &Row{Allocator: source.Allocator, Incarnation: source.Incarnation, Workload: id}
+	key := workloadKey{source, id}
+	if e.open[key] == nil {
+		e.open[key] = &Row{
+			Allocator:   source.Allocator,
+			Incarnation: source.Incarnation,
+			Workload:    id,
+		}
 	}
-	return e.open[k]
+	return e.open[key]
 }
 
-func (e *exporter) request(source SourceKey, w *tracepb.Workload, call string, at float64) *Row {
-	o := e.workload(source, w.GetId())
-	o.Service, o.Cores, o.Memory, o.Retried = w.GetService(), w.GetCores(), w.GetMemory(), w.GetRetried()
-	o.Group, o.Call, o.SinceRequestMs = nameOr(e.groups[source], w.GetGroup(), unknownKind), call, 0
-	o.AtUnixMs = at
-	return o
+// request returns the row of a workload that was requested or adopted at a Unix time.
+func (e *exporter) request(source SourceKey, workload *tracepb.Workload, call string, at float64) *Row {
+	row := e.workload(source, workload.GetId())
+	row.Service = workload.GetService()
+	row.Cores = workload.GetCores()
+	row.Memory = workload.GetMemory()
+	row.Retried = workload.GetRetried()
+	row.Group = nameOr(e.groups[source], workload.GetGroup(), unknownKind)
+	row.Call = call
+	row.SinceRequestMs = 0
+	row.AtUnixMs = at
+	return row
 }
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -21,36 +22,40 @@
 	log    *slog.Logger
 	create func(name string) (*os.File, error)
 
-	number  int // of the last file
-	current *openFile
+	number  int       // of the last file
+	current *openFile // nil if there is none
 	retryAt time.Time // no file is opened before
 
 	lost       uint64 // records that the next gap reports
 	lostReason string
 }
 
-// openFile is the file that is being written.
-type openFile struct {
-	file      *os.File
-	writer    *Writer
-	opened    time.Time
-	unflushed uint64 // records that are not in the file yet
-}
-
 func newFileSeries(dir string, source *tracepb.Source, limits Limits, log *slog.Logger) *fileSeries {
-	return &fileSeries{dir: dir, source: source, limits: limits, log: log, create: createFile}
+	return &fileSeries{
+		dir:    dir,
+		source: source,
+		limits: limits,
+		log:    log,
+		create: createFile,
+	}
 }
 
+// createFile creates a file. The error is os.ErrExist if there is one of that name.
 func createFile(name string) (*os.File, error) {
-	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+	if err != nil {
+		return nil, fmt.Errorf("create a trace file: %w", err)
+	}
+	return file, nil
 }
 
-func (s *fileSeries) write(b batch) {
-	if b.missing > 0 {
-		s.lose(b.missing, reasonQueueFull)
+// write writes a batch, and finishes the file if it has reached a limit.
+func (s *fileSeries) write(batch batch) {
+	if batch.missing > 0 {
+		s.lose(batch.missing, reasonQueueFull)
 	}
-	for _, r := range b.records {
-		s.writeRecord(r)
+	for _, record := range batch.records {
+		s.writeRecord(record)
 	}
 	if s.current != nil && s.current.exceeds(s.limits) {
 		s.finish()
@@ -71,16 +76,23 @@
 	}
 }
 
+// gapBefore returns the gap that reports the records lost before r.
 func (s *fileSeries) gapBefore(r *Record) *Record {
 	return &Record{
-		AtMs: r.AtMs, Revision: r.Revision - 1, Source: r.Source,
-		Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: s.lost, Reason: s.lostReason}},
+		AtMs:     r.AtMs,
+		Revision: r.Revision - 1,
+		Source:   r.Source,
+		Body:     &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: s.lost, Reason: s.lostReason}},
 	}
 }
 
-func (s *fileSeries) lose(n uint64, reason string) { s.lost, s.lostReason = s.lost+n, reason }
+// lose counts records that are lost. The next gap has the reason of the last ones.
+func (s *fileSeries) lose(count uint64, reason string) {
+	s.lost += count
+	s.lostReason = reason
+}
 
-// append adds a record to the current file, and gives the file up if that fails.
+// append adds a record to the current file, and abandons the file if that fails.
 func (s *fileSeries) append(r *Record) bool {
 	if err := s.current.append(r); err != nil {
 		s.abandon(err)
@@ -89,23 +101,7 @@
 	return true
 }
 
-func (f *openFile) append(r *Record) error {
-	blocks := f.writer.blocks()
-	if err := f.writer.Append(r); err != nil {
-		return err
-	}
-	if f.writer.blocks() > blocks {
-		f.unflushed = 0
-	}
-	f.unflushed++
-	return nil
-}
-
-func (f *openFile) exceeds(limits Limits) bool {
-	return f.writer.Size() > limits.FileBytes || time.Since(f.opened) > limits.FileAge
-}
-
-// flush writes what was appended into the file, so that a kill loses little.
+// flush writes the appended records to the file, so that a kill of the process loses few.
 func (s *fileSeries) flush() {
 	if s.current == nil {
 		return
@@ -133,8 +129,8 @@
 	s.prune()
 }
 
-// abandon gives the current file up after an error. The records of its last block are lost; recording goes on in a new
-// file once there is space again.
+// abandon closes the current file after an error. The records of its last block are lost; recording continues in a new
+// file once one can be created.
 func (s *fileSeries) abandon(err error) {
 	s.log.Warn("trace not written", "dir", s.dir, "error", err)
 	s.lose(s.current.unflushed, err.Error())
@@ -145,7 +141,7 @@
 	s.retryAt = time.Now().Add(retryInterval)
 }
 
-// open opens the next file.
+// open opens the next file. It reports whether there is a current file now.
 func (s *fileSeries) open() bool {
 	if time.Now().Before(s.retryAt) {
 		return false
@@ -154,7 +150,8 @@
 	current, err := s.openNext()
 	if err != nil {
 		s.log.Warn("trace file not created", "dir", s.dir, "error", err)
-		s.lostReason, s.retryAt = err.Error(), time.Now().Add(retryInterval)
+		s.lostReason = err.Error()
+		s.retryAt = time.Now().Add(retryInterval)
 		return false
 	}
 	s.current = current
@@ -163,26 +160,19 @@
 
 // openNext creates the file with the next number that no file has.
 func (s *fileSeries) openNext() (*openFile, error) {
-	var f *os.File
 	for {
-		var err error
 		s.number++
-		f, err = s.create(filepath.Join(s.dir, fileName(s.source, s.number)))
+		file, err := s.create(filepath.Join(s.dir, fileName(s.source, s.number)))
 		if err == nil {
-			break
+			return newOpenFile(file, s.source)
 		}
 		if !errors.Is(err, os.ErrExist) {
 			return nil, err
 		}
 	}
-	w, err := NewWriter(f, &tracepb.Header{Sources: []*tracepb.Source{s.source}, Tool: toolName})
-	if err != nil {
-		return nil, errors.Join(err, f.Close())
-	}
-	return &openFile{file: f, writer: w, opened: time.Now()}, nil
 }
 
-// prune removes the oldest files while all of them are larger than the limit.
+// prune removes the oldest files while the directory's files exceed the limit in total.
 func (s *fileSeries) prune() {
 	if s.limits.TotalBytes <= 0 {
 		return
--- a/trace/format.go
+++ b/trace/format.go
@@ -25,17 +25,21 @@
 )
 
 // The file format, in bytes. A header is magic, major and minor version, length of the header message, checksum, and
-// the message. A footer is offset and length of the index block, checksum, and footMagic.
+// the message. A footer is offset and length of the index block, checksum, and footerMagic.
 const (
-	magic          = "gbtrace\n"
-	footMagic      = "gbindex\n"
-	headerSize     = 8 + 2 + 2 + 4 + 4 // without the message
-	footerSize     = 8 + 4 + 4 + 8
-	blockMagic     = 0x4b4c4247 // "GBLK", little-endian
-	blockHeadSize  = 64
-	maxBlockSize   = 16 << 20 // of a block's records, uncompressed
-	maxHeaderSize  = 1 << 20  // of the header message
-	blockOfRecords = 1        // kinds of blocks
+	magic           = "gbtrace\n"
+	footerMagic     = "gbindex\n"
+	headerSize      = 8 + 2 + 2 + 4 + 4 // without the message
+	footerSize      = 8 + 4 + 4 + 8
+	blockMagic      = 0x4b4c4247 // "GBLK", little-endian
+	blockHeaderSize = 64
+	maxBlockSize    = 16 << 20 // of a block's records, uncompressed
+	maxHeaderSize   = 1 << 20  // of the header message
+)
+
+// Kinds of blocks. Readers skip others.
+const (
+	blockOfRecords = 1
 	blockOfIndex   = 2
 )
 
@@ -45,8 +49,8 @@
 
 // checksumOf returns the checksum of parts as if they were one.
 func checksumOf(parts ...[]byte) (sum uint32) {
-	for _, p := range parts {
-		sum = crc32.Update(sum, checksumTable, p)
+	for _, part := range parts {
+		sum = crc32.Update(sum, checksumTable, part)
 	}
 	return sum
 }
--- a/trace/header.go
+++ b/trace/header.go
@@ -30,5 +30,9 @@
 
 // CopyHeader returns a header for a file with records of another one.
 func CopyHeader(h *tracepb.Header) *tracepb.Header {
-	return &tracepb.Header{Sources: h.Sources, Anonymised: h.Anonymised, Tool: cmp.Or(h.Tool, toolName)}
+	return &tracepb.Header{
+		Sources:    h.Sources,
+		Anonymised: h.Anonymised,
+		Tool:       cmp.Or(h.Tool, toolName),
+	}
 }
--- a/trace/helpers_test.go
+++ b/trace/helpers_test.go
@@ -12,19 +12,30 @@
 )
 
 func source(name string, incarnation uint64, wall float64) *tracepb.Source {
-	return &tracepb.Source{Allocator: name, Incarnation: incarnation, WallMs: wall}
+	return &tracepb.Source{
+		Allocator:   name,
+		Incarnation: incarnation,
+		WallMs:      wall,
+	}
 }
 
-// placed returns the request of a workload that was bound.
-func placed(at float64, revision uint64, id uint32) *Record {
+// placedRequest returns the request of a workload that was bound.
+func placedRequest(at float64, revision uint64, id uint32) *Record {
+	workload := &tracepb.Workload{
+		Id:      id,
+		Service: uint64(id),
+		Cores:   1.5,
+	}
 	return &Record{
-		AtMs: at, Revision: revision, Step: &tracepb.Step{Node: 7, Timeout: 3000},
-		Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: &tracepb.Workload{Id: id, Service: uint64(id), Cores: 1.5}}},
+		AtMs:     at,
+		Revision: revision,
+		Step:     &tracepb.Step{Node: 7, Timeout: 3000},
+		Body:     &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: workload}},
 	}
 }
 
-// file returns a file with so many records in each block.
-func file(t require.TestingT, h *tracepb.Header, records []*Record, perBlock int) []byte {
+// encodeFile returns a file with so many records in each block.
+func encodeFile(t require.TestingT, h *tracepb.Header, records []*Record, perBlock int) []byte {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, h)
 	require.NoError(t, err)
@@ -38,32 +49,35 @@
 	return b.Bytes()
 }
 
-func reader(t require.TestingT, b []byte) *Reader {
+// newReader returns a reader of a file's bytes.
+func newReader(t require.TestingT, b []byte) *Reader {
 	r, err := NewReader(bytes.NewReader(b), int64(len(b)))
 	require.NoError(t, err)
 	return r
 }
 
-// all returns the records that can be read, and the number of blocks that cannot.
-func all(r *Reader, s Span) (records []*Record, damaged int) {
-	for rec, err := range r.Records(s) {
+// readAll returns the records that can be read, and the number of blocks that cannot.
+func readAll(r *Reader, s Span) (records []*Record, damaged int) {
+	for record, err := range r.Records(s) {
 		if err != nil {
 			damaged++
 		} else {
-			records = append(records, rec)
+			records = append(records, record)
 		}
 	}
 	return records, damaged
 }
 
-func some(n int) (records []*Record) {
+// placedRequests returns requests, 10 ms apart, with revisions from 1.
+func placedRequests(n int) (records []*Record) {
 	for i := range n {
-		records = append(records, placed(float64(i*10), uint64(i+1), uint32(i+1)))
+		records = append(records, placedRequest(float64(i*10), uint64(i+1), uint32(i+1)))
 	}
 	return records
 }
 
-func same(t assert.TestingT, want, got []*Record) {
+// assertSameRecords compares records by what they hold, and in their order.
+func assertSameRecords(t assert.TestingT, want, got []*Record) {
 	if assert.Len(t, got, len(want)) {
 		for i := range want {
 			assert.True(t, proto.Equal(want[i], got[i]), "record %d", i)
@@ -71,31 +85,43 @@
 	}
 }
 
-var one = &tracepb.Header{Sources: []*tracepb.Source{source("a", 1, 1e12)}}
+// oneSource is the header of a file with the records of one allocator.
+var oneSource = headerOf(source("a", 1, 1e12))
+
+func headerOf(source *tracepb.Source) *tracepb.Header {
+	return &tracepb.Header{Sources: []*tracepb.Source{source}}
+}
 
-// drawn returns any record.
-func drawn(t *rapid.T) *Record {
-	r := &Record{AtMs: rapid.Float64().Draw(t, "at"), Revision: rapid.Uint64().Draw(t, "revision")}
+// randomRecord returns any record.
+func randomRecord(t *rapid.T) *Record {
+	record := &Record{AtMs: rapid.Float64().Draw(t, "at"), Revision: rapid.Uint64().Draw(t, "revision")}
 	load := &tracepb.Load{SpareCores: rapid.Float64().Draw(t, "spare"), Backlog: rapid.Float64().Draw(t, "backlog")}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		r.Body = &tracepb.Record_Report{Report: &tracepb.Report{Node: rapid.Uint32().Draw(t, "node"), Load: load}}
+		report := &tracepb.Report{Node: rapid.Uint32().Draw(t, "node"), Load: load}
+		record.Body = &tracepb.Record_Report{Report: report}
 	case 1:
-		r.Body = &tracepb.Record_StepResult{StepResult: &tracepb.StepResult{Workload: rapid.Uint32().Draw(t, "wl"), Load: load}}
-		r.Step = &tracepb.Step{Kind: 1, WakeAt: rapid.Float64().Draw(t, "until")}
+		result := &tracepb.StepResult{Workload: rapid.Uint32().Draw(t, "workload"), Load: load}
+		record.Body = &tracepb.Record_StepResult{StepResult: result}
+		record.Step = &tracepb.Step{Kind: 1, WakeAt: rapid.Float64().Draw(t, "wake at")}
 	case 2:
-		r.Body = &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}
-		r.Maintenance = &tracepb.Maintenance{Migrations: rapid.SliceOf(rapid.Uint32()).Draw(t, "moves")}
+		migrations := rapid.SliceOf(rapid.Uint32()).Draw(t, "migrations")
+		record.Body = &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}
+		record.Maintenance = &tracepb.Maintenance{Migrations: migrations}
 	case 3:
-		r.Body = &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{Client: rapid.String().Draw(t, "owner"), Key: rapid.Uint64().Draw(t, "key")}}
+		received := &tracepb.RequestReceived{
+			Client: rapid.String().Draw(t, "client"),
+			Key:    rapid.Uint64().Draw(t, "key"),
+		}
+		record.Body = &tracepb.Record_RequestReceived{RequestReceived: received}
 	case 4:
 		nodes := make([]*tracepb.Node, rapid.IntRange(0, 20).Draw(t, "nodes"))
 		for i := range nodes {
-			nodes[i] = &tracepb.Node{Id: uint32(i), StartedAt: rapid.Float64().Draw(t, "born")}
+			nodes[i] = &tracepb.Node{Id: uint32(i), StartedAt: rapid.Float64().Draw(t, "started at")}
 		}
-		r.Body = &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Nodes: nodes}}
+		record.Body = &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Nodes: nodes}}
 	default:
-		return placed(r.AtMs, r.Revision, rapid.Uint32().Draw(t, "id"))
+		return placedRequest(record.AtMs, record.Revision, rapid.Uint32().Draw(t, "id"))
 	}
-	return r
+	return record
 }
--- a/trace/pseudonym.go
+++ b/trace/pseudonym.go
@@ -25,20 +25,23 @@
 
 // ID returns the pseudonym of a number of so many bits. The pseudonyms of a domain are a permutation of its numbers, so
 // no two ids share one: a Feistel network keyed by HMAC-SHA-256. 0 identifies nothing and stays.
-func (a *Anonymiser) ID(domain string, v uint64, bits int) uint64 {
-	if v == 0 {
+func (a *Anonymiser) ID(domain string, number uint64, bits int) uint64 {
+	if number == 0 {
 		return 0
 	}
 	half := uint(bits / 2)
 	mask := uint64(1)<<half - 1
 	for {
-		left, right := v>>half&mask, v&mask
+		left := number >> half & mask
+		right := number & mask
 		for round := range feistelRounds {
-			left, right = right, left^a.scramble(domain, round, right)&mask
+			mixed := left ^ a.scramble(domain, round, right)&mask
+			left = right
+			right = mixed
 		}
 		// The number that is mapped to 0 gets the pseudonym that 0 itself would have had.
-		if v = left<<half | right; v != 0 {
-			return v
+		if number = left<<half | right; number != 0 {
+			return number
 		}
 	}
 }
@@ -50,6 +53,7 @@
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
+// domainKeys returns the round keys of a domain, which are derived once.
 func (a *Anonymiser) domainKeys(domain string) *[feistelRounds]roundKey {
 	keys := a.roundKeys[domain]
 	if keys == nil {
@@ -65,8 +69,8 @@
 // hash returns the HMAC-SHA-256 of the parts under the key.
 func (a *Anonymiser) hash(parts ...[]byte) (sum [sha256.Size]byte) {
 	h := hmac.New(sha256.New, a.key)
-	for _, p := range parts {
-		h.Write(p)
+	for _, part := range parts {
+		h.Write(part)
 	}
 	h.Sum(sum[:0])
 	return sum
--- a/trace/reader_test.go
+++ b/trace/reader_test.go
@@ -3,7 +3,10 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"io"
+	"io/fs"
+	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -18,26 +21,26 @@
 
 func TestReader_ReturnsWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := rapid.SliceOf(rapid.Custom(drawn)).Draw(t, "records")
-		r := reader(t, file(t, one, records, rapid.IntRange(1, 9).Draw(t, "per block")))
-		got, damaged := all(r, Span{})
+		records := rapid.SliceOf(rapid.Custom(randomRecord)).Draw(t, "records")
+		r := newReader(t, encodeFile(t, oneSource, records, rapid.IntRange(1, 9).Draw(t, "per block")))
+		got, damaged := readAll(r, Span{})
 		assert.Zero(t, damaged)
-		same(t, records, got)
+		assertSameRecords(t, records, got)
 		assert.False(t, r.IndexRebuilt)
 		assert.Equal(t, uint64(len(records)), r.Count())
 	})
 }
 
 func TestReader_TruncatedFileIsReadUpToLastCompleteBlock(t *testing.T) {
-	records := some(20)
-	b := file(t, one, records, 4)
+	records := placedRequests(20)
+	b := encodeFile(t, oneSource, records, 4)
 	ends := []int{} // of the five blocks
-	for _, block := range reader(t, b).blocks {
-		h, err := decodeBlockHead(b[block.Offset:])
+	for _, block := range newReader(t, b).blocks {
+		h, err := decodeBlockHeader(b[block.Offset:])
 		require.NoError(t, err)
-		ends = append(ends, int(block.Offset)+blockHeadSize+int(h.packedSize))
+		ends = append(ends, int(block.Offset)+blockHeaderSize+int(h.packedSize))
 	}
-	first := int(reader(t, b).blocks[0].Offset)
+	first := int(newReader(t, b).blocks[0].Offset)
 	for n := range b {
 		r, err := NewReader(bytes.NewReader(b[:n]), int64(n))
 		if n < first {
@@ -51,63 +54,100 @@
 				complete += 4
 			}
 		}
-		got, damaged := all(r, Span{})
+		got, damaged := readAll(r, Span{})
 		assert.Zero(t, damaged)
-		same(t, records[:complete], got)
+		assertSameRecords(t, records[:complete], got)
 	}
 }
 
 func TestReader_FlippedBitLosesOneBlockAtMost(t *testing.T) {
-	records := some(20)
-	b := file(t, one, records, 4)
-	intact := reader(t, b)
-	first, index := int(intact.blocks[0].Offset), 0
-	last := intact.blocks[len(intact.blocks)-1]
-	h, err := decodeBlockHead(b[last.Offset:])
-	require.NoError(t, err)
-	index = int(last.Offset) + blockHeadSize + int(h.packedSize)
-	for at := range b {
-		flipped := slices.Clone(b)
+	const (
+		count    = 20
+		perBlock = 4
+	)
+	records := placedRequests(count)
+	intact := encodeFile(t, oneSource, records, perBlock)
+	firstBlock, index := blockOffsets(t, intact)
+	for at := range intact {
+		flipped := slices.Clone(intact)
 		flipped[at] ^= 1 << (at % 8)
-		r, err := NewReader(bytes.NewReader(flipped), int64(len(b)))
-		if at < first {
+		reader, err := NewReader(bytes.NewReader(flipped), int64(len(flipped)))
+		if at < firstBlock {
 			require.Error(t, err, "header, byte %d", at)
 			continue
 		}
 		require.NoError(t, err)
-		got, damaged := all(r, Span{})
+		got, damaged := readAll(reader, Span{})
 		if at >= index {
-			same(t, records, got)
+			assertSameRecords(t, records, got)
 			continue
 		}
-		assert.Len(t, got, 16, "byte %d", at)
-		assert.NotZero(t, damaged+len(r.Damage))
-		assert.NotEmpty(t, Verify(r).Wrong)
+		assert.Len(t, got, count-perBlock, "byte %d", at)
+		assert.NotZero(t, damaged+len(reader.Damage))
+		assert.NotEmpty(t, Verify(reader).Wrong)
 	}
 }
 
+// blockOffsets returns the offsets of a file's first block and of its index.
+func blockOffsets(t *testing.T, file []byte) (first, index int) {
+	t.Helper()
+	blocks := newReader(t, file).blocks
+	last := blocks[len(blocks)-1]
+	header, err := decodeBlockHeader(file[last.Offset:])
+	require.NoError(t, err)
+	return int(blocks[0].Offset), int(last.Offset) + int(header.size())
+}
+
 func TestNewReader_LaterMajorVersionIsAnError(t *testing.T) {
-	later := file(t, one, some(3), 3)
+	later := encodeFile(t, oneSource, placedRequests(3), 3)
 	binary.LittleEndian.PutUint16(later[len(magic):], Major+1)
 	_, err := NewReader(bytes.NewReader(later), int64(len(later)))
-	require.ErrorContains(t, err, "the trace is of format 2.1 and this program reads 1.x: read it with a newer grebeglade")
+	const message = "the trace is of format 2.1 and this program reads 1.x: read it with a newer grebeglade"
+	require.ErrorContains(t, err, message)
 	assert.Equal(t, VersionError{Major: Major + 1, Minor: Minor}, err)
 }
 
 // A later minor version adds fields and kinds of records; those that are known are read all the same.
 func TestReader_UnknownFieldIsIgnored(t *testing.T) {
 	var raw bytes.Buffer
-	w, err := NewWriter(&raw, one)
+	w, err := NewWriter(&raw, oneSource)
 	require.NoError(t, err)
-	r := placed(5, 1, 9)
+	r := placedRequest(5, 1, 9)
 	r.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 999, protowire.VarintType), 5))
 	require.NoError(t, w.Append(r))
 	require.NoError(t, w.Close())
-	got, damaged := all(reader(t, raw.Bytes()), Span{})
+	got, damaged := readAll(newReader(t, raw.Bytes()), Span{})
 	assert.Zero(t, damaged)
 	assert.Equal(t, uint32(9), got[0].GetSchedule().Workload.Id)
 }
 
+func TestOpen_MissingFile_NamesStepAndFile(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "missing"+FileExtension)
+	_, err := Open(missing)
+	require.ErrorIs(t, err, fs.ErrNotExist)
+	require.ErrorContains(t, err, "open a trace: open "+missing)
+}
+
+// failingFile is a file that can be neither read nor written.
+type failingFile struct{}
+
+func (failingFile) ReadAt([]byte, int64) (int, error) { return 0, errInputOutput }
+func (failingFile) Write([]byte) (int, error)         { return 0, errInputOutput }
+
+var errInputOutput = errors.New("input/output error")
+
+func TestNewReader_DiskFails_NamesOffset(t *testing.T) {
+	_, err := NewReader(failingFile{}, 1000)
+	require.ErrorIs(t, err, errInputOutput)
+	require.ErrorContains(t, err, "read at byte 0")
+}
+
+func TestNewWriter_DiskFails_NamesStep(t *testing.T) {
+	_, err := NewWriter(failingFile{}, oneSource)
+	require.ErrorIs(t, err, errInputOutput)
+	require.ErrorContains(t, err, "write to a trace")
+}
+
 func TestNewReader_OtherFilesAreErrors(t *testing.T) {
 	_, err := NewReader(strings.NewReader("PK\x03\x04 something else"), 19)
 	require.ErrorIs(t, err, ErrNotTrace)
@@ -116,22 +156,23 @@
 }
 
 func TestWriter_UseAfterCloseIsAnError(t *testing.T) {
-	w, err := NewWriter(io.Discard, one)
+	w, err := NewWriter(io.Discard, oneSource)
 	require.NoError(t, err)
 	require.NoError(t, w.Close())
-	require.ErrorIs(t, w.Append(placed(1, 1, 1)), ErrClosed)
+	require.ErrorIs(t, w.Append(placedRequest(1, 1, 1)), ErrClosed)
 }
 
 func TestWriter_LargeRecordHasBlockOfItsOwn(t *testing.T) {
-	big := &Record{Revision: 2, Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{Text: strings.Repeat("x", 5*targetBlockSize)}}}
-	records := []*Record{placed(1, 1, 1), big, placed(2, 3, 2)}
-	r := reader(t, file(t, one, records, 100))
-	got, _ := all(r, Span{})
-	same(t, records, got)
+	rejected := &tracepb.OfferRejected{Text: strings.Repeat("x", 5*targetBlockSize)}
+	big := &Record{Revision: 2, Body: &tracepb.Record_OfferRejected{OfferRejected: rejected}}
+	records := []*Record{placedRequest(1, 1, 1), big, placedRequest(2, 3, 2)}
+	r := newReader(t, encodeFile(t, oneSource, records, 100))
+	got, _ := readAll(r, Span{})
+	assertSameRecords(t, records, got)
 	assert.Equal(t, 3, r.Blocks())
-	w, err := NewWriter(io.Discard, one)
+	w, err := NewWriter(io.Discard, oneSource)
 	require.NoError(t, err)
-	big.GetOfferRejected().Text = strings.Repeat("x", maxBlockSize)
+	rejected.Text = strings.Repeat("x", maxBlockSize)
 	err = w.Append(big)
 	require.ErrorContains(t, err, "over the limit")
 	require.ErrorAs(t, err, new(SizeError))
@@ -139,26 +180,26 @@
 }
 
 func TestReaderRecords_SpanSelectsRecords(t *testing.T) {
-	records := some(100)
-	r := reader(t, file(t, one, records, 10))
-	got, _ := all(r, Span{FromMs: 1e12 + 355, ToMs: 1e12 + 420})
-	same(t, records[36:43], got)
+	records := placedRequests(100)
+	r := newReader(t, encodeFile(t, oneSource, records, 10))
+	got, _ := readAll(r, Span{FromMs: 1e12 + 355, ToMs: 1e12 + 420})
+	assertSameRecords(t, records[36:43], got)
 }
 
 func TestCut_CopiesRecordsOfSpan(t *testing.T) {
-	records := some(100)
-	r := reader(t, file(t, one, records, 10))
+	records := placedRequests(100)
+	r := newReader(t, encodeFile(t, oneSource, records, 10))
 	var cut bytes.Buffer
 	w, err := NewWriter(&cut, CopyHeader(r.Header))
 	require.NoError(t, err)
 	require.NoError(t, Cut(r, w, Span{FromMs: 1e12 + 990}))
-	got, _ := all(reader(t, cut.Bytes()), Span{})
-	same(t, records[99:], got)
+	got, _ := readAll(newReader(t, cut.Bytes()), Span{})
+	assertSameRecords(t, records[99:], got)
 }
 
 func TestReader_FileWithoutRecordsIsEmpty(t *testing.T) {
-	r := reader(t, file(t, one, nil, 1))
-	got, damaged := all(r, Span{})
+	r := newReader(t, encodeFile(t, oneSource, nil, 1))
+	got, damaged := readAll(r, Span{})
 	assert.Zero(t, len(got)+damaged)
 	s, err := Summarise([]*Reader{r})
 	require.NoError(t, err)
@@ -166,17 +207,17 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(file(f, one, some(20), 4))
+	f.Add(encodeFile(f, oneSource, placedRequests(20), 4))
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := NewReader(bytes.NewReader(b), int64(len(b)))
 		if err != nil {
 			return
 		}
-		records, _ := all(r, Span{})
+		records, _ := readAll(r, Span{})
 		Verify(r)
 		require.NoError(t, r.Close())
-		if len(records) > 0 && len(b) < headerSize+blockHeadSize {
+		if len(records) > 0 && len(b) < headerSize+blockHeaderSize {
 			t.Error("records out of nothing")
 		}
 	})
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -25,12 +25,16 @@
 }
 
 // DefaultLimits hold some hours of a busy allocator.
-var DefaultLimits = Limits{FileBytes: 64 << 20, FileAge: time.Hour, TotalBytes: 1 << 30}
+var DefaultLimits = Limits{
+	FileBytes:  64 << 20,
+	FileAge:    time.Hour,
+	TotalBytes: 1 << 30,
+}
 
-// batch is what is handed over at a time.
+// batch is what the queue takes at a time.
 type batch struct {
 	records []*Record
-	missing uint64 // records before it that had no place in the queue
+	missing uint64 // records before it that did not fit into the queue
 }
 
 // Recorder writes the records of one incarnation of an allocator into files of a directory. Put does not wait: records
@@ -54,24 +58,28 @@
 		log = slog.New(slog.DiscardHandler)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create the trace directory: %w", err)
 	}
 	lock, err := lockDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{
-		lock: lock, queue: make(chan batch, maxQueuedBatches), done: make(chan struct{}),
-		files: newFileSeries(dir, source, limits, log), log: log,
+	recorder := &Recorder{
+		lock:  lock,
+		queue: make(chan batch, maxQueuedBatches),
+		done:  make(chan struct{}),
+		files: newFileSeries(dir, source, limits, log),
+		log:   log,
 	}
-	go r.run()
-	return r, nil
+	go recorder.run()
+	return recorder, nil
 }
 
+// lockDir locks a directory until the returned file is closed or the process ends.
 func lockDir(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, "LOCK"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("lock the trace directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close() // nothing was written to it
@@ -80,7 +88,7 @@
 	return lock, nil
 }
 
-// Put hands records over. They must not be changed afterwards.
+// Put queues records to be written. They must not be changed afterwards.
 func (r *Recorder) Put(records []*Record) {
 	if r.BlockWhenFull {
 		r.queue <- batch{records: records}
--- a/trace/recorder_test.go
+++ b/trace/recorder_test.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 	"time"
 
@@ -19,8 +20,8 @@
 	return r
 }
 
-// recorded returns all records in a directory, in order, and the number of files.
-func recorded(t *testing.T, dir string) (records []*Record, files int) {
+// readDirectory returns all records in a directory, in order, and the number of files.
+func readDirectory(t *testing.T, dir string) (records []*Record, files int) {
 	t.Helper()
 	names, _, _ := ListFiles(dir)
 	for _, name := range names {
@@ -29,7 +30,7 @@
 			continue
 		}
 		require.NoError(t, err)
-		got, damaged := all(r, Span{})
+		got, damaged := readAll(r, Span{})
 		assert.Zero(t, damaged)
 		records = append(records, got...)
 		files++
@@ -38,45 +39,69 @@
 	return records, files
 }
 
-func TestRecorder_RotatesFilesWithinLimit(t *testing.T) {
+// onePerBatch makes a recorder begin a new file with each batch.
+var onePerBatch = Limits{
+	FileBytes:  1,
+	FileAge:    time.Hour,
+	TotalBytes: 1 << 30,
+}
+
+func TestNewRecorder_DirectoryInUseIsAnError(t *testing.T) {
 	dir := t.TempDir()
-	r := startRecorder(t, dir, Limits{FileBytes: 1, FileAge: time.Hour, TotalBytes: 1 << 30})
+	defer startRecorder(t, dir, DefaultLimits).Close()
 	_, err := NewRecorder(dir, source("b", 1, 0), DefaultLimits, nil)
 	require.ErrorContains(t, err, "another allocator records here")
-	records := some(30)
-	for i := 0; i < 30; i += 10 {
-		r.Put(records[i : i+10])
+}
+
+func TestRecorder_BeginsFileOnceOneIsTooLarge(t *testing.T) {
+	dir := t.TempDir()
+	recorder := startRecorder(t, dir, onePerBatch)
+	records := placedRequests(30)
+	for batch := range slices.Chunk(records, 10) {
+		recorder.Put(batch)
 	}
-	r.Close()
-	got, files := recorded(t, dir)
-	same(t, records, got)
+	recorder.Close()
+	got, files := readDirectory(t, dir)
+	assertSameRecords(t, records, got)
 	assert.Equal(t, 3, files)
+}
+
+// An incarnation may keep less than the one before.
+func TestRecorder_RemovesOldestFilesOverTotal(t *testing.T) {
+	dir := t.TempDir()
+	recorder := startRecorder(t, dir, onePerBatch)
+	for batch := range slices.Chunk(placedRequests(30), 10) {
+		recorder.Put(batch)
+	}
+	recorder.Close()
 	_, sizes, total := ListFiles(dir)
-	// The next incarnation may keep less: the oldest files are removed.
-	r, err = NewRecorder(dir, source("a", 2, 1e12), Limits{FileBytes: 1, TotalBytes: total - sizes[0] + sizes[0]/2}, nil)
+
+	limits := Limits{FileBytes: 1, TotalBytes: total - sizes[0] + sizes[0]/2}
+	recorder, err := NewRecorder(dir, source("a", 2, 1e12), limits, nil)
 	require.NoError(t, err)
-	r.Put(some(10))
-	r.Close()
+	recorder.Put(placedRequests(10))
+	recorder.Close()
 	_, _, now := ListFiles(dir)
 	assert.LessOrEqual(t, now, total)
-	got, _ = recorded(t, dir)
-	same(t, some(10), got[len(got)-10:])
+	got, _ := readDirectory(t, dir)
+	assertSameRecords(t, placedRequests(10), got[len(got)-10:])
 	assert.Equal(t, uint64(21), got[0].Revision, "the oldest files are gone, the others are complete")
 }
 
-func TestRecorder_SkipsWhatKilledOneLeft(t *testing.T) {
+func TestRecorder_SkipsFilesOfKilledRecorder(t *testing.T) {
 	dir := t.TempDir()
-	b := file(t, one, some(8), 4)
-	h := reader(t, b).blocks[1]
+	complete := encodeFile(t, oneSource, placedRequests(8), 4)
+	second := newReader(t, complete).blocks[1]
 	// Killed in a rotation: the old file has no index, the new one not even a header.
-	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName(source("a", 1, 0), 1)), b[:h.Offset+70], 0o600))
+	truncated := complete[:second.Offset+70]
+	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName(source("a", 1, 0), 1)), truncated, 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName(source("a", 1, 0), 2)), nil, 0o600))
 	r := startRecorder(t, dir, DefaultLimits)
-	r.Put(some(2))
+	r.Put(placedRequests(2))
 	r.Close()
-	got, files := recorded(t, dir)
+	got, files := readDirectory(t, dir)
 	assert.Equal(t, 2, files)
-	same(t, append(some(8)[:4], some(2)...), got)
+	assertSameRecords(t, append(placedRequests(8)[:4], placedRequests(2)...), got)
 }
 
 func TestFileSeries_LostRecordsAreReportedInTheirPlace(t *testing.T) {
@@ -91,29 +116,30 @@
 		}
 		return createFile(name)
 	}
-	records := some(6)
+	records := placedRequests(6)
 	files.write(batch{records: records[:3]})
-	broken, files.retryAt = false, time.Time{}
+	broken = false
+	files.retryAt = time.Time{}
 	files.write(batch{records: records[3:5]})
-	files.write(batch{records: records[5:], missing: 7}) // seven had no place in the queue
+	files.write(batch{records: records[5:], missing: 7}) // seven did not fit into the queue
 	files.finish()
-	got, _ := recorded(t, dir)
+	got, _ := readDirectory(t, dir)
 	require.Len(t, got, 5)
 	assert.Equal(t, uint64(3), got[0].GetGap().GetMissing())
 	assert.Equal(t, uint64(3), got[0].Revision)
 	assert.Equal(t, uint64(7), got[3].GetGap().GetMissing())
 	assert.Equal(t, "the queue was full", got[3].GetGap().GetReason())
-	same(t, records[3:5], got[1:3])
+	assertSameRecords(t, records[3:5], got[1:3])
 }
 
 func TestRecorderPut_FullQueueDoesNotBlock(t *testing.T) {
 	r := &Recorder{queue: make(chan batch, 1)}
-	r.Put(some(2))
-	r.Put(some(3))
-	r.Put(some(4))
+	r.Put(placedRequests(2))
+	r.Put(placedRequests(3))
+	r.Put(placedRequests(4))
 	assert.Equal(t, uint64(7), r.missing)
 	assert.Len(t, (<-r.queue).records, 2)
-	r.Put(some(1))
+	r.Put(placedRequests(1))
 	assert.Equal(t, uint64(7), (<-r.queue).missing)
 	assert.Zero(t, r.missing)
 }
--- /dev/null
+++ b/trace/records.go
@@ -0,0 +1,106 @@
+package trace
+
+import (
+	"io"
+	"iter"
+
+	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/proto"
+)
+
+// Span selects records by time. The zero value selects all.
+type Span struct {
+	FromMs float64 // Unix time; 0 for no bound
+	ToMs   float64 // Unix time; 0 for no bound
+}
+
+func (s Span) overlaps(first, last float64) bool {
+	return (s.FromMs == 0 || last >= s.FromMs) && (s.ToMs == 0 || first <= s.ToMs)
+}
+
+// Records iterates over the records of a span in the file's order. For a block that cannot be read it yields a
+// DamageError and continues with the next one. Blocks outside the span are not read.
+func (t *Reader) Records(span Span) iter.Seq2[*Record, error] {
+	return func(yield func(*Record, error) bool) {
+		var raw []byte // reused from block to block
+		for _, block := range t.blocks {
+			if !span.overlaps(block.FirstMs, block.LastMs) {
+				continue
+			}
+			offset := int64(block.Offset)
+			header, decompressed, err := t.readBlock(offset, raw)
+			if err != nil {
+				damage := DamageError{
+					Offset:      offset,
+					LostRecords: block.Records,
+					Problem:     damageText(err),
+				}
+				if !yield(nil, damage) {
+					return
+				}
+				continue
+			}
+			raw = decompressed
+			if header.kind == blockOfRecords && !t.yieldRecords(raw, offset, span, yield) {
+				return
+			}
+		}
+	}
+}
+
+// yieldRecords yields the records of a block at an offset. It returns false if the iteration ends.
+func (t *Reader) yieldRecords(raw []byte, offset int64, span Span, yield func(*Record, error) bool) bool {
+	for len(raw) > 0 {
+		size, prefix := protowire.ConsumeVarint(raw)
+		if prefix < 0 || size > uint64(len(raw)-prefix) {
+			return yield(nil, DamageError{Offset: offset, Problem: "a record is longer than its block"})
+		}
+		encoded := raw[prefix : prefix+int(size)]
+		raw = raw[prefix+int(size):]
+		record := &Record{}
+		if err := proto.Unmarshal(encoded, record); err != nil {
+			return yield(nil, DamageError{
+				Offset:      offset,
+				LostRecords: 1,
+				Problem:     "a record cannot be decoded",
+			})
+		}
+		if at := t.UnixMillis(record); span.overlaps(at, at) && !yield(record, nil) {
+			return false
+		}
+	}
+	return true
+}
+
+// readBlock reads a block. It reuses the memory of into.
+func (t *Reader) readBlock(offset int64, into []byte) (header blockHeader, raw []byte, err error) {
+	header, err = t.readBlockHeader(offset)
+	if err != nil {
+		return header, nil, err
+	}
+	packed := make([]byte, header.packedSize)
+	if _, err := t.readAt(packed, offset+blockHeaderSize); err != nil {
+		return header, nil, err
+	}
+	raw, err = header.decompress(t.decoder, packed, into)
+	return header, raw, err
+}
+
+// readBlockHeader reads the header of a block. The error is io.ErrUnexpectedEOF if the file ends within the block.
+func (t *Reader) readBlockHeader(offset int64) (blockHeader, error) {
+	if offset < 0 || offset > t.size-blockHeaderSize {
+		return blockHeader{}, io.ErrUnexpectedEOF
+	}
+	var encoded [blockHeaderSize]byte
+	if _, err := t.readAt(encoded[:], offset); err != nil {
+		return blockHeader{}, err
+	}
+	header, err := decodeBlockHeader(encoded[:])
+	if err != nil {
+		return header, err
+	}
+	if offset+header.size() > t.size {
+		return header, io.ErrUnexpectedEOF
+	}
+	return header, nil
+}
--- a/trace/scan.go
+++ b/trace/scan.go
@@ -6,50 +6,55 @@
 	"io"
 )
 
-// scan makes an index from the heads of the blocks. After a damaged one it goes on with the next that is intact.
+// scan builds an index from the headers of the blocks. After a damaged one it continues with the next that is intact.
 func (t *Reader) scan(offset int64) {
 	for offset < t.size {
-		h, err := t.readHead(offset)
+		header, err := t.readBlockHeader(offset)
 		if err != nil {
-			t.Damage = append(t.Damage, Damage{Offset: offset, Problem: damageText(err)})
-			next, found := t.findHead(offset + 1)
+			t.Damage = append(t.Damage, DamageError{Offset: offset, Problem: damageText(err)})
+			next, found := t.findBlockHeader(offset + 1)
 			if !found {
 				return
 			}
 			offset = next
 			continue
 		}
-		if h.kind != blockOfIndex {
-			t.blocks = append(t.blocks, h.indexEntry(offset))
+		if header.kind != blockOfIndex {
+			t.blocks = append(t.blocks, header.indexEntry(offset))
 		}
-		offset += h.size()
-		if h.kind == blockOfIndex && t.size-offset <= footerSize {
-			return // only the footer is damaged or cut off; no record is lost
+		offset += header.size()
+		if header.kind == blockOfIndex && t.size-offset <= footerSize {
+			return // only the footer is damaged or truncated; no record is lost
 		}
 	}
 }
 
+// damageText returns what a DamageError says of an error.
 func damageText(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return "the file is cut off in a block"
+		return "the file ends within a block"
 	}
 	return err.Error()
 }
 
-// findHead finds the next intact block head from an offset on.
-func (t *Reader) findHead(offset int64) (at int64, found bool) {
-	const step, overlap = 1 << 16, 3 // a head's magic may lie across two steps
-	buf := make([]byte, step+overlap)
+// findBlockHeader finds the next intact block header from an offset on.
+func (t *Reader) findBlockHeader(offset int64) (at int64, found bool) {
+	const (
+		step      = 1 << 16
+		magicSize = 4
+		overlap   = magicSize - 1 // a header's magic may lie across two steps
+	)
+	buffer := make([]byte, step+overlap)
 	for ; offset < t.size; offset += step {
-		n, err := t.readAt(buf, offset)
+		size, err := t.readAt(buffer, offset)
 		if err != nil {
 			return 0, false
 		}
-		for i := 0; i+4 <= n; i++ {
-			if binary.LittleEndian.Uint32(buf[i:]) != blockMagic {
+		for i := 0; i+magicSize <= size; i++ {
+			if binary.LittleEndian.Uint32(buffer[i:]) != blockMagic {
 				continue
 			}
-			if _, err := t.readHead(offset + int64(i)); err == nil {
+			if _, err := t.readBlockHeader(offset + int64(i)); err == nil {
 				return offset + int64(i), true
 			}
 		}
--- a/trace/summary_test.go
+++ b/trace/summary_test.go
@@ -11,20 +11,39 @@
 	"grebeglade/trace/tracepb"
 )
 
+// answer returns the answer to the request of a workload.
+func answer(at float64, revision uint64, workload, verdict uint32) *Record {
+	answered := &tracepb.RequestAnswered{Workload: workload, Verdict: verdict}
+	return &Record{
+		AtMs:     at,
+		Revision: revision,
+		Body:     &tracepb.Record_RequestAnswered{RequestAnswered: answered},
+	}
+}
+
 // fourDecisions returns a file with three requests, one of which a node rejects, and their answers.
 func fourDecisions(t *testing.T) *Reader {
 	t.Helper()
-	start := &Record{Revision: 1, Body: &tracepb.Record_Start{Start: &tracepb.Start{Groups: []string{"serve"}}}}
-	rejectedByNode := &Record{
-		AtMs: 20, Revision: 3, Step: &tracepb.Step{Kind: stepRejected},
-		Body: &tracepb.Record_StepResult{StepResult: &tracepb.StepResult{Workload: 1, Kind: resultRejectedByNode, Reason: 2}},
+	start := &tracepb.Start{Groups: []string{"serve"}}
+	noMemory := &tracepb.StepResult{
+		Workload: 1,
+		Kind:     resultRejectedByNode,
+		Reason:   2,
 	}
-	answer := func(at float64, id, verdict uint32) *Record {
-		return &Record{AtMs: at, Revision: 9, Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: id, Verdict: verdict}}}
+	rejectedByNode := &Record{
+		AtMs:     20,
+		Revision: 3,
+		Step:     &tracepb.Step{Kind: stepRejected},
+		Body:     &tracepb.Record_StepResult{StepResult: noMemory},
 	}
-	return reader(t, file(t, one, []*Record{
-		start, placed(10, 2, 1), rejectedByNode, answer(20, 1, verdictRejected), placed(30, 4, 2), answer(75, 2, verdictPlaced),
-		placed(80, 5, 3),
+	return newReader(t, encodeFile(t, oneSource, []*Record{
+		{Revision: 1, Body: &tracepb.Record_Start{Start: start}},
+		placedRequest(10, 2, 1),
+		rejectedByNode,
+		answer(20, 9, 1, verdictRejected),
+		placedRequest(30, 4, 2),
+		answer(75, 9, 2, verdictPlaced),
+		placedRequest(80, 5, 3),
 	}, 10))
 }
 
@@ -32,15 +51,20 @@
 	s, err := Summarise([]*Reader{fourDecisions(t)})
 	require.NoError(t, err)
 	require.Len(t, s.Groups, 1)
-	g := s.Groups[0]
-	assert.Equal(t, []int{3, 1, 1, 0, 1, 3}, []int{g.Requests, g.Placed, g.Rejected, g.Unschedulable, g.Open, g.Binds})
-	assert.InDelta(t, 45, g.MedianMs, 0.1)
+	group := s.Groups[0]
+	assert.Equal(t, 3, group.Requests)
+	assert.Equal(t, 1, group.Placed)
+	assert.Equal(t, 1, group.Rejected)
+	assert.Equal(t, 0, group.Unschedulable)
+	assert.Equal(t, 1, group.Open)
+	assert.Equal(t, 3, group.Binds)
+	assert.InDelta(t, 45, group.MedianMs, 0.1)
 	assert.Equal(t, []NodeRejection{{7, "no memory", 1}}, s.NodeRejections)
 }
 
 func TestSummarise_WaitBeyondHistogramCountsAsItsMaximum(t *testing.T) {
-	answer := &Record{AtMs: 1e9, Revision: 3, Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{Workload: 1, Verdict: verdictPlaced}}}
-	s, err := Summarise([]*Reader{reader(t, file(t, one, []*Record{placed(0, 2, 1), answer}, 10))})
+	records := []*Record{placedRequest(0, 2, 1), answer(1e9, 3, 1, verdictPlaced)}
+	s, err := Summarise([]*Reader{newReader(t, encodeFile(t, oneSource, records, 10))})
 	require.NoError(t, err)
 	assert.Equal(t, 1, s.Groups[0].Placed)
 	assert.InEpsilon(t, maxWaitMicros/microsPerMilli, s.Groups[0].MaxMs, 0.001)
@@ -56,7 +80,12 @@
 	rows, err := parquet.Read[Row](bytes.NewReader(out.Bytes()), int64(out.Len()))
 	require.NoError(t, err)
 	require.Len(t, rows, 4)
-	assert.Equal(t, []string{"place", "declined", "place", "place"}, []string{rows[0].Call, rows[1].Call, rows[2].Call, rows[3].Call})
-	assert.Equal(t, []string{"bind", "rejected", "bind", "bind"}, []string{rows[0].Step, rows[1].Step, rows[2].Step, rows[3].Step})
+	var calls, steps []string
+	for _, row := range rows {
+		calls = append(calls, row.Call)
+		steps = append(steps, row.Step)
+	}
+	assert.Equal(t, []string{"place", "declined", "place", "place"}, calls)
+	assert.Equal(t, []string{"bind", "rejected", "bind", "bind"}, steps)
 	assert.InDelta(t, 10, rows[1].SinceRequestMs, 0)
 }
--- a/trace/verify.go
+++ b/trace/verify.go
@@ -7,42 +7,51 @@
 	Blocks  int      `json:"blocks"`
 	Records uint64   `json:"records"`
 	Missing uint64   `json:"missing"` // records that gaps report
-	Index   string   `json:"index"`   // "whole", or what replaced it
+	Index   string   `json:"index"`   // "whole" if it is intact, otherwise how it was rebuilt
 	Wrong   []string `json:"wrong"`
 }
 
 // Verify reads a file to its end and reports everything that is wrong with it.
-func Verify(r *Reader) *Check {
-	c := &Check{Blocks: r.Blocks(), Index: "whole", Wrong: []string{}}
-	if r.IndexRebuilt {
-		c.Index = "missing; made anew by a scan"
-		c.Wrong = append(c.Wrong, "there is no index: the file was not closed")
+func Verify(reader *Reader) *Check {
+	check := &Check{
+		Blocks: reader.Blocks(),
+		Index:  "whole",
+		Wrong:  []string{},
 	}
-	for _, d := range r.Damage {
-		c.Wrong = append(c.Wrong, d.Error())
+	if reader.IndexRebuilt {
+		check.Index = "missing; rebuilt by a scan"
+		check.report("there is no index: the file was not closed")
+	}
+	for _, damage := range reader.Damage {
+		check.report("%v", damage)
 	}
 	last := map[uint32]uint64{} // revision of each source
-	for rec, err := range r.Records(Span{}) {
+	for record, err := range reader.Records(Span{}) {
 		if err != nil {
-			c.Wrong = append(c.Wrong, err.Error())
+			check.report("%v", err)
 			clear(last) // revisions are missing here, which is reported already
 			continue
 		}
-		c.count(rec, last)
+		check.count(record, last)
 	}
-	return c
+	return check
 }
 
-func (c *Check) count(rec *Record, last map[uint32]uint64) {
+// count counts a record, and checks that its revision follows the last one of its source.
+func (c *Check) count(record *Record, last map[uint32]uint64) {
 	c.Records++
-	previous, known := last[rec.Source]
-	last[rec.Source] = rec.Revision
-	if g := rec.GetGap(); g != nil {
-		c.Missing += g.Missing
-		c.Wrong = append(c.Wrong, fmt.Sprintf("%d records are missing before revision %d: %s", g.Missing, rec.Revision+1, g.Reason))
+	previous, known := last[record.Source]
+	last[record.Source] = record.Revision
+	if gap := record.GetGap(); gap != nil {
+		c.Missing += gap.Missing
+		c.report("%d records are missing before revision %d: %s", gap.Missing, record.Revision+1, gap.Reason)
 		return
 	}
-	if known && rec.Revision != previous+1 {
-		c.Wrong = append(c.Wrong, fmt.Sprintf("revision %d follows %d", rec.Revision, previous))
+	if known && record.Revision != previous+1 {
+		c.report("revision %d follows %d", record.Revision, previous)
 	}
 }
+
+func (c *Check) report(format string, args ...any) {
+	c.Wrong = append(c.Wrong, fmt.Sprintf(format, args...))
+}
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"io"
 
 	"github.com/klauspost/compress/zstd"
@@ -11,7 +12,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// targetBlockSize is how many bytes of records make a block: enough for zstd to find what repeats, few enough that a
+// targetBlockSize is how many bytes of records make a block: enough for zstd to find repetitions, few enough that a
 // look-up reads little.
 const targetBlockSize = 128 << 10
 
@@ -22,13 +23,13 @@
 type Writer struct {
 	Records uint64 // appended so far
 
-	w       io.Writer
+	output  io.Writer
 	header  *tracepb.Header
 	encoder *zstd.Encoder
 	offset  int64
 	raw     []byte // records of the next block
 	packed  []byte
-	head    blockHead // of the next block
+	next    blockHeader // of the next block
 	index   tracepb.Index
 	err     error
 }
@@ -37,66 +38,85 @@
 func NewWriter(w io.Writer, h *tracepb.Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start the compression of a trace: %w", err)
+	}
+	t := &Writer{
+		output:  w,
+		header:  h,
+		encoder: encoder,
 	}
-	t := &Writer{w: w, header: h, encoder: encoder}
-	b, err := encodeHeader(h)
+	encoded, err := encodeHeader(h)
 	if err != nil {
 		return nil, err
 	}
-	t.write(b)
+	t.write(encoded)
 	return t, t.err
 }
 
+// encodeHeader returns the bytes of a file's header.
 func encodeHeader(h *tracepb.Header) ([]byte, error) {
 	message, err := proto.MarshalOptions{Deterministic: true}.Marshal(h)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("encode the header of a trace: %w", err)
 	}
 	if len(message) > maxHeaderSize {
-		return nil, SizeError{Part: "a header", Size: len(message), Limit: maxHeaderSize}
-	}
-	b := append(make([]byte, 0, headerSize+len(message)), magic...)
-	b = binary.LittleEndian.AppendUint16(b, Major)
-	b = binary.LittleEndian.AppendUint16(b, Minor)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(message)))
-	b = binary.LittleEndian.AppendUint32(b, checksumOf(b, message))
-	return append(b, message...), nil
+		return nil, SizeError{
+			Part:  "a header",
+			Size:  len(message),
+			Limit: maxHeaderSize,
+		}
+	}
+	order := binary.LittleEndian
+	encoded := make([]byte, 0, headerSize+len(message))
+	encoded = append(encoded, magic...)
+	encoded = order.AppendUint16(encoded, Major)
+	encoded = order.AppendUint16(encoded, Minor)
+	encoded = order.AppendUint32(encoded, uint32(len(message)))
+	encoded = order.AppendUint32(encoded, checksumOf(encoded, message))
+	return append(encoded, message...), nil
 }
 
+// write writes bytes in one call, and keeps the first error.
 func (t *Writer) write(b []byte) {
 	if t.err != nil {
 		return
 	}
-	n, err := t.w.Write(b)
+	n, err := t.output.Write(b)
 	t.offset += int64(n)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
-	t.err = err
+	if err != nil {
+		t.err = fmt.Errorf("write to a trace: %w", err)
+	}
 }
 
 // Append adds a record. It is in the file once its block is: after Flush, Close, or enough further records. A record
 // that is too large is a SizeError, after which the writer can still be used.
-func (t *Writer) Append(r *Record) error {
+func (t *Writer) Append(record *Record) error {
 	if t.err != nil {
 		return t.err
 	}
-	size := proto.Size(r)
+	size := proto.Size(record)
 	if size > maxRecordSize {
-		return SizeError{Part: "a record", Size: size, Limit: maxBlockSize}
+		return SizeError{
+			Part:  "a record",
+			Size:  size,
+			Limit: maxBlockSize,
+		}
 	}
 	if len(t.raw) > 0 && len(t.raw)+size > targetBlockSize {
 		if err := t.Flush(); err != nil {
 			return err
 		}
 	}
-	raw, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(protowire.AppendVarint(t.raw, uint64(size)), r)
+	raw := protowire.AppendVarint(t.raw, uint64(size))
+	raw, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(raw, record)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode a record of a trace: %w", err)
 	}
 	t.raw = raw
-	t.head.include(unixMillis(t.header, r), r.Revision)
+	t.next.include(unixMillis(t.header, record), record.Revision)
 	t.Records++
 	return nil
 }
@@ -109,32 +129,34 @@
 
 // Flush writes what was appended as a block.
 func (t *Writer) Flush() error {
-	if t.head.records == 0 || t.err != nil {
+	if t.next.records == 0 || t.err != nil {
 		return t.err
 	}
-	t.index.Blocks = append(t.index.Blocks, t.head.indexEntry(t.offset))
-	t.head.kind = blockOfRecords
+	t.index.Blocks = append(t.index.Blocks, t.next.indexEntry(t.offset))
+	t.next.kind = blockOfRecords
 	t.writeBlock(t.raw)
-	t.raw, t.head = t.raw[:0], blockHead{}
+	t.raw = t.raw[:0]
+	t.next = blockHeader{}
 	return t.err
 }
 
 // writeBlock writes a block in one call, so that a kill leaves at most one block truncated.
 func (t *Writer) writeBlock(raw []byte) {
 	t.packed = t.encoder.EncodeAll(raw, t.packed[:0])
-	t.head.rawSize, t.head.packedSize = uint32(len(raw)), uint32(len(t.packed))
-	t.head.compressedChecksum = checksum(t.packed)
-	t.write(append(t.head.encode(), t.packed...))
+	t.next.rawSize = uint32(len(raw))
+	t.next.packedSize = uint32(len(t.packed))
+	t.next.compressedChecksum = checksum(t.packed)
+	t.write(append(t.next.encode(), t.packed...))
 }
 
-// Close writes what is left, and the index. It does not close the underlying writer.
+// Close writes the last block and the index. It does not close the underlying writer.
 func (t *Writer) Close() error {
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	index, err := proto.Marshal(&t.index)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode the index of a trace: %w", err)
 	}
 	if len(index) > maxBlockSize {
 		return nil // readers rebuild the index by a scan
@@ -144,17 +166,21 @@
 		return t.err
 	}
 	t.err = ErrClosed
-	return t.encoder.Close()
+	if err := t.encoder.Close(); err != nil {
+		return fmt.Errorf("end the compression of a trace: %w", err)
+	}
+	return nil
 }
 
+// writeIndex writes the index block and the footer that points to it.
 func (t *Writer) writeIndex(index []byte) {
 	start := t.offset
-	t.head = blockHead{kind: blockOfIndex}
+	t.next = blockHeader{kind: blockOfIndex}
 	t.writeBlock(index)
 	footer := binary.LittleEndian.AppendUint64(nil, uint64(start))
 	footer = binary.LittleEndian.AppendUint32(footer, uint32(t.offset-start))
 	footer = binary.LittleEndian.AppendUint32(footer, checksum(footer))
-	t.write(append(footer, footMagic...))
+	t.write(append(footer, footerMagic...))
 }
 
 // unixMillis returns a record's Unix time in milliseconds, by its source's clock.
