--- a/internal/replay/describe.go
+++ b/internal/replay/describe.go
@@ -8,6 +8,8 @@
 	"grebeglade/trace/tracepb"
 )
 
+// The texts of records are those that "grebeglade trace show" and "trace replay --json" have always printed, whatever
+// the records are called now.
 var (
 	verdictNames    = []string{"", "placed", "rejected", "unschedulable"}
 	nodeUpdateNames = []string{"changes", "whole", "cached", "failed"}
@@ -32,76 +34,93 @@
 
 // describeCall describes a call of the module, "" for other records.
 func describeCall(r *trace.Record) string {
-	switch b := r.Body.(type) {
+	switch body := r.Body.(type) {
 	case *tracepb.Record_Schedule:
-		w := b.Schedule.Workload
-		return fmt.Sprintf("place workload %d of service %d, group %d, %g cores, %g memory, %.0f ms left",
-			w.GetId(), w.GetService(), w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetPendingTimeout())
+		return describeSchedule(body.Schedule.Workload)
 	case *tracepb.Record_Adopt:
-		return fmt.Sprintf("adopt workload %d on node %d", b.Adopt.Workload.GetId(), b.Adopt.Node)
+		return fmt.Sprintf("adopt workload %d on node %d", body.Adopt.Workload.GetId(), body.Adopt.Node)
 	case *tracepb.Record_StepResult:
-		return describeResult(b.StepResult)
+		return describeResult(body.StepResult)
 	case *tracepb.Record_NodesUpdated:
-		return fmt.Sprintf("list, %s, %d nodes", nameOf(nodeUpdateNames, b.NodesUpdated.Kind), len(b.NodesUpdated.Nodes))
+		updated := body.NodesUpdated
+		return fmt.Sprintf("list, %s, %d nodes", nameOf(nodeUpdateNames, updated.Kind), len(updated.Nodes))
 	case *tracepb.Record_Report:
-		return fmt.Sprintf("report of node %d: %g cores spare", b.Report.Node, b.Report.Load.GetSpareCores())
+		return fmt.Sprintf("report of node %d: %g cores spare", body.Report.Node, body.Report.Load.GetSpareCores())
 	case *tracepb.Record_HealthChecked:
-		return fmt.Sprintf("probe of node %d answered %v", b.HealthChecked.Node, b.HealthChecked.Answered)
+		return fmt.Sprintf("probe of node %d answered %v", body.HealthChecked.Node, body.HealthChecked.Answered)
 	case *tracepb.Record_UsageReport:
-		return fmt.Sprintf("note on workload %d: %s %g", b.UsageReport.Workload, nameOf(usageNames, b.UsageReport.Kind), b.UsageReport.Value)
+		usage := body.UsageReport
+		return fmt.Sprintf("note on workload %d: %s %g", usage.Workload, nameOf(usageNames, usage.Kind), usage.Value)
 	case *tracepb.Record_Maintain:
 		return "chores"
 	}
 	return ""
 }
 
-// describeEvent describes what went on around the module, "" for kinds that a later version has added.
+// describeEvent describes what happened around the module, "" for kinds that a later version has added.
 func describeEvent(r *trace.Record) string {
-	switch b := r.Body.(type) {
+	switch body := r.Body.(type) {
 	case *tracepb.Record_Start:
-		return fmt.Sprintf("start of %s.%d", b.Start.GetSource().GetAllocator(), b.Start.GetSource().GetIncarnation())
+		source := body.Start.GetSource()
+		return fmt.Sprintf("start of %s.%d", source.GetAllocator(), source.GetIncarnation())
 	case *tracepb.Record_RequestReceived:
-		return fmt.Sprintf("workload %d is ask %d of %s, key %d", b.RequestReceived.Workload, b.RequestReceived.RequestId, b.RequestReceived.Client, b.RequestReceived.Key)
+		received := body.RequestReceived
+		return fmt.Sprintf("workload %d is ask %d of %s, key %d",
+			received.Workload, received.RequestId, received.Client, received.Key)
 	case *tracepb.Record_RequestAnswered:
-		return fmt.Sprintf("answer to workload %d: %s %s", b.RequestAnswered.Workload, nameOf(verdictNames, b.RequestAnswered.Verdict), b.RequestAnswered.Text)
+		answered := body.RequestAnswered
+		verdict := nameOf(verdictNames, answered.Verdict)
+		return fmt.Sprintf("answer to workload %d: %s %s", answered.Workload, verdict, answered.Text)
 	case *tracepb.Record_OfferRejected:
-		return fmt.Sprintf("node %d refuses workload %d: %s", b.OfferRejected.Node, b.OfferRejected.Workload, b.OfferRejected.Text)
+		rejected := body.OfferRejected
+		return fmt.Sprintf("node %d refuses workload %d: %s", rejected.Node, rejected.Workload, rejected.Text)
 	case *tracepb.Record_DiscoveryUpdated:
-		return fmt.Sprintf("list epoch %d, revision %d", b.DiscoveryUpdated.Epoch, b.DiscoveryUpdated.Revision)
+		return fmt.Sprintf("list epoch %d, revision %d", body.DiscoveryUpdated.Epoch, body.DiscoveryUpdated.Revision)
 	case *tracepb.Record_GangRequested:
-		g := b.GangRequested
-		return fmt.Sprintf("gang of %d parts, %d needed, is ask %d of %s", g.Parts, g.MinParts, g.RequestId, g.Client)
+		gang := body.GangRequested
+		return fmt.Sprintf("gang of %d parts, %d needed, is ask %d of %s",
+			gang.Parts, gang.MinParts, gang.RequestId, gang.Client)
 	case *tracepb.Record_GangState:
-		g := b.GangState
-		return fmt.Sprintf("gang %d of %s is %s, workloads %v", g.RequestId, g.Client, g.State, g.Workloads)
+		gang := body.GangState
+		return fmt.Sprintf("gang %d of %s is %s, workloads %v", gang.RequestId, gang.Client, gang.State, gang.Workloads)
 	case *tracepb.Record_Gap:
-		return fmt.Sprintf("GAP: %d records missing (%s)", b.Gap.Missing, b.Gap.Reason)
+		return fmt.Sprintf("GAP: %d records missing (%s)", body.Gap.Missing, body.Gap.Reason)
 	}
 	return ""
 }
 
-func describeResult(n *tracepb.StepResult) string {
-	text := fmt.Sprintf("workload %d %s", n.Workload, trace.ResultName(n.Kind, unnamed(n.Kind)))
-	if n.Reason > 0 {
-		text += fmt.Sprintf(" (%s)", trace.RejectionName(n.Reason, unnamed(n.Reason)))
+func describeSchedule(w *tracepb.Workload) string {
+	return fmt.Sprintf("place workload %d of service %d, group %d, %g cores, %g memory, %.0f ms left",
+		w.GetId(), w.GetService(), w.GetGroup(), w.GetCores(), w.GetMemory(), w.GetPendingTimeout())
+}
+
+func describeResult(result *tracepb.StepResult) string {
+	text := fmt.Sprintf("workload %d %s", result.Workload, trace.ResultName(result.Kind, unnamed(result.Kind)))
+	if result.Reason > 0 {
+		text += fmt.Sprintf(" (%s)", trace.RejectionName(result.Reason, unnamed(result.Reason)))
 	}
 	return text
 }
 
-func describeStep(s *tracepb.Step) string {
-	switch {
-	case s == nil:
+// describeStep describes a step, or that there is none.
+func describeStep(step *tracepb.Step) string {
+	if step == nil {
 		return "nothing"
-	case placement.StepKind(s.Kind) == placement.Bind:
-		return fmt.Sprintf("bind to node %d for %.3f ms", s.Node, s.Timeout)
-	case placement.StepKind(s.Kind) == placement.Wait:
-		return fmt.Sprintf("wait until %.3f ms", s.WakeAt)
 	}
-	return trace.StepName(s.Kind, unnamed(s.Kind))
+	switch placement.StepKind(step.Kind) {
+	case placement.Bind:
+		return fmt.Sprintf("bind to node %d for %.3f ms", step.Node, step.Timeout)
+	case placement.Wait:
+		return fmt.Sprintf("wait until %.3f ms", step.WakeAt)
+	case placement.AwaitEnd, placement.Rejected, placement.Unschedulable, placement.Done:
+		// The name says everything.
+	}
+	return trace.StepName(step.Kind, unnamed(step.Kind))
 }
 
 func describeMaintenance(m *tracepb.Maintenance) string {
-	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms", m.GetMigrations(), m.GetHealthChecks(), m.GetSubscribe(), m.GetNextAt())
+	return fmt.Sprintf("move %v, probe %v, watch %v, again at %.3f ms",
+		m.GetMigrations(), m.GetHealthChecks(), m.GetSubscribe(), m.GetNextAt())
 }
 
 func nameOf(names []string, number uint32) string {
--- /dev/null
+++ b/internal/replay/encodesettings.go
@@ -0,0 +1,90 @@
+package replay
+
+import (
+	"grebeglade/placement"
+	"grebeglade/trace/tracepb"
+)
+
+// encodeSettings returns a module's settings as the start of a trace holds them.
+func encodeSettings(settings placement.Settings) *tracepb.Settings {
+	encoded := &tracepb.Settings{
+		Allocators:           int64(settings.Allocators),
+		Ordinal:              int64(settings.Ordinal),
+		WarmUpDuration:       float64(settings.WarmUpDuration),
+		InitialRate:          settings.InitialRate,
+		WarmUpBudget:         settings.WarmUpBudget,
+		OverloadWindow:       float64(settings.OverloadWindow),
+		PolledDiscovery:      settings.PolledDiscovery,
+		PollInterval:         float64(settings.PollInterval),
+		ConfirmsRunning:      settings.ConfirmsRunning,
+		ReportsUsage:         settings.ReportsUsage,
+		EntriesCarryCapacity: settings.EntriesCarryCapacity,
+		MaxBinds:             int64(settings.MaxBinds),
+		HealthChecksAllowed:  settings.HealthChecksAllowed,
+	}
+	for _, kind := range settings.NodeKinds {
+		encoded.NodeKinds = append(encoded.NodeKinds, &tracepb.NodeKind{Cores: kind.Cores, Memory: kind.Memory})
+	}
+	for _, group := range settings.Groups {
+		encoded.Groups = append(encoded.Groups, encodeGroup(group))
+	}
+	return encoded
+}
+
+// encodeGroup returns a priority group as a trace holds it.
+func encodeGroup(g placement.Group) *tracepb.Group {
+	return &tracepb.Group{
+		LatencyObjective:       float64(g.LatencyObjective),
+		PriorityWeight:         g.PriorityWeight,
+		Idempotency:            uint32(g.Idempotency),
+		KeyScope:               uint32(g.KeyScope),
+		KeyWindow:              float64(g.KeyWindow),
+		SpreadScope:            uint32(g.SpreadScope),
+		MaxPerScope:            int64(g.MaxPerScope),
+		FullServiceUtilization: g.FullServiceUtilization,
+		DegradationRange:       g.DegradationRange,
+		RequiredKind:           int64(g.RequiredKind),
+	}
+}
+
+// decodeSettings returns the settings of a module that is to decide as the recorded one did.
+func decodeSettings(encoded *tracepb.Settings) placement.Settings {
+	settings := placement.Settings{
+		Allocators:           int(encoded.GetAllocators()),
+		Ordinal:              int(encoded.GetOrdinal()),
+		WarmUpDuration:       placement.Millis(encoded.GetWarmUpDuration()),
+		InitialRate:          encoded.GetInitialRate(),
+		WarmUpBudget:         encoded.GetWarmUpBudget(),
+		OverloadWindow:       placement.Millis(encoded.GetOverloadWindow()),
+		PolledDiscovery:      encoded.GetPolledDiscovery(),
+		PollInterval:         placement.Millis(encoded.GetPollInterval()),
+		ConfirmsRunning:      encoded.GetConfirmsRunning(),
+		ReportsUsage:         encoded.GetReportsUsage(),
+		EntriesCarryCapacity: encoded.GetEntriesCarryCapacity(),
+		MaxBinds:             int(encoded.GetMaxBinds()),
+		HealthChecksAllowed:  encoded.GetHealthChecksAllowed(),
+	}
+	for _, kind := range encoded.GetNodeKinds() {
+		settings.NodeKinds = append(settings.NodeKinds, placement.NodeKind{Cores: kind.Cores, Memory: kind.Memory})
+	}
+	for _, group := range encoded.GetGroups() {
+		settings.Groups = append(settings.Groups, decodeGroup(group))
+	}
+	return settings
+}
+
+// decodeGroup returns the priority group that was recorded.
+func decodeGroup(g *tracepb.Group) placement.Group {
+	return placement.Group{
+		LatencyObjective:       placement.Millis(g.LatencyObjective),
+		PriorityWeight:         g.PriorityWeight,
+		Idempotency:            placement.Idempotency(g.Idempotency),
+		KeyScope:               placement.Scope(g.KeyScope),
+		KeyWindow:              placement.Millis(g.KeyWindow),
+		SpreadScope:            placement.Scope(g.SpreadScope),
+		MaxPerScope:            int(g.MaxPerScope),
+		FullServiceUtilization: g.FullServiceUtilization,
+		DegradationRange:       g.DegradationRange,
+		RequiredKind:           int(g.RequiredKind),
+	}
+}
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -7,14 +7,14 @@
 
 var (
 	// ErrNoStart means that the first part of a trace is missing: the module's state at its beginning is not known.
-	ErrNoStart = errors.New("the trace does not begin with the allocator's start, so the module's state is not known; " +
-		"give the earlier files of the same allocator too")
-	// ErrAnonymised means that a trace is under pseudonyms: some choices rest on the ids themselves.
-	ErrAnonymised = errors.New("the trace is under pseudonyms and cannot be decided again: some choices rest on the ids " +
+	ErrNoStart = errors.New("the trace does not begin with the allocator's start, so that the module's state is " +
+		"unknown; give the earlier files of the same allocator too")
+	// ErrAnonymised means that a trace is anonymised: some decisions depend on the ids themselves.
+	ErrAnonymised = errors.New("the trace is anonymised and cannot be replayed: some decisions depend on the ids " +
 		"themselves; replay the original")
-	// ErrOtherDecision means that the module decides otherwise than recorded, so that there is nothing to reproduce.
+	// ErrOtherDecision means that the module does not decide as recorded, so that there is nothing to reproduce.
 	ErrOtherDecision = errors.New(
-		"this program's module decides otherwise on the same calls; see 'grebeglade trace replay'")
+		"this program's module decides differently on the same calls; see 'grebeglade trace replay'")
 )
 
 // GapError means that the recorder lost records, so that the module's state after them is not known.
@@ -24,7 +24,7 @@
 }
 
 func (e GapError) Error() string {
-	return fmt.Sprintf("%d records are missing here (%s); what follows cannot be decided again", e.Missing, e.Reason)
+	return fmt.Sprintf("%d records are missing here (%s); what follows cannot be replayed", e.Missing, e.Reason)
 }
 
 // RevisionError means that records are missing between two files.
@@ -33,7 +33,7 @@
 }
 
 func (e RevisionError) Error() string {
-	return fmt.Sprintf("the record before has revision %d; a file is missing between them", e.Previous)
+	return fmt.Sprintf("the previous record has revision %d; a file is missing between them", e.Previous)
 }
 
 // NoRequestError means that a trace does not hold the request of a workload.
--- a/internal/replay/files.go
+++ b/internal/replay/files.go
@@ -8,12 +8,12 @@
 )
 
 // RunFiles is Run for files, those of one allocator in the order given.
-func RunFiles(files []*trace.Reader, o Options) ([]*Report, error) {
+func RunFiles(files []*trace.Reader, options Options) ([]*Report, error) {
 	records, sources, err := concatenate(files)
 	if err != nil {
 		return nil, err
 	}
-	return Run(records, sources, o)
+	return Run(records, sources, options)
 }
 
 // ReproduceFiles is Reproduce for files, those of one allocator in the order given.
@@ -29,24 +29,24 @@
 func concatenate(files []*trace.Reader) (iter.Seq2[*trace.Record, error], []*tracepb.Source, error) {
 	var sources []*tracepb.Source
 	numbers := map[trace.SourceKey]uint32{}
-	for _, f := range files {
-		if f.Header.Anonymised {
+	for _, file := range files {
+		if file.Header.Anonymised {
 			return nil, nil, ErrAnonymised
 		}
-		for _, s := range f.Header.Sources {
-			if _, known := numbers[trace.KeyOf(s)]; !known {
-				numbers[trace.KeyOf(s)] = uint32(len(sources))
-				sources = append(sources, s)
+		for _, source := range file.Header.Sources {
+			if _, known := numbers[trace.KeyOf(source)]; !known {
+				numbers[trace.KeyOf(source)] = uint32(len(sources))
+				sources = append(sources, source)
 			}
 		}
 	}
 	records := func(yield func(*trace.Record, error) bool) {
-		for _, f := range files {
-			for rec, err := range f.Records(trace.Span{}) {
-				if err == nil && int(rec.Source) < len(f.Header.Sources) {
-					rec.Source = numbers[trace.KeyOf(f.Header.Sources[rec.Source])]
+		for _, file := range files {
+			for record, err := range file.Records(trace.Span{}) {
+				if err == nil && int(record.Source) < len(file.Header.Sources) {
+					record.Source = numbers[trace.KeyOf(file.Header.Sources[record.Source])]
 				}
-				if !yield(rec, err) {
+				if !yield(record, err) {
 					return
 				}
 			}
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -18,70 +18,84 @@
 // Matcher returns a function that reports whether a record is selected. It must be called for all records of one file
 // in their order: which workloads belong to a service is known from their requests.
 func (f Filter) Matcher() func(*trace.Record) bool {
-	type key struct{ source, workload uint32 }
-	inService := map[key]bool{}
-	return func(r *trace.Record) bool {
-		id, ofWorkload := workloadID(r)
-		if w := requestedWorkload(r); w != nil {
-			inService[key{r.Source, id}] = w.Service == f.Service
-		}
-		switch {
-		case f.Workload != 0 && (!ofWorkload || id != f.Workload):
-			return false
-		case f.Service != 0 && (!ofWorkload || !inService[key{r.Source, id}]):
-			return false
-		default:
-			return f.Node == 0 || concernsNode(r, f.Node)
-		}
+	return (&matcher{filter: f, inService: map[workloadKey]bool{}}).matches
+}
+
+// matcher selects the records of one file.
+type matcher struct {
+	filter    Filter
+	inService map[workloadKey]bool // whether a workload belongs to the service of the filter
+}
+
+// workloadKey identifies a workload in one file.
+type workloadKey struct {
+	source   uint32
+	workload uint32
+}
+
+// matches reports whether a record is selected.
+func (m *matcher) matches(record *trace.Record) bool {
+	id, ofWorkload := workloadID(record)
+	key := workloadKey{record.Source, id}
+	if workload := requestedWorkload(record); workload != nil {
+		m.inService[key] = workload.Service == m.filter.Service
+	}
+	if m.filter.Workload != 0 && (!ofWorkload || id != m.filter.Workload) {
+		return false
+	}
+	if m.filter.Service != 0 && (!ofWorkload || !m.inService[key]) {
+		return false
 	}
+	return m.filter.Node == 0 || concernsNode(record, m.filter.Node)
 }
 
 // requestedWorkload returns the workload that a record schedules or adopts, nil for other records.
 func requestedWorkload(r *trace.Record) *tracepb.Workload {
-	if p := r.GetSchedule(); p != nil {
-		return p.Workload
+	if schedule := r.GetSchedule(); schedule != nil {
+		return schedule.Workload
 	}
 	return r.GetAdopt().GetWorkload()
 }
 
-// workloadID returns the workload that a record concerns.
+// workloadID returns the workload that a record concerns, false if it concerns none or several.
 func workloadID(r *trace.Record) (id uint32, ok bool) {
-	switch b := r.Body.(type) {
+	switch body := r.Body.(type) {
 	case *tracepb.Record_Schedule:
-		return b.Schedule.GetWorkload().GetId(), true
+		return body.Schedule.GetWorkload().GetId(), true
 	case *tracepb.Record_Adopt:
-		return b.Adopt.GetWorkload().GetId(), true
+		return body.Adopt.GetWorkload().GetId(), true
 	case *tracepb.Record_StepResult:
-		return b.StepResult.Workload, true
+		return body.StepResult.Workload, true
 	case *tracepb.Record_UsageReport:
-		return b.UsageReport.Workload, true
+		return body.UsageReport.Workload, true
 	case *tracepb.Record_RequestReceived:
-		return b.RequestReceived.Workload, true
+		return body.RequestReceived.Workload, true
 	case *tracepb.Record_RequestAnswered:
-		return b.RequestAnswered.Workload, true
+		return body.RequestAnswered.Workload, true
 	case *tracepb.Record_OfferRejected:
-		return b.OfferRejected.Workload, true
+		return body.OfferRejected.Workload, true
 	}
 	return 0, false
 }
 
+// concernsNode reports whether a record is about a node, or led to a bind on it.
 func concernsNode(r *trace.Record, node uint32) bool {
-	if s := r.Step; s != nil && placement.StepKind(s.Kind) == placement.Bind && s.Node == node {
+	if step := r.Step; step != nil && placement.StepKind(step.Kind) == placement.Bind && step.Node == node {
 		return true
 	}
-	switch b := r.Body.(type) {
+	switch body := r.Body.(type) {
 	case *tracepb.Record_Adopt:
-		return b.Adopt.Node == node
+		return body.Adopt.Node == node
 	case *tracepb.Record_Report:
-		return b.Report.Node == node
+		return body.Report.Node == node
 	case *tracepb.Record_HealthChecked:
-		return b.HealthChecked.Node == node
+		return body.HealthChecked.Node == node
 	case *tracepb.Record_RequestAnswered:
-		return b.RequestAnswered.Node == node
+		return body.RequestAnswered.Node == node
 	case *tracepb.Record_OfferRejected:
-		return b.OfferRejected.Node == node
+		return body.OfferRejected.Node == node
 	case *tracepb.Record_NodesUpdated:
-		return slices.ContainsFunc(b.NodesUpdated.Nodes, func(n *tracepb.Node) bool { return n.Id == node })
+		return slices.ContainsFunc(body.NodesUpdated.Nodes, func(n *tracepb.Node) bool { return n.Id == node })
 	}
 	return false
 }
--- a/internal/replay/gosource.go
+++ b/internal/replay/gosource.go
@@ -14,33 +14,40 @@
 
 // goLiterals replaces what %#v prints by expressions, and breaks long lists of nodes and groups into lines.
 var goLiterals = strings.NewReplacer(
-	"StartedAt:-Inf", "StartedAt:placement.DistantPast", "-Inf", "math.Inf(-1)", "+Inf", "math.Inf(1)", "NaN", "math.NaN()",
-	"}, placement.Node{", "},\nplacement.Node{", "}, placement.Group{", "},\nplacement.Group{",
+	"StartedAt:-Inf", "StartedAt:placement.DistantPast",
+	"-Inf", "math.Inf(-1)",
+	"+Inf", "math.Inf(1)",
+	"NaN", "math.NaN()",
+	"}, placement.Node{", "},\nplacement.Node{",
+	"}, placement.Group{", "},\nplacement.Group{",
 )
 
 // Print writes the calls as a test in Go that makes the decision again.
-func (r *Reproduction) Print(w io.Writer) error {
+func (r *Reproduction) Print(output io.Writer) error {
 	source, err := format.Source([]byte(goLiterals.Replace(r.goTest())))
 	if err != nil {
 		return fmt.Errorf("the calls cannot be written as Go: %w", err)
 	}
-	_, err = w.Write(source)
-	return err
+	if _, err := output.Write(source); err != nil {
+		return fmt.Errorf("write the test: %w", err)
+	}
+	return nil
 }
 
 // goTest returns the test before formatting.
 func (r *Reproduction) goTest() string {
-	before, last := r.Calls[:len(r.Calls)-1], r.Calls[len(r.Calls)-1]
+	before, last := splitLast(r.Calls)
 	lines := []string{
-		fmt.Sprintf("// %d of %d calls of %s before the decision on one request.", len(before), r.CallsBefore, r.Source),
+		fmt.Sprintf("// %d of %d calls of %s before the decision on one request.",
+			len(before), r.CallsBefore, r.Source),
 		"func TestExtracted(t *testing.T) {",
 		fmt.Sprintf("a := placement.New(%#v, %d)", decodeSettings(r.Start.Settings), r.Start.Seed),
 	}
 	if slices.ContainsFunc(before, concernsWorkload) {
 		lines = append(lines, "steps := map[placement.WorkloadID]placement.Step{}")
 	}
-	for _, rec := range before {
-		lines = append(lines, goCall(rec))
+	for _, call := range before {
+		lines = append(lines, goCall(call))
 	}
 	lines = append(lines,
 		"s := "+goSchedule(last, last.GetSchedule()),
@@ -51,6 +58,7 @@
 	return strings.Join(lines, "\n")
 }
 
+// concernsWorkload reports whether a call leads to a step of a workload, or reports its use.
 func concernsWorkload(r *trace.Record) bool {
 	_, ok := workloadID(r)
 	return ok
@@ -59,44 +67,49 @@
 // goCall returns a call as a statement; steps are in a map by workload.
 func goCall(r *trace.Record) string {
 	at := r.AtMs
-	switch b := r.Body.(type) {
+	switch body := r.Body.(type) {
 	case *tracepb.Record_Schedule:
-		return fmt.Sprintf("steps[%d] = %s", b.Schedule.GetWorkload().GetId(), goSchedule(r, b.Schedule))
+		return fmt.Sprintf("steps[%d] = %s", body.Schedule.GetWorkload().GetId(), goSchedule(r, body.Schedule))
 	case *tracepb.Record_Adopt:
-		w := decodeWorkload(b.Adopt.Workload)
-		return fmt.Sprintf("steps[%d] = a.Adopt(%v, %#v, %d)", w.ID, at, w, b.Adopt.Node)
+		workload := decodeWorkload(body.Adopt.Workload)
+		return fmt.Sprintf("steps[%d] = a.Adopt(%v, %#v, %d)", workload.ID, at, workload, body.Adopt.Node)
 	case *tracepb.Record_StepResult:
-		id := b.StepResult.Workload
-		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%v, %s)", id, id, at, goResult(decodeResult(b.StepResult)))
+		id := body.StepResult.Workload
+		result := goResult(decodeResult(body.StepResult))
+		return fmt.Sprintf("steps[%d] = steps[%d].NextStep(%v, %s)", id, id, at, result)
 	case *tracepb.Record_NodesUpdated:
-		return fmt.Sprintf("a.UpdateNodes(%v, %d, %#v)", at, b.NodesUpdated.Kind, decodeNodes(b.NodesUpdated.Nodes))
+		nodes := decodeNodes(body.NodesUpdated.Nodes)
+		return fmt.Sprintf("a.UpdateNodes(%v, %d, %#v)", at, body.NodesUpdated.Kind, nodes)
 	case *tracepb.Record_Report:
-		return fmt.Sprintf("a.ReportLoad(%v, %d, %#v)", at, b.Report.Node, *decodeLoad(b.Report.Load))
+		return fmt.Sprintf("a.ReportLoad(%v, %d, %#v)", at, body.Report.Node, *decodeLoad(body.Report.Load))
 	case *tracepb.Record_HealthChecked:
-		return fmt.Sprintf("a.HealthChecked(%v, %d, %v, %s)", at, b.HealthChecked.Node, b.HealthChecked.Answered, goLoad(decodeLoad(b.HealthChecked.Load)))
+		check := body.HealthChecked
+		load := goLoad(decodeLoad(check.Load))
+		return fmt.Sprintf("a.HealthChecked(%v, %d, %v, %s)", at, check.Node, check.Answered, load)
 	case *tracepb.Record_UsageReport:
-		return fmt.Sprintf("a.ReportUsage(%v, %d, %d, %v)", at, b.UsageReport.Workload, b.UsageReport.Kind, b.UsageReport.Value)
+		usage := body.UsageReport
+		return fmt.Sprintf("a.ReportUsage(%v, %d, %d, %v)", at, usage.Workload, usage.Kind, usage.Value)
 	case *tracepb.Record_Maintain:
 		return fmt.Sprintf("a.Maintain(%v)", at)
 	}
 	return ""
 }
 
-func goSchedule(r *trace.Record, p *tracepb.Schedule) string {
-	return fmt.Sprintf("a.Schedule(%v, %#v)", r.AtMs, decodeWorkload(p.Workload))
+func goSchedule(r *trace.Record, schedule *tracepb.Schedule) string {
+	return fmt.Sprintf("a.Schedule(%v, %#v)", r.AtMs, decodeWorkload(schedule.Workload))
 }
 
-func goResult(r placement.Result) string {
-	fields := fmt.Sprintf("Kind: %d, Reason: %d, Final: %v", r.Kind, r.Reason, r.Final)
-	if r.Load != nil {
-		fields += ", Load: " + goLoad(r.Load)
+func goResult(result placement.Result) string {
+	fields := fmt.Sprintf("Kind: %d, Reason: %d, Final: %v", result.Kind, result.Reason, result.Final)
+	if result.Load != nil {
+		fields += ", Load: " + goLoad(result.Load)
 	}
 	return "placement.Result{" + fields + "}"
 }
 
-func goLoad(l *placement.LoadReport) string {
-	if l == nil {
+func goLoad(load *placement.LoadReport) string {
+	if load == nil {
 		return "nil"
 	}
-	return fmt.Sprintf("&%#v", *l)
+	return fmt.Sprintf("&%#v", *load)
 }
--- a/internal/replay/gosource_test.go
+++ b/internal/replay/gosource_test.go
@@ -27,16 +27,19 @@
 	return &packages{fset, importer.ForCompiler(fset, "source", nil)}
 }
 
+// Import implements types.Importer.
 func (p *packages) Import(path string) (*types.Package, error) {
 	switch path {
 	case "testing":
 		return p.check(path, "package testing\ntype T struct{}")
 	case "github.com/stretchr/testify/assert":
-		return p.check(path, "package assert\nfunc Equal(t, expected, actual any, msgAndArgs ...any) bool { return true }")
+		return p.check(path, "package assert\n"+
+			"func Equal(t, expected, actual any, msgAndArgs ...any) bool { return true }")
 	}
 	return p.sources.Import(path)
 }
 
+// check returns the package of a source that passes the type checker.
 func (p *packages) check(path, source string) (*types.Package, error) {
 	file, err := parser.ParseFile(p.fset, path+".go", source, parser.SkipObjectResolution)
 	if err != nil {
@@ -47,20 +50,21 @@
 }
 
 func TestReproduction_PrintedTestCompiles(t *testing.T) {
-	files := traced(t, "rough")["allocator-1"]
-	p := newPackages()
+	files := playTraced(t, "rough")["allocator-1"]
+	known := newPackages()
 	for _, workload := range []uint32{1, 60, 120} {
 		t.Run(fmt.Sprint(workload), func(t *testing.T) {
-			x, err := replay.ReproduceFiles(files, workload)
+			reproduction, err := replay.ReproduceFiles(files, workload)
 			require.NoError(t, err)
-			var b strings.Builder
-			require.NoError(t, x.Print(&b))
+			var printed strings.Builder
+			require.NoError(t, reproduction.Print(&printed))
 			imports := []string{"testing", "github.com/stretchr/testify/assert", "grebeglade/placement"}
-			if strings.Contains(b.String(), "math.") {
+			if strings.Contains(printed.String(), "math.") {
 				imports = append(imports, "math")
 			}
-			source := fmt.Sprintf("package extracted\nimport (\n\"%s\"\n)\n%s", strings.Join(imports, "\"\n\""), b.String())
-			_, err = p.check("extracted", source)
+			quoted := strings.Join(imports, "\"\n\"")
+			source := fmt.Sprintf("package extracted\nimport (\n\"%s\"\n)\n%s", quoted, printed.String())
+			_, err = known.check("extracted", source)
 			require.NoError(t, err, source)
 		})
 	}
--- a/internal/replay/recorder.go
+++ b/internal/replay/recorder.go
@@ -6,11 +6,14 @@
 	"grebeglade/trace/tracepb"
 )
 
-// maxBatch is how many records are handed over at a time; Maintain hands over whatever there is.
+// maxBatch is how many records are put into the sink at a time; Maintain puts whatever there is.
 const maxBatch = 64
 
-// Sink takes records. It must not keep the caller waiting.
-type Sink interface{ Put(records []*trace.Record) }
+// Sink takes records.
+type Sink interface {
+	// Put takes records, which are not changed afterwards. It must not block.
+	Put(records []*trace.Record)
+}
 
 // RecorderConfig is what an allocator starts with.
 type RecorderConfig struct {
@@ -22,34 +25,42 @@
 	ZoneNames  []string
 }
 
-// Recorder is a placement module whose calls are recorded with their outcomes. It has the module's methods, and a few
-// for what goes on around it.
+// Recorder is a placement module whose calls are recorded with their outcomes. It has the module's methods, and others
+// that record what happens around the module.
 type Recorder struct {
 	module   *placement.Scheduler
 	sink     Sink
 	revision uint64
-	records  []*trace.Record // not handed over yet
+	records  []*trace.Record // not in the sink yet
 }
 
 // NewRecorder returns a module whose calls go to a sink, and records its start.
-func NewRecorder(c RecorderConfig, sink Sink) *Recorder {
-	r := &Recorder{module: placement.New(c.Settings, c.Seed), sink: sink}
-	r.add(0, &trace.Record{Body: &tracepb.Record_Start{Start: &tracepb.Start{
-		Source: c.Source, Settings: encodeSettings(c.Settings), Seed: c.Seed, Groups: c.GroupNames, Kinds: c.KindNames,
-		Zones: c.ZoneNames,
-	}}})
-	return r
+func NewRecorder(config RecorderConfig, sink Sink) *Recorder {
+	recorder := &Recorder{module: placement.New(config.Settings, config.Seed), sink: sink}
+	start := &tracepb.Start{
+		Source:   config.Source,
+		Settings: encodeSettings(config.Settings),
+		Seed:     config.Seed,
+		Groups:   config.GroupNames,
+		Kinds:    config.KindNames,
+		Zones:    config.ZoneNames,
+	}
+	recorder.add(0, &trace.Record{Body: &tracepb.Record_Start{Start: start}})
+	return recorder
 }
 
-func (r *Recorder) add(now placement.Millis, rec *trace.Record) {
+// add adds the next record.
+func (r *Recorder) add(now placement.Millis, record *trace.Record) {
 	r.revision++
-	rec.AtMs, rec.Revision = float64(now), r.revision
-	if r.records = append(r.records, rec); len(r.records) >= maxBatch {
+	record.AtMs = float64(now)
+	record.Revision = r.revision
+	r.records = append(r.records, record)
+	if len(r.records) >= maxBatch {
 		r.Flush()
 	}
 }
 
-// Flush hands over the records that have not been yet.
+// Flush puts the remaining records into the sink.
 func (r *Recorder) Flush() {
 	if len(r.records) > 0 {
 		r.sink.Put(r.records)
@@ -58,108 +69,81 @@
 }
 
 // recordStep records a step with the call that returned it, and makes its continuation record the next one.
-func (r *Recorder) recordStep(now placement.Millis, id placement.WorkloadID, rec *trace.Record, s placement.Step) placement.Step {
-	rec.Step = encodeStep(s)
-	r.add(now, rec)
-	next := s.NextStep
+func (r *Recorder) recordStep(
+	now placement.Millis, id placement.WorkloadID, call *trace.Record, step placement.Step,
+) placement.Step {
+	call.Step = encodeStep(step)
+	r.add(now, call)
+	next := step.NextStep
 	if next == nil {
-		return s
+		return step
 	}
-	s.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
+	step.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
 		call := &trace.Record{Body: &tracepb.Record_StepResult{StepResult: encodeResult(id, result)}}
 		return r.recordStep(now, id, call, next(now, result))
 	}
-	return s
+	return step
 }
 
 // Schedule calls the module's Schedule.
 func (r *Recorder) Schedule(now placement.Millis, w placement.Workload) placement.Step {
-	call := &trace.Record{Body: &tracepb.Record_Schedule{Schedule: &tracepb.Schedule{Workload: encodeWorkload(w)}}}
+	schedule := &tracepb.Schedule{Workload: encodeWorkload(w)}
+	call := &trace.Record{Body: &tracepb.Record_Schedule{Schedule: schedule}}
 	return r.recordStep(now, w.ID, call, r.module.Schedule(now, w))
 }
 
 // Adopt calls the module's Adopt.
 func (r *Recorder) Adopt(now placement.Millis, w placement.Workload, node placement.NodeID) placement.Step {
-	call := &trace.Record{Body: &tracepb.Record_Adopt{Adopt: &tracepb.Adopt{
-		Workload: encodeWorkload(w), Node: uint32(node),
-	}}}
+	adopt := &tracepb.Adopt{Workload: encodeWorkload(w), Node: uint32(node)}
+	call := &trace.Record{Body: &tracepb.Record_Adopt{Adopt: adopt}}
 	return r.recordStep(now, w.ID, call, r.module.Adopt(now, w, node))
 }
 
 // UpdateNodes calls the module's UpdateNodes.
-func (r *Recorder) UpdateNodes(now placement.Millis, k placement.NodeUpdateKind, nodes []placement.Node) {
-	r.module.UpdateNodes(now, k, nodes)
-	r.add(now, &trace.Record{Body: &tracepb.Record_NodesUpdated{NodesUpdated: &tracepb.NodesUpdated{Kind: uint32(k), Nodes: encodeNodes(nodes)}}})
+func (r *Recorder) UpdateNodes(now placement.Millis, kind placement.NodeUpdateKind, nodes []placement.Node) {
+	r.module.UpdateNodes(now, kind, nodes)
+	updated := &tracepb.NodesUpdated{Kind: uint32(kind), Nodes: encodeNodes(nodes)}
+	r.add(now, &trace.Record{Body: &tracepb.Record_NodesUpdated{NodesUpdated: updated}})
 }
 
 // ReportLoad calls the module's ReportLoad.
-func (r *Recorder) ReportLoad(now placement.Millis, id placement.NodeID, l placement.LoadReport) {
-	r.module.ReportLoad(now, id, l)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Report{Report: &tracepb.Report{Node: uint32(id), Load: encodeLoad(&l)}}})
+func (r *Recorder) ReportLoad(now placement.Millis, id placement.NodeID, load placement.LoadReport) {
+	r.module.ReportLoad(now, id, load)
+	report := &tracepb.Report{Node: uint32(id), Load: encodeLoad(&load)}
+	r.add(now, &trace.Record{Body: &tracepb.Record_Report{Report: report}})
 }
 
 // HealthChecked calls the module's HealthChecked.
-func (r *Recorder) HealthChecked(now placement.Millis, id placement.NodeID, answered bool, l *placement.LoadReport) {
-	r.module.HealthChecked(now, id, answered, l)
-	r.add(now, &trace.Record{Body: &tracepb.Record_HealthChecked{HealthChecked: &tracepb.HealthChecked{
-		Node: uint32(id), Answered: answered, Load: encodeLoad(l),
-	}}})
+func (r *Recorder) HealthChecked(
+	now placement.Millis, id placement.NodeID, answered bool, load *placement.LoadReport,
+) {
+	r.module.HealthChecked(now, id, answered, load)
+	checked := &tracepb.HealthChecked{
+		Node:     uint32(id),
+		Answered: answered,
+		Load:     encodeLoad(load),
+	}
+	r.add(now, &trace.Record{Body: &tracepb.Record_HealthChecked{HealthChecked: checked}})
 }
 
 // ReportUsage calls the module's ReportUsage.
-func (r *Recorder) ReportUsage(now placement.Millis, id placement.WorkloadID, k placement.UsageKind, value float64) {
-	r.module.ReportUsage(now, id, k, value)
-	r.add(now, &trace.Record{Body: &tracepb.Record_UsageReport{UsageReport: &tracepb.UsageReport{
-		Workload: uint32(id), Kind: uint32(k), Value: value,
-	}}})
+func (r *Recorder) ReportUsage(now placement.Millis, id placement.WorkloadID, kind placement.UsageKind, value float64) {
+	r.module.ReportUsage(now, id, kind, value)
+	usage := &tracepb.UsageReport{
+		Workload: uint32(id),
+		Kind:     uint32(kind),
+		Value:    value,
+	}
+	r.add(now, &trace.Record{Body: &tracepb.Record_UsageReport{UsageReport: usage}})
 }
 
-// Maintain calls the module's Maintain, and hands over what has been recorded.
+// Maintain calls the module's Maintain, and puts what has been recorded into the sink.
 func (r *Recorder) Maintain(now placement.Millis) placement.Maintenance {
-	m := r.module.Maintain(now)
-	r.add(now, &trace.Record{Body: &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}}, Maintenance: encodeMaintenance(m)})
+	actions := r.module.Maintain(now)
+	r.add(now, &trace.Record{
+		Body:        &tracepb.Record_Maintain{Maintain: &tracepb.Maintain{}},
+		Maintenance: encodeMaintenance(actions),
+	})
 	r.Flush()
-	return m
-}
-
-// RecordRequest records whose a workload is, before it is scheduled or adopted.
-func (r *Recorder) RecordRequest(now placement.Millis, id placement.WorkloadID, client string, request, key uint64) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_RequestReceived{RequestReceived: &tracepb.RequestReceived{
-		Workload: uint32(id), Client: client, RequestId: request, Key: key,
-	}}})
-}
-
-// RecordAnswer records what a client was answered.
-func (r *Recorder) RecordAnswer(now placement.Millis, id placement.WorkloadID, verdict uint8, node placement.NodeID, text string) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_RequestAnswered{RequestAnswered: &tracepb.RequestAnswered{
-		Workload: uint32(id), Verdict: uint32(verdict), Node: uint32(node), Text: text,
-	}}})
-}
-
-// RecordRejection records the text with which a node rejected a workload.
-func (r *Recorder) RecordRejection(now placement.Millis, id placement.WorkloadID, node placement.NodeID, text string) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_OfferRejected{OfferRejected: &tracepb.OfferRejected{
-		Workload: uint32(id), Node: uint32(node), Text: text,
-	}}})
-}
-
-// RecordListRevision records which revision of the endpoint list was received.
-func (r *Recorder) RecordListRevision(now placement.Millis, epoch, revision uint64) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: &tracepb.DiscoveryUpdated{Epoch: epoch, Revision: revision}}})
-}
-
-// RecordGangRequest records that the workloads of a request belong together, before each of them.
-func (r *Recorder) RecordGangRequest(now placement.Millis, client string, request uint64, parts, need int, pending placement.Millis) {
-	r.add(now, &trace.Record{Body: &tracepb.Record_GangRequested{GangRequested: &tracepb.GangRequested{
-		Client: client, RequestId: request, Parts: uint32(parts), MinParts: uint32(need), PendingTimeout: float64(pending),
-	}}})
-}
-
-// RecordGangState records the progress of a gang, with the workloads of its parts, 0 for one that is not requested.
-func (r *Recorder) RecordGangState(now placement.Millis, client string, request uint64, state string, parts []placement.WorkloadID) {
-	g := &tracepb.GangState{Client: client, RequestId: request, State: state}
-	for _, id := range parts {
-		g.Workloads = append(g.Workloads, uint32(id))
-	}
-	r.add(now, &trace.Record{Body: &tracepb.Record_GangState{GangState: g}})
+	return actions
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -25,43 +26,45 @@
 	"grebeglade/trace/tracepb"
 )
 
-// traced runs a scenario in virtual time and returns the traces of each allocator.
-func traced(t *testing.T, name string) map[string][]*trace.Reader {
+// playTraced plays a scenario in virtual time and returns the traces of each allocator.
+func playTraced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
 	s, err := scenario.Open(name)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	_, err = simulation.PlayVirtual(s, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
-	return open(t, dir)
+	return openTraces(t, dir)
 }
 
-func open(t *testing.T, dir string) map[string][]*trace.Reader {
+// openTraces returns the traces in a directory by allocator.
+func openTraces(t *testing.T, dir string) map[string][]*trace.Reader {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	all := map[string][]*trace.Reader{}
-	for _, e := range entries {
-		names, _, _ := trace.ListFiles(filepath.Join(dir, e.Name()))
-		for _, n := range names {
-			r, err := trace.Open(n)
+	for _, entry := range entries {
+		names, _, _ := trace.ListFiles(filepath.Join(dir, entry.Name()))
+		for _, name := range names {
+			reader, err := trace.Open(name)
 			require.NoError(t, err)
-			t.Cleanup(func() { require.NoError(t, r.Close()) })
-			all[e.Name()] = append(all[e.Name()], r)
+			t.Cleanup(func() { require.NoError(t, reader.Close()) })
+			all[entry.Name()] = append(all[entry.Name()], reader)
 		}
 	}
 	require.NotEmpty(t, all)
 	return all
 }
 
-func identical(t *testing.T, traces map[string][]*trace.Reader) {
+// requireIdentical replays traces, and requires that every decision is as recorded.
+func requireIdentical(t *testing.T, traces map[string][]*trace.Reader) {
 	t.Helper()
 	for name, files := range traces {
 		reports, err := replay.RunFiles(files, replay.Options{})
 		require.NoError(t, err, name)
-		for _, r := range reports {
-			assert.True(t, r.Identical(), "%s: %+v", r.Source, r.Differ)
-			assert.NotZero(t, r.Decisions)
+		for _, report := range reports {
+			assert.True(t, report.Identical(), "%s: %+v", report.Source, report.Differ)
+			assert.NotZero(t, report.Decisions)
 		}
 	}
 }
@@ -70,7 +73,7 @@
 	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			identical(t, traced(t, name))
+			requireIdentical(t, playTraced(t, name))
 		})
 	}
 }
@@ -80,28 +83,29 @@
 	require.NoError(t, err)
 	s.SetLength(4000)
 	dir := t.TempDir()
-	r, err := simulation.PlaySockets(context.Background(), s, simulation.Options{Seed: 3, TraceDirectory: dir}, nil)
+	options := simulation.Options{Seed: 3, TraceDirectory: dir}
+	result, err := simulation.PlaySockets(context.Background(), s, options, nil)
 	require.NoError(t, err)
-	assert.Empty(t, r.Violations)
-	identical(t, open(t, dir))
+	assert.Empty(t, result.Violations)
+	requireIdentical(t, openTraces(t, dir))
 }
 
 func TestRecorder_DoesNotChangeDecisions(t *testing.T) {
 	s, err := scenario.Open("rough")
 	require.NoError(t, err)
-	with, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, TraceDirectory: t.TempDir()})
+	recorded, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5, TraceDirectory: t.TempDir()})
 	require.NoError(t, err)
 	s, err = scenario.Open("rough")
 	require.NoError(t, err)
-	without, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5})
+	unrecorded, err := simulation.PlayVirtual(s, simulation.Options{Seed: 5})
 	require.NoError(t, err)
-	assert.Equal(t, without.Digest, with.Digest)
+	assert.Equal(t, unrecorded.Digest, recorded.Digest)
 }
 
 func TestRunFiles_ChangedModuleIsReportedAtFirstDivergence(t *testing.T) {
-	files := traced(t, "full")["allocator-1"]
+	files := playTraced(t, "full")["allocator-1"]
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
-		s.Groups = append([]placement.Group(nil), s.Groups...)
+		s.Groups = slices.Clone(s.Groups)
 		for i := range s.Groups {
 			s.Groups[i].FullServiceUtilization = 0.35 // a lower cap on ρ
 		}
@@ -109,42 +113,50 @@
 	}
 	reports, err := replay.RunFiles(files, replay.Options{Module: changed})
 	require.NoError(t, err)
-	d := reports[0].Differ
-	require.NotNil(t, d)
-	assert.NotEqual(t, d.Recorded, d.Decided)
-	assert.NotEmpty(t, d.Before)
+	divergence := reports[0].Differ
+	require.NotNil(t, divergence)
+	assert.NotEqual(t, divergence.Recorded, divergence.Decided)
+	assert.NotEmpty(t, divergence.Before)
 	// All decisions before it are the same.
 	records := 0
 	for r, err := range files[0].Records(trace.Span{}) {
 		require.NoError(t, err)
-		if r.Revision < d.Revision && (r.Step != nil || r.Maintenance != nil) {
+		if r.Revision < divergence.Revision && (r.Step != nil || r.Maintenance != nil) {
 			records++
 		}
 	}
 	assert.Equal(t, records, reports[0].Same)
 }
 
-func TestRunFiles_OtherSettingsAreComparedByRequest(t *testing.T) {
-	files := traced(t, "full")["allocator-1"]
-	reports, err := replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) { return s, nil }})
+// whatIf replays files with other settings.
+func whatIf(
+	t *testing.T, files []*trace.Reader, settings func(placement.Settings) (placement.Settings, error),
+) *replay.WhatIf {
+	t.Helper()
+	reports, err := replay.RunFiles(files, replay.Options{Settings: settings})
 	require.NoError(t, err)
-	w := reports[0].WhatIf
-	assert.Equal(t, w.Requests, w.SameNode+w.StillRejected, "the same settings decide the same")
-	reports, err = replay.RunFiles(files, replay.Options{Settings: func(s placement.Settings) (placement.Settings, error) {
-		s.NodeKinds = append([]placement.NodeKind(nil), s.NodeKinds...)
+	return reports[0].WhatIf
+}
+
+func TestRunFiles_OtherSettingsAreComparedByRequest(t *testing.T) {
+	files := playTraced(t, "full")["allocator-1"]
+	same := whatIf(t, files, func(s placement.Settings) (placement.Settings, error) { return s, nil })
+	assert.Equal(t, same.Requests, same.SameNode+same.StillRejected, "the same settings decide the same")
+	fewerCores := whatIf(t, files, func(s placement.Settings) (placement.Settings, error) {
+		s.NodeKinds = slices.Clone(s.NodeKinds)
 		for i := range s.NodeKinds {
 			s.NodeKinds[i].Cores /= 4
 		}
 		return s, nil
-	}})
-	require.NoError(t, err)
-	w = reports[0].WhatIf
-	assert.NotZero(t, w.NowRejected)
-	assert.Equal(t, w.Requests, w.SameNode+w.OtherNode+w.NowRejected+w.NowBound+w.StillRejected)
+	})
+	assert.NotZero(t, fewerCores.NowRejected)
+	bound := fewerCores.SameNode + fewerCores.OtherNode + fewerCores.NowBound
+	rejected := fewerCores.NowRejected + fewerCores.StillRejected
+	assert.Equal(t, fewerCores.Requests, bound+rejected)
 }
 
-// rewritten returns a file with the records that edit keeps, as it leaves them.
-func rewritten(t *testing.T, file *trace.Reader, edit func(*trace.Record) (keep bool)) *trace.Reader {
+// rewriteFile returns a file with the records that edit keeps, as it leaves them.
+func rewriteFile(t *testing.T, file *trace.Reader, edit func(*trace.Record) (keep bool)) *trace.Reader {
 	t.Helper()
 	var out bytes.Buffer
 	w, err := trace.NewWriter(&out, trace.CopyHeader(file.Header))
@@ -161,52 +173,62 @@
 	return r
 }
 
+// keepAll is an edit that changes nothing.
+func keepAll(*trace.Record) bool { return true }
+
 func TestRunFiles_IncompleteTraceIsAnError(t *testing.T) {
-	file := traced(t, "quiet")["allocator-1"][0]
+	file := playTraced(t, "quiet")["allocator-1"][0]
+	replayEdited := func(t *testing.T, edit func(*trace.Record) (keep bool)) error {
+		t.Helper()
+		_, err := replay.RunFiles([]*trace.Reader{rewriteFile(t, file, edit)}, replay.Options{})
+		return err
+	}
 	t.Run("gap", func(t *testing.T) {
-		_, err := replay.RunFiles([]*trace.Reader{rewritten(t, file, func(r *trace.Record) bool {
-			if r.Revision == 50 {
-				r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Reason: "the queue was full"}}
-				r.Step, r.Maintenance = nil, nil
-			}
-			return true
-		})}, replay.Options{})
+		err := replayEdited(t, replaceByGap)
 		require.ErrorContains(t, err, "1 records are missing here (the queue was full)")
 		var gap replay.GapError
 		require.ErrorAs(t, err, &gap)
 		assert.Equal(t, replay.GapError{Missing: 1, Reason: "the queue was full"}, gap)
 	})
 	t.Run("missing record", func(t *testing.T) {
-		_, err := replay.RunFiles([]*trace.Reader{
-			rewritten(t, file, func(r *trace.Record) bool { return r.Revision != 50 }),
-		}, replay.Options{})
-		require.ErrorContains(t, err, "revision 51: the record before has revision 49; a file is missing between them")
+		err := replayEdited(t, func(r *trace.Record) bool { return r.Revision != missingRevision })
+		const message = "revision 51: the previous record has revision 49; a file is missing between them"
+		require.ErrorContains(t, err, message)
 		var missing replay.RevisionError
 		require.ErrorAs(t, err, &missing)
-		assert.Equal(t, replay.RevisionError{Previous: 49}, missing)
+		assert.Equal(t, replay.RevisionError{Previous: missingRevision - 1}, missing)
 	})
 	t.Run("no start", func(t *testing.T) {
-		_, err := replay.RunFiles([]*trace.Reader{
-			rewritten(t, file, func(r *trace.Record) bool { return r.GetMaintain() != nil }),
-		}, replay.Options{})
+		err := replayEdited(t, func(r *trace.Record) bool { return r.GetMaintain() != nil })
 		assert.ErrorIs(t, err, replay.ErrNoStart)
 	})
 	t.Run("no records", func(t *testing.T) {
-		_, err := replay.RunFiles([]*trace.Reader{
-			rewritten(t, file, func(*trace.Record) bool { return false }),
-		}, replay.Options{})
+		err := replayEdited(t, func(*trace.Record) bool { return false })
 		assert.ErrorIs(t, err, replay.ErrNoStart)
 	})
-	t.Run("pseudonyms", func(t *testing.T) {
-		anonymised := rewritten(t, file, func(*trace.Record) bool { return true })
+	t.Run("anonymised", func(t *testing.T) {
+		anonymised := rewriteFile(t, file, keepAll)
 		anonymised.Header.Anonymised = true
 		_, err := replay.RunFiles([]*trace.Reader{anonymised}, replay.Options{})
 		assert.ErrorIs(t, err, replay.ErrAnonymised)
 	})
 }
 
+// missingRevision is that of the record that an incomplete trace lacks.
+const missingRevision = 50
+
+// replaceByGap replaces the missing record by a gap.
+func replaceByGap(r *trace.Record) (keep bool) {
+	if r.Revision == missingRevision {
+		r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Reason: "the queue was full"}}
+		r.Step = nil
+		r.Maintenance = nil
+	}
+	return true
+}
+
 func TestReproduceFiles_FindsFewCalls(t *testing.T) {
-	files := traced(t, "rough")["allocator-1"]
+	files := playTraced(t, "rough")["allocator-1"]
 	r, err := replay.ReproduceFiles(files, 60)
 	require.NoError(t, err)
 	assert.Less(t, len(r.Calls), r.CallsBefore/5)
@@ -242,13 +264,13 @@
 }
 
 func TestReproduceFiles_UnknownWorkloadIsAnError(t *testing.T) {
-	_, err := replay.ReproduceFiles(traced(t, "quiet")["allocator-1"], 999999)
+	_, err := replay.ReproduceFiles(playTraced(t, "quiet")["allocator-1"], 999999)
 	require.ErrorContains(t, err, "no request of workload 999999")
 	require.ErrorIs(t, err, replay.NoRequestError{Workload: 999999})
 }
 
 func TestReproduceFiles_OtherDecisionIsAnError(t *testing.T) {
-	file := rewritten(t, traced(t, "quiet")["allocator-1"][0], func(r *trace.Record) bool {
+	file := rewriteFile(t, playTraced(t, "quiet")["allocator-1"][0], func(r *trace.Record) bool {
 		if r.GetSchedule() != nil {
 			r.Step.Node += 1000
 		}
@@ -259,7 +281,7 @@
 }
 
 func TestFilter_SelectsRecordsByWhatTheyConcern(t *testing.T) {
-	file := traced(t, "quiet")["allocator-1"][0]
+	file := playTraced(t, "quiet")["allocator-1"][0]
 	count := func(f replay.Filter) (n int) {
 		match := f.Matcher()
 		for r, err := range file.Records(trace.Span{}) {
@@ -270,9 +292,9 @@
 		}
 		return n
 	}
-	all, one := count(replay.Filter{}), count(replay.Filter{Workload: 3})
-	assert.Greater(t, all, 500)
-	assert.GreaterOrEqual(t, one, 4, "requested, scheduled, confirmed, answered")
-	assert.Less(t, one, 30)
+	assert.Greater(t, count(replay.Filter{}), 500)
+	ofWorkload := count(replay.Filter{Workload: 3})
+	assert.GreaterOrEqual(t, ofWorkload, 4, "requested, scheduled, confirmed, answered")
+	assert.Less(t, ofWorkload, 30)
 	assert.Zero(t, count(replay.Filter{Workload: 3, Node: 1}))
 }
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -22,42 +22,52 @@
 
 // Reproduce finds the calls that a workload's first step rests on. It leaves out calls, at first half of them, then
 // smaller parts, as long as the module still decides the same with what remains.
-func Reproduce(records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, workload uint32) (*Reproduction, error) {
-	r, calls, err := findRequest(records, workload)
+func Reproduce(
+	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, workload uint32,
+) (*Reproduction, error) {
+	found, calls, err := findRequest(records, workload)
 	if err != nil {
 		return nil, err
 	}
-	before, last := calls[:len(calls)-1], calls[len(calls)-1]
-	r.Source = sourceName(sources, last.Source)
-	r.CallsBefore = len(before)
-	same := func(before []*trace.Record) bool { return proto.Equal(r.decide(before, last), r.Decision) }
+	before, last := splitLast(calls)
+	found.Source = sourceName(sources, last.Source)
+	found.CallsBefore = len(before)
+	same := func(before []*trace.Record) bool {
+		return proto.Equal(found.decide(before, last), found.Decision)
+	}
 	if !same(before) {
 		return nil, ErrOtherDecision
 	}
-	r.Calls = append(shrink(before, same), last)
-	return r, nil
+	found.Calls = append(shrink(before, same), last)
+	return found, nil
+}
+
+// splitLast returns the last call, and those before it. There must be a call.
+func splitLast(calls []*trace.Record) (before []*trace.Record, last *trace.Record) {
+	end := len(calls) - 1
+	return calls[:end], calls[end]
 }
 
 // findRequest returns the calls of the workload's allocator up to the request.
 func findRequest(records iter.Seq2[*trace.Record, error], workload uint32) (*Reproduction, []*trace.Record, error) {
 	calls := map[uint32][]*trace.Record{} // by source
 	starts := map[uint32]*tracepb.Start{}
-	for rec, err := range records {
+	for record, err := range records {
 		if err != nil {
 			return nil, nil, err
 		}
-		if s := rec.GetStart(); s != nil {
-			starts[rec.Source] = s
+		if start := record.GetStart(); start != nil {
+			starts[record.Source] = start
 		}
-		if starts[rec.Source] == nil {
+		if starts[record.Source] == nil {
 			return nil, nil, ErrNoStart
 		}
-		if !isCall(rec) {
+		if !isCall(record) {
 			continue
 		}
-		calls[rec.Source] = append(calls[rec.Source], rec)
-		if p := rec.GetSchedule(); p != nil && p.GetWorkload().GetId() == workload {
-			return &Reproduction{Start: starts[rec.Source], Decision: rec.Step}, calls[rec.Source], nil
+		calls[record.Source] = append(calls[record.Source], record)
+		if schedule := record.GetSchedule(); schedule != nil && schedule.GetWorkload().GetId() == workload {
+			return &Reproduction{Start: starts[record.Source], Decision: record.Step}, calls[record.Source], nil
 		}
 	}
 	return nil, nil, NoRequestError{Workload: workload}
@@ -66,8 +76,14 @@
 // isCall reports whether a record is a call of the module.
 func isCall(r *trace.Record) bool {
 	switch r.Body.(type) {
-	case *tracepb.Record_Schedule, *tracepb.Record_Adopt, *tracepb.Record_StepResult, *tracepb.Record_NodesUpdated, *tracepb.Record_Report,
-		*tracepb.Record_HealthChecked, *tracepb.Record_UsageReport, *tracepb.Record_Maintain:
+	case *tracepb.Record_Schedule,
+		*tracepb.Record_Adopt,
+		*tracepb.Record_StepResult,
+		*tracepb.Record_NodesUpdated,
+		*tracepb.Record_Report,
+		*tracepb.Record_HealthChecked,
+		*tracepb.Record_UsageReport,
+		*tracepb.Record_Maintain:
 		return true
 	}
 	return false
@@ -95,20 +111,21 @@
 	module := placement.New(decodeSettings(r.Start.Settings), r.Start.Seed)
 	calls := newRun(Options{}, r.Source, 0)
 	calls.module = module
-	for _, rec := range before {
-		if calls.possible(rec) {
-			calls.call(rec)
+	for _, record := range before {
+		if calls.possible(record) {
+			calls.call(record)
 		}
 	}
-	return encodeStep(module.Schedule(placement.Millis(last.AtMs), decodeWorkload(last.GetSchedule().Workload)))
+	requested := decodeWorkload(last.GetSchedule().Workload)
+	return encodeStep(module.Schedule(placement.Millis(last.AtMs), requested))
 }
 
 // possible reports whether a call can be made: a result needs the step that it answers, which may have been left out.
-func (r *run) possible(rec *trace.Record) bool {
-	n := rec.GetStepResult()
-	if n == nil {
+func (r *run) possible(call *trace.Record) bool {
+	result := call.GetStepResult()
+	if result == nil {
 		return true
 	}
-	step, ok := r.steps[n.Workload]
+	step, ok := r.steps[result.Workload]
 	return ok && step.NextStep != nil
 }
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -20,28 +20,30 @@
 // Run makes the calls of records on a module and compares each decision. Records of several allocators may be mixed;
 // each has a run and a report of its own. It stops at damage. With the recorded settings, a run stops at its first
 // divergence: what comes after answers another decision.
-func Run(records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, o Options) ([]*Report, error) {
-	if o.Module == nil {
-		o.Module = func(s placement.Settings, seed uint64) allocator.Module { return placement.New(s, seed) }
-	}
-	runs := map[uint32]*run{}
-	for rec, err := range records {
+func Run(
+	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, options Options,
+) ([]*Report, error) {
+	if options.Module == nil {
+		options.Module = newModule
+	}
+	runs := map[uint32]*run{} // by source
+	for record, err := range records {
 		if err != nil {
 			return nil, err
 		}
-		r := runs[rec.Source]
-		if r == nil {
-			if rec.GetStart() == nil {
+		current := runs[record.Source]
+		if current == nil {
+			if record.GetStart() == nil {
 				return nil, ErrNoStart
 			}
-			r = newRun(o, sourceName(sources, rec.Source), rec.Revision)
-			runs[rec.Source] = r
+			current = newRun(options, sourceName(sources, record.Source), record.Revision)
+			runs[record.Source] = current
 		}
-		if r.report.Differ != nil && o.Settings == nil {
+		if current.diverged() {
 			continue
 		}
-		if err := r.add(rec); err != nil {
-			return nil, fmt.Errorf("%s, revision %d: %w", r.report.Source, rec.Revision, err)
+		if err := current.add(record); err != nil {
+			return nil, fmt.Errorf("%s, revision %d: %w", current.report.Source, record.Revision, err)
 		}
 	}
 	if len(runs) == 0 {
@@ -54,6 +56,12 @@
 	return reports, nil
 }
 
+// newModule returns this program's module.
+func newModule(settings placement.Settings, seed uint64) allocator.Module {
+	return placement.New(settings, seed)
+}
+
+// sourceName returns the name of a source by its number.
 func sourceName(sources []*tracepb.Source, i uint32) string {
 	if int(i) < len(sources) {
 		return trace.KeyOf(sources[i]).String()
@@ -71,34 +79,45 @@
 	nextRevision uint64
 }
 
-func newRun(o Options, source string, revision uint64) *run {
-	return &run{options: o, steps: map[uint32]placement.Step{}, report: Report{Source: source}, nextRevision: revision}
+// newRun returns a run whose first record has a revision.
+func newRun(options Options, source string, revision uint64) *run {
+	return &run{
+		options:      options,
+		steps:        map[uint32]placement.Step{},
+		report:       Report{Source: source},
+		nextRevision: revision,
+	}
 }
 
+// diverged reports whether the run ends here: with the recorded settings, what follows a divergence means nothing.
+func (r *run) diverged() bool { return r.report.Differ != nil && r.options.Settings == nil }
+
 // add takes the next record, which must follow the one before without a gap.
-func (r *run) add(rec *trace.Record) error {
-	if g := rec.GetGap(); g != nil {
-		return GapError{Missing: g.Missing, Reason: g.Reason}
+func (r *run) add(record *trace.Record) error {
+	if gap := record.GetGap(); gap != nil {
+		return GapError{Missing: gap.Missing, Reason: gap.Reason}
 	}
-	if rec.Revision != r.nextRevision {
+	if record.Revision != r.nextRevision {
 		return RevisionError{Previous: r.nextRevision - 1}
 	}
 	r.nextRevision++
-	if s := rec.GetStart(); s != nil {
-		return r.start(s)
+	if start := record.GetStart(); start != nil {
+		return r.start(start)
 	}
-	if !r.call(rec) {
+	if !r.call(record) {
 		return nil
 	}
 	r.report.Calls++
-	if r.callsBefore = append(r.callsBefore, Describe(rec)); len(r.callsBefore) > maxCallsBefore {
+	r.callsBefore = append(r.callsBefore, Describe(record))
+	if len(r.callsBefore) > maxCallsBefore {
 		r.callsBefore = r.callsBefore[1:]
 	}
 	return nil
 }
 
-func (r *run) start(s *tracepb.Start) error {
-	settings := decodeSettings(s.Settings)
+// start makes the module, with the recorded settings or others.
+func (r *run) start(start *tracepb.Start) error {
+	settings := decodeSettings(start.Settings)
 	if r.options.Settings != nil {
 		var err error
 		if settings, err = r.options.Settings(settings); err != nil {
@@ -106,34 +125,37 @@
 		}
 		r.report.WhatIf = &WhatIf{}
 	}
-	r.module = r.options.Module(settings, s.Seed)
+	r.module = r.options.Module(settings, start.Seed)
 	return nil
 }
 
 // call makes a call and compares its outcome. It returns false if the record is no call.
-func (r *run) call(rec *trace.Record) bool {
-	now := placement.Millis(rec.AtMs)
-	switch b := rec.Body.(type) {
+func (r *run) call(record *trace.Record) bool {
+	now := placement.Millis(record.AtMs)
+	switch body := record.Body.(type) {
 	case *tracepb.Record_Schedule:
-		r.decided(rec, b.Schedule.Workload.GetId(), r.module.Schedule(now, decodeWorkload(b.Schedule.Workload)))
+		step := r.module.Schedule(now, decodeWorkload(body.Schedule.Workload))
+		r.decided(record, body.Schedule.Workload.GetId(), step)
 	case *tracepb.Record_Adopt:
-		step := r.module.Adopt(now, decodeWorkload(b.Adopt.Workload), placement.NodeID(b.Adopt.Node))
-		r.decided(rec, b.Adopt.Workload.GetId(), step)
+		step := r.module.Adopt(now, decodeWorkload(body.Adopt.Workload), placement.NodeID(body.Adopt.Node))
+		r.decided(record, body.Adopt.Workload.GetId(), step)
 	case *tracepb.Record_StepResult:
-		r.advance(rec, b.StepResult)
+		r.advance(record, body.StepResult)
 	case *tracepb.Record_NodesUpdated:
-		r.module.UpdateNodes(now, placement.NodeUpdateKind(b.NodesUpdated.Kind), decodeNodes(b.NodesUpdated.Nodes))
+		updated := body.NodesUpdated
+		r.module.UpdateNodes(now, placement.NodeUpdateKind(updated.Kind), decodeNodes(updated.Nodes))
 	case *tracepb.Record_Report:
-		if l := decodeLoad(b.Report.Load); l != nil {
-			r.module.ReportLoad(now, placement.NodeID(b.Report.Node), *l)
+		if load := decodeLoad(body.Report.Load); load != nil {
+			r.module.ReportLoad(now, placement.NodeID(body.Report.Node), *load)
 		}
 	case *tracepb.Record_HealthChecked:
-		r.module.HealthChecked(now, placement.NodeID(b.HealthChecked.Node), b.HealthChecked.Answered, decodeLoad(b.HealthChecked.Load))
+		checked := body.HealthChecked
+		r.module.HealthChecked(now, placement.NodeID(checked.Node), checked.Answered, decodeLoad(checked.Load))
 	case *tracepb.Record_UsageReport:
-		r.module.ReportUsage(now, placement.WorkloadID(b.UsageReport.Workload), placement.UsageKind(b.UsageReport.Kind), b.UsageReport.Value)
+		usage := body.UsageReport
+		r.module.ReportUsage(now, placement.WorkloadID(usage.Workload), placement.UsageKind(usage.Kind), usage.Value)
 	case *tracepb.Record_Maintain:
-		decided := encodeMaintenance(r.module.Maintain(now))
-		r.compare(rec, proto.Equal(decided, rec.Maintenance), describeMaintenance(rec.Maintenance), describeMaintenance(decided))
+		r.maintained(record, encodeMaintenance(r.module.Maintain(now)))
 	default:
 		return false
 	}
@@ -141,21 +163,22 @@
 }
 
 // advance passes a recorded result to the workload's last step. With other settings there may be none.
-func (r *run) advance(rec *trace.Record, n *tracepb.StepResult) {
-	step, ok := r.steps[n.Workload]
+func (r *run) advance(record *trace.Record, result *tracepb.StepResult) {
+	step, ok := r.steps[result.Workload]
 	if !ok || step.NextStep == nil {
 		if r.options.Settings == nil {
-			r.compare(rec, false, describeStep(rec.Step), "nothing: the workload was let go of before")
+			r.compare(record, false, describeStep(record.Step), "nothing: the workload has ended before")
 		}
 		return
 	}
-	r.decided(rec, n.Workload, step.NextStep(placement.Millis(rec.AtMs), decodeResult(n)))
+	next := step.NextStep(placement.Millis(record.AtMs), decodeResult(result))
+	r.decided(record, result.Workload, next)
 }
 
 // decided takes a workload's next step.
-func (r *run) decided(rec *trace.Record, id uint32, step placement.Step) {
+func (r *run) decided(record *trace.Record, id uint32, step placement.Step) {
 	if r.options.Settings != nil {
-		r.estimate(rec, id, step)
+		r.estimate(record, id, step)
 		return
 	}
 	if step.NextStep == nil {
@@ -164,19 +187,32 @@
 		r.steps[id] = step
 	}
 	decided := encodeStep(step)
-	r.compare(rec, proto.Equal(decided, rec.Step), describeStep(rec.Step), describeStep(decided))
+	r.compare(record, proto.Equal(decided, record.Step), describeStep(record.Step), describeStep(decided))
 }
 
-func (r *run) compare(rec *trace.Record, same bool, recorded, decided string) {
+// maintained compares maintenance actions.
+func (r *run) maintained(record *trace.Record, decided *tracepb.Maintenance) {
+	recorded := record.Maintenance
+	same := proto.Equal(decided, recorded)
+	r.compare(record, same, describeMaintenance(recorded), describeMaintenance(decided))
+}
+
+// compare counts a decision, and reports it if it is the first that differs.
+func (r *run) compare(record *trace.Record, same bool, recorded, decided string) {
 	r.report.Decisions++
 	if same {
 		r.report.Same++
 		return
 	}
-	if r.report.Differ == nil {
-		r.report.Differ = &Divergence{
-			AtMs: rec.AtMs, Revision: rec.Revision, Call: Describe(rec), Recorded: recorded, Decided: decided,
-			Before: slices.Clone(r.callsBefore),
-		}
+	if r.report.Differ != nil {
+		return
+	}
+	r.report.Differ = &Divergence{
+		AtMs:     record.AtMs,
+		Revision: record.Revision,
+		Call:     Describe(record),
+		Recorded: recorded,
+		Decided:  decided,
+		Before:   slices.Clone(r.callsBefore),
 	}
 }
