--- a/config/block_test.go
+++ b/config/block_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := parse(t, "pairs = "+value)
 			assert.Nil(t, b.FloatPairs("pairs", nil))
-			assert.ErrorContains(t, b.Finish(), "f.hcl:1: pairs has an element that is no pair of numbers above 0")
+			assert.ErrorContains(t, b.Finish(), "f.hcl:1: pairs has an element that is not a pair of positive numbers")
 		})
 	}
 }
@@ -109,5 +109,5 @@
 func TestBlockBlock_SecondBlockIsAProblem(t *testing.T) {
 	b := parse(t, "rules {}\nrules {}\n")
 	b.Block("rules")
-	assert.ErrorContains(t, b.Finish(), "f.hcl:2: a second rules block; leave one")
+	assert.ErrorContains(t, b.Finish(), "f.hcl:2: a second rules block; keep one")
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -52,31 +52,115 @@
 	assert.InDelta(t, 700, float64(a.Settings.Groups[0].LatencyObjective), 0)
 }
 
+// wrongFiles are changes that make the good file wrong, by what they do.
+var wrongFiles = map[string]struct {
+	from string // a part of the good file
+	to   string // what replaces it
+	want string // the error
+}{
+	"no unit": {
+		from: `"12s"`,
+		to:   `12`,
+		want: `a.hcl:12: cold_for has no unit; write it in quotes with one, such as "12ms" or "12s"`,
+	},
+	"no time": {
+		from: `"12s"`,
+		to:   `"12 sec"`,
+		want: `a.hcl:12: cold_for is "12 sec"; write a time with its unit`,
+	},
+	"misspelt": {
+		from: `cold_for`,
+		to:   `cold_four`,
+		want: `a.hcl:12: cold_four is not a known argument; did you mean cold_for?`,
+	},
+	"unknown block": {
+		from: "rules {",
+		to:   "ruels {",
+		want: `a.hcl:11: ruels is not a known block; did you mean rules?`,
+	},
+	"out of range": {
+		from: `cores  = 24`,
+		to:   `cores = 0`,
+		want: `a.hcl:15: cores is 0; write a number from 0.001`,
+	},
+	"not whole": {
+		from: `number     = 2`,
+		to:   `number = 1.5`,
+		want: `a.hcl:6: number is 1.5; write a whole number`,
+	},
+	"number too big": {
+		from: `number     = 2`,
+		to:   `number = 3`,
+		want: `a.hcl:6: number is 3 of 3 allocators; write one from 0 to 2`,
+	},
+	"beyond": {
+		from: `127.0.0.1:7070`,
+		to:   `0.0.0.0:7070`,
+		want: `a.hcl:4: listen is "0.0.0.0:7070", which is not a loopback address`,
+	},
+	"no port": {
+		from: `127.0.0.1:7070`,
+		to:   `127.0.0.1`,
+		want: `a.hcl:4: listen is "127.0.0.1", which is not an address with a port`,
+	},
+	"size": {
+		from: `"2MiB"`,
+		to:   `"2MB"`,
+		want: `a.hcl:9: waiting is "2MB"; write a size with its unit`,
+	},
+	"word": {
+		from: `"deduplicated"`,
+		to:   `"keyed"`,
+		want: `a.hcl:23: effect is "keyed"; write one of ["restartable" "deduplicated" "run-once"]`,
+	},
+	"needs more": {
+		from: `dedup_window = "5s"`,
+		to:   ``,
+		want: `a.hcl:23: group "check" is deduplicated and does not say where and for how long; add dedup_scope`,
+	},
+	"unknown kind": {
+		from: `kind   = "small"`,
+		to:   `kind = "big"`,
+		want: `a.hcl:20: kind "big" is not known; write one of ["small"]`,
+	},
+	"twice": {
+		from: `group "check"`,
+		to:   `group "serve"`,
+		want: `a.hcl:22: group "serve" is already defined in line 18; give it another name`,
+	},
+	"no name": {
+		from: `group "check"`,
+		to:   `group`,
+		want: `a.hcl:22: a group without a name; write group "NAME" { … }`,
+	},
+	"not HCL": {
+		from: `allocator {`,
+		to:   `allocator (`,
+		want: `a.hcl:2: `,
+	},
+	"not a number": {
+		from: `cores  = 24`,
+		to:   `cores = [1]`,
+		want: `a.hcl:15: cores is not a number; write a number`,
+	},
+	"no kind": {
+		from: good,
+		to:   `group "x" {}`,
+		want: `a.hcl:1: no node kind; write at least one`,
+	},
+	"no group": {
+		from: good,
+		to:   `kind "x" {}`,
+		want: `a.hcl:1: no priority group; write at least one`,
+	},
+}
+
 func TestDecode_ProblemNamesLineAndFix(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, want string }{
-		"no unit":        {`"12s"`, `12`, `a.hcl:12: cold_for has no unit; write it in quotes with one, such as "12ms" or "12s"`},
-		"no time":        {`"12s"`, `"12 sec"`, `a.hcl:12: cold_for is "12 sec"; write a time with its unit`},
-		"misspelt":       {`cold_for`, `cold_four`, `a.hcl:12: cold_four is not a known argument; did you mean cold_for?`},
-		"unknown block":  {"rules {", "ruels {", `a.hcl:11: ruels is not a known block; did you mean rules?`},
-		"out of range":   {`cores  = 24`, `cores = 0`, `a.hcl:15: cores is 0; write a number from 0.001`},
-		"not whole":      {`number     = 2`, `number = 1.5`, `a.hcl:6: number is 1.5; write a whole number`},
-		"number too big": {`number     = 2`, `number = 3`, `a.hcl:6: number is 3 of 3 allocators; write one from 0 to 2`},
-		"beyond":         {`127.0.0.1:7070`, `0.0.0.0:7070`, `a.hcl:4: listen is "0.0.0.0:7070", which is not a loopback address`},
-		"no port":        {`127.0.0.1:7070`, `127.0.0.1`, `a.hcl:4: listen is "127.0.0.1", no address with a port`},
-		"size":           {`"2MiB"`, `"2MB"`, `a.hcl:9: waiting is "2MB"; write a size with its unit`},
-		"word":           {`"deduplicated"`, `"keyed"`, `a.hcl:23: effect is "keyed"; write one of ["restartable" "deduplicated" "run-once"]`},
-		"needs more":     {`dedup_window = "5s"`, ``, `a.hcl:23: group "check" is deduplicated and does not say where and for how long; add dedup_scope`},
-		"unknown kind":   {`kind   = "small"`, `kind = "big"`, `a.hcl:20: kind "big" is not known; write one of ["small"]`},
-		"twice":          {`group "check"`, `group "serve"`, `a.hcl:22: group "serve" is already defined in line 18; give it another name`},
-		"no name":        {`group "check"`, `group`, `a.hcl:22: a group without a name; write group "NAME" { … }`},
-		"not HCL":        {`allocator {`, `allocator (`, `a.hcl:2: `},
-		"not a number":   {`cores  = 24`, `cores = [1]`, `a.hcl:15: cores is not a number; write a number`},
-		"no kind":        {good, `group "x" {}`, `a.hcl:1: no kind of node; write at least one`},
-		"no group":       {good, `kind "x" {}`, `a.hcl:1: no priority group; write at least one`},
-	} {
+	for name, c := range wrongFiles {
 		t.Run(name, func(t *testing.T) {
 			require.Contains(t, good, c.from)
-			_, err := Decode("a.hcl", []byte(strings.Replace(good, c.from, c.to, 1)))
+			changed := strings.Replace(good, c.from, c.to, 1)
+			_, err := Decode("a.hcl", []byte(changed))
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
@@ -84,14 +168,14 @@
 
 func TestDecode_AllProblemsAreReportedInLineOrder(t *testing.T) {
 	_, err := Decode("a.hcl", []byte(strings.NewReplacer(`"12s"`, "12", "24", "-1", "700ms", "700").Replace(good)))
-	var all Problems
+	var all FileError
 	require.ErrorAs(t, err, &all)
 	lines := []int{}
-	for _, p := range all {
-		lines = append(lines, p.Line)
+	for _, problem := range all {
+		lines = append(lines, problem.Line)
 	}
 	assert.Equal(t, []int{12, 15, 19}, lines)
-	var first Problem
+	var first LineError
 	require.ErrorAs(t, err, &first)
 	assert.Equal(t, "a.hcl", first.File)
 }
--- a/config/inherit.go
+++ b/config/inherit.go
@@ -3,9 +3,10 @@
 import "github.com/hashicorp/hcl/v2/hclsyntax"
 
 // Inherit adds from another file what this one lacks: arguments, and blocks of types that it does not have at all. A
-// block without a label, which there is one of, inherits from its counterpart in turn. Call it before reading.
+// block without a label occurs once, and inherits from its counterpart in turn. Inherit must be called before reading.
 func (b *Block) Inherit(from *Block) { inherit(b.body, from.body) }
 
+// inherit adds to a body what it lacks of another.
 func inherit(body, from *hclsyntax.Body) {
 	inheritAttributes(body, from)
 	own := map[string]*hclsyntax.Block{}
@@ -13,7 +14,8 @@
 		own[block.Type] = block
 	}
 	for _, block := range from.Blocks {
-		switch counterpart := own[block.Type]; {
+		counterpart := own[block.Type]
+		switch {
 		case counterpart == nil:
 			body.Blocks = append(body.Blocks, block)
 		case len(counterpart.Labels) == 0 && len(block.Labels) == 0:
@@ -22,13 +24,14 @@
 	}
 }
 
+// inheritAttributes adds to a body the arguments that it lacks of another.
 func inheritAttributes(body, from *hclsyntax.Body) {
 	if body.Attributes == nil {
 		body.Attributes = hclsyntax.Attributes{}
 	}
-	for name, a := range from.Attributes {
+	for name, argument := range from.Attributes {
 		if body.Attributes[name] == nil {
-			body.Attributes[name] = a
+			body.Attributes[name] = argument
 		}
 	}
 }
--- a/config/json.go
+++ b/config/json.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 
 	"grebeglade/placement"
 )
@@ -10,18 +11,24 @@
 // "grebeglade config check --json", so they stay as they are whatever the settings' own fields are named.
 type (
 	allocatorJSON struct {
-		Name, Listen, List, Zone string
-		Settings                 placement.Settings // names its own keys
-		Groups, Kinds            []string
-		Limits                   limitsJSON
-		Log                      Log
-		State                    State `json:"state"`
-		Trace                    traceJSON
+		Name     string
+		Listen   string
+		List     string
+		Zone     string
+		Settings placement.Settings // names its own keys
+		Groups   []string
+		Kinds    []string
+		Limits   limitsJSON
+		Log      Log
+		State    State `json:"state"`
+		Trace    traceJSON
 	}
 
 	limitsJSON struct {
-		Workloads, Connections int
-		Frame, Waiting         int64
+		Workloads   int
+		Connections int
+		Frame       int64
+		Waiting     int64
 	}
 
 	traceJSON struct {
@@ -34,14 +41,31 @@
 
 // MarshalJSON returns the allocator's settings under the names that "grebeglade config check --json" prints.
 func (a Allocator) MarshalJSON() ([]byte, error) {
-	return json.Marshal(allocatorJSON{
-		Name: a.Name, Listen: a.ListenAddress, List: a.DiscoveryAddress, Zone: a.Zone,
-		Settings: a.Settings, Groups: a.GroupNames, Kinds: a.KindNames,
+	encoded, err := json.Marshal(allocatorJSON{
+		Name:     a.Name,
+		Listen:   a.ListenAddress,
+		List:     a.DiscoveryAddress,
+		Zone:     a.Zone,
+		Settings: a.Settings,
+		Groups:   a.GroupNames,
+		Kinds:    a.KindNames,
 		Limits: limitsJSON{
-			Workloads: a.Limits.MaxWorkloads, Connections: a.Limits.MaxConnections,
-			Frame: a.Limits.MaxFrameBytes, Waiting: a.Limits.MaxWriteBuffer,
+			Workloads:   a.Limits.MaxWorkloads,
+			Connections: a.Limits.MaxConnections,
+			Frame:       a.Limits.MaxFrameBytes,
+			Waiting:     a.Limits.MaxWriteBuffer,
+		},
+		Log:   a.Log,
+		State: a.State,
+		Trace: traceJSON{
+			Dir:   a.Trace.Dir,
+			File:  a.Trace.MaxFileBytes,
+			Age:   float64(a.Trace.MaxFileAge),
+			Total: a.Trace.MaxTotalBytes,
 		},
-		Log: a.Log, State: a.State,
-		Trace: traceJSON{Dir: a.Trace.Dir, File: a.Trace.MaxFileBytes, Age: float64(a.Trace.MaxFileAge), Total: a.Trace.MaxTotalBytes},
 	})
+	if err != nil {
+		return nil, fmt.Errorf("encode the configuration: %w", err)
+	}
+	return encoded, nil
 }
--- a/config/placement.go
+++ b/config/placement.go
@@ -38,15 +38,16 @@
 func ReadPlacement(root *Block, s *placement.Settings, kindNames, groupNames *[]string) {
 	readRules(root.Block("rules"), s)
 	readKinds(root, s, kindNames)
-	for _, b := range root.Named("group") {
-		*groupNames = append(*groupNames, b.Name)
-		s.Groups = append(s.Groups, readGroup(b, *kindNames))
+	for _, block := range root.Named("group") {
+		*groupNames = append(*groupNames, block.Name)
+		s.Groups = append(s.Groups, readGroup(block, *kindNames))
 	}
 	if len(s.Groups) == 0 {
 		root.AddProblem("", "no priority group", `write at least one: group "NAME" { effect = "restartable" }`)
 	}
 }
 
+// readRules reads the rules block.
 func readRules(b *Block, s *placement.Settings) {
 	s.WarmUpDuration = b.Duration("cold_for", 15e3)
 	s.InitialRate = b.Float("cold_from", 0.25, 0, 1)
@@ -61,24 +62,27 @@
 	s.EntriesCarryCapacity = b.Bool("room_in_list", true)
 }
 
+// readKinds reads the blocks of node kinds, and appends to their names.
 func readKinds(root *Block, s *placement.Settings, names *[]string) {
-	for _, b := range root.Named("kind") {
-		*names = append(*names, b.Name)
+	for _, block := range root.Named("kind") {
+		*names = append(*names, block.Name)
 		s.NodeKinds = append(s.NodeKinds, placement.NodeKind{
-			Cores:  b.Float("cores", 16, 0.001, 1e6),
-			Memory: b.Float("memory", 32, 0.001, 1e9),
+			Cores:  block.Float("cores", 16, 0.001, 1e6),
+			Memory: block.Float("memory", 32, 0.001, 1e9),
 		})
 	}
 	if len(s.NodeKinds) == 0 {
-		root.AddProblem("", "no kind of node", `write at least one: kind "NAME" { cores = 16  memory = 32 }`)
+		root.AddProblem("", "no node kind", `write at least one: kind "NAME" { cores = 16  memory = 32 }`)
 	}
 	if len(s.NodeKinds) > maxKinds {
-		root.AddProblem("", fmt.Sprintf("%d kinds of nodes", len(s.NodeKinds)), fmt.Sprintf("leave %d at most", maxKinds))
+		problem := fmt.Sprintf("%d node kinds", len(s.NodeKinds))
+		root.AddProblem("", problem, fmt.Sprintf("keep %d at most", maxKinds))
 	}
 }
 
+// readGroup reads the block of a priority group.
 func readGroup(b *Block, kindNames []string) placement.Group {
-	g := placement.Group{
+	group := placement.Group{
 		LatencyObjective: b.Duration("target", defaultLatencyObjective),
 		PriorityWeight:   b.Float("utility", 1, 0, 1e9),
 		Idempotency: idempotencies[b.OneOf("effect", effectIdempotent,
@@ -91,21 +95,23 @@
 		DegradationRange:       b.Float("fade", 0.2, 0, 1),
 		RequiredKind:           readRequiredKind(b, kindNames),
 	}
-	checkIdempotency(b, &g)
-	if g.SpreadScope == placement.ScopeNone && b.Has("spread_most") {
+	checkIdempotency(b, &group)
+	if group.SpreadScope == placement.ScopeNone && b.Has("spread_most") {
 		b.AddProblem("spread_most", "spread_most is given without spread", `add spread = "node", "cell" or "zone"`)
 	}
-	return g
+	return group
 }
 
-func checkIdempotency(b *Block, g *placement.Group) {
-	if g.Idempotency == placement.IdempotentByKey && (g.KeyScope == placement.ScopeNone || g.KeyWindow <= 0) {
-		b.AddProblem("effect", fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name),
-			`add dedup_scope = "cell" and dedup_window = "5s"`)
+// checkIdempotency checks that a group has a key scope and window exactly if it is idempotent by key.
+func checkIdempotency(b *Block, group *placement.Group) {
+	byKey := group.Idempotency == placement.IdempotentByKey
+	if byKey && (group.KeyScope == placement.ScopeNone || group.KeyWindow <= 0) {
+		problem := fmt.Sprintf("group %q is deduplicated and does not say where and for how long", b.Name)
+		b.AddProblem("effect", problem, `add dedup_scope = "cell" and dedup_window = "5s"`)
 	}
-	if g.Idempotency != placement.IdempotentByKey && (b.Has("dedup_scope") || b.Has("dedup_window")) {
-		b.AddProblem("dedup_scope", fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name),
-			`write effect = "deduplicated", or leave them out`)
+	if !byKey && (b.Has("dedup_scope") || b.Has("dedup_window")) {
+		problem := fmt.Sprintf("group %q has a dedup scope or window but is not deduplicated", b.Name)
+		b.AddProblem("dedup_scope", problem, `write effect = "deduplicated", or leave them out`)
 	}
 }
 
@@ -116,9 +122,9 @@
 	if name == "" {
 		return anyKind
 	}
-	i := slices.Index(kindNames, name)
-	if i < 0 {
+	kind := slices.Index(kindNames, name)
+	if kind < 0 {
 		b.AddProblem("kind", fmt.Sprintf("kind %q is not known", name), fmt.Sprintf("write one of %q", kindNames))
 	}
-	return i
+	return kind
 }
--- a/config/suggestion.go
+++ b/config/unknown.go
@@ -7,16 +7,37 @@
 	"strings"
 )
 
+// reportUnknown reports the arguments and blocks that were never read, in this block and in those within it.
+func (b *Block) reportUnknown() {
+	for name, argument := range b.body.Attributes {
+		if !b.known[name] {
+			b.report(argument.SrcRange, name+" is not a known argument", b.suggestion(name))
+		}
+	}
+	for _, nested := range b.body.Blocks {
+		if !b.known[nested.Type] {
+			b.report(nested.TypeRange, nested.Type+" is not a known block", b.suggestion(nested.Type))
+		}
+	}
+	for _, blocks := range b.nested {
+		for _, nested := range blocks {
+			nested.reportUnknown()
+		}
+	}
+}
+
 // maxTypos is how many letters a name may differ from a known one for that to be suggested.
 const maxTypos = 3
 
 // suggestion returns the fix for a name that is not known: the closest known one, or all of them.
 func (b *Block) suggestion(name string) string {
 	known := slices.Sorted(maps.Keys(b.known))
-	closest, fewest := "", maxTypos+1
+	closest := ""
+	fewest := maxTypos + 1
 	for _, candidate := range known {
-		if d := editDistance(name, candidate); d < fewest {
-			closest, fewest = candidate, d
+		if distance := editDistance(name, candidate); distance < fewest {
+			closest = candidate
+			fewest = distance
 		}
 	}
 	if closest == "" {
@@ -39,7 +60,8 @@
 			if a[i] != b[j] {
 				cost = 1 + min(diagonal, row[j], row[j+1])
 			}
-			diagonal, row[j+1] = row[j+1], cost
+			diagonal = row[j+1]
+			row[j+1] = cost
 		}
 	}
 	return row[len(b)]
--- a/internal/experiment/decode.go
+++ b/internal/experiment/decode.go
@@ -92,7 +92,12 @@
 func (p *Plan) checkCells() error {
 	cells := p.Cells()
 	if len(cells) > maxCells {
-		return config.Problems{{File: p.file, Line: 1, What: fmt.Sprintf("%d cells are too many", len(cells)), Fix: "leave levels out"}}
+		return config.FileError{{
+			File:    p.file,
+			Line:    1,
+			Problem: fmt.Sprintf("%d cells are too many", len(cells)),
+			Fix:     "leave levels out",
+		}}
 	}
 	for _, c := range cells {
 		if _, err := p.Scenario(c); err != nil {
