--- a/config/units.go
+++ b/config/units.go
@@ -41,7 +41,7 @@
 	return fallback
 }
 
-// sizeUnits has "B" last, since the others end in it too.
+// sizeUnits are the units of sizes. "B" is last, since the others end in it too.
 var sizeUnits = []struct {
 	suffix string
 	bytes  float64
--- a/internal/recovery/registry.go
+++ b/internal/recovery/registry.go
@@ -124,7 +124,7 @@
 	return Admit
 }
 
-// KnownBeforeRestart reports whether an earlier incarnation has left a bind of a key.
+// KnownBeforeRestart reports whether a bind of a key by an earlier incarnation is known.
 func (r *Registry) KnownBeforeRestart(now float64, key uint64) bool {
 	e, known := r.entries[key]
 	return known && e.state == inherited && !e.expired(now)
--- a/internal/replay/recorder.go
+++ b/internal/replay/recorder.go
@@ -6,7 +6,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// maxBatch is how many records are put into the sink at a time; Maintain puts whatever there is.
+// maxBatch is how many records are put into the sink at a time; Maintain puts all there are.
 const maxBatch = 64
 
 // Sink takes records.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -12,7 +12,7 @@
 
 // Options are what a run is made with. The zero value makes the calls on this program's module.
 type Options struct {
-	// Settings replaces the settings of the trace, nil for none. Every decision may differ then, and the run goes on.
+	// Settings replaces the settings of the trace, nil for none. Every decision may differ then, and the run continues.
 	Settings func(recorded placement.Settings) (placement.Settings, error)
 	// Module replaces the module, for tests of the comparison; nil for none.
 	Module func(s placement.Settings, seed uint64) allocator.Module
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -89,7 +89,7 @@
 	return false
 }
 
-// shrink leaves out whatever is not needed: at first large parts, then smaller ones, then single calls.
+// shrink omits the calls that are not needed: at first large parts, then smaller ones, then single calls.
 func shrink(calls []*trace.Record, same func([]*trace.Record) bool) []*trace.Record {
 	for size := max(1, len(calls)/2); ; size = max(1, size/2) {
 		for at := 0; at < len(calls); {
--- a/internal/storage/memorycrash.go
+++ b/internal/storage/memorycrash.go
@@ -60,7 +60,7 @@
 	m.crashed = false
 	m.visible = fileNames{}
 	for name, file := range m.durable {
-		// Files that were open before the crash must not change what it has left.
+		// A file that was open before the crash must not change the recovered one.
 		recovered := &inode{data: slices.Clone(file.data), synced: len(file.data)}
 		m.visible[name] = recovered
 		m.durable[name] = recovered
--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -33,12 +33,12 @@
 	return &Anonymiser{key: key, roundKeys: map[string]*[feistelRounds]roundKey{}}, nil
 }
 
-// Anonymise copies a file under pseudonyms and closes the writer. Blocks and index are made anew; damaged parts are
-// left out.
+// Anonymise writes an anonymised copy of a file and closes the writer. Blocks and index are built again; damaged parts
+// are omitted.
 func Anonymise(reader *Reader, writer *Writer, anonymiser *Anonymiser) error {
 	for record, err := range reader.Records(Span{}) {
 		if errors.As(err, new(DamageError)) {
-			continue // what cannot be read identifies nobody
+			continue // what cannot be read is not copied
 		}
 		if err != nil {
 			return err
@@ -54,14 +54,14 @@
 	return writer.Close()
 }
 
-// Header returns a header under pseudonyms.
+// Header returns an anonymised copy of a header.
 func (a *Anonymiser) Header(h *tracepb.Header) (*tracepb.Header, error) {
 	anonymous := proto.CloneOf(h)
 	anonymous.Anonymised = true
 	return anonymous, a.message(anonymous.ProtoReflect())
 }
 
-// Record returns a record under pseudonyms.
+// Record returns an anonymised copy of a record.
 func (a *Anonymiser) Record(r *Record) (*Record, error) {
 	anonymous := proto.CloneOf(r)
 	return anonymous, a.message(anonymous.ProtoReflect())
--- a/trace/mergeorder.go
+++ b/trace/mergeorder.go
@@ -25,8 +25,8 @@
 	return record.Source < other.Source
 }
 
-// ready reports whether the next record of a file may be taken: no file has records left of an earlier incarnation of
-// its allocator, and no other file has earlier ones of its own incarnation.
+// ready reports whether the next record of a file may be taken: no file has remaining records of an earlier incarnation
+// of its allocator, and no other file has earlier ones of its own incarnation.
 func (m *merger) ready(input *mergeInput) bool {
 	for _, other := range m.inputs {
 		for source, remaining := range other.remaining {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -37,9 +37,9 @@
 	missing uint64 // records before it that did not fit into the queue
 }
 
-// Recorder writes the records of one incarnation of an allocator into files of a directory. Put does not wait: records
-// that do not fit into its queue, or cannot be written, are counted, and a Gap record says so in their place. Put and
-// Close are for use by one goroutine.
+// Recorder writes the records of one incarnation of an allocator into files of a directory. Put does not wait:
+// records that do not fit into its queue, or cannot be written, are counted, and a Gap record with their number takes
+// their place. Put and Close are for use by one goroutine.
 type Recorder struct {
 	// BlockWhenFull makes Put wait while the queue is full: for a virtual clock, which runs ahead of any disk.
 	BlockWhenFull bool
--- a/trace/verify.go
+++ b/trace/verify.go
@@ -7,19 +7,25 @@
 	Blocks  int      `json:"blocks"`
 	Records uint64   `json:"records"`
 	Missing uint64   `json:"missing"` // records that gaps report
-	Index   string   `json:"index"`   // "whole" if it is intact, otherwise how it was rebuilt
+	Index   string   `json:"index"`   // indexIntact or indexRebuilt
 	Wrong   []string `json:"wrong"`
 }
 
+// Values of Check.Index, as "grebeglade trace verify --json" prints them.
+const (
+	indexIntact  = "whole"
+	indexRebuilt = "missing; made anew by a scan"
+)
+
 // Verify reads a file to its end and reports everything that is wrong with it.
 func Verify(reader *Reader) *Check {
 	check := &Check{
 		Blocks: reader.Blocks(),
-		Index:  "whole",
+		Index:  indexIntact,
 		Wrong:  []string{},
 	}
 	if reader.IndexRebuilt {
-		check.Index = "missing; rebuilt by a scan"
+		check.Index = indexRebuilt
 		check.report("there is no index: the file was not closed")
 	}
 	for _, damage := range reader.Damage {
