--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -21,6 +21,7 @@
 	delete(r.steps, id)
 	switch {
 	case step.NextStep == nil:
+		// The workload has its final answer.
 	case recorded == step.Kind:
 		r.steps[id] = step
 	case step.Kind == placement.Bind || step.Kind == placement.AwaitEnd:
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -34,8 +34,8 @@
 }
 
 // start returns a source's start, nil if the file lacks it.
-func (t *Reader) start(source uint32) (*Record, error) {
-	for record, err := range t.Records(Span{}) {
+func (r *Reader) start(source uint32) (*Record, error) {
+	for record, err := range r.Records(Span{}) {
 		if err != nil {
 			return nil, err
 		}
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -61,37 +61,37 @@
 	if size == 0 {
 		return nil, ErrEmpty
 	}
-	t := &Reader{input: input, size: size}
-	first, err := t.readHeader()
+	reader := &Reader{input: input, size: size}
+	first, err := reader.readHeader()
 	if err != nil {
 		return nil, err
 	}
-	t.decoder, err = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxBlockSize), zstd.WithDecoderConcurrency(1))
+	reader.decoder, err = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxBlockSize), zstd.WithDecoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("start the decompression: %w", err)
 	}
-	if !t.readIndex(first) {
-		t.IndexRebuilt = true
-		t.scan(first)
+	if !reader.readIndex(first) {
+		reader.IndexRebuilt = true
+		reader.scan(first)
 	}
-	return t, nil
+	return reader, nil
 }
 
 // Close releases the file.
-func (t *Reader) Close() error {
-	t.decoder.Close()
-	if t.closer == nil {
+func (r *Reader) Close() error {
+	r.decoder.Close()
+	if r.closer == nil {
 		return nil
 	}
-	if err := t.closer.Close(); err != nil {
+	if err := r.closer.Close(); err != nil {
 		return fmt.Errorf("close a trace: %w", err)
 	}
 	return nil
 }
 
 // readAt is ReadAt, but a read that ends with the file is no error.
-func (t *Reader) readAt(b []byte, offset int64) (int, error) {
-	size, err := t.input.ReadAt(b, offset)
+func (r *Reader) readAt(b []byte, offset int64) (int, error) {
+	size, err := r.input.ReadAt(b, offset)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return size, fmt.Errorf("read at byte %d: %w", offset, err)
 	}
@@ -99,21 +99,21 @@
 }
 
 // Blocks returns the number of blocks of records.
-func (t *Reader) Blocks() int { return len(t.blocks) }
+func (r *Reader) Blocks() int { return len(r.blocks) }
 
 // Count returns the number of records that the index lists.
-func (t *Reader) Count() uint64 {
+func (r *Reader) Count() uint64 {
 	total := uint64(0)
-	for _, block := range t.blocks {
+	for _, block := range r.blocks {
 		total += block.Records
 	}
 	return total
 }
 
 // FirstUnixMillis returns the earliest time of a record, 0 if there are none.
-func (t *Reader) FirstUnixMillis() float64 {
+func (r *Reader) FirstUnixMillis() float64 {
 	first := 0.0
-	for i, block := range t.blocks {
+	for i, block := range r.blocks {
 		if i == 0 || block.FirstMs < first {
 			first = block.FirstMs
 		}
@@ -122,12 +122,12 @@
 }
 
 // UnixMillis returns a record's Unix time in milliseconds, by its source's clock.
-func (t *Reader) UnixMillis(r *Record) float64 { return unixMillis(t.Header, r) }
+func (r *Reader) UnixMillis(record *Record) float64 { return unixMillis(r.Header, record) }
 
 // source returns a record's source, an empty one if the file does not name it.
-func (t *Reader) source(r *Record) *tracepb.Source {
-	if int(r.Source) < len(t.Header.Sources) {
-		return t.Header.Sources[r.Source]
+func (r *Reader) source(record *Record) *tracepb.Source {
+	if int(record.Source) < len(r.Header.Sources) {
+		return r.Header.Sources[record.Source]
 	}
 	return &tracepb.Source{}
 }
--- a/trace/readheader.go
+++ b/trace/readheader.go
@@ -24,9 +24,9 @@
 )
 
 // readHeader reads the file's header, and returns the offset of the first block.
-func (t *Reader) readHeader() (int64, error) {
+func (r *Reader) readHeader() (int64, error) {
 	var fixed [headerSize]byte
-	size, err := t.readAt(fixed[:], 0)
+	size, err := r.readAt(fixed[:], 0)
 	if err != nil {
 		return 0, err
 	}
@@ -42,31 +42,31 @@
 		return 0, VersionError{Major: major, Minor: minor}
 	}
 	length := int64(binary.LittleEndian.Uint32(fixed[lengthOffset:]))
-	if length > min(maxHeaderSize, t.size-headerSize) {
+	if length > min(maxHeaderSize, r.size-headerSize) {
 		return 0, DamageError{Problem: "the file ends within its header, or the header is damaged"}
 	}
 	message := make([]byte, length)
-	if _, err := t.readAt(message, headerSize); err != nil {
+	if _, err := r.readAt(message, headerSize); err != nil {
 		return 0, err
 	}
 	if checksumOf(fixed[:checksumOffset], message) != binary.LittleEndian.Uint32(fixed[checksumOffset:]) {
 		return 0, DamageError{Problem: "the checksum of the header does not match"}
 	}
-	t.Minor = minor
-	t.Header = &tracepb.Header{}
-	if err := proto.Unmarshal(message, t.Header); err != nil {
+	r.Minor = minor
+	r.Header = &tracepb.Header{}
+	if err := proto.Unmarshal(message, r.Header); err != nil {
 		return 0, DamageError{Problem: "the header cannot be decoded"}
 	}
 	return headerSize + length, nil
 }
 
 // readIndex reads the index at the end of a file that was closed. It returns false if there is none that can be used.
-func (t *Reader) readIndex(first int64) bool {
-	offset, found := t.readFooter(first)
+func (r *Reader) readIndex(first int64) bool {
+	offset, found := r.readFooter(first)
 	if !found {
 		return false
 	}
-	header, raw, err := t.readBlock(offset, nil)
+	header, raw, err := r.readBlock(offset, nil)
 	if err != nil || header.kind != blockOfIndex {
 		return false
 	}
@@ -74,17 +74,17 @@
 	if proto.Unmarshal(raw, &index) != nil {
 		return false
 	}
-	t.blocks = index.Blocks
+	r.blocks = index.Blocks
 	return true
 }
 
 // readFooter returns the offset of the index block, false if there is no valid footer behind the first block.
-func (t *Reader) readFooter(first int64) (offset int64, found bool) {
-	if t.size < first+footerSize {
+func (r *Reader) readFooter(first int64) (offset int64, found bool) {
+	if r.size < first+footerSize {
 		return 0, false
 	}
 	var footer [footerSize]byte
-	if _, err := t.input.ReadAt(footer[:], t.size-footerSize); err != nil {
+	if _, err := r.input.ReadAt(footer[:], r.size-footerSize); err != nil {
 		return 0, false
 	}
 	stored := binary.LittleEndian.Uint32(footer[footerChecksumOffset:])
@@ -93,7 +93,7 @@
 	}
 	index := binary.LittleEndian.Uint64(footer[:])
 	length := binary.LittleEndian.Uint32(footer[indexLengthOffset:])
-	if index > uint64(t.size) || int64(index)+int64(length) != t.size-footerSize {
+	if index > uint64(r.size) || int64(index)+int64(length) != r.size-footerSize {
 		return 0, false
 	}
 	return int64(index), true
--- a/trace/records.go
+++ b/trace/records.go
@@ -20,15 +20,15 @@
 
 // Records iterates over the records of a span in the file's order. For a block that cannot be read it yields a
 // DamageError and continues with the next one. Blocks outside the span are not read.
-func (t *Reader) Records(span Span) iter.Seq2[*Record, error] {
+func (r *Reader) Records(span Span) iter.Seq2[*Record, error] {
 	return func(yield func(*Record, error) bool) {
 		var raw []byte // reused from block to block
-		for _, block := range t.blocks {
+		for _, block := range r.blocks {
 			if !span.overlaps(block.FirstMs, block.LastMs) {
 				continue
 			}
 			offset := int64(block.Offset)
-			header, decompressed, err := t.readBlock(offset, raw)
+			header, decompressed, err := r.readBlock(offset, raw)
 			if err != nil {
 				damage := DamageError{
 					Offset:      offset,
@@ -41,7 +41,7 @@
 				continue
 			}
 			raw = decompressed
-			if header.kind == blockOfRecords && !t.yieldRecords(raw, offset, span, yield) {
+			if header.kind == blockOfRecords && !r.yieldRecords(raw, offset, span, yield) {
 				return
 			}
 		}
@@ -49,7 +49,7 @@
 }
 
 // yieldRecords yields the records of a block at an offset. It returns false if the iteration ends.
-func (t *Reader) yieldRecords(raw []byte, offset int64, span Span, yield func(*Record, error) bool) bool {
+func (r *Reader) yieldRecords(raw []byte, offset int64, span Span, yield func(*Record, error) bool) bool {
 	for len(raw) > 0 {
 		size, prefix := protowire.ConsumeVarint(raw)
 		if prefix < 0 || size > uint64(len(raw)-prefix) {
@@ -65,7 +65,7 @@
 				Problem:     "a record cannot be decoded",
 			})
 		}
-		if at := t.UnixMillis(record); span.overlaps(at, at) && !yield(record, nil) {
+		if at := r.UnixMillis(record); span.overlaps(at, at) && !yield(record, nil) {
 			return false
 		}
 	}
@@ -73,33 +73,33 @@
 }
 
 // readBlock reads a block. It reuses the memory of into.
-func (t *Reader) readBlock(offset int64, into []byte) (header blockHeader, raw []byte, err error) {
-	header, err = t.readBlockHeader(offset)
+func (r *Reader) readBlock(offset int64, into []byte) (header blockHeader, raw []byte, err error) {
+	header, err = r.readBlockHeader(offset)
 	if err != nil {
 		return header, nil, err
 	}
 	packed := make([]byte, header.packedSize)
-	if _, err := t.readAt(packed, offset+blockHeaderSize); err != nil {
+	if _, err := r.readAt(packed, offset+blockHeaderSize); err != nil {
 		return header, nil, err
 	}
-	raw, err = header.decompress(t.decoder, packed, into)
+	raw, err = header.decompress(r.decoder, packed, into)
 	return header, raw, err
 }
 
 // readBlockHeader reads the header of a block. The error is io.ErrUnexpectedEOF if the file ends within the block.
-func (t *Reader) readBlockHeader(offset int64) (blockHeader, error) {
-	if offset < 0 || offset > t.size-blockHeaderSize {
+func (r *Reader) readBlockHeader(offset int64) (blockHeader, error) {
+	if offset < 0 || offset > r.size-blockHeaderSize {
 		return blockHeader{}, io.ErrUnexpectedEOF
 	}
 	var encoded [blockHeaderSize]byte
-	if _, err := t.readAt(encoded[:], offset); err != nil {
+	if _, err := r.readAt(encoded[:], offset); err != nil {
 		return blockHeader{}, err
 	}
 	header, err := decodeBlockHeader(encoded[:])
 	if err != nil {
 		return header, err
 	}
-	if offset+header.size() > t.size {
+	if offset+header.size() > r.size {
 		return header, io.ErrUnexpectedEOF
 	}
 	return header, nil
--- a/trace/scan.go
+++ b/trace/scan.go
@@ -7,12 +7,12 @@
 )
 
 // scan builds an index from the headers of the blocks. After a damaged one it continues with the next that is intact.
-func (t *Reader) scan(offset int64) {
-	for offset < t.size {
-		header, err := t.readBlockHeader(offset)
+func (r *Reader) scan(offset int64) {
+	for offset < r.size {
+		header, err := r.readBlockHeader(offset)
 		if err != nil {
-			t.Damage = append(t.Damage, DamageError{Offset: offset, Problem: damageText(err)})
-			next, found := t.findBlockHeader(offset + 1)
+			r.Damage = append(r.Damage, DamageError{Offset: offset, Problem: damageText(err)})
+			next, found := r.findBlockHeader(offset + 1)
 			if !found {
 				return
 			}
@@ -20,10 +20,10 @@
 			continue
 		}
 		if header.kind != blockOfIndex {
-			t.blocks = append(t.blocks, header.indexEntry(offset))
+			r.blocks = append(r.blocks, header.indexEntry(offset))
 		}
 		offset += header.size()
-		if header.kind == blockOfIndex && t.size-offset <= footerSize {
+		if header.kind == blockOfIndex && r.size-offset <= footerSize {
 			return // only the footer is damaged or truncated; no record is lost
 		}
 	}
@@ -38,15 +38,15 @@
 }
 
 // findBlockHeader finds the next intact block header from an offset on.
-func (t *Reader) findBlockHeader(offset int64) (at int64, found bool) {
+func (r *Reader) findBlockHeader(offset int64) (at int64, found bool) {
 	const (
 		step      = 1 << 16
 		magicSize = 4
 		overlap   = magicSize - 1 // a header's magic may lie across two steps
 	)
 	buffer := make([]byte, step+overlap)
-	for ; offset < t.size; offset += step {
-		size, err := t.readAt(buffer, offset)
+	for ; offset < r.size; offset += step {
+		size, err := r.readAt(buffer, offset)
 		if err != nil {
 			return 0, false
 		}
@@ -54,7 +54,7 @@
 			if binary.LittleEndian.Uint32(buffer[i:]) != blockMagic {
 				continue
 			}
-			if _, err := t.readBlockHeader(offset + int64(i)); err == nil {
+			if _, err := r.readBlockHeader(offset + int64(i)); err == nil {
 				return offset + int64(i), true
 			}
 		}
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -35,22 +35,22 @@
 }
 
 // NewWriter writes a file's header.
-func NewWriter(w io.Writer, h *tracepb.Header) (*Writer, error) {
+func NewWriter(output io.Writer, header *tracepb.Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("start the compression of a trace: %w", err)
 	}
-	t := &Writer{
-		output:  w,
-		header:  h,
+	writer := &Writer{
+		output:  output,
+		header:  header,
 		encoder: encoder,
 	}
-	encoded, err := encodeHeader(h)
+	encoded, err := encodeHeader(header)
 	if err != nil {
 		return nil, err
 	}
-	t.write(encoded)
-	return t, t.err
+	writer.write(encoded)
+	return writer, writer.err
 }
 
 // encodeHeader returns the bytes of a file's header.
@@ -77,25 +77,25 @@
 }
 
 // write writes bytes in one call, and keeps the first error.
-func (t *Writer) write(b []byte) {
-	if t.err != nil {
+func (w *Writer) write(b []byte) {
+	if w.err != nil {
 		return
 	}
-	n, err := t.output.Write(b)
-	t.offset += int64(n)
+	n, err := w.output.Write(b)
+	w.offset += int64(n)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		t.err = fmt.Errorf("write to a trace: %w", err)
+		w.err = fmt.Errorf("write to a trace: %w", err)
 	}
 }
 
 // Append adds a record. It is in the file once its block is: after Flush, Close, or enough further records. A record
 // that is too large is a SizeError, after which the writer can still be used.
-func (t *Writer) Append(record *Record) error {
-	if t.err != nil {
-		return t.err
+func (w *Writer) Append(record *Record) error {
+	if w.err != nil {
+		return w.err
 	}
 	size := proto.Size(record)
 	if size > maxRecordSize {
@@ -105,82 +105,82 @@
 			Limit: maxBlockSize,
 		}
 	}
-	if len(t.raw) > 0 && len(t.raw)+size > targetBlockSize {
-		if err := t.Flush(); err != nil {
+	if len(w.raw) > 0 && len(w.raw)+size > targetBlockSize {
+		if err := w.Flush(); err != nil {
 			return err
 		}
 	}
-	raw := protowire.AppendVarint(t.raw, uint64(size))
+	raw := protowire.AppendVarint(w.raw, uint64(size))
 	raw, err := proto.MarshalOptions{UseCachedSize: true}.MarshalAppend(raw, record)
 	if err != nil {
 		return fmt.Errorf("encode a record of a trace: %w", err)
 	}
-	t.raw = raw
-	t.next.include(unixMillis(t.header, record), record.Revision)
-	t.Records++
+	w.raw = raw
+	w.next.include(unixMillis(w.header, record), record.Revision)
+	w.Records++
 	return nil
 }
 
 // Size returns the number of bytes written so far.
-func (t *Writer) Size() int64 { return t.offset }
+func (w *Writer) Size() int64 { return w.offset }
 
 // blocks returns the number of blocks of records written so far.
-func (t *Writer) blocks() int { return len(t.index.Blocks) }
+func (w *Writer) blocks() int { return len(w.index.Blocks) }
 
 // Flush writes what was appended as a block.
-func (t *Writer) Flush() error {
-	if t.next.records == 0 || t.err != nil {
-		return t.err
-	}
-	t.index.Blocks = append(t.index.Blocks, t.next.indexEntry(t.offset))
-	t.next.kind = blockOfRecords
-	t.writeBlock(t.raw)
-	t.raw = t.raw[:0]
-	t.next = blockHeader{}
-	return t.err
+func (w *Writer) Flush() error {
+	if w.next.records == 0 || w.err != nil {
+		return w.err
+	}
+	w.index.Blocks = append(w.index.Blocks, w.next.indexEntry(w.offset))
+	w.next.kind = blockOfRecords
+	w.writeBlock(w.raw)
+	w.raw = w.raw[:0]
+	w.next = blockHeader{}
+	return w.err
 }
 
 // writeBlock writes a block in one call, so that a kill leaves at most one block truncated.
-func (t *Writer) writeBlock(raw []byte) {
-	t.packed = t.encoder.EncodeAll(raw, t.packed[:0])
-	t.next.rawSize = uint32(len(raw))
-	t.next.packedSize = uint32(len(t.packed))
-	t.next.compressedChecksum = checksum(t.packed)
-	t.write(append(t.next.encode(), t.packed...))
+func (w *Writer) writeBlock(raw []byte) {
+	w.packed = w.encoder.EncodeAll(raw, w.packed[:0])
+	w.next.rawSize = uint32(len(raw))
+	w.next.packedSize = uint32(len(w.packed))
+	w.next.compressedChecksum = checksum(w.packed)
+	w.write(append(w.next.encode(), w.packed...))
 }
 
 // Close writes the last block and the index. It does not close the underlying writer.
-func (t *Writer) Close() error {
-	if err := t.Flush(); err != nil {
+func (w *Writer) Close() error {
+	if err := w.Flush(); err != nil {
 		return err
 	}
-	index, err := proto.Marshal(&t.index)
+	index, err := proto.Marshal(&w.index)
 	if err != nil {
 		return fmt.Errorf("encode the index of a trace: %w", err)
 	}
 	if len(index) > maxBlockSize {
 		return nil // readers rebuild the index by a scan
 	}
-	t.writeIndex(index)
-	if t.err != nil {
-		return t.err
+	w.writeIndex(index)
+	if w.err != nil {
+		return w.err
 	}
-	t.err = ErrClosed
-	if err := t.encoder.Close(); err != nil {
+	w.err = ErrClosed
+	if err := w.encoder.Close(); err != nil {
 		return fmt.Errorf("end the compression of a trace: %w", err)
 	}
 	return nil
 }
 
 // writeIndex writes the index block and the footer that points to it.
-func (t *Writer) writeIndex(index []byte) {
-	start := t.offset
-	t.next = blockHeader{kind: blockOfIndex}
-	t.writeBlock(index)
+func (w *Writer) writeIndex(index []byte) {
+	start := w.offset
+	w.next = blockHeader{kind: blockOfIndex}
+	w.writeBlock(index)
 	footer := binary.LittleEndian.AppendUint64(nil, uint64(start))
-	footer = binary.LittleEndian.AppendUint32(footer, uint32(t.offset-start))
+	footer = binary.LittleEndian.AppendUint32(footer, uint32(w.offset-start))
 	footer = binary.LittleEndian.AppendUint32(footer, checksum(footer))
-	t.write(append(footer, footerMagic...))
+	w.write(append(footer, footerMagic...))
 }
 
 // unixMillis returns a record's Unix time in milliseconds, by its source's clock.
