--- a/internal/oracle/bound.go
+++ b/internal/oracle/bound.go
@@ -7,80 +7,101 @@
 	"grebeglade/placement"
 )
 
-// Bound returns core time, in core milliseconds until the end, that no schedule can exceed: at each instant what is wanted
-// then, as far as the machines that are up could hold it if they were one, in each dimension by itself.
-func Bound(machines []Machine, wants []Want, end placement.Millis) float64 {
-	dimensions := newDimensions(wants)
-	times := changeTimes(machines, wants, end)
-	total := 0.0
+// Bound returns the core time, in core milliseconds until the end, that no schedule can exceed: at each instant what is
+// requested, as far as the machines that are up could run it if they were one machine. Each resource is limited
+// independently of the others, and the tightest limit counts.
+func Bound(machines []Machine, workloads []Workload, end placement.Millis) float64 {
+	dimensions := newDimensions(workloads)
+	times := changeTimes(machines, workloads, end)
+	coreTime := 0.0
 	for i := range len(times) - 1 {
-		from, until := times[i], min(times[i+1], end)
+		from := times[i]
 		if from >= end {
 			break
 		}
-		total += mostCores(dimensions, machines, from) * float64(until-from)
+		until := min(times[i+1], end)
+		coreTime += maxCores(dimensions, machines, from) * float64(until-from)
 	}
-	return total
+	return coreTime
 }
 
-// changeTimes returns the times at which machines or wants come or go, and the end, in order.
-func changeTimes(machines []Machine, wants []Want, end placement.Millis) []placement.Millis {
+// changeTimes returns the times at which a machine or a workload starts or ends, and the end, in order.
+func changeTimes(machines []Machine, workloads []Workload, end placement.Millis) []placement.Millis {
 	times := []placement.Millis{end}
 	for _, m := range machines {
 		for _, s := range m.Up {
 			times = append(times, s.From, s.Until)
 		}
 	}
-	for _, w := range wants {
+	for _, w := range workloads {
 		times = append(times, w.From, w.Until)
 	}
 	slices.Sort(times)
 	return slices.Compact(times)
 }
 
-// dimension is one of the limits of machines.
+// dimension is one of the resource limits of machines.
 type dimension struct {
-	need     func(*Want) float64
-	capacity func(*Machine) float64
-	wants    []*Want // those that give most core time for what they need come first
+	need      func(*Workload) float64
+	capacity  func(*Machine) float64
+	workloads []*Workload // those with the most core time for their need come first
 }
 
-func newDimensions(wants []Want) []dimension {
+// newDimensions returns the limits on requested and on used cores and memory.
+func newDimensions(workloads []Workload) []dimension {
 	dimensions := []dimension{
-		{need: func(w *Want) float64 { return w.Cores }, capacity: func(m *Machine) float64 { return m.AskCores }},
-		{need: func(w *Want) float64 { return w.Memory }, capacity: func(m *Machine) float64 { return m.AskMemory }},
-		{need: func(w *Want) float64 { return w.UsesCores }, capacity: func(m *Machine) float64 { return m.Cores }},
-		{need: func(w *Want) float64 { return w.UsesMemory }, capacity: func(m *Machine) float64 { return m.Memory }},
+		{
+			need:     func(w *Workload) float64 { return w.Cores },
+			capacity: func(m *Machine) float64 { return m.MaxRequestedCores },
+		},
+		{
+			need:     func(w *Workload) float64 { return w.Memory },
+			capacity: func(m *Machine) float64 { return m.MaxRequestedMemory },
+		},
+		{
+			need:     func(w *Workload) float64 { return w.UsedCores },
+			capacity: func(m *Machine) float64 { return m.Cores },
+		},
+		{
+			need:     func(w *Workload) float64 { return w.UsedMemory },
+			capacity: func(m *Machine) float64 { return m.Memory },
+		},
 	}
 	for i := range dimensions {
-		d := &dimensions[i]
-		for j := range wants {
-			d.wants = append(d.wants, &wants[j])
-		}
-		slices.SortStableFunc(d.wants, func(x, y *Want) int { return cmp.Compare(d.need(x)*y.Cores, d.need(y)*x.Cores) })
+		dimensions[i].setWorkloads(workloads)
 	}
 	return dimensions
 }
 
-// mostCores returns the cores of the wants that can run at a time, by the tightest dimension.
-func mostCores(dimensions []dimension, machines []Machine, at placement.Millis) float64 {
-	most := dimensions[0].mostCores(machines, at)
+// setWorkloads sorts pointers to the workloads by cores per need, descending. The products avoid a division by zero.
+func (d *dimension) setWorkloads(workloads []Workload) {
+	for i := range workloads {
+		d.workloads = append(d.workloads, &workloads[i])
+	}
+	slices.SortStableFunc(d.workloads, func(x, y *Workload) int {
+		return cmp.Compare(d.need(x)*y.Cores, d.need(y)*x.Cores)
+	})
+}
+
+// maxCores returns the cores of the workloads that can run at a time, by the tightest dimension.
+func maxCores(dimensions []dimension, machines []Machine, at placement.Millis) float64 {
+	cores := dimensions[0].maxCores(machines, at)
 	for _, d := range dimensions[1:] {
-		most = min(most, d.mostCores(machines, at))
+		cores = min(cores, d.maxCores(machines, at))
 	}
-	return most
+	return cores
 }
 
-// mostCores returns the cores of the wants that can run at a time, if only this dimension limits them. The last of them
-// may run in part.
-func (d *dimension) mostCores(machines []Machine, at placement.Millis) float64 {
+// maxCores returns the cores of the workloads that can run at a time, if only this dimension limits them. The last of
+// them may run in part.
+func (d *dimension) maxCores(machines []Machine, at placement.Millis) float64 {
 	available := d.available(machines, at)
 	cores := 0.0
-	for _, w := range d.wants {
+	for _, w := range d.workloads {
 		if available <= 0 {
 			break
 		}
-		if w.From > at || w.Until <= at {
+		if !w.wantedAt(at) {
 			continue
 		}
 		need := d.need(w)
--- a/internal/oracle/events.go
+++ b/internal/oracle/events.go
@@ -13,17 +13,25 @@
 const (
 	capacityReleased eventOrder = iota
 	machineChanged
-	workloadWanted
+	workloadRequested
 )
 
-// event is a change at a point in time.
+// event is a change of a machine or of a workload at a point in time.
 type event struct {
 	at    placement.Millis
 	order eventOrder
 	apply func()
 }
 
-// eventQueue holds the events of a scenario in order.
+func newEvent(at placement.Millis, order eventOrder, apply func()) event {
+	return event{
+		at:    at,
+		order: order,
+		apply: apply,
+	}
+}
+
+// eventQueue holds the events of a scenario in the order of their times, and at the same time by eventOrder.
 type eventQueue struct {
 	events []event
 	next   int // index of the next event
@@ -36,25 +44,26 @@
 	return eventQueue{events: events}
 }
 
-// pop takes the next event if it is before the end.
+// pop removes and returns the next event, if it is before the end.
 func (q *eventQueue) pop(end placement.Millis) (e event, ok bool) {
 	if q.next == len(q.events) || q.events[q.next].at >= end {
 		return event{}, false
 	}
+	e = q.events[q.next]
 	q.next++
-	return q.events[q.next-1], true
+	return e, true
 }
 
-// hasNextAt reports whether the next event is at a time, or before it.
-func (q *eventQueue) hasNextAt(t placement.Millis) bool {
+// hasNextUntil reports whether the next event is at a time or before it.
+func (q *eventQueue) hasNextUntil(t placement.Millis) bool {
 	return q.next < len(q.events) && q.events[q.next].at <= t
 }
 
-// insert adds an event behind those of the same time. Its time must not be over.
+// insert adds an event after those of the same time. Its time must not be before that of the last event popped.
 func (q *eventQueue) insert(e event) {
-	at := q.next
-	for at < len(q.events) && q.events[at].at <= e.at {
-		at++
+	index := q.next
+	for index < len(q.events) && q.events[index].at <= e.at {
+		index++
 	}
-	q.events = slices.Insert(q.events, at, e)
+	q.events = slices.Insert(q.events, index, e)
 }
--- a/internal/oracle/machine.go
+++ b/internal/oracle/machine.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// roundingSlack keeps rounding from rejecting what just fits.
-const roundingSlack = 1e-9
+// roundingTolerance keeps rounding from rejecting what just fits.
+const roundingTolerance = 1e-9
 
 // machineState is whether a machine accepts workloads.
 type machineState uint8
@@ -15,42 +15,57 @@
 const (
 	machineDown machineState = iota
 	machineReady
-	machineDraining // runs what it has, and accepts nothing
+	machineDraining // runs the workloads that it has, and accepts none
 )
 
-// running is a workload that runs on a machine.
-type running struct {
-	want  *Want
-	since placement.Millis
+// runningWorkload is a workload that runs on a machine.
+type runningWorkload struct {
+	workload *Workload
+	since    placement.Millis
 }
 
-func (r running) coreTime(until placement.Millis) float64 {
-	return r.want.Cores * float64(until-r.since)
+func (r runningWorkload) coreTime(until placement.Millis) float64 {
+	return r.workload.Cores * float64(until-r.since)
 }
 
 // machine is a machine at the current time of a placer.
 type machine struct {
 	*Machine
-	state           machineState
-	startedAt       placement.Millis
-	firstStart      bool // it has not been down yet
-	requested, used size // sums over the workloads that run
-	workloads       []running
-	placedAt        []placement.Millis // times of all placements since its start
+	state      machineState
+	startedAt  placement.Millis
+	firstStart bool      // it has not been down yet
+	requested  resources // sum over the workloads that run
+	used       resources // sum over the workloads that run
+	running    []runningWorkload
+	placedAt   []placement.Millis // times of all placements since its start
 }
 
-// size is an amount of each resource.
-type size struct{ cores, memory float64 }
+// resources is an amount of each resource.
+type resources struct {
+	cores  float64
+	memory float64
+}
 
-func (s *size) add(cores, memory float64) { s.cores, s.memory = s.cores+cores, s.memory+memory }
+func (r *resources) add(cores, memory float64) {
+	r.cores += cores
+	r.memory += memory
+}
 
-// fitsWithin reports whether there is capacity for an addition.
-func (s size) fitsWithin(cores, memory, maxCores, maxMemory float64) bool {
-	return s.cores+cores <= maxCores+roundingSlack && s.memory+memory <= maxMemory+roundingSlack
+// plus returns the sum of the resources and an addition.
+func (r resources) plus(cores, memory float64) resources {
+	r.add(cores, memory)
+	return r
+}
+
+// within reports whether the resources are within a capacity.
+func (r resources) within(cores, memory float64) bool {
+	return r.cores <= cores+roundingTolerance && r.memory <= memory+roundingTolerance
 }
 
 func (m *machine) start(now placement.Millis, first bool) {
-	m.state, m.startedAt, m.firstStart = machineReady, now, first
+	m.state = machineReady
+	m.startedAt = now
+	m.firstStart = first
 }
 
 func (m *machine) beginDrain() {
@@ -66,69 +81,79 @@
 }
 
 // stop takes the machine down and returns the workloads that ran on it.
-func (m *machine) stop() []running {
-	lost := m.workloads
-	m.state, m.workloads, m.placedAt = machineDown, nil, nil
-	m.requested, m.used = size{}, size{}
+func (m *machine) stop() []runningWorkload {
+	lost := m.running
+	m.state = machineDown
+	m.running = nil
+	m.placedAt = nil
+	m.requested = resources{}
+	m.used = resources{}
 	return lost
 }
 
 // fits reports whether the machine accepts a workload and has the capacity for it.
-func (m *machine) fits(w *Want) bool {
-	return m.state == machineReady && m.requested.fitsWithin(w.Cores, w.Memory, m.AskCores, m.AskMemory) &&
-		m.used.fitsWithin(w.UsesCores, w.UsesMemory, m.Cores, m.Memory)
+func (m *machine) fits(w *Workload) bool {
+	if m.state != machineReady {
+		return false
+	}
+	requested := m.requested.plus(w.Cores, w.Memory)
+	used := m.used.plus(w.UsedCores, w.UsedMemory)
+	return requested.within(m.MaxRequestedCores, m.MaxRequestedMemory) && used.within(m.Cores, m.Memory)
 }
 
-func (m *machine) place(now placement.Millis, w *Want) {
-	m.workloads = append(m.workloads, running{w, now})
+func (m *machine) place(now placement.Millis, w *Workload) {
+	m.running = append(m.running, runningWorkload{workload: w, since: now})
 	m.placedAt = append(m.placedAt, now)
 	m.requested.add(w.Cores, w.Memory)
-	m.used.add(w.UsesCores, w.UsesMemory)
+	m.used.add(w.UsedCores, w.UsedMemory)
 }
 
-// remove takes off a workload and returns it, if it runs on the machine.
-func (m *machine) remove(w *Want) (r running, removed bool) {
-	i := slices.IndexFunc(m.workloads, func(r running) bool { return r.want == w })
+// remove removes a workload and returns it, if it runs on the machine.
+func (m *machine) remove(w *Workload) (removed runningWorkload, ok bool) {
+	i := slices.IndexFunc(m.running, func(r runningWorkload) bool { return r.workload == w })
 	if i < 0 {
-		return running{}, false
+		return runningWorkload{}, false
 	}
-	r = m.workloads[i]
-	m.workloads = slices.Delete(m.workloads, i, i+1)
+	removed = m.running[i]
+	m.running = slices.Delete(m.running, i, i+1)
 	m.requested.add(-w.Cores, -w.Memory)
-	m.used.add(-w.UsesCores, -w.UsesMemory)
-	return r, true
+	m.used.add(-w.UsedCores, -w.UsedMemory)
+	return removed, true
 }
 
 // placedSince returns how many workloads were placed after a time.
-func (m *machine) placedSince(t placement.Millis) (n int) {
+func (m *machine) placedSince(t placement.Millis) int {
+	count := 0
 	for _, at := range m.placedAt {
 		if at > t {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // sharesScope reports whether two machines are in the same scope.
-func (m *machine) sharesScope(o *machine, s placement.Scope) bool {
-	switch s {
+func (m *machine) sharesScope(other *machine, scope placement.Scope) bool {
+	switch scope {
 	case placement.ScopeNode:
-		return m == o
+		return m == other
 	case placement.ScopeCell:
-		return m.Zone == o.Zone && m.Cell == o.Cell
+		return m.Zone == other.Zone && m.Cell == other.Cell
 	case placement.ScopeZone:
-		return m.Zone == o.Zone
+		return m.Zone == other.Zone
 	case placement.ScopeNone, placement.ScopeAll:
+		return true
 	}
 	return true
 }
 
 // countService returns how many workloads of a service run on the machine.
-func (m *machine) countService(service uint64) (n int) {
-	for _, r := range m.workloads {
-		if r.want.Service == service {
-			n++
+func (m *machine) countService(service uint64) int {
+	count := 0
+	for _, r := range m.running {
+		if r.workload.Service == service {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/oracle/place.go
+++ b/internal/oracle/place.go
@@ -7,59 +7,76 @@
 	"grebeglade/placement"
 )
 
-// Place returns the core time, in core milliseconds until the end, that runs under a scheduler that places at once, knows
-// the true state, and never migrates: the largest of the waiting workloads first, each where the least cores remain. With
-// nil rules only the machines limit it; a workload's spread does not.
-func Place(machines []Machine, wants []Want, end placement.Millis, rules *Rules) float64 {
-	p := &placer{end: end, rules: rules}
-	p.events = newEventQueue(append(p.machineEvents(machines), p.wantEvents(wants)...))
+// Place returns the core time, in core milliseconds until the end, that runs under a scheduler that places without
+// delay, knows the true state, and never migrates. It places the largest of the waiting workloads first, each on the
+// machine with the fewest unused cores. With nil constraints only the capacity of the machines limits it; a workload's
+// spread does not.
+func Place(machines []Machine, workloads []Workload, end placement.Millis, constraints *Constraints) float64 {
+	p := &placer{end: end, constraints: constraints}
+	p.events = newEventQueue(append(p.machineEvents(machines), p.workloadEvents(workloads)...))
 	p.run()
 	return p.coreTime
 }
 
 // placer runs through a scenario event by event.
 type placer struct {
-	machines []*machine
-	waiting  []*Want
-	end      placement.Millis
-	rules    *Rules // nil for none
-	events   eventQueue
-	coreTime float64 // that has run on machines until now
+	machines    []*machine
+	waiting     []*Workload
+	end         placement.Millis
+	constraints *Constraints // nil for none
+	events      eventQueue
+	coreTime    float64 // of the workloads that ended or lost their machine
 }
 
+// machineEvents adds the machines to the placer, and returns their events.
 func (p *placer) machineEvents(machines []Machine) (events []event) {
 	for i := range machines {
 		m := &machine{Machine: &machines[i]}
 		p.machines = append(p.machines, m)
-		for n, s := range m.Up {
-			if s.Until <= s.From {
-				continue
-			}
-			events = append(events,
-				event{s.From, machineChanged, func() { m.start(s.From, n == 0) }},
-				event{s.Until, capacityReleased, func() { p.loseMachine(m, s.Until) }})
-		}
-		for _, s := range m.Drains {
-			events = append(events, event{s.From, machineChanged, m.beginDrain}, event{s.Until, machineChanged, m.endDrain})
+		events = append(events, p.uptimeEvents(m)...)
+		events = append(events, drainEvents(m)...)
+	}
+	return events
+}
+
+// uptimeEvents returns the events at which a machine goes up and down.
+func (p *placer) uptimeEvents(m *machine) (events []event) {
+	for i, span := range m.Up {
+		if span.Until <= span.From {
+			continue
 		}
+		isFirst := i == 0
+		events = append(events,
+			newEvent(span.From, machineChanged, func() { m.start(span.From, isFirst) }),
+			newEvent(span.Until, capacityReleased, func() { p.loseMachine(m, span.Until) }))
+	}
+	return events
+}
+
+func drainEvents(m *machine) (events []event) {
+	for _, span := range m.Drains {
+		events = append(events,
+			newEvent(span.From, machineChanged, m.beginDrain),
+			newEvent(span.Until, machineChanged, m.endDrain))
 	}
 	return events
 }
 
-func (p *placer) wantEvents(wants []Want) (events []event) {
-	for i := range wants {
-		w := &wants[i]
+// workloadEvents returns the events at which workloads are requested and end.
+func (p *placer) workloadEvents(workloads []Workload) (events []event) {
+	for i := range workloads {
+		w := &workloads[i]
 		if w.Until <= w.From {
 			continue
 		}
 		events = append(events,
-			event{w.From, workloadWanted, func() { p.wait(w) }},
-			event{w.Until, capacityReleased, func() { p.endWant(w) }})
+			newEvent(w.From, workloadRequested, func() { p.enqueue(w) }),
+			newEvent(w.Until, capacityReleased, func() { p.endWorkload(w) }))
 	}
 	return events
 }
 
-// run applies the events until the end, and places what waits after all events of a point in time.
+// run applies the events until the end, and places the waiting workloads after the last event of each point in time.
 func (p *placer) run() {
 	for {
 		e, ok := p.events.pop(p.end)
@@ -67,37 +84,45 @@
 			break
 		}
 		e.apply()
-		if !p.events.hasNextAt(e.at) {
+		if !p.events.hasNextUntil(e.at) {
 			p.placeWaiting(e.at)
 		}
 	}
 	for _, m := range p.machines {
-		for _, r := range m.workloads {
-			p.coreTime += r.coreTime(min(p.end, r.want.Until))
+		for _, r := range m.running {
+			p.coreTime += r.coreTime(min(p.end, r.workload.Until))
 		}
 	}
 }
 
-func (p *placer) wait(w *Want) { p.waiting = append(p.waiting, w) }
+func (p *placer) enqueue(w *Workload) { p.waiting = append(p.waiting, w) }
 
-// loseMachine takes a machine down. What ran on it waits again, from now or from the client's retry on.
+// loseMachine takes a machine down. Its workloads wait again, from now on or from their client's retry on.
 func (p *placer) loseMachine(m *machine, now placement.Millis) {
 	for _, r := range m.stop() {
 		p.coreTime += r.coreTime(min(now, p.end))
-		switch w := r.want; {
-		case p.rules == nil || !p.rules.Asked:
-			p.wait(w)
-		case w.Again >= 0 && now+w.Again < w.Until:
-			p.events.insert(event{now + w.Again, workloadWanted, func() { p.wait(w) }})
+		if p.constraints != nil && p.constraints.AwaitRetry {
+			p.scheduleRetry(r.workload, now)
+		} else {
+			p.enqueue(r.workload)
 		}
 	}
 }
 
-// endWant ends a workload, whether it waits or runs.
-func (p *placer) endWant(w *Want) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(x *Want) bool { return x == w })
+// scheduleRetry lets a lost workload wait from its client's retry on, if the client retries before the workload ends.
+func (p *placer) scheduleRetry(w *Workload, now placement.Millis) {
+	retryAt := now + w.RetryDelay
+	if w.RetryDelay < 0 || retryAt >= w.Until {
+		return
+	}
+	p.events.insert(newEvent(retryAt, workloadRequested, func() { p.enqueue(w) }))
+}
+
+// endWorkload ends a workload, whether it waits or runs.
+func (p *placer) endWorkload(w *Workload) {
+	p.waiting = slices.DeleteFunc(p.waiting, func(x *Workload) bool { return x == w })
 	for _, m := range p.machines {
-		if r, removed := m.remove(w); removed {
+		if r, ok := m.remove(w); ok {
 			p.coreTime += r.coreTime(w.Until)
 		}
 	}
@@ -105,53 +130,57 @@
 
 // placeWaiting places the waiting workloads for which there is a machine.
 func (p *placer) placeWaiting(now placement.Millis) {
-	slices.SortStableFunc(p.waiting, func(x, y *Want) int { return cmp.Compare(y.Cores, x.Cores) })
-	p.waiting = slices.DeleteFunc(p.waiting, func(w *Want) bool {
-		m, found := p.bestFit(now, w)
-		if found {
-			m.place(now, w)
+	slices.SortStableFunc(p.waiting, func(x, y *Workload) int { return cmp.Compare(y.Cores, x.Cores) })
+	p.waiting = slices.DeleteFunc(p.waiting, func(w *Workload) bool {
+		m := p.bestFit(now, w)
+		if m == nil {
+			return false
 		}
-		return found
+		m.place(now, w)
+		return true
 	})
 }
 
-// bestFit returns the machine with the least unused cores among those that a workload may be placed on.
-func (p *placer) bestFit(now placement.Millis, w *Want) (best *machine, found bool) {
-	least := 0.0
+// bestFit returns the machine with the fewest unused cores among those that a workload may be placed on, or nil.
+func (p *placer) bestFit(now placement.Millis, w *Workload) *machine {
+	var best *machine
+	leastUnused := 0.0
 	for _, m := range p.machines {
-		if !m.fits(w) || !p.withinRules(now, m, w) {
+		if !m.fits(w) || !p.withinConstraints(now, m, w) {
 			continue
 		}
-		if unused := m.Cores - m.used.cores; !found || unused < least {
-			best, least, found = m, unused, true
+		unused := m.Cores - m.used.cores
+		if best == nil || unused < leastUnused {
+			best = m
+			leastUnused = unused
 		}
 	}
-	return best, found
+	return best
 }
 
-func (p *placer) withinRules(now placement.Millis, m *machine, w *Want) bool {
-	return p.rules == nil || p.withinWarmUpBudget(now, m) && p.withinSpread(m, w)
+func (p *placer) withinConstraints(now placement.Millis, m *machine, w *Workload) bool {
+	return p.constraints == nil || p.withinWarmUpBudget(now, m) && p.withinSpread(m, w)
 }
 
-// withinWarmUpBudget reports whether a machine may be sent another workload so soon after its start.
+// withinWarmUpBudget reports whether another workload may be placed on a machine so soon after its start.
 func (p *placer) withinWarmUpBudget(now placement.Millis, m *machine) bool {
-	if p.rules.Bears == nil || m.firstStart {
+	if p.constraints.BindLimit == nil || m.firstStart {
 		return true
 	}
-	budget := p.rules.Bears(now - m.startedAt)
-	return budget < 0 || float64(m.placedSince(now-p.rules.Window)+1) <= budget
+	budget := p.constraints.BindLimit(now - m.startedAt)
+	return budget < 0 || float64(m.placedSince(now-p.constraints.Window)+1) <= budget
 }
 
 // withinSpread reports whether another workload of the service may be placed in the machine's scope.
-func (p *placer) withinSpread(m *machine, w *Want) bool {
-	if w.Spread == placement.ScopeNone {
+func (p *placer) withinSpread(m *machine, w *Workload) bool {
+	if w.SpreadScope == placement.ScopeNone {
 		return true
 	}
 	placed := 0
-	for _, o := range p.machines {
-		if o.sharesScope(m, w.Spread) {
-			placed += o.countService(w.Service)
+	for _, other := range p.machines {
+		if other.sharesScope(m, w.SpreadScope) {
+			placed += other.countService(w.Service)
 		}
 	}
-	return placed < w.SpreadMost
+	return placed < w.MaxPerScope
 }
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -22,27 +22,29 @@
 
 // oracle compares the share of core time that ran with what the best placement of the same demand could have run.
 func (d *Run) oracle(ran float64) (*Oracle, error) {
-	machines, wants, end := d.machines(), d.oracleWants(), d.RequestsEnd()
+	machines := d.machines()
+	workloads := d.oracleWorkloads()
+	end := d.RequestsEnd()
 	wanted := d.wantedCores()
 	if wanted == 0 {
 		return &Oracle{}, nil
 	}
 	m := &d.script.Node
-	rules := &oracle.Rules{Window: m.OverloadWindow, Bears: func(up placement.Millis) float64 {
-		if up >= m.WarmUpDuration {
+	constraints := &oracle.Constraints{Window: m.OverloadWindow, BindLimit: func(uptime placement.Millis) float64 {
+		if uptime >= m.WarmUpDuration {
 			return -1
 		}
-		return m.BindLimit(m.InitialRate + (1-m.InitialRate)*float64(up/m.WarmUpDuration))
+		return m.BindLimit(m.InitialRate + (1-m.InitialRate)*float64(uptime/m.WarmUpDuration))
 	}}
-	unconstrained := oracle.Place(machines, wants, end, nil) / wanted
-	constrained := oracle.Place(machines, wants, end, rules) / wanted
-	rules.Asked = true
-	retried := oracle.Place(machines, wants, end, rules) / wanted
+	unconstrained := oracle.Place(machines, workloads, end, nil) / wanted
+	constrained := oracle.Place(machines, workloads, end, constraints) / wanted
+	constraints.AwaitRetry = true
+	retried := oracle.Place(machines, workloads, end, constraints) / wanted
 	informed, err := d.playWithFullKnowledge()
 	if err != nil {
 		return nil, err
 	}
-	o := &Oracle{Bound: oracle.Bound(machines, wants, end) / wanted, Best: max(unconstrained, constrained, informed, ran)}
+	o := &Oracle{Bound: oracle.Bound(machines, workloads, end) / wanted, Best: max(unconstrained, constrained, informed, ran)}
 	o.Knowledge = informed - ran
 	o.Rules, o.Asking = unconstrained-constrained, constrained-retried
 	o.Decisions = o.Best - o.Rules - o.Asking - informed
@@ -79,23 +81,23 @@
 		spec := d.specs[i]
 		all = append(all, oracle.Machine{
 			Zone: spec.Zone, Cell: spec.Cell, Cores: spec.Cores, Memory: spec.Memory,
-			AskCores: spec.Cores * d.script.Node.CoreOvercommit, AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
+			MaxRequestedCores: spec.Cores * d.script.Node.CoreOvercommit, MaxRequestedMemory: spec.Memory * d.script.Node.MemoryOvercommit,
 			Up: g.Uptime, Drains: d.drains[g],
 		})
 	}
 	return all
 }
 
-// oracleWants returns the workloads that clients wanted, with their actual resource use.
-func (d *Run) oracleWants() []oracle.Want {
+// oracleWorkloads returns the workloads that clients wanted, with their actual resource use.
+func (d *Run) oracleWorkloads() []oracle.Workload {
 	terms := d.script.Terms()
-	var all []oracle.Want
+	var all []oracle.Workload
 	for _, w := range d.wantedWorkloads() {
 		use, g := d.script.Node.Groups[w.Group], terms.Groups[w.Group]
-		all = append(all, oracle.Want{
+		all = append(all, oracle.Workload{
 			From: w.From, Until: w.Until, Service: w.Service, Cores: w.Cores, Memory: w.Memory,
-			UsesCores: w.Cores * use.CoreUse * emulator.ServiceFactor(w.Service), UsesMemory: w.Memory * use.MemoryUse * emulator.ServiceFactor(w.Service+1),
-			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.meanRetryDelay(g.Idempotency),
+			UsedCores: w.Cores * use.CoreUse * emulator.ServiceFactor(w.Service), UsedMemory: w.Memory * use.MemoryUse * emulator.ServiceFactor(w.Service+1),
+			SpreadScope: g.SpreadScope, MaxPerScope: g.MaxPerScope, RetryDelay: d.meanRetryDelay(g.Idempotency),
 		})
 	}
 	return all
