--- a/internal/command/lab_experiment.go
+++ b/internal/command/lab_experiment.go
@@ -46,7 +46,7 @@
 		return fmt.Errorf("--workers %d must not be below 0", o.workers)
 	}
 	if o.workers > 0 {
-		plan.Workers = o.workers
+		plan.Limits.Workers = o.workers
 	}
 	report, err := plan.Run(c.Context(), o.dir, func(r experiment.Run, done, of int) { printRun(c, r, done, of) })
 	if err != nil {
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -18,7 +18,7 @@
 
 var errNoRevision = errors.New("it is no revision")
 
-// builds are programs of other revisions of this repository, each built once.
+// builds are programs of other revisions of this repository, each built once, in a temporary directory.
 type builds struct {
 	dir      string            // "" if there are none
 	programs map[string]string // paths by revision
@@ -44,26 +44,25 @@
 	if b.dir == "" {
 		return nil
 	}
-	return os.RemoveAll(b.dir)
+	if err := os.RemoveAll(b.dir); err != nil {
+		return fmt.Errorf("remove builds: %w", err)
+	}
+	return nil
 }
 
-// add checks out a revision of the repository around the working directory, beside that, and builds its program.
+// add builds the program of a revision of the repository that holds the working directory.
 func (b *builds) add(ctx context.Context, revision string) error {
 	if strings.HasPrefix(revision, "-") {
 		return fmt.Errorf("%q: %w", revision, errNoRevision)
 	}
-	if b.dir == "" {
-		dir, err := os.MkdirTemp("", "grebeglade-build-")
-		if err != nil {
-			return err
-		}
-		b.dir = dir
+	if err := b.makeDirectory(); err != nil {
+		return err
 	}
 	number := len(b.programs)
 	source := filepath.Join(b.dir, fmt.Sprint("src", number))
 	program := filepath.Join(b.dir, fmt.Sprint("grebeglade", number))
 	if err := os.MkdirAll(source, directoryMode); err != nil {
-		return err
+		return fmt.Errorf("make directory for build: %w", err)
 	}
 	if err := build(ctx, revision, source, program); err != nil {
 		return err
@@ -72,6 +71,20 @@
 	return nil
 }
 
+// makeDirectory makes the directory of the builds, unless it is there already.
+func (b *builds) makeDirectory() error {
+	if b.dir != "" {
+		return nil
+	}
+	dir, err := os.MkdirTemp("", "grebeglade-build-")
+	if err != nil {
+		return fmt.Errorf("make directory for builds: %w", err)
+	}
+	b.dir = dir
+	return nil
+}
+
+// build exports a revision into the directory source, and builds its program there.
 func build(ctx context.Context, revision, source, program string) error {
 	repository, err := output(ctx, "", "git", "rev-parse", "--show-toplevel")
 	if err != nil {
@@ -95,38 +108,56 @@
 
 // output runs a command and returns its standard output, also together with an error.
 func output(ctx context.Context, dir string, command ...string) (string, error) {
-	c := exec.CommandContext(ctx, command[0], command[1:]...)
-	c.Dir = dir
+	cmd := exec.CommandContext(ctx, command[0], command[1:]...)
+	cmd.Dir = dir
 	var stderr bytes.Buffer
-	c.Stderr = &stderr
-	out, err := c.Output()
+	cmd.Stderr = &stderr
+	stdout, err := cmd.Output()
 	if err != nil {
-		err = CommandError{
-			Command: strings.Join(command, " "), Err: err, Output: firstLines(strings.TrimSpace(stderr.String()), maxErrorLines),
+		return string(stdout), CommandError{
+			Command: strings.Join(command, " "),
+			Err:     err,
+			Output:  firstLines(strings.TrimSpace(stderr.String()), maxErrorLines),
 		}
 	}
-	return string(out), err
+	return string(stdout), nil
+}
+
+// firstLines returns the first n lines of a text.
+func firstLines(text string, n int) string {
+	lines := strings.SplitN(text, "\n", n+1)
+	return strings.Join(lines[:min(n, len(lines))], "\n")
 }
 
 // simulate runs the scenario of a job by the command of another build, which takes the script and the levels' sizes.
 func (b *builds) simulate(ctx context.Context, revision string, p *Plan, j job) (*simulation.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, p.Limits.Timeout)
 	defer cancel()
-	command := []string{
-		b.programs[revision], "lab", "play", p.scriptName(j.cell), "--virtual", "--json", "--seed", fmt.Sprint(j.seed),
+	command := append([]string{b.programs[revision]}, playArguments(p, j)...)
+	stdout, err := output(ctx, "", command...)
+	var result simulation.Result
+	jsonErr := json.Unmarshal([]byte(stdout), &result)
+	if jsonErr == nil {
+		return &result, nil // an exit status of 1 means that a rule was broken, which the result shows
 	}
-	for _, l := range j.cell.Levels {
-		command = append(command, l.arguments()...)
+	if err == nil {
+		err = jsonErr
 	}
-	out, err := output(ctx, "", command...)
-	var r simulation.Result
-	if jsonErr := json.Unmarshal([]byte(out), &r); jsonErr != nil {
-		if err == nil {
-			err = jsonErr
-		}
-		return nil, fmt.Errorf("build %s: %w", revision, err)
+	return nil, fmt.Errorf("build %s: %w", revision, err)
+}
+
+// playArguments returns the arguments with which a build plays the scenario of a job.
+func playArguments(p *Plan, j job) []string {
+	arguments := []string{
+		"lab", "play", p.scriptName(j.cell),
+		"--virtual",
+		"--json",
+		"--seed", fmt.Sprint(j.seed),
 	}
-	return &r, nil // an exit status of 1 means that a rule broke, which the result shows
+	for _, l := range j.cell.Levels {
+		arguments = append(arguments, l.arguments()...)
+	}
+	return arguments
 }
 
 // arguments returns the arguments of 'lab play' for a level.
@@ -135,7 +166,10 @@
 		name  string
 		value float64
 	}{
-		{"--nodes", float64(l.Nodes)}, {"--allocators", float64(l.Allocators)}, {"--rate", l.Rate}, {"--load", l.Load},
+		{"--nodes", float64(l.Nodes)},
+		{"--allocators", float64(l.Allocators)},
+		{"--rate", l.Rate},
+		{"--load", l.Load},
 	} {
 		if flag.value > 0 {
 			arguments = append(arguments, flag.name, fmt.Sprint(flag.value))
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -1,45 +1,63 @@
 package experiment
 
 import (
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
-func TestCompare_Cells_InPairsOfSeeds(t *testing.T) {
-	dir := t.TempDir()
-	p := decodePlan(t, strings.Replace(smallPlan, "repeats = 3", "repeats = 8", 1))
-	doPlan(t, p, dir)
-	a, err := OpenSide(dir + ":more/none")
-	require.NoError(t, err)
-	b, err := OpenSide(dir + ":more/crash")
-	require.NoError(t, err)
-	all, err := Compare(a, b)
+func openSide(t *testing.T, name string) *Side {
+	t.Helper()
+	side, err := OpenSide(name)
 	require.NoError(t, err)
-	found := map[string]Difference{}
-	for _, d := range all {
-		found[d.Measure] = d
-	}
-	assert.Equal(t, 8, found["core_time"].Delta.N)
-	worse := found["core_time"]
-	assert.Equal(t, "worse", worse.Verdict)
-	assert.True(t, worse.IsWorse())
-	assert.Less(t, found["core_time"].Delta.High, 0.0)
-	self, err := Compare(a, a)
-	require.NoError(t, err)
-	for _, d := range self {
-		assert.Equal(t, "the same in every pair", d.Verdict, d.Measure)
-		assert.True(t, d.IsEqual(), d.Measure)
-	}
-	_, err = OpenSide(dir + ":more/flood")
-	require.ErrorContains(t, err, "known are few/none, few/crash, more/none, more/crash")
-	_, err = OpenSide(t.TempDir())
-	require.ErrorContains(t, err, "holds no experiment")
-	all2, err := OpenSide(dir)
+	return side
+}
+
+func compareSides(t *testing.T, a, b *Side) []Difference {
+	t.Helper()
+	differences, err := Compare(a, b)
 	require.NoError(t, err)
-	_, err = Compare(a, all2)
-	require.ErrorIs(t, err, ErrOneCell)
-	require.ErrorContains(t, err, "name a cell on both")
+	return differences
+}
+
+func TestCompare_Cells(t *testing.T) {
+	dir := t.TempDir()
+	runPlan(t, eightSeedsPlan(t), dir)
+	withoutFault := openSide(t, dir+":more/none")
+
+	t.Run("crashes, worse in pairs of seeds", func(t *testing.T) {
+		found := map[string]Difference{}
+		for _, d := range compareSides(t, withoutFault, openSide(t, dir+":more/crash")) {
+			found[d.Measure] = d
+		}
+		coreTime := found["core_time"]
+		assert.Equal(t, 8, coreTime.Delta.N)
+		assert.Equal(t, "worse", coreTime.Verdict)
+		assert.True(t, coreTime.IsWorse())
+		assert.Less(t, coreTime.Delta.High, 0.0)
+	})
+	t.Run("the same cell, equal", func(t *testing.T) {
+		for _, d := range compareSides(t, withoutFault, withoutFault) {
+			assert.Equal(t, "the same in every pair", d.Verdict, d.Measure)
+			assert.True(t, d.IsEqual(), d.Measure)
+		}
+	})
+	t.Run("a whole experiment on one side, error", func(t *testing.T) {
+		_, err := Compare(withoutFault, openSide(t, dir))
+		require.ErrorIs(t, err, ErrOneCell)
+		require.ErrorContains(t, err, "name a cell on both")
+	})
+	t.Run("an unknown cell, error with the known ones", func(t *testing.T) {
+		_, err := OpenSide(dir + ":more/flood")
+		require.ErrorContains(t, err, "known are few/none, few/crash, more/none, more/crash")
+		var unknown UnknownCellError
+		require.ErrorAs(t, err, &unknown)
+	})
+	t.Run("a directory without an experiment, error", func(t *testing.T) {
+		_, err := OpenSide(t.TempDir())
+		require.ErrorContains(t, err, "holds no experiment")
+		var none NoExperimentError
+		require.ErrorAs(t, err, &none)
+	})
 }
--- a/internal/experiment/decode.go
+++ b/internal/experiment/decode.go
@@ -18,38 +18,52 @@
 	planExtension    = ".hcl"
 )
 
-// Decode decodes the text of a plan.
-func Decode(file string, source []byte) (*Plan, error) {
-	b, err := config.Parse(file, source)
+// dayKey is the name of the blocks in which a level states what it changes in the scenario.
+const dayKey = "day"
+
+// Decode decodes the text of a plan. Errors name the file and the line.
+func Decode(file string, text []byte) (*Plan, error) {
+	block, err := config.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{
-		Name: strings.TrimSuffix(filepath.Base(file), planExtension), About: b.String("about", ""),
-		Script: b.String("script", defaultScript), Repeats: b.Int("repeats", defaultRepeats, 1, 10000),
-		Seed:    uint64(b.Int("seed", 1, 1, 1<<30)),
-		Workers: b.Int("workers", runtime.GOMAXPROCS(0), 1, 1024),
-		Timeout: toDuration(b.Duration("each", defaultTimeoutMs)), Budget: toDuration(b.Duration("budget", defaultBudgetMs)),
-		Oracle: b.Bool("oracle", false), file: file, source: source,
-	}
+	plan := decodeArguments(block)
+	plan.Name = strings.TrimSuffix(filepath.Base(file), planExtension)
+	plan.source = planSource{file: file, text: text}
 	d := factorDecoder{}
-	for _, f := range b.Named("factor") {
-		p.Factors = append(p.Factors, d.factor(f))
+	for _, f := range block.Named("factor") {
+		plan.Factors = append(plan.Factors, d.factor(f))
 	}
 	d.reportConflicts()
-	if p.Timeout <= 0 || p.Budget <= 0 {
-		b.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
+	if plan.Limits.Timeout <= 0 || plan.Limits.Budget <= 0 {
+		block.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
 	}
-	if err := b.Finish(); err != nil {
+	if err := block.Finish(); err != nil {
 		return nil, err
 	}
-	if err := p.checkCells(); err != nil {
+	if err := plan.checkCells(); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return plan, nil
+}
+
+// decodeArguments decodes what a plan states outside its factors.
+func decodeArguments(b *config.Block) *Plan {
+	return &Plan{
+		About:   b.String("about", ""),
+		Script:  b.String("script", defaultScript),
+		Repeats: b.Int("repeats", defaultRepeats, 1, 10000),
+		Seed:    uint64(b.Int("seed", 1, 1, 1<<30)),
+		Limits: Limits{
+			Workers: b.Int("workers", runtime.GOMAXPROCS(0), 1, 1024),
+			Timeout: toDuration(b.Duration("each", defaultTimeoutMs)),
+			Budget:  toDuration(b.Duration("budget", defaultBudgetMs)),
+		},
+		Oracle: b.Bool("oracle", false),
+	}
 }
 
-// factorDecoder decodes factors, and notes what cannot be used together.
+// factorDecoder decodes factors, and records what cannot be used together.
 type factorDecoder struct {
 	hasBuild  bool
 	dayBlocks []*config.Block
@@ -66,19 +80,26 @@
 	return f
 }
 
+// level decodes a level without its day block, which is decoded with the scenario of a cell.
 func (d *factorDecoder) level(b *config.Block) Level {
-	if days := b.Blocks("day"); len(days) > 0 {
-		b.Block("day").Skip() // it is decoded with the scenario of a cell
-		d.dayBlocks = append(d.dayBlocks, days[0])
+	if blocks := b.Blocks(dayKey); len(blocks) > 0 {
+		b.Block(dayKey).Skip()
+		d.dayBlocks = append(d.dayBlocks, blocks[0])
 	}
 	d.hasBuild = d.hasBuild || b.Has("build")
 	return Level{
-		Name: b.Name, Build: b.String("build", ""), Nodes: b.Int("nodes", 0, 0, 1e6),
-		Allocators: b.Int("allocators", 0, 0, 5000), Load: b.Float("load", 0, 0, 100), Rate: b.Float("rate", 0, 0, 1e6),
-		Length: b.Duration("length", 0), Script: b.String("script", ""),
+		Name:       b.Name,
+		Build:      b.String("build", ""),
+		Nodes:      b.Int("nodes", 0, 0, 1e6),
+		Allocators: b.Int("allocators", 0, 0, 5000),
+		Load:       b.Float("load", 0, 0, 100),
+		Rate:       b.Float("rate", 0, 0, 1e6),
+		Length:     b.Duration("length", 0),
+		Script:     b.String("script", ""),
 	}
 }
 
+// reportConflicts adds a problem if a plan has both builds, which take scripts only, and day blocks.
 func (d *factorDecoder) reportConflicts() {
 	if !d.hasBuild || len(d.dayBlocks) == 0 {
 		return
@@ -92,7 +113,12 @@
 func (p *Plan) checkCells() error {
 	cells := p.Cells()
 	if len(cells) > maxCells {
-		return config.Problems{{File: p.file, Line: 1, What: fmt.Sprintf("%d cells are too many", len(cells)), Fix: "leave levels out"}}
+		return config.Problems{{
+			File: p.source.file,
+			Line: 1,
+			What: fmt.Sprintf("%d cells are too many", len(cells)),
+			Fix:  "leave levels out",
+		}}
 	}
 	for _, c := range cells {
 		if _, err := p.Scenario(c); err != nil {
--- a/internal/experiment/decode_test.go
+++ b/internal/experiment/decode_test.go
@@ -6,17 +6,79 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// invalidPlans are plans with the problem that decoding must report.
+var invalidPlans = []struct {
+	name    string
+	plan    string
+	problem string
+}{
+	{
+		name:    "argument out of range",
+		plan:    `repeats = 0`,
+		problem: "x.hcl:1: repeats is 0",
+	},
+	{
+		name:    "factor without levels",
+		plan:    `factor "f" {}`,
+		problem: `x.hcl:1: factor "f" has no level`,
+	},
+	{
+		name: "unknown argument",
+		plan: `factor "f" {
+				level "a" {
+					nodez = 3
+				}
+			}`,
+		problem: "x.hcl:3: nodez is not a known argument; did you mean nodes?",
+	},
+	{
+		name:    "unknown script",
+		plan:    `script = "ruogh"`,
+		problem: `no script is named "ruogh"`,
+	},
+	{
+		name: "unknown block of a scenario",
+		plan: `factor "f" {
+				level "a" {
+					day {
+						lod {}
+					}
+				}
+			}`,
+		problem: "x.hcl:4: lod is not a known block",
+	},
+	{
+		name: "unknown kind of fault",
+		plan: `factor "f" {
+				level "a" {
+					day {
+						fault "flood" {}
+					}
+				}
+			}`,
+		problem: `x.hcl:4: a fault of kind "flood" is not known`,
+	},
+	{
+		name: "build beside a day block",
+		plan: `factor "f" {
+				level "a" {
+					build = "HEAD"
+				}
+				level "b" {
+					day {
+						length = "3s"
+					}
+				}
+			}`,
+		problem: "x.hcl:6: a day block beside a level with a build",
+	},
+}
+
 func TestDecode_InvalidPlan_NamesLine(t *testing.T) {
-	for text, want := range map[string]string{
-		"repeats = 0":     "x.hcl:1: repeats is 0",
-		"factor \"f\" {}": `x.hcl:1: factor "f" has no level`,
-		"factor \"f\" {\n level \"a\" {\n nodez = 3\n }\n}": "x.hcl:3: nodez is not a known argument; did you mean nodes?",
-		"script = \"ruogh\"": `no script is named "ruogh"`,
-		"factor \"f\" {\n level \"a\" {\n day {\n lod {}\n}\n}\n}":                                                "x.hcl:4: lod is not a known block",
-		"factor \"f\" {\n level \"a\" {\n day {\n fault \"flood\" {}\n}\n}\n}":                                    `x.hcl:4: a fault of kind "flood" is not known`,
-		"factor \"f\" {\n level \"a\" {\n build = \"HEAD\"\n}\n level \"b\" {\n day {\n length = \"3s\"\n}\n}\n}": "x.hcl:6: a day block beside a level with a build",
-	} {
-		_, err := Decode("x.hcl", []byte(text))
-		assert.ErrorContains(t, err, want, text)
+	for _, test := range invalidPlans {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Decode("x.hcl", []byte(test.plan))
+			assert.ErrorContains(t, err, test.problem, test.plan)
+		})
 	}
 }
--- a/internal/experiment/directory.go
+++ b/internal/experiment/directory.go
@@ -4,11 +4,9 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
-
-	"github.com/parquet-go/parquet-go"
 )
 
 // Files of an experiment's directory.
@@ -23,27 +21,35 @@
 	fileMode      = 0o644
 )
 
-// claim makes the directory of a new experiment, or reads the runs that an earlier one of the same plan left in it.
-func (p *Plan) claim(dir string) ([]Run, error) {
+// prepareDirectory writes the plan into a new directory, or reads the runs that an earlier execution of the same plan
+// left in it.
+func (p *Plan) prepareDirectory(dir string) ([]Run, error) {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("make directory of experiment: %w", err)
 	}
 	path := filepath.Join(dir, planFile)
-	source, err := os.ReadFile(path)
+	text, err := readPlanText(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return nil, os.WriteFile(path, p.source, fileMode)
+		return nil, p.write(path)
 	case err != nil:
 		return nil, err
-	case !bytes.Equal(source, p.source):
+	case !bytes.Equal(text, p.source.text):
 		return nil, OtherExperimentError{Dir: dir}
 	}
 	return recoverRuns(filepath.Join(dir, runsFile))
 }
 
+func (p *Plan) write(file string) error {
+	if err := os.WriteFile(file, p.source.text, fileMode); err != nil {
+		return fmt.Errorf("write plan: %w", err)
+	}
+	return nil
+}
+
 // recoverRuns reads runs, and removes an incomplete last line, so that the next run begins a line of its own.
 func recoverRuns(file string) ([]Run, error) {
-	runs, complete, err := readRuns(file)
+	runs, completeSize, err := readRuns(file)
 	if err != nil {
 		return nil, err
 	}
@@ -52,86 +58,62 @@
 		return runs, nil
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read size of runs: %w", err)
+	}
+	if info.Size() <= completeSize {
+		return runs, nil
 	}
-	if info.Size() > complete {
-		return runs, os.Truncate(file, complete)
+	if err := os.Truncate(file, completeSize); err != nil {
+		return nil, fmt.Errorf("remove incomplete run: %w", err)
 	}
 	return runs, nil
 }
 
 // readRuns reads runs line by line, none if there is no file. It leaves out a last line that is incomplete, since its
-// writer was killed, and returns the size of the lines before.
-func readRuns(file string) (runs []Run, complete int64, err error) {
+// writer was killed, and returns the size in bytes of the lines before.
+func readRuns(file string) (runs []Run, completeSize int64, err error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, err
+		return nil, 0, fmt.Errorf("read runs: %w", err)
 	}
-	number := 0
+	lineNumber := 0
 	for line := range bytes.Lines(text) {
-		number++
+		lineNumber++
 		if !bytes.HasSuffix(line, []byte("\n")) {
 			break
 		}
-		var r Run
-		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, 0, MalformedRunError{File: file, Line: number, Err: err}
+		var run Run
+		if err := json.Unmarshal(line, &run); err != nil {
+			return nil, 0, MalformedRunError{
+				File: file,
+				Line: lineNumber,
+				Err:  err,
+			}
 		}
-		runs = append(runs, r)
-		complete += int64(len(line))
+		runs = append(runs, run)
+		completeSize += int64(len(line))
 	}
-	return runs, complete, nil
+	return runs, completeSize, nil
 }
 
 func openRunFile(file string) (*os.File, error) {
-	return os.OpenFile(file, os.O_APPEND|os.O_WRONLY|os.O_CREATE, fileMode)
+	out, err := os.OpenFile(file, os.O_APPEND|os.O_WRONLY|os.O_CREATE, fileMode)
+	if err != nil {
+		return nil, fmt.Errorf("open file of runs: %w", err)
+	}
+	return out, nil
 }
 
 func appendRun(out *os.File, r *Run) error {
 	line, err := json.Marshal(r)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode run: %w", err)
 	}
-	_, err = out.Write(append(line, '\n'))
-	return err
-}
-
-// Row is one value of one run in the Parquet file. A failed run has a row with its error.
-type Row struct {
-	Cell    int32   `parquet:"cell"`
-	Levels  string  `parquet:"levels,dict"`
-	Seed    uint64  `parquet:"seed"`
-	Measure string  `parquet:"measure,dict"`
-	Value   float64 `parquet:"value"`
-	Error   string  `parquet:"error,dict"`
-	Digest  string  `parquet:"digest,dict"`
-	Seconds float64 `parquet:"seconds"`
-}
-
-func writeParquet(file string, runs []Run) error {
-	var rows []Row
-	for i := range runs {
-		rows = append(rows, runs[i].rows()...)
-	}
-	return parquet.WriteFile(file, rows)
-}
-
-func (r *Run) rows() (rows []Row) {
-	row := Row{
-		Cell: int32(r.Cell), Levels: strings.Join(r.Levels, levelSeparator), Seed: r.Seed, Error: r.Error, Digest: r.Digest,
-		Seconds: r.Seconds,
-	}
-	if r.Error != "" {
-		rows = append(rows, row)
-	}
-	for _, m := range Measures {
-		if v, ok := r.Values[m.Name]; ok {
-			row.Measure, row.Value = m.Name, v
-			rows = append(rows, row)
-		}
+	if _, err := out.Write(append(line, '\n')); err != nil {
+		return fmt.Errorf("write run: %w", err)
 	}
-	return rows
+	return nil
 }
--- a/internal/experiment/errors.go
+++ b/internal/experiment/errors.go
@@ -15,7 +15,8 @@
 }
 
 func (e OtherExperimentError) Error() string {
-	return fmt.Sprintf("%s holds another experiment, or an earlier text of this one; give another directory, or remove it", e.Dir)
+	return fmt.Sprintf("%s holds another experiment, or an earlier text of this one; "+
+		"give another directory, or remove it", e.Dir)
 }
 
 // NoExperimentError means that a directory holds no experiment.
@@ -27,7 +28,7 @@
 	return fmt.Sprintf("%s holds no experiment; make one with grebeglade lab run PLAN.hcl -o %s", e.Dir, e.Dir)
 }
 
-// MalformedRunError means that a line of the file of runs cannot be read.
+// MalformedRunError means that a line of the file of runs is no JSON document of a run.
 type MalformedRunError struct {
 	File string
 	Line int
@@ -38,10 +39,10 @@
 	return fmt.Sprintf("%s:%d: no run: %v; remove the line, and it is run again", e.File, e.Line, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e MalformedRunError) Unwrap() error { return e.Err }
 
-// ForeignRunError means that a run is not of the plan beside it.
+// ForeignRunError means that a run in a directory does not belong to the plan in it.
 type ForeignRunError struct {
 	Dir  string
 	Cell int
@@ -54,8 +55,9 @@
 
 // UnknownCellError means that an experiment has no cell of a name.
 type UnknownCellError struct {
-	Dir, Cell string
-	Known     []string
+	Dir   string
+	Cell  string
+	Known []string
 }
 
 func (e UnknownCellError) Error() string {
@@ -64,13 +66,14 @@
 
 // NothingInCommonError means that two sides of a comparison have no cell or no seed in common.
 type NothingInCommonError struct {
-	A, B string
-	What string // that they lack
-	Fix  string // "" if there is none
+	A       string
+	B       string
+	Missing string // what they do not share
+	Fix     string // "" if there is none
 }
 
 func (e NothingInCommonError) Error() string {
-	text := fmt.Sprintf("%s and %s have no %s", e.A, e.B, e.What)
+	text := fmt.Sprintf("%s and %s have no %s", e.A, e.B, e.Missing)
 	if e.Fix != "" {
 		text += "; " + e.Fix
 	}
@@ -86,5 +89,5 @@
 
 func (e CommandError) Error() string { return fmt.Sprintf("%s: %v: %s", e.Command, e.Err, e.Output) }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e CommandError) Unwrap() error { return e.Err }
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -8,41 +8,52 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An interval must hold the true mean as often as its confidence says, and the smallest difference must be seen as often as
-// the power says.
+const (
+	sampleCount = 4000 // samples of a test of probabilities
+	sampleSize  = 8
+)
+
+// normalSample draws values with a standard deviation of 1.
+func normalSample(rng *rand.Rand, mean float64) []float64 {
+	values := make([]float64, sampleSize)
+	for i := range values {
+		values[i] = mean + rng.NormFloat64()
+	}
+	return values
+}
+
+// An interval must contain the true mean with the probability of its confidence, and the smallest detectable difference
+// must be significant with the probability of the power.
 func TestEstimate_ConfidenceAndPower(t *testing.T) {
+	const (
+		trueMean           = 5.0
+		smallestDetectable = 1.15 // for a deviation of 1 and 8 values
+	)
 	rng := rand.New(rand.NewPCG(1, 1))
-	const times = 4000
-	held, seen := 0, 0
-	for range times {
-		values := make([]float64, 8)
-		for i := range values {
-			values[i] = 5 + rng.NormFloat64()
-		}
-		if e := estimate(values); e.Low <= 5 && 5 <= e.High {
-			held++
-		}
-		// The smallest difference that is seen for a deviation of 1 and 8 values.
-		shift := 1.15
-		for i := range values {
-			values[i] = shift + rng.NormFloat64()
+	contained := 0
+	detected := 0
+	for range sampleCount {
+		interval := newEstimate(normalSample(rng, trueMean))
+		if interval.Low <= trueMean && trueMean <= interval.High {
+			contained++
 		}
-		if e := estimate(values); e.P < 0.05 {
-			seen++
+		shifted := newEstimate(normalSample(rng, smallestDetectable))
+		if shifted.P < 0.05 {
+			detected++
 		}
 	}
-	assert.InDelta(t, 0.95, float64(held)/times, 0.015)
-	assert.InDelta(t, 0.8, float64(seen)/times, 0.05)
-	e := estimate([]float64{-1, 1, -1, 1, -1, 1, -1, 1})
-	assert.InDelta(t, 1.15, e.SmallestDetectable, 0.15)
+	assert.InDelta(t, 0.95, float64(contained)/sampleCount, 0.015)
+	assert.InDelta(t, 0.8, float64(detected)/sampleCount, 0.05)
+	deviationOfOne := newEstimate([]float64{-1, 1, -1, 1, -1, 1, -1, 1})
+	assert.InDelta(t, smallestDetectable, deviationOfOne.SmallestDetectable, 0.15)
 }
 
 func TestEstimate_FewValues_NoInterval(t *testing.T) {
-	assert.True(t, math.IsNaN(estimate(nil).Mean))
-	one := estimate([]float64{3})
-	assert.True(t, math.IsInf(one.Low, -1) && math.IsInf(one.High, 1))
-	assert.InDelta(t, 1, one.P, 0)
-	alike := estimate([]float64{2, 2, 2})
-	assert.InDelta(t, 2, alike.Low, 0)
-	assert.True(t, alike.Alike)
+	assert.True(t, math.IsNaN(newEstimate(nil).Mean))
+	ofOne := newEstimate([]float64{3})
+	assert.True(t, math.IsInf(ofOne.Low, -1) && math.IsInf(ofOne.High, 1))
+	assert.InDelta(t, 1, ofOne.P, 0)
+	ofEqual := newEstimate([]float64{2, 2, 2})
+	assert.InDelta(t, 2, ofEqual.Low, 0)
+	assert.True(t, ofEqual.Alike)
 }
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -5,6 +5,9 @@
 	"slices"
 )
 
+// minSeedsOfEffect is the number of seeds below which there is no interval, and so no finding.
+const minSeedsOfEffect = 2
+
 // effect is how a level of a factor differs from the factor's first level in a measure.
 type effect struct {
 	difference Difference
@@ -21,7 +24,7 @@
 	for i := range effects {
 		differences[i] = effects[i].difference
 	}
-	judge(differences)
+	setVerdicts(differences)
 	for i := range differences {
 		d := &differences[i]
 		if d.Significant && !d.IsEqual() && d.Measure != costMeasure {
@@ -36,56 +39,44 @@
 
 func (d *Difference) sentence(comparison string) string {
 	m, _ := MeasureOf(d.Measure)
-	return fmt.Sprintf("%s: %s is %s, by %s %s (95%%: %s to %s) from %s.", comparison, m.About, d.Verdict,
+	return fmt.Sprintf("%s: %s is %s, by %s %s (95%%: %s to %s) from %s.",
+		comparison, m.About, d.Verdict,
 		formatFigure(d.Delta.Mean), m.Unit, formatFigure(d.Delta.Low), formatFigure(d.Delta.High), formatFigure(d.A))
 }
 
 // effects returns the effects of each factor's levels, in which all else is equal.
-func (r *Result) effects() (all []effect) {
-	for f, factor := range r.Plan.Factors {
+func (r *Result) effects() (effects []effect) {
+	for i, factor := range r.Plan.Factors {
+		first := factor.Levels[0]
 		for _, level := range factor.Levels[1:] {
-			comparison := fmt.Sprintf("%s %q against %q", factor.Name, level.Name, factor.Levels[0].Name)
+			comparison := fmt.Sprintf("%s %q against %q", factor.Name, level.Name, first.Name)
 			for _, m := range Measures {
-				d, ok := r.effect(f, level, m)
+				d, ok := r.effect(i, level, m)
 				if ok {
-					all = append(all, effect{d, comparison})
+					effects = append(effects, effect{difference: d, comparison: comparison})
 				}
 			}
 		}
 	}
-	return all
+	return effects
 }
 
 // effect compares the cells of a factor's level with those of its first level and the same levels of all other factors.
 // Seed by seed, it takes the mean over these pairs of cells. It returns false if there are fewer than two seeds.
-func (r *Result) effect(factor int, level Level, m Measure) (d Difference, ok bool) {
-	sums, counts := seedValues{}, seedValues{}
-	firstSum := 0.0
+func (r *Result) effect(factor int, level Level, measure Measure) (d Difference, ok bool) {
+	values := newPairedValues()
 	cells := r.Plan.Cells()
 	for _, c := range cells {
 		if c.Levels[factor].Name != level.Name {
 			continue
 		}
-		first := r.values(r.withFirstLevel(cells, c, factor), m.Name)
-		values := r.values(c, m.Name)
-		for _, seed := range values.seeds() {
-			if v, both := first[seed]; both {
-				sums[seed] += values[seed] - v
-				counts[seed]++
-				firstSum += v
-			}
-		}
+		first := r.withFirstLevel(cells, c, factor)
+		values.add(r.values(first, measure.Name), r.values(c, measure.Name))
 	}
-	if len(sums) < 2 {
+	if values.seedCount() < minSeedsOfEffect {
 		return Difference{}, false
 	}
-	n := 0.0
-	means := seedValues{}
-	for _, seed := range sums.seeds() {
-		means[seed] = sums[seed] / counts[seed]
-		n += counts[seed]
-	}
-	return Difference{Measure: m.Name, A: firstSum / n, Delta: estimate(means.inOrder())}, true
+	return values.difference(measure.Name), true
 }
 
 // withFirstLevel returns the cell that differs from c only in that it has the factor's first level.
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -3,12 +3,15 @@
 import (
 	"context"
 	"fmt"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 )
 
+// smallPlan has four cells and three seeds.
 const smallPlan = `
 about   = "a small one"
 script  = "quiet"
@@ -40,33 +43,65 @@
 }
 `
 
+// smallPlanRuns is the number of runs of smallPlan.
+const smallPlanRuns = 12
+
+// Cells of smallPlan by index.
+const (
+	cellFewNone   = 0
+	cellMoreCrash = 3
+)
+
+// eightSeedsPlan is smallPlan with enough seeds for significant differences.
+func eightSeedsPlan(t *testing.T) *Plan {
+	t.Helper()
+	return decodePlan(t, strings.Replace(smallPlan, "repeats = 3", "repeats = 8", 1))
+}
+
 func decodePlan(t *testing.T, text string) *Plan {
 	t.Helper()
-	p, err := Decode("small.hcl", []byte(text))
+	plan, err := Decode("small.hcl", []byte(text))
 	require.NoError(t, err)
-	return p
+	return plan
 }
 
-func doPlan(t *testing.T, p *Plan, dir string) *Report {
+func runPlan(t *testing.T, p *Plan, dir string) *Report {
 	t.Helper()
-	r, err := p.Run(context.Background(), dir, nil)
+	report, err := p.Run(context.Background(), dir, nil)
 	require.NoError(t, err)
-	return r
+	return report
 }
 
 func readResult(t *testing.T, dir string) *Result {
 	t.Helper()
-	r, err := Read(dir)
+	result, err := Read(dir)
+	require.NoError(t, err)
+	return result
+}
+
+// writeDirectory writes the directory of an execution of smallPlan that left runs behind.
+func writeDirectory(t *testing.T, dir string, runs []byte) {
+	t.Helper()
+	require.NoError(t, os.WriteFile(filepath.Join(dir, planFile), []byte(smallPlan), fileMode))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, runsFile), runs, fileMode))
+}
+
+// writeReport writes the report of a directory, and returns its text.
+func writeReport(t *testing.T, result *Result) string {
+	t.Helper()
+	path, err := result.WriteReport()
+	require.NoError(t, err)
+	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	return r
+	return string(text)
 }
 
 // reproducible returns what is the same in identical runs: all but the time that they took.
 func reproducible(r *Result) string {
-	var b strings.Builder
+	var text strings.Builder
 	for _, run := range r.Runs {
 		delete(run.Values, costMeasure)
-		fmt.Fprintln(&b, run.Cell, run.Seed, run.Digest, run.Error, run.Values)
+		fmt.Fprintln(&text, run.Cell, run.Seed, run.Digest, run.Error, run.Values)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -24,16 +24,18 @@
 
 var reportTemplate = template.Must(template.New("report").Parse(reportText))
 
-// page is what the report shows.
+// page holds the values of the report's template.
 type page struct {
-	Plan           *Plan
-	Text           string // of the plan
-	Cells          int
-	Of, Done       int // runs
-	Failed, Broken []Run
-	Seconds        string
-	Findings       []string
-	Sections       []section
+	Plan     *Plan
+	Text     string // of the plan
+	Cells    int
+	Total    int   // runs of the experiment
+	Done     int   // runs
+	Failed   []Run // that have no values
+	Broken   []Run // in which a rule was broken
+	Seconds  string
+	Findings []string
+	Sections []section
 }
 
 // section is the part of the report about one measure.
@@ -45,13 +47,16 @@
 
 // row is the estimate of a measure in one cell.
 type row struct {
-	Cell            string
-	Mean, Low, High string
-	N, Lacking      int // runs with a value, and without
+	Cell    string
+	Mean    string
+	Low     string
+	High    string
+	N       int // runs with a value
+	Lacking int // runs without a value
 }
 
-// WriteReport writes the report of an experiment beside its runs, and returns its path: one page that needs no other file,
-// and each plot as a PNG file. Failed runs are listed and left out of the figures.
+// WriteReport writes the report of an experiment into its directory, and returns its path: one self-contained page, and
+// each plot as a PNG file. Failed runs are listed and left out of the figures.
 func (r *Result) WriteReport() (string, error) {
 	sections, err := r.sections()
 	if err != nil {
@@ -59,57 +64,74 @@
 	}
 	var out bytes.Buffer
 	if err := reportTemplate.Execute(&out, r.newPage(sections)); err != nil {
-		return "", err
+		return "", fmt.Errorf("execute template of report: %w", err)
 	}
 	path := filepath.Join(r.Dir, reportFile)
-	return path, os.WriteFile(path, out.Bytes(), fileMode)
+	if err := os.WriteFile(path, out.Bytes(), fileMode); err != nil {
+		return "", fmt.Errorf("write report: %w", err)
+	}
+	return path, nil
 }
 
+// newPage returns the page with the sections, and what is shown of all runs.
 func (r *Result) newPage(sections []section) *page {
-	cells := len(r.Plan.Cells())
-	p := &page{
-		Plan: r.Plan, Text: string(r.Plan.source), Cells: cells, Of: cells * r.Plan.Repeats, Done: len(r.Runs),
-		Findings: r.findings(), Sections: sections,
+	cellCount := len(r.Plan.Cells())
+	report := &page{
+		Plan:     r.Plan,
+		Text:     string(r.Plan.source.text),
+		Cells:    cellCount,
+		Total:    cellCount * r.Plan.Repeats,
+		Done:     len(r.Runs),
+		Findings: r.findings(),
+		Sections: sections,
 	}
-	total := 0.0
+	seconds := 0.0
 	for i := range r.Runs {
 		run := &r.Runs[i]
-		total += run.Seconds
+		seconds += run.Seconds
 		if run.Error != "" {
-			p.Failed = append(p.Failed, *run)
+			report.Failed = append(report.Failed, *run)
 		}
 		if run.brokeRule() {
-			p.Broken = append(p.Broken, *run)
+			report.Broken = append(report.Broken, *run)
 		}
 	}
-	p.Seconds = fmt.Sprintf("%.0f", total)
-	return p
+	report.Seconds = fmt.Sprintf("%.0f", seconds)
+	return report
 }
 
 // sections returns the sections of the measures that have values, and writes their plots.
 func (r *Result) sections() (sections []section, err error) {
 	plots := filepath.Join(r.Dir, plotsDirectory)
 	if err := os.MkdirAll(plots, directoryMode); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("make directory for plots: %w", err)
 	}
 	for _, m := range Measures {
 		rows := r.rows(m)
 		if len(rows) == 0 {
 			continue
 		}
-		png, err := r.draw(m)
+		png, err := r.plot(m)
 		if err != nil {
 			return nil, fmt.Errorf("plot of %s: %w", m.Name, err)
 		}
 		if err := os.WriteFile(filepath.Join(plots, m.Name+plotExtension), png, fileMode); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("write plot: %w", err)
 		}
-		image := template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png))
-		sections = append(sections, section{Measure: m, Plot: image, Rows: rows})
+		sections = append(sections, section{
+			Measure: m,
+			Plot:    pngURL(png),
+			Rows:    rows,
+		})
 	}
 	return sections, nil
 }
 
+// pngURL returns a data URL, which keeps the page self-contained.
+func pngURL(png []byte) template.URL {
+	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png))
+}
+
 // rows returns the rows of a measure for the cells that have values.
 func (r *Result) rows(m Measure) (rows []row) {
 	for _, c := range r.Plan.Cells() {
@@ -118,8 +140,12 @@
 			continue
 		}
 		rows = append(rows, row{
-			Cell: c.Name(), Mean: formatFigure(e.Mean), Low: formatFigure(e.Low), High: formatFigure(e.High),
-			N: e.N, Lacking: r.Plan.Repeats - e.N,
+			Cell:    c.Name(),
+			Mean:    formatFigure(e.Mean),
+			Low:     formatFigure(e.Low),
+			High:    formatFigure(e.High),
+			N:       e.N,
+			Lacking: r.Plan.Repeats - e.N,
 		})
 	}
 	return rows
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"image/color"
 	"math"
 	"slices"
@@ -18,13 +19,13 @@
 	plotWidth    = 18 * vg.Centimeter
 	plotHeight   = 9 * vg.Centimeter
 	plotDPI      = 110
-	plotMargin   = 0.4 // on the left and right, in levels
+	plotMargin   = 0.4 // to the left and right, in levels
 	lineWidth    = 1.5 // points
 	dashOnPoints = 4
-	dashGap      = 3
+	dashGap      = 3 // points
 )
 
-// lineColors can be told apart by the colour-blind too.
+// lineColors are distinguishable for readers with a colour vision deficiency.
 var lineColors = []color.RGBA{
 	{0, 114, 178, 255},
 	{213, 94, 0, 255},
@@ -35,41 +36,61 @@
 	{0, 0, 0, 255},
 }
 
-// draw plots a measure over the levels of the factor with the most of them, as a PNG image. There is a line for each
-// crossing of the other factors, and each point has its interval.
-func (r *Result) draw(m Measure) ([]byte, error) {
-	p := plot.New()
-	p.Title.Text = m.About
-	p.Y.Label.Text = m.Unit
-	p.Add(plotter.NewGrid())
+// plot plots a measure over the levels of the factor with the most of them, as a PNG image. There is a line for each
+// combination of the other factors' levels, and each point has its interval.
+func (r *Result) plot(m Measure) ([]byte, error) {
 	axis := r.axis()
 	names := r.axisNames(axis)
-	p.NominalX(names...)
+	chart := newChart(m, names)
 	for i, l := range r.lines(m, axis, names) {
-		if err := l.addTo(p, i); err != nil {
+		if err := l.addTo(chart, i); err != nil {
 			return nil, err
 		}
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	p.X.Min, p.X.Max = -plotMargin, float64(len(names)-1)+plotMargin
-	if p.Y.Min > 0 && p.Y.Min < p.Y.Max/2 {
-		p.Y.Min = 0
+	setRanges(chart, len(names))
+	return encodePNG(chart)
+}
+
+// newChart returns a plot without lines.
+func newChart(m Measure, names []string) *plot.Plot {
+	chart := plot.New()
+	chart.Title.Text = m.About
+	chart.Y.Label.Text = m.Unit
+	chart.Legend.Top = true
+	chart.Legend.Left = true
+	chart.Add(plotter.NewGrid())
+	chart.NominalX(names...)
+	return chart
+}
+
+// setRanges sets the ranges of the axes, which adding lines has set to those of the values. The y axis begins at zero
+// unless that leaves half of the plot empty.
+func setRanges(chart *plot.Plot, levelCount int) {
+	chart.X.Min = -plotMargin
+	chart.X.Max = float64(levelCount-1) + plotMargin
+	if chart.Y.Min > 0 && chart.Y.Min < chart.Y.Max/2 {
+		chart.Y.Min = 0
 	}
-	return encodePNG(p)
 }
 
-func encodePNG(p *plot.Plot) ([]byte, error) {
-	canvas := vgimg.NewWith(vgimg.UseWH(plotWidth, plotHeight), vgimg.UseDPI(plotDPI), vgimg.UseBackgroundColor(color.White))
-	p.Draw(draw.New(canvas))
+// encodePNG draws a plot on a white background.
+func encodePNG(chart *plot.Plot) ([]byte, error) {
+	canvas := vgimg.NewWith(
+		vgimg.UseWH(plotWidth, plotHeight),
+		vgimg.UseDPI(plotDPI),
+		vgimg.UseBackgroundColor(color.White))
+	chart.Draw(draw.New(canvas))
 	var out bytes.Buffer
-	_, err := vgimg.PngCanvas{Canvas: canvas}.WriteTo(&out)
-	return out.Bytes(), err
+	if _, err := (vgimg.PngCanvas{Canvas: canvas}).WriteTo(&out); err != nil {
+		return nil, fmt.Errorf("encode PNG: %w", err)
+	}
+	return out.Bytes(), nil
 }
 
 // noAxis is the axis of a plan without factors, which has one cell.
 const noAxis = -1
 
-// axis returns the index of the factor that plots run along: the first of those with the most levels.
+// axis returns the index of the factor on the x axis: the first of those with the most levels.
 func (r *Result) axis() int {
 	axis := noAxis
 	for i, f := range r.Plan.Factors {
@@ -80,9 +101,10 @@
 	return axis
 }
 
+// axisNames returns the names of the levels on the x axis.
 func (r *Result) axisNames(axis int) (names []string) {
 	if axis == noAxis {
-		return []string{"all"}
+		return []string{nameWithoutFactors}
 	}
 	for _, l := range r.Plan.Factors[axis].Levels {
 		names = append(names, l.Name)
@@ -90,20 +112,23 @@
 	return names
 }
 
-// line is the estimates of one crossing of the factors that are not the axis.
+// line holds the estimates of one combination of levels of the factors that are not the axis.
 type line struct {
-	name   string // "" if there are no other factors
-	points plotter.XYs
-	errors plotter.YErrors
+	name      string // "" if there are no other factors
+	points    plotter.XYs
+	intervals plotter.YErrors
 }
 
+// add adds a point, with an interval if the estimate has one.
 func (l *line) add(x int, e Estimate) {
-	low, high := e.Mean-e.Low, e.High-e.Mean
-	if math.IsInf(low, 0) { // there is no interval
-		low, high = 0, 0
+	below := e.Mean - e.Low
+	above := e.High - e.Mean
+	if math.IsInf(below, 0) {
+		below = 0
+		above = 0
 	}
 	l.points = append(l.points, plotter.XY{X: float64(x), Y: e.Mean})
-	l.errors = append(l.errors, struct{ Low, High float64 }{low, high})
+	l.intervals = append(l.intervals, struct{ Low, High float64 }{Low: below, High: above})
 }
 
 // lines returns the lines of a measure in the order of the cells.
@@ -134,29 +159,31 @@
 	return x, strings.Join(slices.Delete(levels, axis, axis+1), levelSeparator)
 }
 
-// addTo adds the line to a plot, in which it is the i-th. Where the colours are used up, lines are dashed.
-func (l *line) addTo(p *plot.Plot, i int) error {
+// addTo adds the line to a plot. The index gives the colour; lines beyond the last colour are dashed.
+func (l *line) addTo(chart *plot.Plot, index int) error {
 	lines, points, err := plotter.NewLinePoints(l.points)
 	if err != nil {
-		return err
+		return fmt.Errorf("line %q: %w", l.name, err)
 	}
 	bars, err := plotter.NewYErrorBars(struct {
 		plotter.XYer
 		plotter.YErrorer
-	}{l.points, l.errors})
+	}{l.points, l.intervals})
 	if err != nil {
-		return err
+		return fmt.Errorf("intervals of line %q: %w", l.name, err)
 	}
-	ink := lineColors[i%len(lineColors)]
-	lines.Color, points.Color, bars.Color = ink, ink, ink
+	lineColor := lineColors[index%len(lineColors)]
+	lines.Color = lineColor
+	points.Color = lineColor
+	bars.Color = lineColor
 	points.Shape = draw.CircleGlyph{}
 	lines.Width = vg.Points(lineWidth)
-	if i >= len(lineColors) {
+	if index >= len(lineColors) {
 		lines.Dashes = []vg.Length{vg.Points(dashOnPoints), vg.Points(dashGap)}
 	}
-	p.Add(lines, points, bars)
+	chart.Add(lines, points, bars)
 	if l.name != "" {
-		p.Legend.Add(l.name, lines, points)
+		chart.Legend.Add(l.name, lines, points)
 	}
 	return nil
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -2,42 +2,58 @@
 
 import (
 	"cmp"
+	"errors"
+	"io/fs"
 	"maps"
-	"os"
 	"path/filepath"
 	"slices"
 )
 
-// Result is what an experiment's directory holds.
+// Result is the content of an experiment's directory.
 type Result struct {
 	Plan *Plan
 	Dir  string
 	Runs []Run // by cell and seed
 }
 
-// Read reads a directory that Plan.Do has written, whether or not the experiment is complete.
+// Read reads a directory that Plan.Run has written, whether or not the experiment is complete.
 func Read(dir string) (*Result, error) {
-	p, err := Open(filepath.Join(dir, planFile))
-	if os.IsNotExist(err) {
+	path := filepath.Join(dir, planFile)
+	text, err := readPlanText(path)
+	if errors.Is(err, fs.ErrNotExist) {
 		return nil, NoExperimentError{Dir: dir}
 	}
 	if err != nil {
 		return nil, err
 	}
+	plan, err := Decode(path, text)
+	if err != nil {
+		return nil, err
+	}
 	runs, _, err := readRuns(filepath.Join(dir, runsFile))
 	if err != nil {
 		return nil, err
 	}
-	cells := len(p.Cells())
+	cellCount := len(plan.Cells())
 	for i := range runs {
 		r := &runs[i]
-		if r.Plan != p.digest() || r.Cell < 0 || r.Cell >= cells {
-			return nil, ForeignRunError{Dir: dir, Cell: r.Cell, Seed: r.Seed}
+		if r.Plan != plan.digest() || r.Cell < 0 || r.Cell >= cellCount {
+			return nil, ForeignRunError{
+				Dir:  dir,
+				Cell: r.Cell,
+				Seed: r.Seed,
+			}
 		}
 	}
-	slices.SortStableFunc(runs, func(x, y Run) int { return cmp.Or(cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.Seed, y.Seed)) })
-	p.Name = filepath.Base(dir)
-	return &Result{p, dir, runs}, nil
+	slices.SortStableFunc(runs, func(x, y Run) int {
+		return cmp.Or(cmp.Compare(x.Cell, y.Cell), cmp.Compare(x.Seed, y.Seed))
+	})
+	plan.Name = filepath.Base(dir)
+	return &Result{
+		Plan: plan,
+		Dir:  dir,
+		Runs: runs,
+	}, nil
 }
 
 // seedValues are values by seed.
@@ -68,5 +84,5 @@
 
 // Estimate returns the estimate of a measure in a cell.
 func (r *Result) Estimate(cell Cell, measure string) Estimate {
-	return estimate(r.values(cell, measure).inOrder())
+	return newEstimate(r.values(cell, measure).inOrder())
 }
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -14,87 +14,114 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDo_RunsEveryCellWithTheSameSeeds(t *testing.T) {
+func TestRun_SmallPlan_SameSeedsInEveryCell(t *testing.T) {
 	dir := t.TempDir()
-	p := decodePlan(t, smallPlan)
-	r := doPlan(t, p, dir)
-	assert.Equal(t, 12, r.Total)
-	assert.Equal(t, 12, r.Done)
-	assert.Zero(t, r.Failed+r.Broken)
-	assert.Empty(t, r.StopReason)
-	got := readResult(t, dir)
-	for _, c := range p.Cells() {
-		assert.Len(t, got.values(c, "core_time"), 3, c.Name())
+	plan := decodePlan(t, smallPlan)
+	report := runPlan(t, plan, dir)
+	assert.Equal(t, smallPlanRuns, report.Total)
+	assert.Equal(t, smallPlanRuns, report.Done)
+	assert.Zero(t, report.Failed+report.Broken)
+	assert.Empty(t, report.StopReason)
+	result := readResult(t, dir)
+	for _, c := range plan.Cells() {
+		assert.Equal(t, []uint64{1, 2, 3}, result.values(c, "core_time").seeds(), c.Name())
 	}
-	scenario, err := p.Scenario(p.Cells()[3])
-	require.NoError(t, err)
-	assert.Equal(t, 8, scenario.NodeCount())
-	assert.Equal(t, "crash", string(scenario.Faults[0].Kind))
+
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, parquetFile))
 	require.NoError(t, err)
-	assert.Greater(t, len(rows), 12*8)
+	assert.Greater(t, len(rows), smallPlanRuns*8, "each run has a row for each of its measures")
+}
+
+func TestScenario_OfCell_HasWhatItsLevelsState(t *testing.T) {
+	plan := decodePlan(t, smallPlan)
+	script, err := plan.Scenario(plan.Cells()[cellMoreCrash])
+	require.NoError(t, err)
+	assert.Equal(t, 8, script.NodeCount())
+	assert.Equal(t, "crash", string(script.Faults[0].Kind))
+}
 
-	// The number of workers makes no difference.
-	other := t.TempDir()
-	p.Workers = 1
-	doPlan(t, p, other)
-	assert.Equal(t, reproducible(got), reproducible(readResult(t, other)))
+func TestRun_OtherNumberOfWorkers_SameRuns(t *testing.T) {
+	withTwo := t.TempDir()
+	withOne := t.TempDir()
+	plan := decodePlan(t, smallPlan)
+	runPlan(t, plan, withTwo)
+	plan.Limits.Workers = 1
+	runPlan(t, plan, withOne)
+	assert.Equal(t, reproducible(readResult(t, withTwo)), reproducible(readResult(t, withOne)))
 }
 
 // An experiment that is killed leaves runs, and perhaps an incomplete line.
-func TestDo_KilledExperiment_Resumes(t *testing.T) {
-	complete, dir := t.TempDir(), t.TempDir()
-	p := decodePlan(t, smallPlan)
-	doPlan(t, p, complete)
+func TestRun_KilledExperiment_Resumes(t *testing.T) {
+	complete := t.TempDir()
+	resumed := t.TempDir()
+	plan := decodePlan(t, smallPlan)
+	runPlan(t, plan, complete)
 	lines, err := os.ReadFile(filepath.Join(complete, runsFile))
 	require.NoError(t, err)
 	for cut := 0; cut < len(lines); cut += len(lines)/7 + 1 {
-		require.NoError(t, os.WriteFile(filepath.Join(dir, planFile), []byte(smallPlan), 0o644))
-		require.NoError(t, os.WriteFile(filepath.Join(dir, runsFile), lines[:cut], 0o644))
-		r := doPlan(t, p, dir)
-		assert.Equal(t, bytes.Count(lines[:cut], []byte("\n")), r.Earlier)
-		assert.Equal(t, 12, r.Done)
-		assert.Equal(t, reproducible(readResult(t, complete)), reproducible(readResult(t, dir)))
+		writeDirectory(t, resumed, lines[:cut])
+		report := runPlan(t, plan, resumed)
+		assert.Equal(t, bytes.Count(lines[:cut], []byte("\n")), report.Earlier)
+		assert.Equal(t, smallPlanRuns, report.Done)
+		assert.Equal(t, reproducible(readResult(t, complete)), reproducible(readResult(t, resumed)))
 	}
-	assert.Equal(t, 12, doPlan(t, p, dir).Earlier, "a complete experiment makes no run")
-	_, err = decodePlan(t, smallPlan+"\n").Run(context.Background(), dir, nil)
+	assert.Equal(t, smallPlanRuns, runPlan(t, plan, resumed).Earlier, "a complete experiment executes no run")
+}
+
+func TestRun_DirectoryOfOtherPlan_ReturnsError(t *testing.T) {
+	dir := t.TempDir()
+	writeDirectory(t, dir, nil)
+	_, err := decodePlan(t, smallPlan+"\n").Run(context.Background(), dir, nil)
 	require.ErrorContains(t, err, "holds another experiment")
 	require.ErrorIs(t, err, OtherExperimentError{Dir: dir})
-	require.NoError(t, os.WriteFile(filepath.Join(dir, runsFile), []byte("{}x\n"), 0o644))
-	_, err = p.Run(context.Background(), dir, nil)
+}
+
+func TestRun_MalformedRun_ReturnsErrorWithLine(t *testing.T) {
+	dir := t.TempDir()
+	writeDirectory(t, dir, []byte("{}x\n"))
+	_, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
 	require.ErrorContains(t, err, "runs.jsonl:1: no run")
 	var malformed MalformedRunError
 	require.ErrorAs(t, err, &malformed)
 	assert.Equal(t, 1, malformed.Line)
 }
 
-func TestDo_CancelledOrOverBudget_Stops(t *testing.T) {
-	p := decodePlan(t, smallPlan)
-	p.Budget = 1
-	r := doPlan(t, p, t.TempDir())
-	assert.Zero(t, r.Done)
-	assert.Contains(t, r.StopReason, "budget")
+func TestRun_OverBudget_Stops(t *testing.T) {
+	plan := decodePlan(t, smallPlan)
+	plan.Limits.Budget = 1
+	report := runPlan(t, plan, t.TempDir())
+	assert.Zero(t, report.Done)
+	assert.Contains(t, report.StopReason, "budget")
+}
+
+func TestRun_Cancelled_StopsAndResumes(t *testing.T) {
+	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	dir := t.TempDir()
-	r, err := decodePlan(t, smallPlan).Run(ctx, dir, nil)
+	report, err := decodePlan(t, smallPlan).Run(ctx, dir, nil)
 	require.NoError(t, err)
-	assert.Contains(t, r.StopReason, "stopped")
-	assert.Less(t, r.Done, 12)
-	assert.Equal(t, 12, doPlan(t, decodePlan(t, smallPlan), dir).Done)
+	assert.Contains(t, report.StopReason, "stopped")
+	assert.Less(t, report.Done, smallPlanRuns)
+	assert.Equal(t, smallPlanRuns, runPlan(t, decodePlan(t, smallPlan), dir).Done)
 }
 
-func TestDo_UnknownRevision_ReturnsError(t *testing.T) {
-	p := decodePlan(t, "factor \"program\" {\n level \"now\" {}\n level \"then\" {\n build = \"no-such-revision\"\n }\n}")
-	_, err := p.Run(context.Background(), t.TempDir(), nil)
+func TestRun_UnknownRevision_ReturnsError(t *testing.T) {
+	plan := decodePlan(t, `
+		factor "program" {
+			level "now" {}
+			level "then" {
+				build = "no-such-revision"
+			}
+		}`)
+	_, err := plan.Run(context.Background(), t.TempDir(), nil)
 	require.ErrorContains(t, err, `level "then"`)
-	assert.Less(t, p.Timeout, time.Hour)
+	assert.Less(t, plan.Limits.Timeout, time.Hour)
 }
 
-func TestDo_RunFileCannotBeWritten_ReturnsError(t *testing.T) {
+func TestRun_RunFileCannotBeWritten_ReturnsError(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.Symlink("/dev/full", filepath.Join(dir, runsFile)))
-	r, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
+	report, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
 	require.ErrorIs(t, err, syscall.ENOSPC)
-	assert.Zero(t, r.Done, "a run that is not written is not done")
+	assert.Zero(t, report.Done, "a run that is not written is not done")
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -7,45 +7,45 @@
 	"grebeglade/internal/simulation/scenario"
 )
 
-// Scenario returns the scenario of a cell: what the day blocks of its levels say, on top of the script that they or the
-// plan name. Where two levels set the same, the one of the earlier factor counts.
-func (p *Plan) Scenario(c Cell) (*scenario.Script, error) {
-	days, err := p.dayBlocks(c)
+// Scenario returns the scenario of a cell: the day blocks of its levels, which take precedence over the script that the
+// levels or the plan name. Where two levels set the same value, that of the earlier factor counts.
+func (p *Plan) Scenario(cell Cell) (*scenario.Script, error) {
+	blocks, err := p.dayBlocks(cell)
 	if err != nil {
 		return nil, err
 	}
-	name := p.scriptName(c)
-	script, err := scenario.Parse(name)
+	name := p.scriptName(cell)
+	parsed, err := scenario.Parse(name)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", p.file, err)
+		return nil, fmt.Errorf("%s: %w", p.source.file, err)
 	}
-	s, err := scenario.Decode(overlay(append(days, script)))
+	script, err := scenario.Decode(overlay(append(blocks, parsed)))
 	if err != nil {
 		return nil, err
 	}
-	s.Name = name
-	applyLevels(s, c.Levels)
-	return s, nil
+	script.Name = name
+	applyLevels(script, cell.Levels)
+	return script, nil
 }
 
 // dayBlocks returns the day blocks of a cell's levels, those of earlier factors first. It parses the plan anew, since
 // blocks cannot be decoded twice.
-func (p *Plan) dayBlocks(c Cell) (days []*config.Block, err error) {
-	b, err := config.Parse(p.file, p.source)
+func (p *Plan) dayBlocks(c Cell) (blocks []*config.Block, err error) {
+	plan, err := config.Parse(p.source.file, p.source.text)
 	if err != nil {
 		return nil, err
 	}
-	for i, f := range b.Named("factor") {
-		for _, l := range f.Named("level") {
-			if l.Name == c.Levels[i].Name {
-				days = append(days, l.Block("day"))
+	for i, factor := range plan.Named("factor") {
+		for _, level := range factor.Named("level") {
+			if level.Name == c.Levels[i].Name {
+				blocks = append(blocks, level.Block(dayKey))
 			}
 		}
 	}
-	return days, nil
+	return blocks, nil
 }
 
-// overlay combines blocks: what is not in an earlier one is taken from the later ones.
+// overlay combines blocks: the first block that states a value takes precedence.
 func overlay(blocks []*config.Block) *config.Block {
 	for _, b := range blocks[1:] {
 		blocks[0].Inherit(b)
@@ -64,20 +64,20 @@
 	return name
 }
 
-// applyLevels changes the size of a scenario before its length, rate and load, which depend on it.
-func applyLevels(s *scenario.Script, levels []Level) {
+// applyLevels changes the size of a scenario before its length, rate and load, which depend on the size.
+func applyLevels(script *scenario.Script, levels []Level) {
 	for _, l := range levels {
-		s.Resize(l.Allocators, l.Nodes)
+		script.Resize(l.Allocators, l.Nodes)
 	}
 	for _, l := range levels {
 		if l.Length > 0 {
-			s.SetLength(l.Length)
+			script.SetLength(l.Length)
 		}
 		if l.Rate > 0 {
-			s.Client.Rate = l.Rate
+			script.Client.Rate = l.Rate
 		}
 		if l.Load > 0 {
-			s.SetLoad(l.Load)
+			script.SetLoad(l.Load)
 		}
 	}
 }
--- a/internal/experiment/verdict.go
+++ b/internal/experiment/verdict.go
@@ -20,52 +20,78 @@
 	worseFound
 )
 
-// IsWorse tells whether B is significantly worse than A.
+// IsWorse reports whether B is significantly worse than A.
 func (d *Difference) IsWorse() bool { return d.finding == worseFound }
 
-// IsEqual tells whether A and B are equal in every pair.
+// IsEqual reports whether A and B are equal in every pair.
 func (d *Difference) IsEqual() bool { return d.finding == equalPairs }
 
-// judge decides which of the differences are significant, and sets their verdicts. Among many differences some are large
-// by chance; Holm's correction allows for that.
-func judge(all []Difference) {
-	order := make([]int, len(all))
-	for i := range order {
-		order[i] = i
+// setVerdicts sets which of the differences are significant, and their findings and verdicts.
+func setVerdicts(differences []Difference) {
+	setSignificance(differences)
+	for i := range differences {
+		d := &differences[i]
+		d.finding = d.classify()
+		d.Verdict = d.verdict()
 	}
-	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(all[x].Delta.P, all[y].Delta.P) })
-	significant := true
-	for rank, i := range order {
-		significant = significant && all[i].Delta.P <= significance/float64(len(all)-rank)
-		all[i].Significant = significant
+}
+
+// setSignificance sets which of the differences are significant, by Holm's correction: among many differences some are
+// large by chance.
+func setSignificance(differences []Difference) {
+	byP := make([]int, len(differences))
+	for i := range byP {
+		byP[i] = i
 	}
-	for i := range all {
-		all[i].finding = all[i].find()
-		all[i].Verdict = all[i].verdict()
+	slices.SortStableFunc(byP, func(x, y int) int {
+		return cmp.Compare(differences[x].Delta.P, differences[y].Delta.P)
+	})
+	significant := true
+	for rank, i := range byP {
+		d := &differences[i]
+		significant = significant && d.Delta.P <= significance/float64(len(differences)-rank)
+		d.Significant = significant
 	}
 }
 
-func (d *Difference) find() finding {
-	m, _ := MeasureOf(d.Measure)
+// classify returns the finding of a difference whose significance is known.
+func (d *Difference) classify() finding {
 	switch {
 	case d.Delta.N < 2:
 		return tooFewPairs
 	case d.Delta.Alike && d.Delta.Mean == 0:
 		return equalPairs
-	case !d.Significant && d.Delta.P <= significance:
+	case d.Significant:
+		return d.classifySignificant()
+	case d.Delta.P <= significance:
 		return notSignificant
-	case !d.Significant:
-		return noneSeen
-	case m.preference == neitherIsBetter && d.Delta.Mean > 0:
-		return moreFound
-	case m.preference == neitherIsBetter:
+	}
+	return noneSeen
+}
+
+// classifySignificant returns the finding of a significant difference, by its sign and the measure's preference.
+func (d *Difference) classifySignificant() finding {
+	m, _ := MeasureOf(d.Measure)
+	isMore := d.Delta.Mean > 0 // a mean of 0 is never significant
+	switch m.preference {
+	case neitherIsBetter:
+		if isMore {
+			return moreFound
+		}
 		return lessFound
-	case (d.Delta.Mean < 0) == (m.preference == lowerIsBetter):
-		return betterFound
+	case higherIsBetter:
+		if isMore {
+			return betterFound
+		}
+	case lowerIsBetter:
+		if !isMore {
+			return betterFound
+		}
 	}
 	return worseFound
 }
 
+// verdict returns the text of the finding.
 func (d *Difference) verdict() string {
 	switch d.finding {
 	case tooFewPairs:
