--- a/internal/compatibility/command_test.go
+++ b/internal/compatibility/command_test.go
@@ -25,30 +25,40 @@
 	t.Helper()
 	help := mustRun(t, append(slices.Clone(path), "--help")...)
 	name := strings.Join(append([]string{"grebeglade"}, path...), " ")
-	section, below := "", []string(nil)
+	section := ""
+	var subcommands []string
 	fmt.Fprintf(text, "%s\n", name)
 	for line := range strings.SplitSeq(help, "\n") {
 		switch {
 		case strings.HasSuffix(line, ":") && !strings.HasPrefix(line, " "):
 			section = line
 		case section == "Available Commands:" && helpCommand.MatchString(line):
-			below = append(below, helpCommand.FindStringSubmatch(line)[1])
+			subcommands = append(subcommands, helpCommand.FindStringSubmatch(line)[1])
 		case section == "Flags:" && helpFlag.MatchString(line):
-			f := helpFlag.FindStringSubmatch(line)
-			fmt.Fprintf(text, "%s flag: %s--%s%s", name, f[1], f[2], f[3])
-			if d := helpDefault.FindStringSubmatch(f[4]); d != nil {
-				fmt.Fprintf(text, " = %s", processID.ReplaceAllString(d[1], "submit-PID"))
-			}
-			text.WriteByte('\n')
+			fmt.Fprintf(text, "%s flag: %s\n", name, describeFlag(line))
 		}
 	}
-	for _, sub := range below {
-		if sub != "help" && sub != "completion" {
-			describeCommand(t, text, append(slices.Clone(path), sub))
+	for _, subcommand := range subcommands {
+		if subcommand != "help" && subcommand != "completion" {
+			describeCommand(t, text, append(slices.Clone(path), subcommand))
 		}
 	}
 }
 
+// describeFlag returns the names, the type and the default of a flag from its line in the help text.
+func describeFlag(line string) string {
+	match := helpFlag.FindStringSubmatch(line)
+	shorthand := match[1]
+	name := match[2]
+	valueType := match[3]
+	usage := match[4]
+	text := fmt.Sprintf("%s--%s%s", shorthand, name, valueType)
+	if defaultValue := helpDefault.FindStringSubmatch(usage); defaultValue != nil {
+		text += " = " + processID.ReplaceAllString(defaultValue[1], "submit-PID")
+	}
+	return text
+}
+
 func TestCommands_NamesFlagsAndDefaultsAsStored(t *testing.T) {
 	t.Setenv("GREBEGLADE_ADDR", "")
 	var text strings.Builder
@@ -56,51 +66,59 @@
 	compareWithStored(t, "commands.txt", text.String())
 }
 
-// roundNumbers rounds all numbers of a JSON document to twelve significant digits: sums in map order differ in the last.
-func roundNumbers(v any) any {
-	switch v := v.(type) {
+// significantDigits are the digits of numbers that are compared: sums in map order differ in the last ones.
+const significantDigits = 12
+
+// roundNumbers rounds all numbers of a JSON document, in place where it can, and returns the document.
+func roundNumbers(document any) any {
+	switch value := document.(type) {
 	case json.Number:
-		n, err := strconv.ParseFloat(v.String(), 64)
-		if err != nil || n == math.Trunc(n) {
-			return v
-		}
-		return json.Number(strconv.FormatFloat(n, 'g', 12, 64))
+		return roundNumber(value)
 	case []any:
-		for i := range v {
-			v[i] = roundNumbers(v[i])
+		for i := range value {
+			value[i] = roundNumbers(value[i])
 		}
 	case map[string]any:
-		for k := range v {
-			v[k] = roundNumbers(v[k])
+		for key := range value {
+			value[key] = roundNumbers(value[key])
 		}
 	}
-	return v
+	return document
+}
+
+// roundNumber rounds a number to significantDigits. Integers are kept as they are.
+func roundNumber(number json.Number) json.Number {
+	value, err := strconv.ParseFloat(number.String(), 64)
+	if err != nil || value == math.Trunc(value) {
+		return number
+	}
+	return json.Number(strconv.FormatFloat(value, 'g', significantDigits, 64))
 }
 
-// parseDocument reads a document that must be the only one, keeping numbers as they are written.
+// parseDocument decodes a document that must be the only one, keeping numbers as they are written.
 func parseDocument(t *testing.T, text string) any {
 	t.Helper()
-	d := json.NewDecoder(strings.NewReader(text))
-	d.UseNumber()
-	var v any
-	require.NoError(t, d.Decode(&v), "%s", text)
-	require.False(t, d.More(), "more than one document")
-	return v
+	decoder := json.NewDecoder(strings.NewReader(text))
+	decoder.UseNumber()
+	var document any
+	require.NoError(t, decoder.Decode(&document), "%s", text)
+	require.False(t, decoder.More(), "more than one document")
+	return document
 }
 
-// stableJSON is a document without what depends on wall time, with rounded numbers.
+// stableJSON returns a document with rounded numbers and without the keys whose values depend on wall time.
 func stableJSON(t *testing.T, text string, without ...string) string {
 	t.Helper()
-	v := parseDocument(t, text)
-	if object, ok := v.(map[string]any); ok {
+	document := parseDocument(t, text)
+	if object, ok := document.(map[string]any); ok {
 		for _, key := range without {
 			require.Contains(t, object, key)
 			delete(object, key)
 		}
 	}
-	b, err := json.MarshalIndent(roundNumbers(v), "", "  ")
+	stable, err := json.MarshalIndent(roundNumbers(document), "", "  ")
 	require.NoError(t, err)
-	return string(b) + "\n"
+	return string(stable) + "\n"
 }
 
 func TestLabListJSON_AsStored(t *testing.T) {
--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "rewrite the text files in testdata with what the code produces now")
 
-// compareWithStored checks that got is what the named file of testdata holds.
+// compareWithStored checks that got equals the content of a file of testdata.
 func compareWithStored(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,7 +31,7 @@
 	assert.Equal(t, string(want), got, "%s differs", path)
 }
 
-// runCommand runs a command line in this process.
+// runCommand runs a command line in this process, and returns its exit code.
 func runCommand(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = command.Run(args, &out, &errs)
@@ -46,10 +46,10 @@
 	return stdout
 }
 
-// storedLines are the lines of a text file of testdata.
+// storedLines returns the lines of a text file of testdata.
 func storedLines(t *testing.T, name string) []string {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join("testdata", name))
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
-	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
--- a/internal/compatibility/history_test.go
+++ b/internal/compatibility/history_test.go
@@ -11,32 +11,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storedHistories are files of testdata with the arguments of 'lab play' that wrote them, and the exit code then and of 'lab check'.
+// storedHistories are files of testdata with the arguments of 'lab play' that wrote them.
 var storedHistories = []struct {
 	file string
 	args []string
-	code int
+	code int // exit code of 'lab play' and of 'lab check'
 }{
-	{"gang-mixed.jsonl", []string{"gang-mixed", "--for", "1s", "--nodes", "3", "--allocators", "1", "--rate", "4"}, 0},
-	{"two-binds.jsonl", []string{"quiet", "--break", "two-binds", "--for", "1500ms", "--nodes", "3", "--allocators", "1", "--rate", "4"}, 1},
+	{
+		file: "gang-mixed.jsonl",
+		args: []string{"gang-mixed", "--for", "1s", "--nodes", "3", "--allocators", "1", "--rate", "4"},
+		code: 0,
+	},
+	{
+		file: "two-binds.jsonl",
+		args: []string{
+			"quiet", "--break", "two-binds", "--for", "1500ms", "--nodes", "3", "--allocators", "1", "--rate", "4",
+		},
+		code: 1,
+	},
 }
 
-func TestHistories_AreWrittenAsStored(t *testing.T) {
+func TestHistory_Written_AsStored(t *testing.T) {
 	for _, h := range storedHistories {
 		t.Run(h.file, func(t *testing.T) {
-			made := filepath.Join(t.TempDir(), "history.jsonl")
-			code, _, stderr := runCommand(append([]string{"lab", "play", "--virtual", "--seed", "1", "--history", made}, h.args...)...)
+			written := filepath.Join(t.TempDir(), "history.jsonl")
+			args := []string{"lab", "play", "--virtual", "--seed", "1", "--history", written}
+			code, _, stderr := runCommand(append(args, h.args...)...)
 			require.Equal(t, h.code, code, stderr)
-			got, err := os.ReadFile(made)
+			got, err := os.ReadFile(written)
 			require.NoError(t, err)
 			want, err := os.ReadFile(filepath.Join("testdata", "history", h.file))
 			require.NoError(t, err)
-			assert.True(t, bytes.Equal(want, got), "%s is written otherwise", h.file)
+			assert.True(t, bytes.Equal(want, got), "%s is written differently", h.file)
 		})
 	}
 }
 
-func TestHistories_StoredFilesAreJudgedAsStored(t *testing.T) {
+func TestHistory_StoredFile_CheckedAsStored(t *testing.T) {
 	for _, h := range storedHistories {
 		t.Run(h.file, func(t *testing.T) {
 			code, out, stderr := runCommand("lab", "check", filepath.Join("testdata", "history", h.file), "--json")
@@ -46,24 +57,27 @@
 	}
 }
 
-// figures are what an experiment's comparison says of all measures but the cost, which is wall time.
-func figures(t *testing.T, dir string) (all []any) {
+// costMeasure is the measure of experiments that is wall time.
+const costMeasure = "cost"
+
+// comparedMeasures compares the two cells of an experiment, and returns all measures but the cost.
+func comparedMeasures(t *testing.T, dir string) (compared []any) {
 	t.Helper()
 	_, out, stderr := runCommand("lab", "compare", dir+":none", dir+":crash", "--json")
 	require.Empty(t, stderr)
 	measures, ok := roundNumbers(parseDocument(t, out)).([]any)
 	require.True(t, ok)
-	for _, m := range measures {
-		if measure, ok := m.(map[string]any); ok && measure["measure"] != "cost" {
-			all = append(all, m)
+	for _, element := range measures {
+		if measure, ok := element.(map[string]any); ok && measure["measure"] != costMeasure {
+			compared = append(compared, element)
 		}
 	}
-	require.Len(t, all, len(measures)-1)
-	return all
+	require.Len(t, compared, len(measures)-1)
+	return compared
 }
 
-// runs are the documents that an experiment's directory holds, without what is wall time.
-func runs(t *testing.T, dir string) (all []any) {
+// reproducibleRuns returns the documents of the runs in an experiment's directory, without wall times.
+func reproducibleRuns(t *testing.T, dir string) (runs []any) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "runs.jsonl"))
 	require.NoError(t, err)
@@ -73,12 +87,12 @@
 		values, ok := run["values"].(map[string]any)
 		require.True(t, ok)
 		require.Contains(t, run, "seconds")
-		require.Contains(t, values, "cost")
+		require.Contains(t, values, costMeasure)
 		delete(run, "seconds")
-		delete(values, "cost")
-		all = append(all, run)
+		delete(values, costMeasure)
+		runs = append(runs, run)
 	}
-	return all
+	return runs
 }
 
 func TestExperimentJSON_AsStored(t *testing.T) {
@@ -87,19 +101,20 @@
 	require.Empty(t, stderr)
 	compareWithStored(t, "json/lab-compare.json", stableJSON(t, out))
 
-	made := filepath.Join(t.TempDir(), "made")
-	out = mustRun(t, "lab", "run", filepath.Join("testdata", "experiment", "small.hcl"), "-o", made, "--json")
+	repeated := filepath.Join(t.TempDir(), "repeated")
+	out = mustRun(t, "lab", "run", filepath.Join("testdata", "experiment", "small.hcl"), "-o", repeated, "--json")
 	compareWithStored(t, "json/lab-run.json", stableJSON(t, out, "seconds"))
 
-	assert.Equal(t, figures(t, stored), figures(t, made), "the scenarios came out otherwise")
-	assert.ElementsMatch(t, runs(t, stored), runs(t, made), "the runs are written otherwise")
+	assert.Equal(t, comparedMeasures(t, stored), comparedMeasures(t, repeated), "the scenarios have other results")
+	assert.ElementsMatch(t, reproducibleRuns(t, stored), reproducibleRuns(t, repeated),
+		"the runs are written differently")
 }
 
-func TestExperiment_StoredRunsAreContinued(t *testing.T) {
+func TestExperiment_StoredRuns_Resumed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "experiment")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "experiment", "stored"))))
 	out := mustRun(t, "lab", "run", filepath.Join("testdata", "experiment", "small.hcl"), "-o", dir, "--json")
-	assert.Contains(t, out, `"earlier": 4`, "the stored runs are not recognised")
+	assert.Contains(t, out, `"earlier": 4`, "the stored runs are executed again")
 }
 
 func TestConfigCheckJSON_AsStored(t *testing.T) {
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -27,29 +27,34 @@
 	case reflect.Map:
 		listKeys(text, path+"{}", typ.Elem())
 	case reflect.Struct:
-		for f := range typ.NumField() {
-			field := typ.Field(f)
-			name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
-			switch {
-			case name == "-" || !field.IsExported() && !field.Anonymous:
-			case field.Anonymous && name == "":
-				listKeys(text, path, field.Type)
-			default:
-				if name == "" {
-					name = field.Name
-				}
-				if options != "" {
-					fmt.Fprintf(text, "%s.%s %s\n", path, name, options)
-				}
-				listKeys(text, path+"."+name, field.Type)
-			}
+		for i := range typ.NumField() {
+			listFieldKeys(text, path, typ.Field(i))
 		}
-	default:
+	default: // a value without keys
 		fmt.Fprintf(text, "%s %s\n", path, typ.Kind())
 	}
 }
 
-// TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are wall time.
+// listFieldKeys writes the keys of a field as encoding/json names them.
+func listFieldKeys(text *strings.Builder, path string, field reflect.StructField) {
+	name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
+	switch {
+	case name == "-" || !field.IsExported() && !field.Anonymous:
+		return
+	case field.Anonymous && name == "":
+		listKeys(text, path, field.Type)
+		return
+	case name == "":
+		name = field.Name
+	}
+	if options != "" {
+		fmt.Fprintf(text, "%s.%s %s\n", path, name, options)
+	}
+	listKeys(text, path+"."+name, field.Type)
+}
+
+// TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are
+// wall time.
 func TestJSONDocuments_KeysAsStored(t *testing.T) {
 	for name, document := range map[string]any{
 		"bench-rates":   benchmark.Rates{},
@@ -74,13 +79,13 @@
 
 // listDocumentKeys writes a line for each key of a JSON document: its path and the JSON kind of its value.
 func listDocumentKeys(keys map[string]bool, path string, value any) {
-	switch v := value.(type) {
+	switch typed := value.(type) {
 	case map[string]any:
-		for name, member := range v {
+		for name, member := range typed {
 			listDocumentKeys(keys, path+"."+name, member)
 		}
 	case []any:
-		for _, element := range v {
+		for _, element := range typed {
 			listDocumentKeys(keys, path+"[]", element)
 		}
 	case string:
@@ -94,8 +99,8 @@
 	}
 }
 
-// The document of config check has a form of its own in JSON, so its keys are taken from a document that has all of them. The
-// stored file names the Go type of each value; both integers and floats are numbers in JSON.
+// The document of config check encodes itself, so its keys are taken from a document that has all of them. The stored
+// file names the Go type of each value; both integers and floats are numbers in JSON.
 func TestConfigCheckJSON_KeysAsStored(t *testing.T) {
 	stored, err := os.ReadFile("testdata/keys/config-check.txt")
 	require.NoError(t, err)
@@ -108,12 +113,14 @@
 		want[path+" "+kind] = true
 	}
 	got := map[string]bool{}
-	listDocumentKeys(got, "", parseDocument(t, mustRun(t, "config", "check", "--json", "../../config/testdata/allocator.hcl")))
+	out := mustRun(t, "config", "check", "--json", "../../config/testdata/allocator.hcl")
+	listDocumentKeys(got, "", parseDocument(t, out))
 	require.Equal(t, want, got)
 }
 
 func TestBenchJSON_HoldsRatesAndMemory(t *testing.T) {
-	out := mustRun(t, "bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
+	out := mustRun(t,
+		"bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
 	document, ok := parseDocument(t, out).(map[string]any)
 	require.True(t, ok)
 	require.Len(t, document, 2)
--- a/internal/compatibility/platform_codec_test.go
+++ b/internal/compatibility/platform_codec_test.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -15,17 +16,38 @@
 	"grebeglade/placement"
 )
 
-// The stored files were written by a codec whose messages were a verb, a cause and a map of fields, so that it encoded any
-// combination, in both directions. Some of the lines are therefore messages that the allocator never sends: a load report, a
-// migration to a node or one with a cause, a health check without a cause, and all with the verbs PENDING, FINISHED and NOTICE.
-// They stay for decoding. Where the allocator sends the message in another form, that form is the stored line but for one part,
-// which storedMessage.difference states; where it never sends it, encoding it is an error. What such a line carries and the
-// allocator passes over (most of the causes, a note of an unknown kind) is compared with the verb or the kind replaced by one that
-// the allocator does use. The flag -update leaves the messages of nodes and clients as they are.
+// The stored files were written by a codec whose messages were a verb, a cause and a map of fields, so that it
+// encoded any combination, in both directions. Some of the lines are therefore messages that the allocator never
+// sends: a load report, a migration to a node or one with a cause, a health check without a cause, and all with the
+// verbs PENDING, FINISHED and NOTICE. They are kept for decoding. Where the allocator sends the message in another
+// form, that form differs from the stored line in one part, which storedMessage.difference states; where it never
+// sends it, encoding it is an error. Some parts of such lines the allocator ignores: most of the causes, and a note
+// of an unknown kind. They are compared with the verb or the kind replaced by one that the allocator does use. The
+// flag -update does not rewrite the messages of nodes and clients.
 
-// replacement changes one part of a stored line, which the line holds once. The zero value changes nothing.
+// Files of testdata.
+const (
+	nodeMessagesFile        = "platform/node-messages.txt"
+	clientLinesSentFile     = "platform/client-lines-sent.txt"
+	clientLinesReceivedFile = "platform/client-lines-received.txt"
+)
+
+// Lines with messages that tests treat specially, counted from 0, in nodeMessagesFile and clientLinesSentFile.
+const (
+	offerLine        = 0
+	pendingLine      = 1
+	loadReportLine   = 4 // a message that is ignored, with a load report
+	noteLine         = 5
+	migrationLine    = 6
+	firstCauseLine   = 9 // the first of the lines with one cause each
+	causeLineCount   = 9
+	healthCauseCount = 2 // causes of replies to health checks; the others are those of terminations
+)
+
+// replacement changes one part of a stored line, which occurs in the line once. The zero value changes nothing.
 type replacement struct{ old, new string }
 
+// apply returns the text with the part replaced.
 func (r replacement) apply(t *testing.T, text string) string {
 	t.Helper()
 	if r == (replacement{}) {
@@ -35,16 +57,28 @@
 	return strings.Replace(text, r.old, r.new, 1)
 }
 
-// storedMessage is what a stored line holds.
+// storedMessage is the message of a stored line.
 type storedMessage struct {
 	decoded     codec.Message
 	unsupported bool        // decoded has no encoding
 	difference  replacement // from the stored line to the encoding of decoded
 }
 
+// Tags of stored messages.
 const (
 	offerTag         = codec.Tag(0x9b1f03aa5c7e2d41)
+	loadReportTag    = codec.Tag(loadReportLine)
+	noteTag          = codec.Tag(noteLine)
+	migrationTag     = codec.Tag(migrationLine)
+	firstCauseTag    = codec.Tag(100)
+	firstEndCauseTag = firstCauseTag + healthCauseCount
 	lastTag          = codec.Tag(1<<64 - 1)
+)
+
+// Other values of stored messages.
+const (
+	storedTimeoutMs  = 1500
+	storedNoteCores  = 2.5
 	offerKey         = "7f3a9c21e0b4d655"
 	offerDescription = "v=0\r\nm=audio 31000 <RTP> é\r\n"
 )
@@ -67,94 +101,119 @@
 	return storedMessage{decoded: &codec.Ignorable{Header: header(tag)}, unsupported: true}
 }
 
-const (
-	firstCauseTag  = codec.Tag(100)
-	firstCauseLine = 9
-	causeLineCount = 9
-)
-
-// ignoredCauses are the lines with the verb FINISHED that carry one cause each. The allocator passes over them.
-func ignoredCauses() (all []storedMessage) {
+// ignoredCauses returns the lines with the verb FINISHED that carry one cause each, which the allocator ignores.
+func ignoredCauses() (messages []storedMessage) {
 	for i := range codec.Tag(causeLineCount) {
-		all = append(all, ignorable(firstCauseTag+i))
+		messages = append(messages, ignorable(firstCauseTag+i))
 	}
-	return all
+	return messages
 }
 
-// retypedMessage is what a stored line holds once its verb is replaced by one whose messages carry what the line does.
+// retypedMessage is the message of a stored line whose verb is replaced by one of which the allocator decodes all
+// parts of the line.
 type retypedMessage struct {
-	line     int // counted from 0, as in nodeMessages and clientMessages
-	from, to string
+	line    int // counted from 0, as in nodeMessages and clientMessages
+	oldVerb string
+	newVerb string
 	storedMessage
 }
 
-// retypedMessages are the lines with parts that the allocator passes over for their verb: causes, mostly. The first two causes are
-// those of a reply to a health check, the others those of a termination.
-func retypedMessages() []retypedMessage {
-	causes := []codec.Cause{
-		codec.CauseNormal, codec.CauseCancelled, codec.CauseNoCapacity, codec.CauseReset, codec.CauseError, codec.CauseInvalid,
-		codec.CauseNotDelivered,
+// newRetypedMessage returns the message of a line whose verb is replaced.
+func newRetypedMessage(line int, oldVerb, newVerb string, decoded codec.Message) retypedMessage {
+	return retypedMessage{
+		line:          line,
+		oldVerb:       oldVerb,
+		newVerb:       newVerb,
+		storedMessage: storedMessage{decoded: decoded},
 	}
-	all := []retypedMessage{
-		{line: 4, from: "FINISHED", to: "FINISH", storedMessage: storedMessage{decoded: codec.NewTermination(4, codec.CauseNormal)}},
-		{line: 6, from: "MOVE", to: "FINISH", storedMessage: storedMessage{decoded: codec.NewTermination(6, codec.CauseNotDelivered)}},
-	}
-	add := func(to string, m codec.Message) {
-		line := firstCauseLine + int(m.Envelope().Tag-firstCauseTag)
-		all = append(all, retypedMessage{line: line, from: "FINISHED", to: to, storedMessage: storedMessage{decoded: m}})
+}
+
+// retypedMessages returns the lines with parts that the allocator ignores for their verb: mostly causes.
+func retypedMessages() []retypedMessage {
+	messages := []retypedMessage{
+		newRetypedMessage(loadReportLine, "FINISHED", "FINISH", codec.NewTermination(loadReportTag, codec.CauseNormal)),
+		newRetypedMessage(migrationLine, "MOVE", "FINISH", codec.NewTermination(migrationTag, codec.CauseNotDelivered)),
+		newRetypedMessage(firstCauseLine, "FINISHED", "ECHOED", codec.NewHealthReply(firstCauseTag, false)),
+		newRetypedMessage(firstCauseLine+1, "FINISHED", "ECHOED", codec.NewHealthReply(firstCauseTag+1, true)),
 	}
-	add("ECHOED", codec.NewHealthReply(firstCauseTag, false))
-	add("ECHOED", codec.NewHealthReply(firstCauseTag+1, true))
-	for i, cause := range causes {
-		add("FINISH", codec.NewTermination(firstCauseTag+2+codec.Tag(i), cause))
+	for i, cause := range []codec.Cause{
+		codec.CauseNormal,
+		codec.CauseCancelled,
+		codec.CauseNoCapacity,
+		codec.CauseReset,
+		codec.CauseError,
+		codec.CauseInvalid,
+		codec.CauseNotDelivered,
+	} {
+		termination := codec.NewTermination(firstEndCauseTag+codec.Tag(i), cause)
+		line := firstCauseLine + healthCauseCount + i
+		messages = append(messages, newRetypedMessage(line, "FINISHED", "FINISH", termination))
 	}
-	return all
+	return messages
 }
 
-// nodeMessages are the messages of node-messages.txt, in its order: one of each verb, with all fields that nodes understand, then
-// one with each cause.
+// nodeMessages returns the messages of nodeMessagesFile, in its order: one of each verb, with all fields that nodes
+// understand, then one with each cause.
 func nodeMessages() []storedMessage {
 	const causeZero = "2c000100"
+	confirmation := &codec.Confirmation{
+		Header:      codec.Header{Tag: 2, Load: loadReport(0.5, 12)},
+		Description: codec.NewDescription(""),
+	}
+	healthReply := &codec.HealthReply{
+		Header: codec.Header{Tag: lastTag, Load: loadReport()},
+		Passed: true,
+	}
 	return append([]storedMessage{
-		{decoded: &codec.Offer{
-			Header: header(offerTag), Class: "tiles", Key: offerKey, Timeout: 1500, Description: offerDescription,
-		}},
+		{decoded: storedOffer()},
 		ignorable(1),
 		{
-			decoded: &codec.Confirmation{
-				Header: codec.Header{Tag: 2, Load: loadReport(0.5, 12)}, Description: codec.NewDescription(""),
-			},
+			decoded:    confirmation,
 			difference: replacement{"22000c" + hex.EncodeToString([]byte("x0:0.5;x1:12")), ""},
 		},
 		{decoded: codec.NewTermination(3, codec.CauseCancelled)},
-		{decoded: &codec.Ignorable{Header: codec.Header{Tag: 4, Load: loadReport(1)}}, unsupported: true},
-		ignorable(5), // a note of an unknown kind
-		{decoded: codec.NewMigration(6), unsupported: true},
-		{decoded: codec.NewHealthCheck(7), difference: replacement{"0000000000000007", "0000000000000007" + causeZero}},
 		{
-			decoded:    &codec.HealthReply{Header: codec.Header{Tag: lastTag, Load: loadReport()}, Passed: true},
-			difference: replacement{"220000", ""},
+			decoded:     &codec.Ignorable{Header: codec.Header{Tag: loadReportTag, Load: loadReport(1)}},
+			unsupported: true,
+		},
+		ignorable(noteTag), // the kind of the note is unknown
+		{decoded: codec.NewMigration(migrationTag), unsupported: true},
+		{
+			decoded:    codec.NewHealthCheck(7),
+			difference: replacement{"0000000000000007", "0000000000000007" + causeZero},
 		},
+		{decoded: healthReply, difference: replacement{"220000", ""}},
 	}, ignoredCauses()...)
 }
 
-// clientMessages are the messages of client-lines-sent.txt, in its order, and but for the request those of
-// client-lines-received.txt.
+// storedOffer returns the message of offerLine.
+func storedOffer() *codec.Offer {
+	return &codec.Offer{
+		Header:      header(offerTag),
+		Class:       "tiles",
+		Key:         offerKey,
+		Timeout:     storedTimeoutMs,
+		Description: offerDescription,
+	}
+}
+
+// clientMessages returns the messages of clientLinesSentFile, in its order. Apart from the request they are those of
+// clientLinesReceivedFile.
 func clientMessages() []storedMessage {
 	return append([]storedMessage{
 		{decoded: invalidRequest("key", "of 1 to 64 bytes"), unsupported: true},
 		ignorable(1),
 		{decoded: codec.NewConfirmation(2, "")},
 		{decoded: codec.NewTermination(3, codec.CauseCancelled)},
-		ignorable(4),
-		ignorable(5),
-		{decoded: codec.NewMigration(6), difference: replacement{`,"rc":102`, ""}},
+		ignorable(loadReportTag),
+		ignorable(noteTag),
+		{decoded: codec.NewMigration(migrationTag), difference: replacement{`,"rc":102`, ""}},
 		{decoded: codec.NewHealthCheck(7), difference: replacement{`"opts":{}`, `"opts":{},"rc":0`}},
 		{decoded: codec.NewHealthReply(lastTag, true)},
 	}, ignoredCauses()...)
 }
 
-// invalidRequest is a request that lacks a field.
+// invalidRequest returns a request in which a field is missing or malformed.
 func invalidRequest(field, want string) *codec.Invalid {
 	return &codec.Invalid{Header: header(offerTag), Err: &codec.FieldError{Field: field, Want: want}}
 }
@@ -165,20 +224,27 @@
 	Append(b []byte, m any) ([]byte, error)
 }
 
-// requireDecodes checks that the bytes, with others after them, decode to the whole message that is wanted.
-func requireDecodes(t *testing.T, c messageCodec, b []byte, want codec.Message) {
+// requireDecodes checks that bytes, with others after them, decode to a message of their whole length.
+func requireDecodes(t *testing.T, c messageCodec, encoded []byte, want codec.Message) {
 	t.Helper()
-	m, n, err := c.Decode(append(b[:len(b):len(b)], '{'))
+	decoded, size, err := c.Decode(append(slices.Clone(encoded), '{'))
 	require.NoError(t, err)
-	assert.Equal(t, len(b), n)
-	require.IsType(t, want, m)
-	got := m.(codec.Message)
-	// Loads are compared as text, since a value that is lacking is not equal to itself.
+	assert.Equal(t, len(encoded), size)
+	require.IsType(t, want, decoded)
+	requireEqualMessages(t, want, decoded.(codec.Message))
+}
+
+// requireEqualMessages compares load reports as text, since a missing value in them is NaN and so not equal to itself.
+func requireEqualMessages(t *testing.T, want, got codec.Message) {
+	t.Helper()
 	assert.Equal(t, describeLoad(want), describeLoad(got))
-	wantLoad, gotLoad := want.Envelope().Load, got.Envelope().Load
-	want.Envelope().Load, got.Envelope().Load = nil, nil
+	wantLoad := want.Envelope().Load
+	gotLoad := got.Envelope().Load
+	want.Envelope().Load = nil
+	got.Envelope().Load = nil
 	assert.Equal(t, want, got)
-	want.Envelope().Load, got.Envelope().Load = wantLoad, gotLoad
+	want.Envelope().Load = wantLoad
+	got.Envelope().Load = gotLoad
 }
 
 func describeLoad(m codec.Message) string {
@@ -188,36 +254,43 @@
 	return "none"
 }
 
-// requireEncodes checks that the message is encoded, after what the buffer holds, to the bytes that are wanted.
+// bufferedBytes are the bytes in a buffer before a message is appended.
+const bufferedBytes = "before"
+
+// requireEncodes checks the bytes that encoding a message appends to a buffer.
 func requireEncodes(t *testing.T, c messageCodec, m codec.Message, want string) {
 	t.Helper()
-	b, err := c.Append([]byte("before"), m)
+	buffer, err := c.Append([]byte(bufferedBytes), m)
 	require.NoError(t, err)
-	assert.Equal(t, "before"+want, string(b))
+	assert.Equal(t, bufferedBytes+want, string(buffer))
 }
 
+// requireUnsupported checks that a message cannot be encoded, and that the buffer stays as it is.
 func requireUnsupported(t *testing.T, c messageCodec, m codec.Message) {
 	t.Helper()
-	b, err := c.Append([]byte("before"), m)
+	buffer, err := c.Append([]byte(bufferedBytes), m)
 	require.ErrorIs(t, err, codec.ErrUnsupported)
-	assert.Equal(t, "before", string(b))
+	assert.Equal(t, bufferedBytes, string(buffer))
 }
 
-// nodeMessageBytes returns the message that a line holds in hexadecimal digits, with one part of the digits replaced and the length
-// in front of the message set anew.
+// nodeMessageLengthSize is the size in bytes of the length in front of a node's message.
+const nodeMessageLengthSize = 2
+
+// nodeMessageBytes returns the message of a line of hexadecimal digits, with one part of the digits replaced and the
+// length in front of the message corrected.
 func nodeMessageBytes(t *testing.T, line string, r replacement) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(r.apply(t, line))
+	message, err := hex.DecodeString(r.apply(t, line))
 	require.NoError(t, err)
 	if r != (replacement{}) {
-		binary.BigEndian.PutUint16(b, uint16(len(b)-2))
+		binary.BigEndian.PutUint16(message, uint16(len(message)-nodeMessageLengthSize))
 	}
-	return b
+	return message
 }
 
 func TestNodeMessages_EncodeAsStored(t *testing.T) {
 	want := nodeMessages()
-	lines := storedLines(t, "platform/node-messages.txt")
+	lines := storedLines(t, nodeMessagesFile)
 	require.Len(t, lines, len(want))
 	for i, line := range lines {
 		t.Run(fmt.Sprintf("line %d", i+1), func(t *testing.T) {
@@ -225,14 +298,15 @@
 				requireUnsupported(t, codec.NodeCodec{}, want[i].decoded)
 				return
 			}
-			requireEncodes(t, codec.NodeCodec{}, want[i].decoded, string(nodeMessageBytes(t, line, want[i].difference)))
+			encoded := nodeMessageBytes(t, line, want[i].difference)
+			requireEncodes(t, codec.NodeCodec{}, want[i].decoded, string(encoded))
 		})
 	}
 }
 
-func TestNodeMessages_StoredBytesDecodeToTheSameMessage(t *testing.T) {
+func TestNodeMessages_StoredBytes_DecodeToSameMessage(t *testing.T) {
 	want := nodeMessages()
-	lines := storedLines(t, "platform/node-messages.txt")
+	lines := storedLines(t, nodeMessagesFile)
 	require.Len(t, lines, len(want))
 	for i, line := range lines {
 		t.Run(fmt.Sprintf("line %d", i+1), func(t *testing.T) {
@@ -241,18 +315,26 @@
 	}
 }
 
-// verbCodes are the types of binary messages, in hexadecimal digits.
-var verbCodes = map[string]string{"FINISH": "0c", "FINISHED": "10", "MOVE": "33", "ECHOED": "35"}
+// verbCodes are the types of binary messages by verb, in hexadecimal digits.
+var verbCodes = map[string]string{
+	"FINISH":   "0c",
+	"FINISHED": "10",
+	"MOVE":     "33",
+	"ECHOED":   "35",
+}
 
-func TestNodeMessages_CausesAreThoseStored(t *testing.T) {
-	const typeAt = 4 // after two bytes of length
-	lines := storedLines(t, "platform/node-messages.txt")
+func TestNodeMessages_Causes_AsStored(t *testing.T) {
+	const (
+		codeStart = 2 * nodeMessageLengthSize // in hexadecimal digits
+		codeEnd   = codeStart + 2
+	)
+	lines := storedLines(t, nodeMessagesFile)
 	for _, m := range retypedMessages() {
 		t.Run(fmt.Sprintf("line %d", m.line+1), func(t *testing.T) {
 			line := lines[m.line]
-			require.Equal(t, verbCodes[m.from], line[typeAt:typeAt+2])
-			line = line[:typeAt] + verbCodes[m.to] + line[typeAt+2:]
-			if m.line == 4 { // the only one with a load report
+			require.Equal(t, verbCodes[m.oldVerb], line[codeStart:codeEnd])
+			line = line[:codeStart] + verbCodes[m.newVerb] + line[codeEnd:]
+			if m.line == loadReportLine {
 				m.decoded.Envelope().Load = loadReport(1)
 				m.difference = replacement{"220004" + hex.EncodeToString([]byte("x0:1")), ""}
 			}
@@ -262,18 +344,25 @@
 	}
 }
 
-// The stored note has a kind that cannot be used. With one that can, its figure is decoded.
-func TestNodeMessages_StoredNoteOfAKnownKindIsDecoded(t *testing.T) {
-	const cores, cpu = "1e0005636f726573", "1e0003637075"
-	b := nodeMessageBytes(t, storedLines(t, "platform/node-messages.txt")[5], replacement{cores, cpu})
-	note := &codec.Note{Header: header(5), Kind: placement.CoresUsed, Value: 2.5}
-	requireDecodes(t, codec.NodeCodec{}, b, note)
+// The stored note has the unknown kind "cores". With the kind "cpu" instead, its value is decoded.
+func TestNodeMessages_NoteOfKnownKind_Decoded(t *testing.T) {
+	const (
+		cores = "1e0005636f726573"
+		cpu   = "1e0003637075"
+	)
+	line := storedLines(t, nodeMessagesFile)[noteLine]
+	note := &codec.Note{
+		Header: header(noteTag),
+		Kind:   placement.CoresUsed,
+		Value:  storedNoteCores,
+	}
+	requireDecodes(t, codec.NodeCodec{}, nodeMessageBytes(t, line, replacement{cores, cpu}), note)
 	requireUnsupported(t, codec.NodeCodec{}, note)
 }
 
 func TestClientLines_EncodeAsStored(t *testing.T) {
 	want := clientMessages()
-	lines := storedLines(t, "platform/client-lines-sent.txt")
+	lines := storedLines(t, clientLinesSentFile)
 	require.Len(t, lines, len(want))
 	for i, line := range lines {
 		t.Run(fmt.Sprintf("line %d", i+1), func(t *testing.T) {
@@ -284,44 +373,50 @@
 			requireEncodes(t, codec.ClientCodec{}, want[i].decoded, want[i].difference.apply(t, line)+"\n")
 		})
 	}
-	requireUnsupported(t, codec.ClientCodec{}, nodeMessages()[0].decoded) // the offer, which the first line was encoded from
+	requireUnsupported(t, codec.ClientCodec{}, storedOffer()) // from which the first line was encoded
 }
 
 // A confirmation's description is the only text that a client gets. The stored one is that of a request.
-func TestClientLines_DescriptionIsEncodedAsStored(t *testing.T) {
-	line := storedLines(t, "platform/client-lines-sent.txt")[0]
-	want := replacement{`"START"`, `"STARTED"`}.apply(t, line) + "\n"
+func TestClientLines_Description_EncodedAsStored(t *testing.T) {
+	line := storedLines(t, clientLinesSentFile)[offerLine]
+	want := replaceVerb(t, line, "START", "STARTED") + "\n"
 	confirmation := codec.NewConfirmation(offerTag, offerDescription)
 	requireEncodes(t, codec.ClientCodec{}, confirmation, want)
 	requireDecodes(t, codec.ClientCodec{}, []byte(want), confirmation)
 }
 
-func TestClientLines_CausesAreThoseStored(t *testing.T) {
+// replaceVerb replaces the verb of a client's line.
+func replaceVerb(t *testing.T, line, oldVerb, newVerb string) string {
+	t.Helper()
+	return replacement{`"` + oldVerb + `"`, `"` + newVerb + `"`}.apply(t, line)
+}
+
+func TestClientLines_Causes_AsStored(t *testing.T) {
 	checkAll := func(t *testing.T, lines []string) {
 		t.Helper()
 		for _, m := range retypedMessages() {
 			t.Run(fmt.Sprintf("line %d", m.line+1), func(t *testing.T) {
-				line := replacement{`"` + m.from + `"`, `"` + m.to + `"`}.apply(t, lines[m.line]) + "\n"
+				line := replaceVerb(t, lines[m.line], m.oldVerb, m.newVerb) + "\n"
 				requireDecodes(t, codec.ClientCodec{}, []byte(line), m.decoded)
 				requireEncodes(t, codec.ClientCodec{}, m.decoded, line)
 			})
 		}
 	}
-	t.Run("sent", func(t *testing.T) { checkAll(t, storedLines(t, "platform/client-lines-sent.txt")) })
+	t.Run("sent", func(t *testing.T) { checkAll(t, storedLines(t, clientLinesSentFile)) })
 	// The lines that are received have one request more.
-	t.Run("received", func(t *testing.T) { checkAll(t, storedLines(t, "platform/client-lines-received.txt")[1:]) })
+	t.Run("received", func(t *testing.T) { checkAll(t, storedLines(t, clientLinesReceivedFile)[1:]) })
 }
 
 // A line without a cause and a description has the form of a migration.
-func TestClientLines_LineWithoutContentIsEncodedAsStored(t *testing.T) {
-	lines := storedLines(t, "platform/client-lines-sent.txt")
-	for i, verb := range map[int]string{1: "PENDING", 5: "NOTICE"} {
-		line := replacement{`"` + verb + `"`, `"MOVE"`}.apply(t, lines[i]) + "\n"
+func TestClientLines_WithoutContent_EncodedAsStored(t *testing.T) {
+	lines := storedLines(t, clientLinesSentFile)
+	for i, verb := range map[int]string{pendingLine: "PENDING", noteLine: "NOTICE"} {
+		line := replaceVerb(t, lines[i], verb, "MOVE") + "\n"
 		requireEncodes(t, codec.ClientCodec{}, codec.NewMigration(codec.Tag(i)), line)
 	}
 }
 
-func TestClientLines_StoredLinesDecodeToTheirMessages(t *testing.T) {
+func TestClientLines_StoredLines_DecodeToSameMessage(t *testing.T) {
 	decodeAll := func(t *testing.T, name string, want []codec.Message) {
 		t.Helper()
 		lines := storedLines(t, name)
@@ -336,39 +431,49 @@
 	for _, m := range clientMessages() {
 		sent = append(sent, m.decoded)
 	}
-	t.Run("sent", func(t *testing.T) { decodeAll(t, "platform/client-lines-sent.txt", sent) })
+	t.Run("sent", func(t *testing.T) { decodeAll(t, clientLinesSentFile, sent) })
 
+	withoutExtras := invalidRequest("extras", "a list with the cores and the memory")
 	retried := storedRequest()
-	retried.Service, retried.Retried = 7, true
-	received := append([]codec.Message{invalidRequest("extras", "a list with the cores and the memory"), retried}, sent[1:]...)
-	t.Run("received", func(t *testing.T) { decodeAll(t, "platform/client-lines-received.txt", received) })
+	retried.Service = 7
+	retried.Retried = true
+	received := append([]codec.Message{withoutExtras, retried}, sent[1:]...)
+	t.Run("received", func(t *testing.T) { decodeAll(t, clientLinesReceivedFile, received) })
 }
 
-// storedRequest is the request of client-lines-received.txt.
+// storedRequest returns the request of clientLinesReceivedFile.
 func storedRequest() *codec.PlaceRequest {
 	return &codec.PlaceRequest{
-		Header: header(offerTag), Timeout: 1500,
-		Task: codec.Task{Class: "tiles", Key: offerKey, Description: offerDescription, Cores: 1, Memory: 2},
+		Header:  header(offerTag),
+		Timeout: storedTimeoutMs,
+		Task: codec.Task{
+			Class:       "tiles",
+			Key:         offerKey,
+			Description: offerDescription,
+			Cores:       1,
+			Memory:      2,
+		},
 	}
 }
 
-// The first stored request does not say what the workload needs, so it is invalid. Once it does, its other fields are decoded: a
-// number as an option, an option that is not known, and a character in its escaped form.
-func TestClientLines_StoredRequestWithExtrasIsDecoded(t *testing.T) {
-	const unknown = `"later":[1]`
-	line := storedLines(t, "platform/client-lines-received.txt")[0]
-	line = replacement{unknown, unknown + `,"extras":"cores:1;memory:2"`}.apply(t, line)
+// The first stored request does not state the workload's cores and memory, so it is invalid. With them, its other
+// fields are decoded: a number as an option, an unknown option, and an escaped character.
+func TestClientLines_RequestWithExtras_Decoded(t *testing.T) {
+	const unknownOption = `"later":[1]`
+	line := storedLines(t, clientLinesReceivedFile)[0]
+	line = replacement{unknownOption, unknownOption + `,"extras":"cores:1;memory:2"`}.apply(t, line)
 	requireDecodes(t, codec.ClientCodec{}, []byte(line+"\n"), storedRequest())
 }
 
 func TestDiscoveryRequest_EncodesAsStored(t *testing.T) {
-	b, err := (&codec.DiscoveryCodec{}).Append(nil, codec.Subscribe{Host: "127.0.0.8:7070", After: 41})
+	request, err := (&codec.DiscoveryCodec{}).Append(nil, codec.Subscribe{Host: "127.0.0.8:7070", After: 41})
 	require.NoError(t, err)
-	compareWithStored(t, "platform/discovery-request.txt", string(b))
+	compareWithStored(t, "platform/discovery-request.txt", string(request))
 }
 
-func TestDiscoveryStream_StoredStreamsDecodeToTheirEvents(t *testing.T) {
-	const data = `{"pos":%d,"hosts":{"index":%d,"snapshot":true,"endpoints":[{"name":"s-01","address":"127.0.0.9:5080","zone":"z",` +
+func TestDiscoveryStream_StoredStreams_DecodeToEvents(t *testing.T) {
+	const data = `{"pos":%d,"hosts":{"index":%d,"snapshot":true,"endpoints":[` +
+		`{"name":"s-01","address":"127.0.0.9:5080","zone":"z",` +
 		`"type":"small","group":0,"status":"Ready","weight":1,"since_ms":0,"room":[20,40]}]}}`
 	want := []codec.Event{
 		{Revision: 42, Data: fmt.Appendf(nil, data, 42, 42)},
@@ -376,22 +481,28 @@
 	}
 	for _, name := range []string{"platform/discovery-stream-plain.txt", "platform/discovery-stream-chunked.txt"} {
 		t.Run(name, func(t *testing.T) {
-			rest := []byte(strings.Join(storedLines(t, name), "\n") + "\n")
-			var stream codec.DiscoveryCodec
-			var got []codec.Event
-			for len(rest) > 0 {
-				m, n, err := stream.Decode(rest)
-				require.NoError(t, err)
-				if n == 0 {
-					break
-				}
-				if batch, ok := m.(*codec.EventBatch); ok && batch != nil {
-					got = append(got, batch.Events...)
-				}
-				rest = rest[n:]
-			}
+			got, rest := decodeEvents(t, []byte(strings.Join(storedLines(t, name), "\n")+"\n"))
 			assert.Empty(t, string(rest))
 			assert.Equal(t, want, got)
 		})
 	}
 }
+
+// decodeEvents decodes a discovery stream, and returns its events and the bytes that are not decoded.
+func decodeEvents(t *testing.T, stream []byte) (events []codec.Event, rest []byte) {
+	t.Helper()
+	var decoder codec.DiscoveryCodec
+	rest = stream
+	for len(rest) > 0 {
+		message, size, err := decoder.Decode(rest)
+		require.NoError(t, err)
+		if size == 0 {
+			break
+		}
+		if batch, ok := message.(*codec.EventBatch); ok && batch != nil {
+			events = append(events, batch.Events...)
+		}
+		rest = rest[size:]
+	}
+	return events, rest
+}
--- a/internal/compatibility/platform_process_test.go
+++ b/internal/compatibility/platform_process_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runAsProgram has the test's binary be the program itself, with the command line that it holds.
+// runAsProgram names the environment variable with a command line that the test's binary runs instead of the tests.
 const runAsProgram = "GREBEGLADE_COMPATIBILITY_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -41,12 +41,13 @@
  "permissions":{"most_tries":4,"probes":false,"connect_timeout_ns":250000000},
  "request_classes":[{"name":"tiles","aim_ns":1000000000,"effect":"read_like","value":1}],
  "family_info":{"cold_bears":54,"confirms":"running","report_counts":"used","free_in_list":true,"kind_cores":[20],
-  "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],"kind_by_class":[-1]}}}`
+  "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],
+  "kind_by_class":[-1]}}}`
 
-// timeLeft is the parameter of a message to a node that says how many milliseconds are left, which no two runs share.
+// timeLeft matches the pending timeout in a message to a node, in milliseconds, which differs between runs.
 var timeLeft = regexp.MustCompile(`120004(3[0-9]){4}`)
 
-// conversation is what passes between the program and its peers, in the order of the test.
+// conversation records the messages between the program and its peers, in the order of the test.
 type conversation struct {
 	t          *testing.T
 	text       strings.Builder
@@ -55,7 +56,7 @@
 	node       net.Conn
 }
 
-// newConversation is an empty conversation, which is logged where the test fails.
+// newConversation returns an empty conversation, which is logged if the test fails.
 func newConversation(t *testing.T) *conversation {
 	t.Helper()
 	c := &conversation{t: t}
@@ -84,26 +85,26 @@
 func (c *conversation) nodeSends(message string) {
 	c.t.Helper()
 	fmt.Fprintf(&c.text, "node sends %s\n", message)
-	b, err := hex.DecodeString(message)
+	decoded, err := hex.DecodeString(message)
 	require.NoError(c.t, err)
-	_, err = c.node.Write(binary.BigEndian.AppendUint16(nil, uint16(len(b))))
+	_, err = c.node.Write(binary.BigEndian.AppendUint16(nil, uint16(len(decoded))))
 	require.NoError(c.t, err)
-	_, err = c.node.Write(b)
+	_, err = c.node.Write(decoded)
 	require.NoError(c.t, err)
 }
 
 func (c *conversation) nodeReceives() {
 	c.t.Helper()
-	var size [2]byte
+	var size [nodeMessageLengthSize]byte
 	_, err := io.ReadFull(c.node, size[:])
 	require.NoError(c.t, err)
-	b := make([]byte, binary.BigEndian.Uint16(size[:]))
-	_, err = io.ReadFull(c.node, b)
+	message := make([]byte, binary.BigEndian.Uint16(size[:]))
+	_, err = io.ReadFull(c.node, message)
 	require.NoError(c.t, err)
-	fmt.Fprintf(&c.text, "node receives %s\n", timeLeft.ReplaceAllString(hex.EncodeToString(b), "120004LEFT"))
+	fmt.Fprintf(&c.text, "node receives %s\n", timeLeft.ReplaceAllString(hex.EncodeToString(message), "120004LEFT"))
 }
 
-// startPlatform starts the program with one node that is listening, and returns its address.
+// startPlatform starts the program with the addresses of a discovery service and a node, and returns its own.
 func startPlatform(t *testing.T, discovery, node string) (addr string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -128,11 +129,12 @@
 	return addr
 }
 
-// stubDiscovery is a discovery service without events, which reports the requests that it gets.
+// stubDiscovery starts a discovery service without events, which sends the requests that it receives to a channel.
 func stubDiscovery(t *testing.T, requests chan<- string) (addr string) {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		requests <- fmt.Sprintf("%s %s Accept=%s Last-Event-ID=%s", r.Method, r.URL, r.Header.Get("Accept"), r.Header.Get("Last-Event-ID"))
+		requests <- fmt.Sprintf("%s %s Accept=%s Last-Event-ID=%s",
+			r.Method, r.URL, r.Header.Get("Accept"), r.Header.Get("Last-Event-ID"))
 		for r.Context().Err() == nil {
 			if _, err := io.WriteString(w, ": here\n\n"); err != nil {
 				return
@@ -143,11 +145,63 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}))
-	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
+	t.Cleanup(func() {
+		discovery.CloseClientConnections()
+		discovery.Close()
+	})
 	return discovery.Listener.Addr().String()
 }
 
-func TestPlatformProcess_SpeaksAsStored(t *testing.T) {
+// Types of binary messages, in hexadecimal digits.
+const (
+	confirmationType = "09"
+	terminationType  = "0c"
+	noteType         = "2c"
+)
+
+// Parameters of binary messages, in hexadecimal digits: type, size and value.
+const (
+	loadReport16Cores  = "220008" + "78303a31362e3030"
+	descriptionTakenBy = "2e0008" + "74616b656e206279"
+	emptyDescription   = "2e0000"
+	noteKindCPU        = "1e0003" + "637075"
+	noteValueHalf      = "280003" + "302e35"
+	noteKindOOM        = "1e0003" + "6f6f6d"
+	causeEvicted       = "2c0001" + "29"
+)
+
+// tagDigits returns a tag as binary messages have it, in hexadecimal digits.
+func tagDigits(tag int) string { return fmt.Sprintf("%016x", tag) }
+
+// placeRequestLine returns the line with which a client requests a workload.
+func placeRequestLine(tag int, class string) string {
+	return fmt.Sprintf(`{"verb":"START","tag":"%016x",`+
+		`"opts":{"class":%q,"left":"6000","key":"aa","extras":"cores:1;memory:1;service:7"},"blob":"a <b> é"}`,
+		tag, class)
+}
+
+// connectClient connects the client, and returns once the connection is open.
+func (c *conversation) connectClient(addr string) {
+	c.t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	require.NoError(c.t, err)
+	c.t.Cleanup(func() { assert.NoError(c.t, conn.Close()) })
+	require.NoError(c.t, conn.SetDeadline(time.Now().Add(stubTimeout)))
+	c.client = conn
+	c.clientRead = bufio.NewReader(conn)
+}
+
+// acceptNode waits for the program's connection to the node.
+func (c *conversation) acceptNode(nodes net.Listener) {
+	c.t.Helper()
+	conn, err := nodes.Accept()
+	require.NoError(c.t, err)
+	c.t.Cleanup(func() { assert.NoError(c.t, conn.Close()) })
+	require.NoError(c.t, conn.SetDeadline(time.Now().Add(stubTimeout)))
+	c.node = conn
+}
+
+func TestPlatformProcess_Conversation_AsStored(t *testing.T) {
 	requests := make(chan string, 10)
 	discovery := stubDiscovery(t, requests)
 	nodes, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,39 +209,51 @@
 	t.Cleanup(func() { assert.NoError(t, nodes.Close()) })
 	addr := startPlatform(t, discovery, nodes.Addr().String())
 
-	c := newConversation(t)
-	fmt.Fprintf(&c.text, "discovery receives %s\n", <-requests)
-	c.client, err = net.Dial("tcp", addr)
-	require.NoError(t, err)
-	defer func() { assert.NoError(t, c.client.Close()) }()
-	require.NoError(t, c.client.SetDeadline(time.Now().Add(stubTimeout)))
-	c.clientRead = bufio.NewReader(c.client)
+	talk := newConversation(t)
+	fmt.Fprintf(&talk.text, "discovery receives %s\n", <-requests)
+	talk.connectClient(addr)
+	talk.checksHealth()
+	talk.placesAndWithdraws(nodes)
+	talk.placesAndIsEvicted()
+	talk.requestsUnknownClass()
+	compareWithStored(t, "platform/conversation.txt", talk.text.String())
+}
+
+func (c *conversation) checksHealth() {
+	c.t.Helper()
 	c.clientSends(`{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}`)
 	c.clientReceives()
+}
 
-	const start = `{"verb":"START","tag":"%016x","opts":{"class":%q,"left":"6000","key":"aa","extras":"cores:1;memory:1;service:7"},"blob":"a <b> é"}`
-	c.clientSends(fmt.Sprintf(start, 2, "tiles"))
-	c.node, err = nodes.Accept()
-	require.NoError(t, err)
-	defer func() { assert.NoError(t, c.node.Close()) }()
-	require.NoError(t, c.node.SetDeadline(time.Now().Add(stubTimeout)))
+// placesAndWithdraws has a workload placed, which reports its use of cores and is then stopped by its client.
+func (c *conversation) placesAndWithdraws(nodes net.Listener) {
+	c.t.Helper()
+	c.clientSends(placeRequestLine(2, "tiles"))
+	c.acceptNode(nodes)
 	c.nodeReceives()
-	c.nodeSends("09" + "0000000000000002" + "220008" + "78303a31362e3030" + "2e0008" + "74616b656e206279")
+	c.nodeSends(confirmationType + tagDigits(2) + loadReport16Cores + descriptionTakenBy)
 	c.clientReceives()
-	c.nodeSends("2c" + "0000000000000002" + "1e0003" + "637075" + "280003" + "302e35") // cores used
+	c.nodeSends(noteType + tagDigits(2) + noteKindCPU + noteValueHalf)
 	c.clientSends(`{"verb":"FINISH","tag":"0000000000000002","opts":{},"rc":31}`)
 	c.nodeReceives()
+}
 
-	c.clientSends(fmt.Sprintf(start, 3, "tiles"))
+// placesAndIsEvicted has a workload placed that its node then evicts.
+func (c *conversation) placesAndIsEvicted() {
+	c.t.Helper()
+	c.clientSends(placeRequestLine(3, "tiles"))
 	c.nodeReceives()
-	c.nodeSends("09" + "0000000000000003" + "2e0000")
+	c.nodeSends(confirmationType + tagDigits(3) + emptyDescription)
 	c.clientReceives()
-	c.nodeSends("0c" + "0000000000000003" + "1e0003" + "6f6f6d" + "2c0001" + "29") // evicted
+	c.nodeSends(terminationType + tagDigits(3) + noteKindOOM + causeEvicted)
 	c.clientReceives()
+}
 
-	c.clientSends(fmt.Sprintf(start, 4, "unknown"))
+// requestsUnknownClass sends an invalid request, after which the program ends the connection.
+func (c *conversation) requestsUnknownClass() {
+	c.t.Helper()
+	c.clientSends(placeRequestLine(4, "unknown"))
 	c.clientReceives()
-	_, err = c.clientRead.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "the connection ends after a request that no client would send")
-	compareWithStored(t, "platform/conversation.txt", c.text.String())
+	_, err := c.clientRead.ReadByte()
+	require.ErrorIs(c.t, err, io.EOF, "the connection ends after an invalid request")
 }
--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -19,17 +19,20 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
+// maxFieldNumber is above the numbers of all fields.
+const maxFieldNumber = protoreflect.FieldNumber(1000)
+
 // fieldLister writes a line for each field that can be reached from a message, by the numbers on the way to it.
 type fieldLister struct {
 	text    strings.Builder
-	names   bool // JSON shows this schema's names
+	names   bool // also the names of fields and values
 	reached map[protoreflect.FullName]bool
 }
 
 func (l *fieldLister) message(path string, m protoreflect.MessageDescriptor) {
 	l.reached[m.FullName()] = true
 	fields := m.Fields()
-	for number := protoreflect.FieldNumber(1); number < 1000; number++ {
+	for number := protoreflect.FieldNumber(1); number < maxFieldNumber; number++ {
 		f := fields.ByNumber(number)
 		if f == nil {
 			continue
@@ -68,8 +71,10 @@
 	}
 }
 
-// unreached are messages and enums of the schema's file that no root leads to.
-func (l *fieldLister) unreached(messages protoreflect.MessageDescriptors, enums protoreflect.EnumDescriptors) (names []string) {
+// unreached returns the messages and enums that cannot be reached from any message that was listed.
+func (l *fieldLister) unreached(
+	messages protoreflect.MessageDescriptors, enums protoreflect.EnumDescriptors,
+) (names []string) {
 	for i := range enums.Len() {
 		if name := enums.Get(i).FullName(); !l.reached[name] {
 			names = append(names, string(name))
@@ -91,9 +96,19 @@
 		names bool // histories and the JSON of commands show field and value names
 		roots []proto.Message
 	}{
-		{"schema-frames.txt", true, []proto.Message{&pb.Frame{}}},
-		{"schema-trace.txt", false, []proto.Message{&tracepb.Record{}, &tracepb.Header{}, &tracepb.Index{}}},
-		{"schema-state.txt", false, []proto.Message{&statepb.Entry{}, &statepb.Snapshot{}}},
+		{
+			file:  "schema-frames.txt",
+			names: true,
+			roots: []proto.Message{&pb.Frame{}},
+		},
+		{
+			file:  "schema-trace.txt",
+			roots: []proto.Message{&tracepb.Record{}, &tracepb.Header{}, &tracepb.Index{}},
+		},
+		{
+			file:  "schema-state.txt",
+			roots: []proto.Message{&statepb.Entry{}, &statepb.Snapshot{}},
+		},
 	} {
 		t.Run(schema.file, func(t *testing.T) {
 			lister := fieldLister{names: schema.names, reached: map[protoreflect.FullName]bool{}}
@@ -107,12 +122,12 @@
 	}
 }
 
-// populator fills messages with values that depend only on the order in which fields are visited.
+// populator sets all fields of messages to values that depend only on the order in which fields are visited.
 type populator struct{ next uint64 }
 
 func (p *populator) message(m protoreflect.Message) {
 	fields := m.Descriptor().Fields()
-	for number := protoreflect.FieldNumber(1); number < 1000; number++ {
+	for number := protoreflect.FieldNumber(1); number < maxFieldNumber; number++ {
 		f := fields.ByNumber(number)
 		switch {
 		case f == nil:
@@ -152,7 +167,8 @@
 	panic(fmt.Sprintf("no value for a field of kind %s", f.Kind()))
 }
 
-// distinctNumbers are the numbers of an enum in the order of their first names: a number has several if it was renamed.
+// distinctNumbers returns the numbers of an enum in the order of their first names. A number whose value was renamed
+// has several names.
 func distinctNumbers(e protoreflect.EnumDescriptor) (numbers []protoreflect.EnumNumber) {
 	values := e.Values()
 	for i := range values.Len() {
@@ -163,10 +179,10 @@
 	return numbers
 }
 
-// frames are one frame of each kind with all fields set, by the number of the kind.
+// frames returns a frame of each kind with all fields set, by the number of the kind.
 func frames() (all []*pb.Frame) {
 	fields := (&pb.Frame{}).ProtoReflect().Descriptor().Fields()
-	for number := protoreflect.FieldNumber(1); number < 1000; number++ {
+	for number := protoreflect.FieldNumber(1); number < maxFieldNumber; number++ {
 		if f := fields.ByNumber(number); f != nil {
 			frame := &pb.Frame{}
 			m := frame.ProtoReflect()
@@ -181,21 +197,21 @@
 func TestFrames_EncodeAsStored(t *testing.T) {
 	var text strings.Builder
 	for _, frame := range frames() {
-		b, err := transport.AppendFrame(nil, frame)
+		encoded, err := transport.AppendFrame(nil, frame)
 		require.NoError(t, err)
-		fmt.Fprintf(&text, "%x\n", b)
+		fmt.Fprintf(&text, "%x\n", encoded)
 	}
 	compareWithStored(t, "frames.txt", text.String())
 }
 
-func TestFrames_StoredBytesDecodeToTheSameMessage(t *testing.T) {
+func TestFrames_StoredBytes_DecodeToSameMessage(t *testing.T) {
 	lines := storedLines(t, "frames.txt")
 	want := frames()
 	require.Len(t, lines, len(want))
 	for i, line := range lines {
-		b, err := hex.DecodeString(line)
+		encoded, err := hex.DecodeString(line)
 		require.NoError(t, err)
-		body, rest, err := transport.SplitFrame(append(b, 0, 0), len(b))
+		body, rest, err := transport.SplitFrame(append(encoded, 0, 0), len(encoded))
 		require.NoError(t, err)
 		assert.Equal(t, []byte{0, 0}, rest)
 		got, err := transport.DecodeFrame(body)
--- a/internal/compatibility/simulator_test.go
+++ b/internal/compatibility/simulator_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replyHeadSize is what stands in front of a reply's records: their number and their length.
+// replyHeadSize is the size of a reply's head: the number of its records and their length.
 const replyHeadSize = 8
 
-func TestSimulator_AnswersAsStored(t *testing.T) {
+func TestSimulator_StoredBatches_AnsweredAsStored(t *testing.T) {
 	var input, output bytes.Buffer
 	for _, line := range storedLines(t, "simulator/batches.txt") {
-		b, err := hex.DecodeString(line)
+		batch, err := hex.DecodeString(line)
 		require.NoError(t, err)
-		input.Write(b)
+		input.Write(batch)
 	}
 	require.NoError(t, simulator.Serve(&input, &output))
 	var text strings.Builder
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -14,25 +14,31 @@
 )
 
 const (
-	stateDir     = "testdata/state" // what writeState leaves
+	stateDir     = "testdata/state" // as writeState writes it
 	tornStateDir = "testdata/state-torn"
 
-	stateNow      = 1.8e12 // Unix time in ms of all that is written
-	snapshotAfter = 400    // bytes of log after which a snapshot replaces it
+	stateNow      = 1.8e12  // Unix time in ms of all that is written
+	snapshotAfter = 400     // bytes of log after which a snapshot replaces it
+	noSnapshot    = 1 << 20 // more bytes than these logs have
 )
 
 func boundEntry(key uint64, number uint32) *statepb.Entry {
 	return storage.BindEntry(recovery.Bind{
-		Key: key, Group: "trace", Node: 700 + uint32(key), Incarnation: 5, Workload: 9000 + key, Number: number,
-		ExpiresAt: stateNow + 86400e3,
+		Key:         key,
+		Group:       "trace",
+		Node:        700 + uint32(key),
+		Incarnation: 5,
+		Workload:    9000 + key,
+		Number:      number,
+		ExpiresAt:   stateNow + 86400e3,
 	})
 }
 
-func settledEntry(key uint64, number uint32) *statepb.Entry {
+func forgetEntry(key uint64, number uint32) *statepb.Entry {
 	return storage.ForgetEntry(key, 5, number)
 }
 
-// writeState has two incarnations of an allocator write a directory; the second stops without closing it, as after a kill.
+// writeState writes a directory as two incarnations of an allocator do. The second does not close it, as after a kill.
 func writeState(t *testing.T, dir string) {
 	t.Helper()
 	disk, err := storage.OpenDir(dir)
@@ -43,18 +49,20 @@
 	for key := range uint64(12) {
 		require.NoError(t, first.Commit([]*statepb.Entry{boundEntry(key, 0)}, true))
 		if key%3 == 0 {
-			require.NoError(t, first.Commit([]*statepb.Entry{settledEntry(key, 0), boundEntry(key+100, 1)}, true))
+			require.NoError(t, first.Commit([]*statepb.Entry{forgetEntry(key, 0), boundEntry(key+100, 1)}, true))
 		}
 	}
 	require.NoError(t, first.Close())
-	second, found, err := storage.Open(disk, &statepb.Incarnation{Number: 6, StartedUnixMs: stateNow + 1000}, 1<<20, now)
+	restarted := &statepb.Incarnation{Number: 6, StartedUnixMs: stateNow + 1000}
+	second, found, err := storage.Open(disk, restarted, noSnapshot, now)
 	require.NoError(t, err)
 	require.NotEmpty(t, found.LiveBinds)
-	require.NoError(t, second.Commit([]*statepb.Entry{boundEntry(1<<63+5, 2), settledEntry(1, 0), boundEntry(2, 3)}, true))
+	entries := []*statepb.Entry{boundEntry(1<<63+5, 2), forgetEntry(1, 0), boundEntry(2, 3)}
+	require.NoError(t, second.Commit(entries, true))
 	require.NoError(t, disk.Unlock())
 }
 
-// stateFiles are the contents of a state directory by name, without the lock.
+// stateFiles returns the contents of the files of a state directory by name, without the lock.
 func stateFiles(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -71,13 +79,13 @@
 	return files
 }
 
-func TestStateDirectory_IsWrittenAsStored(t *testing.T) {
+func TestStateDirectory_Written_AsStored(t *testing.T) {
 	dir := t.TempDir()
 	writeState(t, dir)
 	assert.Equal(t, stateFiles(t, stateDir), stateFiles(t, dir))
 }
 
-func TestStoredStateDirectories_AreShownAsStored(t *testing.T) {
+func TestStateDirectory_Stored_ShownAsStored(t *testing.T) {
 	for _, dir := range []string{stateDir, tornStateDir} {
 		before := stateFiles(t, dir)
 		name := filepath.Base(dir)
@@ -88,19 +96,21 @@
 	}
 }
 
-func TestStoredStateDirectories_NextIncarnationFindsWhatIsKept(t *testing.T) {
+func TestStateDirectory_NextIncarnation_FindsLiveBinds(t *testing.T) {
 	for _, stored := range []string{stateDir, tornStateDir} {
 		dir := t.TempDir()
-		for name, b := range stateFiles(t, stored) {
-			require.NoError(t, os.WriteFile(filepath.Join(dir, name), b, 0o600))
+		for name, content := range stateFiles(t, stored) {
+			require.NoError(t, os.WriteFile(filepath.Join(dir, name), content, 0o600))
 		}
 		before := mustRun(t, "state", "show", dir)
 		disk, err := storage.OpenDir(dir)
 		require.NoError(t, err)
-		log, found, err := storage.Open(disk, &statepb.Incarnation{Number: 1, StartedUnixMs: stateNow + 2000}, 1<<20, func() float64 { return stateNow + 2000 })
+		const restartedAt = stateNow + 2000
+		restarted := &statepb.Incarnation{Number: 1, StartedUnixMs: restartedAt}
+		log, found, err := storage.Open(disk, restarted, noSnapshot, func() float64 { return restartedAt })
 		require.NoError(t, err)
 		assert.EqualValues(t, 6, found.Incarnation.GetNumber())
 		require.NoError(t, log.Close())
-		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s, after the next incarnation began", stored)
+		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s, after the next incarnation started", stored)
 	}
 }
--- a/internal/compatibility/trace_test.go
+++ b/internal/compatibility/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storedTraces are directories of testdata with what 'lab play --trace' wrote.
+// storedTraces are directories of testdata that 'lab play --trace' wrote.
 var storedTraces = []string{"gang-mixed", "rough", "state-death"}
 
 func traceFiles(t *testing.T, name string) []string {
@@ -23,10 +23,10 @@
 	return files
 }
 
-func TestStoredTraces_CommandsPrintAsStored(t *testing.T) {
+func TestTrace_StoredFiles_PrintedAsStored(t *testing.T) {
 	for _, name := range storedTraces {
 		dir := filepath.Join("testdata", "trace", name)
-		for _, c := range []struct {
+		for _, command := range []struct {
 			file string
 			args []string
 		}{
@@ -37,18 +37,18 @@
 			{"replay.json", []string{"trace", "replay", dir, "--json"}},
 			{"show.json", []string{"trace", "show", dir, "--json", "--most", "60"}},
 		} {
-			t.Run(name+"/"+c.file, func(t *testing.T) {
-				out := mustRun(t, c.args...)
-				if filepath.Ext(c.file) == ".json" {
+			t.Run(name+"/"+command.file, func(t *testing.T) {
+				out := mustRun(t, command.args...)
+				if filepath.Ext(command.file) == ".json" {
 					out = stableJSON(t, out)
 				}
-				compareWithStored(t, filepath.Join("trace", name, c.file), out)
+				compareWithStored(t, filepath.Join("trace", name, command.file), out)
 			})
 		}
 	}
 }
 
-func TestStoredTraces_ReplayIsIdentical(t *testing.T) {
+func TestTrace_StoredFiles_ReplayedIdentically(t *testing.T) {
 	for _, name := range storedTraces {
 		out := mustRun(t, "trace", "replay", filepath.Join("testdata", "trace", name))
 		assert.Contains(t, out, ": identical, ", name)
@@ -56,38 +56,48 @@
 	}
 }
 
-func TestStoredTraces_RecordsEncodeToTheSameBytes(t *testing.T) {
+func TestTrace_StoredRecords_EncodeToSameBytes(t *testing.T) {
 	for _, name := range storedTraces {
 		for _, file := range traceFiles(t, name) {
 			want, err := os.ReadFile(file)
 			require.NoError(t, err)
-			r, err := trace.Open(file)
-			require.NoError(t, err)
-			var got bytes.Buffer
-			w, err := trace.NewWriter(&got, r.Header)
-			require.NoError(t, err)
-			for record, err := range r.Records(trace.Span{}) {
-				require.NoError(t, err)
-				require.NoError(t, w.Append(record))
-			}
-			require.NoError(t, w.Close())
-			require.NoError(t, r.Close())
-			assert.True(t, bytes.Equal(want, got.Bytes()), "%s is encoded otherwise", file)
+			assert.True(t, bytes.Equal(want, encodeAgain(t, file)), "%s is encoded differently", file)
 		}
 	}
 }
 
-func TestVirtualScenario_RecordsTheStoredTrace(t *testing.T) {
+// encodeAgain decodes the records of a trace file, and returns the bytes to which they are encoded.
+func encodeAgain(t *testing.T, file string) []byte {
+	t.Helper()
+	reader, err := trace.Open(file)
+	require.NoError(t, err)
+	var encoded bytes.Buffer
+	writer, err := trace.NewWriter(&encoded, reader.Header)
+	require.NoError(t, err)
+	for record, err := range reader.Records(trace.Span{}) {
+		require.NoError(t, err)
+		require.NoError(t, writer.Append(record))
+	}
+	require.NoError(t, writer.Close())
+	require.NoError(t, reader.Close())
+	return encoded.Bytes()
+}
+
+func TestTrace_VirtualScenario_RecordedAsStored(t *testing.T) {
 	dir := t.TempDir()
-	mustRun(t, "lab", "play", "gang-mixed", "--virtual", "--seed", "1", "--for", "4s", "--nodes", "6", "--allocators", "2", "--trace", dir)
+	mustRun(t, "lab", "play", "gang-mixed", "--virtual", "--seed", "1", "--for", "4s",
+		"--nodes", "6", "--allocators", "2", "--trace", dir)
 	for _, file := range traceFiles(t, "gang-mixed") {
-		made := filepath.Join(dir, filepath.Base(filepath.Dir(file)), filepath.Base(file))
-		want, got := mustRun(t, "trace", "show", file, "--json"), mustRun(t, "trace", "show", made, "--json")
+		recorded := filepath.Join(dir, filepath.Base(filepath.Dir(file)), filepath.Base(file))
+		want := mustRun(t, "trace", "show", file, "--json")
+		got := mustRun(t, "trace", "show", recorded, "--json")
 		assert.Equal(t, want, got, file)
 	}
 }
 
 func TestTraceMergeJSON_AsStored(t *testing.T) {
-	out := mustRun(t, "trace", "merge", filepath.Join("testdata", "trace", "gang-mixed"), "-o", filepath.Join(t.TempDir(), "merged.gbt"), "--json")
+	stored := filepath.Join("testdata", "trace", "gang-mixed")
+	merged := filepath.Join(t.TempDir(), "merged.gbt")
+	out := mustRun(t, "trace", "merge", stored, "-o", merged, "--json")
 	compareWithStored(t, "json/trace-merge.json", stableJSON(t, out))
 }
