--- a/internal/command/lab_run.go
+++ b/internal/command/lab_run.go
@@ -52,7 +52,7 @@
 		return fmt.Errorf("--workers %d must not be below 0", o.workers)
 	}
 	if o.workers > 0 {
-		plan.Workers = o.workers
+		plan.Limits.Workers = o.workers
 	}
 	onRun := func(run experiment.Run, done, of int) { printRun(cmd, run, done, of) }
 	report, err := plan.Run(cmd.Context(), o.dir, onRun)
