--- a/internal/frontend/native/engineactions.go
+++ b/internal/frontend/native/engineactions.go
@@ -2,6 +2,7 @@
 
 import (
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -47,13 +48,12 @@
 ) {
 	w := a.workloads.held(id)
 	if w.gang != nil {
-		finished := !migrating && !a.interrupted && reason == placement.ReasonUnspecified
-		a.gangParts.ended(w, finished)
+		a.gangParts.ended(w, partEndOf(reason, migrating, a.endCause))
 		return
 	}
 	a.clients.notifyEnded(w.client, &pb.WorkloadEnded{
 		RequestId: w.request.RequestId,
-		Reason:    endReasonOf(reason, migrating, a.interrupted),
+		Reason:    endReasonOf(reason, migrating, a.endCause),
 	})
 }
 
@@ -61,7 +61,7 @@
 func (a engineActions) Forget(id placement.WorkloadID) {
 	w := a.workloads.held(id)
 	if w.gang != nil && w.state.withdrawn() {
-		a.gangParts.ended(w, false)
+		a.gangParts.ended(w, gang.EndedEarly)
 	}
 	a.workloads.remove(w)
 }
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -31,8 +31,8 @@
 	eventLog *eventlog.Log
 	recorder traceRecorder
 	counters *Counters
-	// interrupted is set while the engine is called with an event that may end workloads from outside; see reportEnds.
-	interrupted bool
+	// endCause is the cause of the ends that the engine reports without a reason; see reportEnds.
+	endCause endCause
 }
 
 func newEnvironment(c Config, counters *Counters) *environment {
@@ -91,11 +91,3 @@
 		RunningWorkloads: running,
 	})
 }
-
-// reportEnds calls the engine with an event that may end workloads. If interrupted, those that end without a reason are
-// reported to their clients as lost, not as finished.
-func (e *environment) reportEnds(interrupted bool, call func()) {
-	e.interrupted = interrupted
-	call()
-	e.interrupted = false
-}
--- a/internal/frontend/native/ganganswers.go
+++ b/internal/frontend/native/ganganswers.go
@@ -21,7 +21,7 @@
 	a.counters.GangsPlaced++
 	nodes := make([]uint32, len(g.parts))
 	for part, id := range g.parts {
-		if w, held := a.workloads.get(id); held && g.state.Parts[part] == gang.PartRunning {
+		if w, held := a.workloads.get(id); held && g.machine.PartState(part) == gang.PartRunning {
 			nodes[part] = uint32(w.lastNode())
 		}
 	}
@@ -57,11 +57,11 @@
 
 // rejectionReason says why a gang was rejected.
 func (a *gangAnswers) rejectionReason(g *gangRequest) string {
-	if g.state.Attempts() <= 1 && g.unrequestedParts() == len(g.parts) {
+	if g.machine.Attempts() <= 1 && g.unrequestedParts() == len(g.parts) {
 		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known",
 			g.request.MinParts, len(g.parts), a.nodes.count())
 	}
-	return fmt.Sprintf("it fell apart, %d times begun", g.state.Attempts())
+	return fmt.Sprintf("it fell apart, %d times begun", g.machine.Attempts())
 }
 
 // ended notifies the client that its running gang has ended.
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -23,10 +23,10 @@
 		e.executeOne(now, g, action)
 	}
 	// A trace holds the state's text, and some states share one.
-	if g.tracedState.String() != g.state.State.String() {
+	if g.tracedState.String() != g.machine.State().String() {
 		e.recorder.gangState(now, g)
 	}
-	g.tracedState = g.state.State
+	g.tracedState = g.machine.State()
 }
 
 // executeOne carries out one action.
@@ -69,7 +69,7 @@
 			request.parts[part] = 0
 		}
 	}
-	e.execute(now, request, request.state.AttemptResult(offered))
+	e.execute(now, request, request.machine.AttemptResult(offered))
 }
 
 // requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
@@ -81,7 +81,7 @@
 	e.recorder.request(now, held)
 	requested := e.catalog.workload(held.id, held.request)
 	requested.PendingTimeout = timeout
-	requested.Retried = requested.Retried || g.state.Attempts() > 1
+	requested.Retried = requested.Retried || g.machine.Attempts() > 1
 	requested.Group = spreadVariant(requested.Group, g.request.Spread, len(e.catalog.groupNames))
 	return requested
 }
@@ -94,7 +94,7 @@
 	switch {
 	case !held:
 		e.deferEvent(g, id, part, func(now placement.Millis) []gang.Action {
-			return g.state.PartEnded(now, part, false)
+			return g.machine.PartEnded(now, part, gang.EndedEarly)
 		})
 	case w.state.withdrawn():
 		e.sender.stop(w.lastNode(), e.workloads.bindID(w), false)
@@ -108,7 +108,7 @@
 // confirmParts notifies the nodes of the running parts that their gang runs.
 func (e *gangExecutor) confirmParts(g *gangRequest) {
 	for part, id := range g.parts {
-		if w, held := e.workloads.get(id); held && g.state.Parts[part] == gang.PartRunning {
+		if w, held := e.workloads.get(id); held && g.machine.PartState(part) == gang.PartRunning {
 			e.sender.confirmGang(w.lastNode(), e.workloads.bindID(w))
 		}
 	}
@@ -123,7 +123,7 @@
 		case now < at:
 			e.setTimer(now, g, at)
 		default:
-			e.execute(now, g, g.state.TimerFired(now))
+			e.execute(now, g, g.machine.TimerFired(now))
 		}
 	})
 }
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -75,7 +75,7 @@
 	g := &gangRequest{
 		id:         id,
 		request:    request,
-		state:      gang.New(now, h.catalog.gangRequest(request, timeout), gangSeed(h.config.Seed, id)),
+		machine:    gang.New(now, h.catalog.gangRequest(request, timeout), gangSeed(h.config.Seed, id)),
 		parts:      make([]placement.WorkloadID, len(request.Parts)),
 		receivedAt: now,
 		deadline:   now + timeout,
@@ -84,7 +84,7 @@
 	h.gangs.add(g)
 	h.counters.Gangs++
 	h.recorder.gangRequest(now, g, timeout)
-	h.executor.execute(now, g, g.state.Start(now))
+	h.executor.execute(now, g, g.machine.Start(now))
 }
 
 // withdrawRequest handles a client's withdrawal of a request, and reports whether the request was one for a gang.
@@ -103,7 +103,7 @@
 		return
 	}
 	h.counters.Withdrawn++
-	h.executor.execute(now, g, g.state.Withdraw(now))
+	h.executor.execute(now, g, g.machine.Withdraw(now))
 }
 
 // clientDisconnected withdraws the gangs of a client that have no answer yet, since it can be sent none.
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -32,7 +32,7 @@
 			p.running(w)
 		}
 	case allocator.Rejected:
-		p.event(w, func(now placement.Millis) []gang.Action { return w.gang.state.PartFailed(now, w.part, false) })
+		p.event(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartFailed(now, w.part, gang.NeverRan) })
 	case allocator.Unschedulable:
 		p.mayRun(w)
 	}
@@ -49,20 +49,20 @@
 		if !stopped {
 			p.sender.stop(node, bind, false)
 		}
-		return w.gang.state.PartFailed(now, w.part, true)
+		return w.gang.machine.PartFailed(now, w.part, gang.MayRun)
 	})
 }
 
 // running handles that a workload runs, if it is a part of a gang.
 func (p *gangParts) running(w *workload) {
 	if w.gang != nil {
-		p.event(w, func(placement.Millis) []gang.Action { return w.gang.state.PartStarted(w.part) })
+		p.event(w, func(placement.Millis) []gang.Action { return w.gang.machine.PartStarted(w.part) })
 	}
 }
 
 // ended handles that a part runs no more, or never will.
-func (p *gangParts) ended(w *workload, finished bool) {
-	p.event(w, func(now placement.Millis) []gang.Action { return w.gang.state.PartEnded(now, w.part, finished) })
+func (p *gangParts) ended(w *workload, end gang.PartEnd) {
+	p.event(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartEnded(now, w.part, end) })
 }
 
 // repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -63,15 +63,18 @@
 	if !r.gangs.holds(recovered) {
 		return
 	}
-	running := make([]bool, len(recovered.parts))
+	var running []int
 	for part, id := range recovered.parts {
-		_, running[part] = r.workloads.get(id)
+		if _, held := r.workloads.get(id); held {
+			running = append(running, part)
+		}
 		if recovered.request.Parts[part] == nil {
 			recovered.request.Parts[part] = &pb.PlaceRequest{}
 		}
 	}
 	request := r.catalog.gangRequest(recovered.request, 0)
-	state, decided := gang.Recover(now, request, running, recovered.confirmed, gangSeed(r.config.Seed, recovered.id))
-	recovered.state = state
+	seed := gangSeed(r.config.Seed, recovered.id)
+	machine, decided := gang.Recover(now, request, running, recovered.confirmation, seed)
+	recovered.machine = machine
 	r.executor.execute(now, recovered, decided)
 }
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -1,8 +1,6 @@
 package native
 
 import (
-	"slices"
-
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -20,33 +18,43 @@
 
 // gangRequest is a client's request for a gang.
 type gangRequest struct {
-	id          requestID
-	request     *pb.GangRequest
-	state       *gang.Gang             // nil while the gang is recovering; see recovering
-	parts       []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
-	receivedAt  placement.Millis
-	deadline    placement.Millis // until which the client waits for its answer
-	answerDue   bool             // the client waits for its final answer
-	confirmed   bool             // of one that is recovering: a part's node knew that the gang runs
-	tracedState gang.State       // the last one that the trace has
+	id           requestID
+	request      *pb.GangRequest
+	machine      *gang.Gang             // nil while the gang is recovering, as gang.Recover takes all parts at once
+	parts        []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
+	receivedAt   placement.Millis
+	deadline     placement.Millis  // until which the client waits for its answer
+	answerDue    bool              // the client waits for its final answer
+	confirmation gang.Confirmation // of one that is recovering, by the parts found so far
+	tracedState  gang.State        // the last one that the trace has
 }
 
 // recovering reports whether parts of the gang were found on nodes after a restart, and others may follow.
-func (g *gangRequest) recovering() bool { return g.state == nil }
+func (g *gangRequest) recovering() bool { return g.machine == nil }
+
+// stateName is the gang's state as operators are shown it. The names are part of the command line's output.
+func (g *gangRequest) stateName() string {
+	if g.recovering() {
+		return "found"
+	}
+	return g.machine.State().String()
+}
 
 // runs reports whether enough of the gang's parts run, and its client has its answer.
-func (g *gangRequest) runs() bool { return !g.recovering() && g.state.State == gang.Running }
+func (g *gangRequest) runs() bool { return !g.recovering() && g.machine.State() == gang.Running }
 
 // lacks reports whether the gang is recovering and the part was not found yet.
 func (g *gangRequest) lacks(part int) bool {
 	return g.recovering() && part < len(g.parts) && g.parts[part] == 0
 }
 
-// addFound adds a part of a recovering gang. Confirmed is whether the part's node knew that the gang runs.
+// addFound adds a part of a recovering gang. Confirmed is whether the part's node was notified that the gang runs.
 func (g *gangRequest) addFound(w *workload, confirmed bool) {
 	g.parts[w.part] = w.id
 	g.request.Parts[w.part] = w.request
-	g.confirmed = g.confirmed || confirmed
+	if confirmed {
+		g.confirmation = gang.Confirmed
+	}
 }
 
 // offerPart is the description of the gang in the offer of a part. The node ends the part after its lease, unless the
@@ -79,7 +87,7 @@
 
 // endReason is the reason that the client gets for the end of its running gang.
 func (g *gangRequest) endReason() pb.Reason {
-	if slices.ContainsFunc(g.state.Parts, func(s gang.PartState) bool { return s != gang.PartFinished }) {
+	if g.machine.CountParts(gang.PartFinished) < len(g.parts) {
 		return pb.Reason_LOST
 	}
 	return pb.Reason_FINISHED
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -65,7 +65,7 @@
 		Final:  h.host.Engine().IsPlaced(w.id, bind) || w.state.withdrawn(),
 		Load:   loadOf(end.Load),
 	}
-	h.reportEnds(interrupts(end.Reason), func() {
+	h.reportEnds(endCauseOf(end.Reason), func() {
 		h.host.Engine().BindEnded(now, w.id, bind, n.id, result)
 	})
 }
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -84,7 +84,7 @@
 
 // lost ends the workloads of a node that was removed.
 func (s *nodeSessions) lost(now placement.Millis, n *node) {
-	s.reportEnds(true, func() { s.host.Engine().NodeLost(now, n.id) })
+	s.reportEnds(endInterrupted, func() { s.host.Engine().NodeLost(now, n.id) })
 }
 
 // received handles a frame of a node. Frames of other kinds than those here are ignored.
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -35,30 +35,6 @@
 	return placement.ReasonUnspecified
 }
 
-// endReasonOf returns the reason that a client gets for the end of its workload. Where the node gives none, the
-// workload has finished, unless it was interrupted.
-func endReasonOf(reason placement.Reason, migrating, interrupted bool) pb.Reason {
-	switch {
-	case migrating:
-		return pb.Reason_MIGRATED
-	case reason == placement.Evicted:
-		return pb.Reason_EVICTED
-	case reason == placement.Preempted:
-		return pb.Reason_PREEMPTED
-	case reason == placement.Drained:
-		return pb.Reason_DRAINED
-	case reason == placement.ReasonUnspecified && interrupted:
-		return pb.Reason_LOST
-	}
-	return pb.Reason_FINISHED
-}
-
-// interrupts reports whether an end that a node reports was not the workload's own: its node stopped or lost it, or
-// ended its lease.
-func interrupts(reason pb.Reason) bool {
-	return reason == pb.Reason_LOST || reason == pb.Reason_STOPPED || reason == pb.Reason_LEASE_EXPIRED
-}
-
 // nodeStateOf translates the state of a node in the node list. A node in a state of a later version of the protocol
 // gets no binds.
 func nodeStateOf(state pb.NodeEntry_State) placement.NodeState {
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -39,7 +39,7 @@
 			unknown = append(unknown, running)
 		}
 	}
-	r.reportEnds(true, func() {
+	r.reportEnds(endInterrupted, func() {
 		r.host.Engine().ReconcileNode(now, n.id, func(id placement.WorkloadID, bind int) bool {
 			return named[bindRef{id, bind}]
 		})
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -134,7 +134,7 @@
 	status := &pb.GangStatus{
 		Client:    request.id.client,
 		RequestId: request.id.request,
-		State:     "found",
+		State:     request.stateName(),
 		Parts:     uint32(len(request.parts)),
 		MinParts:  request.request.MinParts,
 		SinceMs:   float64(now - request.receivedAt),
@@ -145,12 +145,7 @@
 	if request.recovering() {
 		return status
 	}
-	status.State = request.state.State.String()
-	status.Attempts = uint32(request.state.Attempts())
-	for _, part := range request.state.Parts {
-		if part == gang.PartRunning {
-			status.Running++
-		}
-	}
+	status.Attempts = uint32(request.machine.Attempts())
+	status.Running = uint32(request.machine.CountParts(gang.PartRunning))
 	return status
 }
--- a/internal/frontend/native/tracerecorder.go
+++ b/internal/frontend/native/tracerecorder.go
@@ -52,6 +52,6 @@
 
 func (t traceRecorder) gangState(now placement.Millis, g *gangRequest) {
 	if t.recorder != nil {
-		t.recorder.RecordGangState(now, g.id.client, g.id.request, g.state.State.String(), g.parts)
+		t.recorder.RecordGangState(now, g.id.client, g.id.request, g.machine.State().String(), g.parts)
 	}
 }
--- a/internal/gang/action.go
+++ b/internal/gang/action.go
@@ -29,12 +29,18 @@
 	Forget
 )
 
-// Action is one thing that the caller is to do.
+// Action is one thing that the caller is to do. Each field but Kind belongs to some kinds only, and is zero in all
+// others.
 type Action struct {
-	Kind     ActionKind
-	Part     int              // of RequestPart and StopPart
-	Parts    []int            // of Attempt, larger ones first
-	MinParts int              // of Attempt
-	Timeout  placement.Millis // of RequestPart, in ms
-	At       placement.Millis // of SetTimer
+	Kind ActionKind
+	// Part is the part of RequestPart and StopPart.
+	Part int
+	// Parts are the parts of Attempt, larger ones first.
+	Parts []int
+	// MinParts is how many of Parts an Attempt offers to nodes at least. If it cannot, it offers none.
+	MinParts int
+	// Timeout is the time, in ms, within which the part of RequestPart must be placed.
+	Timeout placement.Millis
+	// At is the time of SetTimer.
+	At placement.Millis
 }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -9,12 +9,16 @@
 // no call after a Forget. Times are milliseconds on the caller's clock.
 package gang
 
-import "grebeglade/placement"
+import (
+	"slices"
+
+	"grebeglade/placement"
+)
 
 // Gang is one group of workloads. It is not safe for concurrent use.
 type Gang struct {
-	State       State
-	Parts       []PartState
+	state       State
+	parts       []PartState
 	request     Request
 	expires     placement.Millis // when the client gives up
 	seed        uint64           // of the random part of the retry delay
@@ -29,43 +33,71 @@
 func New(now placement.Millis, r Request, seed uint64) *Gang {
 	r.MinParts = min(max(1, r.MinParts), len(r.Parts))
 	return &Gang{
-		Parts:   make([]PartState, len(r.Parts)),
+		parts:   make([]PartState, len(r.Parts)),
 		request: r,
 		expires: now + r.PendingTimeout,
 		seed:    seed,
 	}
 }
 
-// Recover returns a gang of which some parts were found running after a restart of the allocator, and the actions to
-// take. A gang that was confirmed to be running goes on if enough of its parts run; any other is rolled back. Its
+// Confirmation is whether ConfirmParts was carried out for a gang before a restart of the allocator.
+type Confirmation uint8
+
+// The confirmations.
+const (
+	Unconfirmed Confirmation = iota // no node of its parts was notified that the gang runs
+	Confirmed                       // a node of one of its parts was
+)
+
+// Recover returns a gang of which the given parts were found running after a restart of the allocator, and the actions
+// to take. A gang that was confirmed to be running goes on if enough of its parts run; any other is rolled back. Its
 // client gets no answer: it has one, or is gone.
-func Recover(now placement.Millis, r Request, running []bool, confirmed bool, seed uint64) (*Gang, []Action) {
+func Recover(
+	now placement.Millis, r Request, runningParts []int, confirmation Confirmation, seed uint64,
+) (*Gang, []Action) {
 	g := New(now, r, seed)
-	g.State = Running
-	for part, runs := range running {
-		g.Parts[part] = PartLost
-		if runs {
-			g.Parts[part] = PartRunning
-		}
+	g.state = Running
+	for part := range g.parts {
+		g.parts[part] = PartLost
+	}
+	for _, part := range runningParts {
+		g.parts[part] = PartRunning
 	}
-	if confirmed && g.count(PartRunning) >= g.request.MinParts {
+	if confirmation == Confirmed && g.CountParts(PartRunning) >= g.request.MinParts {
 		return g, []Action{{Kind: ConfirmParts}}
 	}
 	return g, g.rollBack(now, RollingBackToEnd)
 }
 
+// State returns the gang's state.
+func (g *Gang) State() State { return g.state }
+
+// PartState returns the state of a part.
+func (g *Gang) PartState(part int) PartState { return g.parts[part] }
+
+// CountParts returns the number of parts in any of the states.
+func (g *Gang) CountParts(states ...PartState) int {
+	count := 0
+	for _, s := range g.parts {
+		if slices.Contains(states, s) {
+			count++
+		}
+	}
+	return count
+}
+
 // Attempts returns how often the gang was started.
 func (g *Gang) Attempts() int { return g.attempts }
 
 // Withdraw handles the client's withdrawal of the gang. The client gets no answer after it.
 func (g *Gang) Withdraw(now placement.Millis) []Action {
-	switch g.State {
+	switch g.state {
 	case Pending:
 		return g.end()
 	case Starting, Running:
 		return g.rollBack(now, RollingBackToEnd)
 	case RollingBackToRetry:
-		g.State = RollingBackToEnd
+		g.state = RollingBackToEnd
 	case RollingBackToEnd, Ended:
 		// It has ended, or will without an answer.
 	}
@@ -74,7 +106,7 @@
 
 // TimerFired handles the time of a SetTimer. Timers of an earlier state do nothing.
 func (g *Gang) TimerFired(now placement.Millis) []Action {
-	switch g.State {
+	switch g.state {
 	case Pending:
 		if now >= g.retryAt {
 			return g.Start(now)
@@ -96,7 +128,7 @@
 
 // end ends a gang that has no active part and whose client is due no answer.
 func (g *Gang) end() []Action {
-	g.State = Ended
+	g.state = Ended
 	return []Action{{Kind: Forget}}
 }
 
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -26,39 +26,38 @@
 		gang := startParts(newPairRequest(), 0)
 		assertActions(t, gang.Withdraw(20), "stop 1", "stop 0", "timer")
 		assert.Empty(t, gang.Withdraw(21))
-		gang.PartEnded(30, 0, endedEarly)
-		assertActions(t, gang.PartEnded(31, 1, endedEarly), "forget")
+		gang.PartEnded(30, 0, EndedEarly)
+		assertActions(t, gang.PartEnded(31, 1, EndedEarly), "forget")
 	})
 	t.Run("rolling back to retry: ended without an answer", func(t *testing.T) {
 		gang := startOffered(newPairRequest())
-		gang.PartFailed(20, 0, neverRan)
-		assert.Equal(t, RollingBackToRetry, gang.State)
+		gang.PartFailed(20, 0, NeverRan)
+		assert.Equal(t, RollingBackToRetry, gang.State())
 		assert.Empty(t, gang.Withdraw(21))
-		assertActions(t, gang.PartEnded(22, 1, endedEarly), "forget")
+		assertActions(t, gang.PartEnded(22, 1, EndedEarly), "forget")
 	})
 	t.Run("pending, to be retried: ended at once", func(t *testing.T) {
 		gang := startOffered(newPairRequest())
-		gang.PartFailed(20, 0, neverRan)
-		gang.PartEnded(21, 1, endedEarly)
-		assert.Equal(t, Pending, gang.State)
+		gang.PartFailed(20, 0, NeverRan)
+		gang.PartEnded(21, 1, EndedEarly)
+		assert.Equal(t, Pending, gang.State())
 		assertActions(t, gang.Withdraw(30), "forget")
 	})
 }
 
 func TestRecover(t *testing.T) {
 	request := Request{Parts: make([]Part, 3), MinParts: 2}
-	const confirmed = true
 	t.Run("confirmed, enough parts running: goes on", func(t *testing.T) {
-		_, actions := Recover(0, request, []bool{true, true, false}, confirmed, seed)
+		_, actions := Recover(0, request, []int{0, 1}, Confirmed, seed)
 		assertActions(t, actions, "confirm")
 	})
 	t.Run("not confirmed: rolled back", func(t *testing.T) {
-		_, actions := Recover(0, request, []bool{true, true, true}, !confirmed, seed)
+		_, actions := Recover(0, request, []int{0, 1, 2}, Unconfirmed, seed)
 		assertActions(t, actions, "stop 0", "stop 1", "stop 2", "timer")
 	})
 	t.Run("confirmed, too few parts running: rolled back and ended", func(t *testing.T) {
-		gang, actions := Recover(0, request, []bool{false, true, false}, confirmed, seed)
+		gang, actions := Recover(0, request, []int{1}, Confirmed, seed)
 		assertActions(t, actions, "stop 1", "timer")
-		assertActions(t, gang.PartEnded(10, 1, endedEarly), "forget")
+		assertActions(t, gang.PartEnded(10, 1, EndedEarly), "forget")
 	})
 }
--- a/internal/gang/harness_test.go
+++ b/internal/gang/harness_test.go
@@ -10,14 +10,6 @@
 	"grebeglade/placement"
 )
 
-// The causes that PartFailed and PartEnded are called with.
-const (
-	neverRan   = false // of PartFailed
-	mayRun     = true  // of PartFailed
-	endedEarly = false // of PartEnded: stopped, evicted or lost
-	finished   = true  // of PartEnded
-)
-
 // seed is the seed of a gang in a test that does not depend on it.
 const seed = 1
 
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -75,7 +75,7 @@
 
 func (m model) clone() model {
 	for g := range m.gangs {
-		m.gangs[g].gang.Parts = slices.Clone(m.gangs[g].gang.Parts)
+		m.gangs[g].gang.parts = slices.Clone(m.gangs[g].gang.parts)
 	}
 	return m
 }
@@ -147,24 +147,24 @@
 }
 
 // failPart has a part that was offered fail.
-func (m *model) failPart(gangIndex, part int, mayRun bool) {
+func (m *model) failPart(gangIndex, part int, outcome FailureOutcome) {
 	caller := &m.gangs[gangIndex]
 	m.removePart(gangIndex, part)
-	m.execute(gangIndex, caller.gang.PartFailed(caller.now, part, mayRun), nil)
+	m.execute(gangIndex, caller.gang.PartFailed(caller.now, part, outcome), nil)
 }
 
 // loseAnswer has a part that was offered start without its gang's knowledge.
 func (m *model) loseAnswer(gangIndex, part int) {
 	m.faulted = true
 	m.orphans[m.gangs[gangIndex].parts[part].node] = true
-	m.failPart(gangIndex, part, mayRun)
+	m.failPart(gangIndex, part, MayRun)
 }
 
 // endPart has a part end at its node before its time.
 func (m *model) endPart(gangIndex, part int) {
 	caller := &m.gangs[gangIndex]
 	m.removePart(gangIndex, part)
-	m.execute(gangIndex, caller.gang.PartEnded(caller.now, part, endedEarly), nil)
+	m.execute(gangIndex, caller.gang.PartEnded(caller.now, part, EndedEarly), nil)
 }
 
 // fireTimer fires the timer of a gang. The nodes to which an attempt offers the parts are given, nil for none.
--- a/internal/gang/modelcheck_test.go
+++ b/internal/gang/modelcheck_test.go
@@ -25,12 +25,12 @@
 				parts++
 			}
 		}
-		if caller.gang.State == Running {
+		if caller.gang.State() == Running {
 			runningGangs++
 			require.Equal(t, partsPerGang, parts, key)
 			continue
 		}
-		require.Equal(t, Ended, caller.gang.State, key)
+		require.Equal(t, Ended, caller.gang.State(), key)
 		require.Zero(t, parts, key)
 	}
 	return runningGangs
--- a/internal/gang/modelevents_test.go
+++ b/internal/gang/modelevents_test.go
@@ -15,7 +15,7 @@
 	}
 	for g := range m.gangs {
 		caller := &m.gangs[g]
-		if caller.gang.State == Pending && caller.gang.attempts == 0 {
+		if caller.gang.State() == Pending && caller.gang.attempts == 0 {
 			for _, nodes := range assignments {
 				add(func(next *model) { next.execute(g, next.gangs[g].gang.Start(0), nodes) })
 			}
@@ -33,7 +33,7 @@
 // addTimer adds what a gang's timer leads to. A running gang needs none.
 func (m model) addTimer(gangIndex int, add func(func(*model))) {
 	caller := &m.gangs[gangIndex]
-	if caller.timer <= 0 || caller.timer >= lastTimer || caller.gang.State == Running {
+	if caller.timer <= 0 || caller.timer >= lastTimer || caller.gang.State() == Running {
 		return
 	}
 	for _, nodes := range assignments {
@@ -61,7 +61,7 @@
 	switch onNode.phase {
 	case offered:
 		if m.occupied(onNode.node) {
-			add(func(next *model) { next.failPart(gangIndex, part, neverRan) })
+			add(func(next *model) { next.failPart(gangIndex, part, NeverRan) })
 			return
 		}
 		add(func(next *model) { next.startPart(gangIndex, part) })
--- a/internal/gang/part.go
+++ b/internal/gang/part.go
@@ -25,11 +25,11 @@
 
 // PartStarted handles the start of a part.
 func (g *Gang) PartStarted(part int) []Action {
-	if g.Parts[part] != PartRequested {
+	if g.parts[part] != PartRequested {
 		return nil // it was cancelled meanwhile
 	}
-	g.Parts[part] = PartRunning
-	switch g.State {
+	g.parts[part] = PartRunning
+	switch g.state {
 	case Starting:
 		return g.completeStart()
 	case Running:
@@ -40,27 +40,45 @@
 	return nil
 }
 
-// PartFailed handles a part that was not placed; mayRun is set if it may run all the same.
-func (g *Gang) PartFailed(now placement.Millis, part int, mayRun bool) []Action {
-	before := g.Parts[part]
-	g.Parts[part] = PartIdle
-	if mayRun {
-		g.Parts[part] = PartLost
+// FailureOutcome is what is known of a part that was not placed.
+type FailureOutcome uint8
+
+// The outcomes.
+const (
+	NeverRan FailureOutcome = iota
+	MayRun                  // a bind of it has an unknown outcome: it may have run, and may run still
+)
+
+// PartFailed handles a part that was not placed.
+func (g *Gang) PartFailed(now placement.Millis, part int, outcome FailureOutcome) []Action {
+	before := g.parts[part]
+	g.parts[part] = PartIdle
+	if outcome == MayRun {
+		g.parts[part] = PartLost
 		g.recordUnknownOutcome(part)
 	}
 	return g.continueWithout(now, before)
 }
 
-// PartEnded handles the end of a running part: it has finished, or was stopped, evicted or lost.
-func (g *Gang) PartEnded(now placement.Millis, part int, finished bool) []Action {
-	before := g.Parts[part]
+// PartEnd is how a part ended.
+type PartEnd uint8
+
+// The ends.
+const (
+	EndedEarly PartEnd = iota // it was stopped, evicted or lost
+	Finished                  // its work was done
+)
+
+// PartEnded handles the end of a running part.
+func (g *Gang) PartEnded(now placement.Millis, part int, end PartEnd) []Action {
+	before := g.parts[part]
 	if !before.active() {
 		return nil // it has ended already
 	}
-	if finished && before == PartRunning {
-		g.Parts[part] = PartFinished
+	if end == Finished && before == PartRunning {
+		g.parts[part] = PartFinished
 	} else {
-		g.Parts[part] = PartLost
+		g.parts[part] = PartLost
 		g.recordLoss(part)
 	}
 	return g.continueWithout(now, before)
@@ -68,7 +86,7 @@
 
 // continueWithout goes on after a part that was in the given state is no longer on its way or running.
 func (g *Gang) continueWithout(now placement.Millis, before PartState) []Action {
-	switch g.State {
+	switch g.state {
 	case Starting:
 		if !g.canReachMinimum() {
 			return g.failStart(now)
@@ -84,26 +102,17 @@
 	return nil
 }
 
-// count returns the number of parts in any of the states.
-func (g *Gang) count(states ...PartState) int {
-	n := 0
-	for _, s := range g.Parts {
-		if slices.Contains(states, s) {
-			n++
-		}
-	}
-	return n
-}
-
 // hasActiveParts reports whether any part is active.
-func (g *Gang) hasActiveParts() bool { return slices.ContainsFunc(g.Parts, PartState.active) }
+func (g *Gang) hasActiveParts() bool { return slices.ContainsFunc(g.parts, PartState.active) }
 
 // hasMinimum reports whether enough parts have started.
-func (g *Gang) hasMinimum() bool { return g.count(PartRunning, PartFinished) >= g.request.MinParts }
+func (g *Gang) hasMinimum() bool {
+	return g.CountParts(PartRunning, PartFinished) >= g.request.MinParts
+}
 
 // canReachMinimum reports whether enough parts have started, or may start without a further request.
 func (g *Gang) canReachMinimum() bool {
-	return g.count(PartRequested, PartRunning, PartFinished) >= g.request.MinParts
+	return g.CountParts(PartRequested, PartRunning, PartFinished) >= g.request.MinParts
 }
 
 // compareSizes orders parts by their size, larger ones first.
--- a/internal/gang/retry.go
+++ b/internal/gang/retry.go
@@ -37,10 +37,10 @@
 	if g.sideEffects != noSideEffects || g.expires-now < delay+minStartTime {
 		return g.endFailed()
 	}
-	for part := range g.Parts {
-		g.Parts[part] = PartIdle
+	for part := range g.parts {
+		g.parts[part] = PartIdle
 	}
-	g.State = Pending
+	g.state = Pending
 	g.retryAt = now + delay
 	return []Action{{Kind: SetTimer, At: g.retryAt}}
 }
@@ -50,7 +50,7 @@
 // the harder one to place, and capacity that it does not get at once soon goes to others.
 func (g *Gang) retryDelay() placement.Millis {
 	doubled := placement.Millis(int(1) << min(g.attempts, maxDelayDoublings))
-	divisor := placement.Millis(min(len(g.Parts), maxDelayDivisor))
+	divisor := placement.Millis(min(len(g.parts), maxDelayDivisor))
 	longest := minRetryDelay * doubled / divisor
 	return minRetryDelay + longest*placement.Millis(g.jitter())
 }
--- a/internal/gang/retry_test.go
+++ b/internal/gang/retry_test.go
@@ -12,11 +12,11 @@
 func TestPartFailed_LastPart_RolledBackAndRetried(t *testing.T) {
 	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 0)
 	// A part that is on its way is stopped before one that runs.
-	assertActions(t, gang.PartFailed(20, 2, neverRan), "stop 1", "stop 0", "timer")
-	assert.Equal(t, RollingBackToRetry, gang.State)
+	assertActions(t, gang.PartFailed(20, 2, NeverRan), "stop 1", "stop 0", "timer")
+	assert.Equal(t, RollingBackToRetry, gang.State())
 	assert.Empty(t, gang.PartStarted(1), "its stop is on the way")
-	assert.Empty(t, gang.PartEnded(30, 0, endedEarly))
-	actions := gang.PartEnded(40, 1, endedEarly)
+	assert.Empty(t, gang.PartEnded(30, 0, EndedEarly))
+	actions := gang.PartEnded(40, 1, EndedEarly)
 	require.Len(t, actions, 1)
 	assertActions(t, actions, "timer")
 	retryAt := actions[0].At
@@ -31,25 +31,25 @@
 	gang := startOffered(request)
 	now := placement.Millis(0)
 	for range maxAttempts - 1 {
-		assertActions(t, gang.PartFailed(now, 0, neverRan), "stop 1", "timer")
-		now = gang.PartEnded(now, 1, endedEarly)[0].At
+		assertActions(t, gang.PartFailed(now, 0, NeverRan), "stop 1", "timer")
+		now = gang.PartEnded(now, 1, EndedEarly)[0].At
 		gang.TimerFired(now)
 		gang.AttemptResult([]bool{true, true})
 	}
 	// It is answered at once, not when all of it is rolled back.
-	assertActions(t, gang.PartFailed(now, 0, neverRan), "rejected", "stop 1", "timer")
-	assertActions(t, gang.PartEnded(now, 1, endedEarly), "forget")
+	assertActions(t, gang.PartFailed(now, 0, NeverRan), "rejected", "stop 1", "timer")
+	assertActions(t, gang.PartEnded(now, 1, EndedEarly), "forget")
 }
 
 func TestPartFailed_LargerPartRunning_SmallerOnItsWayStoppedFirst(t *testing.T) {
 	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 1)
-	assertActions(t, gang.PartFailed(20, 2, neverRan), "stop 0", "stop 1", "timer")
+	assertActions(t, gang.PartFailed(20, 2, NeverRan), "stop 0", "stop 1", "timer")
 }
 
 func TestPartEnded_RolledBackTooLateForRetry_Rejected(t *testing.T) {
 	request := newPairRequest()
 	gang := startOffered(request)
-	assertActions(t, gang.PartFailed(20, 0, neverRan), "stop 1", "timer")
+	assertActions(t, gang.PartFailed(20, 0, NeverRan), "stop 1", "timer")
 	rolledBackAt := request.PendingTimeout - minStartTime
-	assertActions(t, gang.PartEnded(rolledBackAt, 1, endedEarly), "rejected", "forget")
+	assertActions(t, gang.PartEnded(rolledBackAt, 1, EndedEarly), "rejected", "forget")
 }
--- a/internal/gang/rollback.go
+++ b/internal/gang/rollback.go
@@ -13,7 +13,7 @@
 // rollBack stops all parts, in the given rollback state: first those that are only on their way, which costs least and
 // frees the nodes' queues, then those that run, larger ones first.
 func (g *Gang) rollBack(now placement.Millis, state State) []Action {
-	g.State = state
+	g.state = state
 	var actions []Action
 	for _, part := range g.stopOrder() {
 		actions = append(actions, g.stop(part))
@@ -25,20 +25,20 @@
 // stopOrder returns the parts that a rollback stops, in their order.
 func (g *Gang) stopOrder() []int {
 	var parts []int
-	for part, s := range g.Parts {
+	for part, s := range g.parts {
 		if s == PartRequested || s == PartRunning {
 			parts = append(parts, part)
 		}
 	}
 	slices.SortStableFunc(parts, func(x, y int) int {
-		return cmp.Or(cmp.Compare(g.Parts[x], g.Parts[y]), g.compareSizes(x, y))
+		return cmp.Or(cmp.Compare(g.parts[x], g.parts[y]), g.compareSizes(x, y))
 	})
 	return parts
 }
 
 // stop begins to stop a part.
 func (g *Gang) stop(part int) Action {
-	g.Parts[part] = PartStopping
+	g.parts[part] = PartStopping
 	return Action{Kind: StopPart, Part: part}
 }
 
@@ -54,7 +54,7 @@
 		return nil
 	}
 	actions := []Action{g.setStopTimer(now)}
-	for part, s := range g.Parts {
+	for part, s := range g.parts {
 		if s == PartStopping {
 			actions = append(actions, Action{Kind: StopPart, Part: part})
 		}
@@ -68,7 +68,7 @@
 	if now < g.answerBy() {
 		return nil
 	}
-	g.State = RollingBackToEnd
+	g.state = RollingBackToEnd
 	return []Action{g.failureAnswer()}
 }
 
@@ -77,7 +77,7 @@
 	if g.hasActiveParts() {
 		return nil
 	}
-	if g.State == RollingBackToRetry {
+	if g.state == RollingBackToRetry {
 		return g.awaitRetry(now)
 	}
 	return g.end()
--- a/internal/gang/run.go
+++ b/internal/gang/run.go
@@ -17,10 +17,10 @@
 // handleLoss goes on with a running gang of which a part has ended or could not be replaced. The part was in the given
 // state before.
 func (g *Gang) handleLoss(now placement.Millis, before PartState) []Action {
-	if g.count(PartFinished) > 0 || g.count(PartRequested, PartRunning) >= g.request.MinParts {
+	if g.CountParts(PartFinished) > 0 || g.CountParts(PartRequested, PartRunning) >= g.request.MinParts {
 		return g.completeRun() // its work comes to its end, or enough of it is left
 	}
-	if lost := slices.Index(g.Parts, PartLost); lost >= 0 && before == PartRunning && g.mayReplace(lost) {
+	if lost := slices.Index(g.parts, PartLost); lost >= 0 && before == PartRunning && g.mayReplace(lost) {
 		return g.replace(now, lost)
 	}
 	return append([]Action{{Kind: ReportEnd}}, g.rollBack(now, RollingBackToEnd)...)
@@ -33,7 +33,7 @@
 
 // replace requests a lost part anew.
 func (g *Gang) replace(now placement.Millis, part int) []Action {
-	g.Parts[part] = PartRequested
+	g.parts[part] = PartRequested
 	timeout := g.request.ReplaceTimeout
 	return []Action{
 		{
--- a/internal/gang/run_test.go
+++ b/internal/gang/run_test.go
@@ -10,8 +10,8 @@
 
 func TestPartEnded_AllFinished_EndReported(t *testing.T) {
 	gang := startParts(newPairRequest(), 1, 0)
-	assert.Empty(t, gang.PartEnded(50, 0, finished))
-	assertActions(t, gang.PartEnded(60, 1, finished), "report end", "forget")
+	assert.Empty(t, gang.PartEnded(50, 0, Finished))
+	assertActions(t, gang.PartEnded(60, 1, Finished), "report end", "forget")
 }
 
 func TestPartEnded_Early(t *testing.T) {
@@ -22,32 +22,32 @@
 	}
 	t.Run("starting: rolled back", func(t *testing.T) {
 		gang := startParts(newPairRequest(), 0)
-		assertActions(t, gang.PartEnded(20, 0, endedEarly), "stop 1", "timer")
+		assertActions(t, gang.PartEnded(20, 0, EndedEarly), "stop 1", "timer")
 	})
 	t.Run("running, to be stopped on loss: ended and rolled back", func(t *testing.T) {
 		gang := startParts(newPairRequest(), 0, 1)
-		assertActions(t, gang.PartEnded(20, 0, endedEarly), "report end", "stop 1", "timer")
+		assertActions(t, gang.PartEnded(20, 0, EndedEarly), "report end", "stop 1", "timer")
 	})
 	t.Run("running, to be replaced on loss: part requested again", func(t *testing.T) {
 		gang := startParts(replaceOnLoss(newPairRequest()), 0, 1)
-		actions := gang.PartEnded(20, 0, endedEarly)
+		actions := gang.PartEnded(20, 0, EndedEarly)
 		assertActions(t, actions, "request 0", "timer")
 		assert.InDelta(t, 3e3, float64(actions[0].Timeout), 0)
 		assertActions(t, gang.PartStarted(0), "confirm")
-		gang.PartEnded(1000, 1, endedEarly)
-		assertActions(t, gang.PartFailed(1200, 1, neverRan), "report end", "stop 0", "timer")
+		gang.PartEnded(1000, 1, EndedEarly)
+		assertActions(t, gang.PartFailed(1200, 1, NeverRan), "report end", "stop 0", "timer")
 	})
 	t.Run("running, replacement may have run: ended, since it is replaced once", func(t *testing.T) {
 		gang := startParts(replaceOnLoss(newPairRequest()), 0, 1)
-		assertActions(t, gang.PartEnded(20, 0, endedEarly), "request 0", "timer")
-		assertActions(t, gang.PartFailed(1200, 0, mayRun), "report end", "stop 1", "timer")
+		assertActions(t, gang.PartEnded(20, 0, EndedEarly), "request 0", "timer")
+		assertActions(t, gang.PartFailed(1200, 0, MayRun), "report end", "stop 1", "timer")
 	})
 	t.Run("running, at-most-once, to be replaced on loss: ended, since it must not start twice", func(t *testing.T) {
 		gang := startParts(replaceOnLoss(newRequest(2, placement.AtMostOnce, placement.Idempotent)), 0, 1)
-		assertActions(t, gang.PartEnded(20, 0, endedEarly), "report end", "stop 1", "timer")
+		assertActions(t, gang.PartEnded(20, 0, EndedEarly), "report end", "stop 1", "timer")
 	})
 	t.Run("running with more parts than needed: goes on", func(t *testing.T) {
 		gang := startParts(newRequest(1, placement.Idempotent, placement.Idempotent), 0, 1)
-		assert.Empty(t, gang.PartEnded(20, 0, endedEarly))
+		assert.Empty(t, gang.PartEnded(20, 0, EndedEarly))
 	})
 }
--- a/internal/gang/sideeffects.go
+++ b/internal/gang/sideeffects.go
@@ -28,7 +28,7 @@
 
 // recordRollback records the side effects of the parts that are about to be stopped, and of those that have finished.
 func (g *Gang) recordRollback() {
-	for part, s := range g.Parts {
+	for part, s := range g.parts {
 		if hasSideEffects(s, g.request.Parts[part].Idempotency) {
 			g.sideEffects = possibleSideEffects
 		}
--- a/internal/gang/sideeffects_test.go
+++ b/internal/gang/sideeffects_test.go
@@ -13,12 +13,12 @@
 	for _, idempotency := range []placement.Idempotency{placement.AtMostOnce, placement.IdempotentByKey} {
 		t.Run(idempotencyNames[idempotency]+" bind unanswered: unschedulable", func(t *testing.T) {
 			gang := startOffered(newRequest(2, idempotency, placement.Idempotent))
-			assertActions(t, gang.PartFailed(20, 0, mayRun), "unschedulable", "stop 1", "timer")
+			assertActions(t, gang.PartFailed(20, 0, MayRun), "unschedulable", "stop 1", "timer")
 		})
 	}
 	t.Run("at-most-once started and stopped: unschedulable", func(t *testing.T) {
 		gang := startParts(newRequest(2, placement.AtMostOnce, placement.Idempotent), 0)
-		assertActions(t, gang.PartFailed(20, 1, neverRan), "unschedulable", "stop 0", "timer")
+		assertActions(t, gang.PartFailed(20, 1, NeverRan), "unschedulable", "stop 0", "timer")
 	})
 	t.Run("at-most-once running as the answer is due: unschedulable", func(t *testing.T) {
 		request := newRequest(2, placement.AtMostOnce, placement.Idempotent)
@@ -27,20 +27,20 @@
 	})
 	t.Run("at-most-once lost: unschedulable", func(t *testing.T) {
 		gang := startParts(newRequest(2, placement.AtMostOnce, placement.Idempotent), 0)
-		assertActions(t, gang.PartEnded(20, 0, endedEarly), "unschedulable", "stop 1", "timer")
+		assertActions(t, gang.PartEnded(20, 0, EndedEarly), "unschedulable", "stop 1", "timer")
 	})
 	t.Run("bind unanswered after the rollback began: unschedulable", func(t *testing.T) {
 		gang := startOffered(newRequest(2, placement.Idempotent, placement.IdempotentByKey))
-		assertActions(t, gang.PartFailed(20, 0, neverRan), "stop 1", "timer")
-		assertActions(t, gang.PartFailed(30, 1, mayRun), "unschedulable", "forget")
+		assertActions(t, gang.PartFailed(20, 0, NeverRan), "stop 1", "timer")
+		assertActions(t, gang.PartFailed(30, 1, MayRun), "unschedulable", "forget")
 	})
 	t.Run("idempotent bind unanswered: retried", func(t *testing.T) {
 		gang := startOffered(newPairRequest())
-		assertActions(t, gang.PartFailed(20, 0, mayRun), "stop 1", "timer")
+		assertActions(t, gang.PartFailed(20, 0, MayRun), "stop 1", "timer")
 	})
 	t.Run("at-most-once never ran: retried", func(t *testing.T) {
 		gang := startOffered(newRequest(2, placement.AtMostOnce, placement.Idempotent))
-		assertActions(t, gang.PartFailed(20, 0, neverRan), "stop 1", "timer")
+		assertActions(t, gang.PartFailed(20, 0, NeverRan), "stop 1", "timer")
 	})
 }
 
@@ -54,8 +54,8 @@
 			request := newRequest(2, idempotency, idempotency)
 			request.PendingTimeout = 8e3
 			gang := startParts(request, 0)
-			gang.PartEnded(500, 0, finished)
-			actions := gang.PartFailed(600, 1, neverRan)
+			gang.PartEnded(500, 0, Finished)
+			actions := gang.PartFailed(600, 1, NeverRan)
 			answered := slices.ContainsFunc(actions, func(action Action) bool {
 				return action.Kind == AnswerRejected || action.Kind == AnswerUnschedulable
 			})
--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -18,17 +18,17 @@
 
 // Start starts the gang: all parts are requested at once, so that they are placed by what is known at one time.
 func (g *Gang) Start(now placement.Millis) []Action {
-	if g.State != Pending {
+	if g.state != Pending {
 		return nil
 	}
 	if g.expires-now < minStartTime {
 		return g.endFailed()
 	}
-	g.State = Starting
+	g.state = Starting
 	g.attempts++
-	parts := make([]int, 0, len(g.Parts))
-	for part := range g.Parts {
-		g.Parts[part] = PartRequested
+	parts := make([]int, 0, len(g.parts))
+	for part := range g.parts {
+		g.parts[part] = PartRequested
 		parts = append(parts, part)
 	}
 	slices.SortStableFunc(parts, g.compareSizes)
@@ -45,12 +45,12 @@
 // AttemptResult handles the result of an Attempt: which parts were offered to nodes. Either these are enough for the
 // gang, or none was sent.
 func (g *Gang) AttemptResult(offered []bool) []Action {
-	if g.State != Starting {
+	if g.state != Starting {
 		return nil
 	}
 	for part, sent := range offered {
-		if !sent && g.Parts[part] == PartRequested {
-			g.Parts[part] = PartIdle
+		if !sent && g.parts[part] == PartRequested {
+			g.parts[part] = PartIdle
 		}
 	}
 	if g.canReachMinimum() {
@@ -61,10 +61,10 @@
 
 // completeStart ends the start once enough parts have started and none is on its way.
 func (g *Gang) completeStart() []Action {
-	if !g.hasMinimum() || g.count(PartRequested) > 0 {
+	if !g.hasMinimum() || g.CountParts(PartRequested) > 0 {
 		return nil
 	}
-	g.State = Running
+	g.state = Running
 	return append([]Action{{Kind: ConfirmParts}, {Kind: AnswerPlaced}}, g.completeRun()...)
 }
 
@@ -75,7 +75,7 @@
 		return g.abandonStart(now)
 	}
 	var actions []Action
-	for part, s := range g.Parts {
+	for part, s := range g.parts {
 		if s == PartRequested {
 			actions = append(actions, g.stop(part))
 		}
--- a/internal/gang/start_test.go
+++ b/internal/gang/start_test.go
@@ -62,17 +62,17 @@
 		request := newPairRequest()
 		request.PendingTimeout = 5e3
 		gang := startParts(request, 0)
-		gang.PartFailed(20, 1, neverRan)
+		gang.PartFailed(20, 1, NeverRan)
 		assertActions(t, gang.TimerFired(20+stopRetryInterval), "timer", "stop 0")
 		assertActions(t, gang.TimerFired(answerDue), "rejected", "timer", "stop 0")
-		assertActions(t, gang.PartEnded(5100, 0, endedEarly), "forget")
+		assertActions(t, gang.PartEnded(5100, 0, EndedEarly), "forget")
 	})
 	t.Run("starting with enough parts: others stopped, placed", func(t *testing.T) {
 		request := newRequest(1, placement.Idempotent, placement.Idempotent)
 		request.PendingTimeout = 5e3
 		gang := startParts(request, 0)
 		assertActions(t, gang.TimerFired(answerDue), "stop 1", "confirm", "placed")
-		assert.Empty(t, gang.PartEnded(5000, 1, endedEarly))
-		assert.Equal(t, Running, gang.State)
+		assert.Empty(t, gang.PartEnded(5000, 1, EndedEarly))
+		assert.Equal(t, Running, gang.State())
 	})
 }
