--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,6 @@
 // Package frontend holds what every frontend of the allocator needs once, whatever protocol it speaks: the engine's
-// host (deferred completions, timers, wake-ups), health checks, backoff with jitter, ordered iteration and counters.
+// host (deferred completions, timers, wake-ups), health checks, ids of workloads and groups, the requests that wait for
+// their answers, backoff with jitter, ordered iteration and counters.
 //
 // A frontend embeds or holds one Host, implements allocator.Actions, and passes the handling of every event to the
 // Host:
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -14,32 +15,29 @@
 	settings   placement.Settings // without the variants of WithSpreadVariants
 	groupNames []string
 	kindNames  []string
-	groups     map[string]int
+	groupIDs   frontend.GroupIDs
 }
 
 // newCatalog makes a catalog of the configured names.
 func newCatalog(c Config) *catalog {
-	t := &catalog{
+	return &catalog{
 		settings:   c.Settings,
 		groupNames: c.GroupNames,
 		kindNames:  c.KindNames,
-		groups:     make(map[string]int, len(c.GroupNames)),
+		groupIDs:   frontend.NewGroupIDs(c.GroupNames),
 	}
-	for i, name := range c.GroupNames {
-		t.groups[name] = i
-	}
-	return t
 }
 
 // hasGroup reports whether a priority group is configured.
 func (t *catalog) hasGroup(name string) bool {
-	_, ok := t.groups[name]
-	return ok
+	_, configured := t.groupIDs.Lookup(name)
+	return configured
 }
 
+// groupID returns the number of a priority group.
 func (t *catalog) groupID(name string) placement.GroupID {
-	if i, ok := t.groups[name]; ok {
-		return placement.GroupID(i)
+	if id, configured := t.groupIDs.Lookup(name); configured {
+		return id
 	}
 	return placement.GroupID(len(t.groupNames))
 }
@@ -67,8 +65,8 @@
 
 // idempotency is what a second start of a group's workloads does. Those of an unknown group are taken as idempotent.
 func (t *catalog) idempotency(group string) placement.Idempotency {
-	if i, ok := t.groups[group]; ok {
-		return t.settings.Groups[i].Idempotency
+	if id, configured := t.groupIDs.Lookup(group); configured {
+		return t.settings.Groups[id].Idempotency
 	}
 	return placement.Idempotent
 }
@@ -100,9 +98,8 @@
 	return part
 }
 
-// fitsSomeKind reports whether a request is within the size of any kind of node.
+// fitsSomeKind reports whether a request is within the size of any kind of node. Unlike on the platform, one that is
+// not reaches the engine all the same, and this only explains its rejection.
 func (t *catalog) fitsSomeKind(r *pb.PlaceRequest) bool {
-	return slices.ContainsFunc(t.settings.NodeKinds, func(kind placement.NodeKind) bool {
-		return r.Cores <= kind.Cores && r.Memory <= kind.Memory
-	})
+	return frontend.FitsSomeKind(t.settings.NodeKinds, r.Cores, r.Memory)
 }
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -22,7 +22,9 @@
 	maxWakeInterval = placement.Millis(20)
 )
 
-// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded.
+// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded. The
+// platform's has the log, the host and counters too. Package frontend has no type for these, since the counters differ,
+// and since its exported fields would become fields of Frontend, which embeds the environment.
 type environment struct {
 	config   Config
 	log      *slog.Logger
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -75,7 +75,7 @@
 func (f *Frontend) EventLog() *eventlog.Log { return f.eventLog }
 
 // Pending returns the number of requests that have no final answer, each gang counted as one.
-func (f *Frontend) Pending() int { return f.workloads.pending + f.gangs.unanswered }
+func (f *Frontend) Pending() int { return f.workloads.unanswered.Count() + f.gangs.unanswered.Count() }
 
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (f *Frontend) WorkloadCount() int { return f.workloads.count() }
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -79,9 +80,8 @@
 		parts:      make([]placement.WorkloadID, len(request.Parts)),
 		receivedAt: now,
 		deadline:   now + timeout,
-		answerDue:  true,
 	}
-	h.gangs.add(g)
+	h.gangs.addRequested(g)
 	h.counters.Gangs++
 	h.recorder.gangRequest(now, g, timeout)
 	h.executor.execute(now, g, g.machine.Start(now))
@@ -109,7 +109,7 @@
 // clientDisconnected withdraws the gangs of a client that have no answer yet, since it can be sent none.
 func (h *gangHandler) clientDisconnected(now placement.Millis, client string) {
 	for _, g := range h.gangs.sorted() {
-		if h.gangs.holds(g) && g.id.client == client && g.answerDue {
+		if h.gangs.holds(g) && g.id.client == client && g.answer == frontend.AnswerDue {
 			h.withdraw(now, g)
 		}
 	}
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -53,7 +53,7 @@
 		parts:      make([]placement.WorkloadID, parts),
 		receivedAt: now,
 	}
-	r.gangs.add(recovered)
+	r.gangs.addFound(recovered)
 	r.host.Schedule(now+gangRecoveryTime, func(now placement.Millis) { r.finish(now, recovered) })
 	return recovered
 }
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -1,6 +1,7 @@
 package native
 
 import (
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -23,8 +24,8 @@
 	machine      *gang.Gang             // nil while the gang is recovering, as gang.Recover takes all parts at once
 	parts        []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
 	receivedAt   placement.Millis
-	deadline     placement.Millis  // until which the client waits for its answer
-	answerDue    bool              // the client waits for its final answer
+	deadline     placement.Millis // until which the client waits for its answer
+	answer       frontend.AnswerState
 	confirmation gang.Confirmation // of one that is recovering, by the parts found so far
 	tracedState  gang.State        // the last one that the trace has
 }
--- a/internal/frontend/native/gangtable.go
+++ b/internal/frontend/native/gangtable.go
@@ -3,12 +3,14 @@
 import (
 	"maps"
 	"slices"
+
+	"grebeglade/internal/frontend"
 )
 
 // gangTable holds the gangs, by the request that each was started by.
 type gangTable struct {
 	byRequest  map[requestID]*gangRequest
-	unanswered int // gangs whose client waits for its final answer
+	unanswered frontend.UnansweredRequests
 }
 
 func newGangTable() *gangTable { return &gangTable{byRequest: map[requestID]*gangRequest{}} }
@@ -19,13 +21,15 @@
 	return g, held
 }
 
-func (t *gangTable) add(g *gangRequest) {
-	t.byRequest[g.id] = g
-	if g.answerDue {
-		t.unanswered++
-	}
+// addRequested adds the gang of a request, which is to be answered.
+func (t *gangTable) addRequested(g *gangRequest) {
+	t.addFound(g)
+	t.unanswered.Add(&g.answer)
 }
 
+// addFound adds a gang whose parts were found on nodes. No client waits for its answer.
+func (t *gangTable) addFound(g *gangRequest) { t.byRequest[g.id] = g }
+
 // holds reports whether a gang is still held: another may have come under its request since.
 func (t *gangTable) holds(g *gangRequest) bool { return t.byRequest[g.id] == g }
 
@@ -36,12 +40,7 @@
 }
 
 // markAnswered records that the client no longer waits for an answer.
-func (t *gangTable) markAnswered(g *gangRequest) {
-	if g.answerDue {
-		g.answerDue = false
-		t.unanswered--
-	}
-}
+func (t *gangTable) markAnswered(g *gangRequest) { t.unanswered.MarkAnswered(&g.answer) }
 
 // sorted returns the gangs in the order of their clients and requests.
 func (t *gangTable) sorted() []*gangRequest {
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -5,6 +5,7 @@
 
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/eventlog"
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/recovery"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -155,10 +156,8 @@
 
 // clientDisconnected withdraws what a client had pending, since it can be sent no answer. What is placed runs on.
 func (h *requestHandler) clientDisconnected(now placement.Millis, client string) {
-	pending := h.workloads.ofClient(client, func(w *workload) bool {
-		return w.state == workloadPending && w.gang == nil
-	})
-	for _, w := range pending {
+	unanswered := h.workloads.ofClient(client, func(w *workload) bool { return w.answer == frontend.AnswerDue })
+	for _, w := range unanswered {
 		h.withdraw(now, w)
 	}
 	h.gangs.clientDisconnected(now, client)
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -83,11 +84,12 @@
 	request    *pb.PlaceRequest
 	receivedAt placement.Millis
 	state      workloadState
-	bindNodes  []placement.NodeID // to which it was offered, in order
-	bindState  bindState          // of the last bind
-	adopted    *pb.BindID         // the bind by which its node knows a workload that was found there; nil for any other
-	gang       *gangRequest       // nil unless it is a part of a gang
-	part       int                // of the gang
+	answer     frontend.AnswerState // no answer is due for a part of a gang, or for an adopted workload
+	bindNodes  []placement.NodeID   // to which it was offered, in order
+	bindState  bindState            // of the last bind
+	adopted    *pb.BindID           // the bind by which its node knows a workload that was found there; nil for any other
+	gang       *gangRequest         // nil unless it is a part of a gang
+	part       int                  // of the gang
 }
 
 // lastNode is the node of the last bind, or 0, which is no node's id, if there was none.
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -6,13 +6,14 @@
 	"slices"
 
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxRequestedID is the last id that a request may get. The ids after it are for workloads that are found on nodes
-// and for parts of gangs.
-const maxRequestedID = placement.WorkloadID(math.MaxUint32 - 1<<20)
+// reservedIDs is how many ids, the last ones, are not given to requests. They are for workloads that are found on nodes
+// and for parts of gangs, which are requested anew by later attempts.
+const reservedIDs = 1 << 20
 
 // workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and
 // by bind. With it, the requestHandler distinguishes a repeated request from a new one.
@@ -27,8 +28,9 @@
 	byRequest map[requestID]placement.WorkloadID // but for parts of gangs, which share their gang's request
 	byKey     map[uint64]placement.WorkloadID
 	byAdopted map[adoptedBind]placement.WorkloadID
-	lastID    placement.WorkloadID
-	pending   int // requests without a final answer, but for gangs
+	ids       frontend.WorkloadIDs
+	// unanswered counts the requests but for gangs, which the gangTable counts.
+	unanswered frontend.UnansweredRequests
 }
 
 func newWorkloadTable(c Config) *workloadTable {
@@ -75,10 +77,10 @@
 }
 
 // idsExhausted reports whether no id is left for requests.
-func (t *workloadTable) idsExhausted() bool { return t.lastID >= maxRequestedID }
+func (t *workloadTable) idsExhausted() bool { return t.ids.Remaining() <= reservedIDs }
 
 // adoptionIDsExhausted reports whether no id at all is left.
-func (t *workloadTable) adoptionIDsExhausted() bool { return t.lastID == math.MaxUint32 }
+func (t *workloadTable) adoptionIDsExhausted() bool { return t.ids.Remaining() == 0 }
 
 // add gives the workload of a new request the next id.
 func (t *workloadTable) add(now placement.Millis, client string, r *pb.PlaceRequest) *workload {
@@ -89,7 +91,7 @@
 	})
 	t.byRequest[requestID{client, r.RequestId}] = w.id
 	t.byKey[r.Key] = w.id
-	t.pending++
+	t.unanswered.Add(&w.answer)
 	return w
 }
 
@@ -127,8 +129,7 @@
 }
 
 func (t *workloadTable) insert(w *workload) *workload {
-	t.lastID++
-	w.id = t.lastID
+	w.id = t.ids.Next()
 	t.byID[w.id] = w
 	return w
 }
@@ -155,10 +156,9 @@
 // markWithdrawn changes a workload's state by its withdrawal.
 func (t *workloadTable) markWithdrawn(w *workload) { t.change(w, w.state.afterWithdrawal()) }
 
+// change changes a workload's state. Unless it is pending, no answer is due.
 func (t *workloadTable) change(w *workload, to workloadState) {
-	if w.state == workloadPending && w.gang == nil {
-		t.pending--
-	}
+	t.unanswered.MarkAnswered(&w.answer)
 	w.state = to
 }
 
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -85,7 +85,7 @@
 			meanwhile(harness)
 			harness.openConn(dialed)
 			assert.Empty(t, harness.sentAbout(dialed, 7))
-			assert.Zero(t, harness.workloads.unanswered)
+			assert.Zero(t, harness.workloads.unanswered.Count())
 		})
 	}
 }
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -49,7 +49,7 @@
 	Released uint64 // workloads whose end their client was notified of
 }
 
-// environment is what all parts of a Frontend use.
+// environment is what all parts of a Frontend use. The native frontend's comment says why the two share no type.
 type environment struct {
 	config   *Config
 	log      *slog.Logger
@@ -188,7 +188,7 @@
 // for a connection to their node were sent or have timed out. Notifications that wait for a connection of a client are
 // dropped: the allocator that adopts the workload next sends them.
 func (f *Frontend) Drained(now placement.Millis) bool {
-	if f.workloads.unanswered > 0 {
+	if f.workloads.unanswered.Count() > 0 {
 		return false
 	}
 	return f.lifecycle.drainedBy(now, f.nodes.releasesPending())
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -22,7 +22,7 @@
 		harness.network.sent[harness.clientConn][0], "the node's description is passed on to the client")
 	assert.Empty(t, harness.workloads.byID)
 	assert.Empty(t, harness.workloads.byTag)
-	assert.Zero(t, harness.workloads.unanswered)
+	assert.Zero(t, harness.workloads.unanswered.Count())
 }
 
 func TestFrontend_ManyWorkloadsAndConnectionsEnded_TablesEmpty(t *testing.T) {
@@ -49,7 +49,7 @@
 	harness.advance(70e3)
 	assert.Empty(t, harness.workloads.byID)
 	assert.Empty(t, harness.workloads.byTag)
-	assert.Zero(t, harness.workloads.unanswered)
+	assert.Zero(t, harness.workloads.unanswered.Count())
 	assert.Empty(t, harness.clients.undelivered)
 	assert.Zero(t, harness.healthChecks.pending.Len())
 	assert.Zero(t, harness.host.DeferredCalls())
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -23,25 +23,21 @@
 	workloads *workloadTable
 	lifecycle *lifecycle
 	binder    *binder
-	classes   map[string]placement.GroupID
+	classes   frontend.GroupIDs
 }
 
 // newRequestHandler returns a handler of requests for the classes of the settings.
 func newRequestHandler(
 	env *environment, clients *clientConns, workloads *workloadTable, lifecycle *lifecycle, binder *binder,
 ) *requestHandler {
-	h := &requestHandler{
+	return &requestHandler{
 		environment: env,
 		clients:     clients,
 		workloads:   workloads,
 		lifecycle:   lifecycle,
 		binder:      binder,
-		classes:     map[string]placement.GroupID{},
+		classes:     frontend.NewGroupIDs(env.config.Settings.GroupNames),
 	}
-	for i, name := range env.config.Settings.GroupNames {
-		h.classes[name] = placement.GroupID(i)
-	}
-	return h
 }
 
 // received handles a message from a client. One that breaks the protocol ends its connection.
@@ -133,7 +129,7 @@
 // rejectTag rejects a request under the tag of an earlier one. On the same connection the answers to the two could
 // not be distinguished, so it is closed.
 func (h *requestHandler) rejectTag(now placement.Millis, client *clientConn, earlier *workload) {
-	if earlier.client == client.id && !earlier.answered {
+	if earlier.client == client.id && earlier.answer == frontend.AnswerDue {
 		h.rejectInvalid(now, client, earlier.tag, errTagInUse)
 		return
 	}
@@ -143,22 +139,20 @@
 // engineWorkload returns a task as the engine knows it, without an id. A value out of range must not reach the
 // engine: it would stay in the sums that decisions depend on.
 func (h *requestHandler) engineWorkload(task *codec.Task) (placement.Workload, error) {
-	class, known := h.classes[task.Class]
+	class, known := h.classes.Lookup(task.Class)
 	if !known {
 		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, task.Class)
 	}
-	for _, kind := range h.config.Settings.NodeKinds {
-		if task.Cores <= kind.Cores && task.Memory <= kind.Memory {
-			return placement.Workload{
-				Service: placement.ServiceID(task.Service),
-				Group:   class,
-				Cores:   task.Cores,
-				Memory:  task.Memory,
-				Retried: task.Retried,
-			}, nil
-		}
+	if !frontend.FitsSomeKind(h.config.Settings.NodeKinds, task.Cores, task.Memory) {
+		return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, task.Cores, task.Memory)
 	}
-	return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, task.Cores, task.Memory)
+	return placement.Workload{
+		Service: placement.ServiceID(task.Service),
+		Group:   class,
+		Cores:   task.Cores,
+		Memory:  task.Memory,
+		Retried: task.Retried,
+	}, nil
 }
 
 // cancelAll withdraws requests, in the order of their ids.
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 )
 
@@ -95,7 +96,7 @@
 	assert.Equal(t, []sentMessage{anOffer, aTermination(codec.CauseNormal)}, harness.sentAbout(harness.nodeConn, 6))
 	harness.closeConn(harness.clientConn, errClosed)
 	assert.Empty(t, harness.sentAbout(harness.nodeConn, 7))
-	assert.Zero(t, harness.workloads.unanswered)
+	assert.Zero(t, harness.workloads.unanswered.Count())
 }
 
 // The time for which a request was queued counts for its timeout, so that its answer is sent within it.
@@ -170,7 +171,7 @@
 
 func TestRequestHandler_IDsExhausted_Rejected(t *testing.T) {
 	harness := newHarness(t)
-	harness.workloads.lastID = math.MaxUint32
+	harness.workloads.ids = frontend.WorkloadIDsAfter(math.MaxUint32)
 	harness.receive(harness.clientConn, request(7))
 	harness.receive(harness.clientConn, runningOn(8, nodeName))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 7))
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -1,8 +1,7 @@
 package platform
 
 import (
-	"math"
-
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
@@ -13,11 +12,10 @@
 
 // workload is a client's workload, from its request to its end.
 type workload struct {
-	id     placement.WorkloadID
-	tag    codec.Tag
-	client transport.ConnID // connection of the request; it may have ended
-	// answered says that the request needs no answer any more: it has its final one, was withdrawn, or expected none.
-	answered         bool
+	id               placement.WorkloadID
+	tag              codec.Tag
+	client           transport.ConnID // connection of the request; it may have ended
+	answer           frontend.AnswerState
 	class            string
 	key              string // idempotency key
 	description      string // the client's
@@ -29,9 +27,9 @@
 type workloadTable struct {
 	byID       map[placement.WorkloadID]*workload
 	byTag      map[codec.Tag]*workload
-	lastID     placement.WorkloadID
+	ids        frontend.WorkloadIDs
 	limit      int // of the table's size, for further requests
-	unanswered int // requests without a final answer
+	unanswered frontend.UnansweredRequests
 }
 
 func newWorkloadTable(memoryMB int) *workloadTable {
@@ -51,31 +49,28 @@
 // full reports whether the table's limit leaves no capacity for another request.
 func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
 
-// idsExhausted reports whether all ids were used. An id is never used twice.
-func (t *workloadTable) idsExhausted() bool { return t.lastID == math.MaxUint32 }
+// idsExhausted reports whether no id is left. Unlike in the native frontend none is reserved for running workloads: a
+// client that names one can be answered as one that requests one, while there it is a node that names them.
+func (t *workloadTable) idsExhausted() bool { return t.ids.Remaining() == 0 }
 
 // holds reports whether the workload has not been removed.
 func (t *workloadTable) holds(w *workload) bool { return t.byID[w.id] == w }
 
 // addRequest adds the workload of a request, which is to be answered.
 func (t *workloadTable) addRequest(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
-	t.unanswered++
-	return t.add(&workload{tag: tag, client: client}, task)
+	added := t.add(&workload{tag: tag, client: client}, task)
+	t.unanswered.Add(&added.answer)
+	return added
 }
 
 // addRunning adds a workload that runs already, so that nothing is to be answered.
 func (t *workloadTable) addRunning(tag codec.Tag, task *codec.Task, client transport.ConnID) *workload {
-	return t.add(&workload{
-		tag:      tag,
-		client:   client,
-		answered: true,
-	}, task)
+	return t.add(&workload{tag: tag, client: client}, task)
 }
 
 // add adds a workload under a new id, as the task describes it.
 func (t *workloadTable) add(w *workload, task *codec.Task) *workload {
-	t.lastID++
-	w.id = t.lastID
+	w.id = t.ids.Next()
 	w.class = task.Class
 	w.key = task.Key
 	w.description = task.Description
@@ -85,12 +80,7 @@
 }
 
 // markAnswered records that the request needs no answer any more.
-func (t *workloadTable) markAnswered(w *workload) {
-	if !w.answered {
-		w.answered = true
-		t.unanswered--
-	}
-}
+func (t *workloadTable) markAnswered(w *workload) { t.unanswered.MarkAnswered(&w.answer) }
 
 // remove removes a workload, and its tag unless a later workload has it.
 func (t *workloadTable) remove(w *workload) {
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -9,9 +9,6 @@
 // for.
 const lateWakeup = placement.Millis(10)
 
-// stallRelevant is for how long, in ms, events that are handled after a stall may have waited through it.
-const stallRelevant = placement.Millis(50)
-
 // Waker sets the one wake-up of a frontend. A further call replaces the time. The networks of package transport are
 // Wakers.
 type Waker interface {
@@ -69,17 +66,3 @@
 	w.tickRequested = false
 	return true
 }
-
-// stall is the last time for which the process was stopped.
-type stall struct {
-	length  placement.Millis // at most
-	endedAt placement.Millis
-}
-
-// recent returns the length of the stall if events handled now may have waited through it, and else 0.
-func (s stall) recent(now placement.Millis) placement.Millis {
-	if now-s.endedAt < stallRelevant {
-		return s.length
-	}
-	return 0
-}
