--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -148,9 +148,15 @@
 // rejected undoes a bind that its node rejected.
 func (b *binder) rejected(w *workload, id *pb.BindID) { b.durable.forget(w, id) }
 
-// stop carries out the engine's stop of a workload's last bind. With onlyWaiting, a workload that its node has accepted
-// runs on.
-func (b *binder) stop(w *workload, onlyWaiting bool) {
+// stop carries out the engine's stop of a workload's last bind.
+func (b *binder) stop(w *workload) {
 	w.bindState = bindStopRequested
-	b.sender.stop(w.lastNode(), b.workloads.bindID(w), onlyWaiting)
+	b.sender.stop(w.lastNode(), b.workloads.bindID(w))
+}
+
+// stopPending carries out the engine's stop of a workload's last bind where the node has not accepted it yet. A
+// workload that it has accepted runs on.
+func (b *binder) stopPending(w *workload) {
+	w.bindState = bindStopRequested
+	b.sender.stopPending(w.lastNode(), b.workloads.bindID(w))
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -53,7 +53,7 @@
 
 // answer sends a request's final answer, and records that the request has ended.
 func (s *clientSessions) answer(name string, a *pb.Answer) {
-	s.markEnded(name, a.RequestId, false)
+	s.markAnswered(name, a.RequestId)
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
@@ -71,10 +71,10 @@
 	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
 }
 
-// markEnded records in the client's session that a request was answered or withdrawn.
-func (s *clientSessions) markEnded(name string, request uint64, withdrawn bool) {
+// markAnswered records in the client's session that a request was answered.
+func (s *clientSessions) markAnswered(name string, request uint64) {
 	if session, ok := s.byName[name]; ok {
-		session.history.add(request, withdrawn)
+		session.history.add(request, requestAnswered)
 	}
 }
 
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -28,11 +28,14 @@
 
 // connection is what is known of the peer of a connection to a node or of one that was accepted.
 type connection struct {
-	role   pb.Role        // unspecified until the hello of a peer that connected to us
+	role   pb.Role        // unspecified while the hello is awaited
 	client *clientSession // of the role CLIENT
 	node   *node          // of the role NODE
 }
 
+// awaitsHello reports whether the peer connected to this side and has sent no hello yet.
+func (c *connection) awaitsHello() bool { return c.role == pb.Role_ROLE_UNSPECIFIED }
+
 // closeHandler handles the end of a connection.
 type closeHandler interface {
 	Closed(now placement.Millis, conn transport.ConnID, reason error)
@@ -72,15 +75,24 @@
 
 // refuse ends a connection after sending the peer the reason.
 func (t *connections) refuse(id transport.ConnID, reason error) {
-	t.log.Warn("connection rejected", "reason", reason)
+	t.log.Warn("connection rejected", "client", t.clientName(id), "reason", reason)
 	t.network.Send(id, transport.RefusalFrame(reason.Error()))
 	t.disconnect(id, reason)
 }
 
+// clientName returns the name of the client at the other end, "" if its hello is awaited or it is no client.
+func (t *connections) clientName(id transport.ConnID) string {
+	peer, open := t.get(id)
+	if !open || peer.client == nil {
+		return ""
+	}
+	return peer.client.name
+}
+
 // awaitsHello reports whether a connection is open and its peer has sent no hello.
 func (t *connections) awaitsHello(id transport.ConnID) bool {
 	peer, open := t.get(id)
-	return open && peer.role == pb.Role_ROLE_UNSPECIFIED
+	return open && peer.awaitsHello()
 }
 
 // helloOf returns the hello that is a peer's first frame. The error is one of transport.CheckHello or of accepts.
--- a/internal/frontend/native/engineactions.go
+++ b/internal/frontend/native/engineactions.go
@@ -20,9 +20,14 @@
 
 // Stop implements allocator.Actions.
 func (a engineActions) Stop(
-	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyWaiting bool,
+	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyPending bool,
 ) {
-	a.binder.stop(a.workloads.held(id), onlyWaiting)
+	w := a.workloads.held(id)
+	if onlyPending {
+		a.binder.stopPending(w)
+		return
+	}
+	a.binder.stop(w)
 }
 
 // CheckHealth implements allocator.Actions.
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -120,7 +120,7 @@
 		case !open:
 		case peer.node != nil:
 			f.nodeSessions.received(now, conn, peer.node, frame)
-		case peer.role == pb.Role_ROLE_UNSPECIFIED:
+		case peer.awaitsHello():
 			f.acceptor.received(now, conn, peer, frame)
 		case peer.client != nil:
 			f.requests.received(now, peer.client, frame)
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -97,7 +97,7 @@
 			return g.machine.PartEnded(now, part, gang.EndedEarly)
 		})
 	case w.state.withdrawn():
-		e.sender.stop(w.lastNode(), e.workloads.bindID(w), false)
+		e.sender.stop(w.lastNode(), e.workloads.bindID(w))
 	default:
 		e.workloads.markWithdrawn(w)
 		e.counters.GangPartStops++
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -32,7 +32,9 @@
 			p.running(w)
 		}
 	case allocator.Rejected:
-		p.event(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartFailed(now, w.part, gang.NeverRan) })
+		p.event(w, func(now placement.Millis) []gang.Action {
+			return w.gang.machine.PartFailed(now, w.part, gang.NeverRan)
+		})
 	case allocator.Unschedulable:
 		p.mayRun(w)
 	}
@@ -47,7 +49,7 @@
 	stopped := w.bindState == bindStopRequested && p.catalog.idempotency(w.request.Group) != placement.AtMostOnce
 	p.event(w, func(now placement.Millis) []gang.Action {
 		if !stopped {
-			p.sender.stop(node, bind, false)
+			p.sender.stop(node, bind)
 		}
 		return w.gang.machine.PartFailed(now, w.part, gang.MayRun)
 	})
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -33,8 +33,7 @@
 		r.host.Engine().Withdraw(now, found.id)
 		return
 	}
-	found.gang = recovered
-	found.part = part
+	found.partOfGang = partOfGang{gang: recovered, part: part}
 	recovered.addFound(found, running.Confirmed)
 }
 
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -61,13 +61,19 @@
 	}
 	kind, configured := m.catalog.kindID(entry.Kind)
 	if !configured && !known {
-		m.log.Warn("node kind unknown, node gets no binds",
-			"node", id, "kind", entry.Kind, "known", m.catalog.kindNames)
+		m.logUnknownKind(entry)
 	}
 	m.nodes.describe(n, entry, kind)
 	return n, true
 }
 
+// logUnknownKind logs that a node has a kind that is not configured. That is done for new nodes only, or each update of
+// the node list would log it again.
+func (m *membership) logUnknownKind(entry *pb.NodeEntry) {
+	m.log.Warn("node kind unknown, node gets no binds",
+		"node", entry.Id, "kind", entry.Kind, "known", m.catalog.kindNames)
+}
+
 // removeUnlisted forgets the nodes that the discovery service has removed and that are not connected.
 func (m *membership) removeUnlisted(now placement.Millis) {
 	unlisted := map[*node]bool{}
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -18,7 +18,7 @@
 	w, bind, ok = h.workloads.find(n.id, id)
 	if !ok {
 		h.counters.UnmatchedReplies++
-		h.log.Debug("message of node about unknown bind", "node", n.id,
+		h.log.Debug("unknown bind in message of node", "node", n.id,
 			"incarnation", id.GetIncarnation(), "workload", id.GetWorkload(), "bind", id.GetNumber())
 	}
 	return w, bind, ok
@@ -40,9 +40,7 @@
 		// A node may not reject what it accepted. The workload's end will be reported by itself.
 		h.counters.UnmatchedReplies++
 	default:
-		n.lastRejection = reply.Text
-		h.recorder.nodeRejection(now, offered, n.id, reply.Text)
-		h.binder.rejected(offered, reply.Bind)
+		h.offerRejected(now, n, offered, reply)
 		h.host.Engine().BindEnded(now, offered.id, bind, n.id, placement.Result{
 			Kind:   placement.RejectedByNode,
 			Reason: reasonOf(reply.Reason),
@@ -52,6 +50,13 @@
 	}
 }
 
+// offerRejected records a node's rejection of an offer, and undoes the bind.
+func (h *replyHandler) offerRejected(now placement.Millis, n *node, offered *workload, reply *pb.OfferReply) {
+	n.lastRejection = reply.Text
+	h.recorder.nodeRejection(now, offered, n.id, reply.Text)
+	h.binder.rejected(offered, reply.Bind)
+}
+
 // ended handles the end of a workload that its node reports. One that was placed needs no further step; the end of any
 // other is an offer's unknown outcome, after which the workload may be placed elsewhere.
 func (h *replyHandler) ended(now placement.Millis, n *node, end *pb.End) {
--- a/internal/frontend/native/nodesender.go
+++ b/internal/frontend/native/nodesender.go
@@ -28,9 +28,14 @@
 	return s.send(id, &pb.Frame{Body: &pb.Frame_Offer{Offer: offer}})
 }
 
-// stop has a node stop a workload. With onlyWaiting, a workload that the node has accepted runs on.
-func (s *nodeSender) stop(id placement.NodeID, bind *pb.BindID, onlyWaiting bool) {
-	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind, OnlyWaiting: onlyWaiting}}})
+// stop has a node stop a workload, whether it has accepted it or not.
+func (s *nodeSender) stop(id placement.NodeID, bind *pb.BindID) {
+	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind}}})
+}
+
+// stopPending has a node drop an offer that it has not accepted yet. A workload that it has accepted runs on.
+func (s *nodeSender) stopPending(id placement.NodeID, bind *pb.BindID) {
+	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind, OnlyWaiting: true}}})
 }
 
 // confirmGang notifies a node that the gang of one of its parts runs, so that the part's lease no longer applies.
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -53,7 +53,7 @@
 func (r *reconciler) held(n *node, w *workload, running *pb.RunningWorkload) {
 	switch {
 	case w.bindState == bindStopRequested:
-		r.sender.stop(n.id, running.Offer.Bind, false)
+		r.sender.stop(n.id, running.Offer.Bind)
 	case running.Running:
 		r.gangParts.running(w)
 		r.gangParts.repeatConfirmation(n, w, running)
@@ -63,7 +63,7 @@
 // notHeld handles a workload that the engine does not hold: an unwanted one is stopped, any other is adopted.
 func (r *reconciler) notHeld(now placement.Millis, n *node, running *pb.RunningWorkload) {
 	if r.unwanted(running.Offer) {
-		r.sender.stop(n.id, running.Offer.Bind, false)
+		r.sender.stop(n.id, running.Offer.Bind)
 		return
 	}
 	if r.workloads.adoptionIDsExhausted() {
--- a/internal/frontend/native/requesthistory.go
+++ b/internal/frontend/native/requesthistory.go
@@ -4,22 +4,33 @@
 // sent in between.
 const maxHistory = 1024
 
+// requestEnd is how a request ended.
+type requestEnd uint8
+
+const (
+	requestAnswered  requestEnd = iota // it was never withdrawn
+	requestWithdrawn                   // whether it was answered or not
+)
+
 // requestHistory remembers the last requests of a session that were answered or withdrawn, so that a frame that arrives
 // twice, or a request that arrives after its withdrawal, has no effect. A new session of the same client begins with an
 // empty history, since a client that starts anew may number its requests from 1 again.
 type requestHistory struct {
-	ended  map[uint64]bool // by request, whether it was withdrawn
-	order  []uint64        // in which they ended; a ring once it is full
-	oldest int             // in order, once it is full
+	ended  map[uint64]requestEnd
+	order  []uint64 // in which they ended; a ring once it is full
+	oldest int      // in order, once it is full
 }
 
 // add records that a request has ended. One that was ever withdrawn stays so.
-func (h *requestHistory) add(request uint64, withdrawn bool) {
+func (h *requestHistory) add(request uint64, end requestEnd) {
 	before, known := h.ended[request]
 	if h.ended == nil {
-		h.ended = map[uint64]bool{}
+		h.ended = map[uint64]requestEnd{}
+	}
+	if before == requestWithdrawn {
+		end = requestWithdrawn
 	}
-	h.ended[request] = before || withdrawn
+	h.ended[request] = end
 	if known {
 		return
 	}
@@ -39,4 +50,4 @@
 }
 
 // withdrawn reports whether a request was withdrawn.
-func (h *requestHistory) withdrawn(request uint64) bool { return h.ended[request] }
+func (h *requestHistory) withdrawn(request uint64) bool { return h.ended[request] == requestWithdrawn }
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -135,7 +135,7 @@
 
 // withdrawRequest handles a client's withdrawal. A request that arrives after it has no effect.
 func (h *requestHandler) withdrawRequest(now placement.Millis, session *clientSession, request uint64) {
-	session.history.add(request, true)
+	session.history.add(request, requestWithdrawn)
 	id := requestID{session.name, request}
 	if h.gangs.withdrawRequest(now, id) {
 		return
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -139,8 +139,8 @@
 func TestRequestHistory_Full_ForgetsOldest(t *testing.T) {
 	history := &requestHistory{}
 	for request := range uint64(3 * maxHistory) {
-		history.add(request, false)
-		history.add(request, false)
+		history.add(request, requestAnswered)
+		history.add(request, requestAnswered)
 	}
 	assert.Len(t, history.ended, maxHistory)
 	assert.Contains(t, history.ended, uint64(3*maxHistory-1))
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -61,31 +61,32 @@
 
 // nodeStates returns the first nodes by id, and how many more there are.
 func (s *status) nodeStates(now placement.Millis, limit int) (states []*pb.NodeStatus, omitted uint32) {
-	placed, unanswered := s.countByNode()
+	placed, inFlight := s.countByNode()
 	all := s.nodes.sorted
 	for _, n := range all[:min(len(all), limit)] {
 		state := nodeStatusOf(now, n)
 		state.Residents = placed[n.id]
-		state.BindsInFlight = unanswered[n.id]
+		state.BindsInFlight = inFlight[n.id]
 		states = append(states, state)
 	}
 	return states, uint32(max(0, len(all)-limit))
 }
 
-// countByNode counts the workloads by the node of their last bind: those that are placed there, and those that are not.
-func (s *status) countByNode() (placed, unanswered map[placement.NodeID]uint32) {
+// countByNode counts the workloads by the node of their last bind: those that are placed there, and those whose bind is
+// in flight.
+func (s *status) countByNode() (placed, inFlight map[placement.NodeID]uint32) {
 	placed = map[placement.NodeID]uint32{}
-	unanswered = map[placement.NodeID]uint32{}
+	inFlight = map[placement.NodeID]uint32{}
 	for _, w := range s.workloads.byID {
 		switch {
 		case len(w.bindNodes) == 0:
 		case w.state.accepted():
 			placed[w.lastNode()]++
 		default:
-			unanswered[w.lastNode()]++
+			inFlight[w.lastNode()]++
 		}
 	}
-	return placed, unanswered
+	return placed, inFlight
 }
 
 // workloadStateOf is a workload as operators are shown it.
@@ -130,22 +131,22 @@
 }
 
 // gangStatusOf is a gang as operators are shown it.
-func gangStatusOf(now placement.Millis, request *gangRequest) *pb.GangStatus {
+func gangStatusOf(now placement.Millis, held *gangRequest) *pb.GangStatus {
 	status := &pb.GangStatus{
-		Client:    request.id.client,
-		RequestId: request.id.request,
-		State:     request.stateName(),
-		Parts:     uint32(len(request.parts)),
-		MinParts:  request.request.MinParts,
-		SinceMs:   float64(now - request.receivedAt),
+		Client:    held.id.client,
+		RequestId: held.id.request,
+		State:     held.stateName(),
+		Parts:     uint32(len(held.parts)),
+		MinParts:  held.request.MinParts,
+		SinceMs:   float64(now - held.receivedAt),
 	}
-	for _, id := range request.parts {
+	for _, id := range held.parts {
 		status.Workloads = append(status.Workloads, uint64(id))
 	}
-	if request.recovering() {
+	if held.recovering() {
 		return status
 	}
-	status.Attempts = uint32(request.machine.Attempts())
-	status.Running = uint32(request.machine.CountParts(gang.PartRunning))
+	status.Attempts = uint32(held.machine.Attempts())
+	status.Running = uint32(held.machine.CountParts(gang.PartRunning))
 	return status
 }
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -76,20 +76,24 @@
 	bindStopRequested                  // the engine has cancelled it
 )
 
-// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds. Of
-// which gang it is a part is set where it is added, or by gangRecovery.
+// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds.
 type workload struct {
 	id         placement.WorkloadID
 	client     string
 	request    *pb.PlaceRequest
 	receivedAt placement.Millis
 	state      workloadState
-	answer     frontend.AnswerState // no answer is due for a part of a gang, or for an adopted workload
+	answer     frontend.AnswerState // not due for a part of a gang or an adopted workload
 	bindNodes  []placement.NodeID   // to which it was offered, in order
 	bindState  bindState            // of the last bind
-	adopted    *pb.BindID           // the bind by which its node knows a workload that was found there; nil for any other
-	gang       *gangRequest         // nil unless it is a part of a gang
-	part       int                  // of the gang
+	adopted    *pb.BindID           // by which its node knows a workload that was found there; nil for any other
+	partOfGang
+}
+
+// partOfGang is of which gang a workload is a part. It is set where the workload is added, or by gangRecovery.
+type partOfGang struct {
+	gang *gangRequest // nil if it is none
+	part int          // its number in the gang
 }
 
 // lastNode is the node of the last bind, or 0, which is no node's id, if there was none.
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -53,7 +53,8 @@
 	return w, ok
 }
 
-// held returns a workload that the engine names, and that is held for that reason.
+// held returns the workload of an id that the engine passes to an action. It is held, since the engine passes no id
+// after the Forget that removes the workload.
 func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
 
 // hasKey reports whether a workload of that idempotency key is held.
@@ -102,8 +103,7 @@
 		client:     g.id.client,
 		request:    r,
 		receivedAt: now,
-		gang:       g,
-		part:       part,
+		partOfGang: partOfGang{gang: g, part: part},
 	})
 	t.byKey[r.Key] = w.id
 	return w
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -23,24 +23,37 @@
 	unixTime func() placement.Millis // the system's clock, as the platform states starts of nodes in it
 }
 
-// apply applies an event, given as the discovery service's data. Cached says that a snapshot was taken before this
-// process started, and may be out of date. An event that is not about nodes does nothing.
-func (l *endpointList) apply(now placement.Millis, event []byte, cached bool) error {
+// apply applies an event, given as the discovery service's data. An event that is not about nodes does nothing.
+func (l *endpointList) apply(now placement.Millis, event []byte) error {
 	update, ok, err := codec.DecodeEndpoints(event)
 	if err != nil || !ok {
 		return err
 	}
+	kind := placement.Delta
+	if update.Snapshot {
+		kind = placement.Snapshot
+	}
+	l.applyUpdate(now, kind, update)
+	return nil
+}
+
+// applyCached applies an event as apply does, as a snapshot that was taken before this process started, and may be out
+// of date.
+func (l *endpointList) applyCached(now placement.Millis, event []byte) error {
+	update, ok, err := codec.DecodeEndpoints(event)
+	if err != nil || !ok {
+		return err
+	}
+	l.applyUpdate(now, placement.CachedSnapshot, update)
+	return nil
+}
+
+// applyUpdate applies an update of that kind: to the engine, and then to the nodes and the connections to them.
+func (l *endpointList) applyUpdate(now placement.Millis, kind placement.NodeUpdateKind, update codec.EndpointUpdate) {
 	entries := make([]placement.Node, 0, len(update.Endpoints))
 	for i := range update.Endpoints {
 		entries = append(entries, l.entry(now, &update.Endpoints[i]))
 	}
-	kind := placement.Delta
-	switch {
-	case cached:
-		kind = placement.CachedSnapshot
-	case update.Snapshot:
-		kind = placement.Snapshot
-	}
 	// Formatting a list of hundreds is slower than decoding it.
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
 		l.log.Debug("endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
@@ -52,7 +65,6 @@
 	if kind != placement.Delta {
 		l.removeUnlisted(now, entries)
 	}
-	return nil
 }
 
 // entry returns an endpoint as the engine knows it.
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -141,7 +141,7 @@
 	}
 	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
 	f.clients.requests = f.requests
-	f.nodeConns.binds = f.binder
+	f.nodeConns.events = f.binder
 }
 
 // unixTime returns the system's clock as Unix time in ms.
@@ -169,8 +169,7 @@
 // start applies the events that the configuration holds, starts the engine and connects to the discovery service.
 func (f *Frontend) start(now placement.Millis) {
 	for i, event := range f.config.KnownEvents {
-		// The first is a snapshot, and all were written before this process started: the snapshot counts as cached.
-		if err := f.endpoints.apply(now, event, i == 0); err != nil {
+		if err := f.applyKnown(now, i, event); err != nil {
 			f.log.Warn("known event not applied", "error", err)
 		}
 	}
@@ -180,6 +179,15 @@
 	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
 }
 
+// applyKnown applies the event of that index in the configuration. The first is a snapshot, which counts as cached,
+// since it was written before this process started.
+func (f *Frontend) applyKnown(now placement.Millis, index int, event []byte) error {
+	if index == 0 {
+		return f.endpoints.applyCached(now, event)
+	}
+	return f.endpoints.apply(now, event)
+}
+
 // Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected.
 // Running workloads are left running.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
--- a/internal/frontend/platform/nodeconn.go
+++ b/internal/frontend/platform/nodeconn.go
@@ -36,8 +36,13 @@
 
 // evictedBefore is the eviction order: connections to nodes without workloads first, then those unused for longer.
 func (c *nodeConn) evictedBefore(other *nodeConn) bool {
-	if empty := len(c.node.workloads) == 0; empty != (len(other.node.workloads) == 0) {
-		return empty
+	unused := len(c.node.workloads) == 0
+	otherUnused := len(other.node.workloads) == 0
+	switch {
+	case unused != otherUnused:
+		return unused
+	case c.lastSent != other.lastSent:
+		return c.lastSent < other.lastSent
 	}
-	return c.lastSent < other.lastSent || c.lastSent == other.lastSent && c.id < other.id
+	return c.id < other.id
 }
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -43,13 +43,13 @@
 type nodeConns struct {
 	*environment
 	nodes          *nodeTable
-	binds          nodeEvents
+	events         nodeEvents
 	conns          map[transport.ConnID]*nodeConn
 	limit          int
 	connectTimeout placement.Millis
 }
 
-// newNodeConns returns an empty table. Its binds are set once there is a binder.
+// newNodeConns returns an empty table. Its events are set once there is a binder, which handles them.
 func newNodeConns(env *environment, nodes *nodeTable) *nodeConns {
 	timeout := env.config.Settings.ConnectTimeout
 	if timeout <= 0 {
@@ -135,7 +135,7 @@
 	if n.conn == c {
 		n.conn = nil
 	}
-	nc.binds.offersLost(now, c)
+	nc.events.offersLost(now, c)
 	if !wasOpen {
 		n.failWaiters()
 		nc.dialFailed(now, n, reason)
--- a/internal/frontend/platform/nodedial.go
+++ b/internal/frontend/platform/nodedial.go
@@ -125,6 +125,6 @@
 		history.refusing = true
 		history.refusedSince = now
 	case now-history.refusedSince >= nodeDownAfter:
-		nc.binds.processEnded(now, n)
+		nc.events.processEnded(now, n)
 	}
 }
--- a/internal/frontend/platform/running.go
+++ b/internal/frontend/platform/running.go
@@ -26,7 +26,10 @@
 }
 
 // processEnded handles the end of a node's process, and so of all workloads that ran there.
-func (b *binder) processEnded(now placement.Millis, n *node) { b.processRestarted(now, n, now+1) }
+func (b *binder) processEnded(now placement.Millis, n *node) {
+	justAfter := now + 1 // so that workloads that began to run at this very time count as ended too
+	b.processRestarted(now, n, justAfter)
+}
 
 // processRestarted handles the start of a node's process at the given time: workloads that ran there before have ended.
 // A node that is no longer listed and has no workloads any more is removed.
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -41,8 +41,8 @@
 
 // eventHandler applies the events of the discovery service.
 type eventHandler interface {
-	// apply applies one event. Cached says that it may be out of date. An error means that it cannot be decoded.
-	apply(now placement.Millis, event []byte, cached bool) error
+	// apply applies one event. An error means that it cannot be decoded.
+	apply(now placement.Millis, event []byte) error
 }
 
 // subscription receives the discovery service's events. After a break it continues behind the last event applied.
@@ -107,7 +107,7 @@
 
 // reconnect closes the connection, if there is one, and dials again.
 func (s *subscription) reconnect(now placement.Millis, reason error) {
-	s.log.Info("reconnecting to the discovery service", "reason", reason)
+	s.log.Info("reconnecting to the discovery service", "address", s.addr, "reason", reason)
 	if s.state != subscriptionDown {
 		s.net.Close(s.conn)
 		s.state = subscriptionDown
@@ -127,7 +127,7 @@
 	s.state = subscriptionDown
 	delay := s.host.RetryDelay(subscribeBackoff, s.failures)
 	s.failures++
-	s.log.Info("discovery service disconnected", "reason", reason)
+	s.log.Info("discovery service disconnected", "address", s.addr, "reason", reason)
 	s.host.Schedule(now+delay, s.connect)
 }
 
@@ -153,7 +153,7 @@
 	if event.Revision <= s.revision {
 		return true
 	}
-	if err := s.events.apply(now, event.Data, false); err != nil {
+	if err := s.events.apply(now, event.Data); err != nil {
 		s.log.Warn("event of the discovery service not applied", "revision", event.Revision, "error", err)
 		s.malformed++
 		if s.malformed < maxMalformed {
