--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -16,11 +16,11 @@
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
 	failures int              // dials that failed since the last hello
-	// unanswered is set while the subscription that the engine requested has no reply. The call is sent after the
-	// hello.
-	unanswered bool
-	epoch      uint64 // of the last update
-	revision   uint64 // of the last update; 0 for none of this epoch
+	// awaitingUpdate is set from when the engine requested a subscription until an update arrives or the connection
+	// ends. The request is sent after the hello.
+	awaitingUpdate bool
+	epoch          uint64 // of the last update
+	revision       uint64 // of the last update; 0 for none of this epoch
 }
 
 // owns reports whether a connection is the one to the discovery service.
@@ -46,11 +46,11 @@
 // closed handles the end of the connection, or that it could not be dialed.
 func (d *discovery) closed(now placement.Millis, reason error) {
 	d.log.Warn("no connection to discovery service", "address", d.address, "reason", reason)
-	unanswered := d.unanswered
+	wasAwaited := d.awaitingUpdate
 	d.state = sessionDisconnected
 	d.conn = 0
-	d.unanswered = false
-	if unanswered {
+	d.awaitingUpdate = false
+	if wasAwaited {
 		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
 	}
 	delay := d.host.RetryDelay(reconnectBackoff, d.failures)
@@ -60,7 +60,7 @@
 
 // subscribe requests the changes since the last update, and further ones as they come.
 func (d *discovery) subscribe() {
-	d.unanswered = true
+	d.awaitingUpdate = true
 	if d.state != sessionConnected {
 		return // handshake calls subscribe again
 	}
@@ -98,14 +98,14 @@
 	}
 	d.state = sessionConnected
 	d.failures = 0
-	if d.unanswered {
+	if d.awaitingUpdate {
 		d.subscribe()
 	}
 }
 
 // updated handles an answer to the subscription, or an update that came by itself.
 func (d *discovery) updated(now placement.Millis, update *pb.NodeListUpdate) {
-	d.unanswered = false
+	d.awaitingUpdate = false
 	if update.Kind == pb.NodeListUpdate_POLL_FAILED {
 		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
 		return
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -122,15 +122,3 @@
 func compareRequestIDs(x, y requestID) int {
 	return cmp.Or(cmp.Compare(x.client, y.client), cmp.Compare(x.request, y.request))
 }
-
-// adoptedBind names the bind of an adopted workload: one of an earlier incarnation, or one that this one had abandoned.
-type adoptedBind struct {
-	node        placement.NodeID
-	incarnation uint64
-	workload    uint64
-	number      uint32
-}
-
-func adoptedBindOf(node placement.NodeID, b *pb.BindID) adoptedBind {
-	return adoptedBind{node, b.Incarnation, b.Workload, b.Number}
-}
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"grebeglade/internal/allocator"
@@ -173,47 +172,3 @@
 	slices.SortFunc(found, func(x, y *workload) int { return cmp.Compare(x.id, y.id) })
 	return found
 }
-
-// bindID is the identity of a workload's last bind on the wire.
-func (t *workloadTable) bindID(w *workload) *pb.BindID {
-	if w.adopted != nil {
-		return w.adopted
-	}
-	return &pb.BindID{
-		Allocator:   t.allocator,
-		Incarnation: t.incarnation,
-		Workload:    uint64(w.id),
-		Number:      uint32(w.lastBind()),
-	}
-}
-
-// offer is a workload's last bind as it is sent, without the time until which it may be accepted.
-func (t *workloadTable) offer(now placement.Millis, w *workload) *pb.Offer {
-	offer := &pb.Offer{
-		Bind:    t.bindID(w),
-		Client:  w.client,
-		Request: w.request,
-	}
-	if w.gang != nil {
-		offer.Gang = w.gang.offerPart(now, w.part)
-	}
-	return offer
-}
-
-// find returns the workload and the number of its bind that a node names, if it is a bind of ours to that node.
-func (t *workloadTable) find(node placement.NodeID, b *pb.BindID) (w *workload, bind int, ok bool) {
-	if b == nil || b.Allocator != t.allocator {
-		return nil, 0, false
-	}
-	if id, adopted := t.byAdopted[adoptedBindOf(node, b)]; adopted {
-		return t.byID[id], 0, true
-	}
-	if b.Incarnation != t.incarnation || b.Workload > math.MaxUint32 {
-		return nil, 0, false
-	}
-	w, held := t.byID[placement.WorkloadID(b.Workload)]
-	if !held || w.adopted != nil || int(b.Number) >= len(w.bindNodes) || w.bindNodes[b.Number] != node {
-		return nil, 0, false
-	}
-	return w, int(b.Number), true
-}
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -20,7 +20,6 @@
 	"log/slog"
 	"time"
 
-	"grebeglade/internal/allocator"
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/transport"
@@ -79,71 +78,6 @@
 	lifecycle    *lifecycle
 }
 
-// New returns a frontend, which is to be served with its Limits. A nil log discards its messages.
-func New(config *Config, log *slog.Logger) *Frontend {
-	if log == nil {
-		log = slog.New(slog.DiscardHandler)
-	}
-	f := &Frontend{environment: environment{config: config, log: log}}
-	env := &f.environment
-	env.counters = &f.Counters
-	f.workloads = newWorkloadTable(config.Limits.MemoryMB)
-	f.clients = newClientConns(env)
-	f.nodes = newNodeTable()
-	f.nodeConns = newNodeConns(env, f.nodes)
-	f.lifecycle = newLifecycle(env)
-	env.host = f.newHost()
-	f.connectParts(env)
-	return f
-}
-
-// newHost returns the engine and its host.
-func (f *Frontend) newHost() *frontend.Host {
-	return frontend.NewHost(frontend.Config{
-		Settings:        f.config.Settings.Settings,
-		Seed:            f.config.Seed,
-		Engine:          allocator.Options{EnforceTimeouts: true},
-		Actions:         engineActions{f},
-		MaxWakeInterval: maxWakeInterval,
-		Periodic:        f.nodeConns.closeIdle,
-		Counters:        &f.Counters.Counters,
-	})
-}
-
-// connectParts makes the parts that act on the tables, and connects the tables to those that they call.
-func (f *Frontend) connectParts(env *environment) {
-	f.healthChecks = &healthChecker{
-		environment: env,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-		pending:     frontend.NewHealthChecks(env.host, endGrace),
-	}
-	f.binder = &binder{
-		environment: env,
-		workloads:   f.workloads,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-	}
-	f.replies = &replyHandler{
-		environment: env,
-		workloads:   f.workloads,
-		conns:       f.nodeConns,
-		binder:      f.binder,
-		checks:      f.healthChecks,
-	}
-	f.requests = newRequestHandler(env, f.clients, f.workloads, f.lifecycle, f.binder)
-	f.endpoints = &endpointList{
-		environment: env,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-		binder:      f.binder,
-		unixTime:    unixTime,
-	}
-	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
-	f.clients.requests = f.requests
-	f.nodeConns.events = f.binder
-}
-
 // unixTime returns the system's clock as Unix time in ms.
 func unixTime() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) }
 
--- /dev/null
+++ b/internal/frontend/platform/nodeconnuse_test.go
@@ -0,0 +1,129 @@
+package platform
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"grebeglade/internal/frontend/platform/codec"
+)
+
+// A connection that was idle for nearly the settings' timeout is closed by the frontend: an offer that crosses the
+// node's own close would count as one that may have run.
+func TestNodeConns_IdleConnection_ClosedBeforeTheNodeCloses(t *testing.T) {
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	// a first message, so that the connection stays
+	harness.receive(harness.clientConn, codec.NewTermination(1, codec.CauseNormal))
+	harness.advance(5000*idleShare - 100)
+	assert.False(t, harness.network.closed[harness.nodeConn])
+	harness.advance(100 + maxWakeInterval + 50)
+	assert.True(t, harness.network.closed[harness.nodeConn])
+	harness.receive(harness.clientConn, request(7))
+	again := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, again, harness.nodeConn)
+	harness.openConn(again)
+	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(again, 7))
+}
+
+func TestNodeConns_ReleaseWithoutConnection_SentOnTheNext(t *testing.T) {
+	harness := newHarness(t)
+	harness.startWorkload(7)
+	harness.closeConn(harness.nodeConn, errReset)
+	harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
+	harness.advance(200)
+	again := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, again, harness.nodeConn)
+	harness.openConn(again)
+	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(again, 7))
+}
+
+func TestNodeConns_RetiredConnection_ClosedOnceItsSuccessorIsOpen(t *testing.T) {
+	harness := newHarness(t)
+	c := harness.nodeConns.get(harness.nodeConn)
+	c.lastReceived = 0
+	harness.nodeConns.replaceSilent(harness.now, c, 1)
+	assert.Equal(t, connRetired, c.state)
+	successor := harness.network.lastDialed(nodeAddr)
+	require.Greater(t, successor, harness.nodeConn)
+	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(c) })
+	assert.False(t, harness.network.closed[harness.nodeConn], "its successor is being dialed")
+	harness.openConn(successor)
+	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // about no workload
+	assert.True(t, harness.network.closed[harness.nodeConn])
+	assert.Equal(t, connClosed, c.state)
+	assert.Equal(t, successor, harness.nodes.byName[nodeName].openConn().id)
+}
+
+func TestNodeConns_PendingReleasesAreBounded(t *testing.T) {
+	harness := newHarness(t)
+	n := harness.nodes.byName[nodeName]
+	harness.closeConn(harness.nodeConn, errReset)
+	for range maxPendingReleases + 1 {
+		harness.nodeConns.release(&workload{bind: bind{node: n}})
+	}
+	assert.Len(t, n.pendingReleases, maxPendingReleases)
+}
+
+// newIdleHarness returns a harness whose node is about to close its connection, which was idle for long. No wake-up
+// has come since.
+func newIdleHarness(t *testing.T) *testHarness {
+	t.Helper()
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	harness.startWorkload(6)
+	harness.now += 5000
+	return harness
+}
+
+func TestNodeConns_IdleConnection_NothingIsSentOnIt(t *testing.T) {
+	t.Run("offer", func(t *testing.T) {
+		harness := newIdleHarness(t)
+		waiter := &recordingWaiter{}
+		harness.host.Handle(harness.now, func() { harness.nodeConns.await(harness.nodes.byName[nodeName], waiter) })
+		assert.Nil(t, waiter.conn)
+		again := harness.network.lastDialed(nodeAddr)
+		require.Greater(t, again, harness.nodeConn)
+		harness.openConn(again)
+		require.NotNil(t, waiter.conn)
+		assert.Equal(t, again, waiter.conn.id)
+	})
+	t.Run("release", func(t *testing.T) {
+		harness := newIdleHarness(t)
+		harness.receive(harness.clientConn, codec.NewTermination(6, codec.CauseNormal))
+		assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(harness.nodeConn, 6))
+		again := harness.network.lastDialed(nodeAddr)
+		require.Greater(t, again, harness.nodeConn)
+		harness.openConn(again)
+		assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(again, 6))
+	})
+}
+
+func TestNodeConns_ConnectionWithAnOffer_NeitherIdleNorEvicted(t *testing.T) {
+	harness := newHarness(t)
+	harness.config.Settings.IdleTimeout = 5000
+	harness.publishNodes(1)
+	harness.receive(harness.clientConn, request(7))
+	offered := harness.nodeConns.get(harness.nodeConn)
+	if len(offered.offers) == 0 {
+		harness.openNodeConns()
+		offered = harness.workloads.tagged(7).bind.conn
+	}
+	offered.lastSent = -6000
+	offered.lastReceived = -6000
+	harness.nodeConns.closeIdle(harness.now)
+	assert.False(t, harness.network.closed[offered.id])
+	for _, other := range harness.nodeConns.conns {
+		if other != offered {
+			harness.closeConn(other.id, errClosed)
+		}
+	}
+	assert.False(t, harness.nodeConns.evictConnection(harness.now, &node{}))
+	harness.nodeConns.replaceSilent(harness.now, offered, harness.now)
+	harness.openNodeConns()
+	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(offered) })
+	assert.False(t, harness.network.closed[offered.id], "the reply to the offer is pending")
+	harness.receive(offered.id, confirmation(7))
+	assert.True(t, harness.network.closed[offered.id])
+}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -6,7 +6,8 @@
 //
 // The caller calls Start, then AttemptResult with the result of the Attempt; PartStarted, PartFailed and PartEnded
 // for the parts; Withdraw if the client withdraws its request; and TimerFired at the time of each SetTimer. It makes
-// no call after a Forget. Times are milliseconds on the caller's clock.
+// no call after a Forget. Where parts are found after a restart of the allocator, Recover takes the place of New and
+// Start. Times are milliseconds on the caller's clock.
 package gang
 
 import (
