--- a/internal/frontend/native/bindid.go
+++ b/internal/frontend/native/bindid.go
@@ -15,6 +15,7 @@
 	number      uint32
 }
 
+// adoptedBindOf returns the name of a bind to that node.
 func adoptedBindOf(node placement.NodeID, b *pb.BindID) adoptedBind {
 	return adoptedBind{node, b.Incarnation, b.Workload, b.Number}
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -26,12 +26,14 @@
 	return &clientSessions{environment: env, byName: map[string]*clientSession{}}
 }
 
+// open begins a client's session, with an empty history. An earlier one under the same name is forgotten.
 func (s *clientSessions) open(c transport.ConnID, name string) *clientSession {
 	session := &clientSession{name: name, conn: c}
 	s.byName[name] = session
 	return session
 }
 
+// close ends a session, unless another one has its name by now.
 func (s *clientSessions) close(session *clientSession) {
 	if s.byName[session.name] == session {
 		delete(s.byName, session.name)
--- a/internal/frontend/native/node.go
+++ b/internal/frontend/native/node.go
@@ -58,6 +58,7 @@
 	dials    uint64           // in all
 }
 
+// connected reports whether the node has sent its hello, so that frames may be sent to it.
 func (n *node) connected() bool { return n.session.state == sessionConnected }
 
 // state is the node's state for placement. What the node reports of draining counts before the entry of the discovery
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -145,6 +145,7 @@
 	}
 }
 
+// withdraw ends a workload on behalf of its client. A repeated withdrawal has no effect and is not counted.
 func (h *requestHandler) withdraw(now placement.Millis, w *workload) {
 	if w.state.withdrawn() {
 		return
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -119,6 +119,7 @@
 	request uint64
 }
 
+// compareRequestIDs orders requests by client, and those of a client by their numbers.
 func compareRequestIDs(x, y requestID) int {
 	return cmp.Or(cmp.Compare(x.client, y.client), cmp.Compare(x.request, y.request))
 }
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -127,6 +127,7 @@
 	return adopted
 }
 
+// insert gives a workload the next id.
 func (t *workloadTable) insert(w *workload) *workload {
 	w.id = t.ids.Next()
 	t.byID[w.id] = w
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -98,23 +98,31 @@
 	case h.lifecycle.rejecting(now) || h.workloads.full() || h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
-		// The client's timeout runs from when it sent the request, so the time in the queue counts.
-		requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
-		added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
-		client.unanswered[added.id] = added
-		h.counters.Requests++
-		requested.ID = added.id
-		h.host.Engine().Schedule(now, requested)
+		h.schedule(now, client, request, requested)
 	}
 }
 
+// schedule adds the workload of a request that is admitted, and hands it to the engine.
+func (h *requestHandler) schedule(
+	now placement.Millis, client *clientConn, request *codec.PlaceRequest, requested placement.Workload,
+) {
+	// The client's timeout runs from when it sent the request, so the time in the queue counts.
+	requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
+	added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
+	client.unanswered[added.id] = added
+	h.counters.Requests++
+	requested.ID = added.id
+	h.host.Engine().Schedule(now, requested)
+}
+
 // adopt handles a client's statement that a workload runs on a node already.
 func (h *requestHandler) adopt(now placement.Millis, client *clientConn, request *codec.AdoptRequest) {
 	running, err := h.engineWorkload(&request.Task)
 	switch {
 	case err != nil:
 		h.rejectInvalid(now, client, request.Tag, err)
-	case h.workloads.tagged(request.Tag) != nil: // adopted or placed before
+	case h.workloads.tagged(request.Tag) != nil:
+		// A workload of that tag is held: a second statement about it changes nothing.
 	case h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
