--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -75,7 +75,7 @@
 func (f *Frontend) EventLog() *eventlog.Log { return f.eventLog }
 
 // Pending returns the number of requests that have no final answer, each gang counted as one.
-func (f *Frontend) Pending() int { return f.workloads.pending + f.gangs.unanswered }
+func (f *Frontend) Pending() int { return f.workloads.unanswered.Count() + f.gangs.unanswered.Count() }
 
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (f *Frontend) WorkloadCount() int { return f.workloads.count() }
@@ -120,7 +120,7 @@
 		case !open:
 		case peer.node != nil:
 			f.nodeSessions.received(now, conn, peer.node, frame)
-		case peer.role == pb.Role_ROLE_UNSPECIFIED:
+		case peer.awaitsHello():
 			f.acceptor.received(now, conn, peer, frame)
 		case peer.client != nil:
 			f.requests.received(now, peer.client, frame)
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -75,19 +76,24 @@
 	bindStopRequested                  // the engine has cancelled it
 )
 
-// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds. Of
-// which gang it is a part is set where it is added, or by gangRecovery.
+// workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds.
 type workload struct {
 	id         placement.WorkloadID
 	client     string
 	request    *pb.PlaceRequest
 	receivedAt placement.Millis
 	state      workloadState
-	bindNodes  []placement.NodeID // to which it was offered, in order
-	bindState  bindState          // of the last bind
-	adopted    *pb.BindID         // the bind by which its node knows a workload that was found there; nil for any other
-	gang       *gangRequest       // nil unless it is a part of a gang
-	part       int                // of the gang
+	answer     frontend.AnswerState // not due for a part of a gang or an adopted workload
+	bindNodes  []placement.NodeID   // to which it was offered, in order
+	bindState  bindState            // of the last bind
+	adopted    *pb.BindID           // by which its node knows a workload that was found there; nil for any other
+	partOfGang
+}
+
+// partOfGang is of which gang a workload is a part. It is set where the workload is added, or by gangRecovery.
+type partOfGang struct {
+	gang *gangRequest // nil if it is none
+	part int          // its number in the gang
 }
 
 // lastNode is the node of the last bind, or 0, which is no node's id, if there was none.
@@ -113,18 +119,7 @@
 	request uint64
 }
 
+// compareRequestIDs orders requests by client, and those of a client by their numbers.
 func compareRequestIDs(x, y requestID) int {
 	return cmp.Or(cmp.Compare(x.client, y.client), cmp.Compare(x.request, y.request))
 }
-
-// adoptedBind names the bind of an adopted workload: one of an earlier incarnation, or one that this one had abandoned.
-type adoptedBind struct {
-	node        placement.NodeID
-	incarnation uint64
-	workload    uint64
-	number      uint32
-}
-
-func adoptedBindOf(node placement.NodeID, b *pb.BindID) adoptedBind {
-	return adoptedBind{node, b.Incarnation, b.Workload, b.Number}
-}
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -20,7 +20,6 @@
 	"log/slog"
 	"time"
 
-	"grebeglade/internal/allocator"
 	"grebeglade/internal/frontend"
 	"grebeglade/internal/frontend/platform/codec"
 	"grebeglade/internal/transport"
@@ -49,7 +48,7 @@
 	Released uint64 // workloads whose end their client was notified of
 }
 
-// environment is what all parts of a Frontend use.
+// environment is what all parts of a Frontend use. The native frontend's comment says why the two share no type.
 type environment struct {
 	config   *Config
 	log      *slog.Logger
@@ -79,71 +78,6 @@
 	lifecycle    *lifecycle
 }
 
-// New returns a frontend, which is to be served with its Limits. A nil log discards its messages.
-func New(config *Config, log *slog.Logger) *Frontend {
-	if log == nil {
-		log = slog.New(slog.DiscardHandler)
-	}
-	f := &Frontend{environment: environment{config: config, log: log}}
-	env := &f.environment
-	env.counters = &f.Counters
-	f.workloads = newWorkloadTable(config.Limits.MemoryMB)
-	f.clients = newClientConns(env)
-	f.nodes = newNodeTable()
-	f.nodeConns = newNodeConns(env, f.nodes)
-	f.lifecycle = newLifecycle(env)
-	env.host = f.newHost()
-	f.connectParts(env)
-	return f
-}
-
-// newHost returns the engine and its host.
-func (f *Frontend) newHost() *frontend.Host {
-	return frontend.NewHost(frontend.Config{
-		Settings:        f.config.Settings.Settings,
-		Seed:            f.config.Seed,
-		Engine:          allocator.Options{EnforceTimeouts: true},
-		Actions:         engineActions{f},
-		MaxWakeInterval: maxWakeInterval,
-		Periodic:        f.nodeConns.closeIdle,
-		Counters:        &f.Counters.Counters,
-	})
-}
-
-// connectParts makes the parts that act on the tables, and connects the tables to those that they call.
-func (f *Frontend) connectParts(env *environment) {
-	f.healthChecks = &healthChecker{
-		environment: env,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-		pending:     frontend.NewHealthChecks(env.host, endGrace),
-	}
-	f.binder = &binder{
-		environment: env,
-		workloads:   f.workloads,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-	}
-	f.replies = &replyHandler{
-		environment: env,
-		workloads:   f.workloads,
-		conns:       f.nodeConns,
-		binder:      f.binder,
-		checks:      f.healthChecks,
-	}
-	f.requests = newRequestHandler(env, f.clients, f.workloads, f.lifecycle, f.binder)
-	f.endpoints = &endpointList{
-		environment: env,
-		nodes:       f.nodes,
-		conns:       f.nodeConns,
-		binder:      f.binder,
-		unixTime:    unixTime,
-	}
-	f.subscription = newSubscription(env, f.endpoints, f.lifecycle)
-	f.clients.requests = f.requests
-	f.nodeConns.binds = f.binder
-}
-
 // unixTime returns the system's clock as Unix time in ms.
 func unixTime() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) }
 
@@ -169,8 +103,7 @@
 // start applies the events that the configuration holds, starts the engine and connects to the discovery service.
 func (f *Frontend) start(now placement.Millis) {
 	for i, event := range f.config.KnownEvents {
-		// The first is a snapshot, and all were written before this process started: the snapshot counts as cached.
-		if err := f.endpoints.apply(now, event, i == 0); err != nil {
+		if err := f.applyKnown(now, i, event); err != nil {
 			f.log.Warn("known event not applied", "error", err)
 		}
 	}
@@ -180,6 +113,15 @@
 	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
 }
 
+// applyKnown applies the event of that index in the configuration. The first is a snapshot, which counts as cached,
+// since it was written before this process started.
+func (f *Frontend) applyKnown(now placement.Millis, index int, event []byte) error {
+	if index == 0 {
+		return f.endpoints.applyCached(now, event)
+	}
+	return f.endpoints.apply(now, event)
+}
+
 // Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected.
 // Running workloads are left running.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
@@ -188,7 +130,7 @@
 // for a connection to their node were sent or have timed out. Notifications that wait for a connection of a client are
 // dropped: the allocator that adopts the workload next sends them.
 func (f *Frontend) Drained(now placement.Millis) bool {
-	if f.workloads.unanswered > 0 {
+	if f.workloads.unanswered.Count() > 0 {
 		return false
 	}
 	return f.lifecycle.drainedBy(now, f.nodes.releasesPending())
