--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -45,17 +45,24 @@
 // NewClient returns a client. The index keeps its workload keys apart from those of other clients.
 func NewClient(name string, index int, m *scenario.ClientModel, seed uint64) *Client {
 	return &Client{
-		name: name, index: index, model: m, rng: rand.New(rand.NewPCG(seed, uint64(index)+1)),
-		demandRNG:   rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
-		connections: make([]transport.ConnID, len(m.Allocators)), incarnations: make([]uint64, len(m.Allocators)),
-		allocatorByConn: map[transport.ConnID]int{}, requests: map[uint64]*clientRequest{},
-		RateFactor: 1, Tally: Tally{Ended: map[pb.Reason]int{}},
+		name:            name,
+		index:           index,
+		model:           m,
+		rng:             rand.New(rand.NewPCG(seed, uint64(index)+1)),
+		demandRNG:       rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
+		connections:     make([]transport.ConnID, len(m.Allocators)),
+		incarnations:    make([]uint64, len(m.Allocators)),
+		allocatorByConn: map[transport.ConnID]int{},
+		requests:        map[uint64]*clientRequest{},
+		RateFactor:      1,
+		Tally:           Tally{Ended: map[pb.Reason]int{}},
 	}
 }
 
 // Start implements transport.FrameHandler.
 func (c *Client) Start(now placement.Millis, network transport.FrameNetwork) {
-	c.now, c.network = now, network
+	c.now = now
+	c.network = network
 	for i := range c.connections {
 		c.dial(i)
 	}
@@ -87,7 +94,12 @@
 // Opened implements transport.FrameHandler.
 func (c *Client) Opened(now placement.Millis, conn transport.ConnID) {
 	c.now = now
-	c.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_CLIENT, Name: c.name, Incarnation: 1, SentMs: float64(now)}))
+	c.network.Send(conn, transport.HelloFrame(&pb.Hello{
+		Role:        pb.Role_CLIENT,
+		Name:        c.name,
+		Incarnation: 1,
+		SentMs:      float64(now),
+	}))
 	c.wake()
 }
 
--- a/internal/simulation/emulator/client_demand.go
+++ b/internal/simulation/emulator/client_demand.go
@@ -39,8 +39,11 @@
 	demand := c.drawDemand()
 	service := c.demandRNG.IntN(demand.Services)
 	request := &clientRequest{
-		key: c.newKey(), service: serviceID(demand.Name, service), demand: demand,
-		shape: demand.Shapes[service%len(demand.Shapes)], endsAt: now + c.drawLifetime(demand),
+		key:     c.newKey(),
+		service: serviceID(demand.Name, service),
+		demand:  demand,
+		shape:   demand.Shapes[service%len(demand.Shapes)],
+		endsAt:  now + c.drawLifetime(demand),
 	}
 	c.sendFirst(now, request)
 	if c.demandRNG.Float64() < c.model.WithdrawShare {
@@ -60,7 +63,8 @@
 
 // drawDemand draws a kind of demand by its share.
 func (c *Client) drawDemand() *scenario.Demand {
-	quantile, sum := c.demandRNG.Float64(), 0.0
+	quantile := c.demandRNG.Float64()
+	sum := 0.0
 	for i := range c.model.Demand {
 		if sum += c.model.Demand[i].Share; quantile < sum {
 			return &c.model.Demand[i]
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -41,8 +41,11 @@
 	c.timers.Schedule(now+c.gangInterval(i), func(now placement.Millis) { c.requestNextGang(now, i) })
 	demand := &c.model.Gangs[i]
 	gang := &clientGang{
-		demand: demand, requestedAt: now, until: min(now+2*demand.PendingTimeout, c.model.Until), service: serviceID(demand.Group+" gang", i),
-		placed: map[int]*clientRequest{},
+		demand:      demand,
+		requestedAt: now,
+		until:       min(now+2*demand.PendingTimeout, c.model.Until),
+		service:     serviceID(demand.Group+" gang", i),
+		placed:      map[int]*clientRequest{},
 	}
 	c.Tally.Gangs++
 	if c.model.GangPolicy == scenario.Independent {
@@ -74,8 +77,13 @@
 func (g *clientGang) partRequest(i int) *pb.PlaceRequest {
 	demand := g.demand
 	return &pb.PlaceRequest{
-		Key: g.keys[i], Service: g.service, Group: demand.Group, Cores: demand.Shape[0], Memory: demand.Shape[1],
-		ExpectedRuntimeMs: float64(demand.Lifetime), Retried: g.attempts > 1,
+		Key:               g.keys[i],
+		Service:           g.service,
+		Group:             demand.Group,
+		Cores:             demand.Shape[0],
+		Memory:            demand.Shape[1],
+		ExpectedRuntimeMs: float64(demand.Lifetime),
+		Retried:           g.attempts > 1,
 	}
 }
 
@@ -92,11 +100,23 @@
 		gang.keys = c.newKeys(demand.Parts)
 	}
 	allocator := connected[c.rng.IntN(len(connected))]
-	request := &clientRequest{key: gang.keys[0], requestedAt: now, conn: c.connections[allocator], allocator: allocator, gang: gang, endsAt: now + demand.Lifetime}
+	request := &clientRequest{
+		key:         gang.keys[0],
+		requestedAt: now,
+		conn:        c.connections[allocator],
+		allocator:   allocator,
+		gang:        gang,
+		endsAt:      now + demand.Lifetime,
+	}
 	id := c.addRequest(request)
 	message := &pb.GangRequest{
-		RequestId: id, MinParts: uint32(demand.MinParts), PendingTimeoutMs: float64(demand.PendingTimeout), Spread: demand.SpreadScope, Replace: demand.Replace,
-		ReplaceTimeoutMs: float64(demand.ReplaceTimeout), SentMs: float64(now),
+		RequestId:        id,
+		MinParts:         uint32(demand.MinParts),
+		PendingTimeoutMs: float64(demand.PendingTimeout),
+		Spread:           demand.SpreadScope,
+		Replace:          demand.Replace,
+		ReplaceTimeoutMs: float64(demand.ReplaceTimeout),
+		SentMs:           float64(now),
 	}
 	for i := range demand.Parts {
 		message.Parts = append(message.Parts, gang.partRequest(i))
@@ -202,12 +222,18 @@
 	}
 	allocator := connected[c.rng.IntN(len(connected))]
 	request := &clientRequest{
-		key: gang.keys[i], requestedAt: now, conn: c.connections[allocator], allocator: allocator, gang: gang, part: i,
-		endsAt: now + gang.demand.Lifetime,
+		key:         gang.keys[i],
+		requestedAt: now,
+		conn:        c.connections[allocator],
+		allocator:   allocator,
+		gang:        gang,
+		part:        i,
+		endsAt:      now + gang.demand.Lifetime,
 	}
 	id := c.addRequest(request)
 	message := gang.partRequest(i)
-	message.RequestId, message.PendingTimeoutMs = id, float64(gang.demand.PendingTimeout)
+	message.RequestId = id
+	message.PendingTimeoutMs = float64(gang.demand.PendingTimeout)
 	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: message}})
 	c.scheduleAnswerTimeout(now, gang.demand.PendingTimeout, id, request)
 }
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -68,12 +68,22 @@
 		conn = connected[0]
 	}
 	request.attempts++
-	request.requestedAt, request.conn, request.allocator, request.placed = now, conn, c.allocatorByConn[conn], false
+	request.requestedAt = now
+	request.conn = conn
+	request.allocator = c.allocatorByConn[conn]
+	request.placed = false
 	id := c.addRequest(request)
 	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
-		RequestId: id, Key: request.key, Service: request.service, Group: request.demand.Name, Cores: request.shape[0], Memory: request.shape[1],
-		PendingTimeoutMs: float64(request.demand.PendingTimeout), ExpectedRuntimeMs: float64(request.endsAt - now), Retried: request.attempts > 1,
-		SentMs: float64(now),
+		RequestId:         id,
+		Key:               request.key,
+		Service:           request.service,
+		Group:             request.demand.Name,
+		Cores:             request.shape[0],
+		Memory:            request.shape[1],
+		PendingTimeoutMs:  float64(request.demand.PendingTimeout),
+		ExpectedRuntimeMs: float64(request.endsAt - now),
+		Retried:           request.attempts > 1,
+		SentMs:            float64(now),
 	}}})
 	c.scheduleAnswerTimeout(now, request.demand.PendingTimeout, id, request)
 }
@@ -184,7 +194,11 @@
 		done[request] = true
 		c.withdraw(now, request)
 		replacement := &clientRequest{
-			key: c.newKey(), service: request.service, demand: request.demand, shape: request.shape, endsAt: request.endsAt,
+			key:     c.newKey(),
+			service: request.service,
+			demand:  request.demand,
+			shape:   request.shape,
+			endsAt:  request.endsAt,
 		}
 		c.timers.Schedule(now+within*placement.Millis(c.rng.Float64()), func(now placement.Millis) {
 			if now+minRemaining < min(replacement.endsAt, c.model.Until) {
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -61,8 +61,12 @@
 // NewDiscoveryService returns a service that knows no nodes.
 func NewDiscoveryService(m *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
 	return &DiscoveryService{
-		model: m, epoch: epoch, records: map[uint32]*nodeRecord{}, subscribers: map[transport.ConnID]*subscriber{},
-		nodeByConn: map[transport.ConnID]uint32{}, Slowdown: 1,
+		model:       m,
+		epoch:       epoch,
+		records:     map[uint32]*nodeRecord{},
+		subscribers: map[transport.ConnID]*subscriber{},
+		nodeByConn:  map[transport.ConnID]uint32{},
+		Slowdown:    1,
 	}
 }
 
@@ -138,9 +142,14 @@
 		s.nodeByConn[conn] = h.Node
 	default:
 		sub.helloReceived = true
-		s.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_DISCOVERY, Name: "list", Incarnation: s.epoch}))
+		s.network.Send(conn, transport.HelloFrame(&pb.Hello{
+			Role:        pb.Role_DISCOVERY,
+			Name:        "list",
+			Incarnation: s.epoch,
+		}))
 		if !s.model.Polled {
-			sub.watching, sub.revision = true, s.revision
+			sub.watching = true
+			sub.revision = s.revision
 			s.network.Send(conn, s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0))
 		}
 	}
@@ -165,16 +174,28 @@
 		return
 	}
 	s.change(record, func() {
-		record.Id, record.State, record.Kind, record.Zone, record.Cell = entry.Id, entry.State, entry.Kind, entry.Zone, entry.Cell
-		record.Incarnation, record.UpForMs, record.Address = entry.Incarnation, entry.UpForMs, entry.Address
-		record.FreeCores, record.FreeMemory = entry.FreeCores, entry.FreeMemory
-		record.since, record.conn = at, conn
+		record.Id = entry.Id
+		record.State = entry.State
+		record.Kind = entry.Kind
+		record.Zone = entry.Zone
+		record.Cell = entry.Cell
+		record.Incarnation = entry.Incarnation
+		record.UpForMs = entry.UpForMs
+		record.Address = entry.Address
+		record.FreeCores = entry.FreeCores
+		record.FreeMemory = entry.FreeMemory
+		record.since = at
+		record.conn = conn
 	})
 }
 
 // newUpdate returns the records that changed after a revision or, in a snapshot, all nodes that have not been removed.
 func (s *DiscoveryService) newUpdate(now placement.Millis, kind pb.NodeListUpdate_Kind, after uint64) *pb.Frame {
-	u := &pb.NodeListUpdate{Kind: kind, Epoch: s.epoch, Revision: s.revision}
+	u := &pb.NodeListUpdate{
+		Kind:     kind,
+		Epoch:    s.epoch,
+		Revision: s.revision,
+	}
 	if s.empty {
 		u.Kind = pb.NodeListUpdate_SNAPSHOT
 		return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
@@ -193,8 +214,16 @@
 			up += float64(now - record.since)
 		}
 		u.Entries = append(u.Entries, &pb.NodeEntry{
-			Id: record.Id, State: record.State, Kind: record.Kind, Zone: record.Zone, Cell: record.Cell, Incarnation: record.Incarnation, UpForMs: up,
-			FreeCores: record.FreeCores * factor, FreeMemory: record.FreeMemory * factor, Address: record.Address,
+			Id:          record.Id,
+			State:       record.State,
+			Kind:        record.Kind,
+			Zone:        record.Zone,
+			Cell:        record.Cell,
+			Incarnation: record.Incarnation,
+			UpForMs:     up,
+			FreeCores:   record.FreeCores * factor,
+			FreeMemory:  record.FreeMemory * factor,
+			Address:     record.Address,
 		})
 	}
 	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
@@ -220,7 +249,8 @@
 
 // Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with the next push.
 func (s *DiscoveryService) Misreport(_ placement.Millis, factor float64, empty bool) {
-	s.capacityFactor, s.empty = factor, empty
+	s.capacityFactor = factor
+	s.empty = empty
 	s.revision++
 	for _, record := range s.records {
 		record.revision = s.revision
@@ -258,7 +288,9 @@
 	}
 	if now-call.arrived > s.model.CallTimeout {
 		s.network.Send(call.from, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
-			Kind: pb.NodeListUpdate_POLL_FAILED, Epoch: s.epoch, Reason: "the list is overrun",
+			Kind:   pb.NodeListUpdate_POLL_FAILED,
+			Epoch:  s.epoch,
+			Reason: "the list is overrun",
 		}}})
 		s.serve(now)
 		return
@@ -266,7 +298,8 @@
 	f := s.pollUpdate(now, call.poll)
 	duration := s.sendDuration(len(f.GetNodeListUpdate().Entries))
 	if call.poll.Watch {
-		sub.watching, sub.revision = true, s.revision
+		sub.watching = true
+		sub.revision = s.revision
 	}
 	s.busy = true
 	s.timers.Schedule(now+duration, func(now placement.Millis) {
--- a/internal/simulation/emulator/discovery_test.go
+++ b/internal/simulation/emulator/discovery_test.go
@@ -10,16 +10,30 @@
 )
 
 func TestDiscoveryService_StaleWrongAndEmpty(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
+	s := NewDiscoveryService(&scenario.DiscoveryModel{
+		Lag:          1,
+		PushInterval: 10,
+		RemovalDelay: 100,
+	}, 1)
 	network := &fakeNetwork{}
 	s.Start(0, network)
-	s.register(0, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY, Incarnation: 1, FreeCores: 4})
+	s.register(0, 1, &pb.NodeEntry{
+		Id:          7,
+		State:       pb.NodeEntry_READY,
+		Incarnation: 1,
+		FreeCores:   4,
+	})
 	listed := func() []*pb.NodeEntry {
 		return s.newUpdate(0, pb.NodeListUpdate_SNAPSHOT, 0).GetNodeListUpdate().Entries
 	}
 	s.SetStale(0, true)
 	s.applyOrDefer(func() {
-		s.register(1, 1, &pb.NodeEntry{Id: 7, State: pb.NodeEntry_DRAINING, Incarnation: 1, FreeCores: 4})
+		s.register(1, 1, &pb.NodeEntry{
+			Id:          7,
+			State:       pb.NodeEntry_DRAINING,
+			Incarnation: 1,
+			FreeCores:   4,
+		})
 	})
 	assert.Equal(t, pb.NodeEntry_READY, listed()[0].State)
 	s.SetStale(0, false)
@@ -33,7 +47,11 @@
 }
 
 func TestDiscoveryService_ExtraLagDelaysRegistration(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{Lag: 1, PushInterval: 10, RemovalDelay: 100}, 1)
+	s := NewDiscoveryService(&scenario.DiscoveryModel{
+		Lag:          1,
+		PushInterval: 10,
+		RemovalDelay: 100,
+	}, 1)
 	network := &fakeNetwork{}
 	s.Start(0, network)
 	s.Opened(0, 1)
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -75,15 +75,24 @@
 // NewNode returns a node without workloads. In its first incarnation its uptime is unknown, and it does not warm up.
 func NewNode(spec *NodeSpec, m *scenario.NodeModel, incarnation uint64) *Node {
 	return &Node{
-		id: spec.ID, spec: spec, model: m, incarnation: incarnation, startedAt: placement.DistantPast, allocatorByConn: map[transport.ConnID]string{},
-		connByAllocator: map[string]transport.ConnID{}, latestIncarnation: map[string]uint64{}, byBind: map[observer.BindKey]*Task{},
-		answers: map[observer.BindKey]*pb.OfferReply{}, Slowdown: 1,
+		id:                spec.ID,
+		spec:              spec,
+		model:             m,
+		incarnation:       incarnation,
+		startedAt:         placement.DistantPast,
+		allocatorByConn:   map[transport.ConnID]string{},
+		connByAllocator:   map[string]transport.ConnID{},
+		latestIncarnation: map[string]uint64{},
+		byBind:            map[observer.BindKey]*Task{},
+		answers:           map[observer.BindKey]*pb.OfferReply{},
+		Slowdown:          1,
 	}
 }
 
 // Start implements transport.FrameHandler.
 func (n *Node) Start(now placement.Millis, network transport.FrameNetwork) {
-	n.network, n.now = network, now
+	n.network = network
+	n.now = now
 	if n.incarnation > 1 {
 		n.startedAt = now
 	}
@@ -112,7 +121,12 @@
 func (n *Node) Opened(now placement.Millis, conn transport.ConnID) {
 	n.now = now
 	if conn == n.discovery {
-		n.network.Send(conn, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.incarnation}))
+		n.network.Send(conn, transport.HelloFrame(&pb.Hello{
+			Role:        pb.Role_NODE,
+			Name:        "node",
+			Node:        n.id,
+			Incarnation: n.incarnation,
+		}))
 		n.register(now)
 	} else {
 		n.allocatorByConn[conn] = ""
@@ -153,7 +167,11 @@
 				t.confirmed = true
 			}
 		case *pb.Frame_HealthCheck:
-			n.enqueue(now, &queuedFrame{probe: b.HealthCheck.Id, from: conn, arrived: now})
+			n.enqueue(now, &queuedFrame{
+				probe:   b.HealthCheck.Id,
+				from:    conn,
+				arrived: now,
+			})
 		}
 	}
 	n.wake()
@@ -171,15 +189,25 @@
 		delete(n.allocatorByConn, conn)
 		return
 	}
-	n.allocatorByConn[conn], n.connByAllocator[h.Name] = h.Name, conn
+	n.allocatorByConn[conn] = h.Name
+	n.connByAllocator[h.Name] = conn
 	n.latestIncarnation[h.Name] = max(n.latestIncarnation[h.Name], h.Incarnation)
 	hello := &pb.Hello{
-		Role: pb.Role_NODE, Name: "node", Node: n.id, Incarnation: n.incarnation,
-		ConfirmsRunning: n.model.ConfirmsRunning, Draining: n.draining, UpForMs: n.uptime(n.now),
+		Role:            pb.Role_NODE,
+		Name:            "node",
+		Node:            n.id,
+		Incarnation:     n.incarnation,
+		ConfirmsRunning: n.model.ConfirmsRunning,
+		Draining:        n.draining,
+		UpForMs:         n.uptime(n.now),
 	}
 	for _, t := range n.tasks {
 		if t.Offer.Bind.Allocator == h.Name && (t.running || !n.model.ConfirmsRunning) {
-			hello.RunningWorkloads = append(hello.RunningWorkloads, &pb.RunningWorkload{Offer: t.Offer, Running: t.running, Confirmed: t.confirmed})
+			hello.RunningWorkloads = append(hello.RunningWorkloads, &pb.RunningWorkload{
+				Offer:     t.Offer,
+				Running:   t.running,
+				Confirmed: t.confirmed,
+			})
 		}
 	}
 	n.network.Send(conn, transport.HelloFrame(hello))
@@ -203,8 +231,16 @@
 		state = pb.NodeEntry_DRAINING
 	}
 	n.network.Send(n.discovery, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{
-		Id: n.id, State: state, Kind: n.spec.Kind, Zone: n.spec.Zone, Cell: n.spec.Cell, Incarnation: n.incarnation, UpForMs: n.uptime(now),
-		FreeCores: n.spec.Cores - cores, FreeMemory: n.spec.Memory - memory, Address: n.spec.Addr,
+		Id:          n.id,
+		State:       state,
+		Kind:        n.spec.Kind,
+		Zone:        n.spec.Zone,
+		Cell:        n.spec.Cell,
+		Incarnation: n.incarnation,
+		UpForMs:     n.uptime(now),
+		FreeCores:   n.spec.Cores - cores,
+		FreeMemory:  n.spec.Memory - memory,
+		Address:     n.spec.Addr,
 	}}})
 }
 
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -20,7 +20,8 @@
 
 // surgeFactor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
 func (n *Node) surgeFactor(t *Task) float64 {
-	surge, request := n.Surge, t.Offer.Request
+	surge := n.Surge
+	request := t.Offer.Request
 	affected := (surge.Group == "" || surge.Group == request.Group) && ServiceFactor(request.Service+2)-0.5 < surge.Share
 	if surge.Factor > 1 && affected {
 		return surge.Factor
@@ -57,7 +58,8 @@
 
 // UnblockStarts starts the tasks that were accepted while starts were blocked.
 func (n *Node) UnblockStarts(now placement.Millis) {
-	n.now, n.StartsBlocked = now, false
+	n.now = now
+	n.StartsBlocked = false
 	n.startNext(now)
 	n.wake()
 }
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -14,13 +14,22 @@
 		n.endTask(now, n.evictionCandidate(), pb.Reason_EVICTED)
 	}
 	cores := n.coresUsed()
-	spare, memory := n.spec.Cores-cores, n.spec.Memory-n.memoryUsed()
-	backlog, utilization := float64(len(n.queue)+len(n.pendingStarts)+n.startsInProgress), min(1, n.coreDemand())
+	spare := n.spec.Cores - cores
+	memory := n.spec.Memory - n.memoryUsed()
+	backlog := float64(len(n.queue) + len(n.pendingStarts) + n.startsInProgress)
+	utilization := min(1, n.coreDemand())
 	if n.UnderreportedShare > 0 {
-		spare, memory = spare+n.UnderreportedShare*(n.spec.Cores-spare), memory+n.UnderreportedShare*(n.spec.Memory-memory)
-		backlog, utilization = backlog*(1-n.UnderreportedShare), utilization*(1-n.UnderreportedShare)
+		spare = spare + n.UnderreportedShare*(n.spec.Cores-spare)
+		memory = memory + n.UnderreportedShare*(n.spec.Memory-memory)
+		backlog = backlog * (1 - n.UnderreportedShare)
+		utilization = utilization * (1 - n.UnderreportedShare)
+	}
+	n.load = &pb.Load{
+		SpareCores:  &spare,
+		SpareMemory: &memory,
+		Backlog:     &backlog,
+		Utilization: &utilization,
 	}
-	n.load = &pb.Load{SpareCores: &spare, SpareMemory: &memory, Backlog: &backlog, Utilization: &utilization}
 	n.loadAt = now
 	n.register(now)
 	n.timers.Schedule(now+n.model.ReportInterval, n.report)
@@ -32,8 +41,11 @@
 		return nil
 	}
 	return &pb.Load{
-		SpareCores: n.load.SpareCores, SpareMemory: n.load.SpareMemory, Backlog: n.load.Backlog,
-		Utilization: n.load.Utilization, AgeMs: float64(now - n.loadAt),
+		SpareCores:  n.load.SpareCores,
+		SpareMemory: n.load.SpareMemory,
+		Backlog:     n.load.Backlog,
+		Utilization: n.load.Utilization,
+		AgeMs:       float64(now - n.loadAt),
 	}
 }
 
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -41,7 +41,11 @@
 		n.timers.Schedule(now, func(placement.Millis) { n.OnOverload() })
 		return
 	}
-	n.enqueue(now, &queuedFrame{offer: offer, from: conn, arrived: now})
+	n.enqueue(now, &queuedFrame{
+		offer:   offer,
+		from:    conn,
+		arrived: now,
+	})
 }
 
 // overloads counts the arrival of an offer during warm-up, and reports whether it exceeds the limit of the overload window.
@@ -136,7 +140,12 @@
 	if frame.offer == nil {
 		return // a health check that finds the queue full is not answered
 	}
-	n.answer(now, frame.offer.Bind, &pb.OfferReply{Bind: frame.offer.Bind, Reason: why, Text: text, Load: n.loadNow(now)})
+	n.answer(now, frame.offer.Bind, &pb.OfferReply{
+		Bind:   frame.offer.Bind,
+		Reason: why,
+		Text:   text,
+		Load:   n.loadNow(now),
+	})
 }
 
 // answer sends the answer to an offer, and remembers it for duplicates of the offer.
@@ -156,7 +165,11 @@
 	n.tasks = append(n.tasks, t)
 	n.byBind[observer.KeyOf(offer.Bind)] = t
 	if !n.model.ConfirmsRunning {
-		n.answer(now, offer.Bind, &pb.OfferReply{Bind: offer.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, offer.Bind, &pb.OfferReply{
+			Bind:     offer.Bind,
+			Accepted: true,
+			Load:     n.loadNow(now),
+		})
 	}
 	n.pendingStarts = append(n.pendingStarts, t)
 	n.startNext(now)
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -69,7 +69,11 @@
 	t.memory = t.Offer.Request.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Request.Service+1)
 	n.removeCachedProgram(t.Offer.Request.Service)
 	if n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferReply{Bind: t.Offer.Bind, Accepted: true, Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferReply{
+			Bind:     t.Offer.Bind,
+			Accepted: true,
+			Load:     n.loadNow(now),
+		})
 	} else {
 		n.sendNote(t, pb.UsageReport_RUNNING, 1)
 	}
@@ -79,7 +83,11 @@
 
 // sendNote sends a note about a task to its allocator.
 func (n *Node) sendNote(t *Task, kind pb.UsageReport_Kind, value float64) {
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{Bind: t.Offer.Bind, Kind: kind, Value: value}}})
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{
+		Bind:  t.Offer.Bind,
+		Kind:  kind,
+		Value: value,
+	}}})
 }
 
 // sendUsageNote reports the cores that a task uses, and repeats until the task ends.
@@ -106,10 +114,19 @@
 		n.cacheProgram(t.Offer.Request.Service)
 	}
 	if !t.running && n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferReply{Bind: t.Offer.Bind, Reason: why, Text: "ended before it ran", Load: n.loadNow(now)})
+		n.answer(now, t.Offer.Bind, &pb.OfferReply{
+			Bind:   t.Offer.Bind,
+			Reason: why,
+			Text:   "ended before it ran",
+			Load:   n.loadNow(now),
+		})
 		return
 	}
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: t.Offer.Bind, Reason: why, Load: n.loadNow(now)}}})
+	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{
+		Bind:   t.Offer.Bind,
+		Reason: why,
+		Load:   n.loadNow(now),
+	}}})
 }
 
 // cacheProgram makes a service's program the most recently used one, and drops the least recently used beyond the limit.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -39,7 +39,11 @@
 		f.Share = 1
 		d.duringFault(f, at, until, func(n *emulator.Node) { n.Surge = swell }, func(n *emulator.Node) { n.Surge = emulator.UsageSurge{} })
 	case scenario.UsageOverrun:
-		swell := emulator.UsageSurge{Group: f.Group, Share: f.Share, Factor: f.Size}
+		swell := emulator.UsageSurge{
+			Group:  f.Group,
+			Share:  f.Share,
+			Factor: f.Size,
+		}
 		f.Share = 1
 		d.duringFault(f, at, until, func(n *emulator.Node) { n.Surge = swell }, func(n *emulator.Node) { n.Surge = emulator.UsageSurge{} })
 	case scenario.NoisyNeighbour:
@@ -114,9 +118,13 @@
 		}
 	case scenario.DiscoveryOverload:
 		d.onDiscovery(at, func(_ placement.Millis, l *emulator.DiscoveryService) {
-			l.Slowdown, l.ExtraLag = f.Size, placement.Millis(f.Size)*50
+			l.Slowdown = f.Size
+			l.ExtraLag = placement.Millis(f.Size) * 50
+		})
+		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) {
+			l.Slowdown = 1
+			l.ExtraLag = 0
 		})
-		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) { l.Slowdown, l.ExtraLag = 1, 0 })
 	case scenario.DiscoveryLate:
 		d.onDiscovery(at, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = placement.Millis(f.Size) })
 		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = 0 })
@@ -168,7 +176,8 @@
 func (d *Run) injectFrameFaults(gates []*network.Interceptor, f scenario.Fault, at, until placement.Millis, t network.FrameFaults) {
 	for _, g := range gates {
 		t := t
-		t.Share, t.Random = f.Share, rand.New(rand.NewPCG(d.rng.Uint64(), 3))
+		t.Share = f.Share
+		t.Random = rand.New(rand.NewPCG(d.rng.Uint64(), 3))
 		later := func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(g, at, do) }
 		d.host.RunAt(g, at, func(placement.Millis) { g.SetFrameFaults(&t, later) })
 		d.host.RunAt(g, until, func(placement.Millis) { g.SetFrameFaults(nil, later) })
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -30,8 +30,20 @@
 
 // MutantRules holds the rule that each mutant breaks.
 var MutantRules = map[Mutant]int{
-	NoAnswer: 1, TwoAnswers: 1, LateAnswer: 1, OffersAfterAnswer: 1, TwoBinds: 2, RejectsUnknownOutcome: 2, IgnoresDrain: 3,
-	IgnoresWarmUp: 4, IgnoresSpread: 5, LeavesGangParts: 6, StopsTwice: 6, IgnoresStorage: 2, NeverSyncs: 2, ExceedsMaxBinds: 2,
+	NoAnswer:              1,
+	TwoAnswers:            1,
+	LateAnswer:            1,
+	OffersAfterAnswer:     1,
+	TwoBinds:              2,
+	RejectsUnknownOutcome: 2,
+	IgnoresDrain:          3,
+	IgnoresWarmUp:         4,
+	IgnoresSpread:         5,
+	LeavesGangParts:       6,
+	StopsTwice:            6,
+	IgnoresStorage:        2,
+	NeverSyncs:            2,
+	ExceedsMaxBinds:       2,
 }
 
 // mutationInterval is the number of frames of which one is changed.
@@ -105,8 +117,13 @@
 			h.nodes = append(h.nodes, c)
 			if h.mutant == IgnoresDrain || h.mutant == IgnoresWarmUp {
 				changed := &pb.Hello{
-					Role: pb.Role_NODE, Name: b.Hello.Name, Node: b.Hello.Node, Incarnation: b.Hello.Incarnation,
-					RunningWorkloads: b.Hello.RunningWorkloads, Draining: b.Hello.Draining && h.mutant != IgnoresDrain, UpForMs: b.Hello.UpForMs,
+					Role:             pb.Role_NODE,
+					Name:             b.Hello.Name,
+					Node:             b.Hello.Node,
+					Incarnation:      b.Hello.Incarnation,
+					RunningWorkloads: b.Hello.RunningWorkloads,
+					Draining:         b.Hello.Draining && h.mutant != IgnoresDrain,
+					UpForMs:          b.Hello.UpForMs,
 				}
 				if h.mutant == IgnoresWarmUp {
 					changed.UpForMs = -1
@@ -130,11 +147,24 @@
 
 // changeUpdate returns a discovery update with other contents.
 func (h *mutantHandler) changeUpdate(u *pb.NodeListUpdate) *pb.Frame {
-	changed := &pb.NodeListUpdate{Kind: u.Kind, Epoch: u.Epoch, Revision: u.Revision, Reason: u.Reason}
+	changed := &pb.NodeListUpdate{
+		Kind:     u.Kind,
+		Epoch:    u.Epoch,
+		Revision: u.Revision,
+		Reason:   u.Reason,
+	}
 	for _, e := range u.Entries {
 		other := &pb.NodeEntry{
-			Id: e.Id, State: e.State, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Incarnation: e.Incarnation, UpForMs: e.UpForMs,
-			FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Address: e.Address,
+			Id:          e.Id,
+			State:       e.State,
+			Kind:        e.Kind,
+			Zone:        e.Zone,
+			Cell:        e.Cell,
+			Incarnation: e.Incarnation,
+			UpForMs:     e.UpForMs,
+			FreeCores:   e.FreeCores,
+			FreeMemory:  e.FreeMemory,
+			Address:     e.Address,
 		}
 		if h.mutant == IgnoresDrain && e.State == pb.NodeEntry_DRAINING {
 			other.State = pb.NodeEntry_READY
@@ -162,10 +192,18 @@
 	case *pb.Frame_Offer:
 		h.net.Send(c, f)
 		if h.mutant == TwoBinds && h.mutateNext() {
-			second := &pb.Offer{Bind: &pb.BindID{
-				Allocator: b.Offer.Bind.Allocator, Incarnation: b.Offer.Bind.Incarnation,
-				Workload: b.Offer.Bind.Workload, Number: b.Offer.Bind.Number + 1,
-			}, Client: b.Offer.Client, Request: b.Offer.Request, AcceptWithinMs: b.Offer.AcceptWithinMs, Gang: b.Offer.Gang}
+			second := &pb.Offer{
+				Bind: &pb.BindID{
+					Allocator:   b.Offer.Bind.Allocator,
+					Incarnation: b.Offer.Bind.Incarnation,
+					Workload:    b.Offer.Bind.Workload,
+					Number:      b.Offer.Bind.Number + 1,
+				},
+				Client:         b.Offer.Client,
+				Request:        b.Offer.Request,
+				AcceptWithinMs: b.Offer.AcceptWithinMs,
+				Gang:           b.Offer.Gang,
+			}
 			h.net.Send(h.nodes[h.count/mutationInterval%len(h.nodes)], &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
 		}
 		if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -67,7 +67,8 @@
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
 	}
-	n, over := 0, false
+	n := 0
+	over := false
 	return func() bool {
 		if n++; n%4096 == 1 {
 			over = over || !o.Deadline.IsZero() && time.Now().After(o.Deadline) || o.Cancelled != nil && o.Cancelled() != nil
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -69,10 +69,20 @@
 func (d *Run) Result(a *audit.Auditor) *Result {
 	s := d.script
 	r := &Result{
-		Name: s.Name, About: s.About, Seed: d.opts.Seed, Allocators: s.Allocators, Nodes: len(d.nodes),
-		Ended: map[string]int{}, Frames: a.Frames, Violations: a.Violations, MoreViolations: a.MoreViolations,
-		OverloadedNodes: len(d.overloads), LimitUse: a.LimitUse, ScenarioSeconds: float64(s.Length) / 1000,
-		PartialLeft: a.IncompleteGangs(), GangWasted: a.WastedCoreShare(),
+		Name:            s.Name,
+		About:           s.About,
+		Seed:            d.opts.Seed,
+		Allocators:      s.Allocators,
+		Nodes:           len(d.nodes),
+		Ended:           map[string]int{},
+		Frames:          a.Frames,
+		Violations:      a.Violations,
+		MoreViolations:  a.MoreViolations,
+		OverloadedNodes: len(d.overloads),
+		LimitUse:        a.LimitUse,
+		ScenarioSeconds: float64(s.Length) / 1000,
+		PartialLeft:     a.IncompleteGangs(),
+		GangWasted:      a.WastedCoreShare(),
 	}
 	if r.Violations == nil {
 		r.Violations = []audit.Violation{} // never null in JSON
@@ -86,13 +96,16 @@
 // addClients adds what the clients have counted.
 func (d *Run) addClients(r *Result) {
 	var waits, gangWaits []float64
-	placedFirst, wasted, used := 0, 0.0, 0.0
+	placedFirst := 0
+	wasted := 0.0
+	used := 0.0
 	for _, g := range d.clients {
 		t := &g.Handler().(*emulator.Client).Tally
 		r.addTally(t)
 		waits = append(waits, t.Waits...)
 		gangWaits = append(gangWaits, t.GangWaits...)
-		wasted, used = wasted+t.Wasted, used+t.Used
+		wasted += t.Wasted
+		used += t.Used
 		placedFirst += t.SinglesPlaced
 	}
 	r.FirstPlaced = float64(placedFirst) / float64(max(1, r.Singles))
@@ -102,7 +115,8 @@
 		r.GangWasted = wasted / (wasted + used)
 	}
 	slices.Sort(waits)
-	r.WaitMedian, r.Wait99 = percentile(waits, 0.5), percentile(waits, 0.99)
+	r.WaitMedian = percentile(waits, 0.5)
+	r.Wait99 = percentile(waits, 0.99)
 }
 
 func (r *Result) addTally(t *emulator.Tally) {
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -128,7 +128,8 @@
 func placedBy(t *testing.T, day string, seeds uint64) []float64 {
 	t.Helper()
 	const half, begins = 500, 1500 // ms; owners begin once all know each other
-	sums, days := make([]float64, 28), make([]float64, 28)
+	sums := make([]float64, 28)
+	days := make([]float64, 28)
 	for seed := range seeds {
 		file := filepath.Join(t.TempDir(), "history")
 		play(t, decode(t, day), Options{Seed: seed + 1, HistoryFile: file})
@@ -137,7 +138,9 @@
 			owner string
 			ask   uint64
 		}
-		sent, asked, placed := map[ref]int{}, make([]float64, 28), make([]float64, 28)
+		sent := map[ref]int{}
+		asked := make([]float64, 28)
+		placed := make([]float64, 28)
 		for _, s := range h.Events() {
 			if a := s.Frame.GetPlaceRequest(); a != nil && s.Kind == observer.FrameSent {
 				slot := min(27, int((s.At-begins)/half))
@@ -150,7 +153,8 @@
 		}
 		for i := range sums {
 			if asked[i] > 0 {
-				sums[i], days[i] = sums[i]+placed[i]/asked[i], days[i]+1
+				sums[i] += placed[i]/asked[i]
+				days[i]++
 			}
 		}
 	}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -87,8 +87,14 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	d := &Run{
-		script: s, opts: o, host: host, observer: w, rng: rand.New(rand.NewPCG(o.Seed, 77)), requestsStart: now + s.SettleTime,
-		overloads: make(chan struct{}, s.NodeCount()*100+1), drains: map[*network.Interceptor][]oracle.Span{},
+		script:        s,
+		opts:          o,
+		host:          host,
+		observer:      w,
+		rng:           rand.New(rand.NewPCG(o.Seed, 77)),
+		requestsStart: now + s.SettleTime,
+		overloads:     make(chan struct{}, s.NodeCount()*100+1),
+		drains:        map[*network.Interceptor][]oracle.Span{},
 	}
 	if _, virtual := host.(*network.Virtual); !virtual {
 		d.wallClockOffset = float64(time.Now().UnixNano())/1e6 - float64(now)
@@ -109,8 +115,11 @@
 		for range count {
 			i := len(d.specs)
 			d.specs = append(d.specs, &emulator.NodeSpec{
-				ID: uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1, Kind: s.NodeKinds[k],
-				Cores: s.Settings.NodeKinds[k].Cores, Memory: s.Settings.NodeKinds[k].Memory, DiscoveryAddr: list,
+				ID:            uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1,
+				Kind:          s.NodeKinds[k],
+				Cores:         s.Settings.NodeKinds[k].Cores,
+				Memory:        s.Settings.NodeKinds[k].Memory,
+				DiscoveryAddr: list,
 			})
 		}
 	}
@@ -145,7 +154,9 @@
 		}
 		client.Allocators = append(client.Allocators, addr)
 	}
-	client.Demand, client.From, client.Until = s.Demand, d.requestsStart, d.requestsStart+s.Length
+	client.Demand = s.Demand
+	client.From = d.requestsStart
+	client.Until = d.requestsStart + s.Length
 	client.Rate /= float64(s.Clients)
 	client.Gangs = slices.Clone(client.Gangs)
 	for i := range client.Gangs {
@@ -198,7 +209,8 @@
 	var process *network.Interceptor
 	durable := &simulatedLog{
 		disk:     storage.NewMemoryDisk(mixHash(d.opts.Seed, uint64(i))),
-		syncTime: d.script.Storage.SyncTime, syncs: d.opts.Mutant != NeverSyncs,
+		syncTime: d.script.Storage.SyncTime,
+		syncs:    d.opts.Mutant != NeverSyncs,
 		now:      func() placement.Millis { return process.HostNow() },
 		schedule: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(process, at, do) },
 	}
@@ -234,7 +246,8 @@
 func (d *Run) allocatorConfig(i int, name string, incarnation uint64, discoveryAddress string) native.Config {
 	s := d.script
 	settings := s.Settings
-	settings.Allocators, settings.Ordinal = s.Allocators, i
+	settings.Allocators = s.Allocators
+	settings.Ordinal = i
 	switch d.opts.Mutant {
 	case ExceedsMaxBinds:
 		settings.MaxBinds += 4
@@ -245,9 +258,17 @@
 		}
 	}
 	return native.Config{
-		Name: name, Incarnation: incarnation, Seed: mixHash(d.opts.Seed, uint64(i)<<20|incarnation), Settings: settings,
-		GroupNames: s.Groups, KindNames: s.NodeKinds, Zone: d.zone(i), DiscoveryAddress: discoveryAddress,
-		MaxWorkloads: s.Limits.MaxWorkloads, Log: d.opts.Log.With("allocator", name), WallClockOffset: d.wallClockOffset,
+		Name:             name,
+		Incarnation:      incarnation,
+		Seed:             mixHash(d.opts.Seed, uint64(i)<<20|incarnation),
+		Settings:         settings,
+		GroupNames:       s.Groups,
+		KindNames:        s.NodeKinds,
+		Zone:             d.zone(i),
+		DiscoveryAddress: discoveryAddress,
+		MaxWorkloads:     s.Limits.MaxWorkloads,
+		Log:              d.opts.Log.With("allocator", name),
+		WallClockOffset:  d.wallClockOffset,
 	}
 }
 
@@ -255,7 +276,9 @@
 func (d *Run) injectMessageFault(process *network.Interceptor, h transport.FrameHandler, frames *int) transport.FrameHandler {
 	fault := d.opts.MessageFault
 	return &network.Injector{
-		FrameHandler: h, Fault: fault, Frames: frames,
+		FrameHandler: h,
+		Fault:        fault,
+		Frames:       frames,
 		Schedule: func(at placement.Millis, do func(now placement.Millis)) {
 			d.host.RunAt(process, at, func(now placement.Millis) {
 				if process.Alive() {
@@ -287,7 +310,11 @@
 		before.Close()
 		d.recorders = slices.DeleteFunc(d.recorders, func(r *trace.Recorder) bool { return r == before })
 	}
-	source := &tracepb.Source{Allocator: c.Name, Incarnation: c.Incarnation, WallMs: c.WallClockOffset}
+	source := &tracepb.Source{
+		Allocator:   c.Name,
+		Incarnation: c.Incarnation,
+		WallMs:      c.WallClockOffset,
+	}
 	r, err := trace.NewRecorder(filepath.Join(d.opts.TraceDirectory, c.Name), source, trace.DefaultLimits, c.Log)
 	if err != nil {
 		d.traceErr = err
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -65,7 +65,8 @@
 
 func TestPlayVirtual_SameSeedSameResult(t *testing.T) {
 	for _, name := range []string{"rough", "overlap", "cold-herd"} {
-		first, again := play(t, open(t, name), Options{Seed: 3}), play(t, open(t, name), Options{Seed: 3})
+		first := play(t, open(t, name), Options{Seed: 3})
+		again := play(t, open(t, name), Options{Seed: 3})
 		again.RanSeconds = first.RanSeconds
 		assert.Equal(t, first, again)
 		assert.NotEqual(t, first.Digest, play(t, open(t, name), Options{Seed: 4}).Digest)
@@ -84,7 +85,9 @@
 		s := open(t, "gang-contest")
 		s.Resize(allocators, 0)
 		s.Client.Rate = 1
-		s.Client.Gangs[0].Parts, s.Client.Gangs[0].MinParts, s.Client.Gangs[0].SpreadScope = s.NodeCount()/2, s.NodeCount()/2, "node"
+		s.Client.Gangs[0].Parts = s.NodeCount() / 2
+		s.Client.Gangs[0].MinParts = s.NodeCount() / 2
+		s.Client.Gangs[0].SpreadScope = "node"
 		s.Client.Gangs[0].Rate = float64(allocators) / 8
 		r := play(t, s, Options{Seed: 1})
 		kept(t, r)
@@ -97,17 +100,24 @@
 	day := func(change func(*scenario.GangDemand)) *Result {
 		s := open(t, "gang-contest")
 		s.Resize(1, 0)
-		s.Client.Rate, s.Client.Gangs[0].Rate = 0.5, 0.5
+		s.Client.Rate = 0.5
+		s.Client.Gangs[0].Rate = 0.5
 		change(&s.Client.Gangs[0])
 		r := play(t, s, Options{Seed: 1})
 		assert.Empty(t, r.Violations)
 		return r
 	}
-	larger := day(func(g *scenario.GangDemand) { g.Parts, g.MinParts = 50, 50 })
+	larger := day(func(g *scenario.GangDemand) {
+		g.Parts = 50
+		g.MinParts = 50
+	})
 	assert.Zero(t, larger.GangsPlaced)
 	assert.Zero(t, larger.GangStops, "nothing of it was ever sent")
 	one := day(func(g *scenario.GangDemand) {
-		g.Parts, g.MinParts, g.Shape, g.SpreadScope = 3, 3, [2]float64{13, 20}, ""
+		g.Parts = 3
+		g.MinParts = 3
+		g.Shape = [2]float64{13, 20}
+		g.SpreadScope = ""
 	})
 	assert.NotZero(t, one.GangsPlaced)
 }
@@ -117,10 +127,21 @@
 	t.Helper()
 	s := open(t, "gang-contest")
 	s.Resize(1, 4)
-	s.Clients, s.Length, s.Client.Rate, s.Client.WithdrawShare = 1, 3000, 0, 0
+	s.Clients = 1
+	s.Length = 3000
+	s.Client.Rate = 0
+	s.Client.WithdrawShare = 0
 	s.Client.Gangs = []scenario.GangDemand{{
-		Group: group, Idempotency: s.Settings.Groups[slices.Index(s.Groups, group)].Idempotency, Rate: 0.6, Parts: 3, MinParts: 3,
-		Shape: [2]float64{10, 10}, Lifetime: 2500, PendingTimeout: 4000, Replace: replace, ReplaceTimeout: 1500,
+		Group:          group,
+		Idempotency:    s.Settings.Groups[slices.Index(s.Groups, group)].Idempotency,
+		Rate:           0.6,
+		Parts:          3,
+		MinParts:       3,
+		Shape:          [2]float64{10, 10},
+		Lifetime:       2500,
+		PendingTimeout: 4000,
+		Replace:        replace,
+		ReplaceTimeout: 1500,
 	}}
 	return s
 }
@@ -132,7 +153,11 @@
 	for _, group := range []string{"serve", "check", "trace"} {
 		for _, kind := range network.MessageFaultKinds {
 			for frame := 1; frame <= 40; frame++ {
-				m := &network.MessageFault{Kind: kind, Frame: frame, Restarts: frame%2 == 0}
+				m := &network.MessageFault{
+					Kind:     kind,
+					Frame:    frame,
+					Restarts: frame%2 == 0,
+				}
 				s := single(t, group, frame%3 == 0)
 				s.Client.WithdrawShare = float64(frame / 2 % 2) // then parts are stopped, and it may be a stop that goes wrong
 				r := play(t, s, Options{Seed: 2, MessageFault: m})
@@ -176,9 +201,20 @@
 func TestMutants_DetectedByAuditor(t *testing.T) {
 	// The days on which each has occasion to break its rule.
 	days := map[Mutant]string{
-		NoAnswer: "quiet", TwoAnswers: "quiet", LateAnswer: "full", OffersAfterAnswer: "quiet", TwoBinds: "quiet",
-		RejectsUnknownOutcome: "hall-cut", IgnoresDrain: "deploy", IgnoresWarmUp: "cold-herd", IgnoresSpread: "full", LeavesGangParts: "gang-contest",
-		StopsTwice: "gang-node-failure", IgnoresStorage: "state-death", NeverSyncs: "state-death", ExceedsMaxBinds: "throttle",
+		NoAnswer:              "quiet",
+		TwoAnswers:            "quiet",
+		LateAnswer:            "full",
+		OffersAfterAnswer:     "quiet",
+		TwoBinds:              "quiet",
+		RejectsUnknownOutcome: "hall-cut",
+		IgnoresDrain:          "deploy",
+		IgnoresWarmUp:         "cold-herd",
+		IgnoresSpread:         "full",
+		LeavesGangParts:       "gang-contest",
+		StopsTwice:            "gang-node-failure",
+		IgnoresStorage:        "state-death",
+		NeverSyncs:            "state-death",
+		ExceedsMaxBinds:       "throttle",
 	}
 	for how, rule := range MutantRules {
 		t.Run(string(how), func(t *testing.T) {
@@ -188,10 +224,18 @@
 			}
 			file := filepath.Join(t.TempDir(), "history")
 			seed := uint64(1)
-			r := play(t, s, Options{Seed: seed, Mutant: how, HistoryFile: file})
+			r := play(t, s, Options{
+				Seed:        seed,
+				Mutant:      how,
+				HistoryFile: file,
+			})
 			for len(r.Violations) == 0 && seed < 20 {
 				seed++
-				r = play(t, s, Options{Seed: seed, Mutant: how, HistoryFile: file}) // some need chance to give them occasion
+				r = play(t, s, Options{
+					Seed:        seed,
+					Mutant:      how,
+					HistoryFile: file,
+				}) // some need chance to give them occasion
 			}
 			require.NotEmpty(t, r.Violations)
 			// What was written down is judged alike, and an honest allocator passes on the same day.
--- a/internal/simulation/scenario/decode.go
+++ b/internal/simulation/scenario/decode.go
@@ -84,10 +84,13 @@
 			break
 		}
 		d := Demand{
-			Name: g.Name, Share: g.Float("share", 1, 0, 1e6), Lifetime: g.Duration("life", 10e3),
+			Name:           g.Name,
+			Share:          g.Float("share", 1, 0, 1e6),
+			Lifetime:       g.Duration("life", 10e3),
 			Shapes:         g.FloatPairs("shapes", [][2]float64{{0.5, 1}, {1, 2}}),
-			PendingTimeout: g.Duration("pending", 6e3), Services: g.Int("services", 12, 1, 100000),
-			Idempotency: s.Settings.Groups[i].Idempotency,
+			PendingTimeout: g.Duration("pending", 6e3),
+			Services:       g.Int("services", 12, 1, 100000),
+			Idempotency:    s.Settings.Groups[i].Idempotency,
 		}
 		if len(d.Shapes) == 0 {
 			g.AddProblem("shapes", "shapes is empty", "write pairs of cores and memory such as [[0.5, 1]]")
@@ -95,8 +98,10 @@
 		total += d.Share
 		s.Demand = append(s.Demand, d)
 		s.Node.Groups[g.Name] = &GroupModel{
-			StartTime: g.Duration("work", 60), CoreUse: g.Float("cores_used", 0.5, 0, 10),
-			MemoryUse: g.Float("memory_used", 0.7, 0, 10), EvictionRank: g.Int("rank", 0, 0, 100),
+			StartTime:    g.Duration("work", 60),
+			CoreUse:      g.Float("cores_used", 0.5, 0, 10),
+			MemoryUse:    g.Float("memory_used", 0.7, 0, 10),
+			EvictionRank: g.Int("rank", 0, 0, 100),
 		}
 	}
 	for i := range s.Demand {
@@ -121,8 +126,10 @@
 	m.AnnouncesDrain = n.Bool("tells_drain", true)
 	m.OverloadFactor = rules.Float("overload", 3, 1, 100)
 	m.ConfirmsRunning = s.Settings.ConfirmsRunning
-	m.InitialRate, m.WarmUpDuration = s.Settings.InitialRate, s.Settings.WarmUpDuration
-	m.WarmUpBudget, m.OverloadWindow = s.Settings.WarmUpBudget, s.Settings.OverloadWindow
+	m.InitialRate = s.Settings.InitialRate
+	m.WarmUpDuration = s.Settings.WarmUpDuration
+	m.WarmUpBudget = s.Settings.WarmUpBudget
+	m.OverloadWindow = s.Settings.OverloadWindow
 	if m.ReportInterval < 10 {
 		n.AddProblem("report_every", "report_every is under 10ms", `write a longer one, such as "250ms"`)
 	}
@@ -131,9 +138,12 @@
 func (s *Script) readDiscovery(b *config.Block) {
 	l := b.Block("list")
 	s.Discovery = DiscoveryModel{
-		Polled: s.Settings.PolledDiscovery, Lag: l.Duration("lag", 500), PushInterval: l.Duration("every", 250),
-		RemovalDelay: l.Duration("notice", 2e3), EntriesPerSecond: l.Float("lines_per_second", 0, 0, 1e9),
-		CallTimeout: l.Duration("call_timeout", 2e3),
+		Polled:           s.Settings.PolledDiscovery,
+		Lag:              l.Duration("lag", 500),
+		PushInterval:     l.Duration("every", 250),
+		RemovalDelay:     l.Duration("notice", 2e3),
+		EntriesPerSecond: l.Float("lines_per_second", 0, 0, 1e9),
+		CallTimeout:      l.Duration("call_timeout", 2e3),
 	}
 	if s.Discovery.PushInterval < 10 {
 		l.AddProblem("every", "every is under 10ms", `write a longer one, such as "250ms"`)
@@ -143,11 +153,15 @@
 func (s *Script) readGangs(b *config.Block) {
 	for _, g := range b.Named("gang") {
 		d := GangDemand{
-			Group: g.String("group", firstName(s.Groups)), Rate: g.Float("rate", 0.3, 0, 1e4), Parts: g.Int("parts", 4, 1, 1000),
-			Lifetime: g.Duration("life", 8e3), PendingTimeout: g.Duration("pending", 8e3),
-			SpreadScope: g.OneOf("spread", "", "", "node", "cell", "zone"),
-			Replace:     g.Bool("replace", false), ReplaceTimeout: g.Duration("replace_within", 3e3),
-			Shape: [2]float64{g.Float("cores", 2, 0.001, 1e6), g.Float("memory", 4, 0.001, 1e9)},
+			Group:          g.String("group", firstName(s.Groups)),
+			Rate:           g.Float("rate", 0.3, 0, 1e4),
+			Parts:          g.Int("parts", 4, 1, 1000),
+			Lifetime:       g.Duration("life", 8e3),
+			PendingTimeout: g.Duration("pending", 8e3),
+			SpreadScope:    g.OneOf("spread", "", "", "node", "cell", "zone"),
+			Replace:        g.Bool("replace", false),
+			ReplaceTimeout: g.Duration("replace_within", 3e3),
+			Shape:          [2]float64{g.Float("cores", 2, 0.001, 1e6), g.Float("memory", 4, 0.001, 1e9)},
 		}
 		d.MinParts = g.Int("need", d.Parts, 1, d.Parts)
 		at := slices.Index(s.Groups, d.Group)
--- a/internal/simulation/scenario/script.go
+++ b/internal/simulation/scenario/script.go
@@ -105,8 +105,11 @@
 // Terms returns the limits that a run of the script is audited against.
 func (s *Script) Terms() Terms {
 	t := Terms{
-		AnswerSlack: s.Client.AnswerSlack, DrainGrace: s.DrainGrace, MaxBinds: s.Settings.MaxBinds, Model: &s.Node,
-		Groups: map[string]placement.Group{},
+		AnswerSlack: s.Client.AnswerSlack,
+		DrainGrace:  s.DrainGrace,
+		MaxBinds:    s.Settings.MaxBinds,
+		Model:       &s.Node,
+		Groups:      map[string]placement.Group{},
 	}
 	for i, name := range s.Groups {
 		t.Groups[name] = s.Settings.Groups[i]
@@ -161,7 +164,8 @@
 // SetLoad scales the request rates of gangs and single workloads alike, so that their mean demand is that share of the
 // cores of all nodes.
 func (s *Script) SetLoad(share float64) {
-	cores, wanted := 0.0, 0.0
+	cores := 0.0
+	wanted := 0.0
 	for i, n := range s.NodeCounts {
 		cores += float64(n) * s.Settings.NodeKinds[i].Cores
 	}
--- a/internal/simulation/search/search.go
+++ b/internal/simulation/search/search.go
@@ -70,11 +70,26 @@
 
 // faultSizes are the ranges from which the sizes of faults are drawn.
 var faultSizes = map[scenario.FaultKind][2]float64{
-	scenario.NodeSlow: {2, 12}, scenario.NodePause: {100, 900}, scenario.NoisyNeighbour: {0.3, 0.9}, scenario.RequestBurst: {1.3, 3}, scenario.HotService: {1.5, 4},
-	scenario.UsageOverrun: {2, 8}, scenario.RollingDeploy: {0.05, 0.4}, scenario.CacheLoss: {0.3, 1}, scenario.ServiceRestart: {0.1, 0.7},
-	scenario.AllocatorPause: {200, 2500}, scenario.NodePreemption: {0.05, 0.4}, scenario.DiscoveryOverload: {2, 60}, scenario.HotAllocator: {0.2, 0.9},
-	scenario.DiscoveryLate: {300, 6e3}, scenario.DiscoveryWrong: {0.2, 5}, scenario.ClockSkew: {10, 500}, scenario.ClockStep: {100, 60e3}, scenario.FramesReordered: {5, 200},
-	scenario.FramesDelayed: {5, 400}, scenario.LoadUnderreported: {0.2, 1},
+	scenario.NodeSlow:          {2, 12},
+	scenario.NodePause:         {100, 900},
+	scenario.NoisyNeighbour:    {0.3, 0.9},
+	scenario.RequestBurst:      {1.3, 3},
+	scenario.HotService:        {1.5, 4},
+	scenario.UsageOverrun:      {2, 8},
+	scenario.RollingDeploy:     {0.05, 0.4},
+	scenario.CacheLoss:         {0.3, 1},
+	scenario.ServiceRestart:    {0.1, 0.7},
+	scenario.AllocatorPause:    {200, 2500},
+	scenario.NodePreemption:    {0.05, 0.4},
+	scenario.DiscoveryOverload: {2, 60},
+	scenario.HotAllocator:      {0.2, 0.9},
+	scenario.DiscoveryLate:     {300, 6e3},
+	scenario.DiscoveryWrong:    {0.2, 5},
+	scenario.ClockSkew:         {10, 500},
+	scenario.ClockStep:         {100, 60e3},
+	scenario.FramesReordered:   {5, 200},
+	scenario.FramesDelayed:     {5, 400},
+	scenario.LoadUnderreported: {0.2, 1},
 }
 
 // generate returns the script of a run. It depends on the seed and the index alone.
@@ -84,16 +99,27 @@
 	few := func(most int) int { return 1 + int(float64(most)*rng.Float64()*rng.Float64()) } // small ones more often
 	nodes := 3 + few(max(1, h.Nodes-3))
 	d := &generated{
-		seed: uint64(rng.Uint32()) + 1, allocators: few(h.Allocators), smallNodes: nodes - nodes/3, largeNodes: nodes / 3,
-		load: between(0.2, 1.3), length: placement.Millis(between(12e3, 24e3)), polled: rng.IntN(2) == 0, confirmsRunning: rng.IntN(3) == 0,
-		drainMode: []string{"keeps", "paced", "at-once"}[rng.IntN(3)], warmUpBudget: 6 + rng.IntN(30), gangs: rng.IntN(4) == 0,
-		durable: rng.IntN(4) == 0,
+		seed:            uint64(rng.Uint32()) + 1,
+		allocators:      few(h.Allocators),
+		smallNodes:      nodes - nodes/3,
+		largeNodes:      nodes / 3,
+		load:            between(0.2, 1.3),
+		length:          placement.Millis(between(12e3, 24e3)),
+		polled:          rng.IntN(2) == 0,
+		confirmsRunning: rng.IntN(3) == 0,
+		drainMode:       []string{"keeps", "paced", "at-once"}[rng.IntN(3)],
+		warmUpBudget:    6 + rng.IntN(30),
+		gangs:           rng.IntN(4) == 0,
+		durable:         rng.IntN(4) == 0,
 	}
 	if d.durable { // it shows only where allocators die, and most where a bind is out for long
 		d.confirmsRunning = true
 		for range 2 {
 			d.faults = append(d.faults, scenario.Fault{
-				Kind: scenario.AllocatorCrash, At: placement.Millis(between(0, float64(d.length)*0.6)), Duration: placement.Millis(between(100, 2e3)), Share: 1,
+				Kind:     scenario.AllocatorCrash,
+				At:       placement.Millis(between(0, float64(d.length)*0.6)),
+				Duration: placement.Millis(between(100, 2e3)),
+				Share:    1,
 			})
 		}
 	}
@@ -101,8 +127,12 @@
 	for range 1 + rng.IntN(4) {
 		kind := kinds[rng.IntN(len(kinds))]
 		f := scenario.Fault{
-			Kind: kind, At: placement.Millis(between(0, float64(d.length)*0.8)), Duration: placement.Millis(between(300, 9e3)),
-			Interval: placement.Millis(between(500, 4e3)), Share: between(0.05, 1), DrainTime: placement.Millis(between(300, 4e3)),
+			Kind:      kind,
+			At:        placement.Millis(between(0, float64(d.length)*0.8)),
+			Duration:  placement.Millis(between(300, 9e3)),
+			Interval:  placement.Millis(between(500, 4e3)),
+			Share:     between(0.05, 1),
+			DrainTime: placement.Millis(between(300, 4e3)),
 		}
 		if r, ok := faultSizes[kind]; ok {
 			f.Size = between(r[0], r[1])
@@ -122,7 +152,8 @@
 func (d *generated) text() string {
 	var b strings.Builder
 	ms := func(t placement.Millis) string { return fmt.Sprintf("%q", fmt.Sprintf("%.0fms", float64(t))) }
-	list, confirms := "push", "accepted"
+	list := "push"
+	confirms := "accepted"
 	if d.polled {
 		list = "ask"
 	}
@@ -212,7 +243,8 @@
 			func(c *generated) bool { c.durable = false; return d.durable },
 			func(c *generated) bool { c.allocators /= 2; return c.allocators >= 1 },
 			func(c *generated) bool {
-				c.smallNodes, c.largeNodes = c.smallNodes/2, c.largeNodes/2
+				c.smallNodes /= 2
+				c.largeNodes /= 2
 				return c.smallNodes >= 1
 			},
 			func(c *generated) bool { c.length /= 2; return c.length >= 2e3 },
@@ -265,7 +297,8 @@
 // playAll plays runs until the context or the number of runs ends, one on each core at a time. The channel is closed after the
 // last; failure then returns the first error.
 func (h *Search) playAll(ctx context.Context) (outcomes chan outcome, failure func() error) {
-	indexes, outcomes := make(chan int), make(chan outcome)
+	indexes := make(chan int)
+	outcomes = make(chan outcome)
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	var first error
@@ -336,13 +369,24 @@
 		before := o.script.size()
 		small := o.script.reduce(b.Rule, how)
 		r.Findings = append(r.Findings, Finding{
-			Rule: b.Rule, What: b.Message, Lost: unplacedShare(o.result), Run: o.index, Times: 1, Reduction: before + " -> " + small.size(),
-			Script: small.text(), Seed: small.seed,
+			Rule:      b.Rule,
+			What:      b.Message,
+			Lost:      unplacedShare(o.result),
+			Run:       o.index,
+			Times:     1,
+			Reduction: before + " -> " + small.size(),
+			Script:    small.text(),
+			Seed:      small.seed,
 		})
 	}
 	for _, o := range worst {
 		r.Findings = append(r.Findings, Finding{
-			What: "much is lost, and no rule is broken", Lost: unplacedShare(o.result), Run: o.index, Times: 1, Script: o.script.text(), Seed: o.script.seed,
+			What:   "much is lost, and no rule is broken",
+			Lost:   unplacedShare(o.result),
+			Run:    o.index,
+			Times:  1,
+			Script: o.script.text(),
+			Seed:   o.script.seed,
 		})
 	}
 }
--- a/internal/simulation/search/search_test.go
+++ b/internal/simulation/search/search_test.go
@@ -20,7 +20,13 @@
 	for how, rule := range simulation.MutantRules {
 		t.Run(string(how), func(t *testing.T) {
 			t.Parallel()
-			h := Search{Seed: 1, MaxRuns: 40, Allocators: 6, Nodes: 12, Mutant: how}
+			h := Search{
+				Seed:       1,
+				MaxRuns:    40,
+				Allocators: 6,
+				Nodes:      12,
+				Mutant:     how,
+			}
 			if how == simulation.IgnoresWarmUp || how == simulation.RejectsUnknownOutcome || how == simulation.LeavesGangParts || how == simulation.StopsTwice ||
 				how == simulation.IgnoresStorage || how == simulation.NeverSyncs {
 				h.MaxRuns = 600 // these need more than chance gives every day
@@ -41,7 +47,13 @@
 // What a hunt draws depends on its seed alone, and an honest engine breaks nothing.
 func TestSearch_DependsOnSeedOnly(t *testing.T) {
 	run := func(seed uint64) *Report {
-		h := Search{Seed: seed, MaxRuns: 150, Allocators: 8, Nodes: 16, KeepWorst: 2}
+		h := Search{
+			Seed:       seed,
+			MaxRuns:    150,
+			Allocators: 8,
+			Nodes:      16,
+			KeepWorst:  2,
+		}
 		r, err := h.Run(context.Background(), nil)
 		require.NoError(t, err)
 		r.Seconds = 0
@@ -61,7 +73,14 @@
 func TestSearch_DoesNotDependOnCores(t *testing.T) {
 	run := func(cores int) *Report {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		h := Search{Seed: 3, MaxRuns: 40, Allocators: 6, Nodes: 12, KeepWorst: 3, Mutant: simulation.TwoBinds}
+		h := Search{
+			Seed:       3,
+			MaxRuns:    40,
+			Allocators: 6,
+			Nodes:      12,
+			KeepWorst:  3,
+			Mutant:     simulation.TwoBinds,
+		}
 		r, err := h.Run(context.Background(), nil)
 		require.NoError(t, err)
 		r.Seconds = 0
--- a/internal/simulation/simulated_log.go
+++ b/internal/simulation/simulated_log.go
@@ -33,13 +33,17 @@
 // begin opens the log for an incarnation and puts what was recovered into its configuration.
 func (j *simulatedLog) begin(c *native.Config) error {
 	j.disk.Recover()
-	j.queue, j.busy = nil, false
+	j.queue = nil
+	j.busy = false
 	j.incarnation++
 	log, found, err := storage.Open(j.disk, &statepb.Incarnation{Number: c.Incarnation}, 1<<14, func() float64 { return float64(j.now()) })
 	if err != nil {
 		return err
 	}
-	j.log, c.Journal, c.AtMostOnceRetention, c.RecoveredBinds = log, j, retention, storage.RecoveredBinds(found)
+	j.log = log
+	c.Journal = j
+	c.AtMostOnceRetention = retention
+	c.RecoveredBinds = storage.RecoveredBinds(found)
 	return nil
 }
 
@@ -65,7 +69,8 @@
 		return
 	}
 	j.busy = true
-	group, life := j.queue, j.incarnation
+	group := j.queue
+	life := j.incarnation
 	j.queue = nil
 	takes := j.syncTime
 	if !j.syncs {
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -22,7 +22,9 @@
 
 // oracle compares the share of core time that ran with what the best placement of the same demand could have run.
 func (d *Run) oracle(ran float64) (*Oracle, error) {
-	machines, wants, end := d.machines(), d.oracleWants(), d.RequestsEnd()
+	machines := d.machines()
+	wants := d.oracleWants()
+	end := d.RequestsEnd()
 	wanted := d.wantedCores()
 	if wanted == 0 {
 		return &Oracle{}, nil
@@ -44,7 +46,8 @@
 	}
 	o := &Oracle{Bound: oracle.Bound(machines, wants, end) / wanted, Best: max(unconstrained, constrained, informed, ran)}
 	o.Knowledge = informed - ran
-	o.Rules, o.Asking = unconstrained-constrained, constrained-retried
+	o.Rules = unconstrained - constrained
+	o.Asking = constrained - retried
 	o.Decisions = o.Best - o.Rules - o.Asking - informed
 	return o, nil
 }
@@ -52,7 +55,10 @@
 // playWithFullKnowledge repeats the run with one allocator and without delays of its state, and returns the share that ran.
 func (d *Run) playWithFullKnowledge() (float64, error) {
 	s := *d.script
-	s.Allocators, s.Discovery.Lag, s.Discovery.PushInterval, s.Discovery.EntriesPerSecond = 1, 0, freshDelay, 0
+	s.Allocators = 1
+	s.Discovery.Lag = 0
+	s.Discovery.PushInterval = freshDelay
+	s.Discovery.EntriesPerSecond = 0
 	s.Node.ReportInterval = min(s.Node.ReportInterval, freshDelay)
 	r, err := PlayVirtual(&s, Options{Seed: d.opts.Seed, Deadline: d.opts.Deadline})
 	if err != nil {
@@ -78,9 +84,14 @@
 	for i, g := range d.nodes {
 		spec := d.specs[i]
 		all = append(all, oracle.Machine{
-			Zone: spec.Zone, Cell: spec.Cell, Cores: spec.Cores, Memory: spec.Memory,
-			AskCores: spec.Cores * d.script.Node.CoreOvercommit, AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
-			Up: g.Uptime, Drains: d.drains[g],
+			Zone:      spec.Zone,
+			Cell:      spec.Cell,
+			Cores:     spec.Cores,
+			Memory:    spec.Memory,
+			AskCores:  spec.Cores * d.script.Node.CoreOvercommit,
+			AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
+			Up:        g.Uptime,
+			Drains:    d.drains[g],
 		})
 	}
 	return all
@@ -91,11 +102,19 @@
 	terms := d.script.Terms()
 	var all []oracle.Want
 	for _, w := range d.wantedWorkloads() {
-		use, g := d.script.Node.Groups[w.Group], terms.Groups[w.Group]
+		use := d.script.Node.Groups[w.Group]
+		g := terms.Groups[w.Group]
 		all = append(all, oracle.Want{
-			From: w.From, Until: w.Until, Service: w.Service, Cores: w.Cores, Memory: w.Memory,
-			UsesCores: w.Cores * use.CoreUse * emulator.ServiceFactor(w.Service), UsesMemory: w.Memory * use.MemoryUse * emulator.ServiceFactor(w.Service+1),
-			Spread: g.SpreadScope, SpreadMost: g.MaxPerScope, Again: d.meanRetryDelay(g.Idempotency),
+			From:       w.From,
+			Until:      w.Until,
+			Service:    w.Service,
+			Cores:      w.Cores,
+			Memory:     w.Memory,
+			UsesCores:  w.Cores * use.CoreUse * emulator.ServiceFactor(w.Service),
+			UsesMemory: w.Memory * use.MemoryUse * emulator.ServiceFactor(w.Service+1),
+			Spread:     g.SpreadScope,
+			SpreadMost: g.MaxPerScope,
+			Again:      d.meanRetryDelay(g.Idempotency),
 		})
 	}
 	return all
