--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -60,11 +60,13 @@
 	DrainTime placement.Millis // from the begin of a drain to the process's end
 }
 
-// FaultSpec is the range of a fault's size, and the defaults of its size and interval. The unit of the size is the kind's
-// own: a factor, a share, milliseconds or parts per million. A maximum of zero means that the kind has no size.
+// FaultSpec is the range of a fault's size, and the defaults of its size and interval. The unit of the size is the
+// kind's own: a factor, a share, milliseconds or parts per million. A maximum of zero means that the kind has no size.
 type FaultSpec struct {
-	DefaultSize, MinSize, MaxSize float64
-	DefaultInterval               placement.Millis // 0 for faults that do not repeat
+	DefaultSize     float64
+	MinSize         float64
+	MaxSize         float64
+	DefaultInterval placement.Millis // 0 for faults that do not repeat
 }
 
 // FaultSpecs holds every kind of fault.
@@ -160,49 +162,57 @@
 // FaultKinds returns all kinds, sorted by name.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(FaultSpecs)) }
 
-func (s *Script) readFault(b *config.Block) {
-	kind := FaultKind(b.Name)
-	if k := b.String("kind", ""); k != "" {
-		kind = FaultKind(k)
+// readFault reads one fault block. Its kind is its name, unless it states another one.
+func (s *Script) readFault(block *config.Block) {
+	kind := FaultKind(block.Name)
+	if stated := block.String("kind", ""); stated != "" {
+		kind = FaultKind(stated)
 	}
 	spec, ok := FaultSpecs[kind]
 	if !ok {
-		b.AddProblem("kind", fmt.Sprintf("a fault of kind %q is not known", kind),
+		block.AddProblem("kind", fmt.Sprintf("a fault of kind %q is not known", kind),
 			"give it the name of a kind, or a kind = of "+joinKinds(FaultKinds()))
 	}
-	f := Fault{
+	fault := Fault{
 		Kind:      kind,
-		At:        b.Duration("at", s.Length/3),
-		Duration:  b.Duration("for", 5e3),
-		Interval:  b.Duration("every", spec.DefaultInterval),
-		Share:     b.Float("part", 0.25, 0, 1),
-		Size:      b.Float("size", spec.DefaultSize, spec.MinSize, max(spec.MaxSize, spec.DefaultSize)),
-		Group:     b.String("group", ""),
-		Zone:      b.String("zone", ""),
-		DrainTime: b.Duration("drain", 3e3),
+		At:        block.Duration("at", s.Length/3),
+		Duration:  block.Duration("for", 5e3),
+		Interval:  block.Duration("every", spec.DefaultInterval),
+		Share:     block.Float("part", 0.25, 0, 1),
+		Size:      block.Float("size", spec.DefaultSize, spec.MinSize, max(spec.MaxSize, spec.DefaultSize)),
+		Group:     block.String("group", ""),
+		Zone:      block.String("zone", ""),
+		DrainTime: block.Duration("drain", 3e3),
 	}
-	if spec.DefaultInterval > 0 && f.Interval <= 0 {
-		b.AddProblem("every", "every is no time", `write one such as "2s"`)
+	if spec.DefaultInterval > 0 && fault.Interval <= 0 {
+		block.AddProblem("every", "every is no time", `write one such as "2s"`)
 	}
-	if f.Group != "" && !slices.Contains(s.Groups, f.Group) {
-		b.AddProblem("group", fmt.Sprintf("group %q is not known", f.Group), fmt.Sprintf("write one of %q", s.Groups))
+	if fault.Group != "" && !slices.Contains(s.Groups, fault.Group) {
+		s.addUnknownGroup(block, fault.Group)
 	}
-	if kind == GroupThrottled && f.Group == "" {
-		f.Group = firstName(s.Groups)
+	if fault.Zone != "" && !slices.Contains(s.Zones, fault.Zone) {
+		known := fmt.Sprintf("write one of %q", s.Zones)
+		block.AddProblem("zone", fmt.Sprintf("zone %q is not known", fault.Zone), known)
 	}
-	if f.Zone != "" && !slices.Contains(s.Zones, f.Zone) {
-		b.AddProblem("zone", fmt.Sprintf("zone %q is not known", f.Zone), fmt.Sprintf("write one of %q", s.Zones))
+	s.setDefaultTarget(&fault)
+	s.Faults = append(s.Faults, fault)
+}
+
+// setDefaultTarget sets the group or zone of a fault that needs one and states none: the first group, or the last zone.
+func (s *Script) setDefaultTarget(fault *Fault) {
+	if fault.Kind == GroupThrottled && fault.Group == "" {
+		fault.Group = firstName(s.Groups)
 	}
-	if kind == ZoneCut && f.Zone == "" && len(s.Zones) > 0 {
-		f.Zone = s.Zones[len(s.Zones)-1]
+	if fault.Kind == ZoneCut && fault.Zone == "" && len(s.Zones) > 0 {
+		fault.Zone = s.Zones[len(s.Zones)-1]
 	}
-	s.Faults = append(s.Faults, f)
 }
 
+// joinKinds returns the names of the kinds as one text.
 func joinKinds(kinds []FaultKind) string {
 	names := make([]string, len(kinds))
-	for i, k := range kinds {
-		names[i] = string(k)
+	for i, kind := range kinds {
+		names[i] = string(kind)
 	}
 	return strings.Join(names, ", ")
 }
--- a/internal/simulation/scenario/models.go
+++ b/internal/simulation/scenario/models.go
@@ -3,10 +3,11 @@
 import "grebeglade/placement"
 
 // NodeModel describes how the nodes of a scenario behave. Its JSON keys are part of the format of recorded histories.
-// It has as many fields as a script's node and rules blocks have settings.
+// It has as many fields as a script's node and rules blocks have settings. A node that warms up fails if it gets more
+// offers in OverloadWindow than BindLimit says.
 type NodeModel struct {
-	CoreOvercommit      float64          `json:"OverCores"`  // requests are accepted up to this multiple of the node's cores
-	MemoryOvercommit    float64          `json:"OverMemory"` // and of its memory
+	CoreOvercommit      float64          `json:"OverCores"`  // multiple of the node's cores that is accepted
+	MemoryOvercommit    float64          `json:"OverMemory"` // multiple of its memory that is accepted
 	AdmissionTime       placement.Millis `json:"Admit"`      // to decide on one offer
 	QueueLimit          int              `json:"Line"`       // offers that wait for a decision
 	ConcurrentStarts    int              `json:"Starts"`
@@ -18,20 +19,21 @@
 	AnnouncesDrain      bool             `json:"TellsDrain"` // to allocators itself, besides the discovery service
 	InitialRate         float64          `json:"ColdFrom"`   // share of the full start rate with which a node starts
 	WarmUpDuration      placement.Millis `json:"ColdFor"`
-	WarmUpBudget        float64          `json:"ColdBears"`   // binds in OverloadWindow that a warming node always withstands
-	OverloadFactor      float64          `json:"Overload"`    // multiple of the starts possible in OverloadWindow that fails a warming node
+	WarmUpBudget        float64          `json:"ColdBears"`   // offers in OverloadWindow that never overload it
+	OverloadFactor      float64          `json:"Overload"`    // of the starts possible in OverloadWindow, at most
 	OverloadWindow      placement.Millis `json:"OverloadFor"` // over which offers to a warming node are counted
 	Groups              map[string]*GroupModel
 }
 
-// BindLimit returns the number of offers within OverloadWindow that a node withstands which starts workloads at this share
-// of its full rate.
+// BindLimit returns the number of offers within OverloadWindow that a node withstands which starts workloads at this
+// share of its full rate.
 func (m *NodeModel) BindLimit(rate float64) float64 {
-	work := 1.0
-	for _, g := range m.Groups {
-		work = max(work, float64(g.StartTime)*m.UncachedStartFactor)
+	longestStart := 1.0
+	for _, group := range m.Groups {
+		longestStart = max(longestStart, float64(group.StartTime)*m.UncachedStartFactor)
 	}
-	return max(m.WarmUpBudget, m.OverloadFactor*rate*float64(m.ConcurrentStarts)/work*float64(m.OverloadWindow))
+	limit := m.OverloadFactor * rate * float64(m.ConcurrentStarts) / longestStart * float64(m.OverloadWindow)
+	return max(m.WarmUpBudget, limit)
 }
 
 // DrainMode is what a draining node does with its workloads.
@@ -62,7 +64,8 @@
 	CallTimeout      placement.Millis // after which a call that waits fails
 }
 
-// ClientModel describes what the clients of a scenario request, and how they behave.
+// ClientModel describes what the clients of a scenario request, and how they behave. Beyond the settings of a script's
+// load block it has what a run fills in: the times to send at, and the allocators' addresses.
 type ClientModel struct {
 	Demand                 []Demand
 	Rate                   float64          // first requests a second of one client
@@ -89,7 +92,7 @@
 	Idempotency    placement.Idempotency
 }
 
-// GangDemand is the demand for gangs of one kind.
+// GangDemand is the demand for gangs of one kind. It has a field for each setting of a script's gang block.
 type GangDemand struct {
 	Group          string
 	Idempotency    placement.Idempotency
@@ -99,7 +102,7 @@
 	Shape          [2]float64 // cores and memory of a part
 	Lifetime       placement.Millis
 	PendingTimeout placement.Millis
-	SpreadScope    string // "" for none
+	SpreadScope    string // of which no two parts share one: "node", "cell" or "zone"; "" for none
 	Replace        bool   // parts that are lost are replaced
 	ReplaceTimeout placement.Millis
 }
--- a/internal/simulation/scenario/script.go
+++ b/internal/simulation/scenario/script.go
@@ -4,6 +4,7 @@
 
 import (
 	"embed"
+	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -16,7 +17,8 @@
 //go:embed scripts/*.hcl
 var scripts embed.FS
 
-// Script describes a run: a fleet, the demand on it, and the faults.
+// Script describes a run: a fleet, the demand on it, and the faults. It has a field for each block and top-level
+// setting of a script file.
 type Script struct {
 	Name       string
 	About      string
@@ -63,11 +65,11 @@
 
 // Open reads the script of that name, or the script in that file.
 func Open(nameOrFile string) (*Script, error) {
-	b, err := Parse(nameOrFile)
+	block, err := Parse(nameOrFile)
 	if err != nil {
 		return nil, err
 	}
-	return Decode(b)
+	return Decode(block)
 }
 
 // Parse parses the script of that name, or the script in that file, without decoding it.
@@ -76,35 +78,36 @@
 		return parseEmbedded(nameOrFile)
 	}
 	src, err := os.ReadFile(nameOrFile)
-	if os.IsNotExist(err) && !strings.ContainsAny(nameOrFile, "./") {
+	if errors.Is(err, os.ErrNotExist) && !strings.ContainsAny(nameOrFile, "./") {
 		return nil, fmt.Errorf("no script is named %q; known are %s", nameOrFile, strings.Join(Names(), ", "))
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read the script: %w", err)
 	}
 	return config.Parse(nameOrFile, src)
 }
 
+// parseEmbedded parses a script that comes with the program.
 func parseEmbedded(name string) (*config.Block, error) {
 	src, err := scripts.ReadFile("scripts/" + name + ".hcl")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read the embedded script %s: %w", name, err)
 	}
 	return config.Parse(name+".hcl", src)
 }
 
 // DecodeText reads a script from its text; file is the name used in errors.
 func DecodeText(file string, src []byte) (*Script, error) {
-	b, err := config.Parse(file, src)
+	block, err := config.Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
-	return Decode(b)
+	return Decode(block)
 }
 
 // Terms returns the limits that a run of the script is audited against.
 func (s *Script) Terms() Terms {
-	t := Terms{
+	terms := Terms{
 		AnswerSlack: s.Client.AnswerSlack,
 		DrainGrace:  s.DrainGrace,
 		MaxBinds:    s.Settings.MaxBinds,
@@ -112,9 +115,9 @@
 		Groups:      map[string]placement.Group{},
 	}
 	for i, name := range s.Groups {
-		t.Groups[name] = s.Settings.Groups[i]
+		terms.Groups[name] = s.Settings.Groups[i]
 	}
-	return t
+	return terms
 }
 
 // NodeCount returns the number of nodes of all kinds.
@@ -140,7 +143,7 @@
 		s.NodeCounts[i] = s.NodeCounts[i] * nodes / before
 		left -= s.NodeCounts[i]
 	}
-	s.NodeCounts[0] += left
+	s.NodeCounts[0] += left // what rounding left over
 	s.Client.Rate *= float64(nodes) / float64(before)
 	for i := range s.Client.Gangs {
 		s.Client.Gangs[i].Rate *= float64(nodes) / float64(before)
@@ -152,12 +155,12 @@
 
 // SetLength sets the length of the run, and moves and scales its faults in proportion.
 func (s *Script) SetLength(length placement.Millis) {
-	by := length / s.Length
+	factor := length / s.Length
 	s.Length = length
 	for i := range s.Faults {
-		f := &s.Faults[i]
-		f.At *= by
-		f.Duration *= by
+		fault := &s.Faults[i]
+		fault.At *= factor
+		fault.Duration *= factor
 	}
 }
 
@@ -165,25 +168,31 @@
 // cores of all nodes.
 func (s *Script) SetLoad(share float64) {
 	cores := 0.0
-	wanted := 0.0
-	for i, n := range s.NodeCounts {
-		cores += float64(n) * s.Settings.NodeKinds[i].Cores
-	}
-	for _, d := range s.Demand {
-		mean := 0.0
-		for _, shape := range d.Shapes {
-			mean += shape[0] / float64(len(d.Shapes))
-		}
-		wanted += s.Client.Rate * d.Share * mean * float64(d.Lifetime) / 1000
-	}
-	for _, g := range s.Client.Gangs {
-		wanted += g.Rate * float64(g.Parts) * g.Shape[0] * float64(g.Lifetime) / 1000
+	for i, count := range s.NodeCounts {
+		cores += float64(count) * s.Settings.NodeKinds[i].Cores
 	}
-	if wanted <= 0 {
+	demand := s.meanDemand()
+	if demand <= 0 {
 		return
 	}
-	s.Client.Rate *= share * cores / wanted
+	s.Client.Rate *= share * cores / demand
 	for i := range s.Client.Gangs {
-		s.Client.Gangs[i].Rate *= share * cores / wanted
+		s.Client.Gangs[i].Rate *= share * cores / demand
+	}
+}
+
+// meanDemand returns the mean number of cores that gangs and single workloads request at a time.
+func (s *Script) meanDemand() float64 {
+	sum := 0.0
+	for _, demand := range s.Demand {
+		mean := 0.0
+		for _, shape := range demand.Shapes {
+			mean += shape[0] / float64(len(demand.Shapes))
+		}
+		sum += s.Client.Rate * demand.Share * mean * float64(demand.Lifetime) / 1000
+	}
+	for _, gang := range s.Client.Gangs {
+		sum += gang.Rate * float64(gang.Parts) * gang.Shape[0] * float64(gang.Lifetime) / 1000
 	}
+	return sum
 }
