--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -17,67 +17,70 @@
 	reconnectJitter   = 600
 )
 
-// Client emulates the clients that request workloads and gangs. It has more than fifteen fields: its connections, its open requests and
-// what faults set belong to the same retry decisions.
+// clientIncarnation is the incarnation that clients report: they do not restart.
+const clientIncarnation = 1
+
+// Client emulates the clients that request workloads and gangs. It sends what its demand source draws, and retries by
+// its model. It has more than ten fields, as retries depend on its sessions, its open requests and what faults set.
 type Client struct {
-	name      string
-	index     int
-	model     *scenario.ClientModel
-	rng       *rand.Rand // for its reactions
-	demandRNG *rand.Rand // for its demand, which does not depend on what happens
-	network   transport.FrameNetwork
-	timers    transport.Timers
-	now       placement.Millis
-
-	connections     []transport.ConnID // by allocator; 0 while there is none
-	allocatorByConn map[transport.ConnID]int
-	requests        map[uint64]*clientRequest // that have not ended, by request ID
-	lastRequest     uint64
-
-	incarnations []uint64 // of the allocators, as of their last hello
-	keys         uint64   // number of workload keys in use
-
-	RateFactor          float64 // multiplies the request rate
-	FirstAllocatorShare float64 // additional share of the requests that goes to the first allocator
+	name    string
+	model   *scenario.ClientModel
+	rng     *rand.Rand // for its reactions
+	demand  demandSource
+	network transport.FrameNetwork
+	timers  transport.Timers
+
+	allocators  []allocatorSession
+	requests    map[uint64]*clientRequest // that have not ended, by request ID
+	lastRequest uint64
+
+	RateFactor          float64 // multiplies the request rate; set by faults
+	FirstAllocatorShare float64 // additional share of the requests that goes to the first allocator; set by faults
 	Tally               Tally
 }
 
+// allocatorSession is a client's session with one allocator.
+type allocatorSession struct {
+	conn        transport.ConnID // 0 while there is none
+	ready       bool             // the allocator's hello was received over conn
+	incarnation uint64           // of the allocator, as of its last hello
+}
+
 // NewClient returns a client. The index keeps its workload keys apart from those of other clients.
-func NewClient(name string, index int, m *scenario.ClientModel, seed uint64) *Client {
+func NewClient(name string, index int, model *scenario.ClientModel, seed uint64) *Client {
 	return &Client{
-		name:            name,
-		index:           index,
-		model:           m,
-		rng:             rand.New(rand.NewPCG(seed, uint64(index)+1)),
-		demandRNG:       rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
-		connections:     make([]transport.ConnID, len(m.Allocators)),
-		incarnations:    make([]uint64, len(m.Allocators)),
-		allocatorByConn: map[transport.ConnID]int{},
-		requests:        map[uint64]*clientRequest{},
-		RateFactor:      1,
-		Tally:           Tally{Ended: map[pb.Reason]int{}},
+		name:       name,
+		model:      model,
+		rng:        rand.New(rand.NewPCG(seed, uint64(index)+1)),
+		demand:     newDemandSource(model, index, seed),
+		allocators: make([]allocatorSession, len(model.Allocators)),
+		requests:   map[uint64]*clientRequest{},
+		RateFactor: 1,
+		Tally:      Tally{Ended: map[pb.Reason]int{}},
 	}
 }
 
 // Start implements transport.FrameHandler.
 func (c *Client) Start(now placement.Millis, network transport.FrameNetwork) {
-	c.now = now
 	c.network = network
-	for i := range c.connections {
+	for i := range c.allocators {
 		c.dial(i)
 	}
-	c.timers.Schedule(max(now, c.model.From)+c.requestInterval(), c.requestNext)
+	begin := max(now, c.model.From)
+	c.timers.Schedule(begin+c.requestInterval(), c.requestNext)
 	for i := range c.model.Gangs {
-		c.timers.Schedule(max(now, c.model.From)+c.gangInterval(i), func(now placement.Millis) { c.requestNextGang(now, i) })
+		requestNext := func(now placement.Millis) { c.requestNextGang(now, i) }
+		c.timers.Schedule(begin+c.gangInterval(i), requestNext)
 	}
 	c.wake()
 }
 
 // dial connects to an allocator, by index.
 func (c *Client) dial(i int) {
-	c.connections[i] = c.network.Dial(c.model.Allocators[i])
+	c.allocators[i].conn = c.network.Dial(c.model.Allocators[i])
 }
 
+// wake has the network call Wake when the next timer is due.
 func (c *Client) wake() {
 	if at, ok := c.timers.Next(); ok {
 		c.network.WakeAt(at)
@@ -86,53 +89,60 @@
 
 // Wake implements transport.FrameHandler.
 func (c *Client) Wake(now placement.Millis) {
-	c.now = now
 	c.timers.RunDue(now)
 	c.wake()
 }
 
 // Opened implements transport.FrameHandler.
 func (c *Client) Opened(now placement.Millis, conn transport.ConnID) {
-	c.now = now
 	c.network.Send(conn, transport.HelloFrame(&pb.Hello{
 		Role:        pb.Role_CLIENT,
 		Name:        c.name,
-		Incarnation: 1,
+		Incarnation: clientIncarnation,
 		SentMs:      float64(now),
 	}))
 	c.wake()
 }
 
-// Closed implements transport.FrameHandler.
+// Closed implements transport.FrameHandler. Placed workloads keep running: the allocator names them after reconnecting.
 func (c *Client) Closed(now placement.Millis, conn transport.ConnID, _ error) {
-	c.now = now
-	delete(c.allocatorByConn, conn)
-	i := slices.Index(c.connections, conn)
+	i := c.allocatorOf(conn)
 	if i < 0 {
 		return
 	}
 	for _, id := range c.requestsOn(conn) {
-		request := c.requests[id]
-		if request.placed {
-			continue // it keeps running; the allocator reports its state after reconnecting
-		}
-		c.Tally.Disconnected++
-		delete(c.requests, id)
-		switch {
-		case request.gang != nil:
-			c.retryGang(now, request, true)
-		case c.model.RetriesAfterDisconnect && request.demand.Idempotency == placement.AtMostOnce:
-			request.requiredAllocator = request.allocator + 1 // only this allocator knows whether the workload may have run
-			c.retry(now, request, false)
-		default:
-			c.retry(now, request, true)
+		if request := c.requests[id]; !request.placed {
+			delete(c.requests, id)
+			c.retryDisconnected(now, request)
 		}
 	}
-	c.connections[i] = 0
-	c.timers.Schedule(now+placement.Millis(minReconnectDelay+c.rng.Float64()*reconnectJitter), func(placement.Millis) { c.dial(i) })
+	c.allocators[i].conn = 0
+	c.allocators[i].ready = false
+	delay := placement.Millis(minReconnectDelay + c.rng.Float64()*reconnectJitter)
+	c.timers.Schedule(now+delay, func(placement.Millis) { c.dial(i) })
 	c.wake()
 }
 
+// retryDisconnected retries a request whose connection was lost before its answer.
+func (c *Client) retryDisconnected(now placement.Millis, request *clientRequest) {
+	c.Tally.Disconnected++
+	switch {
+	case request.gang != nil:
+		c.retryGang(now, request, mayHaveRun)
+	case c.model.RetriesAfterDisconnect && request.demand.Idempotency == placement.AtMostOnce:
+		// Only this allocator knows whether the workload may have run.
+		request.requiredAllocator = request.allocator + 1
+		c.retry(now, request, didNotRun)
+	default:
+		c.retry(now, request, mayHaveRun)
+	}
+}
+
+// allocatorOf returns the index of the allocator at the other end of a connection, or -1.
+func (c *Client) allocatorOf(conn transport.ConnID) int {
+	return slices.IndexFunc(c.allocators, func(session allocatorSession) bool { return session.conn == conn })
+}
+
 // requestsOn returns the IDs of the requests that were sent over a connection and have not ended, oldest first.
 func (c *Client) requestsOn(conn transport.ConnID) (ids []uint64) {
 	for id, request := range c.requests {
@@ -146,66 +156,83 @@
 
 // Received implements transport.FrameHandler.
 func (c *Client) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
-	c.now = now
-	switch b := f.Body.(type) {
+	switch body := f.Body.(type) {
 	case *pb.Frame_Hello:
-		c.handleHello(now, conn, b.Hello)
+		c.handleHello(now, conn, body.Hello)
 	case *pb.Frame_Answer:
-		c.handleAnswer(now, b.Answer)
+		c.handleAnswer(now, body.Answer)
 	case *pb.Frame_WorkloadEnded:
-		if request := c.requests[b.WorkloadEnded.RequestId]; request != nil && request.placed && request.gang != nil {
-			delete(c.requests, b.WorkloadEnded.RequestId)
-			c.gangEnded(request, b.WorkloadEnded.Reason)
-		} else if request != nil && request.placed {
-			delete(c.requests, b.WorkloadEnded.RequestId)
-			c.Tally.Ended[b.WorkloadEnded.Reason]++
-			if b.WorkloadEnded.Reason != pb.Reason_FINISHED {
-				c.retry(now, request, true)
-			}
-		}
+		c.handleWorkloadEnded(now, body.WorkloadEnded)
 	}
 	c.wake()
 }
 
-// handleHello handles an allocator's hello. Workloads that it placed and does not list are lost, unless it is a new incarnation, which
-// may not have recovered all of them yet.
-func (c *Client) handleHello(now placement.Millis, conn transport.ConnID, h *pb.Hello) {
-	i := slices.Index(c.connections, conn)
-	c.allocatorByConn[conn] = i
-	sameIncarnation := c.incarnations[i] == h.Incarnation
-	c.incarnations[i] = h.Incarnation
-	reported := map[uint64]bool{}
-	for _, s := range h.RunningWorkloads {
-		if id := s.Offer.Request.RequestId; !reported[id] {
-			reported[id] = true
-			if c.requests[id] == nil { // it was withdrawn while the allocator was away
-				c.network.Send(conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: id}}})
-			}
-		}
-	}
+// handleHello handles an allocator's hello. Workloads that it placed and does not list are lost, unless it is a new
+// incarnation, which may not have recovered all of them yet.
+func (c *Client) handleHello(now placement.Millis, conn transport.ConnID, hello *pb.Hello) {
+	i := c.allocatorOf(conn)
+	session := &c.allocators[i]
+	sameIncarnation := session.incarnation == hello.Incarnation
+	session.ready = true
+	session.incarnation = hello.Incarnation
+	reported := c.withdrawUnknown(conn, hello.RunningWorkloads)
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		request := c.requests[id]
-		switch {
-		case !request.placed || request.allocator != i:
-		case reported[id] || !sameIncarnation:
+		if !request.placed || request.allocator != i {
+			continue
+		}
+		if reported[id] || !sameIncarnation {
 			request.conn = conn
-		default:
-			delete(c.requests, id)
-			c.Tally.Ended[pb.Reason_LOST]++
-			if request.gang == nil {
-				c.retry(now, request, true)
-			}
+			continue
+		}
+		delete(c.requests, id)
+		c.Tally.Ended[pb.Reason_LOST]++
+		if request.gang == nil {
+			c.retry(now, request, mayHaveRun)
 		}
 	}
 }
 
+// withdrawUnknown withdraws the requests of running workloads that the client no longer wants: it withdrew them while
+// the allocator was disconnected. It returns the IDs of all requests that the workloads belong to.
+func (c *Client) withdrawUnknown(conn transport.ConnID, running []*pb.RunningWorkload) map[uint64]bool {
+	reported := map[uint64]bool{}
+	for _, workload := range running {
+		id := workload.Offer.Request.RequestId
+		if reported[id] {
+			continue
+		}
+		reported[id] = true
+		if c.requests[id] == nil {
+			c.network.Send(conn, withdrawFrame(id))
+		}
+	}
+	return reported
+}
+
+// handleWorkloadEnded handles the end of a placed workload or gang. Single workloads that did not finish are retried.
+func (c *Client) handleWorkloadEnded(now placement.Millis, ended *pb.WorkloadEnded) {
+	request := c.requests[ended.RequestId]
+	if request == nil || !request.placed {
+		return
+	}
+	delete(c.requests, ended.RequestId)
+	c.Tally.Ended[ended.Reason]++
+	switch {
+	case request.gang != nil:
+		request.gang.ended = true
+	case ended.Reason != pb.Reason_FINISHED:
+		c.retry(now, request, mayHaveRun)
+	}
+}
+
 // PendingRequests returns the number of requests that wait for an answer.
 func (c *Client) PendingRequests() int {
-	n := 0
+	count := 0
 	for _, request := range c.requests {
 		if !request.placed {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/simulation/emulator/client_demand.go
+++ b/internal/simulation/emulator/client_demand.go
@@ -2,13 +2,18 @@
 
 import (
 	"math"
+	"math/rand/v2"
 
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
-// quickWithdrawal is the longest delay, in ms, of a withdrawal right after a request.
-const quickWithdrawal = placement.Millis(40)
+const (
+	quickWithdrawal = placement.Millis(40)   // longest delay in ms of a withdrawal right after a request
+	maxInterval     = placement.Millis(60e3) // longest interval in ms between new requests
+	minRate         = 1e-6                   // requests a second; keeps an interval finite
+	lifetimeSigma   = 0.8                    // of the logarithm of lifetimes
+)
 
 // Parameters of the 64-bit FNV-1a hash.
 const (
@@ -18,16 +23,79 @@
 
 // Want is a single workload as its client wanted it.
 type Want struct {
-	From, Until   placement.Millis
-	Service       uint64
-	Group         string
-	Cores, Memory float64
+	From    placement.Millis
+	Until   placement.Millis
+	Service uint64
+	Group   string
+	Cores   float64
+	Memory  float64
 }
 
-// recordWant records a workload that is wanted for the first time.
-func (c *Client) recordWant(now placement.Millis, request *clientRequest) {
-	request.want = &Want{now, request.endsAt, request.service, request.demand.Name, request.shape[0], request.shape[1]}
-	c.Tally.Wants = append(c.Tally.Wants, request.want)
+// demandSource draws what a client wants. It has a random source of its own, so that the demand does not depend on what
+// happens to earlier requests.
+type demandSource struct {
+	model   *scenario.ClientModel
+	rng     *rand.Rand
+	client  uint64 // index of the client
+	lastKey uint64 // of the workload keys in use
+}
+
+func newDemandSource(model *scenario.ClientModel, index int, seed uint64) demandSource {
+	return demandSource{
+		model:  model,
+		rng:    rand.New(rand.NewPCG(seed, uint64(index)<<32+2)),
+		client: uint64(index),
+	}
+}
+
+// interval draws the time until the next request of a Poisson process with that rate a second.
+func (s *demandSource) interval(rate float64) placement.Millis {
+	return min(maxInterval, placement.Millis(s.rng.ExpFloat64()*1000/max(minRate, rate)))
+}
+
+// kind draws a kind of demand by its share.
+func (s *demandSource) kind() *scenario.Demand {
+	quantile := s.rng.Float64()
+	sum := 0.0
+	for i := range s.model.Demand {
+		if sum += s.model.Demand[i].Share; quantile < sum {
+			return &s.model.Demand[i]
+		}
+	}
+	return &s.model.Demand[len(s.model.Demand)-1]
+}
+
+// lifetime draws a lifetime from a log-normal distribution whose mean is the lifetime of the demand.
+func (s *demandSource) lifetime(demand *scenario.Demand) placement.Millis {
+	factor := math.Exp(s.rng.NormFloat64()*lifetimeSigma - lifetimeSigma*lifetimeSigma/2)
+	return max(minRemaining, demand.Lifetime*placement.Millis(factor))
+}
+
+// withdrawal draws whether a workload is withdrawn, and after what time. Half of the withdrawals come so early that the
+// answer may still be in transit.
+func (s *demandSource) withdrawal(demand *scenario.Demand) (delay placement.Millis, withdrawn bool) {
+	if s.rng.Float64() >= s.model.WithdrawShare {
+		return 0, false
+	}
+	within := quickWithdrawal
+	if s.rng.IntN(2) == 0 {
+		within = demand.Lifetime
+	}
+	return within * placement.Millis(s.rng.Float64()), true
+}
+
+// newKey returns an unused workload key.
+func (s *demandSource) newKey() uint64 {
+	s.lastKey++
+	return s.client<<40 | s.lastKey
+}
+
+// newKeys returns that many unused workload keys.
+func (s *demandSource) newKeys(count int) (keys []uint64) {
+	for range count {
+		keys = append(keys, s.newKey())
+	}
+	return keys
 }
 
 // requestNext requests a new workload and schedules the next one.
@@ -36,59 +104,44 @@
 		return
 	}
 	c.timers.Schedule(now+c.requestInterval(), c.requestNext)
-	demand := c.drawDemand()
-	service := c.demandRNG.IntN(demand.Services)
+	demand := c.demand.kind()
+	service := c.demand.rng.IntN(demand.Services)
 	request := &clientRequest{
-		key:     c.newKey(),
+		key:     c.demand.newKey(),
 		service: serviceID(demand.Name, service),
 		demand:  demand,
 		shape:   demand.Shapes[service%len(demand.Shapes)],
-		endsAt:  now + c.drawLifetime(demand),
+		endsAt:  now + c.demand.lifetime(demand),
 	}
 	c.sendFirst(now, request)
-	if c.demandRNG.Float64() < c.model.WithdrawShare {
-		// Half of the withdrawals come so early that the answer may still be in transit.
-		within := quickWithdrawal
-		if c.demandRNG.IntN(2) == 0 {
-			within = demand.Lifetime
-		}
-		c.timers.Schedule(now+within*placement.Millis(c.demandRNG.Float64()), func(now placement.Millis) { c.withdraw(now, request) })
+	if delay, withdrawn := c.demand.withdrawal(demand); withdrawn {
+		c.timers.Schedule(now+delay, func(now placement.Millis) { c.withdraw(now, request) })
 	}
 }
 
 // requestInterval draws the time until the next new request.
 func (c *Client) requestInterval() placement.Millis {
-	return placement.Millis(min(60e3, c.demandRNG.ExpFloat64()*1000/max(1e-6, c.model.Rate*c.RateFactor)))
+	return c.demand.interval(c.model.Rate * c.RateFactor)
 }
 
-// drawDemand draws a kind of demand by its share.
-func (c *Client) drawDemand() *scenario.Demand {
-	quantile := c.demandRNG.Float64()
-	sum := 0.0
-	for i := range c.model.Demand {
-		if sum += c.model.Demand[i].Share; quantile < sum {
-			return &c.model.Demand[i]
-		}
+// recordWant records a workload that is wanted for the first time.
+func (c *Client) recordWant(now placement.Millis, request *clientRequest) {
+	request.want = &Want{
+		From:    now,
+		Until:   request.endsAt,
+		Service: request.service,
+		Group:   request.demand.Name,
+		Cores:   request.shape[0],
+		Memory:  request.shape[1],
 	}
-	return &c.model.Demand[len(c.model.Demand)-1]
-}
-
-// drawLifetime draws a lifetime from a log-normal distribution.
-func (c *Client) drawLifetime(demand *scenario.Demand) placement.Millis {
-	return max(minRemaining, demand.Lifetime*placement.Millis(math.Exp(c.demandRNG.NormFloat64()*0.8-0.32)))
+	c.Tally.Wants = append(c.Tally.Wants, request.want)
 }
 
 // serviceID returns the ID of a service, the same at all clients: an FNV-1a hash of the group and the index.
 func serviceID(group string, index int) uint64 {
-	h := uint64(fnvOffset)
+	hash := uint64(fnvOffset)
 	for _, b := range []byte(group) {
-		h = (h ^ uint64(b)) * fnvPrime
+		hash = (hash ^ uint64(b)) * fnvPrime
 	}
-	return (h^uint64(index))*fnvPrime | 1
-}
-
-// newKey returns an unused workload key.
-func (c *Client) newKey() uint64 {
-	c.keys++
-	return uint64(c.index)<<40 | c.keys
+	return (hash^uint64(index))*fnvPrime | 1
 }
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -17,23 +17,43 @@
 	minRemaining      = placement.Millis(500) // ms of remaining lifetime below which a workload is not requested again
 )
 
-// clientRequest is a workload or gang that a client wants.
+// A mean delay is drawn evenly from minDelayShare of it to delayShareRange more.
+const (
+	minDelayShare   = 0.75
+	delayShareRange = 0.5
+)
+
+// priorRun says whether the last attempt may have run the workload.
+type priorRun bool
+
+const (
+	didNotRun  priorRun = false
+	mayHaveRun priorRun = true
+)
+
+// clientRequest is a workload or gang that a client wants. It has more than ten fields, as retries of single workloads,
+// gangs and independently requested parts have most of them in common.
 type clientRequest struct {
 	key               uint64
 	service           uint64
-	demand            *scenario.Demand
-	shape             [2]float64
+	demand            *scenario.Demand // nil for gangs
+	shape             [2]float64       // cores and memory
 	endsAt            placement.Millis // of its lifetime
-	attempts          int
-	requestedAt       placement.Millis
-	conn              transport.ConnID
-	allocator         int // index
-	placed            bool
-	withdrawn         bool
-	gang              *clientGang // of which it is a part, or nil
-	part              int
 	want              *Want
+	withdrawn         bool
+	attempts          int
 	requiredAllocator int // the only allocator that may be used, counted from 1; 0 for any
+	clientAttempt
+	gang *clientGang // of which it is a part, or nil
+	part int         // index in the gang
+}
+
+// clientAttempt is the last attempt of a request.
+type clientAttempt struct {
+	requestedAt placement.Millis
+	conn        transport.ConnID // over which it was sent, or over which its allocator confirmed it last
+	allocator   int              // index
+	placed      bool
 }
 
 // sendFirst sends the first request for a single workload.
@@ -49,11 +69,10 @@
 	if request.withdrawn {
 		return
 	}
-	var connected []transport.ConnID
-	for i, conn := range c.connections {
-		if _, ok := c.allocatorByConn[conn]; ok && (request.requiredAllocator == 0 || request.requiredAllocator == i+1) {
-			connected = append(connected, conn)
-		}
+	connected := c.connectedAllocators()
+	if request.requiredAllocator > 0 {
+		others := func(i int) bool { return i != request.requiredAllocator-1 }
+		connected = slices.DeleteFunc(connected, others)
 	}
 	if len(connected) == 0 {
 		c.timers.Schedule(now+noAllocatorDelay, func(now placement.Millis) {
@@ -63,17 +82,14 @@
 		})
 		return
 	}
-	conn := connected[c.rng.IntN(len(connected))]
+	allocator := connected[c.rng.IntN(len(connected))]
 	if c.rng.Float64() < c.FirstAllocatorShare {
-		conn = connected[0]
+		allocator = connected[0]
 	}
 	request.attempts++
-	request.requestedAt = now
-	request.conn = conn
-	request.allocator = c.allocatorByConn[conn]
-	request.placed = false
+	request.clientAttempt = c.newAttempt(now, allocator)
 	id := c.addRequest(request)
-	c.network.Send(conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
+	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
 		RequestId:         id,
 		Key:               request.key,
 		Service:           request.service,
@@ -88,6 +104,25 @@
 	c.scheduleAnswerTimeout(now, request.demand.PendingTimeout, id, request)
 }
 
+// connectedAllocators returns the indices of the allocators whose hello was received.
+func (c *Client) connectedAllocators() (indices []int) {
+	for i, session := range c.allocators {
+		if session.ready {
+			indices = append(indices, i)
+		}
+	}
+	return indices
+}
+
+// newAttempt returns an attempt that is sent to an allocator now.
+func (c *Client) newAttempt(now placement.Millis, allocator int) clientAttempt {
+	return clientAttempt{
+		requestedAt: now,
+		conn:        c.allocators[allocator].conn,
+		allocator:   allocator,
+	}
+}
+
 // addRequest adds an open request and returns its ID.
 func (c *Client) addRequest(request *clientRequest) uint64 {
 	c.lastRequest++
@@ -97,37 +132,44 @@
 }
 
 // scheduleAnswerTimeout gives an allocator the pending timeout, and some slack for the network, to answer a request.
-func (c *Client) scheduleAnswerTimeout(now, pendingTimeout placement.Millis, id uint64, request *clientRequest) {
-	c.timers.Schedule(now+pendingTimeout+c.model.AnswerSlack, func(now placement.Millis) { c.answerTimedOut(now, id, request) })
+func (c *Client) scheduleAnswerTimeout(now, timeout placement.Millis, id uint64, request *clientRequest) {
+	timedOut := func(now placement.Millis) { c.answerTimedOut(now, id, request) }
+	c.timers.Schedule(now+timeout+c.model.AnswerSlack, timedOut)
 }
 
 // handleAnswer handles the answer to a request. Answers to ended or placed requests are ignored.
-func (c *Client) handleAnswer(now placement.Millis, a *pb.Answer) {
-	request := c.requests[a.RequestId]
+func (c *Client) handleAnswer(now placement.Millis, answer *pb.Answer) {
+	request := c.requests[answer.RequestId]
 	if request == nil || request.placed {
 		return
 	}
-	if request.gang != nil {
-		c.handleGangAnswer(now, request, a)
-		return
-	}
-	switch a.Verdict {
+	prior := didNotRun
+	switch answer.Verdict {
 	case pb.Verdict_PLACED:
 		c.Tally.Placed++
-		if request.attempts == 1 {
-			c.Tally.SinglesPlaced++
-		}
-		c.Tally.Waits = append(c.Tally.Waits, float64(now-request.requestedAt))
 		request.placed = true
+		c.handlePlaced(now, request)
+		return
 	case pb.Verdict_REJECTED:
 		c.Tally.Rejected++
-		delete(c.requests, a.RequestId)
-		c.retry(now, request, false)
-	default:
+	case pb.Verdict_UNSCHEDULABLE, pb.Verdict_VERDICT_UNSPECIFIED:
 		c.Tally.Unschedulable++
-		delete(c.requests, a.RequestId)
-		c.retry(now, request, true)
+		prior = mayHaveRun
+	}
+	delete(c.requests, answer.RequestId)
+	c.retryAny(now, request, prior)
+}
+
+// handlePlaced handles the answer that a gang, a part of one or a single workload is placed.
+func (c *Client) handlePlaced(now placement.Millis, request *clientRequest) {
+	if request.gang != nil {
+		c.handleGangPlaced(now, request)
+		return
+	}
+	if request.attempts == 1 {
+		c.Tally.SinglesPlaced++
 	}
+	c.Tally.Waits = append(c.Tally.Waits, float64(now-request.requestedAt))
 }
 
 // answerTimedOut withdraws and retries a request that has no answer.
@@ -137,21 +179,26 @@
 	}
 	c.Tally.Unanswered++
 	c.withdrawRequest(id, request)
+	c.retryAny(now, request, mayHaveRun)
+}
+
+// retryAny retries a gang, a part of one or a single workload.
+func (c *Client) retryAny(now placement.Millis, request *clientRequest, prior priorRun) {
 	if request.gang != nil {
-		c.retryGang(now, request, true)
+		c.retryGang(now, request, prior)
 		return
 	}
-	c.retry(now, request, true)
+	c.retry(now, request, prior)
 }
 
-// retry requests a workload again while enough of its lifetime remains. One that may have run is retried only if it is idempotent; by
-// key only after a delay.
-func (c *Client) retry(now placement.Millis, request *clientRequest, mayHaveRun bool) {
-	wait := c.model.RetryDelay * placement.Millis(0.75+c.rng.Float64()/2)
-	if mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
+// retry requests a workload again while enough of its lifetime remains. One that may have run is retried only if it is
+// idempotent; by key only after a delay.
+func (c *Client) retry(now placement.Millis, request *clientRequest, prior priorRun) {
+	wait := c.drawRetryDelay()
+	if prior == mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
 		return
 	}
-	if mayHaveRun && request.demand.Idempotency == placement.IdempotentByKey {
+	if prior == mayHaveRun && request.demand.Idempotency == placement.IdempotentByKey {
 		wait = max(wait, RetryAfterUnknown)
 	}
 	if request.attempts >= c.model.MaxAttempts || now+wait+minRemaining > min(request.endsAt, c.model.Until) {
@@ -160,6 +207,11 @@
 	c.timers.Schedule(now+wait, func(now placement.Millis) { c.send(now, request) })
 }
 
+// drawRetryDelay draws the delay before a retry.
+func (c *Client) drawRetryDelay() placement.Millis {
+	return c.model.RetryDelay * placement.Millis(minDelayShare+c.rng.Float64()*delayShareRange)
+}
+
 // withdraw ends a workload that is no longer wanted, pending or placed.
 func (c *Client) withdraw(now placement.Millis, request *clientRequest) {
 	request.withdrawn = true
@@ -168,39 +220,44 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		if c.requests[id] == request {
-			if !request.placed {
-				c.Tally.Withdrawn++
-			}
+			c.countWithdrawal(request)
 			c.withdrawRequest(id, request)
 		}
 	}
 }
 
+// countWithdrawal counts the withdrawal of a request that has no answer yet.
+func (c *Client) countWithdrawal(request *clientRequest) {
+	if !request.placed {
+		c.Tally.Withdrawn++
+	}
+}
+
 // withdrawRequest removes a request and sends its withdrawal.
 func (c *Client) withdrawRequest(id uint64, request *clientRequest) {
 	delete(c.requests, id)
-	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: id}}})
+	c.network.Send(request.conn, withdrawFrame(id))
 }
 
 // Restart stops a share of the client's services and requests all their workloads again, within the given time.
 func (c *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
-	c.now = now
-	done := map[*clientRequest]bool{}
+	restarted := map[*clientRequest]bool{}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		request := c.requests[id]
-		if request == nil || done[request] || request.withdrawn || request.gang != nil || ServiceFactor(request.service+3)-0.5 >= share {
+		if request == nil || restarted[request] || !request.restartable(share) {
 			continue
 		}
-		done[request] = true
+		restarted[request] = true
 		c.withdraw(now, request)
 		replacement := &clientRequest{
-			key:     c.newKey(),
+			key:     c.demand.newKey(),
 			service: request.service,
 			demand:  request.demand,
 			shape:   request.shape,
 			endsAt:  request.endsAt,
 		}
-		c.timers.Schedule(now+within*placement.Millis(c.rng.Float64()), func(now placement.Millis) {
+		delay := within * placement.Millis(c.rng.Float64())
+		c.timers.Schedule(now+delay, func(now placement.Millis) {
 			if now+minRemaining < min(replacement.endsAt, c.model.Until) {
 				c.sendFirst(now, replacement)
 			}
@@ -208,3 +265,8 @@
 	}
 	c.wake()
 }
+
+// restartable reports whether a request is for a single workload of a service among that share of all services.
+func (r *clientRequest) restartable(share float64) bool {
+	return !r.withdrawn && r.gang == nil && serviceQuantile(r.service+restartSalt) < share
+}
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -14,34 +14,23 @@
 // callCost is the fixed cost of a poll, in entries.
 const callCost = 40
 
-// DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. Faults set its
-// exported fields. It has more than fifteen fields, as these faults change registrations, polls and updates alike.
+// DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. It has
+// more than ten fields, as faults change registrations, polls and updates alike.
 type DiscoveryService struct {
 	model   *scenario.DiscoveryModel
 	epoch   uint64
 	network transport.FrameNetwork
 	timers  transport.Timers
 
-	records        map[uint32]*nodeRecord
-	revision       uint64
-	subscribers    map[transport.ConnID]*subscriber
-	nodeByConn     map[transport.ConnID]uint32
-	queue          []queuedCall
-	busy           bool
-	Slowdown       float64          // divides the rate at which entries are sent
-	ExtraLag       placement.Millis // added to the time until a registration takes effect
-	stale          bool             // changes are deferred
-	deferred       []func()         // changes, in the order of their arrival
-	capacityFactor float64          // multiplies the free capacity; 0 for no change
-	empty          bool             // updates list no nodes
-}
+	registry    nodeRegistry
+	nodeByConn  map[transport.ConnID]uint32
+	subscribers map[transport.ConnID]*subscriber
+	polls       pollQueue
+	staleness   staleness
+	misreport   misreport
 
-// nodeRecord is the registered state of a node.
-type nodeRecord struct {
-	pb.NodeEntry
-	since    placement.Millis // when UpForMs was reported
-	revision uint64
-	conn     transport.ConnID
+	Slowdown float64          // divides the rate at which entries are sent; set by faults
+	ExtraLag placement.Millis // added to the time until a registration takes effect; set by faults
 }
 
 // subscriber is a connection to the service. Only a watching one receives updates as they occur.
@@ -51,21 +40,45 @@
 	revision      uint64 // of the last update sent
 }
 
-// queuedCall is a poll that has not been answered.
-type queuedCall struct {
+// watch has the subscriber receive the changes after a revision.
+func (s *subscriber) watch(revision uint64) {
+	s.watching = true
+	s.revision = revision
+}
+
+// pollQueue holds the polls that have not been answered.
+type pollQueue struct {
+	waiting []queuedPoll
+	busy    bool // an answer is being sent
+}
+
+// queuedPoll is a poll that has not been answered.
+type queuedPoll struct {
 	from    transport.ConnID
-	poll    *pb.NodeListRequest
+	request *pb.NodeListRequest
 	arrived placement.Millis
 }
 
+// staleness is a fault: changes are deferred while it lasts.
+type staleness struct {
+	active   bool
+	deferred []func() // changes, in the order of their arrival
+}
+
+// misreport is a fault: updates differ from what nodes registered.
+type misreport struct {
+	capacityFactor float64 // multiplies the free capacity; 0 for no change
+	empty          bool    // updates list no nodes
+}
+
 // NewDiscoveryService returns a service that knows no nodes.
-func NewDiscoveryService(m *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
+func NewDiscoveryService(model *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
 	return &DiscoveryService{
-		model:       m,
+		model:       model,
 		epoch:       epoch,
-		records:     map[uint32]*nodeRecord{},
-		subscribers: map[transport.ConnID]*subscriber{},
+		registry:    nodeRegistry{records: map[uint32]*nodeRecord{}},
 		nodeByConn:  map[transport.ConnID]uint32{},
+		subscribers: map[transport.ConnID]*subscriber{},
 		Slowdown:    1,
 	}
 }
@@ -77,6 +90,7 @@
 	s.wake()
 }
 
+// wake has the network call Wake when the next timer is due.
 func (s *DiscoveryService) wake() {
 	if at, ok := s.timers.Next(); ok {
 		s.network.WakeAt(at)
@@ -94,17 +108,14 @@
 	s.subscribers[conn] = &subscriber{}
 }
 
-// Closed implements transport.FrameHandler.
+// Closed implements transport.FrameHandler. A node is removed after a delay unless it registers over another connection
+// meanwhile.
 func (s *DiscoveryService) Closed(now placement.Millis, conn transport.ConnID, _ error) {
 	delete(s.subscribers, conn)
 	if id, ok := s.nodeByConn[conn]; ok {
 		delete(s.nodeByConn, conn)
-		s.timers.Schedule(now+s.model.RemovalDelay, func(now placement.Millis) {
-			s.applyOrDefer(func() {
-				if record := s.records[id]; record != nil && record.conn == conn {
-					s.change(record, func() { record.State = pb.NodeEntry_REMOVED })
-				}
-			})
+		s.timers.Schedule(now+s.model.RemovalDelay, func(placement.Millis) {
+			s.applyOrDefer(func() { s.registry.remove(id, conn) })
 		})
 	}
 	s.wake()
@@ -120,10 +131,14 @@
 	case f.GetRegister() != nil:
 		entry := f.GetRegister()
 		s.timers.Schedule(now+s.model.Lag+s.ExtraLag, func(placement.Millis) {
-			s.applyOrDefer(func() { s.register(now, conn, entry) })
+			s.applyOrDefer(func() { s.registry.register(now, conn, entry) })
 		})
 	case f.GetNodeListRequest() != nil:
-		s.queue = append(s.queue, queuedCall{conn, f.GetNodeListRequest(), now})
+		s.polls.waiting = append(s.polls.waiting, queuedPoll{
+			from:    conn,
+			request: f.GetNodeListRequest(),
+			arrived: now,
+		})
 		s.serve(now)
 	}
 	s.wake()
@@ -131,15 +146,15 @@
 
 // handshake handles the first frame of a connection.
 func (s *DiscoveryService) handshake(now placement.Millis, conn transport.ConnID, sub *subscriber, f *pb.Frame) {
-	h, err := transport.CheckHello(f)
+	received, err := transport.CheckHello(f)
 	switch {
 	case err != nil:
 		s.network.Send(conn, transport.RefusalFrame(err.Error()))
 		s.network.Close(conn)
 		delete(s.subscribers, conn)
-	case h.Role == pb.Role_NODE:
+	case received.Role == pb.Role_NODE:
 		sub.helloReceived = true
-		s.nodeByConn[conn] = h.Node
+		s.nodeByConn[conn] = received.Node
 	default:
 		sub.helloReceived = true
 		s.network.Send(conn, transport.HelloFrame(&pb.Hello{
@@ -148,170 +163,121 @@
 			Incarnation: s.epoch,
 		}))
 		if !s.model.Polled {
-			sub.watching = true
-			sub.revision = s.revision
+			sub.watch(s.registry.revision)
 			s.network.Send(conn, s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0))
 		}
 	}
 }
 
-// change applies a change to a record and gives it the next revision.
-func (s *DiscoveryService) change(record *nodeRecord, apply func()) {
-	apply()
-	s.revision++
-	record.revision = s.revision
-}
-
-// register records the state that a node reported over a connection. Earlier incarnations and unchanged entries are ignored.
-func (s *DiscoveryService) register(at placement.Millis, conn transport.ConnID, entry *pb.NodeEntry) {
-	record := s.records[entry.Id]
-	if record == nil {
-		record = &nodeRecord{}
-		s.records[entry.Id] = record
-	}
-	if entry.Incarnation < record.Incarnation || record.Id != 0 && record.Incarnation == entry.Incarnation && record.conn == conn && record.State == entry.State &&
-		record.FreeCores == entry.FreeCores && record.FreeMemory == entry.FreeMemory {
-		return
-	}
-	s.change(record, func() {
-		record.Id = entry.Id
-		record.State = entry.State
-		record.Kind = entry.Kind
-		record.Zone = entry.Zone
-		record.Cell = entry.Cell
-		record.Incarnation = entry.Incarnation
-		record.UpForMs = entry.UpForMs
-		record.Address = entry.Address
-		record.FreeCores = entry.FreeCores
-		record.FreeMemory = entry.FreeMemory
-		record.since = at
-		record.conn = conn
-	})
-}
-
 // newUpdate returns the records that changed after a revision or, in a snapshot, all nodes that have not been removed.
 func (s *DiscoveryService) newUpdate(now placement.Millis, kind pb.NodeListUpdate_Kind, after uint64) *pb.Frame {
-	u := &pb.NodeListUpdate{
+	update := &pb.NodeListUpdate{
 		Kind:     kind,
 		Epoch:    s.epoch,
-		Revision: s.revision,
+		Revision: s.registry.revision,
 	}
-	if s.empty {
-		u.Kind = pb.NodeListUpdate_SNAPSHOT
-		return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
+	if s.misreport.empty {
+		update.Kind = pb.NodeListUpdate_SNAPSHOT
+		return updateFrame(update)
 	}
 	factor := 1.0
-	if s.capacityFactor > 0 {
-		factor = s.capacityFactor
+	if s.misreport.capacityFactor > 0 {
+		factor = s.misreport.capacityFactor
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.records)) {
-		record := s.records[id]
-		if record.revision <= after || kind == pb.NodeListUpdate_SNAPSHOT && record.State == pb.NodeEntry_REMOVED {
-			continue
-		}
-		up := record.UpForMs
-		if up >= 0 {
-			up += float64(now - record.since)
+	for _, id := range slices.Sorted(maps.Keys(s.registry.records)) {
+		record := s.registry.records[id]
+		listed := kind != pb.NodeListUpdate_SNAPSHOT || record.State != pb.NodeEntry_REMOVED
+		if record.revision > after && listed {
+			update.Entries = append(update.Entries, record.entryAt(now, factor))
 		}
-		u.Entries = append(u.Entries, &pb.NodeEntry{
-			Id:          record.Id,
-			State:       record.State,
-			Kind:        record.Kind,
-			Zone:        record.Zone,
-			Cell:        record.Cell,
-			Incarnation: record.Incarnation,
-			UpForMs:     up,
-			FreeCores:   record.FreeCores * factor,
-			FreeMemory:  record.FreeMemory * factor,
-			Address:     record.Address,
-		})
 	}
-	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: u}}
+	return updateFrame(update)
 }
 
 // applyOrDefer applies a change, or defers it while the service is stale.
 func (s *DiscoveryService) applyOrDefer(apply func()) {
-	if s.stale {
-		s.deferred = append(s.deferred, apply)
+	if s.staleness.active {
+		s.staleness.deferred = append(s.staleness.deferred, apply)
 		return
 	}
 	apply()
 }
 
 // SetStale starts to defer changes, or stops and applies the deferred ones.
-func (s *DiscoveryService) SetStale(_ placement.Millis, stale bool) {
-	s.stale = stale
-	for _, apply := range s.deferred {
+func (s *DiscoveryService) SetStale(stale bool) {
+	s.staleness.active = stale
+	for _, apply := range s.staleness.deferred {
 		apply()
 	}
-	s.deferred = nil
+	s.staleness.deferred = nil
 }
 
-// Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with the next push.
-func (s *DiscoveryService) Misreport(_ placement.Millis, factor float64, empty bool) {
-	s.capacityFactor = factor
-	s.empty = empty
-	s.revision++
-	for _, record := range s.records {
-		record.revision = s.revision
-	}
+// Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with
+// the next push.
+func (s *DiscoveryService) Misreport(factor float64, empty bool) {
+	s.misreport.capacityFactor = factor
+	s.misreport.empty = empty
+	s.registry.touchAll()
 }
 
 // push sends each watching subscriber the changes since its last update. Those at the same revision get the same frame.
 func (s *DiscoveryService) push(now placement.Millis) {
+	revision := s.registry.revision
 	frames := map[uint64]*pb.Frame{}
 	for _, conn := range slices.Sorted(maps.Keys(s.subscribers)) {
 		sub := s.subscribers[conn]
-		if !sub.watching || sub.revision == s.revision {
+		if !sub.watching || sub.revision == revision {
 			continue
 		}
 		if frames[sub.revision] == nil {
 			frames[sub.revision] = s.newUpdate(now, pb.NodeListUpdate_DELTA, sub.revision)
 		}
 		s.network.Send(conn, frames[sub.revision])
-		sub.revision = s.revision
+		sub.revision = revision
 	}
 	s.timers.Schedule(now+s.model.PushInterval, s.push)
 }
 
-// serve answers polls in order, one at a time, at the rate of the model.
+// serve answers polls in order, one at a time, at the rate of the model. Polls that waited too long fail, those of lost
+// connections are dropped.
 func (s *DiscoveryService) serve(now placement.Millis) {
-	if s.busy || len(s.queue) == 0 {
-		return
-	}
-	call := s.queue[0]
-	s.queue = s.queue[1:]
-	sub := s.subscribers[call.from]
-	if sub == nil {
-		s.serve(now)
-		return
-	}
-	if now-call.arrived > s.model.CallTimeout {
-		s.network.Send(call.from, &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: &pb.NodeListUpdate{
-			Kind:   pb.NodeListUpdate_POLL_FAILED,
-			Epoch:  s.epoch,
-			Reason: "the list is overrun",
-		}}})
-		s.serve(now)
-		return
+	for !s.polls.busy && len(s.polls.waiting) > 0 {
+		poll := s.polls.waiting[0]
+		s.polls.waiting = s.polls.waiting[1:]
+		sub := s.subscribers[poll.from]
+		switch {
+		case sub == nil:
+		case now-poll.arrived > s.model.CallTimeout:
+			s.network.Send(poll.from, updateFrame(&pb.NodeListUpdate{
+				Kind:   pb.NodeListUpdate_POLL_FAILED,
+				Epoch:  s.epoch,
+				Reason: "the list is overrun",
+			}))
+		default:
+			s.answerPoll(now, sub, poll)
+		}
 	}
-	f := s.pollUpdate(now, call.poll)
-	duration := s.sendDuration(len(f.GetNodeListUpdate().Entries))
-	if call.poll.Watch {
-		sub.watching = true
-		sub.revision = s.revision
+}
+
+// answerPoll begins to send the answer to a poll. The next one is served once it is sent.
+func (s *DiscoveryService) answerPoll(now placement.Millis, sub *subscriber, poll queuedPoll) {
+	answer := s.pollUpdate(now, poll.request)
+	duration := s.sendDuration(len(answer.GetNodeListUpdate().Entries))
+	if poll.request.Watch {
+		sub.watch(s.registry.revision)
 	}
-	s.busy = true
+	s.polls.busy = true
 	s.timers.Schedule(now+duration, func(now placement.Millis) {
-		s.busy = false
-		s.network.Send(call.from, f)
+		s.polls.busy = false
+		s.network.Send(poll.from, answer)
 		s.serve(now)
 	})
 }
 
-// pollUpdate returns the answer to a poll: changes where the poller subscribes and its revision is of this epoch, else a snapshot.
+// pollUpdate returns the answer to a poll: changes where the poller subscribes and its revision is of this epoch, else
+// a snapshot.
 func (s *DiscoveryService) pollUpdate(now placement.Millis, poll *pb.NodeListRequest) *pb.Frame {
-	if poll.Epoch != s.epoch || !poll.Watch || poll.Revision > s.revision {
+	if poll.Epoch != s.epoch || !poll.Watch || poll.Revision > s.registry.revision {
 		return s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0)
 	}
 	return s.newUpdate(now, pb.NodeListUpdate_DELTA, poll.Revision)
--- a/internal/simulation/emulator/discovery_test.go
+++ b/internal/simulation/emulator/discovery_test.go
@@ -6,60 +6,75 @@
 	"github.com/stretchr/testify/assert"
 
 	"grebeglade/internal/simulation/scenario"
+	"grebeglade/internal/transport"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func TestDiscoveryService_StaleWrongAndEmpty(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{
+// nodeConn is the connection of the node that registers.
+const nodeConn = transport.ConnID(1)
+
+// newTestDiscovery returns a service that has started, and to which a node of four cores has registered.
+func newTestDiscovery() *DiscoveryService {
+	service := newEmptyDiscovery()
+	service.registry.register(0, nodeConn, testEntry(pb.NodeEntry_READY))
+	return service
+}
+
+func newEmptyDiscovery() *DiscoveryService {
+	model := &scenario.DiscoveryModel{
 		Lag:          1,
 		PushInterval: 10,
 		RemovalDelay: 100,
-	}, 1)
-	network := &fakeNetwork{}
-	s.Start(0, network)
-	s.register(0, 1, &pb.NodeEntry{
+	}
+	service := NewDiscoveryService(model, 1)
+	service.Start(0, &fakeNetwork{})
+	return service
+}
+
+func testEntry(state pb.NodeEntry_State) *pb.NodeEntry {
+	return &pb.NodeEntry{
 		Id:          7,
-		State:       pb.NodeEntry_READY,
+		State:       state,
 		Incarnation: 1,
 		FreeCores:   4,
-	})
-	listed := func() []*pb.NodeEntry {
-		return s.newUpdate(0, pb.NodeListUpdate_SNAPSHOT, 0).GetNodeListUpdate().Entries
 	}
-	s.SetStale(0, true)
-	s.applyOrDefer(func() {
-		s.register(1, 1, &pb.NodeEntry{
-			Id:          7,
-			State:       pb.NodeEntry_DRAINING,
-			Incarnation: 1,
-			FreeCores:   4,
-		})
+}
+
+// listed returns the entries of a snapshot.
+func (s *DiscoveryService) listed() []*pb.NodeEntry {
+	return s.newUpdate(0, pb.NodeListUpdate_SNAPSHOT, 0).GetNodeListUpdate().Entries
+}
+
+func TestDiscoveryService_Stale_DefersChanges(t *testing.T) {
+	service := newTestDiscovery()
+	service.SetStale(true)
+	service.applyOrDefer(func() {
+		service.registry.register(1, nodeConn, testEntry(pb.NodeEntry_DRAINING))
 	})
-	assert.Equal(t, pb.NodeEntry_READY, listed()[0].State)
-	s.SetStale(0, false)
-	assert.Equal(t, pb.NodeEntry_DRAINING, listed()[0].State)
-	s.Misreport(0, 3, false)
-	assert.InDelta(t, 12.0, listed()[0].FreeCores, 0)
-	before := s.revision
-	s.Misreport(0, 1, true)
-	assert.Empty(t, listed())
-	assert.Greater(t, s.revision, before, "subscribers receive the change")
+	assert.Equal(t, pb.NodeEntry_READY, service.listed()[0].State)
+	service.SetStale(false)
+	assert.Equal(t, pb.NodeEntry_DRAINING, service.listed()[0].State)
 }
 
-func TestDiscoveryService_ExtraLagDelaysRegistration(t *testing.T) {
-	s := NewDiscoveryService(&scenario.DiscoveryModel{
-		Lag:          1,
-		PushInterval: 10,
-		RemovalDelay: 100,
-	}, 1)
-	network := &fakeNetwork{}
-	s.Start(0, network)
-	s.Opened(0, 1)
-	s.subscribers[1].helloReceived = true
-	s.ExtraLag = 500
-	s.Received(0, 1, &pb.Frame{Body: &pb.Frame_Register{Register: &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}}})
-	s.Wake(400)
-	assert.Empty(t, s.records, "the registration takes effect later")
-	s.Wake(501)
-	assert.Len(t, s.records, 1)
+func TestDiscoveryService_Misreport_ChangesWhatIsListed(t *testing.T) {
+	service := newTestDiscovery()
+	service.Misreport(3, false)
+	assert.InDelta(t, 12.0, service.listed()[0].FreeCores, 0)
+	before := service.registry.revision
+	service.Misreport(1, true)
+	assert.Empty(t, service.listed())
+	assert.Greater(t, service.registry.revision, before, "subscribers receive the change")
+}
+
+func TestDiscoveryService_ExtraLag_DelaysRegistration(t *testing.T) {
+	service := newEmptyDiscovery()
+	service.Opened(0, nodeConn)
+	service.subscribers[nodeConn].helloReceived = true
+	service.ExtraLag = 500
+	entry := &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}
+	service.Received(0, nodeConn, &pb.Frame{Body: &pb.Frame_Register{Register: entry}})
+	service.Wake(400)
+	assert.Empty(t, service.registry.records, "the registration takes effect later")
+	service.Wake(501)
+	assert.Len(t, service.registry.records, 1)
 }
--- a/internal/simulation/emulator/fake_network_test.go
+++ b/internal/simulation/emulator/fake_network_test.go
@@ -16,12 +16,14 @@
 }
 
 func (n *fakeNetwork) Dial(string) transport.ConnID { return 1 }
-func (n *fakeNetwork) Send(c transport.ConnID, f *pb.Frame) {
+func (n *fakeNetwork) Send(_ transport.ConnID, f *pb.Frame) {
 	n.sent = append(n.sent, f)
 }
 func (n *fakeNetwork) Close(transport.ConnID)    {}
 func (n *fakeNetwork) WakeAt(t placement.Millis) { n.wake = t }
 func (n *fakeNetwork) Now() placement.Millis     { return n.now }
+
+// run wakes a node at each time that it asked for, up to a time.
 func (n *fakeNetwork) run(node *Node, until placement.Millis) {
 	for n.wake <= until {
 		n.now = n.wake
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -1,8 +1,6 @@
 package emulator
 
 import (
-	"math"
-
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -11,6 +9,16 @@
 // pacedEvictionInterval is the time in ms between the evictions of a paced drain.
 const pacedEvictionInterval = placement.Millis(300)
 
+// NodeFaults are the faults that a node suffers at present.
+type NodeFaults struct {
+	Slowdown           float64 // multiplies the time of admissions and starts
+	NeighbourShare     float64 // share of the machine that another program takes
+	ThrottledGroup     string  // group whose offers are rejected without a reason
+	Surge              UsageSurge
+	UnderreportedShare float64 // share of the load that is left out of reports
+	StartsBlocked      bool    // offers are accepted, but nothing is started
+}
+
 // UsageSurge is a fault: some services use far more than they requested.
 type UsageSurge struct {
 	Group  string  // "" for every group
@@ -18,25 +26,23 @@
 	Factor float64 // multiplies their usual use
 }
 
-// surgeFactor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
-func (n *Node) surgeFactor(t *Task) float64 {
-	surge := n.Surge
+// factor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
+func (s *UsageSurge) factor(t *Task) float64 {
 	request := t.Offer.Request
-	affected := (surge.Group == "" || surge.Group == request.Group) && ServiceFactor(request.Service+2)-0.5 < surge.Share
-	if surge.Factor > 1 && affected {
-		return surge.Factor
+	affected := (s.Group == "" || s.Group == request.Group) && serviceQuantile(request.Service+surgeSalt) < s.Share
+	if s.Factor > 1 && affected {
+		return s.Factor
 	}
 	return 1
 }
 
 // Drain sets whether the node drains, and announces it.
 func (n *Node) Drain(now placement.Millis, draining bool) {
-	n.now = now
 	n.draining = draining
 	n.register(now)
 	if n.model.AnnouncesDrain {
-		for _, conn := range n.allocatorConns() {
-			n.network.Send(conn, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
+		for _, conn := range n.allocators.readyConns() {
+			n.network.Send(conn, drainFrame(draining))
 		}
 	}
 	if draining && n.model.DrainMode != scenario.DrainKeeps {
@@ -47,8 +53,8 @@
 
 // evictAll evicts all tasks of a draining node, at once or one by one as its model says.
 func (n *Node) evictAll(now placement.Millis) {
-	for n.draining && len(n.tasks) > 0 {
-		n.endTask(now, n.tasks[0], pb.Reason_DRAINED)
+	for n.draining && len(n.tasks.all) > 0 {
+		n.endTask(now, n.tasks.all[0], pb.Reason_DRAINED)
 		if n.model.DrainMode == scenario.DrainPaced {
 			n.timers.Schedule(now+pacedEvictionInterval, n.evictAll)
 			return
@@ -58,13 +64,10 @@
 
 // UnblockStarts starts the tasks that were accepted while starts were blocked.
 func (n *Node) UnblockStarts(now placement.Millis) {
-	n.now = now
 	n.StartsBlocked = false
 	n.startNext(now)
 	n.wake()
 }
 
 // DropCachedPrograms drops a share of the cached programs, the least recently used first.
-func (n *Node) DropCachedPrograms(share float64) {
-	n.cachedPrograms = n.cachedPrograms[int(math.Ceil(share*float64(len(n.cachedPrograms)))):]
-}
+func (n *Node) DropCachedPrograms(share float64) { n.programs.drop(share) }
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"math"
 	"slices"
 
 	"grebeglade/internal/simulation/observer"
@@ -10,9 +11,9 @@
 )
 
 const (
-	usageNoteInterval  = placement.Millis(5e3) // ms between the usage notes of a workload
-	firstUsageNote     = placement.Millis(800) // ms from a workload's start to its first usage note
-	contentionSlowdown = 4.0                   // relative increase of start times for each unit of core demand above 1
+	usageReportInterval = placement.Millis(5e3) // ms between the usage reports of a workload
+	firstUsageReport    = placement.Millis(800) // ms from a workload's start to its first usage report
+	contentionSlowdown  = 4.0                   // relative increase of start times for each unit of core demand above 1
 )
 
 // Task is an accepted workload.
@@ -27,17 +28,58 @@
 	memory       float64
 }
 
+// taskList holds a node's tasks.
+type taskList struct {
+	all              []*Task // in the order of their acceptance
+	byBind           map[observer.BindKey]*Task
+	pendingStarts    []*Task
+	startsInProgress int
+}
+
+func (l *taskList) add(t *Task) {
+	l.all = append(l.all, t)
+	l.byBind[observer.KeyOf(t.Offer.Bind)] = t
+}
+
+func (l *taskList) remove(t *Task) {
+	l.all = slices.DeleteFunc(l.all, func(other *Task) bool { return other == t })
+	delete(l.byBind, observer.KeyOf(t.Offer.Bind))
+}
+
+// has reports whether a task with that workload key was accepted and has not ended.
+func (l *taskList) has(key uint64) bool {
+	return slices.ContainsFunc(l.all, func(t *Task) bool { return t.Offer.Request.Key == key })
+}
+
+// runsService reports whether a task of a service runs.
+func (l *taskList) runsService(service uint64) bool {
+	return slices.ContainsFunc(l.all, func(t *Task) bool { return t.running && t.Offer.Request.Service == service })
+}
+
+// startBacklog returns the number of tasks that are starting or wait for it.
+func (l *taskList) startBacklog() int { return len(l.pendingStarts) + l.startsInProgress }
+
+// requestedCapacity returns the cores and memory that the accepted tasks request.
+func (l *taskList) requestedCapacity() (cores, memory float64) {
+	for _, t := range l.all {
+		cores += t.Offer.Request.Cores
+		memory += t.Offer.Request.Memory
+	}
+	return cores, memory
+}
+
 // startNext starts pending tasks up to the limit of concurrent starts.
 func (n *Node) startNext(now placement.Millis) {
-	for n.startsInProgress < n.model.ConcurrentStarts && len(n.pendingStarts) > 0 && !n.StartsBlocked {
-		t := n.pendingStarts[0]
-		n.pendingStarts = n.pendingStarts[1:]
+	tasks := &n.tasks
+	for tasks.startsInProgress < n.model.ConcurrentStarts && len(tasks.pendingStarts) > 0 && !n.StartsBlocked {
+		t := tasks.pendingStarts[0]
+		tasks.pendingStarts = tasks.pendingStarts[1:]
 		if t.ended {
 			continue
 		}
-		n.startsInProgress++
+		tasks.startsInProgress++
 		n.timers.Schedule(now+n.startTime(now, t), func(now placement.Millis) {
-			n.startsInProgress--
+			tasks.startsInProgress--
 			if !t.ended {
 				n.taskStarted(now, t)
 			}
@@ -46,12 +88,12 @@
 	}
 }
 
-// startTime returns how long a start takes, which depends on the program cache, the warm-up and the contention for cores.
+// startTime returns how long a start takes, which depends on the program cache, the warm-up and the contention for
+// cores.
 func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
 	service := t.Offer.Request.Service
-	runs := func(other *Task) bool { return other.running && other.Offer.Request.Service == service }
-	if !slices.Contains(n.cachedPrograms, service) && !slices.ContainsFunc(n.tasks, runs) {
+	if !n.programs.has(service) && !n.tasks.runsService(service) {
 		work *= n.model.UncachedStartFactor
 	}
 	rate, _ := n.warmUpRate(now)
@@ -65,24 +107,22 @@
 	if n.OnRunning != nil {
 		n.OnRunning(t, true)
 	}
-	t.cores = t.Offer.Request.Cores * t.group.CoreUse * ServiceFactor(t.Offer.Request.Service)
-	t.memory = t.Offer.Request.Memory * t.group.MemoryUse * ServiceFactor(t.Offer.Request.Service+1)
-	n.removeCachedProgram(t.Offer.Request.Service)
+	request := t.Offer.Request
+	t.cores = request.Cores * t.group.CoreUse * CoreUseFactor(request.Service)
+	t.memory = request.Memory * t.group.MemoryUse * MemoryUseFactor(request.Service)
+	n.programs.remove(request.Service) // while a task runs it, it does not count against the limit
 	if n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferReply{
-			Bind:     t.Offer.Bind,
-			Accepted: true,
-			Load:     n.loadNow(now),
-		})
+		n.confirm(now, t.Offer)
 	} else {
-		n.sendNote(t, pb.UsageReport_RUNNING, 1)
+		n.sendReport(t, pb.UsageReport_RUNNING, 1)
 	}
-	n.timers.Schedule(now+placement.Millis(t.Offer.Request.ExpectedRuntimeMs), func(now placement.Millis) { n.endTask(now, t, pb.Reason_FINISHED) })
-	n.timers.Schedule(now+firstUsageNote, func(now placement.Millis) { n.sendUsageNote(now, t) })
+	runtime := placement.Millis(request.ExpectedRuntimeMs)
+	n.timers.Schedule(now+runtime, func(now placement.Millis) { n.endTask(now, t, pb.Reason_FINISHED) })
+	n.timers.Schedule(now+firstUsageReport, func(now placement.Millis) { n.reportUsage(now, t) })
 }
 
-// sendNote sends a note about a task to its allocator.
-func (n *Node) sendNote(t *Task, kind pb.UsageReport_Kind, value float64) {
+// sendReport sends a report about a task to its allocator.
+func (n *Node) sendReport(t *Task, kind pb.UsageReport_Kind, value float64) {
 	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{
 		Bind:  t.Offer.Bind,
 		Kind:  kind,
@@ -90,62 +130,79 @@
 	}}})
 }
 
-// sendUsageNote reports the cores that a task uses, and repeats until the task ends.
-func (n *Node) sendUsageNote(now placement.Millis, t *Task) {
+// reportUsage reports the cores that a task uses, and repeats until the task ends.
+func (n *Node) reportUsage(now placement.Millis, t *Task) {
 	if t.ended {
 		return
 	}
-	n.sendNote(t, pb.UsageReport_CORES_USED, t.cores*n.surgeFactor(t))
-	n.timers.Schedule(now+usageNoteInterval, func(now placement.Millis) { n.sendUsageNote(now, t) })
+	n.sendReport(t, pb.UsageReport_CORES_USED, t.cores*n.Surge.factor(t))
+	n.timers.Schedule(now+usageReportInterval, func(now placement.Millis) { n.reportUsage(now, t) })
 }
 
-// endTask removes a task from the node and notifies its allocator.
-func (n *Node) endTask(now placement.Millis, t *Task, why pb.Reason) {
+// endTask removes a task from the node and notifies its allocator. Ended tasks are ignored.
+func (n *Node) endTask(now placement.Millis, t *Task, reason pb.Reason) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	n.tasks = slices.DeleteFunc(n.tasks, func(other *Task) bool { return other == t })
-	delete(n.byBind, observer.KeyOf(t.Offer.Bind))
-	if t.running && n.OnRunning != nil {
-		n.OnRunning(t, false)
-	}
-	if t.running && n.model.CachedPrograms > 0 {
-		n.cacheProgram(t.Offer.Request.Service)
+	n.tasks.remove(t)
+	if t.running {
+		if n.OnRunning != nil {
+			n.OnRunning(t, false)
+		}
+		n.programs.add(t.Offer.Request.Service)
 	}
 	if !t.running && n.model.ConfirmsRunning {
-		n.answer(now, t.Offer.Bind, &pb.OfferReply{
+		n.answer(&pb.OfferReply{
 			Bind:   t.Offer.Bind,
-			Reason: why,
+			Reason: reason,
 			Text:   "ended before it ran",
 			Load:   n.loadNow(now),
 		})
 		return
 	}
-	n.sendTo(t.Offer.Bind.Allocator, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{
+	n.sendTo(t.Offer.Bind.Allocator, endFrame(&pb.End{
 		Bind:   t.Offer.Bind,
-		Reason: why,
+		Reason: reason,
 		Load:   n.loadNow(now),
-	}}})
-}
-
-// cacheProgram makes a service's program the most recently used one, and drops the least recently used beyond the limit.
-func (n *Node) cacheProgram(service uint64) {
-	n.removeCachedProgram(service)
-	if n.cachedPrograms = append(n.cachedPrograms, service); len(n.cachedPrograms) > n.model.CachedPrograms {
-		n.cachedPrograms = n.cachedPrograms[1:]
-	}
-}
-
-func (n *Node) removeCachedProgram(service uint64) {
-	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(cached uint64) bool { return cached == service })
+	}))
 }
 
 // Stop ends the accounting of running tasks.
 func (n *Node) Stop() {
-	for _, t := range n.tasks {
+	for _, t := range n.tasks.all {
 		if t.running && n.OnRunning != nil {
 			n.OnRunning(t, false)
 		}
 	}
 }
+
+// programCache holds the programs of services that no longer run on a node, up to a limit.
+type programCache struct {
+	limit    int
+	services []uint64 // most recently used last
+}
+
+func (c *programCache) has(service uint64) bool { return slices.Contains(c.services, service) }
+
+// add makes a service's program the most recently used one, and drops the least recently used beyond the limit.
+func (c *programCache) add(service uint64) {
+	if c.limit <= 0 {
+		return
+	}
+	c.remove(service)
+	c.services = append(c.services, service)
+	if len(c.services) > c.limit {
+		c.services = c.services[1:]
+	}
+}
+
+func (c *programCache) remove(service uint64) {
+	c.services = slices.DeleteFunc(c.services, func(cached uint64) bool { return cached == service })
+}
+
+// drop drops a share of the programs, the least recently used first.
+func (c *programCache) drop(share float64) {
+	count := int(math.Ceil(share * float64(len(c.services))))
+	c.services = c.services[count:]
+}
--- a/internal/simulation/emulator/node_test.go
+++ b/internal/simulation/emulator/node_test.go
@@ -7,16 +7,26 @@
 
 	"grebeglade/internal/simulation/scenario"
 	"grebeglade/internal/transport"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func TestNode_AnswersOffers(t *testing.T) {
-	network := &fakeNetwork{}
-	n := NewNode(&NodeSpec{
-		ID:     1,
-		Cores:  10,
-		Memory: 10,
-	}, &scenario.NodeModel{
+const (
+	allocatorName        = "a"
+	allocatorIncarnation = 5
+	allocatorConn        = transport.ConnID(2)
+	throttledGroup       = "t"
+)
+
+// testNode is a node of ten cores that is connected to one allocator.
+type testNode struct {
+	*Node
+	network *fakeNetwork
+}
+
+// newTestNode returns a node that decides on an offer within 10 ms, and queues three.
+func newTestNode() testNode {
+	model := &scenario.NodeModel{
 		CoreOvercommit:      1,
 		MemoryOvercommit:    1,
 		AdmissionTime:       10,
@@ -24,87 +34,151 @@
 		ConcurrentStarts:    1,
 		UncachedStartFactor: 2,
 		ReportInterval:      1000,
-		DrainMode:           "keeps",
-		Groups: map[string]*scenario.GroupModel{"g": {
-			StartTime: 50,
-			CoreUse:   1,
-			MemoryUse: 1,
-		}, "t": {StartTime: 50}},
-	}, 1)
-	n.Start(0, network)
-	n.Opened(0, 2)
-	n.Received(0, 2, transport.HelloFrame(&pb.Hello{
+		DrainMode:           scenario.DrainKeeps,
+		Groups: map[string]*scenario.GroupModel{
+			"g": {
+				StartTime: 50,
+				CoreUse:   1,
+				MemoryUse: 1,
+			},
+			throttledGroup: {StartTime: 50},
+		},
+	}
+	node := testNode{Node: newTenCoreNode(model), network: &fakeNetwork{}}
+	node.Start(0, node.network)
+	node.Opened(0, allocatorConn)
+	node.Received(0, allocatorConn, transport.HelloFrame(&pb.Hello{
 		Role:        pb.Role_ALLOCATOR,
-		Name:        "a",
-		Incarnation: 5,
+		Name:        allocatorName,
+		Incarnation: allocatorIncarnation,
 	}))
-	offer := func(id uint64, change ...func(*pb.Offer)) {
-		o := &pb.Offer{
-			Bind: &pb.BindID{
-				Allocator:   "a",
-				Incarnation: 5,
-				Workload:    id,
-			},
-			AcceptWithinMs: 100,
-			Request: &pb.PlaceRequest{
-				Key:               id,
-				Service:           1,
-				Group:             "g",
-				Cores:             4,
-				Memory:            4,
-				ExpectedRuntimeMs: 10000,
-			},
-		}
-		for _, f := range change {
-			f(o)
-		}
-		n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Offer{Offer: o}})
+	return node
+}
+
+func newTenCoreNode(model *scenario.NodeModel) *Node {
+	return NewNode(&NodeSpec{
+		ID:     1,
+		Cores:  10,
+		Memory: 10,
+	}, model, 1)
+}
+
+func testBind(workload uint64) *pb.BindID {
+	return &pb.BindID{
+		Allocator:   allocatorName,
+		Incarnation: allocatorIncarnation,
+		Workload:    workload,
+	}
+}
+
+// receiveOffer delivers an offer of four cores, with changes.
+func (n testNode) receiveOffer(id uint64, changes ...func(*pb.Offer)) {
+	offer := &pb.Offer{
+		Bind:           testBind(id),
+		AcceptWithinMs: 100,
+		Request: &pb.PlaceRequest{
+			Key:               id,
+			Service:           1,
+			Group:             "g",
+			Cores:             4,
+			Memory:            4,
+			ExpectedRuntimeMs: 10000,
+		},
 	}
-	offer(1)
-	network.run(n, 20)
-	offer(1) // a duplicate, as a network may deliver it
-	network.run(n, 40)
-	assert.Equal(t, []string{"1 true ", "1 true "}, network.offerAnswers())
-	assert.Len(t, n.tasks, 1)
-	offer(2, func(o *pb.Offer) { o.Bind.Incarnation = 4 })
-	offer(3, func(o *pb.Offer) { o.Request.Key = 1 })
-	offer(4, func(o *pb.Offer) { o.Request.Cores = 7 })
-	offer(5)
-	network.run(n, 200)
-	offer(6, func(o *pb.Offer) {
+	for _, change := range changes {
+		change(offer)
+	}
+	n.Received(n.network.now, allocatorConn, &pb.Frame{Body: &pb.Frame_Offer{Offer: offer}})
+}
+
+// receiveStopOfQueued delivers a stop that is for queued offers only.
+func (n testNode) receiveStopOfQueued(id uint64) {
+	stop := &pb.Stop{Bind: testBind(id), OnlyWaiting: true}
+	n.Received(n.network.now, allocatorConn, &pb.Frame{Body: &pb.Frame_Stop{Stop: stop}})
+}
+
+func (n testNode) runUntil(at placement.Millis) { n.network.run(n.Node, at) }
+
+func TestNode_DuplicateOffer_AnsweredAgainAndRunOnce(t *testing.T) {
+	node := newTestNode()
+	node.receiveOffer(1)
+	node.runUntil(20)
+	node.receiveOffer(1)
+	node.runUntil(40)
+	assert.Equal(t, []string{"1 true ", "1 true "}, node.network.offerAnswers())
+	assert.Len(t, node.tasks.all, 1)
+}
+
+func TestNode_OfferNotAdmitted_RejectedWithReason(t *testing.T) {
+	node := newTestNode()
+	node.receiveOffer(1)
+	node.runUntil(40)
+	assert.Equal(t, []string{"1 true "}, node.network.offerAnswers())
+	node.receiveOffer(2, func(o *pb.Offer) { o.Bind.Incarnation = allocatorIncarnation - 1 })
+	node.receiveOffer(3, func(o *pb.Offer) { o.Request.Key = 1 })
+	node.receiveOffer(4, func(o *pb.Offer) { o.Request.Cores = 7 })
+	node.receiveOffer(5)
+	node.runUntil(200)
+	node.receiveOffer(6, func(o *pb.Offer) {
 		o.Request.Memory = 7
 		o.Request.Cores = 1
 	})
-	offer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
-	n.ThrottledGroup = "t"
-	offer(8, func(o *pb.Offer) { o.Request.Group = "t" })
-	network.run(n, 240)
+	node.receiveOffer(7, func(o *pb.Offer) { o.AcceptWithinMs = 5 })
+	node.ThrottledGroup = throttledGroup
+	node.receiveOffer(8, func(o *pb.Offer) { o.Request.Group = throttledGroup })
+	node.runUntil(240)
 	assert.Equal(t, []string{
-		"5 false too many offers wait", "2 false from an earlier incarnation of the allocator",
-		"3 false a copy stands here", "4 false no cores left", "6 false no memory left", "7 false too late", "8 false ",
-	}, network.offerAnswers())
-	// Cancelled or draining while queued: rejected, and no task is added.
-	offer(9, func(o *pb.Offer) { o.Request.Cores = 1 })
-	n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{
-		Allocator:   "a",
-		Incarnation: 5,
-		Workload:    9,
-	}, OnlyWaiting: true}}})
-	offer(10, func(o *pb.Offer) { o.Request.Cores = 1 })
-	n.Drain(network.now, true)
-	network.run(n, 300)
-	assert.Equal(t, []string{"9 false called off", "10 false draining"}, network.offerAnswers())
-	// A stop for queued offers only does not end an accepted task.
-	n.Received(network.now, 2, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: &pb.BindID{
-		Allocator:   "a",
-		Incarnation: 5,
-		Workload:    1,
-	}, OnlyWaiting: true}}})
-	assert.Len(t, n.tasks, 1)
+		"5 false too many offers wait",
+		"2 false from an earlier incarnation of the allocator",
+		"3 false a copy stands here",
+		"4 false no cores left",
+		"6 false no memory left",
+		"7 false too late",
+		"8 false ",
+	}, node.network.offerAnswers())
+}
+
+func TestNode_QueuedOfferStoppedOrNodeDraining_Rejected(t *testing.T) {
+	node := newTestNode()
+	node.receiveOffer(1)
+	node.runUntil(240)
+	assert.Equal(t, []string{"1 true "}, node.network.offerAnswers())
+	node.receiveOffer(9, func(o *pb.Offer) { o.Request.Cores = 1 })
+	node.receiveStopOfQueued(9)
+	node.receiveOffer(10, func(o *pb.Offer) { o.Request.Cores = 1 })
+	node.Drain(node.network.now, true)
+	node.runUntil(300)
+	assert.Equal(t, []string{"9 false called off", "10 false draining"}, node.network.offerAnswers())
+	assert.Len(t, node.tasks.all, 1)
+	node.receiveStopOfQueued(1)
+	assert.Len(t, node.tasks.all, 1, "a stop for queued offers only does not end an accepted task")
+}
+
+func TestNode_StartsBlocked_TaskRunsOnceUnblocked(t *testing.T) {
+	node, network := newNodeWithOneTask()
+	network.run(node, 50)
+	assert.False(t, node.tasks.all[0].running)
+	node.UnblockStarts(50)
+	network.run(node, 100)
+	assert.True(t, node.tasks.all[0].running)
 }
 
-func TestNode_UnderreportsLoadAndBlocksStarts(t *testing.T) {
-	m := &scenario.NodeModel{
+func TestNode_UnderreportsLoad(t *testing.T) {
+	node, network := newNodeWithOneTask()
+	node.UnblockStarts(0)
+	network.run(node, 100)
+	reported := *node.load.SpareCores
+	assert.Less(t, reported, 10.0)
+	node.UnderreportedShare = 1
+	network.run(node, 150)
+	assert.InDelta(t, 10.0, *node.load.SpareCores, 0)
+	assert.Greater(t, *node.load.SpareCores, reported)
+}
+
+// newNodeWithOneTask returns a node that has accepted a task of four cores, and starts nothing yet.
+func newNodeWithOneTask() (*Node, *fakeNetwork) {
+	network := &fakeNetwork{}
+	node := newTenCoreNode(&scenario.NodeModel{
 		CoreOvercommit:      1,
 		MemoryOvercommit:    1,
 		AdmissionTime:       1,
@@ -112,52 +186,40 @@
 		ConcurrentStarts:    1,
 		UncachedStartFactor: 1,
 		ReportInterval:      10,
-		DrainMode:           "keeps",
+		DrainMode:           scenario.DrainKeeps,
 		Groups: map[string]*scenario.GroupModel{"g": {
 			StartTime: 5,
 			CoreUse:   1,
 			MemoryUse: 1,
 		}},
-	}
-	network := &fakeNetwork{}
-	n := NewNode(&NodeSpec{
-		ID:     1,
-		Cores:  10,
-		Memory: 10,
-	}, m, 1)
-	n.Start(0, network)
-	n.StartsBlocked = true
-	n.accept(0, &pb.Offer{Bind: &pb.BindID{Workload: 1}, Request: &pb.PlaceRequest{
+	})
+	node.Start(0, network)
+	node.StartsBlocked = true
+	request := &pb.PlaceRequest{
 		Group:             "g",
 		Cores:             4,
 		Memory:            4,
 		ExpectedRuntimeMs: 1e5,
-	}})
-	network.run(n, 50)
-	assert.False(t, n.tasks[0].running)
-	n.UnblockStarts(50)
-	network.run(n, 100)
-	assert.True(t, n.tasks[0].running)
-	reported := *n.load.SpareCores
-	assert.Less(t, reported, 10.0)
-	n.UnderreportedShare = 1
-	network.run(n, 150)
-	assert.InDelta(t, 10.0, *n.load.SpareCores, 0)
-	assert.Greater(t, *n.load.SpareCores, reported)
+	}
+	node.accept(0, &pb.Offer{Bind: &pb.BindID{Workload: 1}, Request: request})
+	return node, network
 }
 
 func TestNode_FaultsRaiseCoresUsed(t *testing.T) {
 	for name, set := range map[string]func(*Node){
-		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 }, "hot": func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
+		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 },
+		"surge":     func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
 	} {
-		n := NewNode(&NodeSpec{Cores: 10, Memory: 10}, &scenario.NodeModel{}, 1)
-		n.tasks = []*Task{{
-			Offer:  &pb.Offer{Request: &pb.PlaceRequest{}},
-			cores:  2,
-			memory: 2,
-		}}
-		before := n.coresUsed()
-		set(n)
-		assert.Greater(t, n.coresUsed(), before, name)
+		t.Run(name, func(t *testing.T) {
+			node := newTenCoreNode(&scenario.NodeModel{})
+			node.tasks.all = []*Task{{
+				Offer:  &pb.Offer{Request: &pb.PlaceRequest{}},
+				cores:  2,
+				memory: 2,
+			}}
+			before := node.coresUsed()
+			set(node)
+			assert.Greater(t, node.coresUsed(), before)
+		})
 	}
 }
--- a/internal/simulation/emulator/tally.go
+++ b/internal/simulation/emulator/tally.go
@@ -4,7 +4,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Tally counts what a client has seen of its requests.
+// Tally counts what a client has seen of its requests, one counter for each outcome, of single workloads and gangs.
 type Tally struct {
 	Requests      int // retries included
 	FirstRequests int
@@ -16,11 +16,19 @@
 	Unanswered    int
 	Ended         map[pb.Reason]int
 	Waits         []float64 // ms from the request that was answered until the workload was placed
+	SingleTally
+	GangTally
+}
 
-	SinglesFirst  int     // workloads that belong to no gang
+// SingleTally counts workloads that belong to no gang.
+type SingleTally struct {
+	SinglesFirst  int
 	SinglesPlaced int     // those of them that their first request placed
-	Wants         []*Want // single workloads, in the order in which they were first wanted
+	Wants         []*Want // in the order in which they were first wanted
+}
 
+// GangTally counts gangs.
+type GangTally struct {
 	Gangs          int
 	GangsStarted   int
 	GangsAbandoned int       // that never started
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -129,14 +129,14 @@
 		d.onDiscovery(at, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = placement.Millis(f.Size) })
 		d.onDiscovery(until, func(_ placement.Millis, l *emulator.DiscoveryService) { l.ExtraLag = 0 })
 	case scenario.DiscoveryStale:
-		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(now, true) })
-		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(now, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(true) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.SetStale(false) })
 	case scenario.DiscoveryWrong:
-		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, f.Size, false) })
-		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(f.Size, false) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(1, false) })
 	case scenario.DiscoveryEmpty:
-		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, true) })
-		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(now, 1, false) })
+		d.onDiscovery(at, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(1, true) })
+		d.onDiscovery(until, func(now placement.Millis, l *emulator.DiscoveryService) { l.Misreport(1, false) })
 	default:
 		d.planNetwork(f, at, until)
 	}
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -153,7 +153,7 @@
 		}
 		for i := range sums {
 			if asked[i] > 0 {
-				sums[i] += placed[i]/asked[i]
+				sums[i] += placed[i] / asked[i]
 				days[i]++
 			}
 		}
