--- a/internal/simulation/benchmark_test.go
+++ b/internal/simulation/benchmark_test.go
@@ -8,17 +8,19 @@
 	"grebeglade/placement"
 )
 
-// BenchmarkDay is what a simulated workload costs, by size; load follows the nodes.
-func BenchmarkDay(b *testing.B) {
-	for _, size := range [][2]int{{10, 1}, {100, 10}, {100, 100}, {300, 300}, {1000, 100}, {1000, 1000}} {
-		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
+// BenchmarkPlayVirtual measures what a simulated workload costs, by the size of the fleet. Load grows with the nodes.
+func BenchmarkPlayVirtual(b *testing.B) {
+	for _, size := range []struct{ nodes, allocators int }{
+		{10, 1}, {100, 10}, {100, 100}, {300, 300}, {1000, 100}, {1000, 1000},
+	} {
+		b.Run(fmt.Sprintf("%dx%d", size.nodes, size.allocators), func(b *testing.B) {
 			workloads := 0
 			for i := range b.N {
 				s, err := scenario.Open("quiet")
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.Resize(size[1], size[0])
+				s.Resize(size.allocators, size.nodes)
 				s.SetLength(placement.Millis(5000))
 				r, err := PlayVirtual(s, Options{Seed: uint64(i) + 1})
 				if err != nil {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -9,50 +9,61 @@
 	"grebeglade/placement"
 )
 
-// A fault that is there before the first node is known, and owners that ask at once.
+// Faults begin before the first node is known, and clients send requests at once.
 func TestFaults_BeforeAnyNodeIsKnown(t *testing.T) {
-	for kind, known := range scenario.FaultSpecs {
+	for kind, spec := range scenario.FaultSpecs {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				s := open(t, "quiet")
-				s.SettleTime = 0
-				s.Length = 6000
-				s.Faults = []scenario.Fault{{
+				script := openScript(t, "quiet")
+				script.SettleTime = 0
+				script.Length = 6000
+				script.Faults = []scenario.Fault{{
 					Kind:      kind,
 					Duration:  2000,
-					Interval:  max(known.DefaultInterval, 500),
+					Interval:  max(spec.DefaultInterval, 500),
 					Share:     0.5,
-					Size:      known.DefaultSize,
+					Size:      spec.DefaultSize,
 					Group:     "serve",
 					Zone:      "hall-b",
 					DrainTime: 500,
 				}}
-				kept(t, play(t, s, Options{Seed: seed + 1}))
+				assertRulesHold(t, playVirtual(t, script, Options{Seed: seed + 1}))
 			}
 		})
 	}
 }
 
-// What owners, lists and single allocators suffer shows at them, or at the nodes.
-func TestFaults_OfClientsAndAllocatorsChangeResult(t *testing.T) {
-	cut := open(t, "quiet")
-	cut.Client.Rate = 60
+func TestFaults_EveryKindHasAPlanner(t *testing.T) {
+	for _, kind := range scenario.FaultKinds() {
+		assert.Contains(t, faultPlanners, kind)
+	}
+	assert.Len(t, faultPlanners, len(scenario.FaultSpecs))
+}
+
+func TestFaults_ClientDisconnect_PendingRequestsDisconnected(t *testing.T) {
+	script := openScript(t, "quiet")
+	script.Client.Rate = 60
 	for at := placement.Millis(500); at < 3500; at += 1000 {
-		cut.Faults = append(cut.Faults, scenario.Fault{
+		script.Faults = append(script.Faults, scenario.Fault{
 			Kind:  scenario.ClientDisconnect,
 			At:    at,
 			Share: 1,
 		})
 	}
-	assert.NotZero(t, play(t, cut, Options{Seed: 1}).Disconnected, "what was pending is cut off")
+	assert.NotZero(t, playVirtual(t, script, Options{Seed: 1}).Disconnected)
+}
 
-	hot := open(t, "quiet")
-	hot.Length = 6000
-	hot.Faults = []scenario.Fault{{
+func TestFaults_HotAllocator_ChangesRun(t *testing.T) {
+	script := openScript(t, "quiet")
+	script.Length = 6000
+	script.Faults = []scenario.Fault{{
 		Kind:     scenario.HotAllocator,
 		Duration: 6000,
 		Size:     1,
 	}}
-	assert.NotEqual(t, play(t, hot, Options{Seed: 1}).Digest, func() string { hot.Faults = nil; return play(t, hot, Options{Seed: 1}).Digest }())
+	with := playVirtual(t, script, Options{Seed: 1})
+	script.Faults = nil
+	without := playVirtual(t, script, Options{Seed: 1})
+	assert.NotEqual(t, with.Digest, without.Digest)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -8,20 +8,20 @@
 	"grebeglade/internal/transport"
 )
 
-// StartFleet runs a script's discovery service, at that address, and its nodes, for an allocator that is started by hand. It returns
-// the loop that they run on and the service's address.
-func StartFleet(s *scenario.Script, seed uint64, listAddr string, log *slog.Logger) (*transport.Loop, string, error) {
+// StartFleet runs a script's discovery service, at that address, and its nodes, for an allocator that is started by
+// hand. It returns the loop that they run on and the service's address.
+func StartFleet(s *scenario.Script, seed uint64, address string, log *slog.Logger) (*transport.Loop, string, error) {
 	loop := transport.NewLoop(log)
-	d := newRun(s, Options{Seed: seed}, loop, observer.Discard{}, 0)
-	d.discovery = d.newDiscovery()
-	addr, err := loop.ListenFrames(d.discovery, listAddr, transport.DefaultLimits)
+	run := newRun(s, Options{Seed: seed}, loop, observer.Discard{}, 0)
+	run.discovery = run.newDiscovery()
+	discoveryAddress, err := loop.ListenFrames(run.discovery, address, transport.DefaultLimits)
 	if err == nil {
-		err = d.addNodes(addr)
+		err = run.addNodes(discoveryAddress)
 	}
 	if err != nil {
 		loop.Close()
 		return nil, "", err
 	}
 	loop.Run()
-	return loop, addr, nil
+	return loop, discoveryAddress, nil
 }
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -1,6 +1,8 @@
 package simulation
 
 import (
+	"slices"
+
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -46,13 +48,16 @@
 	ExceedsMaxBinds:       2,
 }
 
-// mutationInterval is the number of frames of which one is changed.
-const mutationInterval = 7
+const (
+	mutationInterval = 7                      // frames of which one is changed
+	lateAnswerDelay  = placement.Millis(15e3) // ms by which late answers are delayed
+	unknownUptime    = -1                     // of a node that does not know when it started
+)
 
 // mutantHandler changes what an allocator's handler sends and receives.
 type mutantHandler struct {
 	transport.FrameHandler
-	net        transport.FrameNetwork
+	network    transport.FrameNetwork
 	mutant     Mutant
 	count      int
 	nodes      []transport.ConnID // open connections to nodes
@@ -62,29 +67,45 @@
 
 // delayedFrame is a frame that is sent at a later time.
 type delayedFrame struct {
-	at placement.Millis
-	c  transport.ConnID
-	f  *pb.Frame
+	at    placement.Millis
+	conn  transport.ConnID
+	frame *pb.Frame
 }
 
 // wrap returns the handler changed as the mutant says, or the handler itself if the mutant changes only settings.
-func (m Mutant) wrap(p transport.FrameHandler) transport.FrameHandler {
-	if m == NoMutant || m == IgnoresSpread || m == IgnoresStorage || m == NeverSyncs || m == ExceedsMaxBinds {
-		return p
+func (m Mutant) wrap(handler transport.FrameHandler) transport.FrameHandler {
+	switch m {
+	case NoMutant, IgnoresSpread, IgnoresStorage, NeverSyncs, ExceedsMaxBinds:
+		return handler
+	case NoAnswer, TwoAnswers, LateAnswer, OffersAfterAnswer, TwoBinds, RejectsUnknownOutcome, IgnoresDrain,
+		IgnoresWarmUp, StopsTwice, LeavesGangParts:
 	}
-	return &mutantHandler{FrameHandler: p, mutant: m}
+	return &mutantHandler{FrameHandler: handler, mutant: m}
 }
 
-func (h *mutantHandler) Start(now placement.Millis, net transport.FrameNetwork) {
-	h.net = net
+// Start implements transport.FrameHandler. The handler gets the mutant as its network.
+func (h *mutantHandler) Start(now placement.Millis, network transport.FrameNetwork) {
+	h.network = network
 	h.FrameHandler.Start(now, h)
 }
 
-func (h *mutantHandler) Dial(addr string) transport.ConnID { return h.net.Dial(addr) }
-func (h *mutantHandler) Close(c transport.ConnID)          { h.net.Close(c) }
-func (h *mutantHandler) WakeAt(t placement.Millis)         { h.net.WakeAt(t) }
-func (h *mutantHandler) Now() placement.Millis             { return h.net.Now() }
-func (h *mutantHandler) Wake(now placement.Millis)         { h.sendDelayed(now); h.FrameHandler.Wake(now) }
+// Dial implements transport.FrameNetwork.
+func (h *mutantHandler) Dial(address string) transport.ConnID { return h.network.Dial(address) }
+
+// Close implements transport.FrameNetwork.
+func (h *mutantHandler) Close(conn transport.ConnID) { h.network.Close(conn) }
+
+// WakeAt implements transport.FrameNetwork.
+func (h *mutantHandler) WakeAt(at placement.Millis) { h.network.WakeAt(at) }
+
+// Now implements transport.FrameNetwork.
+func (h *mutantHandler) Now() placement.Millis { return h.network.Now() }
+
+// Wake implements transport.FrameHandler.
+func (h *mutantHandler) Wake(now placement.Millis) {
+	h.sendDelayed(now)
+	h.FrameHandler.Wake(now)
+}
 
 // mutateNext counts a frame, and reports whether it is one to change.
 func (h *mutantHandler) mutateNext() bool {
@@ -92,147 +113,194 @@
 	return h.count%mutationInterval == 0
 }
 
-func (h *mutantHandler) Closed(now placement.Millis, c transport.ConnID, reason error) {
-	for i, n := range h.nodes {
-		if n == c {
-			h.nodes = append(h.nodes[:i], h.nodes[i+1:]...)
-			break
-		}
+// Closed implements transport.FrameHandler.
+func (h *mutantHandler) Closed(now placement.Millis, conn transport.ConnID, reason error) {
+	if i := slices.Index(h.nodes, conn); i >= 0 {
+		h.nodes = slices.Delete(h.nodes, i, i+1)
 	}
-	h.FrameHandler.Closed(now, c, reason)
+	h.FrameHandler.Closed(now, conn, reason)
 }
 
 // sendDelayed sends the delayed frames that are due.
 func (h *mutantHandler) sendDelayed(now placement.Millis) {
 	for len(h.delayed) > 0 && h.delayed[0].at <= now {
-		h.net.Send(h.delayed[0].c, h.delayed[0].f)
+		h.network.Send(h.delayed[0].conn, h.delayed[0].frame)
 		h.delayed = h.delayed[1:]
 	}
 }
 
-func (h *mutantHandler) Received(now placement.Millis, c transport.ConnID, f *pb.Frame) {
-	switch b := f.Body.(type) {
+// Received implements transport.FrameHandler.
+func (h *mutantHandler) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
+	switch body := f.Body.(type) {
 	case *pb.Frame_Hello:
-		if b.Hello.Role == pb.Role_NODE {
-			h.nodes = append(h.nodes, c)
-			if h.mutant == IgnoresDrain || h.mutant == IgnoresWarmUp {
-				changed := &pb.Hello{
-					Role:             pb.Role_NODE,
-					Name:             b.Hello.Name,
-					Node:             b.Hello.Node,
-					Incarnation:      b.Hello.Incarnation,
-					RunningWorkloads: b.Hello.RunningWorkloads,
-					Draining:         b.Hello.Draining && h.mutant != IgnoresDrain,
-					UpForMs:          b.Hello.UpForMs,
-				}
-				if h.mutant == IgnoresWarmUp {
-					changed.UpForMs = -1
-				}
-				f = transport.HelloFrame(changed)
-			}
+		if body.Hello.Role == pb.Role_NODE {
+			h.nodes = append(h.nodes, conn)
+			f = h.changeHello(f, body.Hello)
 		}
 	case *pb.Frame_Drain:
 		if h.mutant == IgnoresDrain {
 			return
 		}
 	case *pb.Frame_OfferReply:
-		if h.mutant == LeavesGangParts && b.OfferReply.Accepted {
-			h.net.Send(c, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: &pb.ConfirmGang{Bind: b.OfferReply.Bind}}})
+		if h.mutant == LeavesGangParts && body.OfferReply.Accepted {
+			confirm := &pb.ConfirmGang{Bind: body.OfferReply.Bind}
+			h.network.Send(conn, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: confirm}})
 		}
 	case *pb.Frame_NodeListUpdate:
-		f = h.changeUpdate(b.NodeListUpdate)
+		f = h.changeUpdate(body.NodeListUpdate)
 	}
-	h.FrameHandler.Received(now, c, f)
+	h.FrameHandler.Received(now, conn, f)
 }
 
-// changeUpdate returns a discovery update with other contents.
-func (h *mutantHandler) changeUpdate(u *pb.NodeListUpdate) *pb.Frame {
+// changeHello returns a node's hello without what the mutant ignores.
+func (h *mutantHandler) changeHello(f *pb.Frame, hello *pb.Hello) *pb.Frame {
+	if h.mutant != IgnoresDrain && h.mutant != IgnoresWarmUp {
+		return f
+	}
+	changed := &pb.Hello{
+		Role:             pb.Role_NODE,
+		Name:             hello.Name,
+		Node:             hello.Node,
+		Incarnation:      hello.Incarnation,
+		RunningWorkloads: hello.RunningWorkloads,
+		Draining:         hello.Draining && h.mutant != IgnoresDrain,
+		UpForMs:          hello.UpForMs,
+	}
+	if h.mutant == IgnoresWarmUp {
+		changed.UpForMs = unknownUptime
+	}
+	return transport.HelloFrame(changed)
+}
+
+// changeUpdate returns a discovery update without what the mutant ignores.
+func (h *mutantHandler) changeUpdate(update *pb.NodeListUpdate) *pb.Frame {
 	changed := &pb.NodeListUpdate{
-		Kind:     u.Kind,
-		Epoch:    u.Epoch,
-		Revision: u.Revision,
-		Reason:   u.Reason,
-	}
-	for _, e := range u.Entries {
-		other := &pb.NodeEntry{
-			Id:          e.Id,
-			State:       e.State,
-			Kind:        e.Kind,
-			Zone:        e.Zone,
-			Cell:        e.Cell,
-			Incarnation: e.Incarnation,
-			UpForMs:     e.UpForMs,
-			FreeCores:   e.FreeCores,
-			FreeMemory:  e.FreeMemory,
-			Address:     e.Address,
-		}
-		if h.mutant == IgnoresDrain && e.State == pb.NodeEntry_DRAINING {
-			other.State = pb.NodeEntry_READY
-		}
-		if h.mutant == IgnoresWarmUp {
-			other.UpForMs = -1
-		}
-		changed.Entries = append(changed.Entries, other)
+		Kind:     update.Kind,
+		Epoch:    update.Epoch,
+		Revision: update.Revision,
+		Reason:   update.Reason,
+	}
+	for _, entry := range update.Entries {
+		changed.Entries = append(changed.Entries, h.changeEntry(entry))
 	}
 	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: changed}}
 }
 
-func (h *mutantHandler) Send(c transport.ConnID, f *pb.Frame) {
-	switch b := f.Body.(type) {
+// changeEntry returns a copy of an entry without what the mutant ignores.
+func (h *mutantHandler) changeEntry(entry *pb.NodeEntry) *pb.NodeEntry {
+	changed := &pb.NodeEntry{
+		Id:          entry.Id,
+		State:       entry.State,
+		Kind:        entry.Kind,
+		Zone:        entry.Zone,
+		Cell:        entry.Cell,
+		Incarnation: entry.Incarnation,
+		UpForMs:     entry.UpForMs,
+		FreeCores:   entry.FreeCores,
+		FreeMemory:  entry.FreeMemory,
+		Address:     entry.Address,
+	}
+	if h.mutant == IgnoresDrain && entry.State == pb.NodeEntry_DRAINING {
+		changed.State = pb.NodeEntry_READY
+	}
+	if h.mutant == IgnoresWarmUp {
+		changed.UpForMs = unknownUptime
+	}
+	return changed
+}
+
+// Send implements transport.FrameNetwork.
+func (h *mutantHandler) Send(conn transport.ConnID, f *pb.Frame) {
+	switch body := f.Body.(type) {
 	case *pb.Frame_Answer:
-		h.answer(c, f, b.Answer)
-		return
+		h.sendAnswer(conn, f, body.Answer)
 	case *pb.Frame_Stop:
-		switch h.mutant {
-		case LeavesGangParts:
+		h.sendStop(conn, f)
+	case *pb.Frame_Offer:
+		h.sendOffer(conn, f, body.Offer)
+	default:
+		h.network.Send(conn, f)
+	}
+}
+
+// sendStop sends a stop once, twice or not at all.
+func (h *mutantHandler) sendStop(conn transport.ConnID, f *pb.Frame) {
+	if h.mutant == LeavesGangParts {
+		return
+	}
+	if h.mutant == StopsTwice {
+		h.network.Send(conn, f)
+	}
+	h.network.Send(conn, f)
+}
+
+// sendOffer sends an offer, and another bind of its request to a second node if the mutant makes two binds.
+func (h *mutantHandler) sendOffer(conn transport.ConnID, f *pb.Frame, offer *pb.Offer) {
+	h.network.Send(conn, f)
+	if h.mutant == TwoBinds && h.mutateNext() {
+		second := &pb.Offer{
+			Bind: &pb.BindID{
+				Allocator:   offer.Bind.Allocator,
+				Incarnation: offer.Bind.Incarnation,
+				Workload:    offer.Bind.Workload,
+				Number:      offer.Bind.Number + 1,
+			},
+			Client:         offer.Client,
+			Request:        offer.Request,
+			AcceptWithinMs: offer.AcceptWithinMs,
+			Gang:           offer.Gang,
+		}
+		other := h.nodes[h.count/mutationInterval%len(h.nodes)]
+		h.network.Send(other, &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
+	}
+	if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
+		h.firstOffer = f
+	}
+}
+
+// sendAnswer sends an answer as the mutant changes it.
+func (h *mutantHandler) sendAnswer(conn transport.ConnID, f *pb.Frame, answer *pb.Answer) {
+	switch h.mutant {
+	case NoAnswer:
+		if h.mutateNext() {
 			return
-		case StopsTwice:
-			h.net.Send(c, f)
 		}
-	case *pb.Frame_Offer:
-		h.net.Send(c, f)
-		if h.mutant == TwoBinds && h.mutateNext() {
-			second := &pb.Offer{
-				Bind: &pb.BindID{
-					Allocator:   b.Offer.Bind.Allocator,
-					Incarnation: b.Offer.Bind.Incarnation,
-					Workload:    b.Offer.Bind.Workload,
-					Number:      b.Offer.Bind.Number + 1,
-				},
-				Client:         b.Offer.Client,
-				Request:        b.Offer.Request,
-				AcceptWithinMs: b.Offer.AcceptWithinMs,
-				Gang:           b.Offer.Gang,
-			}
-			h.net.Send(h.nodes[h.count/mutationInterval%len(h.nodes)], &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
+	case TwoAnswers:
+		if h.mutateNext() {
+			h.network.Send(conn, f)
 		}
-		if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
-			h.firstOffer = f
+	case LateAnswer:
+		if answer.Verdict != pb.Verdict_PLACED {
+			h.delayed = append(h.delayed, delayedFrame{
+				at:    h.network.Now() + lateAnswerDelay,
+				conn:  conn,
+				frame: f,
+			})
+			return
 		}
+	case RejectsUnknownOutcome:
+		if answer.Verdict == pb.Verdict_UNSCHEDULABLE {
+			rejection := &pb.Answer{RequestId: answer.RequestId, Verdict: pb.Verdict_REJECTED}
+			f = &pb.Frame{Body: &pb.Frame_Answer{Answer: rejection}}
+		}
+	case OffersAfterAnswer:
+		h.network.Send(conn, f)
+		h.repeatFirstOffer(answer)
 		return
+	case NoMutant, TwoBinds, ExceedsMaxBinds, IgnoresDrain, IgnoresWarmUp, IgnoresSpread, StopsTwice, IgnoresStorage,
+		NeverSyncs, LeavesGangParts:
+		// These change no answers.
 	}
-	h.net.Send(c, f)
+	h.network.Send(conn, f)
 }
 
-// answer sends an answer as the mutant changes it.
-func (h *mutantHandler) answer(c transport.ConnID, f *pb.Frame, a *pb.Answer) {
-	switch {
-	case h.mutant == NoAnswer && h.mutateNext():
-		return
-	case h.mutant == TwoAnswers && h.mutateNext():
-		h.net.Send(c, f)
-	case h.mutant == LateAnswer && a.Verdict != pb.Verdict_PLACED:
-		h.delayed = append(h.delayed, delayedFrame{h.net.Now() + 15e3, c, f})
-		return
-	case h.mutant == RejectsUnknownOutcome && a.Verdict == pb.Verdict_UNSCHEDULABLE:
-		f = &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{RequestId: a.RequestId, Verdict: pb.Verdict_REJECTED}}}
-	case h.mutant == OffersAfterAnswer && h.firstOffer != nil && len(h.nodes) > 0:
-		h.net.Send(c, f)
-		if o := h.firstOffer.GetOffer(); o.Request.RequestId == a.RequestId {
-			h.net.Send(h.nodes[0], h.firstOffer)
-			h.firstOffer = nil
-		}
+// repeatFirstOffer sends the first offer again if its request was just answered.
+func (h *mutantHandler) repeatFirstOffer(answer *pb.Answer) {
+	if h.firstOffer == nil || len(h.nodes) == 0 {
 		return
 	}
-	h.net.Send(c, f)
+	if h.firstOffer.GetOffer().Request.RequestId == answer.RequestId {
+		h.network.Send(h.nodes[0], h.firstOffer)
+		h.firstOffer = nil
+	}
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"time"
 
 	"grebeglade/internal/simulation/audit"
@@ -14,135 +15,184 @@
 	"grebeglade/placement"
 )
 
-// socketSlack is how long beyond the pending timeout clients wait on sockets, where other programs compete for the cores.
+// socketSlack is how long, in ms, beyond the pending timeout clients wait on sockets, where other programs compete for
+// the cores.
 const socketSlack = placement.Millis(500)
 
-// PlayVirtual plays a script in virtual time. The result depends on the script and the options alone.
-func PlayVirtual(s *scenario.Script, o Options) (*Result, error) {
+const (
+	pollInterval     = 200 * time.Millisecond // at which a run on sockets is polled for its end
+	pollsPerProgress = 5                      // of which one notifies of the progress, and does not look for the end
+	callsPerClock    = 4096                   // calls of Options.late of which one reads the clock
+)
+
+// PlayVirtual plays a script in virtual time. The result depends on the script and the options alone. The error is
+// ErrDeadline if the run took too long or was cancelled.
+func PlayVirtual(script *scenario.Script, options Options) (*Result, error) {
 	began := time.Now()
-	v := network.NewVirtual(o.Seed)
-	a := audit.New(s.Terms())
-	var w observer.Observer = a
-	seen := observer.NewHistory(s.Terms())
-	if o.HistoryFile != "" {
-		w = observer.Tee{a, seen}
-	}
-	d, err := NewRun(s, o, v, w, v.Now())
+	host := network.NewVirtual(options.Seed)
+	auditor := audit.New(script.Terms())
+	var watcher observer.Observer = auditor
+	history := observer.NewHistory(script.Terms())
+	if options.HistoryFile != "" {
+		watcher = observer.Tee{auditor, history}
+	}
+	run, err := NewRun(script, options, host, watcher, host.Now())
 	if err != nil {
 		return nil, err
 	}
-	late := o.late()
-	v.Run(d.RequestsEnd(), late)
-	v.Run(d.Deadline(), func() bool { return late() || d.PendingRequests() == 0 })
-	v.Run(v.Now()+settleTime, late)
-	if late() {
-		return nil, ErrDeadline
+	if err := run.playVirtual(host); err != nil {
+		return nil, err
 	}
-	a.Finish(v.Now())
-	seen.End(v.Now())
-	if o.HistoryFile != "" {
-		if err := seen.WriteFile(o.HistoryFile); err != nil {
-			return nil, err
-		}
+	auditor.Finish(host.Now())
+	history.End(host.Now())
+	if err := writeHistory(history, options.HistoryFile); err != nil {
+		return nil, err
 	}
-	if err := d.closeTraces(); err != nil {
+	if err := run.closeTraces(); err != nil {
 		return nil, err
 	}
-	r := d.Result(a)
-	r.Virtual = true
-	if o.Oracle {
-		if r.Oracle, err = d.oracle(r.CoreTimeShare); err != nil {
+	result := run.Result(auditor)
+	result.Virtual = true
+	if options.Oracle {
+		if result.Oracle, err = run.oracle(result.CoreTimeShare); err != nil {
 			return nil, err
 		}
 	}
-	r.RanSeconds = time.Since(began).Seconds()
-	return r, nil
+	result.RanSeconds = time.Since(began).Seconds()
+	return result, nil
+}
+
+// playVirtual runs the host until all requests are answered, and for the settle time after that.
+func (r *Run) playVirtual(host *network.Virtual) error {
+	late := r.opts.late()
+	host.Run(r.RequestsEnd(), late)
+	host.Run(r.Deadline(), func() bool { return late() || r.PendingRequests() == 0 })
+	host.Run(host.Now()+settleTime, late)
+	if late() {
+		return ErrDeadline
+	}
+	return nil
+}
+
+// writeHistory writes the history to a file, unless its name is "".
+func writeHistory(history *observer.History, file string) error {
+	if file == "" {
+		return nil
+	}
+	return history.WriteFile(file)
 }
 
 // ErrDeadline is returned for a run that was abandoned at its deadline or cancelled.
 var ErrDeadline = errors.New("the day took too long and was given up")
 
-// late returns a function that reports whether the run is past its deadline or cancelled. It reads the clock only once in 4096 calls.
+// late returns a function that reports whether the run is past its deadline or cancelled. It reads the clock only once
+// in callsPerClock calls.
 func (o *Options) late() func() bool {
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
 	}
-	n := 0
-	over := false
+	calls := 0
+	late := false
 	return func() bool {
-		if n++; n%4096 == 1 {
-			over = over || !o.Deadline.IsZero() && time.Now().After(o.Deadline) || o.Cancelled != nil && o.Cancelled() != nil
+		calls++
+		if calls%callsPerClock == 1 && !late {
+			late = o.pastDeadline() || o.cancelled()
 		}
-		return over
+		return late
 	}
 }
 
+func (o *Options) pastDeadline() bool { return !o.Deadline.IsZero() && time.Now().After(o.Deadline) }
+func (o *Options) cancelled() bool    { return o.Cancelled != nil && o.Cancelled() != nil }
+
 // Progress is the progress of a run on sockets.
 type Progress struct {
-	At, Of                                             placement.Millis
-	Requests, Placed, Rejected, Unschedulable, Pending int
+	At            placement.Millis // since the first request
+	Of            placement.Millis // for which clients send requests
+	Requests      int
+	Placed        int
+	Rejected      int
+	Unschedulable int
+	Pending       int
 }
 
-// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Function notify, if not nil, is called once
-// a second. If the context ends, the run is abandoned and not audited.
-func PlaySockets(ctx context.Context, s *scenario.Script, o Options, notify func(Progress)) (*Result, error) {
+// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Function notify, if
+// not nil, is called once a second. If the context ends, the run is abandoned and not audited, and the error wraps that
+// of the context.
+func PlaySockets(
+	ctx context.Context, script *scenario.Script, options Options, notify func(Progress),
+) (*Result, error) {
 	began := time.Now()
-	s.Client.AnswerSlack = max(s.Client.AnswerSlack, socketSlack)
-	loop := transport.NewLoop(o.Log)
+	script.Client.AnswerSlack = max(script.Client.AnswerSlack, socketSlack)
+	loop := transport.NewLoop(options.Log)
 	defer loop.Close() //nolint:contextcheck // pending writes are flushed even after ctx has ended
-	seen := observer.NewHistory(s.Terms())
-	d, err := NewRun(s, o, loop, seen, loop.Now())
+	history := observer.NewHistory(script.Terms())
+	run, err := NewRun(script, options, loop, history, loop.Now())
 	if err != nil {
 		return nil, err
 	}
 	loop.Run()
-	tick := time.NewTicker(200 * time.Millisecond)
-	defer tick.Stop()
-	for n := 1; ; n++ {
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-tick.C:
-		}
-		now := loop.Now()
-		if p := d.progress(loop); notify != nil && n%5 == 0 {
-			notify(p)
-		} else if now > d.Deadline() || now > d.RequestsEnd() && p.Pending == 0 {
-			break
-		}
+	if err := run.awaitAnswers(ctx, loop, notify); err != nil {
+		return nil, err
 	}
-	select {
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	case <-time.After(time.Duration(float64(settleTime) * 1e6)):
+	if err := await(ctx, time.After(time.Duration(float64(settleTime)*1e6))); err != nil {
+		return nil, err
 	}
 	loop.Close() //nolint:contextcheck // as above
-	if err := d.closeTraces(); err != nil {
+	if err := run.closeTraces(); err != nil {
 		return nil, err
 	}
-	seen.End(loop.Now())
-	r := d.Result(audit.Check(seen))
-	if o.HistoryFile != "" {
-		if err := seen.WriteFile(o.HistoryFile); err != nil {
-			return nil, err
+	history.End(loop.Now())
+	result := run.Result(audit.Check(history))
+	if err := writeHistory(history, options.HistoryFile); err != nil {
+		return nil, err
+	}
+	result.RanSeconds = time.Since(began).Seconds()
+	return result, nil
+}
+
+// awaitAnswers waits until all requests are answered, or the last answer is overdue.
+func (r *Run) awaitAnswers(ctx context.Context, loop *transport.Loop, notify func(Progress)) error {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for polls := 1; ; polls++ {
+		if err := await(ctx, ticker.C); err != nil {
+			return err
+		}
+		now := loop.Now()
+		progress := r.progress(loop)
+		if notify != nil && polls%pollsPerProgress == 0 {
+			notify(progress)
+			continue
 		}
+		if now > r.Deadline() || now > r.RequestsEnd() && progress.Pending == 0 {
+			return nil
+		}
+	}
+}
+
+// await waits for a timer. The error is that of a context that ended before.
+func await(ctx context.Context, timer <-chan time.Time) error {
+	select {
+	case <-ctx.Done():
+		return fmt.Errorf("play on sockets: %w", ctx.Err())
+	case <-timer:
+		return nil
 	}
-	r.RanSeconds = time.Since(began).Seconds()
-	return r, nil
 }
 
 // progress polls the clients, each on its own goroutine.
-func (d *Run) progress(loop *transport.Loop) Progress {
-	p := Progress{At: max(0, loop.Now()-d.requestsStart), Of: d.script.Length}
-	for _, g := range d.clients {
-		loop.Call(g, func(placement.Millis) {
-			o := g.Handler().(*emulator.Client)
-			p.Requests += o.Tally.Requests
-			p.Placed += o.Tally.Placed
-			p.Rejected += o.Tally.Rejected
-			p.Unschedulable += o.Tally.Unschedulable
-			p.Pending += o.PendingRequests()
+func (r *Run) progress(loop *transport.Loop) Progress {
+	progress := Progress{At: max(0, loop.Now()-r.requestsStart), Of: r.script.Length}
+	for _, process := range r.clients {
+		loop.Call(process, func(placement.Millis) {
+			client := process.Handler().(*emulator.Client)
+			progress.Requests += client.Tally.Requests
+			progress.Placed += client.Tally.Placed
+			progress.Rejected += client.Tally.Rejected
+			progress.Unschedulable += client.Tally.Unschedulable
+			progress.Pending += client.PendingRequests()
 		})
 	}
-	return p
+	return progress
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -7,12 +7,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"grebeglade/internal/frontend/native"
 	"grebeglade/internal/simulation/audit"
 	"grebeglade/internal/simulation/emulator"
 )
 
-// Result is the outcome of a run. Each request ends as one of Placed, Rejected, Unschedulable, Withdrawn (by its client, before an
-// answer), Disconnected (its allocator or connection was lost) and Unanswered. The fields are the JSON document of lab play.
+// Result is the outcome of a run. Each request ends as one of Placed, Rejected, Unschedulable, Withdrawn (by its
+// client, before an answer), Disconnected (its allocator or connection was lost) and Unanswered. The fields, in their
+// order, are the JSON document of lab play: hence one structure for all of them.
 type Result struct {
 	Name                  string         `json:"name"`
 	About                 string         `json:"about,omitempty"`
@@ -41,17 +43,18 @@
 	Wait99                float64        `json:"wait_p99_ms"`
 	OverloadedNodes       int            `json:"fell"` // nodes that failed from too many offers while warming up
 
-	CoreTimeShare    float64           `json:"core_time_share"` // of the core time that single workloads wanted until clients stopped sending requests
-	DiscoveryEntries uint64            `json:"list_entries"`    // sent to allocators
+	// CoreTimeShare is the share that ran of the core time that single workloads wanted while clients sent requests.
+	CoreTimeShare    float64           `json:"core_time_share"`
+	DiscoveryEntries uint64            `json:"list_entries"` // sent to allocators
 	Oracle           *Oracle           `json:"oracle,omitempty"`
-	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of single workloads that their first request placed
-	Gangs            int               `json:"gangs"`                   // that clients wanted
+	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of Singles
+	Gangs            int               `json:"gangs"`                   // wanted by clients
 	GangsPlaced      int               `json:"gangs_standing"`          // that started
-	GangsAbandoned   int               `json:"gangs_given_up"`          // that never started and are no longer requested
-	PartialLeft      int               `json:"partial_groups_left"`     // incomplete gangs that the auditor found after the settle time
-	GangMedian       float64           `json:"gang_wait_median_ms"`     // from a gang's first request until it started
-	GangWasted       float64           `json:"gang_wasted_share"`       // share of the parts' core time that gangs which did not start took
-	GangStops        uint64            `json:"gang_stops"`              // gang parts that allocators stopped
+	GangsAbandoned   int               `json:"gangs_given_up"`          // that never started
+	PartialLeft      int               `json:"partial_groups_left"`     // incomplete gangs at the end
+	GangMedian       float64           `json:"gang_wait_median_ms"`     // from first request to start
+	GangWasted       float64           `json:"gang_wasted_share"`       // of the parts' core time
+	GangStops        uint64            `json:"gang_stops"`              // of parts, by allocators
 	Frames           int               `json:"frames"`
 	ScenarioSeconds  float64           `json:"day_seconds"`
 	RanSeconds       float64           `json:"ran_seconds"`
@@ -66,122 +69,135 @@
 func (r *Result) SinglesWanted() bool { return r.Singles > 0 }
 
 // Result returns the result of the run. No handler may run any more.
-func (d *Run) Result(a *audit.Auditor) *Result {
-	s := d.script
-	r := &Result{
-		Name:            s.Name,
-		About:           s.About,
-		Seed:            d.opts.Seed,
-		Allocators:      s.Allocators,
-		Nodes:           len(d.nodes),
+func (r *Run) Result(auditor *audit.Auditor) *Result {
+	result := &Result{
+		Name:            r.script.Name,
+		About:           r.script.About,
+		Seed:            r.opts.Seed,
+		Allocators:      r.script.Allocators,
+		Nodes:           len(r.nodes),
 		Ended:           map[string]int{},
-		Frames:          a.Frames,
-		Violations:      a.Violations,
-		MoreViolations:  a.MoreViolations,
-		OverloadedNodes: len(d.overloads),
-		LimitUse:        a.LimitUse,
-		ScenarioSeconds: float64(s.Length) / 1000,
-		PartialLeft:     a.IncompleteGangs(),
-		GangWasted:      a.WastedCoreShare(),
+		Frames:          auditor.Frames,
+		Violations:      auditor.Violations,
+		MoreViolations:  auditor.MoreViolations,
+		OverloadedNodes: len(r.overloads),
+		LimitUse:        auditor.LimitUse,
+		ScenarioSeconds: float64(r.script.Length) / 1000,
+		PartialLeft:     auditor.IncompleteGangs(),
+		GangWasted:      auditor.WastedCoreShare(),
 	}
-	if r.Violations == nil {
-		r.Violations = []audit.Violation{} // never null in JSON
+	if result.Violations == nil {
+		result.Violations = []audit.Violation{} // never null in JSON
 	}
-	d.addClients(r)
-	d.addNodeTime(r)
-	d.addFrontends(r)
-	return r
+	result.addTallies(r.tallies())
+	result.CoreTimeShare = r.coreTimeShare()
+	result.addFrontends(r.frontends)
+	return result
 }
 
-// addClients adds what the clients have counted.
-func (d *Run) addClients(r *Result) {
+// tallies returns what each client has counted.
+func (r *Run) tallies() (all []*emulator.Tally) {
+	for _, process := range r.clients {
+		all = append(all, &process.Handler().(*emulator.Client).Tally)
+	}
+	return all
+}
+
+// addTallies adds what the clients have counted. Where they requested the parts of gangs independently, they know what
+// of the gangs' core time was wasted; otherwise the auditor does.
+func (r *Result) addTallies(tallies []*emulator.Tally) {
 	var waits, gangWaits []float64
-	placedFirst := 0
-	wasted := 0.0
-	used := 0.0
-	for _, g := range d.clients {
-		t := &g.Handler().(*emulator.Client).Tally
-		r.addTally(t)
-		waits = append(waits, t.Waits...)
-		gangWaits = append(gangWaits, t.GangWaits...)
-		wasted += t.Wasted
-		used += t.Used
-		placedFirst += t.SinglesPlaced
+	var placedFirst int
+	var wasted, used float64
+	for _, tally := range tallies {
+		r.addTally(tally)
+		waits = append(waits, tally.Waits...)
+		gangWaits = append(gangWaits, tally.GangWaits...)
+		wasted += tally.Wasted
+		used += tally.Used
+		placedFirst += tally.SinglesPlaced
 	}
 	r.FirstPlaced = float64(placedFirst) / float64(max(1, r.Singles))
-	slices.Sort(gangWaits)
-	r.GangMedian = percentile(gangWaits, 0.5)
 	if wasted+used > 0 {
 		r.GangWasted = wasted / (wasted + used)
 	}
+	slices.Sort(gangWaits)
+	r.GangMedian = percentile(gangWaits, 0.5)
 	slices.Sort(waits)
 	r.WaitMedian = percentile(waits, 0.5)
 	r.Wait99 = percentile(waits, 0.99)
 }
 
-func (r *Result) addTally(t *emulator.Tally) {
-	r.Workloads += t.Requests
-	r.FirstRequests += t.FirstRequests
-	r.Placed += t.Placed
-	r.Rejected += t.Rejected
-	r.Unschedulable += t.Unschedulable
-	r.Withdrawn += t.Withdrawn
-	r.Disconnected += t.Disconnected
-	r.Unanswered += t.Unanswered
-	r.Singles += t.SinglesFirst
-	r.Gangs += t.Gangs
-	r.GangsPlaced += t.GangsStarted
-	r.GangsAbandoned += t.GangsAbandoned
-	for reason, n := range t.Ended {
-		r.Ended[reason.String()] += n
+// addTally adds the counters of one client.
+func (r *Result) addTally(tally *emulator.Tally) {
+	r.Workloads += tally.Requests
+	r.FirstRequests += tally.FirstRequests
+	r.Placed += tally.Placed
+	r.Rejected += tally.Rejected
+	r.Unschedulable += tally.Unschedulable
+	r.Withdrawn += tally.Withdrawn
+	r.Disconnected += tally.Disconnected
+	r.Unanswered += tally.Unanswered
+	r.Singles += tally.SinglesFirst
+	r.Gangs += tally.Gangs
+	r.GangsPlaced += tally.GangsStarted
+	r.GangsAbandoned += tally.GangsAbandoned
+	for reason, count := range tally.Ended {
+		r.Ended[reason.String()] += count
 	}
 }
 
-// addNodeTime adds the share of the wanted core time that ran.
-func (d *Run) addNodeTime(r *Result) {
-	for i, g := range d.nodes {
-		if n, ok := g.Handler().(*emulator.Node); ok {
-			n.Stop()
+// coreTimeShare returns the share that ran of the core time wanted. It ends the accounting of the nodes.
+func (r *Run) coreTimeShare() float64 {
+	ran := 0.0
+	for i, process := range r.nodes {
+		if node, ok := process.Handler().(*emulator.Node); ok {
+			node.Stop()
 		}
-		r.CoreTimeShare += d.specs[i].CoreTime
+		ran += r.specs[i].CoreTime
 	}
-	if wanted := d.wantedCores(); wanted > 0 {
-		r.CoreTimeShare /= wanted
+	if wanted := r.wantedCores(); wanted > 0 {
+		ran /= wanted
 	}
+	return ran
 }
 
 // addFrontends adds the counters of the allocators' incarnations, and the digest of their event logs.
-func (d *Run) addFrontends(r *Result) {
-	var logs []byte
-	for _, incarnations := range d.frontends {
+func (r *Result) addFrontends(allocators [][]*native.Frontend) {
+	var digests []byte
+	for _, incarnations := range allocators {
 		r.AllocatorIncarnations += len(incarnations)
-		for _, p := range incarnations {
-			r.Binds += p.Counters.Binds
-			r.Migrations += p.Counters.Migrations
-			r.HealthChecks += p.Counters.HealthChecks
-			r.DiscoveryCalls += p.Counters.DiscoveryCalls
-			r.DiscoveryEntries += p.Counters.DiscoveryEntries
-			r.GangStops += p.Counters.GangPartStops
-			r.Duplicates += p.Counters.DuplicateRequests
-			r.UnmatchedReplies += p.Counters.UnmatchedReplies
-			r.AnsweredFromStorage += p.Counters.AnsweredFromJournal
-			logs = binary.LittleEndian.AppendUint64(logs, p.EventLog().Digest())
+		for _, frontend := range incarnations {
+			counters := frontend.Counters
+			r.Binds += counters.Binds
+			r.Migrations += counters.Migrations
+			r.HealthChecks += counters.HealthChecks
+			r.DiscoveryCalls += counters.DiscoveryCalls
+			r.DiscoveryEntries += counters.DiscoveryEntries
+			r.GangStops += counters.GangPartStops
+			r.Duplicates += counters.DuplicateRequests
+			r.UnmatchedReplies += counters.UnmatchedReplies
+			r.AnsweredFromStorage += counters.AnsweredFromJournal
+			digests = binary.LittleEndian.AppendUint64(digests, frontend.EventLog().Digest())
 		}
 	}
-	r.Digest = fmt.Sprintf("%016x", xxhash.Sum64(logs))
+	r.Digest = fmt.Sprintf("%016x", xxhash.Sum64(digests))
 }
 
-// wantedCores returns the core time, in core milliseconds, that single workloads wanted until clients stopped sending requests.
-func (d *Run) wantedCores() (sum float64) {
-	for _, w := range d.wantedWorkloads() {
-		sum += w.Cores * float64(max(0, min(w.Until, d.RequestsEnd())-w.From))
+// wantedCores returns the core time, in core milliseconds, that single workloads wanted until clients stopped sending
+// requests.
+func (r *Run) wantedCores() (sum float64) {
+	for _, want := range r.wantedWorkloads() {
+		duration := max(0, min(want.Until, r.RequestsEnd())-want.From)
+		sum += want.Cores * float64(duration)
 	}
 	return sum
 }
 
-func (d *Run) wantedWorkloads() (all []*emulator.Want) {
-	for _, g := range d.clients {
-		all = append(all, g.Handler().(*emulator.Client).Tally.Wants...)
+// wantedWorkloads returns the single workloads that clients wanted.
+func (r *Run) wantedWorkloads() (all []*emulator.Want) {
+	for _, tally := range r.tallies() {
+		all = append(all, tally.Wants...)
 	}
 	return all
 }
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -1,7 +1,5 @@
 package simulation
 
-import "grebeglade/internal/simulation/scenario"
-
 import (
 	"fmt"
 	"path/filepath"
@@ -11,19 +9,21 @@
 	"github.com/stretchr/testify/require"
 
 	"grebeglade/internal/simulation/observer"
+	"grebeglade/internal/simulation/scenario"
+	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// decode reads a day from its text.
-func decode(t *testing.T, text string) *scenario.Script {
+// decodeScript reads a script from its text.
+func decodeScript(t *testing.T, text string) *scenario.Script {
 	t.Helper()
-	s, err := scenario.DecodeText("day.hcl", []byte(text))
+	s, err := scenario.DecodeText("scenario.hcl", []byte(text))
 	require.NoError(t, err)
 	return s
 }
 
-// Day 779 of a hunt (seed 71), shrunk: an ask that the network held up for 58 ms, more than the module's margin, was answered
-// after its owner had given up. Nearly every seed of it broke the rule.
+// Run 779 of a search (seed 71), reduced: a request that the network delayed by 58 ms, more than the margin of the
+// placement module, was answered after its client's timeout. Nearly every seed of it broke the rule.
 func TestRequests_DelayedByNetworkAnsweredInTime(t *testing.T) {
 	text := `
 like       = "quiet"
@@ -56,14 +56,14 @@
 }
 `
 	for seed := range uint64(20) {
-		assert.Empty(t, play(t, decode(t, text), Options{Seed: 114914427 + seed}).Violations, "seed %d", seed)
+		r := playVirtual(t, decodeScript(t, text), Options{Seed: 114914427 + seed})
+		assert.Empty(t, r.Violations, "seed %d", seed)
 	}
 }
 
-// emptyStart is a rough day on which a part of four allocators dies at 6 s and is back, knowing nothing, at 6.3 s: nodes drain
-// for a deploy, others come back cold just then, residents stand everywhere, and most owners restart their services.
-func emptyStart(part float64, state bool, list string) string {
-	day := `
+// restartFaults is the part of restartScript that is always the same. Nodes drain for a deploy, others come back cold
+// just as the allocators do, and most clients restart their services.
+const restartFaults = `
 like       = "quiet"
 allocators = 4
 length     = "14s"
@@ -93,94 +93,114 @@
   size = 0.6
 }
 `
-	reads := "push"
-	if list == "list-overrun" {
-		reads = "ask"
+
+// restartScript returns a script in which a share of four allocators crashes at 6 s and is back at 6.3 s, with or
+// without durable state, while the discovery service suffers a fault, "" for none.
+func restartScript(share float64, durable bool, discoveryFault scenario.FaultKind) string {
+	discovery := "push"
+	if discoveryFault == scenario.DiscoveryOverload {
+		discovery = "ask"
 	}
-	day = fmt.Sprintf(day, reads)
-	if part > 0 {
-		day += fmt.Sprintf("fault \"allocator-death\" {\n at = \"6s\"\n for = \"300ms\"\n part = %v\n}\n", part)
+	text := fmt.Sprintf(restartFaults, discovery)
+	if share > 0 {
+		text += fmt.Sprintf("fault \"allocator-death\" {\n at = \"6s\"\n for = \"300ms\"\n part = %v\n}\n", share)
 	}
-	if state {
-		day += "state {\n disk = \"8ms\"\n}\n"
+	if durable {
+		text += "state {\n disk = \"8ms\"\n}\n"
 	}
-	if list != "" {
-		day += fmt.Sprintf("fault %q {\n at = \"5900ms\"\n for = \"1500ms\"\n}\n", list)
+	if discoveryFault != "" {
+		text += fmt.Sprintf("fault %q {\n at = \"5900ms\"\n for = \"1500ms\"\n}\n", discoveryFault)
 	}
-	return day
+	return text
 }
 
 func TestRestart_WithoutStateKeepsRules(t *testing.T) {
-	for _, part := range []float64{0.25, 0.5, 1} {
-		for _, state := range []bool{false, true} {
-			for _, list := range []string{"", "list-late", "list-empty", "list-overrun"} {
+	discoveryFaults := []scenario.FaultKind{
+		"", scenario.DiscoveryLate, scenario.DiscoveryEmpty, scenario.DiscoveryOverload,
+	}
+	for _, share := range []float64{0.25, 0.5, 1} {
+		for _, durable := range []bool{false, true} {
+			for _, discoveryFault := range discoveryFaults {
+				text := restartScript(share, durable, discoveryFault)
 				for seed := range uint64(4) {
-					r := play(t, decode(t, emptyStart(part, state, list)), Options{Seed: seed + 1})
-					assert.InDelta(t, 4+4*part, r.AllocatorIncarnations, 0)
-					kept(t, r)
+					r := playVirtual(t, decodeScript(t, text), Options{Seed: seed + 1})
+					assert.InDelta(t, 4+4*share, r.AllocatorIncarnations, 0)
+					assertRulesHold(t, r)
 				}
 			}
 		}
 	}
 }
 
-// placedBy is the share of asks sent in each half second that was answered with a place.
-func placedBy(t *testing.T, day string, seeds uint64) []float64 {
+// The shares of placed requests are measured in slots of half a second.
+const (
+	slotCount    = 28
+	slotDuration = placement.Millis(500)
+	settledAt    = placement.Millis(1500) // when clients begin to send requests
+)
+
+// placedShares returns the mean share, over seeds, of the requests sent in each slot that were placed.
+func placedShares(t *testing.T, text string, seeds uint64) []float64 {
 	t.Helper()
-	const half, begins = 500, 1500 // ms; owners begin once all know each other
-	sums := make([]float64, 28)
-	days := make([]float64, 28)
+	sums := make([]float64, slotCount)
+	runs := make([]float64, slotCount)
 	for seed := range seeds {
 		file := filepath.Join(t.TempDir(), "history")
-		play(t, decode(t, day), Options{Seed: seed + 1, HistoryFile: file})
-		h := readBack(t, file)
-		type ref struct {
-			owner string
-			ask   uint64
-		}
-		sent := map[ref]int{}
-		asked := make([]float64, 28)
-		placed := make([]float64, 28)
-		for _, s := range h.Events() {
-			if a := s.Frame.GetPlaceRequest(); a != nil && s.Kind == observer.FrameSent {
-				slot := min(27, int((s.At-begins)/half))
-				sent[ref{s.Process.Name, a.RequestId}] = slot
-				asked[slot]++
-			}
-			if a := s.Frame.GetAnswer(); a != nil && s.Kind == observer.FrameReceived && a.Verdict == pb.Verdict_PLACED {
-				placed[sent[ref{s.Process.Name, a.RequestId}]]++
-			}
-		}
-		for i := range sums {
-			if asked[i] > 0 {
-				sums[i] += placed[i] / asked[i]
-				days[i]++
+		playVirtual(t, decodeScript(t, text), Options{Seed: seed + 1, HistoryFile: file})
+		requested, placed := countPlaced(readHistory(t, file))
+		for slot := range sums {
+			if requested[slot] > 0 {
+				sums[slot] += placed[slot] / requested[slot]
+				runs[slot]++
 			}
 		}
 	}
-	for i := range sums {
-		sums[i] /= max(1, days[i])
+	for slot := range sums {
+		sums[slot] /= max(1, runs[slot])
 	}
 	return sums
 }
 
-// Decisions are soon those of instances that never stopped, measured by the asks that find a place: what owners withdrew while
-// all allocators were away stands for a moment longer.
+// countPlaced returns the number of requests sent in each slot, and how many of them were placed.
+func countPlaced(history *observer.History) (requested, placed []float64) {
+	requested = make([]float64, slotCount)
+	placed = make([]float64, slotCount)
+	slots := map[retryKey]int{} // by client and request
+	for _, event := range history.Events() {
+		request := event.Frame.GetPlaceRequest()
+		if request != nil && event.Kind == observer.FrameSent {
+			slot := min(slotCount-1, int((event.At-settledAt)/slotDuration))
+			slots[retryKey{event.Process.Name, request.RequestId}] = slot
+			requested[slot]++
+		}
+		answer := event.Frame.GetAnswer()
+		if answer != nil && event.Kind == observer.FrameReceived && answer.Verdict == pb.Verdict_PLACED {
+			placed[slots[retryKey{event.Process.Name, answer.RequestId}]]++
+		}
+	}
+	return requested, placed
+}
+
+// Allocators that restarted without state soon place as many requests as those that never stopped. For a moment they
+// place fewer, as workloads that clients withdrew while all allocators were away still run.
 func TestRestart_WithoutStatePlacesAsOthers(t *testing.T) {
-	const from, until = 13, 17 // half seconds: 6.5 s, just after they are back, to 8.5 s
-	never := placedBy(t, emptyStart(0, false, ""), 10)
-	for _, part := range []float64{0.25, 1} {
-		anew := placedBy(t, emptyStart(part, false, ""), 10)
-		t.Logf("part %v anew: %.3f, never stopped: %.3f", part, anew[from:until], never[from:until])
-		for i := from; i < until; i++ {
-			assert.Greater(t, anew[i], never[i]-0.15)
+	const (
+		from  = 13 // slot of 6.5 s, just after the restart
+		until = 17 // slot of 8.5 s
+	)
+	uninterrupted := placedShares(t, restartScript(0, false, ""), 10)
+	for _, share := range []float64{0.25, 1} {
+		restarted := placedShares(t, restartScript(share, false, ""), 10)
+		t.Logf("share %v restarted: %.3f, uninterrupted: %.3f", share, restarted[from:until], uninterrupted[from:until])
+		for slot := from; slot < until; slot++ {
+			assert.Greater(t, restarted[slot], uninterrupted[slot]-0.15)
 		}
 	}
 }
 
-// allRetry has every layer retry at once: nodes that accept and start nothing, a hall cut off, one-way cuts, frames that are
-// late, a list that is overrun, allocators that die, owners that insist and restart.
-const allRetry = `
+// allLayersRetry has every layer retry at once: nodes that accept and start nothing, a zone cut off, one-way cuts, an
+// overloaded discovery service, allocators that crash, and clients that retry after a disconnect and restart services.
+const allLayersRetry = `
 like       = "quiet"
 allocators = 6
 length     = "14s"
@@ -235,7 +255,7 @@
 }
 `
 
-// retryKey names what is counted: a process or client, and a number of its own, or 0.
+// retryKey identifies what is counted: a process or client, and a number of its own, or 0.
 type retryKey struct {
 	name   string
 	number uint64
@@ -244,6 +264,7 @@
 // retryCounts counts the frames of a run by what they repeat.
 type retryCounts map[string]map[retryKey]int
 
+// add counts one more frame that repeats what the name and number identify.
 func (c retryCounts) add(what, name string, number uint64) {
 	if c[what] == nil {
 		c[what] = map[retryKey]int{}
@@ -274,6 +295,7 @@
 	}
 }
 
+// countRetries counts what the clients and allocators of a run repeated.
 func countRetries(h *observer.History) retryCounts {
 	counts := retryCounts{}
 	for _, event := range h.Events() {
@@ -287,18 +309,22 @@
 	return counts
 }
 
-// The worst product over all layers, counted from traffic: a request has four binds here, a client requests a workload six
-// times, a gang is begun three times. No layer multiplies what another has counted.
+// The worst product over all layers, counted from traffic: a request has at most four binds here, a client requests a
+// workload at most six times, a gang is started at most three times. No layer multiplies what another has counted.
 func TestRetries_AllLayersWithinBounds(t *testing.T) {
-	const binds, attempts, begun = 4, 6, 3
+	const (
+		binds        = 4 // of a request
+		attempts     = 6 // of a workload
+		gangAttempts = 3 // of a gang
+	)
 	worst := map[string]int{}
 	for seed := range uint64(20) {
 		file := filepath.Join(t.TempDir(), "history")
-		s := decode(t, allRetry)
+		s := decodeScript(t, allLayersRetry)
 		require.Equal(t, binds, s.Settings.MaxBinds)
 		require.Equal(t, attempts, s.Client.MaxAttempts)
-		kept(t, play(t, s, Options{Seed: seed + 1, HistoryFile: file}))
-		for what, counts := range countRetries(readBack(t, file)) {
+		assertRulesHold(t, playVirtual(t, s, Options{Seed: seed + 1, HistoryFile: file}))
+		for what, counts := range countRetries(readHistory(t, file)) {
 			for _, n := range counts {
 				worst[what] = max(worst[what], n)
 			}
@@ -306,22 +332,27 @@
 	}
 	t.Log(worst)
 	for what, most := range map[string]int{
-		"requests of a workload": attempts, "answers to a request": 1, "offers of a bind": 1, "binds of a request": binds,
-		"binds of a workload": attempts * binds, "binds of a part": begun * binds,
-		// One when it times out or is withdrawn, and one at each connection at which the node still names it; a part's every 2 s.
+		"requests of a workload": attempts,
+		"answers to a request":   1,
+		"offers of a bind":       1,
+		"binds of a request":     binds,
+		"binds of a workload":    attempts * binds,
+		"binds of a part":        gangAttempts * binds,
+		// One when it times out or is withdrawn, and one at each connection at which the node still names it; a part's
+		// every 2 s.
 		"stops of a bind": 8,
 		// A poll every 1.5 s at first, later ones further apart, and one at each connection to the discovery service.
 		"polls of an allocator":         16,
 		"health checks of an allocator": 9 + 14*14,
 	} {
 		assert.LessOrEqual(t, worst[what], most, what)
-		assert.NotZero(t, worst[what], "%s: nothing is shown", what)
+		assert.NotZero(t, worst[what], "%s: never counted, so nothing is proved", what)
 	}
 	assert.Greater(t, worst["binds of a request"], 1)
 }
 
-// Scenario runs in which a rule breaks and no allocator could keep it, by the numbers of docs/review-findings.md. Each is played;
-// as long as the rule breaks it is skipped with its number, and once it does not the mark must go.
+// Runs in which a rule breaks and no allocator could keep it, by the numbers of docs/review-findings.md. Each is
+// played: while the rule still breaks, the case is skipped with its finding; once it holds, the case fails and must go.
 func TestKnownViolations_StillOccur(t *testing.T) {
 	for _, known := range []struct {
 		name string
@@ -329,17 +360,29 @@
 		rule int
 		why  string
 	}{
-		{"answer-held-up", 3783727273, 1, "finding 10: the answer leaves in time, and the network holds it up by more than the margin"},
-		{"node-clock-stepped", 2918813409, 4, "finding 11: the node itself says that it has been up for long"},
+		{
+			name: "answer-held-up",
+			seed: 3783727273,
+			rule: 1,
+			why:  "finding 10: the answer leaves in time, and the network holds it up by more than the margin",
+		},
+		{
+			name: "node-clock-stepped",
+			seed: 2918813409,
+			rule: 4,
+			why:  "finding 11: the node itself says that it has been up for long",
+		},
 	} {
 		t.Run(known.name, func(t *testing.T) {
-			r := play(t, open(t, filepath.Join("testdata", "known", known.name+".hcl")), Options{Seed: known.seed})
+			script := openScript(t, filepath.Join("testdata", "known", known.name+".hcl"))
+			r := playVirtual(t, script, Options{Seed: known.seed})
 			for _, b := range r.Violations {
 				if b.Rule == known.rule {
 					t.Skip(known.why)
 				}
 			}
-			t.Fatalf("rule %d holds now: remove the mark, and say so in docs/review-findings.md (%s)", known.rule, known.why)
+			t.Fatalf("rule %d holds now: remove the case, and say so in docs/review-findings.md (%s)",
+				known.rule, known.why)
 		})
 	}
 }
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,5 +1,5 @@
-// Package simulation plays scenarios: real allocators against emulated nodes, clients and a discovery service, in virtual time
-// or on loopback sockets, with an audit of the rules.
+// Package simulation plays scenarios: real allocators against emulated nodes, clients and a discovery service, in
+// virtual time or on loopback sockets, with an audit of the rules.
 package simulation
 
 import (
@@ -7,9 +7,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"path/filepath"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -20,16 +18,26 @@
 	"grebeglade/internal/simulation/network"
 	"grebeglade/internal/simulation/observer"
 	"grebeglade/internal/simulation/scenario"
-	"grebeglade/internal/storage"
 	"grebeglade/internal/transport"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
-	"grebeglade/trace"
-	"grebeglade/trace/tracepb"
 )
 
-// settleTime is how long a run goes on after the last answer, in ms.
-const settleTime = placement.Millis(2e3) // ms after the last answer for what is still under way
+// settleTime is how long a run goes on after the last answer, in ms, for workloads and gangs that are still starting or
+// ending.
+const settleTime = placement.Millis(2e3)
+
+// Random sources of a run, besides those of the processes: one for the fleet, and one for each fault from
+// firstFaultStream on.
+const (
+	fleetStream      = 77
+	firstFaultStream = 1000
+)
+
+const (
+	nodesPerCell    = 4
+	maxNodeFailures = 100 // room for the failures of each node in a run
+)
 
 // Options are the options of a run, besides its script.
 type Options struct {
@@ -44,296 +52,201 @@
 	TraceDirectory string       // with a directory for each allocator's trace; "" for none
 }
 
-// Run is a script that is played on a host. It must not be copied. It has more than fifteen fields as it holds every process of
-// the run by its role.
+// Run is a script that is played on a host. It must not be copied. Its fields are what it was started with, its
+// processes, and what these share.
 type Run struct {
 	script   *scenario.Script
 	opts     Options
 	host     network.Host
 	observer observer.Observer
 	rng      *rand.Rand
+	processes
+	requestsStart   placement.Millis // first requests; nodes and allocators are connected by then
+	overloads       chan struct{}    // a value for each node that failed while warming up
+	drains          map[*network.Interceptor][]oracle.Span
+	wallClockOffset float64 // Unix time, in ms, at which the host's clock stood at 0
+	traces          traces
+}
 
-	discovery     *network.Interceptor
-	nodes         []*network.Interceptor
-	specs         []*emulator.NodeSpec
-	allocators    []*network.Interceptor
-	clients       []*network.Interceptor
-	frontends     [][]*native.Frontend // by allocator and incarnation
-	requestsStart placement.Millis     // first requests; nodes and allocators are connected by then
-	overloads     chan struct{}        // a value for each node that failed while warming up
-	drains        map[*network.Interceptor][]oracle.Span
-
-	wallClockOffset float64    // Unix time, in ms, at which the host's clock stood at 0
-	mu              sync.Mutex // guards the fields below: traces are started on the allocators' goroutines
-	recorders       []*trace.Recorder
-	traceErr        error
+// processes are the processes of a run.
+type processes struct {
+	discovery  *network.Interceptor
+	nodes      []*network.Interceptor
+	specs      []*emulator.NodeSpec // of the nodes, in the same order
+	allocators []*network.Interceptor
+	clients    []*network.Interceptor
+	frontends  [][]*native.Frontend // by allocator and incarnation
 }
 
 // NewRun adds the processes of the script to the host and schedules its faults.
 func NewRun(s *scenario.Script, o Options, host network.Host, w observer.Observer, now placement.Millis) (*Run, error) {
-	d := newRun(s, o, host, w, now)
-	if err := d.populate(); err != nil {
+	run := newRun(s, o, host, w, now)
+	if err := run.populate(); err != nil {
 		return nil, err
 	}
-	for i, f := range s.Faults {
-		d.rng = rand.New(rand.NewPCG(o.Seed, uint64(1000+i)))
-		d.planFault(f)
+	for i, fault := range s.Faults {
+		run.rng = rand.New(rand.NewPCG(o.Seed, uint64(firstFaultStream+i)))
+		run.planFault(fault)
 	}
-	return d, nil
+	return run, nil
 }
 
+// newRun returns a run without processes.
 func newRun(s *scenario.Script, o Options, host network.Host, w observer.Observer, now placement.Millis) *Run {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	d := &Run{
+	run := &Run{
 		script:        s,
 		opts:          o,
 		host:          host,
 		observer:      w,
-		rng:           rand.New(rand.NewPCG(o.Seed, 77)),
+		rng:           rand.New(rand.NewPCG(o.Seed, fleetStream)),
 		requestsStart: now + s.SettleTime,
-		overloads:     make(chan struct{}, s.NodeCount()*100+1),
+		overloads:     make(chan struct{}, s.NodeCount()*maxNodeFailures+1),
 		drains:        map[*network.Interceptor][]oracle.Span{},
 	}
-	if _, virtual := host.(*network.Virtual); !virtual {
-		d.wallClockOffset = float64(time.Now().UnixNano())/1e6 - float64(now)
+	if !run.virtual() {
+		run.wallClockOffset = float64(time.Now().UnixNano())/1e6 - float64(now)
 	}
-	return d
+	return run
+}
+
+// virtual reports whether the run is played in virtual time.
+func (r *Run) virtual() bool {
+	_, virtual := r.host.(*network.Virtual)
+	return virtual
 }
 
-func (d *Run) zone(i int) string { return d.script.Zones[i%len(d.script.Zones)] }
+// zone returns the zone of a process, by its index among those of its kind.
+func (r *Run) zone(i int) string { return r.script.Zones[i%len(r.script.Zones)] }
 
-func (d *Run) newDiscovery() *network.Interceptor {
-	return network.NewInterceptor("list", pb.Role_DISCOVERY, 0, d.observer, func(inc uint64) transport.FrameHandler { return emulator.NewDiscoveryService(&d.script.Discovery, inc) })
+// newDiscovery returns the discovery service.
+func (r *Run) newDiscovery() *network.Interceptor {
+	newService := func(incarnation uint64) transport.FrameHandler {
+		return emulator.NewDiscoveryService(&r.script.Discovery, incarnation)
+	}
+	return network.NewInterceptor("list", pb.Role_DISCOVERY, 0, r.observer, newService)
 }
 
 // addNodes adds the nodes. Kinds and zones are assigned at random, so that no zone has nodes of one kind only.
-func (d *Run) addNodes(list string) error {
-	s := d.script
-	for k, count := range s.NodeCounts {
+func (r *Run) addNodes(discoveryAddress string) error {
+	for kind, count := range r.script.NodeCounts {
 		for range count {
-			i := len(d.specs)
-			d.specs = append(d.specs, &emulator.NodeSpec{
-				ID:            uint32(mixHash(d.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1,
-				Kind:          s.NodeKinds[k],
-				Cores:         s.Settings.NodeKinds[k].Cores,
-				Memory:        s.Settings.NodeKinds[k].Memory,
-				DiscoveryAddr: list,
-			})
+			r.specs = append(r.specs, r.newNodeSpec(kind, discoveryAddress))
 		}
 	}
-	d.rng.Shuffle(len(d.specs), func(i, j int) { d.specs[i], d.specs[j] = d.specs[j], d.specs[i] })
-	for i, spec := range d.specs {
-		spec.Zone = d.zone(i)
-		spec.Cell = fmt.Sprintf("%s/%d", spec.Zone, i/len(s.Zones)/4)
-		if err := d.addNode(spec); err != nil {
+	r.rng.Shuffle(len(r.specs), func(i, j int) { r.specs[i], r.specs[j] = r.specs[j], r.specs[i] })
+	for i, spec := range r.specs {
+		spec.Zone = r.zone(i)
+		spec.Cell = fmt.Sprintf("%s/%d", spec.Zone, i/len(r.script.Zones)/nodesPerCell)
+		if err := r.addNode(spec); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Run) populate() error {
-	s := d.script
-	d.discovery = d.newDiscovery()
-	list, err := d.host.AddHandler(d.discovery, d.zone(0))
+// newNodeSpec returns the next node of a kind, without its zone and cell. IDs depend on the seed; their last three
+// digits keep them apart.
+func (r *Run) newNodeSpec(kind int, discoveryAddress string) *emulator.NodeSpec {
+	i := len(r.specs)
+	return &emulator.NodeSpec{
+		ID:            uint32(mixHash(r.opts.Seed, uint64(i))%1_000_000)*1000 + uint32(i%1000) + 1,
+		Kind:          r.script.NodeKinds[kind],
+		Cores:         r.script.Settings.NodeKinds[kind].Cores,
+		Memory:        r.script.Settings.NodeKinds[kind].Memory,
+		DiscoveryAddr: discoveryAddress,
+	}
+}
+
+// populate adds all processes: the discovery service, nodes, allocators and clients.
+func (r *Run) populate() error {
+	r.discovery = r.newDiscovery()
+	discoveryAddress, err := r.host.AddHandler(r.discovery, r.zone(0))
 	if err != nil {
 		return err
 	}
-	if err := d.addNodes(list); err != nil {
+	if err := r.addNodes(discoveryAddress); err != nil {
 		return err
 	}
-	client := s.Client
-	for i := range s.Allocators {
-		g := d.allocator(i, list)
-		d.allocators = append(d.allocators, g)
-		addr, err := d.host.AddHandler(g, d.zone(i))
+	var addresses []string
+	for i := range r.script.Allocators {
+		allocator := r.newAllocator(i, discoveryAddress)
+		r.allocators = append(r.allocators, allocator)
+		address, err := r.host.AddHandler(allocator, r.zone(i))
 		if err != nil {
 			return err
 		}
-		client.Allocators = append(client.Allocators, addr)
-	}
-	client.Demand = s.Demand
-	client.From = d.requestsStart
-	client.Until = d.requestsStart + s.Length
-	client.Rate /= float64(s.Clients)
-	client.Gangs = slices.Clone(client.Gangs)
-	for i := range client.Gangs {
-		client.Gangs[i].Rate /= float64(s.Clients)
+		addresses = append(addresses, address)
 	}
-	for i := range s.Clients {
+	return r.addClients(addresses)
+}
+
+// addClients adds the clients, each with its share of the request rates.
+func (r *Run) addClients(allocators []string) error {
+	model := r.clientModel(allocators)
+	for i := range r.script.Clients {
 		name := fmt.Sprintf("owner-%d", i+1)
-		g := network.NewInterceptor(name, pb.Role_CLIENT, i, d.observer, func(uint64) transport.FrameHandler {
-			return emulator.NewClient(name, i, &client, d.opts.Seed)
-		})
-		d.clients = append(d.clients, g)
-		if _, err := d.host.AddHandler(g, d.zone(i)); err != nil {
+		newClient := func(uint64) transport.FrameHandler {
+			return emulator.NewClient(name, i, model, r.opts.Seed)
+		}
+		client := network.NewInterceptor(name, pb.Role_CLIENT, i, r.observer, newClient)
+		r.clients = append(r.clients, client)
+		if _, err := r.host.AddHandler(client, r.zone(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Run) addNode(spec *emulator.NodeSpec) error {
-	var g *network.Interceptor
-	g = network.NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), d.observer, func(boot uint64) transport.FrameHandler {
-		n := emulator.NewNode(spec, &d.script.Node, boot)
-		n.OnOverload = func() {
-			d.overloads <- struct{}{}
-			g.Kill(g.HostNow())
-		}
-		n.OnRunning = func(t *emulator.Task, runs bool) {
-			switch now := min(g.HostNow(), d.RequestsEnd()); {
-			case t.Offer.Gang != nil:
-			case runs:
-				t.RunningSince = now
-			default:
-				spec.CoreTime += t.Offer.Request.Cores * float64(now-t.RunningSince)
-			}
-		}
-		return n
-	})
-	g.OnKill = func(inner transport.FrameHandler) { inner.(*emulator.Node).Stop() }
-	d.nodes = append(d.nodes, g)
-	addr, err := d.host.AddHandler(g, spec.Zone)
-	spec.Addr = addr
-	return err
+// clientModel returns the script's model of one client, with the times and addresses of the run.
+func (r *Run) clientModel(allocators []string) *scenario.ClientModel {
+	model := r.script.Client
+	model.Allocators = append(model.Allocators, allocators...)
+	model.Demand = r.script.Demand
+	model.From = r.requestsStart
+	model.Until = r.RequestsEnd()
+	model.Rate /= float64(r.script.Clients)
+	model.Gangs = slices.Clone(model.Gangs)
+	for i := range model.Gangs {
+		model.Gangs[i].Rate /= float64(r.script.Clients)
+	}
+	return &model
 }
 
-// allocator returns a new allocator. Its durable state, if there is any, survives its incarnations.
-func (d *Run) allocator(i int, discoveryAddress string) *network.Interceptor {
-	name := fmt.Sprintf("allocator-%d", i+1)
-	d.frontends = append(d.frontends, nil)
-	var recorder *trace.Recorder
+// addNode adds a node. It is killed if too many offers overload it.
+func (r *Run) addNode(spec *emulator.NodeSpec) error {
 	var process *network.Interceptor
-	durable := &simulatedLog{
-		disk:     storage.NewMemoryDisk(mixHash(d.opts.Seed, uint64(i))),
-		syncTime: d.script.Storage.SyncTime,
-		syncs:    d.opts.Mutant != NeverSyncs,
-		now:      func() placement.Millis { return process.HostNow() },
-		schedule: func(at placement.Millis, do func(now placement.Millis)) { d.host.RunAt(process, at, do) },
-	}
-	frames := 0
-	process = network.NewInterceptor(name, pb.Role_ALLOCATOR, i, d.observer, func(incarnation uint64) transport.FrameHandler {
-		c := d.allocatorConfig(i, name, incarnation, discoveryAddress)
-		if d.opts.TraceDirectory != "" {
-			d.flushTrace(i)
-			if recorder = d.startTrace(recorder, c); recorder != nil {
-				c.Trace = recorder
-			}
-		}
-		if d.script.Storage.SyncTime > 0 {
-			if err := durable.begin(&c); err != nil {
-				panic(err) // a disk in memory fails only when it is told to
-			}
-			if d.opts.Mutant == IgnoresStorage {
-				c.RecoveredBinds = nil
-			}
-		}
-		frontend := native.New(c)
-		d.frontends[i] = append(d.frontends[i], frontend)
-		if d.opts.MessageFault != nil && i == 0 {
-			return d.injectMessageFault(process, frontend, &frames)
+	newNode := func(incarnation uint64) transport.FrameHandler {
+		node := emulator.NewNode(spec, &r.script.Node, incarnation)
+		node.OnOverload = func() {
+			r.overloads <- struct{}{}
+			process.Kill(process.HostNow())
 		}
-		return d.opts.Mutant.wrap(frontend)
-	})
-	process.OnKill = func(transport.FrameHandler) { durable.crash() }
-	return process
-}
-
-// allocatorConfig returns the configuration of one incarnation of an allocator.
-func (d *Run) allocatorConfig(i int, name string, incarnation uint64, discoveryAddress string) native.Config {
-	s := d.script
-	settings := s.Settings
-	settings.Allocators = s.Allocators
-	settings.Ordinal = i
-	switch d.opts.Mutant {
-	case ExceedsMaxBinds:
-		settings.MaxBinds += 4
-	case IgnoresSpread:
-		settings.Groups = slices.Clone(settings.Groups)
-		for g := range settings.Groups {
-			settings.Groups[g].SpreadScope = placement.ScopeNone
+		node.OnRunning = func(task *emulator.Task, runs bool) {
+			r.countCoreTime(spec, task, runs, process.HostNow())
 		}
+		return node
 	}
-	return native.Config{
-		Name:             name,
-		Incarnation:      incarnation,
-		Seed:             mixHash(d.opts.Seed, uint64(i)<<20|incarnation),
-		Settings:         settings,
-		GroupNames:       s.Groups,
-		KindNames:        s.NodeKinds,
-		Zone:             d.zone(i),
-		DiscoveryAddress: discoveryAddress,
-		MaxWorkloads:     s.Limits.MaxWorkloads,
-		Log:              d.opts.Log.With("allocator", name),
-		WallClockOffset:  d.wallClockOffset,
-	}
-}
-
-// injectMessageFault wraps an allocator's handler. Frames are counted over all its incarnations.
-func (d *Run) injectMessageFault(process *network.Interceptor, h transport.FrameHandler, frames *int) transport.FrameHandler {
-	fault := d.opts.MessageFault
-	return &network.Injector{
-		FrameHandler: h,
-		Fault:        fault,
-		Frames:       frames,
-		Schedule: func(at placement.Millis, do func(now placement.Millis)) {
-			d.host.RunAt(process, at, func(now placement.Millis) {
-				if process.Alive() {
-					do(now)
-				}
-			})
-		},
-		Crash: func(now placement.Millis) {
-			process.Kill(now)
-			if fault.Restarts {
-				d.host.RunAt(process, now+network.CrashDuration, process.Restart)
-			}
-		},
-	}
-}
-
-// flushTrace writes out the trace of an allocator's last incarnation.
-func (d *Run) flushTrace(i int) {
-	if incarnations := d.frontends[i]; len(incarnations) > 0 {
-		incarnations[len(incarnations)-1].FlushTrace()
-	}
-}
-
-// startTrace begins the trace of an allocator's incarnation, after it has closed that of the one before.
-func (d *Run) startTrace(before *trace.Recorder, c native.Config) *trace.Recorder {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if before != nil {
-		before.Close()
-		d.recorders = slices.DeleteFunc(d.recorders, func(r *trace.Recorder) bool { return r == before })
-	}
-	source := &tracepb.Source{
-		Allocator:   c.Name,
-		Incarnation: c.Incarnation,
-		WallMs:      c.WallClockOffset,
-	}
-	r, err := trace.NewRecorder(filepath.Join(d.opts.TraceDirectory, c.Name), source, trace.DefaultLimits, c.Log)
-	if err != nil {
-		d.traceErr = err
-		return nil
-	}
-	_, r.BlockWhenFull = d.host.(*network.Virtual)
-	d.recorders = append(d.recorders, r)
-	return r
+	process = network.NewInterceptor(fmt.Sprintf("node-%d", spec.ID), pb.Role_NODE, int(spec.ID), r.observer, newNode)
+	process.OnKill = func(inner transport.FrameHandler) { inner.(*emulator.Node).Stop() }
+	r.nodes = append(r.nodes, process)
+	address, err := r.host.AddHandler(process, spec.Zone)
+	spec.Addr = address
+	return err
 }
 
-// closeTraces writes out and closes all traces. No handler may run any more.
-func (d *Run) closeTraces() error {
-	for i := range d.frontends {
-		d.flushTrace(i)
-	}
-	for _, r := range d.recorders {
-		r.Close()
+// countCoreTime adds the core time of single workloads, while clients send requests, to their node.
+func (r *Run) countCoreTime(spec *emulator.NodeSpec, task *emulator.Task, runs bool, at placement.Millis) {
+	at = min(at, r.RequestsEnd())
+	switch {
+	case task.Offer.Gang != nil:
+	case runs:
+		task.RunningSince = at
+	default:
+		spec.CoreTime += task.Offer.Request.Cores * float64(at-task.RunningSince)
 	}
-	return d.traceErr
 }
 
 // mixHash hashes two numbers into one.
@@ -345,26 +258,26 @@
 }
 
 // Deadline returns the time by which the last answer is due.
-func (d *Run) Deadline() placement.Millis {
-	last := placement.Millis(0)
-	for _, g := range d.script.Demand {
-		last = max(last, g.PendingTimeout)
+func (r *Run) Deadline() placement.Millis {
+	longest := placement.Millis(0)
+	for _, demand := range r.script.Demand {
+		longest = max(longest, demand.PendingTimeout)
 	}
-	for _, g := range d.script.Client.Gangs {
-		last = max(last, g.PendingTimeout)
+	for _, gang := range r.script.Client.Gangs {
+		longest = max(longest, gang.PendingTimeout)
 	}
-	return d.requestsStart + d.script.Length + last + d.script.Client.AnswerSlack + settleTime
+	return r.RequestsEnd() + longest + r.script.Client.AnswerSlack + settleTime
 }
 
 // RequestsEnd returns the time at which clients stop sending requests.
-func (d *Run) RequestsEnd() placement.Millis { return d.requestsStart + d.script.Length }
+func (r *Run) RequestsEnd() placement.Millis { return r.requestsStart + r.script.Length }
 
 // PendingRequests returns the number of requests that wait for an answer. The clients must not run meanwhile.
-func (d *Run) PendingRequests() (n int) {
-	for _, g := range d.clients {
-		if o, ok := g.Handler().(*emulator.Client); ok {
-			n += o.PendingRequests()
+func (r *Run) PendingRequests() (count int) {
+	for _, process := range r.clients {
+		if client, ok := process.Handler().(*emulator.Client); ok {
+			count += client.PendingRequests()
 		}
 	}
-	return n
+	return count
 }
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -3,118 +3,135 @@
 import (
 	"grebeglade/internal/oracle"
 	"grebeglade/internal/simulation/emulator"
+	"grebeglade/internal/simulation/scenario"
 	"grebeglade/placement"
 )
 
-// Oracle compares a scenario run with the optimum, in shares of the core time that clients wanted until they stopped sending requests.
-// The optimum lies between Best and Bound. The run falls short of Best by the sum of Rules, Asking, Decisions and Knowledge.
+// Oracle compares a scenario run with the optimum, in shares of the core time that clients wanted until they stopped
+// sending requests. The optimum lies between Best and Bound. The run falls short of Best by the sum of Rules, Asking,
+// Decisions and Knowledge.
 type Oracle struct {
 	Bound     float64 `json:"bound"`     // upper bound for any scheduler
 	Best      float64 `json:"best"`      // highest share that is known to be feasible
 	Rules     float64 `json:"rules"`     // lost by the best placement to spread limits and warm-up budgets
-	Asking    float64 `json:"asking"`    // lost to clients that retry after a delay, or must not retry, what a node lost
-	Decisions float64 `json:"decisions"` // the rest, with full knowledge: the engine's choices and the start times of programs
+	Asking    float64 `json:"asking"`    // lost to clients that retry late, or not at all, what a node lost
+	Decisions float64 `json:"decisions"` // the rest, with full knowledge: the engine's choices, and start times
 	Knowledge float64 `json:"knowledge"` // lost to stale state, and to allocators not knowing of each other's binds
 }
 
-// freshDelay is the interval in ms of discovery updates and load reports in a run with full knowledge.
-const freshDelay = placement.Millis(10)
+const (
+	freshDelay = placement.Millis(10) // ms between discovery updates, and load reports, in a run with full knowledge
+	noRetry    = placement.Millis(-1) // mean retry delay of what is never retried
+	noLimit    = -1                   // bind limit of a node that does not warm up
+)
 
 // oracle compares the share of core time that ran with what the best placement of the same demand could have run.
-func (d *Run) oracle(ran float64) (*Oracle, error) {
-	machines := d.machines()
-	wants := d.oracleWants()
-	end := d.RequestsEnd()
-	wanted := d.wantedCores()
+func (r *Run) oracle(ran float64) (*Oracle, error) {
+	wanted := r.wantedCores()
 	if wanted == 0 {
 		return &Oracle{}, nil
 	}
-	m := &d.script.Node
-	rules := &oracle.Rules{Window: m.OverloadWindow, Bears: func(up placement.Millis) float64 {
-		if up >= m.WarmUpDuration {
-			return -1
-		}
-		return m.BindLimit(m.InitialRate + (1-m.InitialRate)*float64(up/m.WarmUpDuration))
-	}}
+	machines := r.machines()
+	wants := r.oracleWants()
+	end := r.RequestsEnd()
+	rules := oracleRules(&r.script.Node)
 	unconstrained := oracle.Place(machines, wants, end, nil) / wanted
 	constrained := oracle.Place(machines, wants, end, rules) / wanted
 	rules.Asked = true
 	retried := oracle.Place(machines, wants, end, rules) / wanted
-	informed, err := d.playWithFullKnowledge()
+	informed, err := r.playWithFullKnowledge()
 	if err != nil {
 		return nil, err
 	}
-	o := &Oracle{Bound: oracle.Bound(machines, wants, end) / wanted, Best: max(unconstrained, constrained, informed, ran)}
-	o.Knowledge = informed - ran
-	o.Rules = unconstrained - constrained
-	o.Asking = constrained - retried
-	o.Decisions = o.Best - o.Rules - o.Asking - informed
-	return o, nil
+	result := &Oracle{
+		Bound:     oracle.Bound(machines, wants, end) / wanted,
+		Best:      max(unconstrained, constrained, informed, ran),
+		Rules:     unconstrained - constrained,
+		Asking:    constrained - retried,
+		Knowledge: informed - ran,
+	}
+	result.Decisions = result.Best - result.Rules - result.Asking - informed
+	return result, nil
+}
+
+// oracleRules returns the limits on binds to nodes that warm up.
+func oracleRules(model *scenario.NodeModel) *oracle.Rules {
+	limit := func(uptime placement.Millis) float64 {
+		if uptime >= model.WarmUpDuration {
+			return noLimit
+		}
+		progress := float64(uptime / model.WarmUpDuration)
+		return model.BindLimit(model.InitialRate + (1-model.InitialRate)*progress)
+	}
+	return &oracle.Rules{Window: model.OverloadWindow, Bears: limit}
 }
 
-// playWithFullKnowledge repeats the run with one allocator and without delays of its state, and returns the share that ran.
-func (d *Run) playWithFullKnowledge() (float64, error) {
-	s := *d.script
-	s.Allocators = 1
-	s.Discovery.Lag = 0
-	s.Discovery.PushInterval = freshDelay
-	s.Discovery.EntriesPerSecond = 0
-	s.Node.ReportInterval = min(s.Node.ReportInterval, freshDelay)
-	r, err := PlayVirtual(&s, Options{Seed: d.opts.Seed, Deadline: d.opts.Deadline})
+// playWithFullKnowledge repeats the run with one allocator and without delays of its state, and returns the share that
+// ran.
+func (r *Run) playWithFullKnowledge() (float64, error) {
+	script := *r.script
+	script.Allocators = 1
+	script.Discovery.Lag = 0
+	script.Discovery.PushInterval = freshDelay
+	script.Discovery.EntriesPerSecond = 0
+	script.Node.ReportInterval = min(script.Node.ReportInterval, freshDelay)
+	result, err := PlayVirtual(&script, Options{Seed: r.opts.Seed, Deadline: r.opts.Deadline})
 	if err != nil {
 		return 0, err
 	}
-	return r.CoreTimeShare, nil
+	return result.CoreTimeShare, nil
 }
 
-// meanRetryDelay returns the mean delay before a client retries a lost workload, or -1 if it never does.
-func (d *Run) meanRetryDelay(e placement.Idempotency) placement.Millis {
-	switch e {
+// meanRetryDelay returns the mean delay before a client retries a lost workload, or noRetry.
+func (r *Run) meanRetryDelay(idempotency placement.Idempotency) placement.Millis {
+	delay := r.script.Client.RetryDelay
+	switch idempotency {
 	case placement.AtMostOnce:
-		return -1
+		return noRetry
 	case placement.IdempotentByKey:
-		return max(d.script.Client.RetryDelay, emulator.RetryAfterUnknown)
+		return max(delay, emulator.RetryAfterUnknown)
+	case placement.Idempotent:
 	}
-	return d.script.Client.RetryDelay
+	return delay
 }
 
 // machines returns the nodes of the run as the oracle's machines.
-func (d *Run) machines() []oracle.Machine {
+func (r *Run) machines() []oracle.Machine {
 	var all []oracle.Machine
-	for i, g := range d.nodes {
-		spec := d.specs[i]
+	for i, process := range r.nodes {
+		spec := r.specs[i]
 		all = append(all, oracle.Machine{
 			Zone:      spec.Zone,
 			Cell:      spec.Cell,
 			Cores:     spec.Cores,
 			Memory:    spec.Memory,
-			AskCores:  spec.Cores * d.script.Node.CoreOvercommit,
-			AskMemory: spec.Memory * d.script.Node.MemoryOvercommit,
-			Up:        g.Uptime,
-			Drains:    d.drains[g],
+			AskCores:  spec.Cores * r.script.Node.CoreOvercommit,
+			AskMemory: spec.Memory * r.script.Node.MemoryOvercommit,
+			Up:        process.Uptime,
+			Drains:    r.drains[process],
 		})
 	}
 	return all
 }
 
 // oracleWants returns the workloads that clients wanted, with their actual resource use.
-func (d *Run) oracleWants() []oracle.Want {
-	terms := d.script.Terms()
+func (r *Run) oracleWants() []oracle.Want {
+	terms := r.script.Terms()
 	var all []oracle.Want
-	for _, w := range d.wantedWorkloads() {
-		use := d.script.Node.Groups[w.Group]
-		g := terms.Groups[w.Group]
+	for _, want := range r.wantedWorkloads() {
+		model := r.script.Node.Groups[want.Group]
+		group := terms.Groups[want.Group]
 		all = append(all, oracle.Want{
-			From:       w.From,
-			Until:      w.Until,
-			Service:    w.Service,
-			Cores:      w.Cores,
-			Memory:     w.Memory,
-			UsesCores:  w.Cores * use.CoreUse * emulator.CoreUseFactor(w.Service),
-			UsesMemory: w.Memory * use.MemoryUse * emulator.MemoryUseFactor(w.Service),
-			Spread:     g.SpreadScope,
-			SpreadMost: g.MaxPerScope,
-			Again:      d.meanRetryDelay(g.Idempotency),
+			From:       want.From,
+			Until:      want.Until,
+			Service:    want.Service,
+			Cores:      want.Cores,
+			Memory:     want.Memory,
+			UsesCores:  want.Cores * model.CoreUse * emulator.CoreUseFactor(want.Service),
+			UsesMemory: want.Memory * model.MemoryUse * emulator.MemoryUseFactor(want.Service),
+			Spread:     group.SpreadScope,
+			SpreadMost: group.MaxPerScope,
+			Again:      r.meanRetryDelay(group.Idempotency),
 		})
 	}
 	return all
