--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -23,12 +23,11 @@
 // Client emulates the clients that request workloads and gangs. It sends what its demand source draws, and retries by
 // its model. It has more than ten fields, as retries depend on its sessions, its open requests and what faults set.
 type Client struct {
-	name    string
-	model   *scenario.ClientModel
-	rng     *rand.Rand // for its reactions
-	demand  demandSource
-	network transport.FrameNetwork
-	timers  transport.Timers
+	name   string
+	model  *scenario.ClientModel
+	rng    *rand.Rand // for its reactions
+	demand demandSource
+	process
 
 	allocators  []allocatorSession
 	requests    map[uint64]*clientRequest // that have not ended, by request ID
@@ -80,19 +79,6 @@
 	c.allocators[i].conn = c.network.Dial(c.model.Allocators[i])
 }
 
-// wake has the network call Wake when the next timer is due.
-func (c *Client) wake() {
-	if at, ok := c.timers.Next(); ok {
-		c.network.WakeAt(at)
-	}
-}
-
-// Wake implements transport.FrameHandler.
-func (c *Client) Wake(now placement.Millis) {
-	c.timers.RunDue(now)
-	c.wake()
-}
-
 // Opened implements transport.FrameHandler.
 func (c *Client) Opened(now placement.Millis, conn transport.ConnID) {
 	c.network.Send(conn, transport.HelloFrame(&pb.Hello{
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -17,10 +17,9 @@
 // DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. It has
 // more than ten fields, as faults change registrations, polls and updates alike.
 type DiscoveryService struct {
-	model   *scenario.DiscoveryModel
-	epoch   uint64
-	network transport.FrameNetwork
-	timers  transport.Timers
+	model *scenario.DiscoveryModel
+	epoch uint64
+	process
 
 	registry    nodeRegistry
 	nodeByConn  map[transport.ConnID]uint32
@@ -90,19 +89,6 @@
 	s.wake()
 }
 
-// wake has the network call Wake when the next timer is due.
-func (s *DiscoveryService) wake() {
-	if at, ok := s.timers.Next(); ok {
-		s.network.WakeAt(at)
-	}
-}
-
-// Wake implements transport.FrameHandler.
-func (s *DiscoveryService) Wake(now placement.Millis) {
-	s.timers.RunDue(now)
-	s.wake()
-}
-
 // Opened implements transport.FrameHandler.
 func (s *DiscoveryService) Opened(now placement.Millis, conn transport.ConnID) {
 	s.subscribers[conn] = &subscriber{}
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -33,8 +33,7 @@
 	model       *scenario.NodeModel
 	incarnation uint64
 	startedAt   placement.Millis // placement.DistantPast if it is not known
-	network     transport.FrameNetwork
-	timers      transport.Timers
+	process
 
 	discovery  transport.ConnID
 	allocators allocatorConns
@@ -93,19 +92,6 @@
 // dialDiscovery connects to the discovery service.
 func (n *Node) dialDiscovery(placement.Millis) { n.discovery = n.network.Dial(n.spec.DiscoveryAddr) }
 
-// wake has the network call Wake when the next timer is due.
-func (n *Node) wake() {
-	if at, ok := n.timers.Next(); ok {
-		n.network.WakeAt(at)
-	}
-}
-
-// Wake implements transport.FrameHandler.
-func (n *Node) Wake(now placement.Millis) {
-	n.timers.RunDue(now)
-	n.wake()
-}
-
 // Opened implements transport.FrameHandler.
 func (n *Node) Opened(now placement.Millis, conn transport.ConnID) {
 	if conn == n.discovery {
