--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -118,9 +118,9 @@
 	case c.model.RetriesAfterDisconnect && request.demand.Idempotency == placement.AtMostOnce:
 		// Only this allocator knows whether the workload may have run.
 		request.requiredAllocator = request.allocator + 1
-		c.retry(now, request, didNotRun)
+		c.retrySingle(now, request, didNotRun)
 	default:
-		c.retry(now, request, mayHaveRun)
+		c.retrySingle(now, request, mayHaveRun)
 	}
 }
 
@@ -174,7 +174,7 @@
 		delete(c.requests, id)
 		c.Tally.Ended[pb.Reason_LOST]++
 		if request.gang == nil {
-			c.retry(now, request, mayHaveRun)
+			c.retrySingle(now, request, mayHaveRun)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	case request.gang != nil:
 		request.gang.ended = true
 	case ended.Reason != pb.Reason_FINISHED:
-		c.retry(now, request, mayHaveRun)
+		c.retrySingle(now, request, mayHaveRun)
 	}
 }
 
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -157,7 +157,7 @@
 		prior = mayHaveRun
 	}
 	delete(c.requests, answer.RequestId)
-	c.retryAny(now, request, prior)
+	c.retry(now, request, prior)
 }
 
 // handlePlaced handles the answer that a gang, a part of one or a single workload is placed.
@@ -179,21 +179,21 @@
 	}
 	c.Tally.Unanswered++
 	c.withdrawRequest(id, request)
-	c.retryAny(now, request, mayHaveRun)
+	c.retry(now, request, mayHaveRun)
 }
 
-// retryAny retries a gang, a part of one or a single workload.
-func (c *Client) retryAny(now placement.Millis, request *clientRequest, prior priorRun) {
+// retry retries a gang, a part of one or a single workload.
+func (c *Client) retry(now placement.Millis, request *clientRequest, prior priorRun) {
 	if request.gang != nil {
 		c.retryGang(now, request, prior)
 		return
 	}
-	c.retry(now, request, prior)
+	c.retrySingle(now, request, prior)
 }
 
-// retry requests a workload again while enough of its lifetime remains. One that may have run is retried only if it is
-// idempotent; by key only after a delay.
-func (c *Client) retry(now placement.Millis, request *clientRequest, prior priorRun) {
+// retrySingle requests a workload again while enough of its lifetime remains. One that may have run is retried only if
+// it is idempotent; by key only after a delay.
+func (c *Client) retrySingle(now placement.Millis, request *clientRequest, prior priorRun) {
 	wait := c.drawRetryDelay()
 	if prior == mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
 		return
--- a/internal/simulation/emulator/fake_network_test.go
+++ b/internal/simulation/emulator/fake_network_test.go
@@ -23,11 +23,11 @@
 func (n *fakeNetwork) WakeAt(t placement.Millis) { n.wake = t }
 func (n *fakeNetwork) Now() placement.Millis     { return n.now }
 
-// run wakes a node at each time that it asked for, up to a time.
-func (n *fakeNetwork) run(node *Node, until placement.Millis) {
+// run wakes a handler at each time that it asked for, up to a time.
+func (n *fakeNetwork) run(handler interface{ Wake(now placement.Millis) }, until placement.Millis) {
 	for n.wake <= until {
 		n.now = n.wake
-		node.Wake(n.now)
+		handler.Wake(n.now)
 	}
 	n.now = until
 }
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -41,13 +41,17 @@
 	answers    answerCache
 	tasks      taskList
 	programs   programCache
-	load       *pb.Load // last load report, or nil
-	loadAt     placement.Millis
+	load       loadReport
 	draining   bool
 
 	NodeFaults
-	OnOverload func()                   // called when too many offers during warm-up made the node fail
-	OnRunning  func(t *Task, runs bool) // called when a workload starts and when it ends
+	NodeHooks
+}
+
+// NodeHooks are called, if not nil, by a node on its goroutine.
+type NodeHooks struct {
+	OnOverload func()                   // too many offers during warm-up made the node fail
+	OnRunning  func(t *Task, runs bool) // a workload starts or ends
 }
 
 // NodeSpec describes one machine of a run.
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -24,8 +24,7 @@
 	for n.memoryUsed() > n.spec.Memory && len(n.tasks.all) > 0 {
 		n.endTask(now, n.evictionCandidate(), pb.Reason_EVICTED)
 	}
-	n.load = n.measureLoad()
-	n.loadAt = now
+	n.load = loadReport{values: n.measureLoad(), measuredAt: now}
 	n.register(now)
 	n.timers.Schedule(now+n.model.ReportInterval, n.report)
 }
@@ -50,17 +49,23 @@
 	}
 }
 
-// loadNow returns the last load report with its age, or nil before the first one.
-func (n *Node) loadNow(now placement.Millis) *pb.Load {
-	if n.load == nil {
+// loadReport is the last measured load of a node.
+type loadReport struct {
+	values     *pb.Load // nil before the first measurement
+	measuredAt placement.Millis
+}
+
+// at returns the load with its age at a time, or nil before the first measurement.
+func (r loadReport) at(now placement.Millis) *pb.Load {
+	if r.values == nil {
 		return nil
 	}
 	return &pb.Load{
-		SpareCores:  n.load.SpareCores,
-		SpareMemory: n.load.SpareMemory,
-		Backlog:     n.load.Backlog,
-		Utilization: n.load.Utilization,
-		AgeMs:       float64(now - n.loadAt),
+		SpareCores:  r.values.SpareCores,
+		SpareMemory: r.values.SpareMemory,
+		Backlog:     r.values.Backlog,
+		Utilization: r.values.Utilization,
+		AgeMs:       float64(now - r.measuredAt),
 	}
 }
 
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -60,7 +60,11 @@
 	}
 	if n.overloads(now) {
 		n.admission.overloaded = true
-		n.timers.Schedule(now, func(placement.Millis) { n.OnOverload() })
+		n.timers.Schedule(now, func(placement.Millis) {
+			if n.OnOverload != nil {
+				n.OnOverload()
+			}
+		})
 		return
 	}
 	n.enqueue(now, &queuedFrame{
@@ -131,7 +135,7 @@
 // decide answers a health check, and accepts or rejects an offer.
 func (n *Node) decide(now placement.Millis, frame *queuedFrame) {
 	if frame.offer == nil {
-		n.network.Send(frame.from, healthReplyFrame(frame.healthCheck, n.loadNow(now)))
+		n.network.Send(frame.from, healthReplyFrame(frame.healthCheck, n.load.at(now)))
 		return
 	}
 	offer := frame.offer
@@ -167,7 +171,7 @@
 		Bind:   frame.offer.Bind,
 		Reason: reason,
 		Text:   text,
-		Load:   n.loadNow(now),
+		Load:   n.load.at(now),
 	})
 }
 
@@ -176,7 +180,7 @@
 	n.answer(&pb.OfferReply{
 		Bind:     offer.Bind,
 		Accepted: true,
-		Load:     n.loadNow(now),
+		Load:     n.load.at(now),
 	})
 }
 
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -157,14 +157,14 @@
 			Bind:   t.Offer.Bind,
 			Reason: reason,
 			Text:   "ended before it ran",
-			Load:   n.loadNow(now),
+			Load:   n.load.at(now),
 		})
 		return
 	}
 	n.sendTo(t.Offer.Bind.Allocator, endFrame(&pb.End{
 		Bind:   t.Offer.Bind,
 		Reason: reason,
-		Load:   n.loadNow(now),
+		Load:   n.load.at(now),
 	}))
 }
 
--- a/internal/simulation/emulator/node_test.go
+++ b/internal/simulation/emulator/node_test.go
@@ -167,12 +167,12 @@
 	node, network := newNodeWithOneTask()
 	node.UnblockStarts(0)
 	network.run(node, 100)
-	reported := *node.load.SpareCores
+	reported := *node.load.values.SpareCores
 	assert.Less(t, reported, 10.0)
 	node.UnderreportedShare = 1
 	network.run(node, 150)
-	assert.InDelta(t, 10.0, *node.load.SpareCores, 0)
-	assert.Greater(t, *node.load.SpareCores, reported)
+	assert.InDelta(t, 10.0, *node.load.values.SpareCores, 0)
+	assert.Greater(t, *node.load.values.SpareCores, reported)
 }
 
 // newNodeWithOneTask returns a node that has accepted a task of four cores, and starts nothing yet.
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -79,6 +79,7 @@
 		return handler
 	case NoAnswer, TwoAnswers, LateAnswer, OffersAfterAnswer, TwoBinds, RejectsUnknownOutcome, IgnoresDrain,
 		IgnoresWarmUp, StopsTwice, LeavesGangParts:
+		// These change frames.
 	}
 	return &mutantHandler{FrameHandler: handler, mutant: m}
 }
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -91,6 +91,7 @@
 	case placement.IdempotentByKey:
 		return max(delay, emulator.RetryAfterUnknown)
 	case placement.Idempotent:
+		// It is retried without a further delay.
 	}
 	return delay
 }
