--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -54,10 +54,11 @@
 	unknownUptime    = -1                     // of a node that does not know when it started
 )
 
-// mutantHandler changes what an allocator's handler sends and receives.
+// mutantHandler changes what an allocator's handler sends and receives. It is the handler of the allocator's process,
+// and the network of the handler that it wraps.
 type mutantHandler struct {
 	transport.FrameHandler
-	network    transport.FrameNetwork
+	transport.FrameNetwork
 	mutant     Mutant
 	count      int
 	nodes      []transport.ConnID // open connections to nodes
@@ -86,22 +87,10 @@
 
 // Start implements transport.FrameHandler. The handler gets the mutant as its network.
 func (h *mutantHandler) Start(now placement.Millis, network transport.FrameNetwork) {
-	h.network = network
+	h.FrameNetwork = network
 	h.FrameHandler.Start(now, h)
 }
 
-// Dial implements transport.FrameNetwork.
-func (h *mutantHandler) Dial(address string) transport.ConnID { return h.network.Dial(address) }
-
-// Close implements transport.FrameNetwork.
-func (h *mutantHandler) Close(conn transport.ConnID) { h.network.Close(conn) }
-
-// WakeAt implements transport.FrameNetwork.
-func (h *mutantHandler) WakeAt(at placement.Millis) { h.network.WakeAt(at) }
-
-// Now implements transport.FrameNetwork.
-func (h *mutantHandler) Now() placement.Millis { return h.network.Now() }
-
 // Wake implements transport.FrameHandler.
 func (h *mutantHandler) Wake(now placement.Millis) {
 	h.sendDelayed(now)
@@ -125,7 +114,7 @@
 // sendDelayed sends the delayed frames that are due.
 func (h *mutantHandler) sendDelayed(now placement.Millis) {
 	for len(h.delayed) > 0 && h.delayed[0].at <= now {
-		h.network.Send(h.delayed[0].conn, h.delayed[0].frame)
+		h.FrameNetwork.Send(h.delayed[0].conn, h.delayed[0].frame)
 		h.delayed = h.delayed[1:]
 	}
 }
@@ -145,7 +134,7 @@
 	case *pb.Frame_OfferReply:
 		if h.mutant == LeavesGangParts && body.OfferReply.Accepted {
 			confirm := &pb.ConfirmGang{Bind: body.OfferReply.Bind}
-			h.network.Send(conn, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: confirm}})
+			h.FrameNetwork.Send(conn, &pb.Frame{Body: &pb.Frame_ConfirmGang{ConfirmGang: confirm}})
 		}
 	case *pb.Frame_NodeListUpdate:
 		f = h.changeUpdate(body.NodeListUpdate)
@@ -220,7 +209,7 @@
 	case *pb.Frame_Offer:
 		h.sendOffer(conn, f, body.Offer)
 	default:
-		h.network.Send(conn, f)
+		h.FrameNetwork.Send(conn, f)
 	}
 }
 
@@ -230,14 +219,14 @@
 		return
 	}
 	if h.mutant == StopsTwice {
-		h.network.Send(conn, f)
+		h.FrameNetwork.Send(conn, f)
 	}
-	h.network.Send(conn, f)
+	h.FrameNetwork.Send(conn, f)
 }
 
 // sendOffer sends an offer, and another bind of its request to a second node if the mutant makes two binds.
 func (h *mutantHandler) sendOffer(conn transport.ConnID, f *pb.Frame, offer *pb.Offer) {
-	h.network.Send(conn, f)
+	h.FrameNetwork.Send(conn, f)
 	if h.mutant == TwoBinds && h.mutateNext() {
 		second := &pb.Offer{
 			Bind: &pb.BindID{
@@ -252,7 +241,7 @@
 			Gang:           offer.Gang,
 		}
 		other := h.nodes[h.count/mutationInterval%len(h.nodes)]
-		h.network.Send(other, &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
+		h.FrameNetwork.Send(other, &pb.Frame{Body: &pb.Frame_Offer{Offer: second}})
 	}
 	if h.mutant == OffersAfterAnswer && h.firstOffer == nil {
 		h.firstOffer = f
@@ -268,12 +257,12 @@
 		}
 	case TwoAnswers:
 		if h.mutateNext() {
-			h.network.Send(conn, f)
+			h.FrameNetwork.Send(conn, f)
 		}
 	case LateAnswer:
 		if answer.Verdict != pb.Verdict_PLACED {
 			h.delayed = append(h.delayed, delayedFrame{
-				at:    h.network.Now() + lateAnswerDelay,
+				at:    h.Now() + lateAnswerDelay,
 				conn:  conn,
 				frame: f,
 			})
@@ -285,14 +274,14 @@
 			f = &pb.Frame{Body: &pb.Frame_Answer{Answer: rejection}}
 		}
 	case OffersAfterAnswer:
-		h.network.Send(conn, f)
+		h.FrameNetwork.Send(conn, f)
 		h.repeatFirstOffer(answer)
 		return
 	case NoMutant, TwoBinds, ExceedsMaxBinds, IgnoresDrain, IgnoresWarmUp, IgnoresSpread, StopsTwice, IgnoresStorage,
 		NeverSyncs, LeavesGangParts:
 		// These change no answers.
 	}
-	h.network.Send(conn, f)
+	h.FrameNetwork.Send(conn, f)
 }
 
 // repeatFirstOffer sends the first offer again if its request was just answered.
@@ -301,7 +290,7 @@
 		return
 	}
 	if h.firstOffer.GetOffer().Request.RequestId == answer.RequestId {
-		h.network.Send(h.nodes[0], h.firstOffer)
+		h.FrameNetwork.Send(h.nodes[0], h.firstOffer)
 		h.firstOffer = nil
 	}
 }
