--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -26,12 +26,14 @@
 	return &clientSessions{environment: env, byName: map[string]*clientSession{}}
 }
 
+// open begins a client's session, with an empty history. An earlier one under the same name is forgotten.
 func (s *clientSessions) open(c transport.ConnID, name string) *clientSession {
 	session := &clientSession{name: name, conn: c}
 	s.byName[name] = session
 	return session
 }
 
+// close ends a session, unless another one has its name by now.
 func (s *clientSessions) close(session *clientSession) {
 	if s.byName[session.name] == session {
 		delete(s.byName, session.name)
@@ -53,7 +55,7 @@
 
 // answer sends a request's final answer, and records that the request has ended.
 func (s *clientSessions) answer(name string, a *pb.Answer) {
-	s.markEnded(name, a.RequestId, false)
+	s.markAnswered(name, a.RequestId)
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
@@ -71,10 +73,10 @@
 	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
 }
 
-// markEnded records in the client's session that a request was answered or withdrawn.
-func (s *clientSessions) markEnded(name string, request uint64, withdrawn bool) {
+// markAnswered records in the client's session that a request was answered.
+func (s *clientSessions) markAnswered(name string, request uint64) {
 	if session, ok := s.byName[name]; ok {
-		session.history.add(request, withdrawn)
+		session.history.add(request, requestAnswered)
 	}
 }
 
--- a/internal/frontend/native/engineactions.go
+++ b/internal/frontend/native/engineactions.go
@@ -2,6 +2,7 @@
 
 import (
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/gang"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
@@ -19,9 +20,14 @@
 
 // Stop implements allocator.Actions.
 func (a engineActions) Stop(
-	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyWaiting bool,
+	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyPending bool,
 ) {
-	a.binder.stop(a.workloads.held(id), onlyWaiting)
+	w := a.workloads.held(id)
+	if onlyPending {
+		a.binder.stopPending(w)
+		return
+	}
+	a.binder.stop(w)
 }
 
 // CheckHealth implements allocator.Actions.
@@ -47,13 +53,12 @@
 ) {
 	w := a.workloads.held(id)
 	if w.gang != nil {
-		finished := !migrating && !a.interrupted && reason == placement.ReasonUnspecified
-		a.gangParts.ended(w, finished)
+		a.gangParts.ended(w, partEndOf(reason, migrating, a.endCause))
 		return
 	}
 	a.clients.notifyEnded(w.client, &pb.WorkloadEnded{
 		RequestId: w.request.RequestId,
-		Reason:    endReasonOf(reason, migrating, a.interrupted),
+		Reason:    endReasonOf(reason, migrating, a.endCause),
 	})
 }
 
@@ -61,7 +66,7 @@
 func (a engineActions) Forget(id placement.WorkloadID) {
 	w := a.workloads.held(id)
 	if w.gang != nil && w.state.withdrawn() {
-		a.gangParts.ended(w, false)
+		a.gangParts.ended(w, gang.EndedEarly)
 	}
 	a.workloads.remove(w)
 }
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -22,7 +22,9 @@
 	maxWakeInterval = placement.Millis(20)
 )
 
-// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded.
+// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded. The
+// platform's has the log, the host and counters too. Package frontend has no type for these, since the counters differ,
+// and since its exported fields would become fields of Frontend, which embeds the environment.
 type environment struct {
 	config   Config
 	log      *slog.Logger
@@ -31,8 +33,8 @@
 	eventLog *eventlog.Log
 	recorder traceRecorder
 	counters *Counters
-	// interrupted is set while the engine is called with an event that may end workloads from outside; see reportEnds.
-	interrupted bool
+	// endCause is the cause of the ends that the engine reports without a reason; see reportEnds.
+	endCause endCause
 }
 
 func newEnvironment(c Config, counters *Counters) *environment {
@@ -91,11 +93,3 @@
 		RunningWorkloads: running,
 	})
 }
-
-// reportEnds calls the engine with an event that may end workloads. If interrupted, those that end without a reason are
-// reported to their clients as lost, not as finished.
-func (e *environment) reportEnds(interrupted bool, call func()) {
-	e.interrupted = interrupted
-	call()
-	e.interrupted = false
-}
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -5,6 +5,7 @@
 
 	"grebeglade/internal/allocator"
 	"grebeglade/internal/eventlog"
+	"grebeglade/internal/frontend"
 	"grebeglade/internal/recovery"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
@@ -134,7 +135,7 @@
 
 // withdrawRequest handles a client's withdrawal. A request that arrives after it has no effect.
 func (h *requestHandler) withdrawRequest(now placement.Millis, session *clientSession, request uint64) {
-	session.history.add(request, true)
+	session.history.add(request, requestWithdrawn)
 	id := requestID{session.name, request}
 	if h.gangs.withdrawRequest(now, id) {
 		return
@@ -144,6 +145,7 @@
 	}
 }
 
+// withdraw ends a workload on behalf of its client. A repeated withdrawal has no effect and is not counted.
 func (h *requestHandler) withdraw(now placement.Millis, w *workload) {
 	if w.state.withdrawn() {
 		return
@@ -155,10 +157,8 @@
 
 // clientDisconnected withdraws what a client had pending, since it can be sent no answer. What is placed runs on.
 func (h *requestHandler) clientDisconnected(now placement.Millis, client string) {
-	pending := h.workloads.ofClient(client, func(w *workload) bool {
-		return w.state == workloadPending && w.gang == nil
-	})
-	for _, w := range pending {
+	unanswered := h.workloads.ofClient(client, func(w *workload) bool { return w.answer == frontend.AnswerDue })
+	for _, w := range unanswered {
 		h.withdraw(now, w)
 	}
 	h.gangs.clientDisconnected(now, client)
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -2,17 +2,17 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"grebeglade/internal/allocator"
+	"grebeglade/internal/frontend"
 	"grebeglade/placement"
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxRequestedID is the last id that a request may get. The ids after it are for workloads that are found on nodes
-// and for parts of gangs.
-const maxRequestedID = placement.WorkloadID(math.MaxUint32 - 1<<20)
+// reservedIDs is how many ids, the last ones, are not given to requests. They are for workloads that are found on nodes
+// and for parts of gangs, which are requested anew by later attempts.
+const reservedIDs = 1 << 20
 
 // workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and
 // by bind. With it, the requestHandler distinguishes a repeated request from a new one.
@@ -27,8 +27,9 @@
 	byRequest map[requestID]placement.WorkloadID // but for parts of gangs, which share their gang's request
 	byKey     map[uint64]placement.WorkloadID
 	byAdopted map[adoptedBind]placement.WorkloadID
-	lastID    placement.WorkloadID
-	pending   int // requests without a final answer, but for gangs
+	ids       frontend.WorkloadIDs
+	// unanswered counts the requests but for gangs, which the gangTable counts.
+	unanswered frontend.UnansweredRequests
 }
 
 func newWorkloadTable(c Config) *workloadTable {
@@ -51,7 +52,8 @@
 	return w, ok
 }
 
-// held returns a workload that the engine names, and that is held for that reason.
+// held returns the workload of an id that the engine passes to an action. It is held, since the engine passes no id
+// after the Forget that removes the workload.
 func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
 
 // hasKey reports whether a workload of that idempotency key is held.
@@ -75,10 +77,10 @@
 }
 
 // idsExhausted reports whether no id is left for requests.
-func (t *workloadTable) idsExhausted() bool { return t.lastID >= maxRequestedID }
+func (t *workloadTable) idsExhausted() bool { return t.ids.Remaining() <= reservedIDs }
 
 // adoptionIDsExhausted reports whether no id at all is left.
-func (t *workloadTable) adoptionIDsExhausted() bool { return t.lastID == math.MaxUint32 }
+func (t *workloadTable) adoptionIDsExhausted() bool { return t.ids.Remaining() == 0 }
 
 // add gives the workload of a new request the next id.
 func (t *workloadTable) add(now placement.Millis, client string, r *pb.PlaceRequest) *workload {
@@ -89,7 +91,7 @@
 	})
 	t.byRequest[requestID{client, r.RequestId}] = w.id
 	t.byKey[r.Key] = w.id
-	t.pending++
+	t.unanswered.Add(&w.answer)
 	return w
 }
 
@@ -100,8 +102,7 @@
 		client:     g.id.client,
 		request:    r,
 		receivedAt: now,
-		gang:       g,
-		part:       part,
+		partOfGang: partOfGang{gang: g, part: part},
 	})
 	t.byKey[r.Key] = w.id
 	return w
@@ -126,9 +127,9 @@
 	return adopted
 }
 
+// insert gives a workload the next id.
 func (t *workloadTable) insert(w *workload) *workload {
-	t.lastID++
-	w.id = t.lastID
+	w.id = t.ids.Next()
 	t.byID[w.id] = w
 	return w
 }
@@ -155,10 +156,9 @@
 // markWithdrawn changes a workload's state by its withdrawal.
 func (t *workloadTable) markWithdrawn(w *workload) { t.change(w, w.state.afterWithdrawal()) }
 
+// change changes a workload's state. Unless it is pending, no answer is due.
 func (t *workloadTable) change(w *workload, to workloadState) {
-	if w.state == workloadPending && w.gang == nil {
-		t.pending--
-	}
+	t.unanswered.MarkAnswered(&w.answer)
 	w.state = to
 }
 
@@ -173,47 +173,3 @@
 	slices.SortFunc(found, func(x, y *workload) int { return cmp.Compare(x.id, y.id) })
 	return found
 }
-
-// bindID is the identity of a workload's last bind on the wire.
-func (t *workloadTable) bindID(w *workload) *pb.BindID {
-	if w.adopted != nil {
-		return w.adopted
-	}
-	return &pb.BindID{
-		Allocator:   t.allocator,
-		Incarnation: t.incarnation,
-		Workload:    uint64(w.id),
-		Number:      uint32(w.lastBind()),
-	}
-}
-
-// offer is a workload's last bind as it is sent, without the time until which it may be accepted.
-func (t *workloadTable) offer(now placement.Millis, w *workload) *pb.Offer {
-	offer := &pb.Offer{
-		Bind:    t.bindID(w),
-		Client:  w.client,
-		Request: w.request,
-	}
-	if w.gang != nil {
-		offer.Gang = w.gang.offerPart(now, w.part)
-	}
-	return offer
-}
-
-// find returns the workload and the number of its bind that a node names, if it is a bind of ours to that node.
-func (t *workloadTable) find(node placement.NodeID, b *pb.BindID) (w *workload, bind int, ok bool) {
-	if b == nil || b.Allocator != t.allocator {
-		return nil, 0, false
-	}
-	if id, adopted := t.byAdopted[adoptedBindOf(node, b)]; adopted {
-		return t.byID[id], 0, true
-	}
-	if b.Incarnation != t.incarnation || b.Workload > math.MaxUint32 {
-		return nil, 0, false
-	}
-	w, held := t.byID[placement.WorkloadID(b.Workload)]
-	if !held || w.adopted != nil || int(b.Number) >= len(w.bindNodes) || w.bindNodes[b.Number] != node {
-		return nil, 0, false
-	}
-	return w, int(b.Number), true
-}
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -23,25 +23,21 @@
 	workloads *workloadTable
 	lifecycle *lifecycle
 	binder    *binder
-	classes   map[string]placement.GroupID
+	classes   frontend.GroupIDs
 }
 
 // newRequestHandler returns a handler of requests for the classes of the settings.
 func newRequestHandler(
 	env *environment, clients *clientConns, workloads *workloadTable, lifecycle *lifecycle, binder *binder,
 ) *requestHandler {
-	h := &requestHandler{
+	return &requestHandler{
 		environment: env,
 		clients:     clients,
 		workloads:   workloads,
 		lifecycle:   lifecycle,
 		binder:      binder,
-		classes:     map[string]placement.GroupID{},
+		classes:     frontend.NewGroupIDs(env.config.Settings.GroupNames),
 	}
-	for i, name := range env.config.Settings.GroupNames {
-		h.classes[name] = placement.GroupID(i)
-	}
-	return h
 }
 
 // received handles a message from a client. One that breaks the protocol ends its connection.
@@ -102,23 +98,31 @@
 	case h.lifecycle.rejecting(now) || h.workloads.full() || h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
-		// The client's timeout runs from when it sent the request, so the time in the queue counts.
-		requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
-		added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
-		client.unanswered[added.id] = added
-		h.counters.Requests++
-		requested.ID = added.id
-		h.host.Engine().Schedule(now, requested)
+		h.schedule(now, client, request, requested)
 	}
 }
 
+// schedule adds the workload of a request that is admitted, and hands it to the engine.
+func (h *requestHandler) schedule(
+	now placement.Millis, client *clientConn, request *codec.PlaceRequest, requested placement.Workload,
+) {
+	// The client's timeout runs from when it sent the request, so the time in the queue counts.
+	requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
+	added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
+	client.unanswered[added.id] = added
+	h.counters.Requests++
+	requested.ID = added.id
+	h.host.Engine().Schedule(now, requested)
+}
+
 // adopt handles a client's statement that a workload runs on a node already.
 func (h *requestHandler) adopt(now placement.Millis, client *clientConn, request *codec.AdoptRequest) {
 	running, err := h.engineWorkload(&request.Task)
 	switch {
 	case err != nil:
 		h.rejectInvalid(now, client, request.Tag, err)
-	case h.workloads.tagged(request.Tag) != nil: // adopted or placed before
+	case h.workloads.tagged(request.Tag) != nil:
+		// A workload of that tag is held: a second statement about it changes nothing.
 	case h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
@@ -133,7 +137,7 @@
 // rejectTag rejects a request under the tag of an earlier one. On the same connection the answers to the two could
 // not be distinguished, so it is closed.
 func (h *requestHandler) rejectTag(now placement.Millis, client *clientConn, earlier *workload) {
-	if earlier.client == client.id && !earlier.answered {
+	if earlier.client == client.id && earlier.answer == frontend.AnswerDue {
 		h.rejectInvalid(now, client, earlier.tag, errTagInUse)
 		return
 	}
@@ -143,22 +147,20 @@
 // engineWorkload returns a task as the engine knows it, without an id. A value out of range must not reach the
 // engine: it would stay in the sums that decisions depend on.
 func (h *requestHandler) engineWorkload(task *codec.Task) (placement.Workload, error) {
-	class, known := h.classes[task.Class]
+	class, known := h.classes.Lookup(task.Class)
 	if !known {
 		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, task.Class)
 	}
-	for _, kind := range h.config.Settings.NodeKinds {
-		if task.Cores <= kind.Cores && task.Memory <= kind.Memory {
-			return placement.Workload{
-				Service: placement.ServiceID(task.Service),
-				Group:   class,
-				Cores:   task.Cores,
-				Memory:  task.Memory,
-				Retried: task.Retried,
-			}, nil
-		}
+	if !frontend.FitsSomeKind(h.config.Settings.NodeKinds, task.Cores, task.Memory) {
+		return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, task.Cores, task.Memory)
 	}
-	return placement.Workload{}, fmt.Errorf("%w: %v cores, %v of memory", errTooLarge, task.Cores, task.Memory)
+	return placement.Workload{
+		Service: placement.ServiceID(task.Service),
+		Group:   class,
+		Cores:   task.Cores,
+		Memory:  task.Memory,
+		Retried: task.Retried,
+	}, nil
 }
 
 // cancelAll withdraws requests, in the order of their ids.
