--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -47,10 +47,10 @@
 }
 
 // startCluster returns a cluster whose allocator has adopted every resident.
-func startCluster(f Fleet, o clusterOptions) (*cluster, error) {
+func startCluster(fleet Fleet, options clusterOptions) (*cluster, error) {
 	c := &cluster{
-		fleet:   f,
-		options: o,
+		fleet:   fleet,
+		options: options,
 		loop:    transport.NewLoop(nil),
 	}
 	if err := c.start(); err != nil {
@@ -134,8 +134,9 @@
 	}}}
 }
 
-// serve listens on a port of its own and serves each connection with a function, which the connection ends with.
-func (c *cluster) serve(serve func(net.Conn)) (address string, err error) {
+// serve listens on a port of its own and handles each connection in a goroutine. A connection is closed once handle has
+// returned.
+func (c *cluster) serve(handle func(net.Conn)) (address string, err error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", fmt.Errorf("listen for the allocator: %w", err)
@@ -148,8 +149,8 @@
 				return
 			}
 			go func() {
-				serve(conn)
-				_ = conn.Close() // nobody reads from it any more
+				handle(conn)
+				_ = conn.Close() // nothing is sent on it any more
 			}()
 		}
 	}()
