--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -116,8 +116,8 @@
 	})
 }
 
-// abandon ends a bind that is not confirmed, and withdraws its offer from the node if it was sent. It returns whether
-// it was.
+// abandon ends a bind that is not confirmed. If its offer was sent, the offer is withdrawn from the node. It reports
+// whether the offer was sent.
 func (b *binder) abandon(w *workload) (sent bool) {
 	sent = w.bind.state == bindSent
 	w.endBind()
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -119,7 +119,7 @@
 	case restarted:
 		l.binder.processRestarted(now, n, entry.StartedAt)
 	}
-	if !n.dialing.evicted {
+	if !n.dialing.revisitPending {
 		l.conns.connect(now, n)
 	}
 }
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -32,20 +32,20 @@
 	*environment
 	state         lifecycleState
 	drainingSince placement.Millis // if draining
-	pendingChecks []pendingReply
+	pendingChecks []clientHealthCheck
 }
 
-// pendingReply is a client's health check that has no reply yet.
-type pendingReply struct {
+// clientHealthCheck is a health check that a client has requested and that has no reply yet.
+type clientHealthCheck struct {
 	client transport.ConnID
-	tag    codec.Tag
+	tag    codec.Tag // of the check
 }
 
 func newLifecycle(env *environment) *lifecycle { return &lifecycle{environment: env} }
 
 // checkHealth replies to a client's health check: at once, or once the frontend is ready.
 func (l *lifecycle) checkHealth(client transport.ConnID, tag codec.Tag) {
-	check := pendingReply{client: client, tag: tag}
+	check := clientHealthCheck{client: client, tag: tag}
 	if l.state == lifecycleStarting && len(l.pendingChecks) < maxPendingChecks {
 		l.pendingChecks = append(l.pendingChecks, check)
 		return
@@ -54,7 +54,7 @@
 }
 
 // reply replies to a health check. It passes unless the frontend is draining.
-func (l *lifecycle) reply(check pendingReply) {
+func (l *lifecycle) reply(check clientHealthCheck) {
 	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
 }
 
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -95,8 +95,7 @@
 		return
 	}
 	nc.log.Debug("node connected", "node", n.name, "address", n.addr, "workloads", len(n.workloads))
-	n.dialing.failures = 0
-	n.dialing.refusing = false
+	n.dialing.opened()
 	n.serveWaiters(c)
 	nc.sendPendingReleases(c)
 }
--- a/internal/frontend/platform/nodedial.go
+++ b/internal/frontend/platform/nodedial.go
@@ -55,18 +55,13 @@
 // redial dials a node again after a backoff, if it is still needed then.
 func (nc *nodeConns) redial(now placement.Millis, n *node) {
 	history := &n.dialing
-	if history.scheduled || history.evicted || !n.reachable() || !n.needed() {
+	if history.timerPending() || !n.reachable() || !n.needed() {
 		return
 	}
-	history.scheduled = true
-	at := now + nc.host.RetryDelay(redialBackoff, history.failures)
-	if history.refusing {
-		// An earlier attempt proves nothing new. After the loss of a zone, dialing its nodes more often took so much of
-		// a part of a core that answers were late by half a second.
-		at = max(at, history.refusedSince+nodeDownAfter)
-	}
+	history.redialPending = true
+	at := history.redialAt(now, nc.host.RetryDelay(redialBackoff, history.failures))
 	nc.host.Schedule(at, func(now placement.Millis) {
-		history.scheduled = false
+		history.redialPending = false
 		if nc.nodes.holds(n) {
 			nc.connect(now, n)
 		}
@@ -102,11 +97,11 @@
 }
 
 // revisit has a node whose connection is evicted dialed again after revisitAfter, so that it can report the ends of its
-// workloads.
+// workloads. Until then the node is dialed only to send something to it.
 func (nc *nodeConns) revisit(now placement.Millis, n *node) {
-	n.dialing.evicted = true
+	n.dialing.revisitPending = true
 	nc.host.Schedule(now+revisitAfter, func(now placement.Millis) {
-		n.dialing.evicted = false
+		n.dialing.revisitPending = false
 		if nc.nodes.holds(n) {
 			nc.connect(now, n)
 		}
@@ -118,13 +113,11 @@
 func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason error) {
 	history := &n.dialing
 	history.failures++
-	switch {
-	case !errors.Is(reason, transport.ErrConnectionRefused):
-		history.refusing = false
-	case !history.refusing:
-		history.refusing = true
-		history.refusedSince = now
-	case now-history.refusedSince >= nodeDownAfter:
+	if !errors.Is(reason, transport.ErrConnectionRefused) {
+		history.refusals.end()
+		return
+	}
+	if history.refusals.add(now) >= nodeDownAfter {
 		nc.events.processEnded(now, n)
 	}
 }
--- a/internal/frontend/platform/nodedial_test.go
+++ b/internal/frontend/platform/nodedial_test.go
@@ -96,11 +96,11 @@
 	t.Run("later", func(t *testing.T) {
 		harness := evicted(t)
 		n := harness.nodes.byName[nodeName]
-		assert.False(t, n.dialing.scheduled)
+		assert.False(t, n.dialing.redialPending)
 		harness.advance(revisitAfter - 100)
-		assert.True(t, n.dialing.evicted)
+		assert.True(t, n.dialing.revisitPending)
 		harness.advance(200)
-		assert.False(t, n.dialing.evicted)
+		assert.False(t, n.dialing.revisitPending)
 		assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
 	})
 	t.Run("to send something", func(t *testing.T) {
@@ -132,13 +132,13 @@
 	harness.closeConn(harness.nodeConn, errReset)
 	harness.closeConn(redialed(), errRefused)
 	assert.Equal(t, 1, n.dialing.failures)
-	assert.True(t, n.dialing.refusing)
+	assert.True(t, n.dialing.refusals.ongoing)
 	harness.closeConn(redialed(), transport.ErrDialFailed)
 	assert.Equal(t, 2, n.dialing.failures)
-	assert.False(t, n.dialing.refusing, "the dial failed for another reason")
+	assert.False(t, n.dialing.refusals.ongoing, "the dial failed for another reason")
 	harness.closeConn(redialed(), errRefused)
 	harness.openConn(redialed())
 	assert.Zero(t, n.dialing.failures)
-	assert.False(t, n.dialing.refusing)
+	assert.False(t, n.dialing.refusals.ongoing)
 	assert.Equal(t, []sentMessage{aConfirmation}, harness.sentAbout(harness.clientConn, 6), "its workload still runs")
 }
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -22,17 +22,6 @@
 	dialing         dialHistory
 }
 
-// dialHistory decides when a node is dialed again.
-type dialHistory struct {
-	failures     int              // in a row
-	refusing     bool             // the last connections were refused
-	refusedSince placement.Millis // if refusing: when the first of these connections was refused
-	scheduled    bool             // a timer is set that dials the node
-	// evicted says that the node's connection was evicted. Until a timer resets it, the node is dialed only to send
-	// something to it.
-	evicted bool
-}
-
 // connWaiter waits for a connection to a node. Exactly one of its methods is called.
 type connWaiter interface {
 	connected(c *nodeConn)
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -15,6 +15,15 @@
 	checks    *healthChecker
 }
 
+// loadUse says what became of the load report of a node's message while the message was handled.
+type loadUse uint8
+
+const (
+	loadUnused loadUse = iota // the engine still has to be passed it
+	loadUsed                  // the engine was passed it with an event
+	loadVoid                  // it does not count, since the connection was closed for the message
+)
+
 // received handles a message from a node.
 func (h *replyHandler) received(now placement.Millis, c *nodeConn, message codec.Message) {
 	if invalid, ok := message.(*codec.Invalid); ok {
@@ -22,21 +31,20 @@
 		return
 	}
 	load := message.Envelope().Load
-	if !h.handle(now, c, message) && load != nil {
+	if h.handle(now, c, message) == loadUnused && load != nil {
 		h.host.Engine().ReportLoad(now, c.node.id, *load)
 	}
 	h.conns.closeReplaced(c)
 }
 
-// handle handles a message about a health check or a bind. It returns whether nothing is left to do with the message's
-// load report: it was passed to the engine, or the connection was closed.
-func (h *replyHandler) handle(now placement.Millis, c *nodeConn, message codec.Message) (loadHandled bool) {
+// handle handles a message about a health check or a bind.
+func (h *replyHandler) handle(now placement.Millis, c *nodeConn, message codec.Message) loadUse {
 	if reply, ok := message.(*codec.HealthReply); ok {
-		return h.checks.completed(now, c.node, reply)
+		return h.healthReplied(now, c, reply)
 	}
 	w := h.workloads.tagged(message.Envelope().Tag)
 	if w == nil || !w.concernedBy(c) {
-		return false // unknown, ended before, or about an abandoned bind
+		return loadUnused // unknown, ended before, or about an abandoned bind
 	}
 	switch message := message.(type) {
 	case *codec.Confirmation:
@@ -48,32 +56,38 @@
 			h.host.Engine().ReportUsage(now, w.id, w.bind.number, message.Kind, message.Value)
 		}
 	}
-	return false
+	return loadUnused
+}
+
+// healthReplied handles the reply to a health check.
+func (h *replyHandler) healthReplied(now placement.Millis, c *nodeConn, reply *codec.HealthReply) loadUse {
+	if h.checks.completed(now, c.node, reply) {
+		return loadUsed
+	}
+	return loadUnused
 }
 
 // confirmed handles the confirmation of an offer. One without a description breaks the protocol, and the connection is
-// closed. It returns as handle does.
+// closed.
 func (h *replyHandler) confirmed(
 	now placement.Millis, c *nodeConn, w *workload, confirmation *codec.Confirmation,
-) (loadHandled bool) {
+) loadUse {
 	if w.bind.state != bindSent {
-		return false
+		return loadUnused
 	}
 	description, present := confirmation.Description.Text()
 	if !present {
 		h.conns.disconnect(now, c, errNoDescription)
-		return true
+		return loadVoid
 	}
 	w.replyDescription = description
 	w.confirm(now)
 	h.host.Engine().BindConfirmed(now, w.id, w.bind.number, confirmation.Load)
-	return true
+	return loadUsed
 }
 
-// terminated handles the end of a running workload, or the rejection of an offer. It returns as handle does.
-func (h *replyHandler) terminated(
-	now placement.Millis, w *workload, termination *codec.Termination,
-) (loadHandled bool) {
+// terminated handles the end of a running workload, or the rejection of an offer.
+func (h *replyHandler) terminated(now placement.Millis, w *workload, termination *codec.Termination) loadUse {
 	running := w.running()
 	switch {
 	case running:
@@ -81,7 +95,7 @@
 	case w.bind.state == bindSent:
 		w.endBind()
 	default:
-		return false
+		return loadUnused
 	}
 	h.binder.reportEnd(now, w, placement.Result{
 		Kind:   resultOf(termination.Cause),
@@ -89,10 +103,11 @@
 		Final:  running,
 		Load:   termination.Load,
 	})
-	return true
+	return loadUsed
 }
 
-// resultOf returns the result of an open offer that a termination of that cause ends.
+// resultOf returns the result of an offer that a node answers with a termination of that cause. It is used for the end
+// of a running workload too, where it has no effect: the engine takes any end of a placed workload as placement.Ended.
 func resultOf(cause codec.Cause) placement.ResultKind {
 	switch cause {
 	case codec.CauseNoCapacity:
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -139,7 +139,7 @@
 		return
 	}
 	for _, event := range batch.Events {
-		if !s.applied(now, event) {
+		if !s.applyEvent(now, event) {
 			s.reconnect(now, errMalformedEvent)
 			break
 		}
@@ -147,9 +147,9 @@
 	s.lifecycle.markReady(now)
 }
 
-// applied applies an event, unless its revision was applied before. It returns false if the event is to be requested
-// again.
-func (s *subscription) applied(now placement.Millis, event codec.Event) bool {
+// applyEvent applies an event, unless its revision was applied before. One that cannot be decoded is skipped after
+// maxMalformed attempts; before that, applyEvent returns false, and the event is to be requested again.
+func (s *subscription) applyEvent(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
 	}
--- a/internal/frontend/platform/workload.go
+++ b/internal/frontend/platform/workload.go
@@ -49,8 +49,8 @@
 // full reports whether the table's limit leaves no capacity for another request.
 func (t *workloadTable) full() bool { return len(t.byID) >= t.limit }
 
-// idsExhausted reports whether no id is left. Unlike in the native frontend none is reserved for running workloads: a
-// client that names one can be answered as one that requests one, while there it is a node that names them.
+// idsExhausted reports whether no id is left. The native frontend reserves ids for the adoption of running workloads;
+// here none are, since it is a client that requests an adoption, and it can be rejected like any request.
 func (t *workloadTable) idsExhausted() bool { return t.ids.Remaining() == 0 }
 
 // holds reports whether the workload has not been removed.
