--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -5,8 +5,8 @@
 // Counters are what every frontend counts since its start. A frontend embeds them in its own.
 //
 // The Host counts binds, migrations and health checks as the engine starts them. The frontend counts requests and
-// withdrawals where it decodes them, and final answers with CountAnswer where it sends them: what one answer to a
-// client is differs between protocols, since a gang's parts have no answers of their own.
+// withdrawals where it decodes them, and final answers with CountAnswer where it sends them. The Host cannot count
+// answers: to the engine the parts of a gang are workloads, but a client gets one answer for all of them.
 type Counters struct {
 	Requests      uint64 // scheduling requests of clients
 	Placed        uint64 // requests answered with a node
--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// persisted handles the journal's result for a bind. It is valid if the placement decision still holds.
+// persisted handles the journal's result for a bind. The bind is valid if the placement decision still holds.
 func (b *binder) persisted(bind pendingBind, valid bool, err error) {
 	switch {
 	case err != nil:
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -103,27 +103,58 @@
 	}
 }
 
-// updated handles an answer to the subscription, or an update that came by itself.
-func (d *discovery) updated(now placement.Millis, update *pb.NodeListUpdate) {
-	d.awaitingUpdate = false
-	if update.Kind == pb.NodeListUpdate_POLL_FAILED {
-		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
-		return
-	}
+// updateKind says how an update of the node list relates to the last one that was applied.
+type updateKind uint8
+
+const (
+	updateFailed      updateKind = iota // the poll has failed: it tells nothing of the nodes
+	updateWithoutBase                   // a delta of another epoch: the revision it changes is not known here
+	updateOutdated                      // older than the last one
+	updateUnchanged                     // a delta without changes, which shows that the subscription is alive
+	updateNew
+)
+
+// kindOf returns how an update relates to the last one that was applied.
+func (d *discovery) kindOf(update *pb.NodeListUpdate) updateKind {
 	sameEpoch := update.Epoch == d.epoch
 	snapshot := update.Kind == pb.NodeListUpdate_SNAPSHOT
 	switch {
+	case update.Kind == pb.NodeListUpdate_POLL_FAILED:
+		return updateFailed
 	case !sameEpoch && !snapshot:
-		// A delta cannot be applied to a revision from before a restart of the service.
-		d.revision = 0
-		d.subscribe()
-		return
+		return updateWithoutBase
 	case sameEpoch && update.Revision < d.revision:
-		return // an answer older than one that was handled
+		return updateOutdated
 	case sameEpoch && update.Revision == d.revision && !snapshot:
-		d.host.Engine().UpdateNodes(now, placement.Delta, nil) // nothing has changed, and the subscription is alive
-		return
+		return updateUnchanged
 	}
+	return updateNew
+}
+
+// updated handles an answer to the subscription, or an update that came by itself.
+func (d *discovery) updated(now placement.Millis, update *pb.NodeListUpdate) {
+	d.awaitingUpdate = false
+	switch d.kindOf(update) {
+	case updateFailed:
+		d.host.Engine().UpdateNodes(now, placement.PollFailed, nil)
+	case updateWithoutBase:
+		d.resubscribe()
+	case updateOutdated: // a later one was applied
+	case updateUnchanged:
+		d.host.Engine().UpdateNodes(now, placement.Delta, nil)
+	case updateNew:
+		d.apply(now, update)
+	}
+}
+
+// resubscribe requests a snapshot: no delta applies to the last revision any more.
+func (d *discovery) resubscribe() {
+	d.revision = 0
+	d.subscribe()
+}
+
+// apply applies an update, and remembers its revision.
+func (d *discovery) apply(now placement.Millis, update *pb.NodeListUpdate) {
 	d.epoch = update.Epoch
 	d.revision = update.Revision
 	d.recorder.discoveryRevision(now, update)
--- a/internal/frontend/native/doc.go
+++ b/internal/frontend/native/doc.go
@@ -30,7 +30,7 @@
 //	discovery         revision of the last update              membership
 //	status            -                                        the tables
 //
-// Two arrows go back, both to Frontend: the engine calls engineActions, and connections pass what they close
+// Two calls go the other way, both to Frontend: the engine calls engineActions, and connections pass what they close
 // themselves to Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's
 // placement module alone.
 //
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -99,7 +99,8 @@
 // Opened handles a connection that was accepted, or that was dialed and is open now.
 func (f *Frontend) Opened(now placement.Millis, conn transport.ConnID) {
 	f.host.Handle(now, func() {
-		switch peer, open := f.connections.get(conn); {
+		peer, open := f.connections.get(conn)
+		switch {
 		case f.discovery.owns(conn):
 			f.network.Send(conn, f.hello())
 		case !open:
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -20,7 +20,7 @@
 // execute carries out what a gang's state machine decided.
 func (e *gangExecutor) execute(now placement.Millis, g *gangRequest, decided []gang.Action) {
 	for _, action := range decided {
-		e.executeOne(now, g, action)
+		e.executeAction(now, g, action)
 	}
 	// A trace holds the state's text, and some states share one.
 	if g.tracedState.String() != g.machine.State().String() {
@@ -29,8 +29,8 @@
 	g.tracedState = g.machine.State()
 }
 
-// executeOne carries out one action.
-func (e *gangExecutor) executeOne(now placement.Millis, request *gangRequest, action gang.Action) {
+// executeAction carries out one action.
+func (e *gangExecutor) executeAction(now placement.Millis, request *gangRequest, action gang.Action) {
 	switch action.Kind {
 	case gang.Attempt:
 		e.attempt(now, request, action)
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -17,8 +17,8 @@
 	executor  *gangExecutor
 }
 
-// event hands a gang's state machine what happened to a part, once the engine is idle.
-func (p *gangParts) event(w *workload, event func(now placement.Millis) []gang.Action) {
+// deferEvent hands a gang's state machine what happened to a part, once the engine is idle.
+func (p *gangParts) deferEvent(w *workload, event func(now placement.Millis) []gang.Action) {
 	p.executor.deferEvent(w.gang, w.id, w.part, event)
 }
 
@@ -32,7 +32,7 @@
 			p.running(w)
 		}
 	case allocator.Rejected:
-		p.event(w, func(now placement.Millis) []gang.Action {
+		p.deferEvent(w, func(now placement.Millis) []gang.Action {
 			return w.gang.machine.PartFailed(now, w.part, gang.NeverRan)
 		})
 	case allocator.Unschedulable:
@@ -47,7 +47,7 @@
 	node := w.lastNode()
 	bind := p.workloads.bindID(w)
 	stopped := w.bindState == bindStopRequested && p.catalog.idempotency(w.request.Group) != placement.AtMostOnce
-	p.event(w, func(now placement.Millis) []gang.Action {
+	p.deferEvent(w, func(now placement.Millis) []gang.Action {
 		if !stopped {
 			p.sender.stop(node, bind)
 		}
@@ -58,13 +58,13 @@
 // running handles that a workload runs, if it is a part of a gang.
 func (p *gangParts) running(w *workload) {
 	if w.gang != nil {
-		p.event(w, func(placement.Millis) []gang.Action { return w.gang.machine.PartStarted(w.part) })
+		p.deferEvent(w, func(placement.Millis) []gang.Action { return w.gang.machine.PartStarted(w.part) })
 	}
 }
 
 // ended handles that a part runs no more, or never will.
 func (p *gangParts) ended(w *workload, end gang.PartEnd) {
-	p.event(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartEnded(now, w.part, end) })
+	p.deferEvent(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartEnded(now, w.part, end) })
 }
 
 // repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -26,7 +26,7 @@
 	entries := make([]placement.Node, 0, len(update.Entries))
 	var updated []*node
 	for _, entry := range update.Entries {
-		if n, ok := m.enter(now, entry); ok {
+		if n, ok := m.applyEntry(now, entry); ok {
 			entries = append(entries, n.placementEntry())
 			updated = append(updated, n)
 		}
@@ -41,8 +41,8 @@
 	m.removeUnlisted(now)
 }
 
-// enter applies one entry. It is not ok where the node table is full.
-func (m *membership) enter(now placement.Millis, entry *pb.NodeEntry) (n *node, ok bool) {
+// applyEntry applies one entry, and returns its node. It is not ok if the node is new and the node table is full.
+func (m *membership) applyEntry(now placement.Millis, entry *pb.NodeEntry) (n *node, ok bool) {
 	id := placement.NodeID(entry.Id)
 	_, known := m.nodes.get(id)
 	n, ok = m.nodes.getOrAdd(id, entry.Incarnation)
--- a/internal/frontend/native/numbering.go
+++ b/internal/frontend/native/numbering.go
@@ -1,8 +1,8 @@
 package native
 
 // numbering gives each name of a zone or cell a number of its own, in the order in which the names occur. There are
-// never more names than nodes are kept, and so fewer than numbers. A number that is free again is the last to be given
-// out, so that what still refers to it has forgotten it by then.
+// never more names than nodes are kept, and so fewer than numbers. Numbers are given out in a cycle: one that is free
+// again is reused as late as possible, since the placement module may still have state under it.
 type numbering[T ~uint16] struct {
 	byName map[string]T
 	used   map[T]bool
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -34,7 +34,7 @@
 		switch {
 		case found && r.host.Engine().IsPlaced(w.id, bind):
 			named[bindRef{w.id, bind}] = true
-			r.held(n, w, running)
+			r.repeatLost(n, w, running)
 		case offer.GetBind() != nil && offer.Request != nil:
 			unknown = append(unknown, running)
 		}
@@ -45,12 +45,13 @@
 		})
 	})
 	for _, running := range unknown {
-		r.notHeld(now, n, running)
+		r.adoptOrStop(now, n, running)
 	}
 }
 
-// held repeats what may have been lost with the node's last connection, for a workload that the engine holds there.
-func (r *reconciler) held(n *node, w *workload, running *pb.RunningWorkload) {
+// repeatLost repeats what may have been lost with the node's last connection, for a workload that the engine holds on
+// the node: its stop, the node's report that it runs, and the confirmation of its gang.
+func (r *reconciler) repeatLost(n *node, w *workload, running *pb.RunningWorkload) {
 	switch {
 	case w.bindState == bindStopRequested:
 		r.sender.stop(n.id, running.Offer.Bind)
@@ -60,8 +61,8 @@
 	}
 }
 
-// notHeld handles a workload that the engine does not hold: an unwanted one is stopped, any other is adopted.
-func (r *reconciler) notHeld(now placement.Millis, n *node, running *pb.RunningWorkload) {
+// adoptOrStop handles a workload that the engine does not hold: an unwanted one is stopped, any other is adopted.
+func (r *reconciler) adoptOrStop(now placement.Millis, n *node, running *pb.RunningWorkload) {
 	if r.unwanted(running.Offer) {
 		r.sender.stop(n.id, running.Offer.Bind)
 		return
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -132,7 +132,7 @@
 
 // gangStatusOf is a gang as operators are shown it.
 func gangStatusOf(now placement.Millis, held *gangRequest) *pb.GangStatus {
-	status := &pb.GangStatus{
+	shown := &pb.GangStatus{
 		Client:    held.id.client,
 		RequestId: held.id.request,
 		State:     held.stateName(),
@@ -141,12 +141,12 @@
 		SinceMs:   float64(now - held.receivedAt),
 	}
 	for _, id := range held.parts {
-		status.Workloads = append(status.Workloads, uint64(id))
+		shown.Workloads = append(shown.Workloads, uint64(id))
 	}
 	if held.recovering() {
-		return status
+		return shown
 	}
-	status.Attempts = uint32(held.machine.Attempts())
-	status.Running = uint32(held.machine.CountParts(gang.PartRunning))
-	return status
+	shown.Attempts = uint32(held.machine.Attempts())
+	shown.Running = uint32(held.machine.CountParts(gang.PartRunning))
+	return shown
 }
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -97,7 +97,7 @@
 	return byName
 }()
 
-// The causes of a health check and of its reply.
+// The causes of the reply to a health check. The check itself states a cause too, which is always causeFailed.
 const (
 	causeFailed Cause = 0
 	causePassed Cause = 1
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -44,10 +44,10 @@
 // isLate reports whether the wake-up should have come well before now, so that the process was stopped meanwhile.
 func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > lateWakeup }
 
-// passed records the time of an event, so that a wake-up that is due then is not late to the events after it.
+// passed records the time of an event, so that a nested event does not find the same wake-up late again.
 func (w *wakeup) passed(now placement.Millis) { w.at = max(w.at, now) }
 
-// fired records that the wake-up has come: whatever time it was set for, none is set now.
+// fired records that the wake-up has come, so that none is set now. It may come before the time that it was set for.
 func (w *wakeup) fired(now placement.Millis) { w.at = now }
 
 // requestTick records that the engine needs a tick at the given time. An earlier request remains.
