--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -96,8 +96,8 @@
 	return held
 }
 
-// withdraw rolls a gang back that its client no longer wants. Of a gang that is recovering it has no effect: its
-// parts are decided about together, once the others had time to be found.
+// withdraw rolls back a gang that its client no longer wants. It has no effect on a gang that is recovering: what
+// becomes of its parts is decided for all of them at once, when the time for finding them has passed.
 func (h *gangHandler) withdraw(now placement.Millis, g *gangRequest) {
 	if g.recovering() {
 		return
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// mayRun handles a part that may run where its last bind went, though its answer is unknown. The gang is rolled
-// back, so the part must not run on. Its bind is stopped, unless it was: the stop of an at-most-once workload that
-// timed out leaves it alone where the node has accepted it, so that one is stopped again.
+// mayRun handles a part that may run on the node of its last bind, whose reply was not received. The gang is rolled
+// back, so the part must not run on: its bind is stopped, unless the engine has stopped it. An at-most-once workload is
+// stopped in any case, since the engine's stop after a timeout only drops an offer that the node has not accepted.
 func (p *gangParts) mayRun(w *workload) {
 	node := w.lastNode()
 	bind := p.workloads.bindID(w)
--- a/internal/frontend/native/gangtable.go
+++ b/internal/frontend/native/gangtable.go
@@ -51,7 +51,8 @@
 	return all
 }
 
-// unrequestedParts counts the parts that have no workload now. A gang that waits for its next attempt holds its place.
+// unrequestedParts counts the parts that have no workload now. They count for the limit on workloads, since a gang that
+// waits for its next attempt will request them.
 func (t *gangTable) unrequestedParts() int {
 	count := 0
 	for _, g := range t.byRequest {
--- a/internal/frontend/native/node.go
+++ b/internal/frontend/native/node.go
@@ -28,7 +28,7 @@
 	address string
 }
 
-// sessionState is how far a connection that this side dials is.
+// sessionState is the state of a connection that this side dials.
 type sessionState uint8
 
 const (
@@ -61,8 +61,9 @@
 // connected reports whether the node has sent its hello, so that frames may be sent to it.
 func (n *node) connected() bool { return n.session.state == sessionConnected }
 
-// state is the node's state for placement. What the node reports of draining counts before the entry of the discovery
-// service, which is later, until the node reports otherwise or is restarted.
+// state is the node's state for placement. A node that reports that it is draining counts as draining even while the
+// discovery service lists it as ready: the service learns of it later. That ends when the node reports otherwise or is
+// restarted.
 func (n *node) state() placement.NodeState {
 	if n.draining && n.entry.State == placement.Ready {
 		return placement.Draining
--- a/internal/frontend/native/nodesender.go
+++ b/internal/frontend/native/nodesender.go
@@ -6,8 +6,8 @@
 )
 
 // nodeSender sends frames to the nodes that are connected. To any other node nothing is sent, and nothing waits for a
-// connection: an offer would reach a node that drains or was restarted meanwhile, and measured gains were none
-// (docs/review-findings.md). What a stop was to end is named by the node at its next hello.
+// connection: by then the node of an offer may be draining or restarted, and a measurement showed no gain
+// (docs/review-findings.md). A workload whose stop was not sent is named in the node's next hello; see reconciler.
 type nodeSender struct {
 	*environment
 	nodes *nodeTable
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -77,16 +77,16 @@
 
 // unwanted reports whether a workload that the engine does not hold is to be stopped:
 //   - its client withdrew it, and the stop was lost with the connection;
-//   - it is a copy that this incarnation abandoned, or of a workload that is held elsewhere, and it is part of a gang,
-//     which must not run in part, or a stop can still limit its effect.
+//   - it is a duplicate, as this incarnation abandoned its bind or holds a workload of its key; and it is a part of a
+//     gang, which must not run in part, or of a group whose duplicates are stopped.
 func (r *reconciler) unwanted(offer *pb.Offer) bool {
 	ours := offer.Bind.Incarnation == r.config.Incarnation
 	if ours && r.clients.withdrew(offer.Client, offer.Request.RequestId) {
 		return true
 	}
-	abandoned := ours || r.workloads.hasKey(offer.Request.Key)
+	duplicate := ours || r.workloads.hasKey(offer.Request.Key)
 	group := r.catalog.groupID(offer.Request.Group)
-	return abandoned && (offer.Gang != nil || r.host.Engine().StopsDuplicates(group))
+	return duplicate && (offer.Gang != nil || r.host.Engine().StopsDuplicates(group))
 }
 
 // adopt has the engine hold a workload that was found on a node.
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -10,7 +10,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// workloadState is how far a workload is, as its client knows it.
+// workloadState is the state of a workload as its client knows it.
 type workloadState uint8
 
 const (
@@ -57,7 +57,8 @@
 // accepted reports whether the workload was placed on the node of its last bind.
 func (s workloadState) accepted() bool { return s == workloadPlaced || s == workloadStopping }
 
-// bindState is how far a workload's last bind is before the node has its offer. Each bind begins as not sent:
+// bindState is the state of a workload's last bind until its offer is sent or the engine cancels it. What the node
+// replies is part of the engine's state. Each bind begins as not sent:
 //
 //	notSent -> persisting -> sent       if the journal must have it first
 //	notSent -> sent                     if not
@@ -70,7 +71,7 @@
 const (
 	bindNone          bindState = iota // no bind was made
 	bindPersisting                     // it is being written to the journal, and its offer is sent afterwards
-	bindOutdated                       // likewise, but what the placement was decided by has changed: it is not sent
+	bindOutdated                       // it is being written, but its decision no longer holds: no offer will be sent
 	bindNotSent                        // its offer is not sent, yet or at all
 	bindSent                           // its offer was sent
 	bindStopRequested                  // the engine has cancelled it
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -58,8 +58,8 @@
 	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
 }
 
-// markReady replies to the health checks that came before the first message of the discovery service. Events published
-// between the configuration and the start count: until they are applied, no workload may be placed by the older list.
+// markReady replies to the health checks that wait for the discovery service. They wait since the configuration's list
+// may be out of date: no workload may be placed by it before the events that were published since are applied.
 func (l *lifecycle) markReady(placement.Millis) {
 	if l.state == lifecycleStarting {
 		l.state = lifecycleReady
