--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -122,7 +122,7 @@
 		"adopted binds":    len(h.workloads.byAdopted),
 		"persisting binds": len(h.binder.persisting),
 		"gangs":            len(h.gangs.byRequest),
-		"health checks":    h.healthChecks.pending.Len(),
+		"health checks":    h.healthChecks.checks.Len(),
 		"deferred calls":   h.host.DeferredCalls(),
 		"timers":           h.host.PendingTimers(),
 		"engine":           h.host.Engine().WorkloadCount(),
--- a/internal/frontend/native/nodehealth.go
+++ b/internal/frontend/native/nodehealth.go
@@ -13,15 +13,15 @@
 // connection.
 type healthChecker struct {
 	*environment
-	nodes   *nodeTable
-	pending *frontend.HealthChecks
+	nodes  *nodeTable
+	checks *frontend.HealthChecks
 }
 
 func newHealthChecker(env *environment, nodes *nodeTable) *healthChecker {
 	return &healthChecker{
 		environment: env,
 		nodes:       nodes,
-		pending:     frontend.NewHealthChecks(env.host, healthCheckTimeout),
+		checks:      frontend.NewHealthChecks(env.host, healthCheckTimeout),
 	}
 }
 
@@ -29,14 +29,14 @@
 func (h *healthChecker) check(id placement.NodeID) {
 	n, known := h.nodes.get(id)
 	if !known || !n.connected() {
-		h.pending.FailUnsent(id)
+		h.checks.FailUnsent(id)
 		return
 	}
-	check := &pb.HealthCheck{Id: h.pending.Begin(id)}
+	check := &pb.HealthCheck{Id: h.checks.Begin(id)}
 	h.network.Send(n.session.conn, &pb.Frame{Body: &pb.Frame_HealthCheck{HealthCheck: check}})
 }
 
 // replied handles a node's reply to a health check.
 func (h *healthChecker) replied(now placement.Millis, n *node, reply *pb.HealthReply) {
-	h.pending.Complete(now, reply.Id, n.id, loadOf(reply.Load))
+	h.checks.Complete(now, reply.Id, n.id, loadOf(reply.Load))
 }
--- a/internal/frontend/native/nodesessions_test.go
+++ b/internal/frontend/native/nodesessions_test.go
@@ -130,10 +130,10 @@
 	harness.healthChecks.check(1)
 	check := harness.network.take(nodeConn)[0].GetHealthCheck()
 	require.NotNil(t, check)
-	assert.Equal(t, 1, harness.healthChecks.pending.Len())
+	assert.Equal(t, 1, harness.healthChecks.checks.Len())
 	harness.receive(nodeConn, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: check.Id}}})
-	assert.Zero(t, harness.healthChecks.pending.Len())
+	assert.Zero(t, harness.healthChecks.checks.Len())
 	harness.healthChecks.check(2)
-	assert.Zero(t, harness.healthChecks.pending.Len(), "an unknown node fails it at once")
+	assert.Zero(t, harness.healthChecks.checks.Len(), "an unknown node fails it at once")
 	assert.Equal(t, 1, harness.host.DeferredCalls())
 }
--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -195,7 +195,7 @@
 	}
 }
 
-// decodeTask returns the workload of a request and, if a node runs it already, the node's name.
+// decodeTask returns the workload of a request, and the name of the node that runs it already, or "" if none does.
 func decodeTask(opts options, description *string) (task Task, node string, err error) {
 	if description == nil {
 		return task, "", &FieldError{Field: "blob", Want: "the description of the workload"}
@@ -217,7 +217,8 @@
 	return task, node, err
 }
 
-// setExtras sets the cores, the memory and the service, and returns the node that runs the workload already, or none.
+// setExtras sets the cores, the memory and the service. It returns the name of the node that runs the workload already,
+// or "" if none does.
 func (t *Task) setExtras(extras string) (node string, err error) {
 	err = forEachPair(extras, func(name, value string) (err error) {
 		switch name {
--- a/internal/frontend/platform/codec/node.go
+++ b/internal/frontend/platform/codec/node.go
@@ -56,7 +56,7 @@
 	class       string
 	timeout     string
 	key         string
-	note        string
+	note        string // as paramNote says, of a measurement or a termination
 	figure      string
 	report      string
 	hasReport   bool
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -48,7 +48,8 @@
 	Released uint64 // workloads whose end their client was notified of
 }
 
-// environment is what all parts of a Frontend use. The native frontend's comment says why the two share no type.
+// environment is what all parts of a Frontend use. It shares no type with the native frontend's: the counters differ,
+// and the exported fields of a shared type would become fields of Frontend.
 type environment struct {
 	config   *Config
 	log      *slog.Logger
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -51,7 +51,7 @@
 	assert.Empty(t, harness.workloads.byTag)
 	assert.Zero(t, harness.workloads.unanswered.Count())
 	assert.Empty(t, harness.clients.undelivered)
-	assert.Zero(t, harness.healthChecks.pending.Len())
+	assert.Zero(t, harness.healthChecks.checks.Len())
 	assert.Zero(t, harness.host.DeferredCalls())
 	assert.LessOrEqual(t, harness.host.PendingTimers(), 10)
 	assert.LessOrEqual(t, len(harness.clients.conns)+len(harness.nodeConns.conns), 3)
--- a/internal/frontend/platform/nodedial.go
+++ b/internal/frontend/platform/nodedial.go
@@ -76,6 +76,7 @@
 		return false
 	}
 	if first.node == successor {
+		// It was replaced and not closed yet. The node is about to be dialed and needs no revisit.
 		nc.disconnect(now, first, errReplaced)
 		return true
 	}
--- a/internal/frontend/platform/nodehealth_test.go
+++ b/internal/frontend/platform/nodehealth_test.go
@@ -13,12 +13,12 @@
 	n := harness.nodes.byName[nodeName]
 	harness.healthChecks.check(n.id)
 	assert.Equal(t, []any{codec.NewHealthCheck(1)}, harness.network.sent[harness.nodeConn])
-	assert.Equal(t, 1, harness.healthChecks.pending.Len())
+	assert.Equal(t, 1, harness.healthChecks.checks.Len())
 	other := &node{id: n.id + 1}
 	assert.False(t, harness.healthChecks.completed(harness.now, other, codec.NewHealthReply(1, true)),
 		"of another node")
 	harness.receive(harness.nodeConn, codec.NewHealthReply(1, true))
-	assert.Zero(t, harness.healthChecks.pending.Len())
+	assert.Zero(t, harness.healthChecks.checks.Len())
 	harness.receive(harness.nodeConn, codec.NewHealthReply(1, true)) // a repeated reply changes nothing
 }
 
@@ -27,16 +27,16 @@
 	n := harness.nodes.byName[nodeName]
 	harness.healthChecks.check(n.id)
 	harness.advance(endGrace + 10)
-	assert.Zero(t, harness.healthChecks.pending.Len(), "no reply within the time")
+	assert.Zero(t, harness.healthChecks.checks.Len(), "no reply within the time")
 	harness.healthChecks.check(n.id + 1)
 	harness.advance(10)
-	assert.Zero(t, harness.healthChecks.pending.Len(), "an unknown node")
+	assert.Zero(t, harness.healthChecks.checks.Len(), "an unknown node")
 
 	harness.closeConn(harness.nodeConn, errReset)
 	harness.healthChecks.check(n.id)
 	dialed := harness.network.lastDialed(nodeAddr)
 	harness.advance(endGrace + 10)
-	assert.Zero(t, harness.healthChecks.pending.Len(), "no connection within the time")
+	assert.Zero(t, harness.healthChecks.checks.Len(), "no connection within the time")
 	harness.openConn(dialed)
 	assert.Empty(t, harness.network.sent[dialed], "the check has failed already")
 }
--- a/internal/frontend/platform/wiring.go
+++ b/internal/frontend/platform/wiring.go
@@ -44,7 +44,7 @@
 		environment: env,
 		nodes:       f.nodes,
 		conns:       f.nodeConns,
-		pending:     frontend.NewHealthChecks(env.host, endGrace),
+		checks:      frontend.NewHealthChecks(env.host, endGrace),
 	}
 	f.binder = &binder{
 		environment: env,
