--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -75,7 +75,7 @@
 // loadOf translates a load report. It returns nil where there is none, or one older than maxReportAge; values that the
 // report lacks are NaN.
 func loadOf(load *pb.Load) *placement.LoadReport {
-	if load == nil || !(placement.Millis(load.AgeMs) < maxReportAge) {
+	if load == nil || !(placement.Millis(load.AgeMs) < maxReportAge) { // not >=, so that an age of NaN is ignored too
 		return nil
 	}
 	value := func(v *float64) float64 {
--- a/internal/frontend/native/transit.go
+++ b/internal/frontend/native/transit.go
@@ -33,7 +33,7 @@
 // delay adds a frame that was sent at the given time of its sender's clock, in ms, and returns how much longer it
 // was in transit than the quickest of the recent ones. A frame without a valid time counts as not delayed.
 func (t *transitTimes) delay(now placement.Millis, sent float64) placement.Millis {
-	if !(sent > 0) || math.IsInf(sent, 0) {
+	if !(sent > 0) || math.IsInf(sent, 0) { // not <=, so that NaN is not valid either
 		return 0
 	}
 	duration := now - placement.Millis(sent)
--- a/internal/frontend/native/validation.go
+++ b/internal/frontend/native/validation.go
@@ -61,7 +61,7 @@
 		{"left_ms", request.PendingTimeoutMs},
 	}
 	for _, amount := range amounts {
-		if !(amount.value > 0 && amount.value <= math.MaxFloat32) {
+		if !(amount.value > 0 && amount.value <= math.MaxFloat32) { // NaN is out of range too
 			return fmt.Errorf("%s is %v; it must be above 0", amount.field, amount.value)
 		}
 	}
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -128,7 +128,7 @@
 	return displaced
 }
 
-// removable reports whether a node is no longer listed and has no workloads.
+// removable reports whether a node is no longer listed and has no workloads, and was not removed before.
 func (t *nodeTable) removable(n *node) bool {
 	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
 }
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -86,6 +86,7 @@
 // place handles the request to place a workload.
 func (h *requestHandler) place(now placement.Millis, client *clientConn, request *codec.PlaceRequest) {
 	requested, err := h.engineWorkload(&request.Task)
+	earlier := h.workloads.tagged(request.Tag)
 	switch {
 	case err != nil:
 		h.rejectInvalid(now, client, request.Tag, err)
@@ -93,8 +94,8 @@
 		// The end of the client's connection was read and is queued behind this message. A bind would take capacity
 		// from other clients, only to be abandoned.
 		h.counters.Withdrawn++
-	case h.workloads.tagged(request.Tag) != nil:
-		h.rejectTag(now, client, h.workloads.tagged(request.Tag))
+	case earlier != nil:
+		h.rejectTagInUse(now, client, earlier)
 	case h.lifecycle.rejecting(now) || h.workloads.full() || h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
@@ -134,9 +135,9 @@
 	}
 }
 
-// rejectTag rejects a request under the tag of an earlier one. On the same connection the answers to the two could
-// not be distinguished, so it is closed.
-func (h *requestHandler) rejectTag(now placement.Millis, client *clientConn, earlier *workload) {
+// rejectTagInUse rejects a request under the tag of an earlier one. If both are unanswered on one connection, their
+// answers could not be distinguished, so the connection is closed.
+func (h *requestHandler) rejectTagInUse(now placement.Millis, client *clientConn, earlier *workload) {
 	if earlier.client == client.id && earlier.answer == frontend.AnswerDue {
 		h.rejectInvalid(now, client, earlier.tag, errTagInUse)
 		return
