--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -22,17 +22,6 @@
 	dialing         dialHistory
 }
 
-// dialHistory decides when a node is dialed again.
-type dialHistory struct {
-	failures     int              // in a row
-	refusing     bool             // the last connections were refused
-	refusedSince placement.Millis // if refusing: when the first of these connections was refused
-	scheduled    bool             // a timer is set that dials the node
-	// evicted says that the node's connection was evicted. Until a timer resets it, the node is dialed only to send
-	// something to it.
-	evicted bool
-}
-
 // connWaiter waits for a connection to a node. Exactly one of its methods is called.
 type connWaiter interface {
 	connected(c *nodeConn)
@@ -139,7 +128,7 @@
 	return displaced
 }
 
-// removable reports whether a node is no longer listed and has no workloads.
+// removable reports whether a node is no longer listed and has no workloads, and was not removed before.
 func (t *nodeTable) removable(n *node) bool {
 	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
 }
