--- a/config/placement.go
+++ b/config/placement.go
@@ -115,12 +115,11 @@
 	}
 }
 
-// readRequiredKind returns the index of the kind that a group's workloads need, or placement's -1 for any.
+// readRequiredKind returns the index of the kind that a group's workloads need, or placement.AnyKind.
 func readRequiredKind(b *Block, kindNames []string) int {
-	const anyKind = -1
 	name := b.String("kind", "")
 	if name == "" {
-		return anyKind
+		return placement.AnyKind
 	}
 	kind := slices.Index(kindNames, name)
 	if kind < 0 {
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -104,15 +104,14 @@
 
 // withTraces calls use with the trace files of a directory, and closes them.
 func withTraces(dir string, use func(files []*trace.Reader) error) (err error) {
-	names, _, _ := trace.ListFiles(dir)
 	var files []*trace.Reader
 	defer func() {
 		for _, file := range files {
 			err = errors.Join(err, file.Close())
 		}
 	}()
-	for _, name := range names {
-		file, err := trace.Open(name)
+	for _, listed := range trace.ListFiles(dir) {
+		file, err := trace.Open(listed.Name)
 		if err != nil {
 			return err
 		}
--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -91,7 +91,10 @@
 // tracesBelow returns the trace files of a directory and of its subdirectories, which hold one allocator each. As in
 // trace.ListFiles, a directory that cannot be read has none.
 func tracesBelow(dir string) []string {
-	names, _, _ := trace.ListFiles(dir)
+	var names []string
+	for _, file := range trace.ListFiles(dir) {
+		names = append(names, file.Name)
+	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return names
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -71,35 +71,60 @@
 	}
 }
 
-// start opens the durable state first, since it decides the incarnation, and listens last. It completes the frontend's
-// configuration.
-func (d *Daemon) start(configuration *config.Allocator, frontend *native.Config) (err error) {
-	if configuration.State.Dir != "" {
-		d.binds, err = OpenBindStore(configuration.State, frontend, d.loop, d.log)
-		if err != nil {
-			return err
-		}
+// start opens the durable state first, since it decides the incarnation, and listens last. The parts that it opens
+// complete the frontend's configuration.
+func (d *Daemon) start(configuration *config.Allocator, frontend *native.Config) error {
+	if err := d.openBinds(configuration.State, frontend); err != nil {
+		return err
 	}
-	if configuration.Trace.Dir != "" {
-		d.recorder, err = newRecorder(configuration.Trace, frontend, d.log)
-		if err != nil {
-			return err
-		}
-		frontend.Trace = d.recorder
+	if err := d.openRecorder(configuration.Trace, frontend); err != nil {
+		return err
 	}
 	d.frontend = native.New(*frontend)
 	if d.binds != nil {
 		d.binds.Attach(d.frontend)
 	}
-	limits := transport.Limits{
-		MaxFrameSize:   int(configuration.Limits.MaxFrameBytes),
-		MaxWriteBuffer: int(configuration.Limits.MaxWriteBuffer),
-		MaxConnections: configuration.Limits.MaxConnections,
+	return d.serve(configuration.ListenAddress, configuration.Limits)
+}
+
+// openBinds opens the state directory, if one is configured.
+func (d *Daemon) openBinds(state config.State, frontend *native.Config) error {
+	if state.Dir == "" {
+		return nil
 	}
-	d.Addr, err = d.loop.ListenFrames(d.frontend, configuration.ListenAddress, limits)
+	binds, err := OpenBindStore(state, frontend, d.loop, d.log)
+	if err != nil {
+		return err
+	}
+	d.binds = binds
+	return nil
+}
+
+// openRecorder begins the frontend's trace, if a directory for it is configured.
+func (d *Daemon) openRecorder(configuration config.Trace, frontend *native.Config) error {
+	if configuration.Dir == "" {
+		return nil
+	}
+	recorder, err := newRecorder(configuration, frontend, d.log)
+	if err != nil {
+		return err
+	}
+	d.recorder = recorder
+	frontend.Trace = recorder
+	return nil
+}
+
+// serve listens on an address and starts the event loop.
+func (d *Daemon) serve(address string, limits config.Limits) error {
+	bound, err := d.loop.ListenFrames(d.frontend, address, transport.Limits{
+		MaxFrameSize:   int(limits.MaxFrameBytes),
+		MaxWriteBuffer: int(limits.MaxWriteBuffer),
+		MaxConnections: limits.MaxConnections,
+	})
 	if err != nil {
 		return err
 	}
+	d.Addr = bound
 	d.loop.Run()
 	return nil
 }
--- a/internal/frontend/native/tracerecorder.go
+++ b/internal/frontend/native/tracerecorder.go
@@ -27,10 +27,10 @@
 
 // answer records the final answer for a workload.
 func (t traceRecorder) answer(
-	now placement.Millis, w *workload, v allocator.Verdict, node placement.NodeID, reason string,
+	now placement.Millis, w *workload, verdict allocator.Verdict, node placement.NodeID, reason string,
 ) {
 	if t.recorder != nil {
-		t.recorder.RecordAnswer(now, w.id, uint8(v), node, reason)
+		t.recorder.RecordAnswer(now, w.id, verdict, node, reason)
 	}
 }
 
@@ -51,8 +51,13 @@
 // gangRequest records a client's request for a gang, with the time for which the client waits.
 func (t traceRecorder) gangRequest(now placement.Millis, g *gangRequest, timeout placement.Millis) {
 	if t.recorder != nil {
-		minParts := int(g.request.MinParts)
-		t.recorder.RecordGangRequest(now, g.id.client, g.id.request, len(g.parts), minParts, timeout)
+		t.recorder.RecordGangRequest(now, replay.GangRequest{
+			Client:         g.id.client,
+			RequestID:      g.id.request,
+			Parts:          len(g.parts),
+			MinParts:       int(g.request.MinParts),
+			PendingTimeout: timeout,
+		})
 	}
 }
 
--- a/internal/loadgen/fromtrace_test.go
+++ b/internal/loadgen/fromtrace_test.go
@@ -23,9 +23,9 @@
 	script.SetLength(4000)
 	result, err := simulation.PlayVirtual(script, simulation.Options{Seed: 1, TraceDirectory: dir})
 	require.NoError(t, err)
-	names, _, _ := trace.ListFiles(filepath.Join(dir, "allocator-1"))
-	require.NotEmpty(t, names)
-	file, err = trace.Open(names[0])
+	files := trace.ListFiles(filepath.Join(dir, "allocator-1"))
+	require.NotEmpty(t, files)
+	file, err = trace.Open(files[0].Name)
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, file.Close()) })
 	return file, result.Workloads
--- a/internal/replay/recordevents.go
+++ b/internal/replay/recordevents.go
@@ -1,12 +1,13 @@
 package replay
 
 import (
+	"grebeglade/internal/allocator"
 	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
 )
 
-// RecordRequest records whose a workload is, before it is scheduled or adopted.
+// RecordRequest records the client, request and idempotency key of a workload, before it is scheduled or adopted.
 func (r *Recorder) RecordRequest(now placement.Millis, id placement.WorkloadID, client string, request, key uint64) {
 	received := &tracepb.RequestReceived{
 		Workload:  uint32(id),
@@ -19,7 +20,7 @@
 
 // RecordAnswer records what a client was answered.
 func (r *Recorder) RecordAnswer(
-	now placement.Millis, id placement.WorkloadID, verdict uint8, node placement.NodeID, text string,
+	now placement.Millis, id placement.WorkloadID, verdict allocator.Verdict, node placement.NodeID, text string,
 ) {
 	answered := &tracepb.RequestAnswered{
 		Workload: uint32(id),
@@ -48,21 +49,28 @@
 	r.add(now, &trace.Record{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: updated}})
 }
 
-// RecordGangRequest records that the workloads of a request belong together, before each of them.
-func (r *Recorder) RecordGangRequest(
-	now placement.Millis, client string, request uint64, parts, minParts int, pendingTimeout placement.Millis,
-) {
+// GangRequest is a client's request for a gang.
+type GangRequest struct {
+	Client         string
+	RequestID      uint64
+	Parts          int
+	MinParts       int // that must run
+	PendingTimeout placement.Millis
+}
+
+// RecordGangRequest records a request for a gang, before the requests of its parts.
+func (r *Recorder) RecordGangRequest(now placement.Millis, request GangRequest) {
 	requested := &tracepb.GangRequested{
-		Client:         client,
-		RequestId:      request,
-		Parts:          uint32(parts),
-		MinParts:       uint32(minParts),
-		PendingTimeout: float64(pendingTimeout),
+		Client:         request.Client,
+		RequestId:      request.RequestID,
+		Parts:          uint32(request.Parts),
+		MinParts:       uint32(request.MinParts),
+		PendingTimeout: float64(request.PendingTimeout),
 	}
 	r.add(now, &trace.Record{Body: &tracepb.Record_GangRequested{GangRequested: requested}})
 }
 
-// RecordGangState records the progress of a gang, with the workloads of its parts, 0 for one that is not requested.
+// RecordGangState records a gang's new state, with the workloads of its parts: 0 for a part that is not requested.
 func (r *Recorder) RecordGangState(
 	now placement.Millis, client string, request uint64, state string, parts []placement.WorkloadID,
 ) {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -44,9 +44,8 @@
 	require.NoError(t, err)
 	all := map[string][]*trace.Reader{}
 	for _, entry := range entries {
-		names, _, _ := trace.ListFiles(filepath.Join(dir, entry.Name()))
-		for _, name := range names {
-			reader, err := trace.Open(name)
+		for _, file := range trace.ListFiles(filepath.Join(dir, entry.Name())) {
+			reader, err := trace.Open(file.Name)
 			require.NoError(t, err)
 			t.Cleanup(func() { require.NoError(t, reader.Close()) })
 			all[entry.Name()] = append(all[entry.Name()], reader)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -69,9 +69,9 @@
 		InitialRate:          r.number("contract.cold_from"),
 		WarmUpBudget:         r.number("family_info.cold_bears"),
 		OverloadWindow:       r.millis("contract.overload_for_ns"),
-		PolledDiscovery:      oneOf(r, keyDiscovery, r.text(keyDiscovery), discoveryIsPolled),
-		ConfirmsRunning:      oneOf(r, keyConfirms, r.text(keyConfirms), confirmMeansRuns),
-		ReportsUsage:         oneOf(r, keyReportCounts, r.text(keyReportCounts), reportCountsInUse),
+		PolledDiscovery:      choice(r, keyDiscovery, discoveryIsPolled),
+		ConfirmsRunning:      choice(r, keyConfirms, confirmMeansRuns),
+		ReportsUsage:         choice(r, keyReportCounts, reportCountsInUse),
 		EntriesCarryCapacity: r.boolean("family_info.free_in_list"),
 		MaxBinds:             int(r.number("permissions.most_tries")),
 		HealthChecksAllowed:  r.boolean("permissions.probes"),
@@ -109,15 +109,15 @@
 	group := placement.Group{
 		LatencyObjective:       r.millis(own + "aim_ns"),
 		PriorityWeight:         r.number(own + "value"),
-		Idempotency:            oneOf(r, own+"effect", r.text(own+"effect"), idempotencies),
+		Idempotency:            choice(r, own+"effect", idempotencies),
 		MaxPerScope:            int(r.numberAt("family_info.spread_most", i)),
 		FullServiceUtilization: r.numberAt("family_info.calm_level", i),
 		DegradationRange:       r.numberAt("family_info.lost_after", i),
 		RequiredKind:           int(r.numberAt("family_info.kind_by_class", i)),
-		SpreadScope:            oneOf(r, keySpreadScopes, r.element(keySpreadScopes, i), scopes),
+		SpreadScope:            parseChoice(r, keySpreadScopes, r.element(keySpreadScopes, i), scopes),
 	}
 	if group.Idempotency == placement.IdempotentByKey {
-		group.KeyScope = oneOf(r, own+"dedup_scope", r.text(own+"dedup_scope"), scopes)
+		group.KeyScope = choice(r, own+"dedup_scope", scopes)
 		group.KeyWindow = r.millis(own + "window_ns")
 	}
 	return group
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -122,8 +122,13 @@
 	return r.parseNumber(path, v)
 }
 
-// oneOf returns what the value v stands for, which must be one of the given names.
-func oneOf[T any](r *reader, path, v string, names map[string]T) T {
+// choice returns what a value stands for, which must be one of the given names.
+func choice[T any](r *reader, path string, names map[string]T) T {
+	return parseChoice(r, path, r.text(path), names)
+}
+
+// parseChoice returns what the value v at a path stands for, which must be one of the given names.
+func parseChoice[T any](r *reader, path, v string, names map[string]T) T {
 	converted, ok := names[v]
 	if !ok {
 		known := slices.Sorted(maps.Keys(names))
--- a/trace/directory.go
+++ b/trace/directory.go
@@ -12,23 +12,36 @@
 // FileExtension ends the names of trace files.
 const FileExtension = ".gbt"
 
-// ListFiles returns the trace files of a directory in the order of writing, with their sizes and the sum of these. A
-// directory that cannot be read has none.
-func ListFiles(dir string) (names []string, sizes []int64, total int64) {
+// File is a trace file in a directory.
+type File struct {
+	Name string // with the path of the directory
+	Size int64  // in bytes
+}
+
+// ListFiles returns the trace files of a directory in the order of writing. A directory that cannot be read has none.
+func ListFiles(dir string) []File {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, nil, 0
+		return nil
 	}
+	var files []File
 	for _, entry := range entries { // sorted by name
 		info, err := entry.Info()
 		if err != nil || !strings.HasSuffix(entry.Name(), FileExtension) || !info.Mode().IsRegular() {
 			continue
 		}
-		names = append(names, filepath.Join(dir, entry.Name()))
-		sizes = append(sizes, info.Size())
-		total += info.Size()
+		files = append(files, File{Name: filepath.Join(dir, entry.Name()), Size: info.Size()})
+	}
+	return files
+}
+
+// totalSize returns the sum of the sizes of files.
+func totalSize(files []File) int64 {
+	total := int64(0)
+	for _, file := range files {
+		total += file.Size
 	}
-	return names, sizes, total
+	return total
 }
 
 // fileName returns the name of a source's n-th file. Names sort in the order of writing within one allocator.
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -177,15 +177,16 @@
 	if s.limits.TotalBytes <= 0 {
 		return
 	}
-	names, sizes, total := ListFiles(s.dir)
-	for i, name := range names {
+	files := ListFiles(s.dir)
+	total := totalSize(files)
+	for _, file := range files {
 		if total <= s.limits.TotalBytes {
 			return
 		}
-		if err := os.Remove(name); err != nil {
-			s.log.Warn("old trace file not removed", "file", name, "error", err)
+		if err := os.Remove(file.Name); err != nil {
+			s.log.Warn("old trace file not removed", "file", file.Name, "error", err)
 			continue
 		}
-		total -= sizes[i]
+		total -= file.Size
 	}
 }
--- a/trace/kinds.go
+++ b/trace/kinds.go
@@ -1,42 +1,99 @@
 package trace
 
-// Kinds of steps, results and verdicts, as records number them.
+// The numbers below equal those of packages placement and allocator, which this package does not import: they are a
+// part of the file format, and files of earlier versions must stay readable whatever the scheduler becomes. A new kind
+// is added at the end. A test of package replay fails if the two no longer agree.
+
+// Kinds of steps.
+const (
+	stepBind = iota
+	stepWait
+	stepAwaitEnd
+	stepRejected // this kind and all greater ones are final
+	stepUnschedulable
+	stepDone
+)
+
+// Kinds of results.
+const (
+	resultConfirmed = iota
+	resultRejectedByNode
+	resultNotDelivered
+	resultNotAttempted
+	resultOutcomeUnknown
+	resultTimedOut
+	resultEnded
+	resultWithdrawn
+	resultTimerFired
+)
+
+// Reasons for which nodes reject binds.
+const (
+	reasonUnspecified = iota
+	reasonInsufficientCores
+	reasonInsufficientMemory
+	reasonNodeQueueFull
+	reasonWrongNode
+	reasonEvicted
+	reasonPreempted
+	reasonDrained
+)
+
+// Verdicts.
 const (
-	stepBind     = 0
-	stepRejected = 3 // the first of the kinds that end a workload's decisions
+	verdictPlaced = iota + 1
+	verdictRejected
+	verdictUnschedulable
+)
 
-	resultRejectedByNode = 1
-	resultNotDelivered   = 2
-	resultOutcomeUnknown = 4
-	resultTimedOut       = 5
+// The names below are those that "grebeglade trace" has always printed and exported, so that some of them differ from
+// the present names of what they stand for.
+var (
+	stepNames = []string{
+		stepBind:          "bind",
+		stepWait:          "wait",
+		stepAwaitEnd:      "resident",
+		stepRejected:      "rejected",
+		stepUnschedulable: "unschedulable",
+		stepDone:          "done",
+	}
 
-	verdictPlaced        = 1
-	verdictRejected      = 2
-	verdictUnschedulable = 3
+	resultNames = []string{
+		resultConfirmed:      "confirmed",
+		resultRejectedByNode: "declined",
+		resultNotDelivered:   "unreachable",
+		resultNotAttempted:   "not sent",
+		resultOutcomeUnknown: "unclear",
+		resultTimedOut:       "timed out",
+		resultEnded:          "ended",
+		resultWithdrawn:      "withdrawn",
+		resultTimerFired:     "due",
+	}
+
+	rejectionNames = []string{
+		reasonUnspecified:        "no reason",
+		reasonInsufficientCores:  "no cores",
+		reasonInsufficientMemory: "no memory",
+		reasonNodeQueueFull:      "too many waiting",
+		reasonWrongNode:          "not here",
+		reasonEvicted:            "evicted",
+		reasonPreempted:          "pushed out",
+		reasonDrained:            "sent away",
+	}
 )
 
-// StepName returns the name of a kind of step, otherwise for one that a later version has added.
+// StepName returns the name of a kind of step, or otherwise for one that a later version has added.
 func StepName(kind uint32, otherwise string) string { return nameOr(stepNames, kind, otherwise) }
 
-// ResultName returns the name of a kind of result, otherwise for one that a later version has added.
+// ResultName returns the name of a kind of result, or otherwise for one that a later version has added.
 func ResultName(kind uint32, otherwise string) string { return nameOr(resultNames, kind, otherwise) }
 
-// RejectionName returns the name of the reason of a node's rejection, otherwise for one that a later version has added.
+// RejectionName returns the name of the reason of a node's rejection, or otherwise for one that a later version has
+// added.
 func RejectionName(reason uint32, otherwise string) string {
 	return nameOr(rejectionNames, reason, otherwise)
 }
 
-var stepNames = []string{"bind", "wait", "resident", "rejected", "unschedulable", "done"}
-
-var resultNames = []string{
-	"confirmed", "declined", "unreachable", "not sent", "unclear", "timed out", "ended", "withdrawn", "due",
-}
-
-// rejectionNames are the reasons for which nodes reject binds.
-var rejectionNames = []string{
-	"no reason", "no cores", "no memory", "too many waiting", "not here", "evicted", "pushed out", "sent away",
-}
-
 // nameOr returns the name of a number, or otherwise if it has none: a later version may have added kinds.
 func nameOr(names []string, number uint32, otherwise string) string {
 	if int(number) < len(names) {
--- a/trace/recorder_test.go
+++ b/trace/recorder_test.go
@@ -23,9 +23,8 @@
 // readDirectory returns all records in a directory, in order, and the number of files.
 func readDirectory(t *testing.T, dir string) (records []*Record, files int) {
 	t.Helper()
-	names, _, _ := ListFiles(dir)
-	for _, name := range names {
-		r, err := Open(name)
+	for _, file := range ListFiles(dir) {
+		r, err := Open(file.Name)
 		if errors.Is(err, ErrEmpty) {
 			continue
 		}
@@ -74,15 +73,16 @@
 		recorder.Put(batch)
 	}
 	recorder.Close()
-	_, sizes, total := ListFiles(dir)
+	written := ListFiles(dir)
+	total := totalSize(written)
+	oldest := written[0].Size
 
-	limits := Limits{FileBytes: 1, TotalBytes: total - sizes[0] + sizes[0]/2}
+	limits := Limits{FileBytes: 1, TotalBytes: total - oldest + oldest/2}
 	recorder, err := NewRecorder(dir, source("a", 2, 1e12), limits, nil)
 	require.NoError(t, err)
 	recorder.Put(placedRequests(10))
 	recorder.Close()
-	_, _, now := ListFiles(dir)
-	assert.LessOrEqual(t, now, total)
+	assert.LessOrEqual(t, totalSize(ListFiles(dir)), total)
 	got, _ := readDirectory(t, dir)
 	assertSameRecords(t, placedRequests(10), got[len(got)-10:])
 	assert.Equal(t, uint64(21), got[0].Revision, "the oldest files are gone, the others are complete")
