--- a/config/config.go
+++ b/config/config.go
@@ -56,5 +56,11 @@
 // Log configures logging.
 type Log struct {
 	Level  string // "debug", "info", "warn" or "error"
-	Format string // "text" or "json"
+	Format string // one of the LogFormat constants
 }
+
+// Values of Log.Format.
+const (
+	LogFormatText = "text"
+	LogFormatJSON = "json"
+)
--- a/config/load.go
+++ b/config/load.go
@@ -80,7 +80,7 @@
 func readLog(b *Block) Log {
 	return Log{
 		Level:  b.OneOf("level", "info", "debug", "info", "warn", "error"),
-		Format: b.OneOf("format", "text", "text", "json"),
+		Format: b.OneOf("format", LogFormatText, LogFormatText, LogFormatJSON),
 	}
 }
 
--- a/config/placement.go
+++ b/config/placement.go
@@ -19,6 +19,18 @@
 	effectAtMostOnce      = "run-once"
 )
 
+// Values of arguments of the rules block that stand for a choice of two.
+const (
+	discoveryPushed = "push"
+	discoveryPolled = "ask"
+
+	confirmsAccepted = "accepted"
+	confirmsRunning  = "running"
+
+	reportsUsed      = "used"
+	reportsRequested = "asked"
+)
+
 var idempotencies = map[string]placement.Idempotency{
 	effectIdempotent:      placement.Idempotent,
 	effectIdempotentByKey: placement.IdempotentByKey,
@@ -55,10 +67,10 @@
 	s.OverloadWindow = b.Duration("overload_for", 2e3)
 	s.MaxBinds = b.Int("binds", 3, 1, 100)
 	s.HealthChecksAllowed = b.Bool("probes", true)
-	s.PolledDiscovery = b.OneOf("list", "push", "push", "ask") == "ask"
+	s.PolledDiscovery = b.OneOf("list", discoveryPushed, discoveryPushed, discoveryPolled) == discoveryPolled
 	s.PollInterval = b.Duration("ask_within", 10e3)
-	s.ConfirmsRunning = b.OneOf("confirms", "accepted", "accepted", "running") == "running"
-	s.ReportsUsage = b.OneOf("reports", "used", "used", "asked") == "used"
+	s.ConfirmsRunning = b.OneOf("confirms", confirmsAccepted, confirmsAccepted, confirmsRunning) == confirmsRunning
+	s.ReportsUsage = b.OneOf("reports", reportsUsed, reportsUsed, reportsRequested) == reportsUsed
 	s.EntriesCarryCapacity = b.Bool("room_in_list", true)
 }
 
--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -87,7 +87,7 @@
 	return problemIf(slices.ContainsFunc(report.Findings, breaksRule))
 }
 
-// breaksRule tells whether a scenario broke a rule, rather than only losing many workloads.
+// breaksRule reports whether a scenario broke a rule, rather than only losing many workloads.
 func breaksRule(f search.Finding) bool { return f.Rule > 0 }
 
 // writeFindings writes each scenario that was found into a file of its own, unless dir is "".
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -54,7 +54,7 @@
 // listOptions are the flags of a listing.
 type listOptions struct {
 	to     string
-	most   uint32
+	limit  uint32
 	asJSON bool
 }
 
@@ -68,14 +68,14 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return l.run(cmd, &options) },
 	}
 	toFlag(cmd, &options.to)
-	cmd.Flags().Uint32Var(&options.most, "most", 1000, "list so many at most")
+	cmd.Flags().Uint32Var(&options.limit, "most", 1000, "list so many at most")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
 // run queries the allocator and prints the list.
 func (l listing) run(cmd *cobra.Command, options *listOptions) error {
-	state, err := queryState(options.to, l.query, options.most)
+	state, err := queryState(options.to, l.query, options.limit)
 	if err != nil {
 		return err
 	}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -168,7 +168,7 @@
 	s.log.Error("configuration not reloaded", "error", err)
 }
 
-// drained tells whether all requests are answered.
+// drained reports whether all requests are answered.
 func (s *platformServer) drained() bool {
 	drained := false
 	s.loop.Call(s.frontend, func(now placement.Millis) { drained = s.frontend.Drained(now) })
--- a/internal/command/trace_anonymise.go
+++ b/internal/command/trace_anonymise.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer files.close()
-	file, err := files.only("anonymise")
+	file, err := files.single("anonymise")
 	if err != nil {
 		return err
 	}
--- a/internal/command/trace_cut.go
+++ b/internal/command/trace_cut.go
@@ -29,7 +29,7 @@
 
 // run copies the records and prints how many there are.
 func (o *cutOptions) run(cmd *cobra.Command, files traceFiles) error {
-	file, err := files.only("cut")
+	file, err := files.single("cut")
 	if err != nil {
 		return err
 	}
--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// only returns the single file of a command that takes no more.
-func (files traceFiles) only(command string) (*trace.Reader, error) {
+// single returns the file of a command that takes exactly one.
+func (files traceFiles) single(command string) (*trace.Reader, error) {
 	if len(files) != 1 {
 		return nil, fmt.Errorf("%s takes one file, not %d; merge them first", command, len(files))
 	}
--- a/internal/command/trace_replay.go
+++ b/internal/command/trace_replay.go
@@ -63,7 +63,7 @@
 	return problemIf(slices.ContainsFunc(reports, differs))
 }
 
-// differs tells whether a replay with the recorded settings decided something else than recorded.
+// differs reports whether a replay with the recorded settings decided something other than what was recorded.
 func differs(report *replay.Report) bool { return report.WhatIf == nil && !report.Identical() }
 
 // replaceSettings returns the settings of a configuration for an allocator of a trace, which keeps its ordinal among
--- a/internal/command/trace_show.go
+++ b/internal/command/trace_show.go
@@ -12,7 +12,7 @@
 type showOptions struct {
 	bounds spanFlags
 	filter replay.Filter
-	most   int
+	limit  int
 	asJSON bool
 }
 
@@ -30,7 +30,7 @@
 	flags.Uint32Var(&options.filter.Workload, "workload", 0, "only what concerns this workload")
 	flags.Uint64Var(&options.filter.Service, "service", 0, "only what concerns workloads of this service")
 	flags.Uint32Var(&options.filter.Node, "node", 0, "only what concerns this node")
-	flags.IntVar(&options.most, "most", 1000, "show so many at most")
+	flags.IntVar(&options.limit, "most", 1000, "show so many at most")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
@@ -46,7 +46,7 @@
 	for _, file := range files {
 		for record := range o.matching(cmd, file, span) {
 			matched++
-			if matched > o.most {
+			if matched > o.limit {
 				continue
 			}
 			line := formatRecord(file, record)
@@ -56,8 +56,8 @@
 			}
 		}
 	}
-	if matched > o.most {
-		cmd.PrintErrf("%d more are left out; --most shows more\n", matched-o.most)
+	if matched > o.limit {
+		cmd.PrintErrf("%d more are left out; --most shows more\n", matched-o.limit)
 	}
 	if o.asJSON {
 		return printJSON(cmd, lines)
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -14,7 +14,7 @@
 		level = slog.LevelInfo
 	}
 	options := &slog.HandlerOptions{Level: level}
-	if c.Format == "json" {
+	if c.Format == config.LogFormatJSON {
 		return slog.New(slog.NewJSONHandler(w, options))
 	}
 	return slog.New(slog.NewTextHandler(w, options))
--- a/internal/replay/recorder.go
+++ b/internal/replay/recorder.go
@@ -49,7 +49,7 @@
 	return recorder
 }
 
-// add adds the next record.
+// add numbers a record as the next one. Full batches go to the sink.
 func (r *Recorder) add(now placement.Millis, record *trace.Record) {
 	r.revision++
 	record.AtMs = float64(now)
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -92,7 +92,7 @@
 // diverged reports whether the run ends here: with the recorded settings, what follows a divergence means nothing.
 func (r *run) diverged() bool { return r.report.Differ != nil && r.options.Settings == nil }
 
-// add takes the next record, which must follow the one before without a gap.
+// add makes the call of the next record, if it is one. Its revision must follow that of the record before.
 func (r *run) add(record *trace.Record) error {
 	if gap := record.GetGap(); gap != nil {
 		return GapError{Missing: gap.Missing, Reason: gap.Reason}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// start makes the module, with the recorded settings or others.
+// start creates the module, with the recorded settings or those that replace them.
 func (r *run) start(start *tracepb.Start) error {
 	settings := decodeSettings(start.Settings)
 	if r.options.Settings != nil {
@@ -175,7 +175,7 @@
 	r.decided(record, result.Workload, next)
 }
 
-// decided takes a workload's next step.
+// decided compares a workload's next step with the recorded one, and keeps it for the result that follows.
 func (r *run) decided(record *trace.Record, id uint32, step placement.Step) {
 	if r.options.Settings != nil {
 		r.estimate(record, id, step)
@@ -190,7 +190,7 @@
 	r.compare(record, proto.Equal(decided, record.Step), describeStep(record.Step), describeStep(decided))
 }
 
-// maintained compares maintenance actions.
+// maintained compares maintenance actions with the recorded ones.
 func (r *run) maintained(record *trace.Record, decided *tracepb.Maintenance) {
 	recorded := record.Maintenance
 	same := proto.Equal(decided, recorded)
--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -101,17 +101,17 @@
 	message protoreflect.Message, field protoreflect.FieldDescriptor, value protoreflect.Value,
 ) error {
 	name := string(message.Descriptor().Name()) + "." + string(field.Name())
-	treatment, known := treatments[name]
+	how, known := treatments[name]
 	if !known {
 		return fmt.Errorf("field %s cannot be anonymised: there is no treatment for it", name)
 	}
 	if !field.IsList() {
-		message.Set(field, a.value(treatment, field, value))
+		message.Set(field, a.value(how, field, value))
 		return nil
 	}
 	list := value.List()
 	for i := range list.Len() {
-		list.Set(i, a.value(treatment, field, list.Get(i)))
+		list.Set(i, a.value(how, field, list.Get(i)))
 	}
 	return nil
 }
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -50,11 +50,11 @@
 }
 
 // write writes a batch, and finishes the file if it has reached a limit.
-func (s *fileSeries) write(batch batch) {
-	if batch.missing > 0 {
-		s.lose(batch.missing, reasonQueueFull)
+func (s *fileSeries) write(next batch) {
+	if next.missing > 0 {
+		s.lose(next.missing, reasonQueueFull)
 	}
-	for _, record := range batch.records {
+	for _, record := range next.records {
 		s.writeRecord(record)
 	}
 	if s.current != nil && s.current.exceeds(s.limits) {
--- a/trace/summary_test.go
+++ b/trace/summary_test.go
@@ -28,7 +28,7 @@
 	noMemory := &tracepb.StepResult{
 		Workload: 1,
 		Kind:     resultRejectedByNode,
-		Reason:   2,
+		Reason:   reasonInsufficientMemory,
 	}
 	rejectedByNode := &Record{
 		AtMs:     20,
