--- a/internal/replay/describe.go
+++ b/internal/replay/describe.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"grebeglade/internal/allocator"
 	"grebeglade/placement"
 	"grebeglade/trace"
 	"grebeglade/trace/tracepb"
@@ -11,9 +12,25 @@
 // The texts of records are those that "grebeglade trace show" and "trace replay --json" have always printed, whatever
 // the records are called now.
 var (
-	verdictNames    = []string{"", "placed", "rejected", "unschedulable"}
-	nodeUpdateNames = []string{"changes", "whole", "cached", "failed"}
-	usageNames      = []string{"running", "cores used", "memory used", "served share", "memory filled"}
+	verdictNames = []string{
+		allocator.Placed:        "placed",
+		allocator.Rejected:      "rejected",
+		allocator.Unschedulable: "unschedulable",
+	}
+	nodeUpdateNames = []string{
+		placement.Delta:          "changes",
+		placement.Snapshot:       "whole",
+		placement.CachedSnapshot: "cached",
+		placement.PollFailed:     "failed",
+	}
+	usageNames = []string{
+		placement.Running:   "running",
+		placement.CoresUsed: "cores used",
+		// Traces of earlier versions have three further kinds.
+		"memory used",
+		"served share",
+		"memory filled",
+	}
 )
 
 // Describe describes a record in one line.
