--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -103,7 +103,7 @@
 			MaxPerScope:            2,
 			FullServiceUtilization: 0.8,
 			DegradationRange:       0.15,
-			RequiredKind:           -1,
+			RequiredKind:           placement.AnyKind,
 		},
 		{
 			LatencyObjective:       500,
