--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// only returns the single file of a command that takes no more.
-func (files traceFiles) only(command string) (*trace.Reader, error) {
+// single returns the file of a command that takes exactly one.
+func (files traceFiles) single(command string) (*trace.Reader, error) {
 	if len(files) != 1 {
 		return nil, fmt.Errorf("%s takes one file, not %d; merge them first", command, len(files))
 	}
@@ -91,7 +91,10 @@
 // tracesBelow returns the trace files of a directory and of its subdirectories, which hold one allocator each. As in
 // trace.ListFiles, a directory that cannot be read has none.
 func tracesBelow(dir string) []string {
-	names, _, _ := trace.ListFiles(dir)
+	var names []string
+	for _, file := range trace.ListFiles(dir) {
+		names = append(names, file.Name)
+	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return names
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -50,11 +50,11 @@
 }
 
 // write writes a batch, and finishes the file if it has reached a limit.
-func (s *fileSeries) write(batch batch) {
-	if batch.missing > 0 {
-		s.lose(batch.missing, reasonQueueFull)
+func (s *fileSeries) write(next batch) {
+	if next.missing > 0 {
+		s.lose(next.missing, reasonQueueFull)
 	}
-	for _, record := range batch.records {
+	for _, record := range next.records {
 		s.writeRecord(record)
 	}
 	if s.current != nil && s.current.exceeds(s.limits) {
@@ -177,15 +177,16 @@
 	if s.limits.TotalBytes <= 0 {
 		return
 	}
-	names, sizes, total := ListFiles(s.dir)
-	for i, name := range names {
+	files := ListFiles(s.dir)
+	total := totalSize(files)
+	for _, file := range files {
 		if total <= s.limits.TotalBytes {
 			return
 		}
-		if err := os.Remove(name); err != nil {
-			s.log.Warn("old trace file not removed", "file", name, "error", err)
+		if err := os.Remove(file.Name); err != nil {
+			s.log.Warn("old trace file not removed", "file", file.Name, "error", err)
 			continue
 		}
-		total -= sizes[i]
+		total -= file.Size
 	}
 }
