--- a/internal/allocator/gang.go
+++ b/internal/allocator/gang.go
@@ -4,7 +4,7 @@
 
 // ScheduleGang handles a request for workloads that are to start together. The module schedules each of them; where at
 // least minParts of them get a node, these are offered. Otherwise no bind is sent, and every step is undone in the
-// module. It returns which workloads were offered; the others are forgotten without an answer.
+// module. It returns for each of parts whether it was offered; the others are forgotten without an answer.
 func (e *Engine) ScheduleGang(now placement.Millis, parts []placement.Workload, minParts int) []bool {
 	steps := make([]placement.Step, len(parts))
 	feasible := 0
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -62,14 +62,15 @@
 		requests[i] = e.requestPart(now, request, part, request.deadline-now)
 	}
 	sent := e.host.Engine().ScheduleGang(now, requests, action.MinParts)
-	offered := make([]bool, len(request.parts))
+	offeredParts := make([]int, 0, len(action.Parts))
 	for i, part := range action.Parts {
-		offered[part] = sent[i]
-		if !sent[i] {
+		if sent[i] {
+			offeredParts = append(offeredParts, part)
+		} else {
 			request.parts[part] = 0
 		}
 	}
-	e.execute(now, request, request.machine.AttemptResult(offered))
+	e.execute(now, request, request.machine.AttemptResult(offeredParts))
 }
 
 // requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
--- a/internal/gang/harness_test.go
+++ b/internal/gang/harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -50,10 +49,19 @@
 func startOffered(request Request) *Gang {
 	gang := New(0, request, seed)
 	gang.Start(0)
-	gang.AttemptResult(slices.Repeat([]bool{true}, len(request.Parts)))
+	gang.AttemptResult(partNumbers(len(request.Parts)))
 	return gang
 }
 
+// partNumbers returns the numbers of all parts of a gang of that many parts.
+func partNumbers(parts int) []int {
+	numbers := make([]int, parts)
+	for part := range numbers {
+		numbers[part] = part
+	}
+	return numbers
+}
+
 // startParts returns a gang as startOffered does, of which the given parts have started.
 func startParts(request Request, parts ...int) *Gang {
 	gang := startOffered(request)
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -130,8 +130,11 @@
 			caller.parts[part] = modelPart{node: nodes[part], phase: offered}
 		}
 	}
-	sent := slices.Repeat([]bool{nodes != nil}, partsPerGang)
-	m.execute(gangIndex, caller.gang.AttemptResult(sent), nil)
+	var offeredParts []int
+	if nodes != nil {
+		offeredParts = partNumbers(partsPerGang)
+	}
+	m.execute(gangIndex, caller.gang.AttemptResult(offeredParts), nil)
 }
 
 // removePart takes a part away from its node.
--- a/internal/gang/retry_test.go
+++ b/internal/gang/retry_test.go
@@ -34,7 +34,7 @@
 		assertActions(t, gang.PartFailed(now, 0, NeverRan), "stop 1", "timer")
 		now = gang.PartEnded(now, 1, EndedEarly)[0].At
 		gang.TimerFired(now)
-		gang.AttemptResult([]bool{true, true})
+		gang.AttemptResult(partNumbers(2))
 	}
 	// It is answered at once, not when all of it is rolled back.
 	assertActions(t, gang.PartFailed(now, 0, NeverRan), "rejected", "stop 1", "timer")
--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -42,23 +42,32 @@
 	}
 }
 
-// AttemptResult handles the result of an Attempt: which parts were offered to nodes. Either these are enough for the
-// gang, or none was sent.
-func (g *Gang) AttemptResult(offered []bool) []Action {
+// AttemptResult handles the result of an Attempt: the parts that were offered to nodes, in any order. There are enough
+// of them for the gang, or none.
+func (g *Gang) AttemptResult(offeredParts []int) []Action {
 	if g.state != Starting {
 		return nil
 	}
-	for part, sent := range offered {
-		if !sent && g.parts[part] == PartRequested {
-			g.parts[part] = PartIdle
-		}
-	}
+	g.resetUnoffered(offeredParts)
 	if g.canReachMinimum() {
 		return nil
 	}
 	return g.endFailed() // as far as is known, it does not fit as a whole
 }
 
+// resetUnoffered has the requested parts that were not offered to a node count as never offered.
+func (g *Gang) resetUnoffered(offeredParts []int) {
+	offered := make([]bool, len(g.parts)) // by part
+	for _, part := range offeredParts {
+		offered[part] = true
+	}
+	for part, s := range g.parts {
+		if s == PartRequested && !offered[part] {
+			g.parts[part] = PartIdle
+		}
+	}
+}
+
 // completeStart ends the start once enough parts have started and none is on its way.
 func (g *Gang) completeStart() []Action {
 	if !g.hasMinimum() || g.CountParts(PartRequested) > 0 {
--- a/internal/gang/start_test.go
+++ b/internal/gang/start_test.go
@@ -41,7 +41,7 @@
 func TestAttemptResult_NoPartOffered_RejectedAtOnce(t *testing.T) {
 	gang := New(0, newRequest(2, placement.Idempotent, placement.Idempotent, placement.Idempotent), seed)
 	gang.Start(0)
-	assertActions(t, gang.AttemptResult([]bool{false, false, false}), "rejected", "forget")
+	assertActions(t, gang.AttemptResult(nil), "rejected", "forget")
 }
 
 func TestPartStarted_LastPart_Placed(t *testing.T) {
