--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordFailure records why a bind failed. It may have run unless the result proves otherwise.
+// recordFailure records why a bind failed. Only the first three results prove that the workload has not run.
 func (s *Scheduler) recordFailure(now Millis, b *bind, r Result) {
 	n := b.node
 	failed := b.workload
@@ -73,18 +73,19 @@
 		n.failures.reset()
 		n.rejections.add(now, failed, r.Reason)
 		failed.excluded = append(failed.excluded, n)
+		return
 	case NotDelivered:
 		n.failures.add(now)
 		failed.excluded = append(failed.excluded, n)
+		return
 	case NotAttempted:
 		failed.binds = s.settings.MaxBinds // no further one is made either
+		return
 	case OutcomeUnknown, TimedOut:
-		recordUncertain(now, b)
-	case Confirmed, Ended, Withdrawn, TimerFired:
-		fallthrough // takeResult handles the first three itself, and only a Wait has a timer
-	default:
-		recordUncertain(now, b) // a result that proves nothing
+	case Confirmed, Ended, Withdrawn: // takeResult handles them itself
+	case TimerFired: // no result of a bind
 	}
+	recordUncertain(now, b)
 }
 
 // recordUncertain records that a bind failed and may have run all the same.
