--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -21,6 +21,18 @@
 	"slices"
 )
 
+// allocatorCount is a whole number of allocators, or a position in their order, from 0.
+type allocatorCount float64
+
+// turn is a time of one slowStart.window in which some of the allocators may send one bind each to a node. The turns
+// on a node follow one another from its start.
+type turn struct {
+	// index is the number of turns on the node before this one.
+	index float64
+	// start is when the turn starts.
+	start Millis
+}
+
 // slowStart keeps what all allocators send to a node that has just started within its warm-up budget.
 type slowStart struct {
 	settings *Settings
@@ -28,8 +40,8 @@
 	window Millis
 	// bindsPerWindow is our share of the budget, in binds in one window. Below 1 allocators take turns.
 	bindsPerWindow float64
-	// allocatorsPerTurn is how many allocators may send one bind each in a turn.
-	allocatorsPerTurn float64
+	// allocatorsPerTurn is how many allocators may send one bind each in a turn, once the node takes its full rate.
+	allocatorsPerTurn allocatorCount
 	// startedAt is when this scheduler started: what was sent before is unknown.
 	startedAt Millis
 }
@@ -39,7 +51,7 @@
 		settings:          settings,
 		window:            settings.OverloadWindow * warmUpWindowFactor,
 		bindsPerWindow:    math.Floor(settings.WarmUpBudget / float64(settings.Allocators)),
-		allocatorsPerTurn: math.Floor(settings.WarmUpBudget / turnsPerWindow),
+		allocatorsPerTurn: allocatorCount(math.Floor(settings.WarmUpBudget / turnsPerWindow)),
 		startedAt:         Millis(math.Inf(1)),
 	}
 }
@@ -65,23 +77,34 @@
 	return min(1, s.settings.InitialRate+float64((now-n.StartedAt)/slowStartRamp))
 }
 
-// hasTurn reports whether the current turn on n is ours and unused. All allocators compute the same turns. A window
-// overlaps two at most, so each has half of the budget; after our own start we wait for a whole one.
+// hasTurn reports whether the current turn on n is ours and unused. What we sent in a turn that had begun before our
+// own start is unknown, so none of that turn is ours.
 func (s *slowStart) hasTurn(now Millis, n *node) bool {
-	turn := math.Floor(float64((now - n.StartedAt) / s.window))
-	turnStart := n.StartedAt + Millis(turn)*s.window
-	sendersInTurn := math.Floor(s.allocatorsPerTurn * s.ramp(now, n))
-	return s.startedAt <= turnStart &&
-		!n.hasWarmUpBindSince(turnStart) &&
-		s.positionInTurn(n, turn) < sendersInTurn
-}
-
-// positionInTurn returns our place, from 0, in the order of allocators in which that turn on n is given out. The
-// order starts at a hash of the node, and moves on by the allocators of one turn.
-func (s *slowStart) positionInTurn(n *node, turn float64) float64 {
-	offset := float64(hash(uint64(n.ID), 0) % turnOffsets)
-	first := offset + turn*s.allocatorsPerTurn
-	return math.Mod(first+float64(s.settings.Ordinal), float64(s.settings.Allocators))
+	current := s.currentTurn(now, n)
+	return s.startedAt <= current.start &&
+		!n.hasWarmUpBindSince(current.start) &&
+		s.positionInTurn(n, current) < s.sendersInTurn(now, n)
+}
+
+// currentTurn returns the turn on n at this time. It is the same for all allocators.
+func (s *slowStart) currentTurn(now Millis, n *node) turn {
+	index := math.Floor(float64((now - n.StartedAt) / s.window))
+	return turn{index: index, start: n.StartedAt + Millis(index)*s.window}
+}
+
+// sendersInTurn returns how many allocators, from the first position on, may send a bind to n in its current turn.
+func (s *slowStart) sendersInTurn(now Millis, n *node) allocatorCount {
+	return allocatorCount(math.Floor(float64(s.allocatorsPerTurn) * s.ramp(now, n)))
+}
+
+// positionInTurn returns our position in the order in which allocators get a place in that turn on n. In the first turn
+// it depends on a hash of the node. Each further turn moves all positions on by the places of a turn, so that every
+// allocator comes to have one.
+func (s *slowStart) positionInTurn(n *node, t turn) allocatorCount {
+	offset := allocatorCount(hash(uint64(n.ID), 0) % turnOffsets)
+	moved := offset + allocatorCount(t.index)*s.allocatorsPerTurn
+	position := math.Mod(float64(moved)+float64(s.settings.Ordinal), float64(s.settings.Allocators))
+	return allocatorCount(position)
 }
 
 // hasWarmUpBindSince reports whether a bind that counts against the budget of n was sent or answered since then.
