--- a/placement/bind.go
+++ b/placement/bind.go
@@ -42,9 +42,9 @@
 }
 
 // addBind records a new bind of workload to n.
-func (n *node) addBind(now Millis, workload *workload) *bind {
+func (n *node) addBind(now Millis, w *workload) *bind {
 	added := &bind{
-		workload:  workload,
+		workload:  w,
 		node:      n,
 		sentAt:    now,
 		usedCores: math.NaN(),
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -21,55 +21,54 @@
 
 // feasible reports whether the workload may go to n by the rules of its group, the available capacity and the load
 // cap. It is called for every node of the fleet in every decision, so it allocates nothing.
-func (f *filter) feasible(now Millis, workload *workload, n *node) bool {
-	return f.rulesAllow(now, workload, n) &&
-		!f.lacksCapacity(now, workload, n) &&
-		!f.exceedsMemoryCap(now, workload, n) &&
-		f.load.loadWith(now, workload, n) < workload.group.loadCap
+func (f *filter) feasible(now Millis, w *workload, n *node) bool {
+	return f.rulesAllow(now, w, n) &&
+		!f.lacksCapacity(now, w, n) &&
+		!f.exceedsMemoryCap(now, w, n) &&
+		f.load.loadWith(now, w, n) < w.group.loadCap
 }
 
 // rulesAllow reports whether everything but capacity and load allows the workload on n.
-func (f *filter) rulesAllow(now Millis, workload *workload, n *node) bool {
+func (f *filter) rulesAllow(now Millis, w *workload, n *node) bool {
 	return n.State == Ready &&
-		hasRequiredKind(workload.group, n) &&
-		!slices.Contains(workload.excluded, n) &&
-		(workload.uncertain == nil || mayRepeat(now, workload, n)) &&
-		f.spreadAllows(workload, n) &&
+		hasRequiredKind(w.group, n) &&
+		!slices.Contains(w.excluded, n) &&
+		(w.uncertain == nil || mayRepeat(now, w, n)) &&
+		f.spreadAllows(w, n) &&
 		f.slowStart.allows(now, n) &&
-		!n.rejections.blocks(now, workload)
+		!n.rejections.blocks(now, w)
 }
 
 // hasRequiredKind reports whether n is of the kind that workloads of the group need.
-func hasRequiredKind(group *group, n *node) bool {
-	return group.RequiredKind < 0 || int(n.Kind) == group.RequiredKind
+func hasRequiredKind(g *group, n *node) bool {
+	return g.RequiredKind < 0 || int(n.Kind) == g.RequiredKind
 }
 
 // lacksCapacity reports whether the workload requests more than is available on n.
-func (f *filter) lacksCapacity(now Millis, workload *workload, n *node) bool {
+func (f *filter) lacksCapacity(now Millis, w *workload, n *node) bool {
 	available := f.capacity.available(now, n)
-	return workload.Cores > available.Cores || workload.Memory > available.Memory
+	return w.Cores > available.Cores || w.Memory > available.Memory
 }
 
 // exceedsMemoryCap reports whether the workload would take the memory in use on n beyond the cap, as far as it is
 // known.
-func (f *filter) exceedsMemoryCap(now Millis, workload *workload, n *node) bool {
+func (f *filter) exceedsMemoryCap(now Millis, w *workload, n *node) bool {
 	used := f.load.usedMemory(now, n)
-	return used > 0 && used+workload.Memory > memoryCap*n.size.Memory
+	return used > 0 && used+w.Memory > memoryCap*n.size.Memory
 }
 
 // mayRepeat reports whether a further bind of a workload that may run already is harmless on n.
-func mayRepeat(now Millis, workload *workload, n *node) bool {
-	group := workload.group
-	first := workload.uncertain
-	switch group.Idempotency {
+func mayRepeat(now Millis, w *workload, n *node) bool {
+	first := w.uncertain
+	switch w.group.Idempotency {
 	case Idempotent:
 		return true
 	case AtMostOnce:
 		return false
 	case IdempotentByKey:
 	}
-	keyExpiresSoon := now-first.sentAt >= group.KeyWindow-answerMargin
-	return !keyExpiresSoon && inScope(group.KeyScope, first.node, n)
+	keyExpiresSoon := now-first.sentAt >= w.group.KeyWindow-answerMargin
+	return !keyExpiresSoon && inScope(w.group.KeyScope, first.node, n)
 }
 
 // inScope reports whether n lies in the scope around center.
@@ -90,16 +89,16 @@
 }
 
 // spreadAllows reports whether one more workload of the service may run around n, by our own binds.
-func (f *filter) spreadAllows(workload *workload, n *node) bool {
-	scope := workload.group.SpreadScope
+func (f *filter) spreadAllows(w *workload, n *node) bool {
+	scope := w.group.SpreadScope
 	if scope == ScopeNone {
 		return true
 	}
 	ours := 0
 	for _, other := range f.nodes.sorted {
 		if inScope(scope, n, other) {
-			ours += other.bindsOf(workload.Service)
+			ours += other.bindsOf(w.Service)
 		}
 	}
-	return ours < workload.group.MaxPerScope
+	return ours < w.group.MaxPerScope
 }
--- a/placement/helpers_test.go
+++ b/placement/helpers_test.go
@@ -98,7 +98,7 @@
 }
 
 // isReserved reports whether n is kept from the workload.
-func isReserved(scheduler *Scheduler, now Millis, workload *workload, n *node) bool {
-	reserved := scheduler.reservations.against(now, workload)
+func isReserved(scheduler *Scheduler, now Millis, w *workload, n *node) bool {
+	reserved := scheduler.reservations.against(now, w)
 	return reserved.excludes(n)
 }
--- a/placement/load.go
+++ b/placement/load.go
@@ -85,7 +85,7 @@
 
 // loadWith returns the load that n would have with the workload, which counts with all cores that it requests. A
 // node without a fresh report takes the mean load of the others.
-func (l *loadEstimator) loadWith(now Millis, workload *workload, n *node) utilization {
+func (l *loadEstimator) loadWith(now Millis, w *workload, n *node) utilization {
 	if n.size.Cores <= 0 {
 		return utilization(math.Inf(1))
 	}
@@ -93,7 +93,7 @@
 	if !known {
 		used = float64(l.meanLoad(now)) * n.size.Cores
 	}
-	return utilization((used + workload.Cores) / n.size.Cores)
+	return utilization((used + w.Cores) / n.size.Cores)
 }
 
 // meanLoad returns the mean load of the ready nodes with fresh reports. It is computed once for each time, since
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -12,9 +12,9 @@
 // dueMigrations returns the workloads to move off overloaded nodes now, at most one a node.
 func dueMigrations(now Millis, f *filter) (ids []WorkloadID) {
 	for _, n := range f.nodes.sorted {
-		if candidate := migrationCandidate(now, n, f); candidate != nil {
+		if moved := migrationCandidate(now, n, f); moved != nil {
 			n.lastMigration = now
-			ids = append(ids, candidate.workload.ID)
+			ids = append(ids, moved.workload.ID)
 		}
 	}
 	return ids
@@ -58,9 +58,9 @@
 }
 
 // feasibleElsewhere reports whether the workload may go to a node other than current.
-func (f *filter) feasibleElsewhere(now Millis, workload *workload, current *node) bool {
+func (f *filter) feasibleElsewhere(now Millis, w *workload, current *node) bool {
 	return slices.ContainsFunc(f.nodes.sorted, func(other *node) bool {
-		return other != current && f.feasible(now, workload, other)
+		return other != current && f.feasible(now, w, other)
 	})
 }
 
--- a/placement/rejection.go
+++ b/placement/rejection.go
@@ -21,24 +21,24 @@
 type rejectionLog []rejection
 
 // add records that the node rejected the workload.
-func (l *rejectionLog) add(now Millis, workload *workload, reason Reason) {
+func (l *rejectionLog) add(now Millis, w *workload, reason Reason) {
 	*l = appendBounded(*l, rejection{
 		at:     now,
-		group:  workload.group,
-		size:   workload.request(),
+		group:  w.group,
+		size:   w.request(),
 		reason: reason,
 	}, maxRejections)
 }
 
 // forgetGroup drops the rejections of a group, once the node has accepted a workload of it.
-func (l *rejectionLog) forgetGroup(group *group) {
-	*l = slices.DeleteFunc(*l, func(r rejection) bool { return r.group == group })
+func (l *rejectionLog) forgetGroup(g *group) {
+	*l = slices.DeleteFunc(*l, func(r rejection) bool { return r.group == g })
 }
 
 // blocks reports whether a rejection speaks against offering the workload to the node.
-func (l rejectionLog) blocks(now Millis, workload *workload) bool {
+func (l rejectionLog) blocks(now Millis, w *workload) bool {
 	for i := range l {
-		if l[i].blocks(now, workload) {
+		if l[i].blocks(now, w) {
 			return true
 		}
 	}
@@ -47,17 +47,17 @@
 
 // blocks reports whether the rejection speaks against offering the workload. For lack of capacity it does so only
 // briefly. Any other comes from a node that rejects one group; that group avoids it for longer, the others use it.
-func (r *rejection) blocks(now Millis, workload *workload) bool {
+func (r *rejection) blocks(now Millis, w *workload) bool {
 	age := now - r.at
 	switch r.reason {
 	case InsufficientCores:
-		return age < capacityRejectionPause && workload.Cores >= r.size.Cores
+		return age < capacityRejectionPause && w.Cores >= r.size.Cores
 	case InsufficientMemory:
-		return age < capacityRejectionPause && workload.Memory >= r.size.Memory
+		return age < capacityRejectionPause && w.Memory >= r.size.Memory
 	case QueueFull:
 		return age < capacityRejectionPause
 	case ReasonUnspecified, WrongNode, Evicted, Preempted, Drained:
 	}
 	// Reasons that a later protocol may add count as those listed last.
-	return age < groupRejectionPause && r.group == workload.group
+	return age < groupRejectionPause && r.group == w.group
 }
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -92,18 +92,18 @@
 }
 
 // against returns what is reserved against the workload.
-func (r *reservations) against(now Millis, workload *workload) reservation {
+func (r *reservations) against(now Millis, w *workload) reservation {
 	reserved := reservation{
 		reservations: r,
 		now:          now,
-		workload:     workload,
+		workload:     w,
 		kind:         nothingReserved,
 	}
-	slot := r.slotSize(now, workload)
+	slot := r.slotSize(now, w)
 	if slot.Cores <= 0 || slot.Memory <= 0 {
 		return reserved
 	}
-	required := r.requiredSlots(r.competingDemand(now, workload, slot))
+	required := r.requiredSlots(r.competingDemand(now, w, slot))
 	free := r.freeSlots(now, slot)
 	if free.whole < required {
 		reserved.kind = nodesReserved
@@ -140,12 +140,12 @@
 )
 
 // precedenceOver returns which requests of g come before the workload.
-func (g *group) precedenceOver(workload *workload) precedence {
-	weight := workload.group.PriorityWeight
+func (g *group) precedenceOver(w *workload) precedence {
+	weight := w.group.PriorityWeight
 	switch {
 	case g.PriorityWeight > weight:
 		return allPrecede
-	case g.PriorityWeight == weight && workload.Retried:
+	case g.PriorityWeight == weight && w.Retried:
 		return firstPrecede
 	}
 	return nonePrecede
@@ -153,16 +153,16 @@
 
 // preceding returns the requests that come before the workload, each with the precedence of its group: the retried ones
 // of a group of equal weight too.
-func (r *reservations) preceding(workload *workload) iter.Seq2[precedence, *request] {
+func (r *reservations) preceding(w *workload) iter.Seq2[precedence, *request] {
 	return func(yield func(precedence, *request) bool) {
 		for i := range r.groups {
-			group := &r.groups[i]
-			precedence := group.precedenceOver(workload)
-			if precedence == nonePrecede {
+			g := &r.groups[i]
+			p := g.precedenceOver(w)
+			if p == nonePrecede {
 				continue
 			}
-			for j := range group.requests {
-				if !yield(precedence, &group.requests[j]) {
+			for j := range g.requests {
+				if !yield(p, &g.requests[j]) {
 					return
 				}
 			}
@@ -172,10 +172,10 @@
 
 // slotSize returns the size of the largest request that competes with the workload, in cores and in memory; zero where
 // there is none. Of groups of higher weight it counts older requests too, as one slot is always kept for them.
-func (r *reservations) slotSize(now Millis, workload *workload) (slot resources) {
-	for precedence, request := range r.preceding(workload) {
-		if precedence == allPrecede || r.isRecent(now, request) && !request.retried {
-			slot = slot.atLeast(request.size)
+func (r *reservations) slotSize(now Millis, w *workload) (slot resources) {
+	for p, req := range r.preceding(w) {
+		if p == allPrecede || r.isRecent(now, req) && !req.retried {
+			slot = slot.atLeast(req.size)
 		}
 	}
 	return slot
@@ -188,17 +188,17 @@
 }
 
 // competingDemand counts the requests that compete with the workload, in slots of that size.
-func (r *reservations) competingDemand(now Millis, workload *workload, slot resources) demand {
+func (r *reservations) competingDemand(now Millis, w *workload, slot resources) demand {
 	var higherWeight, firstRequests float64 // in slots, fractions included
-	for precedence, request := range r.preceding(workload) {
-		if !r.isRecent(now, request) {
+	for p, req := range r.preceding(w) {
+		if !r.isRecent(now, req) {
 			continue
 		}
-		atAllAllocators := r.requestsPerOurs * request.size.dividedBy(slot)
+		atAllAllocators := r.requestsPerOurs * req.size.dividedBy(slot)
 		switch {
-		case precedence == allPrecede:
+		case p == allPrecede:
 			higherWeight += atAllAllocators
-		case !request.retried:
+		case !req.retried:
 			firstRequests += atAllAllocators
 		}
 	}
@@ -209,8 +209,8 @@
 }
 
 // isRecent reports whether a request is new enough for capacity to be kept for others like it.
-func (r *reservations) isRecent(now Millis, request *request) bool {
-	return now-request.at < r.window
+func (r *reservations) isRecent(now Millis, req *request) bool {
+	return now-req.at < r.window
 }
 
 // requiredSlots returns how many slots to keep. Those for groups of higher weight leave a part of the fleet open.
@@ -220,11 +220,11 @@
 }
 
 // slotsTaken returns how many whole slots on n the workload would take.
-func (r *reservations) slotsTaken(now Millis, workload *workload, n *node, slot resources) slots {
+func (r *reservations) slotsTaken(now Millis, w *workload, n *node, slot resources) slots {
 	before := r.capacity.available(now, n)
 	after := resources{
-		Cores:  before.Cores - workload.Cores,
-		Memory: before.Memory - workload.Memory,
+		Cores:  before.Cores - w.Cores,
+		Memory: before.Memory - w.Memory,
 	}
 	return r.slotsOn(now, n, before, slot).whole() - r.slotsOn(now, n, after, slot).whole()
 }
@@ -275,12 +275,12 @@
 		return selected
 	}
 	least, ties := leastSelected(free, count)
-	for _, candidate := range free {
+	for _, onNode := range free {
 		switch {
-		case candidate.slots > least:
-			selected[candidate.node] = true
-		case candidate.slots == least && ties > 0:
-			selected[candidate.node] = true
+		case onNode.slots > least:
+			selected[onNode.node] = true
+		case onNode.slots == least && ties > 0:
+			selected[onNode.node] = true
 			ties--
 		}
 	}
@@ -291,8 +291,8 @@
 // have just so many. It sorts the numbers alone, which is cheaper than to sort the nodes.
 func leastSelected(free []nodeSlots, count int) (least slots, ties int) {
 	sorted := make([]slots, len(free))
-	for i, candidate := range free {
-		sorted[i] = candidate.slots
+	for i, onNode := range free {
+		sorted[i] = onNode.slots
 	}
 	slices.Sort(sorted)
 	least = sorted[len(sorted)-count]
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -18,14 +18,14 @@
 		return Step{Kind: Rejected}
 	}
 	s.health.earnCredit()
-	group := &s.groups[requested.Group]
+	g := &s.groups[requested.Group]
 	pending := &workload{
 		Workload:  requested,
-		group:     group,
-		startBy:   now + group.LatencyObjective,
+		group:     g,
+		startBy:   now + g.LatencyObjective,
 		expiresAt: now + requested.PendingTimeout,
 	}
-	group.requests = appendBounded(group.requests, request{
+	g.requests = appendBounded(g.requests, request{
 		at:      now,
 		size:    pending.request(),
 		retried: requested.Retried,
@@ -34,41 +34,41 @@
 }
 
 // Adopt takes over a workload that runs already. The list and the reports count it: no change is recorded.
-func (s *Scheduler) Adopt(now Millis, w Workload, id NodeID) Step {
-	itsGroup := &group{Group: Group{RequiredKind: AnyKind}} // for a group that the settings no longer name
-	if int(w.Group) < len(s.groups) {
-		itsGroup = &s.groups[w.Group]
+func (s *Scheduler) Adopt(now Millis, running Workload, id NodeID) Step {
+	g := &group{Group: Group{RequiredKind: AnyKind}} // for a group that the settings no longer name
+	if int(running.Group) < len(s.groups) {
+		g = &s.groups[running.Group]
 	}
-	adopted := s.nodes.get(id).addBind(now, &workload{Workload: w, group: itsGroup})
+	adopted := s.nodes.get(id).addBind(now, &workload{Workload: running, group: g})
 	adopted.advance(bindRunning)
-	s.placed[w.ID] = adopted
+	s.placed[running.ID] = adopted
 	return s.awaitEnd(adopted)
 }
 
 // schedule offers the workload to the best node, waits while no node is known, or gives the final answer.
-func (s *Scheduler) schedule(now Millis, workload *workload) Step {
-	if s.shouldAwaitNodes(now, workload) {
-		return s.awaitNodes(now, workload)
+func (s *Scheduler) schedule(now Millis, pending *workload) Step {
+	if s.shouldAwaitNodes(now, pending) {
+		return s.awaitNodes(now, pending)
 	}
-	remaining := workload.expiresAt - now - answerMargin
-	if workload.binds >= s.settings.MaxBinds || remaining <= 0 {
-		return finalAnswer(workload)
+	remaining := pending.expiresAt - now - answerMargin
+	if pending.binds >= s.settings.MaxBinds || remaining <= 0 {
+		return finalAnswer(pending)
 	}
-	selected := s.selectNode(now, workload)
+	selected := s.selectNode(now, pending)
 	if selected == nil {
-		return finalAnswer(workload)
+		return finalAnswer(pending)
 	}
-	timeout := s.bindTimeout(workload, remaining)
-	return s.bind(now, workload, selected, timeout)
+	timeout := s.bindTimeout(pending, remaining)
+	return s.bind(now, pending, selected, timeout)
 }
 
 // shouldAwaitNodes reports whether no node is known yet, and one may still come in time for the workload.
-func (s *Scheduler) shouldAwaitNodes(now Millis, workload *workload) bool {
-	return len(s.nodes.sorted) == 0 && now+emptyListRetry < workload.startBy
+func (s *Scheduler) shouldAwaitNodes(now Millis, pending *workload) bool {
+	return len(s.nodes.sorted) == 0 && now+emptyListRetry < pending.startBy
 }
 
 // awaitNodes has the workload scheduled again in a moment, unless it is withdrawn meanwhile.
-func (s *Scheduler) awaitNodes(now Millis, workload *workload) Step {
+func (s *Scheduler) awaitNodes(now Millis, pending *workload) Step {
 	return Step{
 		Kind:   Wait,
 		WakeAt: now + emptyListRetry,
@@ -76,26 +76,26 @@
 			if r.Kind == Withdrawn {
 				return Step{Kind: Done}
 			}
-			return s.schedule(now, workload)
+			return s.schedule(now, pending)
 		},
 	}
 }
 
 // selectNode filters the nodes, leaves out what is reserved against the workload, and scores the rest. It returns
 // nil where no node is left.
-func (s *Scheduler) selectNode(now Millis, workload *workload) *node {
+func (s *Scheduler) selectNode(now Millis, pending *workload) *node {
 	ejected := s.health.ejected(now)
-	reserved := s.reservations.against(now, workload)
+	reserved := s.reservations.against(now, pending)
 
 	// Filter and reserve: find the candidates.
 	var running []candidate
 	others := make([]candidate, 0, len(s.nodes.sorted))
 	for _, n := range s.nodes.sorted {
-		if !s.filter.feasible(now, workload, n) || slices.Contains(ejected, n) || reserved.excludes(n) {
+		if !s.filter.feasible(now, pending, n) || slices.Contains(ejected, n) || reserved.excludes(n) {
 			continue
 		}
-		scored := candidate{node: n, load: s.load.loadWith(now, workload, n)}
-		if n.runsService(workload.Service) {
+		scored := candidate{node: n, load: s.load.loadWith(now, pending, n)}
+		if n.runsService(pending.Service) {
 			running = append(running, scored)
 		} else {
 			others = append(others, scored)
@@ -105,12 +105,12 @@
 	// Score: select one of them.
 	feasible := candidates{running: running, others: others}
 	soleAllocator := s.settings.Allocators == 1
-	return feasible.best(workload, soleAllocator, s.random)
+	return feasible.best(pending, soleAllocator, s.random)
 }
 
 // bindTimeout returns how long the next bind may take. One that another bind may follow leaves time for that.
-func (s *Scheduler) bindTimeout(workload *workload, remaining Millis) Millis {
-	lastBind := workload.group.Idempotency == AtMostOnce || workload.binds+1 >= s.settings.MaxBinds
+func (s *Scheduler) bindTimeout(pending *workload, remaining Millis) Millis {
+	lastBind := pending.group.Idempotency == AtMostOnce || pending.binds+1 >= s.settings.MaxBinds
 	if lastBind {
 		return remaining
 	}
@@ -119,10 +119,10 @@
 }
 
 // bind offers the workload to n.
-func (s *Scheduler) bind(now Millis, workload *workload, n *node, timeout Millis) Step {
-	workload.binds++
-	sent := n.addBind(now, workload)
-	n.changes.add(now, workload.request())
+func (s *Scheduler) bind(now Millis, pending *workload, n *node, timeout Millis) Step {
+	pending.binds++
+	sent := n.addBind(now, pending)
+	n.changes.add(now, pending.request())
 	s.slowStart.recordSent(now, n)
 	return Step{
 		Kind:     Bind,
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -39,14 +39,14 @@
 		kinds: settings.NodeKinds,
 		byID:  map[NodeID]*node{},
 	}
-	random := &random{seed: seed}
+	rng := &random{seed: seed}
 	capacity := &capacityEstimator{settings: &settings}
 	load := newLoadEstimator(&settings, nodes)
 	slowStart := newSlowStart(&settings)
 	return &Scheduler{
 		settings:  &settings,
 		groups:    groups,
-		random:    random,
+		random:    rng,
 		nodes:     nodes,
 		capacity:  capacity,
 		load:      load,
@@ -64,7 +64,7 @@
 			slowStart: slowStart,
 		},
 		reservations: newReservations(&settings, groups, nodes, capacity, load),
-		subscription: newSubscription(&settings, random),
+		subscription: newSubscription(&settings, rng),
 	}
 }
 
--- a/placement/score.go
+++ b/placement/score.go
@@ -33,22 +33,22 @@
 
 // best selects the node for the workload, or nil where there is no candidate. A sole allocator needs no agreement
 // on the first node of a service. The order of the candidates is lost.
-func (c *candidates) best(workload *workload, soleAllocator bool, random *random) *node {
+func (c *candidates) best(pending *workload, soleAllocator bool, rng *random) *node {
 	switch {
 	case len(c.running) > 0:
-		return leastLoaded(uncrowdedIfAny(workload, c.running), random)
+		return leastLoaded(uncrowdedIfAny(pending, c.running), rng)
 	case len(c.others) == 0:
 		return nil
 	case soleAllocator:
-		return leastLoaded(c.others, random)
+		return leastLoaded(c.others, rng)
 	}
-	return highestRanked(workload, c.others)
+	return highestRanked(pending, c.others)
 }
 
 // uncrowdedIfAny returns the nodes that would serve the workload in full, or all where there are none.
-func uncrowdedIfAny(workload *workload, nodes []candidate) []candidate {
+func uncrowdedIfAny(pending *workload, nodes []candidate) []candidate {
 	uncrowded := slices.DeleteFunc(slices.Clone(nodes), func(c candidate) bool {
-		return c.load > workload.group.fullServiceLoad
+		return c.load > pending.group.fullServiceLoad
 	})
 	if len(uncrowded) == 0 {
 		return nodes
@@ -57,19 +57,19 @@
 }
 
 // leastLoaded selects a random one of the nodes whose loads tie with the least. It reorders them.
-func leastLoaded(nodes []candidate, random *random) *node {
+func leastLoaded(nodes []candidate, rng *random) *node {
 	least := slices.MinFunc(nodes, func(x, y candidate) int { return cmp.Compare(x.load, y.load) }).load
 	ties := slices.DeleteFunc(nodes, func(c candidate) bool { return c.load > least+loadTieBand })
-	return ties[random.intn(len(ties))].node
+	return ties[rng.intn(len(ties))].node
 }
 
 // highestRanked selects, of the two nodes of highest rank, the one that fits more such workloads; all allocators
 // select alike. Sorting them all dominated the cost on a large fleet.
-func highestRanked(workload *workload, nodes []candidate) *node {
+func highestRanked(pending *workload, nodes []candidate) *node {
 	var first, second *node
 	var firstRank, secondRank uint64
 	for _, c := range nodes {
-		rank := rankFor(workload.Service, c.node.ID)
+		rank := rankFor(pending.Service, c.node.ID)
 		switch {
 		case first == nil || rank > firstRank:
 			second = first
@@ -81,15 +81,15 @@
 			secondRank = rank
 		}
 	}
-	if second != nil && second.fits(workload) > first.fits(workload) {
+	if second != nil && second.fits(pending) > first.fits(pending) {
 		return second
 	}
 	return first
 }
 
 // fits returns how many such workloads the free capacity of n holds by the node list, fractions included.
-func (n *node) fits(workload *workload) float64 {
-	return min(n.FreeCores/workload.Cores, n.FreeMemory/workload.Memory)
+func (n *node) fits(w *workload) float64 {
+	return min(n.FreeCores/w.Cores, n.FreeMemory/w.Memory)
 }
 
 // rankFor orders nodes for a service, alike at every allocator and differently for every service.
--- a/placement/subscription.go
+++ b/placement/subscription.go
@@ -23,10 +23,10 @@
 	failures int
 }
 
-func newSubscription(settings *Settings, random *random) *subscription {
+func newSubscription(settings *Settings, rng *random) *subscription {
 	return &subscription{
 		settings:   settings,
-		random:     random,
+		random:     rng,
 		renewAfter: min(resubscribeAfter, settings.PollInterval/renewalsPerPollInterval),
 	}
 }
