--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -2,7 +2,8 @@
 //
 // Observed: the node's size, the free capacity that the node list or the load reports show, and the requests
 // that our own workloads have added and released. The list and the reports are late, so what our workloads
-// changed since is applied to them.
+// changed since is applied to them. Where neither shows free capacity, the number of allocators: all are taken to
+// have requested as much as we have.
 //
 // Cost of an error: an estimate that is too high sends a bind that the node rejects, and the workload loses the
 // time of that bind; one that is too low leaves capacity idle while workloads are rejected.
@@ -40,7 +41,8 @@
 }
 
 // available returns the resources of n that nobody has requested: as listed or reported, less what our own
-// workloads changed since, and at most what they leave. With neither, all allocators are taken to be like us.
+// workloads changed since, and at most what they leave. With neither, all allocators are taken to have requested as
+// much as we have.
 func (c *capacityEstimator) available(now Millis, n *node) resources {
 	requested := n.requestedByUs()
 	unrequested := resources{
--- a/placement/constants.go
+++ b/placement/constants.go
@@ -1,6 +1,6 @@
 package placement
 
-// Tuning of the decisions: every tuned value of the package stands here. A utilization is in cores used for each
+// Tuning of the decisions: every tuned value of the package is here. A utilization is in cores used for each
 // core of a node; times are in milliseconds.
 
 // Load and memory in use that a node may reach.
@@ -50,7 +50,7 @@
 	bindsInRemainingTime = 2
 	// answerMargin is how long before the pending timeout the final answer is given.
 	answerMargin = Millis(20)
-	// emptyListRetry is the time between looks for a first node, while the list is still empty.
+	// emptyListRetry is the time after which a workload is scheduled again, while no node is known.
 	emptyListRetry = Millis(50)
 	// maxConfirmations is how many confirmation times are kept over the whole fleet: a steady median that follows
 	// the time of day.
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -1,7 +1,7 @@
 // Filter decides which nodes a workload may go to at all.
 //
-// Observed: the node list, the settings of the workload's group, our own binds, and the estimates of capacity and
-// load.
+// Observed: the node list, the settings of the workload's group, our own binds, the nodes' rejections, and the
+// estimates of capacity and load.
 //
 // Cost of an error: a node let through against the rules of a group or of slow start breaks a rule that has no
 // exception; one let through without capacity costs a rejected bind. A node that is kept out in vain may mean that
@@ -20,7 +20,7 @@
 }
 
 // feasible reports whether the workload may go to n by the rules of its group, the available capacity and the load
-// cap. It is called for every node of the fleet in every decision, so it allocates nothing.
+// cap. Every decision calls it for every node of the fleet, so it allocates nothing.
 func (f *filter) feasible(now Millis, w *workload, n *node) bool {
 	return f.rulesAllow(now, w, n) &&
 		!f.lacksCapacity(now, w, n) &&
--- a/placement/health.go
+++ b/placement/health.go
@@ -1,8 +1,8 @@
 // Health decides which nodes are ejected as outliers, and which are checked.
 //
-// Observed: failed contacts in a row, binds that are unanswered for much longer than usual, and when a node was
-// last heard of. Withdrawn workloads say nothing of the node; clients that withdraw hundreds at once had nodes
-// ejected for seconds.
+// Observed: failed contacts in a row, binds that are unanswered for much longer than usual, when a node was last
+// heard of, and how many requests this allocator got. The unknown outcome of a bind whose workload was withdrawn is
+// no failed contact: clients that withdraw hundreds at once had nodes ejected for seconds.
 //
 // Cost of an error: a node that fails and stays in use takes binds that are lost, and looks idle while it does. A
 // node that is ejected in vain is capacity lost; at most a part of the fleet is ejected, since more failures have a
@@ -20,7 +20,7 @@
 // failureCount counts failed contacts with a node in a row.
 type failureCount struct {
 	consecutive int
-	last        Millis // when the last one failed
+	last        Millis // when a contact last failed; a success does not reset it
 }
 
 // add counts a failed contact.
@@ -29,7 +29,7 @@
 	f.last = now
 }
 
-// reset takes a contact that did not fail, which ends the row.
+// reset records a contact that did not fail.
 func (f *failureCount) reset() {
 	f.consecutive = 0
 }
@@ -99,12 +99,12 @@
 	return slices.Max(h.confirmations)
 }
 
-// recordConfirmation takes how long a bind took to be confirmed.
+// recordConfirmation records how long a bind took to be confirmed.
 func (h *healthMonitor) recordConfirmation(took Millis) {
 	h.confirmations = appendBounded(h.confirmations, took, maxConfirmations)
 }
 
-// earnCredit counts a request, which pays for health checks. One round of the fleet is the most that is saved up.
+// earnCredit counts a request, which pays for health checks. At most one check of each node is saved up.
 func (h *healthMonitor) earnCredit() {
 	h.checkCredit = min(h.checkCredit+healthChecksPerRequest, float64(len(h.nodes.sorted)))
 }
@@ -141,7 +141,8 @@
 	return due
 }
 
-// lastContact returns when n was last heard of, or last tried: a check on its way is not repeated at once.
+// lastContact returns when n last reported, or a contact last failed or was begun: a check in flight is not repeated at
+// once.
 func (n *node) lastContact() Millis {
 	return max(n.reports.lastAt(), n.failures.last, n.lastHealthCheck)
 }
--- a/placement/load.go
+++ b/placement/load.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// recordReport adds a load report of n to its history. The cores in use are, whichever the report has first: the
-// size of n less what is spare, the utilization, or what is requested at the mean usage ratio.
+// recordReport adds a load report of n to its history. The cores in use are the first of these that the report has the
+// values for: the size of n less what is spare, where spare counts what is not in use; the utilization; the requested
+// cores at the mean usage ratio.
 func (l *loadEstimator) recordReport(now Millis, n *node, reported LoadReport) {
 	received := receivedReport{
 		at:    now,
@@ -83,7 +84,7 @@
 	return max(0, latest.used.Memory+n.changes.since(latest.at-reportLag).Memory)
 }
 
-// loadWith returns the load that n would have with the workload, which counts with all cores that it requests. A
+// loadWith returns the load that n would have with the workload, which is taken to use all cores that it requests. A
 // node without a fresh report takes the mean load of the others.
 func (l *loadEstimator) loadWith(now Millis, w *workload, n *node) utilization {
 	if n.size.Cores <= 0 {
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -1,6 +1,7 @@
 // Migration decides which placed workloads are moved off overloaded nodes.
 //
-// Observed: a node's load reports over the migration window, and what our workloads there were seen to use.
+// Observed: a node's load reports over the migration window, what our workloads there were seen to use, and whether
+// another node is feasible for them.
 //
 // Cost of an error: a workload that is moved in vain loses the time of a restart; one that is not moved, or too
 // late, keeps every workload on the node slow. Workloads that must not start twice are never moved.
@@ -9,7 +10,7 @@
 
 import "slices"
 
-// dueMigrations returns the workloads to move off overloaded nodes now, at most one a node.
+// dueMigrations returns the workloads to move off overloaded nodes now, at most one for each node.
 func dueMigrations(now Millis, f *filter) (ids []WorkloadID) {
 	for _, n := range f.nodes.sorted {
 		if moved := migrationCandidate(now, n, f); moved != nil {
@@ -20,7 +21,8 @@
 	return ids
 }
 
-// migrationCandidate returns a bind to move off n, or nil: n stays overloaded, and another node is feasible.
+// migrationCandidate returns the bind to move off n, or nil where there is none: n is not overloaded, its last
+// migration is too recent, no workload may be moved, or no other node is feasible.
 func migrationCandidate(now Millis, n *node, f *filter) *bind {
 	if now-n.lastMigration < migrationInterval || !n.overloaded(now) {
 		return nil
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -1,6 +1,6 @@
 // The node table holds what is known of each node, and decides when a node may be forgotten.
 //
-// Observed: the messages of the node list, which may be late, cached, or lack a node for a moment.
+// Observed: the messages of the node list, which may be late, cached, or lack a node for a moment, and our own binds.
 //
 // Cost of an error: a node that is forgotten too early gets a whole new warm-up budget when it is listed again,
 // and is overloaded; one that is kept too long costs memory and time in every decision.
@@ -67,7 +67,7 @@
 	return added
 }
 
-// update takes entries of the list; a complete list removes all other nodes.
+// update takes entries of the list. A complete list has all others count as removed; prune forgets them.
 func (t *nodeTable) update(now Millis, complete bool, entries []Node) {
 	if complete {
 		for _, n := range t.sorted {
--- a/placement/rejection.go
+++ b/placement/rejection.go
@@ -1,6 +1,7 @@
 // Rejections decide for how long a node that rejected a bind is not offered similar ones.
 //
-// Observed: the reason that the node gave, and the size and the group of what it rejected.
+// Observed: the reason that the node gave, the size and the group of what it rejected, and whether it accepted a
+// workload of that group since.
 //
 // Cost of an error: a pause that is too short wastes binds on a node that rejects them and fills its queue; one
 // that is too long leaves a node idle that would accept again.
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -1,13 +1,14 @@
 // Reservation decides which nodes are kept from a workload, for requests that are worth more.
 //
-// Observed: the requests that this allocator got lately, by group and size, and the estimates of capacity and load.
+// Observed: the requests that this allocator got lately, by group and size and whether they were retried, the number of
+// allocators, and the estimates of capacity and load.
 //
 // A full fleet that admits all alike rejects what is worth most, above all large requests that need their capacity
 // in one piece. Slots for the largest request of higher priority weight are kept, as many as were requested from us
 // lately and one at least. While there are fewer, the nodes with most slots fill up no further, so that capacity
 // builds up in one piece. Our requests stand for those of all allocators: they are counted over longer and
 // multiplied, and where they are many a part of the fleet stays open. Within a group, first requests come before
-// retried ones: a first start in time earns most of a short workload's value, and a retried one has lost or had it.
+// retried ones: a first start in time earns most of a short workload's value, and a retry cannot earn that any more.
 //
 // Cost of an error: a slot too many leaves capacity idle where little of higher weight follows, and retried requests
 // wait longer on a fleet that stays full; one too few rejects a request that is worth more than what took its place.
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -67,7 +67,7 @@
 	return len(s.nodes.sorted) == 0 && now+emptyListRetry < pending.startBy
 }
 
-// awaitNodes has the workload scheduled again in a moment, unless it is withdrawn meanwhile.
+// awaitNodes has the workload scheduled again after emptyListRetry, unless it is withdrawn meanwhile.
 func (s *Scheduler) awaitNodes(now Millis, pending *workload) Step {
 	return Step{
 		Kind:   Wait,
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// UpdateNodes takes a message of the node list. A failed poll has no entries.
+// UpdateNodes takes a message of the node list. After a failed poll the nodes stay as they are.
 func (s *Scheduler) UpdateNodes(now Millis, kind NodeUpdateKind, entries []Node) {
 	switch kind {
 	case PollFailed:
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -1,14 +1,14 @@
 // Slow start decides whether a node that has just started may get one more bind of ours.
 //
-// Observed: the node's start time, the binds that we sent to it and when they were answered, and the number of
-// allocators.
+// Observed: the node's start time, the binds that we sent to it and when they were answered, the number of allocators
+// and our ordinal among them, and when this scheduler started.
 //
 // All allocators together must stay within the warm-up budget of such a node, without agreement. Each has an equal
 // share, which it ramps up to. Where allocators outnumber the budget they take turns of one bind, which all compute
 // alike from the node, its start time and their ordinals. A window of the budget overlaps two turns at most, also
 // with binds in flight, so each turn has half of it. What was sent before a restart of the allocator is unknown, so
-// it waits for a window or a whole turn. Binds that a network partition holds up arrive together at its end: a bind
-// counts until it is answered, and from its answer on for a window.
+// it waits for a window, or for the next turn. Binds that a network partition delays arrive together at its end: a
+// bind counts until it is answered, and from its answer on for a window.
 //
 // Cost of an error: a bind too many overloads the node and breaks a rule that has no exception; one too few leaves
 // capacity idle just after a deploy or a crash, as happens in turns of allocators without requests, and while
@@ -158,8 +158,9 @@
 	}
 }
 
-// mayHaveArrivedLate reports whether the bind may have reached its node only just before this result. A
-// confirmation that waits for the start says so only when it is very late: slow answers leave nodes idle.
+// mayHaveArrivedLate reports whether the bind may have reached its node only just before this result. Where a
+// confirmation waits for the start of the workload, only one later than the window counts as such: if all did, nodes
+// would stay idle while answers are slow.
 func (s *slowStart) mayHaveArrivedLate(now Millis, b *bind, kind ResultKind) bool {
 	switch kind {
 	case NotDelivered, NotAttempted: // it never arrived
--- a/placement/workload.go
+++ b/placement/workload.go
@@ -14,7 +14,7 @@
 	Cores          float64 // requested
 	Memory         float64 // requested
 	PendingTimeout Millis  // after which the client gives up
-	Retried        bool    // whether the client requested it before, and has lost or had its first start in time
+	Retried        bool    // whether it was requested before, and then rejected, lost or migrated
 }
 
 // UsageKind says what an observation of a placed workload measures.
