--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -163,12 +163,13 @@
 
 // timerFired handles a timer that has come due. One that its workload no longer names has no effect.
 func (e *Engine) timerFired(now placement.Millis, fired timer, number uint64) {
-	if fired.maintenance {
+	switch fired.kind {
+	case maintenanceTimer:
 		e.maintain(now)
-		return
-	}
-	if entry := e.workloads[fired.workload]; entry != nil && entry.timer == number {
-		e.stepDue(now, entry)
+	case stepTimer:
+		if entry := e.workloads[fired.workload]; entry != nil && entry.timer == number {
+			e.stepDue(now, entry)
+		}
 	}
 }
 
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -14,10 +14,18 @@
 // this time.
 const MaxTimerDelay = placement.Millis(60e3)
 
-// timer is one entry of the queue: maintenance, or the step of a workload.
+// timerKind says what is due when a timer fires.
+type timerKind uint8
+
+const (
+	maintenanceTimer timerKind = iota
+	stepTimer                  // the step of a workload
+)
+
+// timer is one entry of the queue.
 type timer struct {
-	maintenance bool
-	workload    placement.WorkloadID // where it is not for maintenance
+	kind     timerKind
+	workload placement.WorkloadID // of a stepTimer
 }
 
 // timers are the timers of an engine, and the tick that it has requested of its host. A timer stays in the queue until
@@ -29,12 +37,12 @@
 }
 
 // setMaintenance sets a timer for maintenance.
-func (t *timers) setMaintenance(at placement.Millis) { t.queue.Push(at, timer{maintenance: true}) }
+func (t *timers) setMaintenance(at placement.Millis) { t.queue.Push(at, timer{kind: maintenanceTimer}) }
 
 // setStep sets the timer of a workload's step. An earlier timer of the workload no longer counts.
 func (t *timers) setStep(now placement.Millis, entry *workload, due placement.Millis) {
 	entry.due = due
-	entry.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{workload: entry.id})
+	entry.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{kind: stepTimer, workload: entry.id})
 }
 
 // ticked notes a tick, which may be the one that was requested.
