--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -107,8 +107,9 @@
 	return append([]Action{g.failureAnswer()}, g.rollBack(now, RollingBackToEnd)...)
 }
 
-// answerBy is when the client is answered at the latest. It counts its timeout from when it sent the request, and how
-// long that was under way is not known here. The margin is too short for a part to start in, so little is given away.
+// answerBy is when the client is answered at the latest. The client counts its timeout from when it sent the request,
+// and how long the request took to arrive is not known here. The margin is too short for a part to start in, so an
+// answer before the timeout costs little.
 func (g *Gang) answerBy() placement.Millis {
 	return g.expires - max(minAnswerMargin, answerMarginShare*g.request.PendingTimeout)
 }
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -17,7 +17,7 @@
 }
 
 // Urgent marks a Codec of dialled connections. Messages of such a connection are handled before all others that are
-// queued for the handler, and are read even while its queue is full.
+// queued for the handler, and are read even while the handler's queue is full.
 type Urgent interface{ Urgent() }
 
 // frameCodec is the Codec of the project's own protocol: frames of at most maxSize bytes.
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -64,7 +64,7 @@
 }
 
 // pushMessages adds messages of one connection. Unless they are urgent, it blocks while the queue is full. This stops
-// the event loop that reads for connections of the same class, so that TCP holds their peers back.
+// the event loop that reads for connections of the same class, so that TCP flow control slows their peers down.
 func (q *eventQueue) pushMessages(messages []event) {
 	q.mu.Lock()
 	for !messages[0].isUrgent() && len(q.queued) > q.maxQueued && !q.isClosed() {
--- a/internal/transport/worker.go
+++ b/internal/transport/worker.go
@@ -161,7 +161,8 @@
 func (w *worker) handleClosed(e *event) {
 	c := e.conn
 	w.conns.remove(c.id)
-	if c.state == stateClosed || c.id == 0 {
+	neverOpened := c.id == 0 // an incoming connection that the handler was never notified of
+	if c.state == stateClosed || neverOpened {
 		return
 	}
 	c.state = stateClosed
--- a/placement/health.go
+++ b/placement/health.go
@@ -34,8 +34,8 @@
 	f.consecutive = 0
 }
 
-// keepOut reports whether the failures keep the node out of use, for a time that doubles with each.
-func (f *failureCount) keepOut(now Millis) bool {
+// ejects reports whether the failures eject the node, for a time that doubles with each.
+func (f *failureCount) ejects(now Millis) bool {
 	if f.consecutive == 0 {
 		return false
 	}
@@ -67,7 +67,7 @@
 		}
 		ready++
 		switch {
-		case n.failures.keepOut(now):
+		case n.failures.ejects(now):
 			failing = append(failing, n)
 		case n.hasOverdueBind(now, limit):
 			unresponsive = append(unresponsive, n)
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -46,8 +46,8 @@
 	byID   map[NodeID]*node
 }
 
-// get returns the node of that id and adds it where it is missing; one that no list named counts as removed.
-func (t *nodeTable) get(id NodeID) *node {
+// getOrAdd returns the node of that id and adds it where it is missing; one that no list named counts as removed.
+func (t *nodeTable) getOrAdd(id NodeID) *node {
 	if known := t.byID[id]; known != nil {
 		return known
 	}
@@ -75,7 +75,7 @@
 		}
 	}
 	for _, entry := range entries {
-		n := t.get(entry.ID)
+		n := t.getOrAdd(entry.ID)
 		if entry.StartedAt != n.StartedAt {
 			n.forgetIncarnation()
 		}
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -39,7 +39,7 @@
 	if int(running.Group) < len(s.groups) {
 		g = &s.groups[running.Group]
 	}
-	adopted := s.nodes.get(id).addBind(now, &workload{Workload: running, group: g})
+	adopted := s.nodes.getOrAdd(id).addBind(now, &workload{Workload: running, group: g})
 	adopted.advance(bindRunning)
 	s.placed[running.ID] = adopted
 	return s.awaitEnd(adopted)
