--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -22,8 +22,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 1)
 			reportUsed(scheduler, 0, 1, c.usedCores)
-			workload := pendingWorkload(scheduler, idempotent, c.cores, c.memory)
-			assert.Equal(t, c.want, scheduler.filter.feasible(0, workload, scheduler.node(1)))
+			pending := pendingWorkload(scheduler, idempotent, c.cores, c.memory)
+			assert.Equal(t, c.want, scheduler.filter.feasible(0, pending, scheduler.node(1)))
 		})
 	}
 }
@@ -31,12 +31,12 @@
 // Rule 3: nothing goes to a node that drains, is removed, or is missing from a snapshot.
 func TestFeasible_OnlyReadyNodes(t *testing.T) {
 	scheduler := newFleet(t, 2)
-	workload := pendingWorkload(scheduler, idempotent, 1, 1)
+	pending := pendingWorkload(scheduler, idempotent, 1, 1)
 	scheduler.UpdateNodes(1, Delta, []Node{entry(1, Draining)})
-	assert.False(t, scheduler.filter.feasible(1, workload, scheduler.node(1)), "draining")
+	assert.False(t, scheduler.filter.feasible(1, pending, scheduler.node(1)), "draining")
 	scheduler.UpdateNodes(2, Snapshot, []Node{entry(1, Ready)})
-	assert.True(t, scheduler.filter.feasible(2, workload, scheduler.node(1)), "ready again")
-	assert.False(t, scheduler.filter.feasible(2, workload, scheduler.node(2)), "missing from the snapshot")
+	assert.True(t, scheduler.filter.feasible(2, pending, scheduler.node(1)), "ready again")
+	assert.False(t, scheduler.filter.feasible(2, pending, scheduler.node(2)), "missing from the snapshot")
 }
 
 func TestMayRepeat_WithinKeyScopeAndWindow(t *testing.T) {
@@ -52,13 +52,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 2)
-			workload := pendingWorkload(scheduler, keyedInCell, 1, 1)
-			workload.uncertain = &bind{
-				workload: workload,
+			pending := pendingWorkload(scheduler, keyedInCell, 1, 1)
+			pending.uncertain = &bind{
+				workload: pending,
 				node:     scheduler.node(1),
 				sentAt:   0,
 			}
-			assert.Equal(t, c.want, mayRepeat(c.now, workload, scheduler.node(c.node)))
+			assert.Equal(t, c.want, mayRepeat(c.now, pending, scheduler.node(c.node)))
 		})
 	}
 }
@@ -78,12 +78,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 2)
-			workload := pendingWorkload(scheduler, idempotent, 1, 1)
-			workload.group.SpreadScope = c.scope
-			workload.group.MaxPerScope = 1
-			scheduler.node(1).addBind(0, workload)
-			assert.Equal(t, c.sameNode, scheduler.filter.spreadAllows(workload, scheduler.node(1)))
-			assert.Equal(t, c.otherNode, scheduler.filter.spreadAllows(workload, scheduler.node(2)))
+			pending := pendingWorkload(scheduler, idempotent, 1, 1)
+			pending.group.SpreadScope = c.scope
+			pending.group.MaxPerScope = 1
+			scheduler.node(1).addBind(0, pending)
+			assert.Equal(t, c.sameNode, scheduler.filter.spreadAllows(pending, scheduler.node(1)))
+			assert.Equal(t, c.otherNode, scheduler.filter.spreadAllows(pending, scheduler.node(2)))
 		})
 	}
 }
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -24,8 +24,8 @@
 			for id, used := range c.used {
 				reportUsed(scheduler, 0, id, used)
 			}
-			workload := pendingWorkload(scheduler, idempotent, 1, 1)
-			load := scheduler.load.loadWith(0, workload, scheduler.node(c.node))
+			pending := pendingWorkload(scheduler, idempotent, 1, 1)
+			load := scheduler.load.loadWith(0, pending, scheduler.node(c.node))
 			assert.InDelta(t, c.want, float64(load), 1e-9)
 		})
 	}
--- a/placement/reservation_test.go
+++ b/placement/reservation_test.go
@@ -6,26 +6,26 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestReservations_RoomiestNodeIsKeptForLargeRequestsOfHigherWeight(t *testing.T) {
+func TestReservations_NodeWithMostCapacityIsKeptForLargeRequestsOfHigherWeight(t *testing.T) {
 	scheduler := newFleet(t, 2)
-	roomiest := scheduler.node(1)
+	emptier := scheduler.node(1)
 	other := scheduler.node(2)
 	other.FreeCores = 3
 	scheduler.groups[atMostOnce].requests = []request{{size: resources{6, 6}}}
 	for _, c := range []struct {
 		name      string
-		freeCores float64 // of the roomiest node
+		freeCores float64 // of the emptier node
 		group     GroupID
 		node      *node
 		want      bool
 	}{
-		{"roomiest node, lower weight: kept", 6.5, idempotent, roomiest, true},
+		{"emptier node, lower weight: kept", 6.5, idempotent, emptier, true},
 		{"other node, lower weight: open", 6.5, idempotent, other, false},
-		{"roomiest node, the group of higher weight itself: open", 6.5, atMostOnce, roomiest, false},
-		{"no whole slot: capacity builds up on the roomiest node", 5, idempotent, roomiest, true},
+		{"emptier node, the group of higher weight itself: open", 6.5, atMostOnce, emptier, false},
+		{"no whole slot: capacity builds up on the emptier node", 5, idempotent, emptier, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			roomiest.FreeCores = c.freeCores
+			emptier.FreeCores = c.freeCores
 			assert.Equal(t, c.want, isReserved(scheduler, 60e3, pendingWorkload(scheduler, c.group, 1, 1), c.node))
 		})
 	}
@@ -46,9 +46,9 @@
 		{"retried request, no recent first one: open", true, reservationWindow, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			workload := pendingWorkload(scheduler, idempotent, 1, 1)
-			workload.Retried = c.retried
-			assert.Equal(t, c.want, isReserved(scheduler, c.now, workload, scheduler.node(1)))
+			pending := pendingWorkload(scheduler, idempotent, 1, 1)
+			pending.Retried = c.retried
+			assert.Equal(t, c.want, isReserved(scheduler, c.now, pending, scheduler.node(1)))
 		})
 	}
 }
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -10,25 +10,25 @@
 	scheduler := newFleet(t, 2)
 	reportUsed(scheduler, 0, 1, 1)
 	reportUsed(scheduler, 0, 2, 5)
-	workload := pendingWorkload(scheduler, idempotent, 1, 1)
-	assert.Equal(t, NodeID(1), scheduler.selectNode(0, workload).ID, "least loaded")
-	scheduler.node(2).addBind(0, workload).advance(bindRunning)
-	assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "runs the service")
+	pending := pendingWorkload(scheduler, idempotent, 1, 1)
+	assert.Equal(t, NodeID(1), scheduler.selectNode(0, pending).ID, "least loaded")
+	scheduler.node(2).addBind(0, pending).advance(bindRunning)
+	assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "runs the service")
 }
 
 func TestSelectNode_UncrowdedNodesOfTheServiceThenCrowdedThenOthers(t *testing.T) {
 	scheduler := newFleet(t, 3)
 	scheduler.groups[idempotent].fullServiceLoad = 0.6
 	scheduler.groups[idempotent].loadCap = 0.9
-	workload := pendingWorkload(scheduler, idempotent, 1, 1)
+	pending := pendingWorkload(scheduler, idempotent, 1, 1)
 	for id, used := range map[NodeID]float64{1: 2, 2: 7, 3: 4} {
 		reportUsed(scheduler, 0, id, used)
 	}
-	scheduler.node(2).addBind(0, workload).advance(bindRunning)
-	assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "crowded, but it runs the service")
-	scheduler.node(3).addBind(0, workload).advance(bindRunning)
+	scheduler.node(2).addBind(0, pending).advance(bindRunning)
+	assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "crowded, but it runs the service")
+	scheduler.node(3).addBind(0, pending).advance(bindRunning)
 	for range 20 {
-		assert.Equal(t, NodeID(3), scheduler.selectNode(0, workload).ID)
+		assert.Equal(t, NodeID(3), scheduler.selectNode(0, pending).ID)
 	}
 }
 
@@ -39,9 +39,9 @@
 		scheduler.random.seed = seed
 		scheduler.settings.Allocators = 4
 		for service := range ServiceID(20) {
-			workload := pendingWorkload(scheduler, idempotent, 1, 1)
-			workload.Service = service
-			id := scheduler.selectNode(0, workload).ID
+			pending := pendingWorkload(scheduler, idempotent, 1, 1)
+			pending.Service = service
+			id := scheduler.selectNode(0, pending).ID
 			if seed > 0 {
 				assert.Equal(t, selected[service], id)
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSelectNode_FirstNodeOfAServiceIsTheRoomierOfTwoInAnyZone(t *testing.T) {
+func TestSelectNode_FirstNodeOfAServiceIsTheOneOfTwoWithMoreCapacityInAnyZone(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	scheduler.settings.Allocators = 300
 	for i, n := range scheduler.nodes.sorted {
@@ -58,8 +58,8 @@
 		n.FreeCores = float64(4 + i)
 	}
 	for service := range ServiceID(9) {
-		workload := pendingWorkload(scheduler, idempotent, 1, 1)
-		workload.Service = service
-		assert.Equal(t, NodeID(2), scheduler.selectNode(0, workload).ID, "in another zone than ours")
+		pending := pendingWorkload(scheduler, idempotent, 1, 1)
+		pending.Service = service
+		assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "in another zone than ours")
 	}
 }
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// Binds that a network partition holds up reach the node together with those that are sent as it ends.
+// Binds that a network partition delays reach the node together with those that are sent as it ends.
 func TestSlowStart_UnansweredBindsCountBeyondTheWindow(t *testing.T) {
 	scheduler, warming := newWarmingNode(t, slowStartSettings{
 		warmUpDuration: 60e3,
@@ -83,10 +83,11 @@
 	assert.True(t, scheduler.slowStart.allows(2500, warming))
 }
 
-// A bind that was held up may have arrived just before its answer: from then on it counts for a window.
+// A bind that was delayed may have arrived just before its answer: from then on it counts for a window.
 //
-// Where a confirmation waits for the start, it tells nothing of the arrival. A timeout within the window once counted
-// from when its bind was sent, and binds that a partition held up arrived together with later ones (seed 81, run 3835).
+// Where a confirmation waits for the start of the workload, it does not show when the bind arrived. This guards against
+// counting a bind that timed out within the window from when it was sent: binds that a partition delayed arrived
+// together with later ones (seed 81, run 3835).
 func TestRecordResult_FromTheAnswerOn(t *testing.T) {
 	const sentAt = Millis(100)
 	const lateAnswer = Millis(2900)  // after the window
@@ -145,7 +146,7 @@
 		}
 	}
 	slices.Sort(sent)
-	assert.GreaterOrEqual(t, len(sent), 30, "nor does it stay idle")
+	assert.GreaterOrEqual(t, len(sent), 30, "the budget must be used too")
 	for i, at := range sent[budget:] {
 		assert.Greater(t, at-sent[i], window)
 	}
