--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -39,14 +39,14 @@
 		kinds: settings.NodeKinds,
 		byID:  map[NodeID]*node{},
 	}
-	random := &random{seed: seed}
+	rng := &random{seed: seed}
 	capacity := &capacityEstimator{settings: &settings}
 	load := newLoadEstimator(&settings, nodes)
 	slowStart := newSlowStart(&settings)
 	return &Scheduler{
 		settings:  &settings,
 		groups:    groups,
-		random:    random,
+		random:    rng,
 		nodes:     nodes,
 		capacity:  capacity,
 		load:      load,
@@ -64,11 +64,11 @@
 			slowStart: slowStart,
 		},
 		reservations: newReservations(&settings, groups, nodes, capacity, load),
-		subscription: newSubscription(&settings, random),
+		subscription: newSubscription(&settings, rng),
 	}
 }
 
-// UpdateNodes takes a message of the node list. A failed poll has no entries.
+// UpdateNodes takes a message of the node list. After a failed poll the nodes stay as they are.
 func (s *Scheduler) UpdateNodes(now Millis, kind NodeUpdateKind, entries []Node) {
 	switch kind {
 	case PollFailed:
