--- a/internal/allocator/bind.go
+++ b/internal/allocator/bind.go
@@ -5,8 +5,8 @@
 	"grebeglade/placement"
 )
 
-// BindConfirmed handles a node's reply that it has accepted a bind. For a bind that has ended meanwhile only the load
-// report counts: the node has been notified of the end.
+// BindConfirmed handles a node's reply that accepts a bind. If the bind is closed or was confirmed before, only the
+// load report is used: the node of a closed bind has already been notified.
 func (e *Engine) BindConfirmed(
 	now placement.Millis, id placement.WorkloadID, bind int, load *placement.LoadReport,
 ) {
@@ -21,14 +21,14 @@
 	entry.confirm()
 	entry.timer = noTimer
 	e.logOutcome(now, entry, placement.Confirmed, placement.ReasonUnspecified)
-	if entry.wanted() {
+	if entry.hasClient() {
 		e.answerPlaced(now, entry)
 	}
 	e.execute(now, entry, entry.step.NextStep(now, placement.Result{Kind: placement.Confirmed, Load: load}))
 }
 
-// BindEnded handles the end of a bind. Where it was in flight, result.Kind says how it ended; a placed workload has
-// ended, whatever result.Kind is. For a bind that ended before only the load report counts.
+// BindEnded handles the end of a bind. For a bind in flight, result.Kind is its outcome. A placed workload has ended,
+// whatever result.Kind is. If the bind is not open, only the load report is used.
 func (e *Engine) BindEnded(
 	now placement.Millis, id placement.WorkloadID, bind int, node placement.NodeID, result placement.Result,
 ) {
@@ -41,23 +41,23 @@
 	e.requestTick(now)
 }
 
-// ConnectionLost handles the loss of the connection to a node. What was in flight there may have run; what is placed
-// there is taken to run on.
+// ConnectionLost handles the loss of the connection to a node. Binds in flight end with an unknown outcome, since the
+// node may have accepted them. Placed workloads are assumed to keep running.
 func (e *Engine) ConnectionLost(now placement.Millis, node placement.NodeID) {
-	for _, entry := range e.workloads.on(node) {
+	for _, entry := range e.workloads.boundTo(node) {
 		if !entry.onNode() {
-			e.complete(now, entry, placement.Result{Kind: placement.OutcomeUnknown, Final: !entry.wanted()})
+			e.complete(now, entry, placement.Result{Kind: placement.OutcomeUnknown, Final: !entry.hasClient()})
 		}
 	}
 	e.requestTick(now)
 }
 
-// ReconcileNode handles a node's own list of our workloads there: the placed ones for which runs returns false have
-// ended.
+// ReconcileNode handles the list of this allocator's workloads that a node reports. Workloads placed there for which
+// runs returns false have ended.
 func (e *Engine) ReconcileNode(
 	now placement.Millis, node placement.NodeID, runs func(id placement.WorkloadID, bind int) bool,
 ) {
-	for _, entry := range e.workloads.on(node) {
+	for _, entry := range e.workloads.boundTo(node) {
 		if entry.onNode() && !runs(entry.id, entry.bind()) {
 			e.complete(now, entry, placement.Result{Kind: placement.Ended, Final: true})
 		}
@@ -65,16 +65,16 @@
 	e.requestTick(now)
 }
 
-// NodeLost handles the loss of a node with all that was in flight or placed there.
+// NodeLost handles the loss of a node: its binds in flight get an unknown outcome, and its placed workloads end.
 func (e *Engine) NodeLost(now placement.Millis, node placement.NodeID) {
 	e.ConnectionLost(now, node)
 	e.ReconcileNode(now, node, func(placement.WorkloadID, int) bool { return false })
 }
 
-// stepDue handles the timer of a workload's step: the end of a wait, or the timeout of a bind.
+// stepDue handles the timer of a workload's step: a wait is over, or a bind has timed out.
 func (e *Engine) stepDue(now placement.Millis, entry *workload) {
-	if entry.due > now+clockGrain {
-		e.timers.setStep(now, entry, entry.due)
+	if entry.dueAt > now+timeTolerance {
+		e.timers.setStep(now, entry, entry.dueAt)
 		return
 	}
 	entry.timer = noTimer
@@ -82,9 +82,9 @@
 		e.execute(now, entry, entry.step.NextStep(now, placement.Result{Kind: placement.TimerFired}))
 		return
 	}
-	if entry.wanted() {
-		// What may run at most once and has been accepted must not be stopped: its client is answered that it may have
-		// run.
+	if entry.hasClient() {
+		// An at-most-once workload that the node has accepted must not be stopped, because its client is answered that
+		// it may have run.
 		e.host.Stop(entry.id, entry.bind(), entry.node, TimedOut, e.atMostOnce(entry.group))
 	}
 	e.complete(now, entry, placement.Result{Kind: placement.TimedOut})
@@ -95,7 +95,7 @@
 	if entry.onNode() {
 		result.Kind = placement.Ended
 		e.logEnded(now, entry, result.Reason)
-		if entry.wanted() {
+		if entry.hasClient() {
 			e.host.NotifyEnded(entry.id, entry.node, entry.state == migrating, result.Reason)
 		}
 	} else {
@@ -105,7 +105,7 @@
 	e.execute(now, entry, entry.step.NextStep(now, result))
 }
 
-// execute does what a step says and keeps it for its result. A workload without a next step is forgotten.
+// execute carries out a step and stores it until its result arrives. A workload without a next step leaves the engine.
 func (e *Engine) execute(now placement.Millis, entry *workload, step placement.Step) {
 	entry.step = step
 	switch step.Kind {
@@ -136,7 +136,7 @@
 	e.host.Bind(entry.id, entry.bind(), entry.node, step.Timeout)
 }
 
-// answerPlaced answers the client of a workload that its node has confirmed.
+// answerPlaced sends the client the answer that a node has confirmed the workload.
 func (e *Engine) answerPlaced(now placement.Millis, entry *workload) {
 	e.log.Add(eventlog.Event{
 		At:       now,
@@ -148,9 +148,9 @@
 	e.host.Answer(entry.id, Placed, entry.node)
 }
 
-// answerNotPlaced gives the client of a workload that is not placed its final answer, if it still wants one.
+// answerNotPlaced sends the client the final answer for a workload that was not placed, unless it was withdrawn.
 func (e *Engine) answerNotPlaced(now placement.Millis, entry *workload, verdict Verdict) {
-	if !entry.wanted() {
+	if !entry.hasClient() {
 		return
 	}
 	e.log.Add(eventlog.Event{
@@ -163,7 +163,7 @@
 	e.host.Answer(entry.id, verdict, 0)
 }
 
-// reportLoad passes on the load report, if there is one, of a reply that itself comes too late.
+// reportLoad passes the load report of a late reply, if it has one, to the module.
 func (e *Engine) reportLoad(now placement.Millis, node placement.NodeID, load *placement.LoadReport) {
 	if load != nil {
 		e.module.ReportLoad(now, node, *load)
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -1,16 +1,16 @@
-// Package allocator is the allocator's engine: a state machine without I/O that carries each workload from its client's
-// request to its end.
+// Package allocator implements the allocator's engine: a state machine without I/O that manages each workload from the
+// client's request until the workload ends.
 //
-// Events are method calls of Engine, each with its time; what is to be done goes out through Actions. Where a workload
-// goes is decided by package placement alone. Its answers are steps: Bind offers the workload to a node, Wait sets a
-// timer, and so on. The engine executes a step, waits for the step's result (a node's reply, a timeout, the client's
-// withdrawal), hands the result to Step.NextStep, and executes the step that this returns, until there is no next one.
+// Events are method calls on Engine, each with its time. The engine acts on the outside through Actions. Only package
+// placement decides where a workload runs: it returns steps, such as Bind (offer the workload to a node) or Wait (set a
+// timer). The engine executes a step, passes the step's result (a node's reply, a timeout, the client's withdrawal) to
+// Step.NextStep and executes the returned step, until there is no next step.
 //
-// The engine runs alike behind sockets, in virtual time, in benchmarks and in tests. Times are milliseconds on a clock
-// that never steps back. An engine belongs to one goroutine, and Actions must not call back into it.
+// The same engine runs behind sockets, in virtual time, in benchmarks and in tests. Times are milliseconds on a
+// monotonic clock. An engine is confined to one goroutine, and Actions must not call back into it.
 //
-// engine.go receives events, bind.go executes steps and completes binds, workload.go holds the lifecycle's states,
-// gang.go schedules workloads together, timers.go and maintenance.go do what comes due, log.go records events.
+// engine.go receives events, bind.go executes steps and completes binds, workload.go defines the lifecycle states,
+// gang.go schedules gangs, timers.go and maintenance.go handle timers and periodic work, log.go records events.
 package allocator
 
 import (
@@ -18,7 +18,7 @@
 	"grebeglade/placement"
 )
 
-// Engine is one allocator.
+// Engine is the state machine of one allocator. It is not safe for concurrent use.
 type Engine struct {
 	module          Module
 	groups          []placement.Group
@@ -29,14 +29,14 @@
 	timers          timers
 }
 
-// Options say what an engine does itself.
+// Options configure an engine.
 type Options struct {
-	EnforceTimeouts bool          // binds time out here; otherwise the host reports their timeouts
-	Log             *eventlog.Log // may be nil
-	Module          Module        // nil for one made from the settings and the seed
+	EnforceTimeouts bool          // whether the engine times out binds; if false, the host reports bind timeouts
+	Log             *eventlog.Log // event log; nil to record nothing
+	Module          Module        // placement module; nil to create one from the settings and the seed
 }
 
-// New returns an engine. Start must be called before anything else.
+// New returns an engine. Start must be called before any other method.
 func New(settings placement.Settings, seed uint64, host Host, options Options) *Engine {
 	if options.Module == nil {
 		options.Module = placement.New(settings, seed)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Start begins the periodic maintenance.
+// Start runs maintenance for the first time and schedules it periodically.
 func (e *Engine) Start(now placement.Millis) {
 	e.maintain(now)
 	e.requestTick(now)
@@ -60,21 +60,21 @@
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (e *Engine) WorkloadCount() int { return len(e.workloads) }
 
-// IsPlaced reports whether that bind is the workload's last one and placed.
+// IsPlaced reports whether the bind is the workload's latest one and the workload is placed.
 func (e *Engine) IsPlaced(id placement.WorkloadID, bind int) bool {
 	entry := e.workloads[id]
 	return entry != nil && entry.onNode() && entry.isOpen(bind)
 }
 
-// StopsDuplicates reports whether a surplus copy of a workload of the group is stopped. One that must run at most once
-// is not, since its client was answered that it may have run.
+// StopsDuplicates reports whether surplus copies of the group's workloads are stopped. Copies of an at-most-once
+// workload keep running, because its client has been answered that the workload may have run.
 func (e *Engine) StopsDuplicates(group placement.GroupID) bool { return !e.atMostOnce(group) }
 
 func (e *Engine) atMostOnce(group placement.GroupID) bool {
 	return int(group) < len(e.groups) && e.groups[group].Idempotency == placement.AtMostOnce
 }
 
-// Schedule handles a client's request for a workload, whose id must never have been used before.
+// Schedule handles a client's request for a workload. The workload's id must not have been used before.
 func (e *Engine) Schedule(now placement.Millis, requested placement.Workload) {
 	e.logRequested(now, requested)
 	entry := e.workloads.add(requested)
@@ -82,7 +82,7 @@
 	e.requestTick(now)
 }
 
-// Adopt takes over a workload that runs on the node already. Its bind there has the number 0.
+// Adopt registers a workload that is already running on the node. Its bind gets the number 0.
 func (e *Engine) Adopt(now placement.Millis, running placement.Workload, node placement.NodeID) {
 	e.log.Add(eventlog.Event{
 		At:       now,
@@ -98,10 +98,10 @@
 	entry.step = e.module.Adopt(now, running, node)
 }
 
-// Withdraw handles a client's notice that it no longer wants the workload. The client gets no answer after it.
+// Withdraw handles a client's withdrawal of a workload. The client gets no answer afterwards.
 func (e *Engine) Withdraw(now placement.Millis, id placement.WorkloadID) {
 	entry := e.workloads[id]
-	if entry == nil || !entry.wanted() {
+	if entry == nil || !entry.hasClient() {
 		return
 	}
 	entry.withdraw()
@@ -116,7 +116,7 @@
 	e.execute(now, entry, entry.step.NextStep(now, placement.Result{Kind: placement.Withdrawn, Final: true}))
 }
 
-// UpdateNodes handles a message of node discovery. Messages must come in the order in which discovery sent them.
+// UpdateNodes handles a message from node discovery. Messages must be passed in the order in which they were sent.
 func (e *Engine) UpdateNodes(now placement.Millis, kind placement.NodeUpdateKind, nodes []placement.Node) {
 	e.log.Add(eventlog.Event{
 		At:     now,
@@ -127,12 +127,13 @@
 	e.module.UpdateNodes(now, kind, nodes)
 }
 
-// ReportLoad handles a load report that came neither with a reply to a bind nor with one to a health check.
+// ReportLoad handles a load report that was not part of a reply to a bind or to a health check.
 func (e *Engine) ReportLoad(now placement.Millis, node placement.NodeID, load placement.LoadReport) {
 	e.module.ReportLoad(now, node, load)
 }
 
-// ReportUsage handles what a node reports of a workload. It is ignored where it is not about the workload's last bind.
+// ReportUsage handles a node's usage report for a workload. Reports for any bind but the workload's open one are
+// ignored.
 func (e *Engine) ReportUsage(
 	now placement.Millis, id placement.WorkloadID, bind int, kind placement.UsageKind, value float64,
 ) {
@@ -141,16 +142,16 @@
 	}
 }
 
-// HealthChecked handles the result of a health check. The load report that came with a reply may be nil.
+// HealthChecked handles the result of a health check. The load is nil if there was no reply or it had no load report.
 func (e *Engine) HealthChecked(
 	now placement.Millis, node placement.NodeID, answered bool, load *placement.LoadReport,
 ) {
 	e.module.HealthChecked(now, node, answered, load)
 }
 
-// Tick does what has come due. It may be called at any time.
+// Tick handles all timers that are due. It may be called at any time.
 func (e *Engine) Tick(now placement.Millis) {
-	e.timers.ticked(now)
+	e.timers.recordTick(now)
 	for {
 		due, number, ok := e.timers.popDue(now)
 		if !ok {
@@ -161,7 +162,8 @@
 	e.requestTick(now)
 }
 
-// timerFired handles a timer that has come due. One that its workload no longer names has no effect.
+// timerFired handles a due timer. The timer of a step is ignored if the workload has left the engine or its current
+// timer has another number.
 func (e *Engine) timerFired(now placement.Millis, fired timer, number uint64) {
 	switch fired.kind {
 	case maintenanceTimer:
@@ -173,7 +175,7 @@
 	}
 }
 
-// requestTick has the host call Tick by the time of the first timer.
+// requestTick asks the host to call Tick when the earliest timer is due, unless such a tick is already requested.
 func (e *Engine) requestTick(now placement.Millis) {
 	if at, needed := e.timers.nextTick(now); needed {
 		e.host.Wake(at)
--- a/internal/allocator/engine_test.go
+++ b/internal/allocator/engine_test.go
@@ -10,13 +10,14 @@
 	"grebeglade/placement"
 )
 
-func TestEngine_PlacedWorkload_IsAnsweredOnceAndEndsOnce(t *testing.T) {
+// Guards against a second answer or a second end when a node's reply is delivered twice.
+func TestEngine_RepeatedNodeReplies_OneAnswerAndOneEnd(t *testing.T) {
 	engine, host := newTestEngine(1)
-	engine.Schedule(10, request(7, idempotent))
+	engine.Schedule(10, newWorkload(7, idempotent))
 	engine.BindConfirmed(20, 7, 0, nil)
 	engine.BindConfirmed(21, 7, 0, nil)
 	engine.BindEnded(30, 7, 0, 1, placement.Result{Kind: placement.OutcomeUnknown, Reason: placement.Evicted})
-	engine.BindEnded(31, 7, 0, 1, ended())
+	engine.BindEnded(31, 7, 0, 1, endedResult())
 	assert.Equal(t, []any{
 		bound{
 			workload: 7,
@@ -33,10 +34,10 @@
 	assert.Zero(t, engine.WorkloadCount())
 }
 
-func TestEngine_BindRejectedByANode_IsRetriedOnAnotherThenRejected(t *testing.T) {
+func TestEngine_BindRejectedByEveryNode_TriedOnEachThenRejected(t *testing.T) {
 	engine, host := newTestEngine(2)
 	insufficientCores := placement.Result{Kind: placement.RejectedByNode, Reason: placement.InsufficientCores}
-	engine.Schedule(10, request(7, idempotent))
+	engine.Schedule(10, newWorkload(7, idempotent))
 	first := actionsOf[bound](host.take())[0]
 	engine.BindEnded(20, 7, 0, 1, insufficientCores)
 	engine.BindEnded(30, 7, 1, 2, insufficientCores)
@@ -47,9 +48,9 @@
 	assert.Equal(t, answered{workload: 7, verdict: Rejected}, actions[len(actions)-1])
 }
 
-func TestEngine_UnansweredBind_TimesOutAndIsStopped(t *testing.T) {
+func TestEngine_BindWithoutReply_TimesOutAndIsStoppedAndRetried(t *testing.T) {
 	engine, host := newTestEngine(2)
-	engine.Schedule(0, request(7, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
 	host.take()
 	engine.Tick(3000)
 	actions := host.take()
@@ -62,14 +63,14 @@
 	require.Len(t, retries, 1)
 	assert.Equal(t, 1, retries[0].bind)
 	assert.Equal(t, placement.WorkloadID(7), retries[0].workload)
-	// A confirmation of the bind that timed out says nothing about the one in flight.
+	// A late confirmation of the timed-out bind must not confirm the bind in flight.
 	engine.BindConfirmed(3001, 7, 0, nil)
 	assert.Empty(t, host.take())
 }
 
 func TestEngine_PlacedWorkload_DoesNotTimeOut(t *testing.T) {
 	engine, host := newTestEngine(1)
-	engine.Schedule(0, request(7, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
 	engine.BindConfirmed(5, 7, 0, nil)
 	host.take()
 	engine.Tick(9000)
@@ -77,10 +78,10 @@
 	assert.True(t, engine.IsPlaced(7, 0))
 }
 
-func TestEngine_ConnectionLost_TellsTheModuleWhetherAnAnswerIsStillWanted(t *testing.T) {
+func TestEngine_ConnectionLost_ResultFinalOnlyForWithdrawnWorkload(t *testing.T) {
 	engine, _, module := newTestEngineWithFakeModule(1)
-	engine.Schedule(0, request(7, idempotent))
-	engine.Schedule(0, request(8, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
+	engine.Schedule(0, newWorkload(8, idempotent))
 	engine.Withdraw(5, 8)
 	module.results = nil
 	engine.ConnectionLost(10, 1)
@@ -92,12 +93,12 @@
 
 func TestEngine_AtMostOnceWorkloadThatMayHaveRun_IsUnschedulableAndNotStopped(t *testing.T) {
 	engine, host := newTestEngine(3)
-	engine.Schedule(0, request(7, atMostOnce))
+	engine.Schedule(0, newWorkload(7, atMostOnce))
 	host.take()
 	engine.ConnectionLost(50, engine.workloads[7].node)
 	assert.Equal(t, []any{answered{workload: 7, verdict: Unschedulable}}, host.take())
 
-	engine.Schedule(100, request(8, atMostOnce))
+	engine.Schedule(100, newWorkload(8, atMostOnce))
 	host.take()
 	engine.Tick(100 + pendingTimeout - 1)
 	assert.Contains(t, host.take(), stopped{
@@ -106,7 +107,7 @@
 		reason:      TimedOut,
 		onlyPending: true,
 	},
-		"only what is pending on the node may be stopped")
+		"an accepted at-most-once workload must keep running")
 
 	assert.False(t, engine.StopsDuplicates(atMostOnce))
 	assert.True(t, engine.StopsDuplicates(idempotent))
@@ -114,8 +115,8 @@
 
 func TestEngine_WithdrawnWorkload_IsStoppedAndNeverAnswered(t *testing.T) {
 	engine, host := newTestEngine(1)
-	engine.Schedule(0, request(7, idempotent))
-	engine.Schedule(0, request(8, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
+	engine.Schedule(0, newWorkload(8, idempotent))
 	host.take()
 	engine.Withdraw(5, 7)
 	engine.Withdraw(6, 7)
@@ -125,12 +126,12 @@
 		reason:   Withdrawn,
 	}}, host.take())
 
-	// The node's confirmation was on its way.
+	// The node sent its confirmation before it received the stop.
 	engine.BindConfirmed(7, 7, 0, nil)
-	engine.BindEnded(9, 7, 0, 1, ended())
+	engine.BindEnded(9, 7, 0, 1, endedResult())
 	assert.Empty(t, host.take())
 
-	// A bind that was withdrawn and gets no reply ends with its timeout.
+	// A withdrawn bind without a reply ends when it times out.
 	engine.Withdraw(10, 8)
 	host.take()
 	engine.Tick(7000)
@@ -138,27 +139,27 @@
 	assert.Zero(t, engine.WorkloadCount())
 }
 
-func TestEngine_WithoutNodes_AWorkloadWaitsAndIsRejectedInTime(t *testing.T) {
+func TestEngine_NoNodes_RejectedBeforePendingTimeout(t *testing.T) {
 	engine, host := newTestEngine(0)
-	engine.Schedule(0, request(7, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
 	for now := placement.Millis(0); now <= 1100; now += 50 {
 		engine.Tick(now)
 	}
 	assert.Contains(t, host.take(), answered{workload: 7, verdict: Rejected})
-	engine.Schedule(1200, request(8, idempotent))
+	engine.Schedule(1200, newWorkload(8, idempotent))
 	engine.Withdraw(1210, 8)
 	engine.Tick(9000)
 	actions := host.take()
 	assert.Empty(t, actionsOf[answered](actions))
-	assert.Empty(t, actionsOf[stopped](actions), "no bind of it is open")
+	assert.Empty(t, actionsOf[stopped](actions), "the workload has no open bind")
 }
 
-func TestEngine_NodeLost_EndsWhatIsPlacedAndRetriesWhatIsInFlight(t *testing.T) {
+func TestEngine_NodeLost_EndsPlacedWorkloadsAndResolvesBindsInFlight(t *testing.T) {
 	engine, host := newTestEngine(1)
-	engine.Schedule(0, request(7, idempotent))
+	engine.Schedule(0, newWorkload(7, idempotent))
 	engine.BindConfirmed(5, 7, 0, nil)
-	engine.Schedule(6, request(8, idempotent))
-	adopted := request(9, idempotent)
+	engine.Schedule(6, newWorkload(8, idempotent))
+	adopted := newWorkload(9, idempotent)
 	adopted.Service = 2
 	engine.Adopt(7, adopted, 1)
 	host.take()
@@ -168,13 +169,13 @@
 	assert.Contains(t, actions, notifiedEnded{workload: 7})
 	assert.Contains(t, actions, notifiedEnded{workload: 9})
 	assert.Contains(t, actions, answered{workload: 8, verdict: Rejected},
-		"there is no other node, and it may run twice")
+		"there is no other node, and an idempotent workload may run twice")
 }
 
-func TestEngine_ReconcileNode_EndsWhatTheNodeDoesNotList(t *testing.T) {
+func TestEngine_ReconcileNode_EndsWorkloadsNotListedByNode(t *testing.T) {
 	engine, host := newTestEngine(1)
 	for id := placement.WorkloadID(1); id <= 3; id++ {
-		engine.Schedule(0, request(id, idempotent))
+		engine.Schedule(0, newWorkload(id, idempotent))
 		engine.BindConfirmed(5, id, 0, nil)
 	}
 	host.take()
@@ -183,11 +184,11 @@
 	assert.True(t, engine.IsPlaced(2, 0))
 }
 
-// The clock of a process that was stopped jumps; everything that came due meanwhile is done once, in order.
-func TestEngine_TickAfterAStall_DoesAllThatIsOverdueOnce(t *testing.T) {
+// Guards against timers that are lost or handled twice when the clock jumps because the process was stopped.
+func TestEngine_TickAfterStall_HandlesOverdueTimersOnce(t *testing.T) {
 	engine, host := newTestEngine(1)
-	engine.Schedule(0, request(7, atMostOnce))
-	engine.Schedule(0, request(8, idempotent))
+	engine.Schedule(0, newWorkload(7, atMostOnce))
+	engine.Schedule(0, newWorkload(8, idempotent))
 	host.take()
 	engine.Tick(60000)
 	actions := host.take()
@@ -197,12 +198,12 @@
 	assert.Empty(t, actionsOf[answered](host.take()))
 }
 
-func TestEngine_Log_HoldsEveryDecisionInOrder(t *testing.T) {
+func TestEngine_EventLog_RecordsDecisionsInOrder(t *testing.T) {
 	engine, _ := newTestEngine(1)
-	engine.Schedule(10, request(7, idempotent))
+	engine.Schedule(10, newWorkload(7, idempotent))
 	engine.BindConfirmed(20, 7, 0, nil)
-	engine.BindEnded(30, 7, 0, 1, ended())
-	const nodesUpdated = 1 // revision of the first event, of the test engine's start
+	engine.BindEnded(30, 7, 0, 1, endedResult())
+	const nodesUpdated = 1 // revision of the NodesUpdated event that newTestEngine causes
 	events, complete := engine.log.Since(nodesUpdated)
 	assert.True(t, complete)
 	var kinds []eventlog.Kind
--- a/internal/allocator/fakes_test.go
+++ b/internal/allocator/fakes_test.go
@@ -5,7 +5,7 @@
 	"grebeglade/placement"
 )
 
-// The actions that a fakeHost records, one type for each method of Actions that the tests look at.
+// The actions that a fakeHost records: one type for each method of Actions that the tests check.
 type (
 	// bound is a call of Bind.
 	bound struct {
@@ -37,7 +37,7 @@
 	}
 )
 
-// fakeHost is a host that records the engine's actions.
+// fakeHost is a Host that records the engine's actions.
 type fakeHost struct{ actions []any }
 
 func (h *fakeHost) record(action any) { h.actions = append(h.actions, action) }
@@ -82,14 +82,14 @@
 func (h *fakeHost) Forget(placement.WorkloadID) {}
 func (h *fakeHost) Wake(placement.Millis)       {}
 
-// take returns the actions since the last call.
+// take returns the actions recorded since the previous call of take.
 func (h *fakeHost) take() []any {
 	actions := h.actions
 	h.actions = nil
 	return actions
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type T, in order.
 func actionsOf[T any](actions []any) []T {
 	var found []T
 	for _, action := range actions {
@@ -100,19 +100,19 @@
 	return found
 }
 
-// The groups of the test engines' settings.
+// The groups in testSettings.
 const (
 	idempotent placement.GroupID = iota
 	atMostOnce
 )
 
-// pendingTimeout is how long the clients of request wait, in ms.
+// pendingTimeout is the pending timeout of the workloads that newWorkload returns, in ms.
 const pendingTimeout = placement.Millis(6000)
 
-// answerMargin is how long before the end of the pending timeout the module gives its final answer, in ms.
+// answerMargin is the time between the module's final answer and the end of the pending timeout, in ms.
 const answerMargin = placement.Millis(20)
 
-// testNode is what a node of the test engines has.
+// testNode is the capacity of each node in the tests.
 var testNode = placement.NodeKind{Cores: 10, Memory: 20}
 
 func testSettings() placement.Settings {
@@ -133,21 +133,21 @@
 	}
 }
 
-// fakeModule is the placement module with the results of its steps recorded, and with the test's maintenance actions.
+// fakeModule wraps a placement module. It records the results of steps and returns the test's maintenance actions.
 type fakeModule struct {
 	Module
 	results     []placement.Result
 	maintenance placement.Maintenance
 }
 
-// fakeMaintenanceInterval is how often a fakeModule wants maintenance, in ms.
+// fakeMaintenanceInterval is the interval between two calls of fakeModule.Maintain, in ms.
 const fakeMaintenanceInterval = placement.Millis(1000)
 
 func (m *fakeModule) Schedule(now placement.Millis, requested placement.Workload) placement.Step {
 	return m.recordResults(m.Module.Schedule(now, requested))
 }
 
-// recordResults returns the step, and has its result recorded and those of all steps after it.
+// recordResults wraps a step so that its result and the results of all following steps are recorded.
 func (m *fakeModule) recordResults(step placement.Step) placement.Step {
 	if next := step.NextStep; next != nil {
 		step.NextStep = func(now placement.Millis, result placement.Result) placement.Step {
@@ -164,19 +164,19 @@
 	return maintenance
 }
 
-// newTestEngine returns a started engine that knows that many empty nodes, whose ids begin at 1.
+// newTestEngine returns a started engine with the given number of empty nodes, whose ids start at 1.
 func newTestEngine(nodes int) (*Engine, *fakeHost) {
 	return startTestEngine(nodes, nil)
 }
 
-// newTestEngineWithFakeModule is newTestEngine on a fake module.
+// newTestEngineWithFakeModule is newTestEngine with a fakeModule.
 func newTestEngineWithFakeModule(nodes int) (*Engine, *fakeHost, *fakeModule) {
 	module := &fakeModule{Module: placement.New(testSettings(), 1)}
 	engine, host := startTestEngine(nodes, module)
 	return engine, host, module
 }
 
-// startTestEngine returns a started engine on a module, or on the placement module for nil.
+// startTestEngine returns a started engine with the module, or with the default placement module if it is nil.
 func startTestEngine(nodes int, module Module) (*Engine, *fakeHost) {
 	host := &fakeHost{}
 	engine := New(testSettings(), 1, host, Options{
@@ -199,8 +199,8 @@
 	return engine, host
 }
 
-// request returns a small workload.
-func request(id placement.WorkloadID, group placement.GroupID) placement.Workload {
+// newWorkload returns a workload that uses a small share of a test node.
+func newWorkload(id placement.WorkloadID, group placement.GroupID) placement.Workload {
 	return placement.Workload{
 		ID:             id,
 		Service:        1,
@@ -211,5 +211,5 @@
 	}
 }
 
-// ended returns the result of a placed workload's end.
-func ended() placement.Result { return placement.Result{Kind: placement.Ended} }
+// endedResult returns the result for a placed workload that has ended.
+func endedResult() placement.Result { return placement.Result{Kind: placement.Ended} }
--- a/internal/allocator/gang_test.go
+++ b/internal/allocator/gang_test.go
@@ -8,31 +8,31 @@
 	"grebeglade/placement"
 )
 
-// large returns a workload of which a test node takes one.
-func large(id placement.WorkloadID) placement.Workload {
-	workload := request(id, idempotent)
+// newLarge returns a workload that uses more than half of a test node, so that only one fits.
+func newLarge(id placement.WorkloadID) placement.Workload {
+	workload := newWorkload(id, idempotent)
 	workload.Cores = 6
 	return workload
 }
 
 func TestEngine_ScheduleGang_EnoughPartsHaveANode_OffersThose(t *testing.T) {
 	engine, host := newTestEngine(2)
-	offered := engine.ScheduleGang(10, []placement.Workload{large(1), large(2), large(3)}, 2)
+	offered := engine.ScheduleGang(10, []placement.Workload{newLarge(1), newLarge(2), newLarge(3)}, 2)
 	assert.Equal(t, []bool{true, true, false}, offered)
 	actions := host.take()
-	assert.Len(t, actions, 2, "two binds, and no answer for the third")
+	assert.Len(t, actions, 2, "two binds, and no answer for the third part")
 	assert.Len(t, actionsOf[bound](actions), 2)
 	assert.Equal(t, 2, engine.WorkloadCount())
 }
 
 func TestEngine_ScheduleGang_TooFewPartsHaveANode_OffersNone(t *testing.T) {
 	engine, host, module := newTestEngineWithFakeModule(2)
-	offered := engine.ScheduleGang(10, []placement.Workload{large(1), large(2), large(3)}, 3)
+	offered := engine.ScheduleGang(10, []placement.Workload{newLarge(1), newLarge(2), newLarge(3)}, 3)
 	notAttempted := placement.Result{Kind: placement.NotAttempted, Final: true}
 	assert.Equal(t, []placement.Result{notAttempted, notAttempted}, module.results)
 	assert.Equal(t, []bool{false, false, false}, offered)
 	assert.Empty(t, host.take())
 	assert.Zero(t, engine.WorkloadCount())
-	// What was undone leaves its capacity to others.
-	assert.Equal(t, []bool{true, true}, engine.ScheduleGang(20, []placement.Workload{large(4), large(5)}, 2))
+	// Cancelled steps release their capacity.
+	assert.Equal(t, []bool{true, true}, engine.ScheduleGang(20, []placement.Workload{newLarge(4), newLarge(5)}, 2))
 }
--- a/internal/allocator/log.go
+++ b/internal/allocator/log.go
@@ -5,7 +5,7 @@
 	"grebeglade/placement"
 )
 
-// The fields that an event carries are part of the log's digest: a further one would change it.
+// The log's digest covers the fields of these events. Setting another field changes the digest.
 
 func (e *Engine) logRequested(now placement.Millis, requested placement.Workload) {
 	e.log.Add(eventlog.Event{
@@ -36,7 +36,7 @@
 	})
 }
 
-// logOutcome records that the last bind of a workload was confirmed, or that it ended before.
+// logOutcome records that the latest bind of a workload was confirmed, or that it ended unconfirmed.
 func (e *Engine) logOutcome(
 	now placement.Millis, entry *workload, kind placement.ResultKind, reason placement.Reason,
 ) {
--- a/internal/allocator/maintenance.go
+++ b/internal/allocator/maintenance.go
@@ -5,7 +5,7 @@
 	"grebeglade/placement"
 )
 
-// maintain carries out the module's maintenance actions, and sets the timer for the next ones.
+// maintain executes the module's maintenance actions and sets the timer for the next maintenance.
 func (e *Engine) maintain(now placement.Millis) {
 	maintenance := e.module.Maintain(now)
 	if maintenance.Subscribe {
@@ -25,11 +25,11 @@
 	e.timers.setMaintenance(maintenance.NextAt)
 }
 
-// migrate stops a placed workload so that its client has it placed anew. One that is withdrawn is being stopped
-// already.
+// migrate stops a placed workload so that its client requests it again. A withdrawn workload is already being stopped
+// and is left alone.
 func (e *Engine) migrate(now placement.Millis, id placement.WorkloadID) {
 	entry := e.workloads[id]
-	if entry == nil || !entry.wanted() {
+	if entry == nil || !entry.hasClient() {
 		return
 	}
 	entry.migrate()
--- a/internal/allocator/maintenance_test.go
+++ b/internal/allocator/maintenance_test.go
@@ -8,7 +8,7 @@
 	"grebeglade/placement"
 )
 
-func TestEngine_Maintenance_IsDoneAtTheTimesThatTheModuleNames(t *testing.T) {
+func TestEngine_Maintenance_RunsAtTimesSetByModule(t *testing.T) {
 	engine, host, module := newTestEngineWithFakeModule(1)
 	module.maintenance = placement.Maintenance{Subscribe: true, HealthChecks: []placement.NodeID{4, 2}}
 	engine.Tick(fakeMaintenanceInterval - 1)
@@ -24,7 +24,7 @@
 func TestEngine_MigratedWorkload_IsStoppedAndItsClientNotified(t *testing.T) {
 	engine, host, module := newTestEngineWithFakeModule(1)
 	for id := placement.WorkloadID(7); id <= 9; id++ {
-		engine.Schedule(0, request(id, idempotent))
+		engine.Schedule(0, newWorkload(id, idempotent))
 		engine.BindConfirmed(5, id, 0, nil)
 	}
 	engine.Withdraw(10, 8)
@@ -36,9 +36,9 @@
 		bind:     0,
 		reason:   Migrating,
 	}}, host.take(),
-		"not what is withdrawn or unknown")
-	engine.BindEnded(1010, 7, 0, 1, ended())
-	engine.BindEnded(1010, 9, 0, 1, ended())
+		"withdrawn workloads and ids without a workload are not stopped")
+	engine.BindEnded(1010, 7, 0, 1, endedResult())
+	engine.BindEnded(1010, 9, 0, 1, endedResult())
 	assert.Equal(t, []any{
 		notifiedEnded{workload: 7, migrating: true},
 		notifiedEnded{workload: 9, migrating: false},
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -5,64 +5,64 @@
 	"grebeglade/placement"
 )
 
-// clockGrain is how far apart two times may be and still count as the same, in ms: a host's clock counts nanoseconds,
-// and a time that was rounded down must not miss its timer.
-const clockGrain = placement.Millis(1e-6)
+// timeTolerance, in ms, is the largest difference between two times that count as equal. The host's clock has a
+// resolution of one nanosecond, and a tick whose time was rounded down must still fire its timer.
+const timeTolerance = placement.Millis(1e-6)
 
-// MaxTimerDelay is the longest time for which a timer is set, in ms; what is due later is set again when it fires. A
-// timer cannot be cancelled, and clients may wait for weeks: so the number of timers is bounded by the requests within
-// this time.
+// MaxTimerDelay is the longest delay of a timer, in ms. A timer for a later time is set again when it fires. Timers
+// cannot be cancelled and clients may wait for weeks, so this delay bounds the number of timers in the queue to those
+// of the requests within it.
 const MaxTimerDelay = placement.Millis(60e3)
 
-// timerKind says what is due when a timer fires.
+// timerKind selects what happens when a timer fires.
 type timerKind uint8
 
 const (
 	maintenanceTimer timerKind = iota
-	stepTimer                  // the step of a workload
+	stepTimer                  // end of a wait, or timeout of a bind
 )
 
-// timer is one entry of the queue.
+// timer is one entry of the timer queue.
 type timer struct {
 	kind     timerKind
-	workload placement.WorkloadID // of a stepTimer
+	workload placement.WorkloadID // only set for a stepTimer
 }
 
-// timers are the timers of an engine, and the tick that it has requested of its host. A timer stays in the queue until
-// it fires; that of a workload counts only if the workload still names its number.
+// timers holds an engine's timers and the tick that it has requested from its host. A timer stays in the queue until it
+// fires. A stepTimer has an effect only if its number is still the one stored in the workload's entry.
 type timers struct {
 	queue     timerqueue.Queue[timer]
-	tickAt    placement.Millis // earliest tick that was requested and has not come
-	requested bool             // whether there is such a tick
+	tickAt    placement.Millis // time of the earliest outstanding tick; valid if requested
+	requested bool             // whether a requested tick is outstanding
 }
 
-// setMaintenance sets a timer for maintenance.
+// setMaintenance sets the timer for the next maintenance.
 func (t *timers) setMaintenance(at placement.Millis) { t.queue.Push(at, timer{kind: maintenanceTimer}) }
 
-// setStep sets the timer of a workload's step. An earlier timer of the workload no longer counts.
+// setStep sets the timer of a workload's step. It replaces the workload's previous timer.
 func (t *timers) setStep(now placement.Millis, entry *workload, due placement.Millis) {
-	entry.due = due
+	entry.dueAt = due
 	entry.timer = t.queue.Push(min(due, now+MaxTimerDelay), timer{kind: stepTimer, workload: entry.id})
 }
 
-// ticked notes a tick, which may be the one that was requested.
-func (t *timers) ticked(now placement.Millis) {
-	if t.requested && t.tickAt <= now+clockGrain {
+// recordTick records a call of Tick, and clears the requested tick if its time has come.
+func (t *timers) recordTick(now placement.Millis) {
+	if t.requested && t.tickAt <= now+timeTolerance {
 		t.requested = false
 	}
 }
 
-// popDue removes the first timer that is due, if there is one, and returns it with its number.
+// popDue removes the earliest timer and returns it with its number. It returns false if no timer is due.
 func (t *timers) popDue(now placement.Millis) (due timer, number uint64, ok bool) {
-	if at, pending := t.queue.NextTime(); !pending || at > now+clockGrain {
+	if at, pending := t.queue.NextTime(); !pending || at > now+timeTolerance {
 		return timer{}, noTimer, false
 	}
 	_, number, due = t.queue.Pop()
 	return due, number, true
 }
 
-// nextTick returns the time of the tick that the first timer needs, and notes it as requested. It returns false where
-// no tick is needed, or one that is early enough was requested before.
+// nextTick returns the time of the tick that the earliest timer requires, and records it as requested. It returns false
+// if there is no timer, or if a tick that is early enough is already requested.
 func (t *timers) nextTick(now placement.Millis) (placement.Millis, bool) {
 	at, ok := t.queue.NextTime()
 	if !ok || t.requested && t.tickAt <= at {
--- a/internal/allocator/workload.go
+++ b/internal/allocator/workload.go
@@ -7,7 +7,7 @@
 	"grebeglade/placement"
 )
 
-// state is where a workload is in its lifecycle:
+// state is a workload's lifecycle state. Transitions:
 //
 //	pending ---confirm---> placed ---migrate---> migrating
 //	   |                     |                       |
@@ -15,33 +15,33 @@
 //	   v                     v                       |
 //	cancelled --confirm--> stopping <----------------+
 //
-// A workload leaves the engine from any state, once the module has no further step for it.
+// A workload leaves the engine, from any state, once the module returns no further step for it.
 type state uint8
 
 const (
-	pending   state = iota // without a final answer: it waits, or a bind of it is in flight
-	placed                 // on a node, and its client has the answer
-	migrating              // placed, and being stopped so that it is placed anew
-	cancelled              // withdrawn before it was placed; its last bind may still be in flight
-	stopping               // withdrawn, and on a node until that node confirms the end
+	pending   state = iota // waiting or with a bind in flight; the client has no final answer yet
+	placed                 // confirmed by a node; the client has the final answer
+	migrating              // placed, and being stopped so that it can be placed again
+	cancelled              // withdrawn before it was placed; its latest bind may still be in flight
+	stopping               // withdrawn, and still on a node until the node confirms the end
 )
 
-// noTimer is the number of no timer: those of a timerqueue.Queue begin at 1.
+// noTimer marks a workload without a timer. Numbers in a timerqueue.Queue start at 1.
 const noTimer = 0
 
-// workload is the engine's entry of a workload that is pending or placed.
+// workload is the engine's entry for one workload.
 type workload struct {
 	id    placement.WorkloadID
 	group placement.GroupID
 	state state
-	step  placement.Step   // the one that was executed last
+	step  placement.Step   // latest executed step
 	binds int              // number of binds so far
-	node  placement.NodeID // of the last bind
-	timer uint64           // number of the timer of its step, or noTimer
-	due   placement.Millis // when that step is due; its timer may be set for an earlier time
+	node  placement.NodeID // node of the latest bind
+	timer uint64           // timer number of the current step, or noTimer
+	dueAt placement.Millis // due time of the current step; the timer may fire earlier
 }
 
-// confirm notes that a node has confirmed the workload's last bind.
+// confirm updates the state when a node confirms the latest bind.
 func (w *workload) confirm() {
 	switch w.state {
 	case pending:
@@ -52,7 +52,7 @@
 	}
 }
 
-// withdraw notes that the workload's client no longer wants it.
+// withdraw updates the state when the client withdraws the workload.
 func (w *workload) withdraw() {
 	switch w.state {
 	case pending:
@@ -63,42 +63,42 @@
 	}
 }
 
-// migrate notes that a placed workload is stopped in order to be placed anew.
+// migrate updates the state when a placed workload is stopped so that it can be placed again.
 func (w *workload) migrate() {
 	if w.state == placed {
 		w.state = migrating
 	}
 }
 
-// onNode reports whether a node has confirmed the workload and not ended it.
+// onNode reports whether a node has confirmed the workload and has not reported its end.
 func (w *workload) onNode() bool {
 	return w.state == placed || w.state == migrating || w.state == stopping
 }
 
-// wanted reports whether the workload has a client that is to be answered and notified.
-func (w *workload) wanted() bool { return w.state != cancelled && w.state != stopping }
+// hasClient reports whether there is still a client to answer and notify.
+func (w *workload) hasClient() bool { return w.state != cancelled && w.state != stopping }
 
-// bindOpen reports whether the last bind is in flight or placed. None is while the workload waits for its next one.
+// bindOpen reports whether the latest bind is in flight or placed. No bind is open while the step is Wait.
 func (w *workload) bindOpen() bool { return w.binds > 0 && w.step.Kind != placement.Wait }
 
-// bind is the number of the last bind.
+// bind returns the number of the latest bind, counted from 0.
 func (w *workload) bind() int { return w.binds - 1 }
 
-// isOpen reports whether the bind of that number is the last one and still open.
+// isOpen reports whether the bind with the given number is the latest one and still open.
 func (w *workload) isOpen(bind int) bool { return bind == w.bind() && w.bindOpen() }
 
-// workloads are the workloads of an engine, by id.
+// workloads is the engine's workload table, by id.
 type workloads map[placement.WorkloadID]*workload
 
-// add adds a new workload, which is pending, and returns its entry.
+// add inserts a new pending workload and returns its entry.
 func (t workloads) add(added placement.Workload) *workload {
 	entry := &workload{id: added.ID, group: added.Group}
 	t[added.ID] = entry
 	return entry
 }
 
-// on returns the workloads that have a bind open on the node, in the order of their ids: that of the map is random.
-func (t workloads) on(node placement.NodeID) []*workload {
+// boundTo returns the workloads with an open bind on the node. They are sorted by id because map order is random.
+func (t workloads) boundTo(node placement.NodeID) []*workload {
 	var found []*workload
 	for _, entry := range t {
 		if entry.node == node && entry.bindOpen() {
