--- a/internal/gang/action.go
+++ b/internal/gang/action.go
@@ -7,15 +7,15 @@
 
 // The kinds of actions.
 const (
-	// Attempt: request Parts, at least MinParts of them together or none, and call AttemptResult.
+	// Attempt: place Parts, at least MinParts of them or none, and pass the offered ones to AttemptResult.
 	Attempt ActionKind = iota
-	// RequestPart: request Part by itself.
+	// RequestPart: place Part on its own.
 	RequestPart
-	// StopPart: stop Part, wherever it is.
+	// StopPart: stop Part, whether it is being placed, offered or running.
 	StopPart
 	// AnswerPlaced: answer the client that the gang runs.
 	AnswerPlaced
-	// AnswerRejected: answer the client that a retry does no harm.
+	// AnswerRejected: answer the client that a retry is safe.
 	AnswerRejected
 	// AnswerUnschedulable: answer the client that a part may have run.
 	AnswerUnschedulable
@@ -23,24 +23,23 @@
 	ConfirmParts
 	// ReportEnd: notify the client that the running gang has ended.
 	ReportEnd
-	// SetTimer: call TimerFired at At.
+	// SetTimer: call TimerFired at the time At.
 	SetTimer
 	// Forget: make no further call for the gang.
 	Forget
 )
 
-// Action is one thing that the caller is to do. Each field but Kind belongs to some kinds only, and is zero in all
-// others.
+// Action is one operation for the caller to execute. Fields that do not apply to its Kind are zero.
 type Action struct {
 	Kind ActionKind
-	// Part is the part of RequestPart and StopPart.
+	// Part is the index of the part. Set for RequestPart and StopPart.
 	Part int
-	// Parts are the parts of Attempt, larger ones first.
+	// Parts are the indexes of the parts to place, larger parts first. Set for Attempt.
 	Parts []int
-	// MinParts is how many of Parts an Attempt offers to nodes at least. If it cannot, it offers none.
+	// MinParts is the least number of Parts to offer to nodes; if fewer fit, none is offered. Set for Attempt.
 	MinParts int
-	// Timeout is the time, in ms, within which the part of RequestPart must be placed.
+	// Timeout is the time within which Part must be placed, in ms. Set for RequestPart.
 	Timeout placement.Millis
-	// At is the time of SetTimer.
+	// At is the time at which the timer fires. Set for SetTimer.
 	At placement.Millis
 }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,12 +1,12 @@
-// Package gang decides about groups of workloads that start together or not at all.
+// Package gang implements gangs: groups of workloads of which a minimum number must start together, or none.
 //
-// A Gang is the state machine of one group, without I/O: each call reports an event and its time, and returns the
-// actions to take. Its states and transitions are listed at State. Where a part is placed is not decided here. A gang
-// that, as far as is known, does not fit as a whole is rejected at once, and none of its parts is sent.
+// A Gang is the state machine of one gang, without I/O: each call reports an event and its time, and returns the
+// actions to take. State documents the states and transitions. The nodes of the parts are chosen elsewhere. If an
+// attempt finds no room for enough parts, the gang is rejected immediately and none of its parts is offered.
 //
 // The caller calls Start, then AttemptResult with the result of the Attempt; PartStarted, PartFailed and PartEnded
 // for the parts; Withdraw if the client withdraws its request; and TimerFired at the time of each SetTimer. It makes
-// no call after a Forget. Where parts are found after a restart of the allocator, Recover takes the place of New and
+// no call after a Forget. For parts that are found running after a restart of the allocator, Recover replaces New and
 // Start. Times are milliseconds on the caller's clock.
 package gang
 
@@ -16,43 +16,43 @@
 	"grebeglade/placement"
 )
 
-// Gang is one group of workloads. It is not safe for concurrent use.
+// Gang is the state machine of one gang. It is not safe for concurrent use.
 type Gang struct {
 	state       State
 	parts       []PartState
 	request     Request
-	expires     placement.Millis // when the client gives up
-	seed        uint64           // of the random part of the retry delay
-	attempts    int
+	deadline    placement.Millis // end of the client's pending timeout
+	seed        uint64           // seed of the jitter in the retry delay
+	attempts    int              // number of starts so far
 	sideEffects sideEffects
-	retryAt     placement.Millis // of Pending: when the next attempt is due
-	stopRetryAt placement.Millis // of both rollback states: when stops are repeated
+	retryAt     placement.Millis // time of the next attempt; used in Pending
+	stopRetryAt placement.Millis // time at which stops are repeated; used in both rollback states
 }
 
-// New returns a gang that is yet to be started. Gangs with different seeds retry at different times, so that those
-// that compete for the same nodes do not fail together again.
+// New returns a gang that has not been started. Gangs with different seeds retry at different times, so that gangs that
+// compete for the same nodes do not repeatedly block each other.
 func New(now placement.Millis, r Request, seed uint64) *Gang {
 	r.MinParts = min(max(1, r.MinParts), len(r.Parts))
 	return &Gang{
-		parts:   make([]PartState, len(r.Parts)),
-		request: r,
-		expires: now + r.PendingTimeout,
-		seed:    seed,
+		parts:    make([]PartState, len(r.Parts)),
+		request:  r,
+		deadline: now + r.PendingTimeout,
+		seed:     seed,
 	}
 }
 
-// Confirmation is whether ConfirmParts was carried out for a gang before a restart of the allocator.
+// Confirmation records whether ConfirmParts was executed for a gang before a restart of the allocator.
 type Confirmation uint8
 
-// The confirmations.
+// The values of Confirmation.
 const (
-	Unconfirmed Confirmation = iota // no node of its parts was notified that the gang runs
-	Confirmed                       // a node of one of its parts was
+	Unconfirmed Confirmation = iota // no node was notified that the gang runs
+	Confirmed                       // at least one node was notified that the gang runs
 )
 
-// Recover returns a gang of which the given parts were found running after a restart of the allocator, and the actions
-// to take. A gang that was confirmed to be running goes on if enough of its parts run; any other is rolled back. Its
-// client gets no answer: it has one, or is gone.
+// Recover returns the gang whose given parts were found running after a restart of the allocator, and the actions to
+// take. A confirmed gang continues if enough of its parts run; any other gang is rolled back. The client gets no
+// answer: it was answered before the restart, or its connection ended with the restart.
 func Recover(
 	now placement.Millis, r Request, runningParts []int, confirmation Confirmation, seed uint64,
 ) (*Gang, []Action) {
@@ -76,7 +76,7 @@
 // PartState returns the state of a part.
 func (g *Gang) PartState(part int) PartState { return g.parts[part] }
 
-// CountParts returns the number of parts in any of the states.
+// CountParts returns the number of parts that are in one of the given states.
 func (g *Gang) CountParts(states ...PartState) int {
 	count := 0
 	for _, s := range g.parts {
@@ -90,7 +90,7 @@
 // Attempts returns how often the gang was started.
 func (g *Gang) Attempts() int { return g.attempts }
 
-// Withdraw handles the client's withdrawal of the gang. The client gets no answer after it.
+// Withdraw handles the client's withdrawal of the gang. The client gets no answer afterwards.
 func (g *Gang) Withdraw(now placement.Millis) []Action {
 	switch g.state {
 	case Pending:
@@ -100,12 +100,12 @@
 	case RollingBackToRetry:
 		g.state = RollingBackToEnd
 	case RollingBackToEnd, Ended:
-		// It has ended, or will without an answer.
+		// The gang has ended, or ends after the rollback without an answer.
 	}
 	return nil
 }
 
-// TimerFired handles the time of a SetTimer. Timers of an earlier state do nothing.
+// TimerFired handles the firing of a timer set by SetTimer. Timers that were set in an earlier state have no effect.
 func (g *Gang) TimerFired(now placement.Millis) []Action {
 	switch g.state {
 	case Pending:
@@ -113,7 +113,7 @@
 			return g.Start(now)
 		}
 	case Starting:
-		if now >= g.answerBy() {
+		if now >= g.answerDeadline() {
 			return g.startTimedOut(now)
 		}
 	case RollingBackToRetry:
@@ -122,18 +122,18 @@
 	case RollingBackToEnd:
 		return g.repeatStops(now)
 	case Running, Ended:
-		// Neither waits for a time: the engine reports a replacement that takes too long.
+		// Neither state has a timer: the engine reports a replacement that times out with PartFailed.
 	}
 	return nil
 }
 
-// end ends a gang that has no active part and whose client is due no answer.
+// end ends a gang that has no active part and whose client needs no answer.
 func (g *Gang) end() []Action {
 	g.state = Ended
 	return []Action{{Kind: Forget}}
 }
 
-// endFailed ends a gang that has no active part, and answers its client.
+// endFailed ends a gang that has no active part, and sends its client the failure answer.
 func (g *Gang) endFailed() []Action {
 	return append([]Action{g.failureAnswer()}, g.end()...)
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Stored traces and operators' scripts hold these texts.
+// Guards against a changed text: stored traces and operators' scripts contain these texts.
 func TestState_String(t *testing.T) {
 	texts := map[State]string{
 		Pending:            "pending",
@@ -36,7 +36,7 @@
 		assert.Empty(t, gang.Withdraw(21))
 		assertActions(t, gang.PartEnded(22, 1, EndedEarly), "forget")
 	})
-	t.Run("pending, to be retried: ended at once", func(t *testing.T) {
+	t.Run("pending, to be retried: ended immediately", func(t *testing.T) {
 		gang := startOffered(newPairRequest())
 		gang.PartFailed(20, 0, NeverRan)
 		gang.PartEnded(21, 1, EndedEarly)
@@ -47,7 +47,7 @@
 
 func TestRecover(t *testing.T) {
 	request := Request{Parts: make([]Part, 3), MinParts: 2}
-	t.Run("confirmed, enough parts running: goes on", func(t *testing.T) {
+	t.Run("confirmed, enough parts running: continues", func(t *testing.T) {
 		_, actions := Recover(0, request, []int{0, 1}, Confirmed, seed)
 		assertActions(t, actions, "confirm")
 	})
--- a/internal/gang/harness_test.go
+++ b/internal/gang/harness_test.go
@@ -9,17 +9,17 @@
 	"grebeglade/placement"
 )
 
-// seed is the seed of a gang in a test that does not depend on it.
+// seed is the gang's seed in tests whose result does not depend on the seed.
 const seed = 1
 
-// idempotencyNames are the names of idempotencies in the names of test cases.
+// idempotencyNames are the texts for idempotencies in the names of test cases.
 var idempotencyNames = map[placement.Idempotency]string{
 	placement.Idempotent:      "idempotent",
 	placement.IdempotentByKey: "idempotent by key",
 	placement.AtMostOnce:      "at-most-once",
 }
 
-// actionNames are the names of actions in the expectations of tests.
+// actionNames are the texts for actions that assertActions compares.
 var actionNames = map[ActionKind]string{
 	Attempt:             "attempt",
 	RequestPart:         "request",
@@ -33,7 +33,7 @@
 	Forget:              "forget",
 }
 
-// newRequest returns a request for parts of the given idempotencies, of which each is larger than the one before.
+// newRequest returns a request for one part of each given idempotency. Each part is larger than the one before.
 func newRequest(minParts int, idempotencies ...placement.Idempotency) Request {
 	request := Request{MinParts: minParts, PendingTimeout: 10e3}
 	for part, idempotency := range idempotencies {
@@ -42,10 +42,10 @@
 	return request
 }
 
-// newPairRequest returns a request for two idempotent parts, of which both must run.
+// newPairRequest returns a request for two idempotent parts that must both run.
 func newPairRequest() Request { return newRequest(2, placement.Idempotent, placement.Idempotent) }
 
-// startOffered returns a gang that was started at time 0, and all of whose parts were offered to nodes.
+// startOffered returns a gang that was started at time 0 and has all parts offered to nodes.
 func startOffered(request Request) *Gang {
 	gang := New(0, request, seed)
 	gang.Start(0)
@@ -53,7 +53,7 @@
 	return gang
 }
 
-// partNumbers returns the numbers of all parts of a gang of that many parts.
+// partNumbers returns the part numbers of a gang with the given number of parts.
 func partNumbers(parts int) []int {
 	numbers := make([]int, parts)
 	for part := range numbers {
@@ -62,7 +62,7 @@
 	return numbers
 }
 
-// startParts returns a gang as startOffered does, of which the given parts have started.
+// startParts returns the gang of startOffered after the given parts have started.
 func startParts(request Request, parts ...int) *Gang {
 	gang := startOffered(request)
 	for _, part := range parts {
@@ -71,7 +71,7 @@
 	return gang
 }
 
-// assertActions asserts the names of actions, with the part where there is one.
+// assertActions asserts that the actions have the given names. The names of RequestPart and StopPart include the part.
 func assertActions(t *testing.T, actions []Action, want ...string) {
 	t.Helper()
 	var names []string
@@ -85,7 +85,7 @@
 	assert.Equal(t, want, names)
 }
 
-// timers returns the times of the timers that actions set.
+// timers returns the times of all SetTimer actions.
 func timers(actions []Action) []placement.Millis {
 	var times []placement.Millis
 	for _, action := range actions {
--- a/internal/gang/model_test.go
+++ b/internal/gang/model_test.go
@@ -14,34 +14,34 @@
 	nodeCount    = 2
 )
 
-// noNode stands in place of the node of a part that was offered to none.
+// noNode marks a part that was not offered to any node.
 const noNode = -1
 
-// model is a small cluster: two gangs of two parts at allocators that share nothing, and two nodes with capacity for
-// one part each. TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll visits every state that it can come to.
+// model is the state of a small cluster: two gangs of two parts at allocators that do not communicate, and two nodes
+// with capacity for one part each. TestGang_AllEventOrders_AllOrNothing visits every reachable state.
 type model struct {
 	gangs     [gangCount]modelGang
-	orphans   [nodeCount]bool // a part runs on the node that its gang has given up
-	faulted   bool            // the one fault has happened
-	violation string
+	orphans   [nodeCount]bool // whether the node runs a part that its gang counts as lost
+	faulted   bool            // whether the only fault has happened
+	violation string          // violated rule; empty for none
 }
 
-// modelGang is a gang with its caller.
+// modelGang is a gang together with its caller's state.
 type modelGang struct {
 	gang    Gang
 	now     placement.Millis
-	timer   placement.Millis // when the next one fires, 0 for none
+	timer   placement.Millis // time of the next timer; 0 for none
 	parts   [partsPerGang]modelPart
-	answers int
+	answers int // number of final answers to the client
 }
 
-// modelPart is a part as its node sees it.
+// modelPart is the state of a part at its node.
 type modelPart struct {
-	node  int // to which it was offered, or noNode
+	node  int // node that got the offer, or noNode
 	phase partPhase
 }
 
-// partPhase is how far a part is at its node.
+// partPhase is the lifecycle phase of a part at its node.
 type partPhase string
 
 const (
@@ -51,10 +51,10 @@
 	stopping partPhase = "stopping"
 )
 
-// usesCapacity reports whether a part takes up the capacity of its node.
+// usesCapacity reports whether a part occupies its node.
 func (p modelPart) usesCapacity() bool { return p.phase == running || p.phase == stopping }
 
-// assignments are the nodes to which an attempt can offer the parts: to none, or each part to one of the nodes.
+// assignments are the possible results of an attempt: no offer (nil), or the node of each part.
 var assignments = [][]int{nil, {0, 1}, {1, 0}}
 
 func newModel(idempotency placement.Idempotency) model {
@@ -80,10 +80,10 @@
 	return m
 }
 
-// key returns a text that differs between any two models. It does not use State.String, which two states share.
+// key returns a text that is unique for each model. It avoids State.String because two states share one text.
 func (m model) key() string { return fmt.Sprintf("%#v", m) }
 
-// occupied reports whether a part uses the capacity of a node.
+// occupied reports whether a part or an orphan uses the capacity of a node.
 func (m *model) occupied(node int) bool {
 	for _, caller := range m.gangs {
 		for _, part := range caller.parts {
@@ -95,7 +95,7 @@
 	return m.orphans[node]
 }
 
-// execute carries out a gang's actions. The nodes to which an attempt offers the parts are given, nil for none.
+// execute executes a gang's actions. An attempt offers part i to nodes[i], or offers no part if nodes is nil.
 func (m *model) execute(gangIndex int, actions []Action, nodes []int) {
 	caller := &m.gangs[gangIndex]
 	for _, action := range actions {
@@ -114,17 +114,17 @@
 		case Forget:
 			caller.timer = 0
 		case RequestPart, ConfirmParts, ReportEnd:
-			// No part is replaced, and the other two are notifications.
+			// Gangs in the model do not replace parts; the other two actions are notifications.
 		}
 	}
 }
 
-// attempt offers the parts of a gang to the given nodes, or to none.
+// attempt offers part i of a gang to nodes[i], or offers no part if nodes is nil.
 func (m *model) attempt(gangIndex int, nodes []int) {
 	caller := &m.gangs[gangIndex]
 	for part := range caller.parts {
 		if caller.parts[part].phase != absent {
-			m.violation = "a part is requested that was not stopped"
+			m.violation = "a part is requested again before it was stopped"
 		}
 		if nodes != nil {
 			caller.parts[part] = modelPart{node: nodes[part], phase: offered}
@@ -137,40 +137,40 @@
 	m.execute(gangIndex, caller.gang.AttemptResult(offeredParts), nil)
 }
 
-// removePart takes a part away from its node.
+// removePart removes a part from its node.
 func (m *model) removePart(gangIndex, part int) {
 	m.gangs[gangIndex].parts[part] = modelPart{node: noNode, phase: absent}
 }
 
-// startPart has a part that was offered start.
+// startPart starts an offered part and reports the start to its gang.
 func (m *model) startPart(gangIndex, part int) {
 	caller := &m.gangs[gangIndex]
 	caller.parts[part].phase = running
 	m.execute(gangIndex, caller.gang.PartStarted(part), nil)
 }
 
-// failPart has a part that was offered fail.
+// failPart removes an offered part and reports its failure to its gang.
 func (m *model) failPart(gangIndex, part int, outcome FailureOutcome) {
 	caller := &m.gangs[gangIndex]
 	m.removePart(gangIndex, part)
 	m.execute(gangIndex, caller.gang.PartFailed(caller.now, part, outcome), nil)
 }
 
-// loseAnswer has a part that was offered start without its gang's knowledge.
-func (m *model) loseAnswer(gangIndex, part int) {
+// loseReply starts an offered part whose confirmation is lost: the gang gets an unknown outcome.
+func (m *model) loseReply(gangIndex, part int) {
 	m.faulted = true
 	m.orphans[m.gangs[gangIndex].parts[part].node] = true
 	m.failPart(gangIndex, part, MayRun)
 }
 
-// endPart has a part end at its node before its time.
+// endPart ends a part at its node early and reports the end to its gang.
 func (m *model) endPart(gangIndex, part int) {
 	caller := &m.gangs[gangIndex]
 	m.removePart(gangIndex, part)
 	m.execute(gangIndex, caller.gang.PartEnded(caller.now, part, EndedEarly), nil)
 }
 
-// fireTimer fires the timer of a gang. The nodes to which an attempt offers the parts are given, nil for none.
+// fireTimer fires the timer of a gang. A resulting attempt uses nodes as described at execute.
 func (m *model) fireTimer(gangIndex int, nodes []int) {
 	caller := &m.gangs[gangIndex]
 	caller.now = max(caller.now, caller.timer)
@@ -178,7 +178,7 @@
 	m.execute(gangIndex, caller.gang.TimerFired(caller.now), nodes)
 }
 
-// crash ends what runs on a node.
+// crash ends all parts that run on a node.
 func (m *model) crash(node int) {
 	m.faulted = true
 	m.orphans[node] = false
--- a/internal/gang/modelcheck_test.go
+++ b/internal/gang/modelcheck_test.go
@@ -9,16 +9,16 @@
 	"grebeglade/placement"
 )
 
-// maxModels guards against a search that does not come to an end.
+// maxModels is the limit on visited models; it stops a search that does not terminate.
 const maxModels = 400000
 
-// requireWhole requires of a final model that each gang was answered once, and runs whole or not at all. It returns how
-// many gangs run.
-func (m model) requireWhole(t *testing.T, key string) int {
+// requireAllOrNothing requires that in a final model each gang was answered once and has all parts or none. It returns
+// the number of running gangs.
+func (m model) requireAllOrNothing(t *testing.T, key string) int {
 	t.Helper()
 	runningGangs := 0
 	for _, caller := range m.gangs {
-		require.Equal(t, 1, caller.answers, "one answer: %s", key)
+		require.Equal(t, 1, caller.answers, "number of final answers: %s", key)
 		parts := 0
 		for _, part := range caller.parts {
 			if part.phase != absent {
@@ -36,14 +36,15 @@
 	return runningGangs
 }
 
-// visits counts the models that visitAll came to.
+// visits holds the counts of one search by visitAll.
 type visits struct {
 	models       int
-	final        int // of them, those that no event can happen in
-	runningGangs int // in the final ones
+	final        int // number of models without a possible event
+	runningGangs int // number of running gangs in the final models
 }
 
-// visitAll visits every model that the first one can lead to, and requires that each keeps the rules.
+// visitAll visits every model reachable from the first one and requires that none has a violation and that the final
+// ones satisfy requireAllOrNothing.
 func visitAll(t *testing.T, first model) visits {
 	t.Helper()
 	var counts visits
@@ -63,15 +64,16 @@
 		open = append(open, successors...)
 		if len(successors) == 0 {
 			counts.final++
-			counts.runningGangs += current.requireWhole(t, key)
+			counts.runningGangs += current.requireAllOrNothing(t, key)
 		}
 	}
 	counts.models = len(seen)
 	return counts
 }
 
-// Every order of everything that can happen to two gangs of two parts on two nodes, with one fault.
-func TestGang_EveryOrderOfEvents_RunsWholeOrNotAtAll(t *testing.T) {
+// Guards against an order of events that leaves a gang partly running or answers its client twice or never. Visits all
+// orders of events of two gangs with two parts each on two nodes, with at most one fault.
+func TestGang_AllEventOrders_AllOrNothing(t *testing.T) {
 	for _, idempotency := range []placement.Idempotency{placement.Idempotent, placement.AtMostOnce} {
 		t.Run(idempotencyNames[idempotency], func(t *testing.T) {
 			counts := visitAll(t, newModel(idempotency))
--- a/internal/gang/modelevents_test.go
+++ b/internal/gang/modelevents_test.go
@@ -2,10 +2,10 @@
 
 import "grebeglade/placement"
 
-// lastTimer is the time of the last timer that a model fires: the gangs' clients have given up long before.
+// lastTimer is the time from which on the model fires no timers. It lies well after the gangs' pending timeout.
 const lastTimer = placement.Millis(2500)
 
-// successors returns the models that one event can lead to.
+// successors returns the models reachable by one event.
 func (m model) successors() []model {
 	var all []model
 	add := func(event func(*model)) {
@@ -30,7 +30,7 @@
 	return all
 }
 
-// addTimer adds what a gang's timer leads to. A running gang needs none.
+// addTimer adds the models that result when a gang's timer fires. A running gang needs no timer.
 func (m model) addTimer(gangIndex int, add func(func(*model))) {
 	caller := &m.gangs[gangIndex]
 	if caller.timer <= 0 || caller.timer >= lastTimer || caller.gang.State() == Running {
@@ -41,7 +41,7 @@
 	}
 }
 
-// addNodeEvents adds the ends of leases of parts that were given up, and the crashes of nodes.
+// addNodeEvents adds the models in which the lease of an orphaned part ends, or a node crashes.
 func (m model) addNodeEvents(add func(func(*model))) {
 	for node, orphaned := range m.orphans {
 		if orphaned {
@@ -55,7 +55,7 @@
 	}
 }
 
-// addPartEvents adds what can happen to a part at its node.
+// addPartEvents adds the models that result from the events of a part at its node.
 func (m model) addPartEvents(gangIndex, part int, add func(func(*model))) {
 	onNode := m.gangs[gangIndex].parts[part]
 	switch onNode.phase {
@@ -66,11 +66,11 @@
 		}
 		add(func(next *model) { next.startPart(gangIndex, part) })
 		if !m.faulted {
-			add(func(next *model) { next.loseAnswer(gangIndex, part) })
+			add(func(next *model) { next.loseReply(gangIndex, part) })
 		}
 	case stopping:
 		add(func(next *model) { next.endPart(gangIndex, part) })
 	case absent, running:
-		// It is not at a node, or runs until it is stopped or its node crashes.
+		// The part is not on a node, or runs until it is stopped or its node crashes.
 	}
 }
--- a/internal/gang/part.go
+++ b/internal/gang/part.go
@@ -12,44 +12,44 @@
 
 // The states of a part.
 const (
-	PartIdle      PartState = iota // never offered, or known never to have run
-	PartRequested                  // to be placed, or on its way to a node
+	PartIdle      PartState = iota // never offered, or failed without having run
+	PartRequested                  // being placed, or offered to a node that has not confirmed it
 	PartRunning
-	PartFinished // it completed by itself
-	PartStopping // being stopped; its end is not confirmed yet
-	PartLost     // it ended before its time, or may have run and is out of reach
+	PartFinished // ended because its work was done
+	PartStopping // being stopped; the end is not confirmed yet
+	PartLost     // ended before its work was done, or its bind has an unknown outcome
 )
 
-// active reports whether the part is on its way, runs or is being stopped.
+// active reports whether the part is requested, running or being stopped.
 func (s PartState) active() bool { return s == PartRequested || s == PartRunning || s == PartStopping }
 
-// PartStarted handles the start of a part.
+// PartStarted handles a node's confirmation that a part has started.
 func (g *Gang) PartStarted(part int) []Action {
 	if g.parts[part] != PartRequested {
-		return nil // it was cancelled meanwhile
+		return nil // the part is being stopped or has failed
 	}
 	g.parts[part] = PartRunning
 	switch g.state {
 	case Starting:
 		return g.completeStart()
 	case Running:
-		return []Action{{Kind: ConfirmParts}} // it replaces one that was lost
+		return []Action{{Kind: ConfirmParts}} // the part replaces a lost one
 	case Pending, RollingBackToRetry, RollingBackToEnd, Ended:
 		// No part is PartRequested in these states.
 	}
 	return nil
 }
 
-// FailureOutcome is what is known of a part that was not placed.
+// FailureOutcome says whether a part that could not be placed may have run.
 type FailureOutcome uint8
 
-// The outcomes.
+// The outcomes of a part that could not be placed.
 const (
 	NeverRan FailureOutcome = iota
-	MayRun                  // a bind of it has an unknown outcome: it may have run, and may run still
+	MayRun                  // a bind has an unknown outcome: the part may have run and may still be running
 )
 
-// PartFailed handles a part that was not placed.
+// PartFailed handles the failure to place a part.
 func (g *Gang) PartFailed(now placement.Millis, part int, outcome FailureOutcome) []Action {
 	before := g.parts[part]
 	g.parts[part] = PartIdle
@@ -57,15 +57,15 @@
 		g.parts[part] = PartLost
 		g.recordUnknownOutcome(part)
 	}
-	return g.continueWithout(now, before)
+	return g.handlePartInactive(now, before)
 }
 
-// PartEnd is how a part ended.
+// PartEnd says how a part ended.
 type PartEnd uint8
 
-// The ends.
+// The ways in which a part ends.
 const (
-	EndedEarly PartEnd = iota // it was stopped, evicted or lost
+	EndedEarly PartEnd = iota // stopped, evicted or lost before its work was done
 	Finished                  // its work was done
 )
 
@@ -73,7 +73,7 @@
 func (g *Gang) PartEnded(now placement.Millis, part int, end PartEnd) []Action {
 	before := g.parts[part]
 	if !before.active() {
-		return nil // it has ended already
+		return nil // the end is already recorded
 	}
 	if end == Finished && before == PartRunning {
 		g.parts[part] = PartFinished
@@ -81,11 +81,11 @@
 		g.parts[part] = PartLost
 		g.recordLoss(part)
 	}
-	return g.continueWithout(now, before)
+	return g.handlePartInactive(now, before)
 }
 
-// continueWithout goes on after a part that was in the given state is no longer on its way or running.
-func (g *Gang) continueWithout(now placement.Millis, before PartState) []Action {
+// handlePartInactive advances the gang after a part has failed or ended. The part's previous state is before.
+func (g *Gang) handlePartInactive(now placement.Millis, before PartState) []Action {
 	switch g.state {
 	case Starting:
 		if !g.canReachMinimum() {
@@ -97,7 +97,7 @@
 	case RollingBackToRetry, RollingBackToEnd:
 		return g.completeRollback(now)
 	case Pending, Ended:
-		// No part is active. A report that comes late changes the part's state at most.
+		// No part is active. A late report can only change the state of its part.
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 	return g.CountParts(PartRunning, PartFinished) >= g.request.MinParts
 }
 
-// canReachMinimum reports whether enough parts have started, or may start without a further request.
+// canReachMinimum reports whether enough parts have started or are requested.
 func (g *Gang) canReachMinimum() bool {
 	return g.CountParts(PartRequested, PartRunning, PartFinished) >= g.request.MinParts
 }
--- a/internal/gang/request.go
+++ b/internal/gang/request.go
@@ -5,23 +5,23 @@
 // Request is a client's request for a gang.
 type Request struct {
 	Parts          []Part
-	MinParts       int              // parts that must run, at least
-	PendingTimeout placement.Millis // time until the client gives up, in ms
+	MinParts       int              // least number of parts that must run
+	PendingTimeout placement.Millis // time for which the client waits for its answer, in ms
 	OnLoss         LossPolicy
-	ReplaceTimeout placement.Millis // of ReplaceOnLoss, in ms
+	ReplaceTimeout placement.Millis // time within which a replacement must be placed, in ms; used by ReplaceOnLoss
 }
 
-// Part is what a decision needs to know of a part.
+// Part describes one part of a gang.
 type Part struct {
 	Idempotency placement.Idempotency
-	Size        float64 // share of a node; larger parts are requested first
+	Size        float64 // size as a share of a node; larger parts are requested first
 }
 
-// LossPolicy is what becomes of a running gang that loses a part.
+// LossPolicy selects how a running gang handles the loss of a part.
 type LossPolicy uint8
 
-// The policies.
+// The loss policies.
 const (
-	StopOnLoss    LossPolicy = iota // all of it is stopped
-	ReplaceOnLoss                   // the part is placed anew, within a time; if that fails, all of it is stopped
+	StopOnLoss    LossPolicy = iota // the whole gang is stopped
+	ReplaceOnLoss                   // the part is replaced within ReplaceTimeout; otherwise the whole gang is stopped
 )
--- a/internal/gang/retry.go
+++ b/internal/gang/retry.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxAttempts is how often a gang is started. Each attempt that fails costs starts and stops of parts.
+	// maxAttempts is the greatest number of starts of a gang. Each failed attempt costs starts and stops of parts.
 	maxAttempts = 3
-	// minRetryDelay is the time before the next attempt, without the random part on top of it.
+	// minRetryDelay is the fixed part of the delay before the next attempt, in ms; jitter is added to it.
 	minRetryDelay = placement.Millis(400)
-	// maxDelayDoublings limits how often the random part of the delay doubles.
+	// maxDelayDoublings is the greatest number of times that the jitter's range doubles.
 	maxDelayDoublings = 8
-	// maxDelayDivisor limits by how much more parts shorten the random part of the delay.
+	// maxDelayDivisor is the greatest divisor by which the number of parts reduces the jitter's range.
 	maxDelayDivisor = 4
-	// jitterSteps is the number of values that the random fraction of the delay has.
+	// jitterSteps is the number of distinct jitter fractions.
 	jitterSteps = 1024
-	// jitterShift drops the lowest bits of the hash that the random fraction is taken from.
+	// jitterShift is the number of low bits of the hash that are dropped.
 	jitterShift = 11
 )
 
-// mayRetry reports whether a gang whose start has failed may be started again, as far as is known before its parts
+// mayRetry reports whether a gang whose start has failed may be started again. awaitRetry decides again once all parts
 // have ended.
 func (g *Gang) mayRetry(now placement.Millis) bool {
 	return g.sideEffects == noSideEffects &&
 		g.attempts < maxAttempts &&
-		g.expires-now > minRetryDelay+minStartTime
+		g.deadline-now > minRetryDelay+minStartTime
 }
 
-// awaitRetry has a gang that was rolled back wait for its next attempt. It ends the gang instead if too little time is
-// left, or a part has turned out to have side effects since the rollback began.
+// awaitRetry schedules the next attempt of a gang that was rolled back. It ends the gang instead if too little time is
+// left, or if possible side effects were recorded during the rollback.
 func (g *Gang) awaitRetry(now placement.Millis) []Action {
 	delay := g.retryDelay()
-	if g.sideEffects != noSideEffects || g.expires-now < delay+minStartTime {
+	if g.sideEffects != noSideEffects || g.deadline-now < delay+minStartTime {
 		return g.endFailed()
 	}
 	for part := range g.parts {
@@ -45,17 +45,18 @@
 	return []Action{{Kind: SetTimer, At: g.retryAt}}
 }
 
-// retryDelay is how long a gang waits until its next attempt. Gangs that compete fail together; a random part, which
-// doubles, gives one of them the time to start. Of two such gangs the one with more parts tends to come first: it is
-// the harder one to place, and capacity that it does not get at once soon goes to others.
+// retryDelay returns the delay before the next attempt. Gangs that compete for nodes fail together, so the delay
+// contains jitter whose range doubles with each attempt; this gives one of them time to start. Gangs with more parts
+// get a smaller range, so they tend to retry first: they are harder to place, and free capacity that they do not get
+// immediately is soon used by others.
 func (g *Gang) retryDelay() placement.Millis {
 	doubled := placement.Millis(int(1) << min(g.attempts, maxDelayDoublings))
 	divisor := placement.Millis(min(len(g.parts), maxDelayDivisor))
-	longest := minRetryDelay * doubled / divisor
-	return minRetryDelay + longest*placement.Millis(g.jitter())
+	maxJitter := minRetryDelay * doubled / divisor
+	return minRetryDelay + maxJitter*placement.Millis(g.jitter())
 }
 
-// jitter returns a fraction from 0 to below 1 that depends on the gang's seed and the number of the attempt alone.
+// jitter returns a fraction in [0, 1) that depends only on the gang's seed and the number of attempts.
 func (g *Gang) jitter() float64 {
 	var input [16]byte
 	binary.BigEndian.PutUint64(input[:8], g.seed)
--- a/internal/gang/retry_test.go
+++ b/internal/gang/retry_test.go
@@ -11,10 +11,10 @@
 
 func TestPartFailed_LastPart_RolledBackAndRetried(t *testing.T) {
 	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 0)
-	// A part that is on its way is stopped before one that runs.
+	// Requested parts are stopped before running ones.
 	assertActions(t, gang.PartFailed(20, 2, NeverRan), "stop 1", "stop 0", "timer")
 	assert.Equal(t, RollingBackToRetry, gang.State())
-	assert.Empty(t, gang.PartStarted(1), "its stop is on the way")
+	assert.Empty(t, gang.PartStarted(1), "the part is being stopped")
 	assert.Empty(t, gang.PartEnded(30, 0, EndedEarly))
 	actions := gang.PartEnded(40, 1, EndedEarly)
 	require.Len(t, actions, 1)
@@ -36,17 +36,17 @@
 		gang.TimerFired(now)
 		gang.AttemptResult(partNumbers(2))
 	}
-	// It is answered at once, not when all of it is rolled back.
+	// The client is answered immediately, before the rollback is complete.
 	assertActions(t, gang.PartFailed(now, 0, NeverRan), "rejected", "stop 1", "timer")
 	assertActions(t, gang.PartEnded(now, 1, EndedEarly), "forget")
 }
 
-func TestPartFailed_LargerPartRunning_SmallerOnItsWayStoppedFirst(t *testing.T) {
+func TestPartFailed_LargerPartRunning_RequestedPartStoppedFirst(t *testing.T) {
 	gang := startParts(newRequest(3, placement.Idempotent, placement.Idempotent, placement.Idempotent), 1)
 	assertActions(t, gang.PartFailed(20, 2, NeverRan), "stop 0", "stop 1", "timer")
 }
 
-func TestPartEnded_RolledBackTooLateForRetry_Rejected(t *testing.T) {
+func TestPartEnded_TooLittleTimeForRetry_Rejected(t *testing.T) {
 	request := newPairRequest()
 	gang := startOffered(request)
 	assertActions(t, gang.PartFailed(20, 0, NeverRan), "stop 1", "timer")
--- a/internal/gang/rollback.go
+++ b/internal/gang/rollback.go
@@ -7,11 +7,11 @@
 	"grebeglade/placement"
 )
 
-// stopRetryInterval is how long a stop may be without a result before it is repeated.
+// stopRetryInterval is the time after which a stop without a result is repeated, in ms.
 const stopRetryInterval = placement.Millis(2e3)
 
-// rollBack stops all parts, in the given rollback state: first those that are only on their way, which costs least and
-// frees the nodes' queues, then those that run, larger ones first.
+// rollBack enters the given rollback state and stops all parts: first the requested ones, which costs least and frees
+// the nodes' queues, then the running ones. Within both groups larger parts come first.
 func (g *Gang) rollBack(now placement.Millis, state State) []Action {
 	g.state = state
 	var actions []Action
@@ -22,7 +22,7 @@
 	return append(actions, g.completeRollback(now)...)
 }
 
-// stopOrder returns the parts that a rollback stops, in their order.
+// stopOrder returns the parts that a rollback stops, in the order in which it stops them.
 func (g *Gang) stopOrder() []int {
 	var parts []int
 	for part, s := range g.parts {
@@ -36,19 +36,19 @@
 	return parts
 }
 
-// stop begins to stop a part.
+// stop marks a part as being stopped and returns the action that stops it.
 func (g *Gang) stop(part int) Action {
 	g.parts[part] = PartStopping
 	return Action{Kind: StopPart, Part: part}
 }
 
-// setStopTimer sets the timer at which stops without a result are repeated.
+// setStopTimer sets the timer for repeating stops without a result.
 func (g *Gang) setStopTimer(now placement.Millis) Action {
 	g.stopRetryAt = now + stopRetryInterval
 	return Action{Kind: SetTimer, At: g.stopRetryAt}
 }
 
-// repeatStops repeats the stops that have no result, once it is time.
+// repeatStops repeats the stops without a result if stopRetryInterval has passed.
 func (g *Gang) repeatStops(now placement.Millis) []Action {
 	if now < g.stopRetryAt {
 		return nil
@@ -62,17 +62,17 @@
 	return actions
 }
 
-// answerIfDue answers the client of a gang that waits for its retry, before the client gives up. The gang is not
-// started again then.
+// answerIfDue answers the client of a gang that is rolled back for a retry once the answer deadline has passed. The
+// gang is then not retried.
 func (g *Gang) answerIfDue(now placement.Millis) []Action {
-	if now < g.answerBy() {
+	if now < g.answerDeadline() {
 		return nil
 	}
 	g.state = RollingBackToEnd
 	return []Action{g.failureAnswer()}
 }
 
-// completeRollback goes on once no part is active: the gang waits for its next attempt, or ends.
+// completeRollback ends the rollback once no part is active: the gang waits for its next attempt, or ends.
 func (g *Gang) completeRollback(now placement.Millis) []Action {
 	if g.hasActiveParts() {
 		return nil
--- a/internal/gang/run.go
+++ b/internal/gang/run.go
@@ -14,11 +14,11 @@
 	return append([]Action{{Kind: ReportEnd}}, g.end()...)
 }
 
-// handleLoss goes on with a running gang of which a part has ended or could not be replaced. The part was in the given
-// state before.
+// handleLoss handles the end of a part of a running gang, or the failure to replace one. The part's previous state is
+// before.
 func (g *Gang) handleLoss(now placement.Millis, before PartState) []Action {
 	if g.CountParts(PartFinished) > 0 || g.CountParts(PartRequested, PartRunning) >= g.request.MinParts {
-		return g.completeRun() // its work comes to its end, or enough of it is left
+		return g.completeRun() // the gang's work is finishing, or enough parts are left
 	}
 	if lost := slices.Index(g.parts, PartLost); lost >= 0 && before == PartRunning && g.mayReplace(lost) {
 		return g.replace(now, lost)
@@ -26,12 +26,12 @@
 	return append([]Action{{Kind: ReportEnd}}, g.rollBack(now, RollingBackToEnd)...)
 }
 
-// mayReplace reports whether a lost part may be placed anew.
+// mayReplace reports whether a lost part may be replaced. At-most-once parts must not start twice.
 func (g *Gang) mayReplace(part int) bool {
 	return g.request.OnLoss == ReplaceOnLoss && g.request.Parts[part].Idempotency != placement.AtMostOnce
 }
 
-// replace requests a lost part anew.
+// replace requests a replacement for a lost part.
 func (g *Gang) replace(now placement.Millis, part int) []Action {
 	g.parts[part] = PartRequested
 	timeout := g.request.ReplaceTimeout
--- a/internal/gang/sideeffects.go
+++ b/internal/gang/sideeffects.go
@@ -2,8 +2,8 @@
 
 import "grebeglade/placement"
 
-// sideEffects is whether parts of a gang that does not run may have changed something outside of it. With possible
-// side effects the gang is not started again, and its client is not answered that a retry does no harm.
+// sideEffects records whether parts of a failed gang may have changed something outside the gang. With possible side
+// effects the gang is not started again, and its client is not answered that a retry is safe.
 type sideEffects uint8
 
 const (
@@ -11,22 +11,22 @@
 	possibleSideEffects                    // a part that must not run twice may have run
 )
 
-// recordUnknownOutcome records that a part may run although it was not placed. A part that is idempotent by key counts
-// too: a repeat of it is dropped only on some nodes and for some time.
+// recordUnknownOutcome records that a part may be running although its placement failed. This includes parts that are
+// idempotent by key, because their duplicates are dropped only within the key's scope and window.
 func (g *Gang) recordUnknownOutcome(part int) {
 	if g.request.Parts[part].Idempotency != placement.Idempotent {
 		g.sideEffects = possibleSideEffects
 	}
 }
 
-// recordLoss records that a part ended before its time.
+// recordLoss records that a part ended before its work was done.
 func (g *Gang) recordLoss(part int) {
 	if g.request.Parts[part].Idempotency == placement.AtMostOnce {
 		g.sideEffects = possibleSideEffects
 	}
 }
 
-// recordRollback records the side effects of the parts that are about to be stopped, and of those that have finished.
+// recordRollback records the side effects of the parts that are about to be stopped and of the finished parts.
 func (g *Gang) recordRollback() {
 	for part, s := range g.parts {
 		if hasSideEffects(s, g.request.Parts[part].Idempotency) {
@@ -35,9 +35,8 @@
 	}
 }
 
-// hasSideEffects reports whether a part in that state keeps its gang from being started again. A part that finished
-// has had its effect: even where a repeat is dropped by its idempotency key, that holds only on some nodes and for
-// some time.
+// hasSideEffects reports whether a part in state s prevents its gang from being started again. A finished part counts
+// even if it is idempotent by key, because its duplicates are dropped only within the key's scope and window.
 func hasSideEffects(s PartState, idempotency placement.Idempotency) bool {
 	switch s {
 	case PartFinished:
@@ -45,12 +44,12 @@
 	case PartRequested, PartRunning:
 		return idempotency == placement.AtMostOnce
 	case PartIdle, PartStopping, PartLost:
-		// It has not run, or its side effects were recorded when it was stopped or lost.
+		// The part has not run, or its side effects were recorded when it was stopped or lost.
 	}
 	return false
 }
 
-// failureAnswer is the final answer for a gang that does not run.
+// failureAnswer returns the final answer for a gang that failed to start.
 func (g *Gang) failureAnswer() Action {
 	if g.sideEffects == possibleSideEffects {
 		return Action{Kind: AnswerUnschedulable}
--- a/internal/gang/sideeffects_test.go
+++ b/internal/gang/sideeffects_test.go
@@ -20,7 +20,7 @@
 		gang := startParts(newRequest(2, placement.AtMostOnce, placement.Idempotent), 0)
 		assertActions(t, gang.PartFailed(20, 1, NeverRan), "unschedulable", "stop 0", "timer")
 	})
-	t.Run("at-most-once running as the answer is due: unschedulable", func(t *testing.T) {
+	t.Run("at-most-once running at the answer deadline: unschedulable", func(t *testing.T) {
 		request := newRequest(2, placement.AtMostOnce, placement.Idempotent)
 		gang := startParts(request, 0)
 		assertActions(t, gang.TimerFired(request.PendingTimeout), "unschedulable", "stop 1", "stop 0", "timer")
--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// minStartTime is the time that a start needs. With less left, another attempt is wasted.
+	// minStartTime is the least time for a start, in ms. With less time left, an attempt would only be rolled back.
 	minStartTime = placement.Millis(300)
-	// minAnswerMargin is how long before the pending timeout the client is answered, at least.
+	// minAnswerMargin is the least time between the answer to the client and the end of the pending timeout, in ms.
 	minAnswerMargin = placement.Millis(20)
-	// answerMarginShare is the same as a share of the pending timeout: a request with a long timeout may have been
-	// delayed for longer on its way here.
+	// answerMarginShare is the answer margin as a share of the pending timeout. The margin grows with the timeout
+	// because a request with a long timeout may have been delayed longer in the network.
 	answerMarginShare = placement.Millis(0.02)
 )
 
-// Start starts the gang: all parts are requested at once, so that they are placed by what is known at one time.
+// Start starts the gang. All parts are requested in one Attempt, so that they are placed on the same view of the nodes.
 func (g *Gang) Start(now placement.Millis) []Action {
 	if g.state != Pending {
 		return nil
 	}
-	if g.expires-now < minStartTime {
+	if g.deadline-now < minStartTime {
 		return g.endFailed()
 	}
 	g.state = Starting
@@ -38,12 +38,12 @@
 			Parts:    parts,
 			MinParts: g.request.MinParts,
 		},
-		{Kind: SetTimer, At: g.answerBy()},
+		{Kind: SetTimer, At: g.answerDeadline()},
 	}
 }
 
-// AttemptResult handles the result of an Attempt: the parts that were offered to nodes, in any order. There are enough
-// of them for the gang, or none.
+// AttemptResult handles the result of an Attempt: the parts that were offered to nodes, in any order. There are either
+// at least MinParts of them, or none.
 func (g *Gang) AttemptResult(offeredParts []int) []Action {
 	if g.state != Starting {
 		return nil
@@ -52,10 +52,10 @@
 	if g.canReachMinimum() {
 		return nil
 	}
-	return g.endFailed() // as far as is known, it does not fit as a whole
+	return g.endFailed() // too few parts fit on the nodes
 }
 
-// resetUnoffered has the requested parts that were not offered to a node count as never offered.
+// resetUnoffered resets the requested parts that were not offered to a node to PartIdle.
 func (g *Gang) resetUnoffered(offeredParts []int) {
 	offered := make([]bool, len(g.parts)) // by part
 	for _, part := range offeredParts {
@@ -68,7 +68,7 @@
 	}
 }
 
-// completeStart ends the start once enough parts have started and none is on its way.
+// completeStart changes the state to Running once enough parts have started and no further part is requested.
 func (g *Gang) completeStart() []Action {
 	if !g.hasMinimum() || g.CountParts(PartRequested) > 0 {
 		return nil
@@ -77,7 +77,7 @@
 	return append([]Action{{Kind: ConfirmParts}, {Kind: AnswerPlaced}}, g.completeRun()...)
 }
 
-// startTimedOut ends a start whose time is over: if enough parts run the others are stopped, else all of them.
+// startTimedOut handles the answer deadline of a start: if enough parts run, the others are stopped; otherwise all are.
 func (g *Gang) startTimedOut(now placement.Millis) []Action {
 	if !g.hasMinimum() {
 		g.recordRollback()
@@ -92,7 +92,7 @@
 	return append(actions, g.completeStart()...)
 }
 
-// failStart ends a start that too few parts are left for. If the gang may be started again, its client waits for that.
+// failStart ends a start that can no longer reach MinParts. If the gang may be retried, the client keeps waiting.
 func (g *Gang) failStart(now placement.Millis) []Action {
 	g.recordRollback()
 	if g.mayRetry(now) {
@@ -101,15 +101,15 @@
 	return g.abandonStart(now)
 }
 
-// abandonStart ends a start that is not repeated, once the side effects of its parts are recorded. The client is
-// answered at once, not when all parts have ended.
+// abandonStart ends a start that is not retried. The side effects of its parts must be recorded before. The client is
+// answered immediately, without waiting for the parts to end.
 func (g *Gang) abandonStart(now placement.Millis) []Action {
 	return append([]Action{g.failureAnswer()}, g.rollBack(now, RollingBackToEnd)...)
 }
 
-// answerBy is when the client is answered at the latest. The client counts its timeout from when it sent the request,
-// and how long the request took to arrive is not known here. The margin is too short for a part to start in, so an
-// answer before the timeout costs little.
-func (g *Gang) answerBy() placement.Millis {
-	return g.expires - max(minAnswerMargin, answerMarginShare*g.request.PendingTimeout)
+// answerDeadline returns the latest time for the final answer. The client's timeout starts when it sends the request,
+// and the time that the request spent in the network is not available here, hence the margin. The margin is too short
+// for a part to start in, so answering before the timeout costs little.
+func (g *Gang) answerDeadline() placement.Millis {
+	return g.deadline - max(minAnswerMargin, answerMarginShare*g.request.PendingTimeout)
 }
--- a/internal/gang/start_test.go
+++ b/internal/gang/start_test.go
@@ -24,8 +24,8 @@
 	assertActions(t, New(0, request, seed).Start(0), "rejected", "forget")
 }
 
-// A gang whose request the network delayed was answered after its client had given up, so the margin grows with the
-// timeout.
+// Guards against an answer that reaches the client after its timeout: the network may delay a request, and the margin
+// grows with the timeout to allow for it.
 func TestStart_LongPendingTimeout_LargerAnswerMargin(t *testing.T) {
 	for timeout, answerAfter := range map[placement.Millis]placement.Millis{500: 480, 8000: 7840} {
 		t.Run(fmt.Sprint(timeout, " ms"), func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAttemptResult_NoPartOffered_RejectedAtOnce(t *testing.T) {
+func TestAttemptResult_NoPartOffered_RejectedImmediately(t *testing.T) {
 	gang := New(0, newRequest(2, placement.Idempotent, placement.Idempotent, placement.Idempotent), seed)
 	gang.Start(0)
 	assertActions(t, gang.AttemptResult(nil), "rejected", "forget")
@@ -58,7 +58,7 @@
 		gang := startParts(request, 0)
 		assertActions(t, gang.TimerFired(answerDue), "rejected", "stop 1", "stop 0", "timer")
 	})
-	t.Run("rolling back: rejected, and stops go on", func(t *testing.T) {
+	t.Run("rolling back: rejected, and stops are repeated", func(t *testing.T) {
 		request := newPairRequest()
 		request.PendingTimeout = 5e3
 		gang := startParts(request, 0)
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -1,13 +1,13 @@
 package gang
 
-// State is the state of a gang. The client waits for its final answer in Pending, Starting and RollingBackToRetry; in
-// the other states it has the answer, or has withdrawn the gang.
+// State is the state of a gang. In Pending, Starting and RollingBackToRetry the client waits for its final answer; in
+// the other states it has been answered or has withdrawn the gang.
 //
 //	state               event                                                     next state
 //	Pending             Start or retry timer                                      Starting
 //	Pending             the same, with too little time left; Withdraw             Ended
 //	Starting            AttemptResult: too few parts offered                      Ended
-//	Starting            enough parts run, and none is on its way                  Running
+//	Starting            enough parts run, and none is still requested             Running
 //	Starting            a part fails or ends, too few are left: may be retried    RollingBackToRetry
 //	Starting            the same: must not be retried                             RollingBackToEnd
 //	Starting            the answer is due and too few parts run; Withdraw         RollingBackToEnd
@@ -24,16 +24,16 @@
 
 // The states of a gang.
 const (
-	Pending            State = iota // to be started, or started again
-	Starting                        // its parts are requested
-	Running                         // enough of its parts run
-	RollingBackToRetry              // its parts are being stopped, and it is started again afterwards
-	RollingBackToEnd                // its parts are being stopped, and it ends afterwards
-	Ended                           // none of its parts is active
+	Pending            State = iota // waiting for the first start or for a retry
+	Starting                        // parts are requested
+	Running                         // enough parts run
+	RollingBackToRetry              // parts are being stopped; the gang is started again afterwards
+	RollingBackToEnd                // parts are being stopped; the gang ends afterwards
+	Ended                           // no part is active
 )
 
-// stateTexts are the texts of the states. They are older than the constants and stay, since stored traces hold them:
-// the two rollback states share one.
+// stateTexts are the external texts of the states. They differ from the constants' names and must not change, since
+// stored traces contain them. The two rollback states share one text.
 var stateTexts = [...]string{
 	Pending:            "pending",
 	Starting:           "starting",
@@ -43,5 +43,5 @@
 	Ended:              "given up",
 }
 
-// String returns the state's text in traces and for operators.
+// String returns the text of the state that traces contain and operators see.
 func (s State) String() string { return stateTexts[s] }
