--- a/internal/eventlog/digest.go
+++ b/internal/eventlog/digest.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// digestedSize is the size of an event's encoding for the digest. Bytes that encode no field are zero.
+// digestedSize is the size of an event's encoding for the digest, in bytes. Bytes that belong to no field are zero.
 const digestedSize = 32
 
-// addToDigest adds the fields of an event, but for the revision, to the digest.
+// addToDigest adds all fields of an event except the revision to the digest.
 func (l *Log) addToDigest(e Event) {
 	var b [digestedSize]byte
 	binary.LittleEndian.PutUint64(b[:], math.Float64bits(float64(e.At)))
@@ -19,9 +19,9 @@
 	binary.LittleEndian.PutUint32(b[16:], uint32(e.Workload))
 	binary.LittleEndian.PutUint32(b[20:], uint32(e.Node))
 	binary.LittleEndian.PutUint16(b[24:], uint16(e.Group))
-	_, _ = l.digest.Write(b[:]) // a hash never returns an error
+	_, _ = l.digest.Write(b[:]) // Write of a hash never returns an error
 }
 
-// Digest returns a hash of all events so far, including those that are no longer held. Two runs with the same events
-// have the same digest.
+// Digest returns a hash of all events added so far, including the dropped ones. Runs with the same events have the same
+// digest.
 func (l *Log) Digest() uint64 { return l.digest.Sum64() }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,9 @@
-// Package eventlog records requests to an allocator, its decisions and its observations, in order and by revision.
+// Package eventlog records the requests that an allocator receives, its decisions and its observations. Events are kept
+// in order, each with a revision.
 //
-// Revisions begin at 1 and have no gaps. A log holds the latest events up to its capacity and drops the oldest; Since
-// reports whether it has dropped any that were asked for. Times are milliseconds on the allocator's own clock. A log
-// must not be used by several goroutines at once.
+// Revisions start at 1 and have no gaps. A log holds the latest events up to its capacity and drops the oldest; Since
+// reports whether any of the requested events have been dropped. Times are milliseconds on the allocator's own clock. A
+// log is not safe for concurrent use.
 package eventlog
 
 import (
@@ -11,27 +12,27 @@
 	"grebeglade/placement"
 )
 
-// Event is one entry. Fields that do not apply to its kind are zero.
+// Event is one entry of a log. Fields that do not apply to its Kind are zero.
 type Event struct {
 	Revision uint64
 	At       placement.Millis
 	Kind     Kind
-	Detail   uint8
+	Detail   uint8 // the constants of Kind say what it holds
 	Reason   placement.Reason
-	Bind     int32
+	Bind     int32 // number of the bind; in NodesUpdated, the number of nodes in the message
 	Workload placement.WorkloadID
 	Node     placement.NodeID
 	Group    placement.GroupID
 }
 
-// Log is the event log of one allocator. Events may be added to a nil log, which drops them.
+// Log is the event log of one allocator. Add on a nil log does nothing.
 type Log struct {
-	ring   []Event // the event of revision r is at index (r-1) modulo the capacity
-	last   uint64  // revision of the last event
+	ring   []Event // ring buffer; revision r is at index (r-1) modulo the capacity
+	last   uint64  // revision of the latest event
 	digest *xxhash.Digest
 }
 
-// New returns a log that holds the latest capacity events, at least one.
+// New returns a log that holds up to capacity events. The capacity is at least 1.
 func New(capacity int) *Log {
 	return &Log{ring: make([]Event, 0, max(1, capacity)), digest: xxhash.New()}
 }
@@ -51,15 +52,15 @@
 	l.addToDigest(e)
 }
 
-// index returns where the event of a revision is in the ring.
+// index returns the position of a revision in the ring.
 func (l *Log) index(revision uint64) uint64 { return (revision - 1) % uint64(cap(l.ring)) }
 
-// Revision returns the revision of the last event, 0 before the first.
+// Revision returns the revision of the latest event, or 0 if there is none.
 func (l *Log) Revision() uint64 { return l.last }
 
-// Since returns the events after a revision, oldest first, and whether all of them are still held.
+// Since returns the events after a revision, oldest first. It returns false for complete if some of them were dropped.
 func (l *Log) Since(revision uint64) (events []Event, complete bool) {
-	dropped := l.last - uint64(len(l.ring)) // latest revision that is no longer held
+	dropped := l.last - uint64(len(l.ring)) // latest dropped revision
 	for r := max(revision, dropped) + 1; r <= l.last; r++ {
 		events = append(events, l.ring[l.index(r)])
 	}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -8,7 +8,7 @@
 	"grebeglade/placement"
 )
 
-func TestLog_SinceReturnsWhatIsHeldAndWhetherItIsComplete(t *testing.T) {
+func TestLog_Since_ReturnsHeldEventsAndCompleteness(t *testing.T) {
 	l := New(3)
 	for i := range 5 {
 		l.Add(Event{At: placement.Millis(i), Kind: Requested})
@@ -24,7 +24,7 @@
 	assert.Equal(t, uint64(5), l.Revision())
 }
 
-func TestLog_DigestDiffersForEventsThatDiffer(t *testing.T) {
+func TestLog_Digest_DependsOnEveryEvent(t *testing.T) {
 	digestOf := func(capacity int, last Event) uint64 {
 		l := New(capacity)
 		l.Add(Event{
@@ -35,12 +35,12 @@
 		l.Add(last)
 		return l.Digest()
 	}
-	assert.Equal(t, digestOf(1, Event{Node: 2}), digestOf(9, Event{Node: 2}), "includes events that are no longer held")
+	assert.Equal(t, digestOf(1, Event{Node: 2}), digestOf(9, Event{Node: 2}), "the digest includes dropped events")
 	assert.NotEqual(t, digestOf(9, Event{Node: 2}), digestOf(9, Event{Node: 3}))
 	assert.NotEqual(t, digestOf(9, Event{Detail: 2}), digestOf(9, Event{Detail: 3}))
 }
 
-func TestLog_NilKeepsNothing(t *testing.T) {
+func TestLog_Nil_AddDoesNothing(t *testing.T) {
 	var l *Log
 	assert.NotPanics(t, func() { l.Add(Event{Kind: Requested}) })
 }
@@ -51,5 +51,5 @@
 		assert.NotEmpty(t, k.String())
 		names[k.String()] = true
 	}
-	assert.Len(t, names, int(NodeConnection), "each name differs")
+	assert.Len(t, names, int(NodeConnection), "names are unique")
 }
--- a/internal/eventlog/kind.go
+++ b/internal/eventlog/kind.go
@@ -1,6 +1,6 @@
 package eventlog
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of events. Their numbers are part of the digest.
@@ -9,14 +9,14 @@
 	NotAdmitted                    // a request was rejected before it was scheduled
 	Adopted                        // a workload was found running on a node
 	Bound                          // a workload was offered to a node
-	BindOutcome                    // a bind was confirmed, or ended before that; Detail is the placement.ResultKind
-	Answered                       // a client got its final answer; Detail is the allocator.Verdict
-	Ended                          // a placed workload no longer runs
-	Withdrawn                      // a client no longer wants a workload
+	BindOutcome                    // a bind was confirmed, or ended unconfirmed; Detail is the placement.ResultKind
+	Answered                       // the final answer was sent to a client; Detail is the allocator.Verdict
+	Ended                          // a placed workload ended
+	Withdrawn                      // a client withdrew a workload
 	BindStopped                    // a bind was stopped; Detail is the allocator.StopReason
 	HealthChecked                  // a health check was sent to a node
 	NodesUpdated                   // node discovery sent a message; Detail is the placement.NodeUpdateKind
-	NodeConnection                 // a node's connection was opened, or lost; Detail is 1 or 0
+	NodeConnection                 // a node's connection was opened (Detail is 1) or lost (Detail is 0)
 )
 
 var kindNames = [...]string{
@@ -34,5 +34,5 @@
 	NodeConnection: "node connection",
 }
 
-// String returns the kind's name in lower case, and "" for zero. It panics for any other number that is no kind.
+// String returns the kind's name in lower case, or "" for zero. It panics for any other value that is not a Kind.
 func (k Kind) String() string { return kindNames[k] }
