--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,16 +1,16 @@
-// Package timerqueue is a priority queue of values by the time at which they are due. Values that are due at the same
-// time stay in the order in which they were added. Times are milliseconds.
+// Package timerqueue provides a priority queue of values, ordered by due time. Values with the same due time are popped
+// in the order in which they were pushed. Times are milliseconds.
 package timerqueue
 
 import "grebeglade/placement"
 
-// Queue is a queue of values with the times at which they are due. The zero value is empty and ready to use.
+// Queue is a queue of values, ordered by due time. The zero value is an empty queue.
 type Queue[T any] struct {
-	items      []entry[T] // a binary heap: the first entry is due first
-	lastNumber uint64     // number of the value that was added last
+	items      []entry[T] // binary heap; the first entry has the earliest due time
+	lastNumber uint64     // number of the latest pushed value
 }
 
-// entry is a value with its place in the queue: by time, then by number.
+// entry is a value with its sort key: due time, then number.
 type entry[T any] struct {
 	at     placement.Millis
 	number uint64
@@ -20,7 +20,7 @@
 // Len returns the number of values in the queue.
 func (q *Queue[T]) Len() int { return len(q.items) }
 
-// Push adds a value that is due at the given time, and returns its number. Numbers begin at 1 and grow by one.
+// Push adds a value with its due time and returns its number. Numbers start at 1 and increase by 1.
 func (q *Queue[T]) Push(at placement.Millis, value T) uint64 {
 	q.lastNumber++
 	q.items = append(q.items, entry[T]{
@@ -32,7 +32,7 @@
 	return q.lastNumber
 }
 
-// NextTime returns the time of the first value, and false if the queue is empty.
+// NextTime returns the earliest due time in the queue, or false if the queue is empty.
 func (q *Queue[T]) NextTime() (placement.Millis, bool) {
 	if len(q.items) == 0 {
 		return 0, false
@@ -40,18 +40,19 @@
 	return q.items[0].at, true
 }
 
-// Pop removes the first value and returns it with its time and its number. It panics if the queue is empty.
+// Pop removes the value with the earliest due time, and returns it with its due time and its number. It panics if the
+// queue is empty.
 func (q *Queue[T]) Pop() (at placement.Millis, number uint64, value T) {
 	first := q.items[0]
 	last := len(q.items) - 1
 	q.items[0] = q.items[last]
-	q.items[last] = entry[T]{} // so that the value can be collected
+	q.items[last] = entry[T]{} // lets the garbage collector free the value
 	q.items = q.items[:last]
 	q.down(0)
 	return first.at, first.number, first.value
 }
 
-// up moves the entry at i towards the top until its parent is due before it.
+// up moves the entry at i towards the root until its parent sorts before it.
 func (q *Queue[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -63,7 +64,7 @@
 	}
 }
 
-// down moves the entry at i away from the top until it is due before its children.
+// down moves the entry at i away from the root until it sorts before its children.
 func (q *Queue[T]) down(i int) {
 	for {
 		first := i
@@ -82,7 +83,7 @@
 
 func (q *Queue[T]) swap(i, j int) { q.items[i], q.items[j] = q.items[j], q.items[i] }
 
-// before reports whether the entry at i is due before the one at j.
+// before reports whether the entry at i sorts before the entry at j.
 func (q *Queue[T]) before(i, j int) bool {
 	x := &q.items[i]
 	y := &q.items[j]
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -11,14 +11,14 @@
 	"grebeglade/placement"
 )
 
-// due is the place of a value in the model: by time, then by number.
+// due is the sort key of a value in the model: due time, then number.
 type due struct {
 	at     placement.Millis
 	number uint64
 }
 
-// The queue is compared with a sorted slice over random steps.
-func TestQueue_PopsByTimeThenInTheOrderOfPush(t *testing.T) {
+// Guards against a wrong order of popped values: random pushes and pops are compared with a sorted slice.
+func TestQueue_Pop_ByTimeThenPushOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[uint64] // each value is its own number
 		var model []due
