--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter serves the users' simulator on standard input and output: it makes the placement decisions
-// of the allocators that are simulated.
+// Command simulator-adapter makes the placement decisions for the allocators in a simulation. It reads the requests of
+// the users' simulator from standard input and writes replies to standard output.
 package main
 
 import (
