--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was received before a loop closes is answered, and the answer is written: a process that ends on a signal loses
-// no request that it has read. The test guards against workers that end before their queue is empty and event loops
-// that end before the last write. Draining could do harm if a handler has far more to do than closing may take.
+// Requests received before Close are answered, and the answers are written, so that a process that stops on a signal
+// drops no request it has read. The test guards against workers that stop before their queue is empty, and event loops
+// that stop before the last write. Draining delays Close if the handler has a long queue to handle.
 func TestLoop_RequestsReceivedBeforeCloseAreAnswered(t *testing.T) {
 	loop, handler, client := startBlocked(t)
 	closed := beginClose(loop, handler)
 	close(handler.resume)
-	for range 2 * sampleRequest().GetPlaceRequest().Key { // the number of answers to two requests
+	for range 2 * sampleRequest().GetPlaceRequest().Key { // number of answers to two requests
 		assertSampleAnswer(t, client)
 	}
 	<-closed
 }
 
-// An answer of which the peer has read only the beginning when the loop closes is still completed.
+// Guards against truncated answers: bytes in the write buffer of an event loop must be written before Close stops it.
 func TestLoop_AnswerInTheWriteBufferIsSentBeforeClose(t *testing.T) {
 	limits := DefaultLimits
 	limits.MaxWriteBuffer = 64 << 20
@@ -40,13 +40,13 @@
 	<-closed
 }
 
-// A handler can tell that the peer of a message has disconnected, so that it begins no work for the peer. The test
-// guards against such work delaying clients that still wait.
-func TestLoop_PeerThatHasGoneIsKnownBeforeClosedIsHandled(t *testing.T) {
+// IsClosed returns true for a disconnected peer whose Closed event is still queued. The test guards against handlers
+// that start work for disconnected peers, which delays clients that are still connected.
+func TestLoop_IsClosedReportsDisconnectedPeerBeforeClosedIsHandled(t *testing.T) {
 	loop, handler, client := startBlocked(t)
 	require.NoError(t, client.Close())
 	waitForQueued(t, loop, handler, 2)
 	close(handler.resume)
 	handler.waitUntil(t, func() bool { return len(handler.closed) == 1 })
-	assert.Equal(t, []bool{true, true}, handler.peerGone)
+	assert.Equal(t, []bool{true, true}, handler.peerClosed)
 }
--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -6,26 +6,26 @@
 	"syscall"
 )
 
-// Classes of the reasons for which a connection ends. The reason passed to a handler's Closed matches at most one of
-// them with errors.Is; its text gives the details. Frontends and simulated networks add reasons of their own.
+// Classes of close reasons. The reason passed to Handler.Closed matches at most one of them with errors.Is; its text
+// gives the details. Frontends and simulated networks define further reasons.
 var (
-	// ErrConnectionRefused means that nothing listens at the dialled address: no byte of any message was sent.
+	// ErrConnectionRefused means that nothing listens at the dialled address, so no bytes were sent.
 	ErrConnectionRefused = errors.New("connection refused")
-	// ErrDialFailed means that a dialled connection was not established for another reason, such as a timeout.
-	ErrDialFailed = errors.New("dialling failed")
-	// ErrClosedByPeer means that the peer has closed the connection.
+	// ErrDialFailed means that a connection could not be established for another reason, such as a timeout.
+	ErrDialFailed = errors.New("dial failed")
+	// ErrClosedByPeer means that the peer closed the connection.
 	ErrClosedByPeer = errors.New("closed by the peer")
-	// ErrConnectionLost means that reading or writing has failed, for example after a reset.
+	// ErrConnectionLost means that a read or write failed, for example after a reset.
 	ErrConnectionLost = errors.New("connection lost")
 	// ErrMalformedMessage means that the codec could not decode what the peer sent.
 	ErrMalformedMessage = errors.New("malformed message")
-	// ErrMessageTimeout means that a message was not complete within Limits.MessageTimeout.
-	ErrMessageTimeout = errors.New("message not complete")
+	// ErrMessageTimeout means that a message was still incomplete Limits.MessageTimeout after its first bytes.
+	ErrMessageTimeout = errors.New("message timed out")
 	// ErrSlowPeer means that more than Limits.MaxWriteBuffer bytes waited for the peer to read them.
-	ErrSlowPeer = errors.New("peer does not read")
+	ErrSlowPeer = errors.New("peer reads too slowly")
 )
 
-// closeError is an error of one of the classes above, with the text of its cause.
+// closeError matches one of the classes above and its cause; its text is that of the cause.
 type closeError struct {
 	class error
 	cause error
@@ -35,7 +35,7 @@
 
 func (e *closeError) Unwrap() []error { return []error{e.class, e.cause} }
 
-// dialError classifies the error with which dialling has failed.
+// dialError classifies an error of dialling.
 func dialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrConnectionRefused
@@ -43,7 +43,8 @@
 	return &closeError{class: ErrDialFailed, cause: err}
 }
 
-// socketError classifies the error with which an event loop has closed a connection; nil means an orderly close.
+// socketError classifies the error with which an event loop closed a connection. A nil error is an orderly close by the
+// peer.
 func socketError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/transport/closereason_test.go
+++ b/internal/transport/closereason_test.go
@@ -28,7 +28,7 @@
 	t.Run("orderly close", func(t *testing.T) {
 		assertClass(t, socketError(nil), ErrClosedByPeer, "closed by the peer")
 	})
-	t.Run("end of the input", func(t *testing.T) {
+	t.Run("end of input", func(t *testing.T) {
 		err := socketError(os.NewSyscallError("read", io.EOF))
 		assertClass(t, err, ErrClosedByPeer, "read: EOF")
 	})
@@ -38,7 +38,7 @@
 	})
 }
 
-// assertClass checks that a reason belongs to one class only, and that its text is the one given.
+// assertClass checks that the reason matches the class want and no other, and that it has the given text.
 func assertClass(t *testing.T, reason, want error, text string) {
 	t.Helper()
 	require.EqualError(t, reason, text)
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -6,21 +6,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Codec encodes and decodes the messages of one connection. An event loop calls Decode while the worker calls Append,
-// so the two must not share mutable state.
+// Codec encodes and decodes the messages of one connection. The event loop calls Decode and the worker calls Append,
+// possibly at the same time, so the two must not share mutable state.
 type Codec interface {
-	// Decode reads the first message of b and returns it with the number of bytes consumed, or 0 while the message is
-	// incomplete. It may consume bytes and return no message. After an error the connection ends.
+	// Decode returns the first message in b and the number of bytes consumed, which is 0 if the message is incomplete.
+	// It may consume bytes and return no message. An error closes the connection.
 	Decode(b []byte) (message any, consumed int, err error)
 	// Append appends the encoded message to b.
 	Append(b []byte, message any) ([]byte, error)
 }
 
-// Urgent marks a Codec of dialled connections. Messages of such a connection are handled before all others that are
-// queued for the handler, and are read even while the handler's queue is full.
+// Urgent marks a Codec whose dialled connections have priority: their messages are handled before all other queued
+// events of the handler, and are read even while its event queue is full.
 type Urgent interface{ Urgent() }
 
-// frameCodec is the Codec of the project's own protocol: frames of at most maxSize bytes.
+// frameCodec is the Codec of the project's own protocol, with frame bodies of at most maxSize bytes.
 type frameCodec struct{ maxSize int }
 
 func (f frameCodec) Decode(b []byte) (any, int, error) {
@@ -32,13 +32,13 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	return frame, headSize + len(body), nil
+	return frame, lengthPrefixSize + len(body), nil
 }
 
 func (f frameCodec) Append(b []byte, message any) ([]byte, error) {
 	frame, ok := message.(*pb.Frame)
 	if !ok {
-		return b, fmt.Errorf("encode %T: not a frame", message)
+		return b, fmt.Errorf("encode %T: expected *pb.Frame", message)
 	}
 	return AppendFrame(b, frame)
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -7,24 +7,24 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// priorityClass decides which event loop serves a connection. A full queue blocks the event loop that reads for it, and
-// with it the connections of the same class only.
+// priorityClass selects the event loop of a connection. Each class has its own event loop, so that an event loop that
+// is blocked by a full event queue delays only connections of its class.
 type priorityClass uint8
 
 const (
 	classIncoming priorityClass = iota
 	classOutgoing
-	classUrgent // dialled with an Urgent codec: its events are handled before those of the other classes
+	classUrgent // dialled with an Urgent codec; its events are handled before those of other classes
 	numClasses
 )
 
-// connState is the lifecycle of a connection as its worker sees it. It never moves back.
+// connState is the lifecycle state of a connection on its worker's goroutine. States are passed in increasing order.
 type connState uint8
 
 const (
-	statePending connState = iota // not established, or the handler is yet to be notified of it
+	statePending connState = iota // not established, or Handler.Opened not called yet
 	stateOpen
-	stateClosed // the handler has closed it, or was notified of its end
+	stateClosed // closed by the handler, or Handler.Closed was called
 )
 
 // connection is one connection of a worker.
@@ -32,27 +32,26 @@
 	worker *worker
 	class  priorityClass
 	codec  Codec
-	socket gnet.Conn // set by the event loop before it notifies the worker
+	socket gnet.Conn // set by the event loop before it queues eventOpened
 
 	// Used by the worker's goroutine only.
-	id          ConnID // of an incoming connection, zero until the worker handles its opening
+	id          ConnID // zero for an incoming connection until the worker handles its eventOpened
 	state       connState
-	cancelDial  context.CancelFunc // of dialled connections
-	writeBuffer []byte             // encoded messages that are not flushed yet
+	cancelDial  context.CancelFunc // nil for incoming connections
+	writeBuffer []byte             // encoded messages not yet flushed
 
 	shared     sharedState
 	incomplete incompleteMessage
 }
 
-// sharedState is what the worker and the event loop both access of a connection. The event loop may know of an end that
-// the worker has yet to handle.
+// sharedState is the state of a connection that its worker and its event loop both access.
 type sharedState struct {
-	ended       atomic.Bool           // the event loop has closed the socket
-	closeReason atomic.Pointer[error] // why this side ends the connection; nil if it does not
-	unwritten   atomic.Int64          // bytes that were flushed and that the event loop has yet to accept
+	ended       atomic.Bool           // socket closed by the event loop; the worker may not have handled eventClosed yet
+	closeReason atomic.Pointer[error] // why this side closes the connection; nil if it does not
+	unwritten   atomic.Int64          // bytes flushed by the worker and not yet accepted by the event loop
 }
 
-// open moves a connection to stateOpen, and reports false if the handler has already closed it.
+// open changes the state to stateOpen. It returns false if the handler has already closed the connection.
 func (c *connection) open() bool {
 	if c.state == stateClosed {
 		return false
@@ -61,7 +60,7 @@
 	return true
 }
 
-// close ends the connection for the handler, which is not notified.
+// close flushes and closes the connection on the handler's request. Handler.Closed is not called for it.
 func (c *connection) close() {
 	c.flush()
 	before := c.state
@@ -70,31 +69,31 @@
 	case stateOpen:
 		c.closeSocket()
 	case statePending:
-		c.cancelDial() // frees the descriptor now, not only when dialling would have failed
+		c.cancelDial() // frees the descriptor now instead of at the dial timeout
 	case stateClosed:
 		// The socket was closed when the connection reached this state.
 	}
 }
 
-// fail ends the connection for a reason with which the handler is notified. The first reason counts.
+// fail closes the connection and passes the reason to Handler.Closed. Only the first reason is kept.
 func (c *connection) fail(reason error) {
 	c.setCloseReason(reason)
 	c.closeSocket()
 }
 
-// setCloseReason records why this side ends the connection, unless a reason is recorded already.
+// setCloseReason records why this side closes the connection, unless a reason is already recorded.
 func (c *connection) setCloseReason(reason error) {
 	c.shared.closeReason.CompareAndSwap(nil, &reason)
 }
 
-// closeSocket has the event loop close the socket after what was flushed. If that fails, the socket stays open.
+// closeSocket has the event loop close the socket once all flushed bytes are written. On error the socket stays open.
 func (c *connection) closeSocket() {
 	if err := c.socket.Close(); err != nil {
 		c.worker.loop.log.Warn("connection not closed", "peer", c.socket.RemoteAddr(), "error", err)
 	}
 }
 
-// reason returns why the connection has ended, given the error with which the event loop has closed it.
+// reason returns the reason for Handler.Closed: the recorded one, or the class of err, the event loop's error.
 func (c *connection) reason(err error) error {
 	if own := c.shared.closeReason.Load(); own != nil {
 		return *own
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -12,16 +12,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-var errTestSocket = errors.New("the socket fails")
+var errTestSocket = errors.New("socket failed")
 
-// failingSocket is a socket on which writing and closing fail.
+// failingSocket is a socket whose AsyncWrite and Close fail.
 type failingSocket struct{ gnet.Conn }
 
 func (failingSocket) Close() error                                { return errTestSocket }
 func (failingSocket) AsyncWrite([]byte, gnet.AsyncCallback) error { return errTestSocket }
 func (failingSocket) RemoteAddr() net.Addr                        { return &net.TCPAddr{Port: 7} }
 
-// loggedWorker returns a worker that is not running, and its log.
+// loggedWorker returns a worker whose goroutine is not started, and its log output.
 func loggedWorker(limits Limits) (*worker, *strings.Builder) {
 	var log strings.Builder
 	loop := NewLoop(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
@@ -42,10 +42,10 @@
 	c := openFailing(w)
 	c.close()
 	assert.Equal(t, stateClosed, c.state)
-	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="the socket fails"`)
+	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="socket failed"`)
 }
 
-func TestConnection_FailedWriteIsTheReasonOfItsEnd(t *testing.T) {
+func TestConnection_FailedWriteIsTheCloseReason(t *testing.T) {
 	w, _ := loggedWorker(DefaultLimits)
 	c := openFailing(w)
 	c.writeBuffer = []byte{1}
@@ -53,10 +53,10 @@
 	reason := c.reason(nil)
 	require.ErrorIs(t, reason, ErrConnectionLost)
 	require.ErrorIs(t, reason, errTestSocket)
-	assert.EqualError(t, reason, "write: the socket fails")
+	assert.EqualError(t, reason, "write: socket failed")
 }
 
-func TestConnection_FirstReasonOfItsEndCounts(t *testing.T) {
+func TestConnection_FirstCloseReasonIsKept(t *testing.T) {
 	w, _ := loggedWorker(DefaultLimits)
 	c := openFailing(w)
 	c.failSlowPeer()
--- a/internal/transport/connectionwrite.go
+++ b/internal/transport/connectionwrite.go
@@ -22,8 +22,8 @@
 	c.worker.loop.Stats.Writes.Add(1)
 	err := c.socket.AsyncWrite(out, func(socket gnet.Conn, err error) error {
 		c.shared.unwritten.Add(-int64(len(out)))
-		// What the peer has not read by now is buffered in the event loop. Over the limit the connection ends, so that
-		// other connections are not delayed.
+		// The event loop buffers what the socket does not accept. Above the limit the connection is closed, so that its
+		// buffer does not delay other connections.
 		if err == nil && socket != nil && socket.OutboundBuffered() > maxBuffer {
 			c.failSlowPeer()
 		}
@@ -34,8 +34,8 @@
 	}
 }
 
-// buffered returns how many of the flushed bytes the event loop has not written to the socket. It returns 0 once the
-// connection or ctx has ended.
+// buffered returns the number of flushed bytes that the event loop has not yet written to the socket. It returns 0 if
+// the connection or ctx has ended.
 func (c *connection) buffered(ctx context.Context) int {
 	remaining := make(chan int, 1)
 	// The callback runs after all earlier writes.
@@ -58,8 +58,8 @@
 	}
 }
 
-// failSlowPeer ends the connection because its peer does not read.
+// failSlowPeer closes the connection because more than MaxWriteBuffer bytes wait for the peer to read them.
 func (c *connection) failSlowPeer() {
 	c.worker.loop.Stats.SlowPeers.Add(1)
-	c.fail(fmt.Errorf("%w: over %d bytes wait to be written", ErrSlowPeer, c.worker.limits.MaxWriteBuffer))
+	c.fail(fmt.Errorf("%w: write buffer exceeds %d bytes", ErrSlowPeer, c.worker.limits.MaxWriteBuffer))
 }
--- a/internal/transport/conntable.go
+++ b/internal/transport/conntable.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// drainPoll is the time between two checks of what an event loop has yet to write.
-const drainPoll = 2 * time.Millisecond
+// drainPollInterval is the time between two checks of the bytes that an event loop has not yet written.
+const drainPollInterval = 2 * time.Millisecond
 
-// connTable holds the connections of a worker by ID: those that are open and those that are being dialled.
+// connTable holds the open and dialling connections of a worker by ID.
 type connTable struct {
 	byID      map[ConnID]*connection
 	lastID    ConnID
-	unflushed []*connection // connections with encoded messages
+	unflushed []*connection // connections with a non-empty writeBuffer
 }
 
 func newConnTable() connTable { return connTable{byID: map[ConnID]*connection{}} }
 
-// add adds a connection, and gives it an ID if it has none. A dialled connection is added again, under its ID, when it
-// opens.
+// add adds a connection and assigns it an ID if it has none. Dialled connections are added twice, with the same ID:
+// when dialling starts and when they open.
 func (t *connTable) add(c *connection) {
 	if c.id == 0 {
 		t.lastID++
@@ -30,13 +30,12 @@
 // find returns the connection with an ID, or nil if it was removed.
 func (t *connTable) find(id ConnID) *connection { return t.byID[id] }
 
-// remove removes the connection with an ID, if there is one.
 func (t *connTable) remove(id ConnID) { delete(t.byID, id) }
 
-// markUnflushed notes that a connection has got its first message since the last flush.
+// markUnflushed adds a connection to those that flush handles. It is called for the first message after a flush.
 func (t *connTable) markUnflushed(c *connection) { t.unflushed = append(t.unflushed, c) }
 
-// flush passes the messages of all connections to the event loops.
+// flush passes the write buffers of all unflushed connections to the event loops.
 func (t *connTable) flush() {
 	for _, c := range t.unflushed {
 		c.flush()
@@ -44,11 +43,11 @@
 	t.unflushed = t.unflushed[:0]
 }
 
-// drain waits until everything flushed is written to the sockets, or ctx has ended. The worker must have stopped.
+// drain waits until all flushed bytes are written to the sockets, or ctx ends. The worker must have stopped.
 func (t *connTable) drain(ctx context.Context) {
 	for _, c := range t.byID {
 		for c.state == stateOpen && c.buffered(ctx) > 0 {
-			time.Sleep(drainPoll)
+			time.Sleep(drainPollInterval)
 		}
 	}
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// dial establishes the connection and hands it to its event loop, which reports that it is open. A failure is queued as
-// the connection's end. It blocks for as long as ctx allows.
+// dial connects to addr and registers the socket with an event loop, which queues eventOpened. On failure it queues
+// eventClosed. It blocks until it has succeeded or failed, or ctx ends.
 func (c *connection) dial(ctx context.Context, addr string) {
 	defer c.cancelDial()
 	if err := c.connect(ctx, addr); err != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-// connect dials addr and registers the socket with an event loop. Its errors are classified by dialError.
+// connect dials addr and registers the socket with an event loop. It returns errors of dialError.
 func (c *connection) connect(ctx context.Context, addr string) error {
 	var dialer net.Dialer
 	socket, err := dialer.DialContext(ctx, "tcp", addr)
@@ -26,7 +26,7 @@
 		return dialError(err)
 	}
 	if err := c.worker.loops.register(socket, c); err != nil {
-		_ = socket.Close() // nothing was written to it, and the attempt may have closed it
+		_ = socket.Close() // nothing was written; the failed registration may have closed it already
 		return dialError(err)
 	}
 	return nil
--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -10,21 +10,21 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxRegistering bounds the connections that are registered with event loops at once, since each of them holds two
-// descriptors meanwhile.
+// maxRegistering limits concurrent registrations with event loops, since a connection uses two descriptors while it is
+// being registered.
 const maxRegistering = 4
 
-var errLoopClosed = errors.New("the loop is closed")
+var errLoopClosed = errors.New("transport loop is closed")
 
-// eventLoops are the event loops of one worker, one for each priority class. Each starts with its first connection.
+// eventLoops holds the event loops of one worker, one per priority class. Each is started for its first connection.
 type eventLoops struct {
 	events      *socketEvents
 	log         *slog.Logger
-	closed      <-chan struct{} // once closed, no event loop starts
-	registering chan struct{}   // holds a value for each connection that is being registered
+	closed      <-chan struct{} // once closed, no event loop is started
+	registering chan struct{}   // semaphore: holds a value per registration in progress
 
 	mu    sync.Mutex
-	loops [numClasses]*gnet.Client // nil until started
+	loops [numClasses]*gnet.Client // by priorityClass; nil until started
 }
 
 func newEventLoops(events *socketEvents, log *slog.Logger, closed <-chan struct{}) *eventLoops {
@@ -36,9 +36,9 @@
 	}
 }
 
-// register hands an established connection to the event loop of its class. On success the event loop owns the socket.
+// register adds an established connection to the event loop of its class. On success the event loop owns the socket.
 func (l *eventLoops) register(socket net.Conn, c *connection) error {
-	// An urgent connection does not queue behind the hundreds that are dialled at a start.
+	// An urgent connection skips the semaphore, for which hundreds of connections may queue during a start.
 	if c.class != classUrgent {
 		l.registering <- struct{}{}
 		defer func() { <-l.registering }()
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// start returns the event loop of a class, and starts it if it does not run yet.
+// start returns the event loop of a class, which it starts on first use. After the loop is closed it returns
+// errLoopClosed.
 func (l *eventLoops) start(class priorityClass) (*gnet.Client, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -10,10 +10,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// headSize is the size of the length in front of each frame: four bytes, big-endian.
-const headSize = 4
+// lengthPrefixSize is the size in bytes of the big-endian body length in front of each frame.
+const lengthPrefixSize = 4
 
-// AppendFrame appends a frame with its length to b. On error it returns b without the frame.
+// AppendFrame appends the encoded frame with its length prefix to b. On error it returns b unchanged.
 func AppendFrame(b []byte, f *pb.Frame) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0)
@@ -21,55 +21,55 @@
 	if err != nil {
 		return b[:start], fmt.Errorf("encode frame: %w", err)
 	}
-	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-headSize))
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-lengthPrefixSize))
 	return b, nil
 }
 
-// SplitFrame returns the body of the first frame of b and what follows it, or nil and b while the frame is incomplete.
-// A length over maxSize is an error, after which the rest of the stream cannot be decoded.
+// SplitFrame returns the body of the first frame in b and the bytes after it, or nil and b if the frame is incomplete.
+// A length above maxSize is an error, after which the rest of the stream cannot be decoded.
 func SplitFrame(b []byte, maxSize int) (body, rest []byte, err error) {
-	if len(b) < headSize {
+	if len(b) < lengthPrefixSize {
 		return nil, b, nil
 	}
 	size, err := frameSize(b, maxSize)
 	if err != nil {
 		return nil, b, err
 	}
-	if len(b)-headSize < size {
+	if len(b)-lengthPrefixSize < size {
 		return nil, b, nil
 	}
-	return b[headSize : headSize+size], b[headSize+size:], nil
+	return b[lengthPrefixSize : lengthPrefixSize+size], b[lengthPrefixSize+size:], nil
 }
 
-// ReadFrame reads the next frame of a stream, and blocks until it is complete. A length over maxSize is an error. The
+// ReadFrame reads the next frame of a stream, and blocks until it is complete. A length above maxSize is an error. The
 // error matches io.EOF if the stream ends between two frames.
 func ReadFrame(r io.Reader, maxSize int) (*pb.Frame, error) {
-	var head [headSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var prefix [lengthPrefixSize]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, fmt.Errorf("read frame: %w", err)
 	}
-	size, err := frameSize(head[:], maxSize)
+	size, err := frameSize(prefix[:], maxSize)
 	if err != nil {
 		return nil, err
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, fmt.Errorf("frame cut short: %w", err)
+		return nil, fmt.Errorf("frame body truncated: %w", err)
 	}
 	return DecodeFrame(body)
 }
 
-// frameSize decodes the length in front of a frame.
-func frameSize(head []byte, maxSize int) (int, error) {
-	size := binary.BigEndian.Uint32(head)
+// frameSize decodes a length prefix. A length above maxSize is an error.
+func frameSize(prefix []byte, maxSize int) (int, error) {
+	size := binary.BigEndian.Uint32(prefix)
 	if uint64(size) > uint64(maxSize) {
-		return 0, fmt.Errorf("frame of %d bytes is over the limit of %d", size, maxSize)
+		return 0, fmt.Errorf("frame of %d bytes exceeds the limit of %d bytes", size, maxSize)
 	}
 	return int(size), nil
 }
 
-// DecodeFrame decodes the body of a frame. A frame without any known content is an error: either its protocol version
-// is later than the one agreed on, or it is not a frame.
+// DecodeFrame decodes the body of a frame. It returns an error if none of the fields of Frame.Body is set: the frame is
+// of a later protocol version than the one agreed on, or it is not a frame.
 func DecodeFrame(body []byte) (*pb.Frame, error) {
 	f := &pb.Frame{}
 	if err := proto.Unmarshal(body, f); err != nil {
@@ -77,7 +77,7 @@
 	}
 	if f.Body == nil {
 		return nil, fmt.Errorf(
-			"frame of %d bytes holds nothing that version %d.%d knows", len(body), pb.Major, pb.Minor,
+			"frame of %d bytes has no body that protocol version %d.%d defines", len(body), pb.Major, pb.Minor,
 		)
 	}
 	return f, nil
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(sampleRequest(), f))
 	for n := range body {
-		_, err := DecodeFrame(body[:n]) // malformed, or another frame; never a panic
+		_, err := DecodeFrame(body[:n]) // must not panic; a truncated body may decode as another frame
 		if n == 0 {
 			assert.Error(t, err)
 		}
@@ -49,12 +49,12 @@
 func TestDecodeFrame_UnknownFieldIsIgnoredAndUnknownFrameRejected(t *testing.T) {
 	body, err := proto.Marshal(sampleRequest())
 	require.NoError(t, err)
-	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, such as a later minor version might add
+	later := slices.Concat(body, []byte{0xba, 0x3e, 1, 0}) // field 999, as a later minor version may add
 	f, err := DecodeFrame(later)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(7), f.GetPlaceRequest().RequestId)
 	_, err = DecodeFrame(later[len(body):])
-	assert.ErrorContains(t, err, "holds nothing that version 1.1 knows")
+	assert.ErrorContains(t, err, "has no body that protocol version 1.1 defines")
 }
 
 func TestReadFrame_StreamOfFrames(t *testing.T) {
@@ -65,9 +65,9 @@
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(sampleRequest(), f))
 	_, err = ReadFrame(r, 1000)
-	require.EqualError(t, err, "frame cut short: unexpected EOF")
+	require.EqualError(t, err, "frame body truncated: unexpected EOF")
 	_, err = ReadFrame(bytes.NewReader(complete), 10)
-	require.ErrorContains(t, err, "over the limit of 10")
+	require.ErrorContains(t, err, "exceeds the limit of 10 bytes")
 }
 
 func FuzzFrames(f *testing.F) {
@@ -84,7 +84,7 @@
 				return
 			}
 			assert.LessOrEqual(t, len(body), maxSize)
-			assert.Equal(t, len(b), headSize+len(body)+len(rest))
+			assert.Equal(t, len(b), lengthPrefixSize+len(body)+len(rest))
 			if frame, err := DecodeFrame(body); err == nil {
 				again, err := AppendFrame(nil, frame)
 				require.NoError(t, err)
--- a/internal/transport/framehandler.go
+++ b/internal/transport/framehandler.go
@@ -5,7 +5,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// FrameHandler is a handler of frames; its methods have the contract of Handler's.
+// FrameHandler handles frames. Its methods have the same contract as those of Handler.
 type FrameHandler interface {
 	Start(now placement.Millis, n FrameNetwork)
 	Opened(now placement.Millis, c ConnID)
@@ -14,8 +14,8 @@
 	Wake(now placement.Millis)
 }
 
-// FrameNetwork is the means by which a FrameHandler acts; its methods have the contract of Network's. A frame must not
-// be changed after it was passed to Send.
+// FrameNetwork is the output side of a FrameHandler. Its methods have the same contract as those of Network. A frame
+// must not be changed after it is passed to Send.
 type FrameNetwork interface {
 	Dial(addr string) ConnID
 	Send(c ConnID, f *pb.Frame)
@@ -24,7 +24,7 @@
 	Now() placement.Millis
 }
 
-// dialTimeout is how long a connection for frames may take to be established.
+// dialTimeout is the time limit in milliseconds for establishing a connection that carries frames.
 const dialTimeout = placement.Millis(2000)
 
 // frameHandler adapts a FrameHandler to Handler.
--- a/internal/transport/gnetlogger.go
+++ b/internal/transport/gnetlogger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// gnetLogger adapts a logger to gnet. Warnings and errors of gnet become debug lines, since this package reports
-// failures itself; debug and info lines of gnet are dropped.
+// gnetLogger adapts a slog.Logger to gnet. Warnings and errors of gnet are logged at debug level, since this package
+// reports failures itself; debug and info messages of gnet are dropped.
 type gnetLogger struct{ log *slog.Logger }
 
 func (g gnetLogger) Debugf(string, ...any) {}
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -2,36 +2,37 @@
 
 import "grebeglade/placement"
 
-// Handler handles the events of its connections, with messages as their codecs decode them.
+// Handler handles the events of its connections. Messages have the type that the connection's codec decodes.
 type Handler interface {
-	// Start is called once, before any other method, with the network through which the handler acts.
+	// Start is called once, before any other method. The handler keeps n for its output.
 	Start(now placement.Millis, n Network)
-	// Opened reports that a connection is established, either dialled or accepted.
+	// Opened reports that a dialled or accepted connection is established.
 	Opened(now placement.Millis, c ConnID)
-	// Received delivers a message. Messages of a connection arrive in the order in which the peer sent them.
+	// Received delivers a message. Messages of a connection are delivered in the order in which the peer sent them.
 	Received(now placement.Millis, c ConnID, message any)
-	// Closed reports that a connection has ended, or that dialling it has failed. The reason is never nil, and matches
-	// its class, one of this package's errors, with errors.Is. Closed is not called after the handler's own Close.
+	// Closed reports that a connection has ended, or that dialling it failed. The reason is never nil; errors.Is matches
+	// it to its class, such as ErrConnectionLost. Closed is not called for a connection that the handler has closed.
 	Closed(now placement.Millis, c ConnID, reason error)
-	// Wake is called once the time given to WakeAt has come.
+	// Wake is called at the time passed to WakeAt, or later.
 	Wake(now placement.Millis)
 }
 
-// Network is the means by which a Handler acts. None of its methods calls the handler before it returns.
+// Network is the output side of a Handler. Its methods never call the handler synchronously.
 type Network interface {
-	// DialCodec dials an address for messages of a codec. Dialling fails after the timeout.
+	// DialCodec starts to dial addr for a connection with the given codec, and returns its ID. Dialling fails after the
+	// timeout.
 	DialCodec(addr string, codec Codec, timeout placement.Millis) ConnID
-	// Send sends a message, which is dropped if the connection is not open.
+	// Send sends a message. The message is dropped if the connection is not open.
 	Send(c ConnID, message any)
-	// Close ends a connection once what was sent on it is written, or gives up dialling it.
+	// Close closes a connection after all sent messages are written, or cancels dialling it.
 	Close(c ConnID)
-	// IsClosed reports whether a connection has ended, even if the handler is yet to be notified.
+	// IsClosed reports whether a connection has ended, including one for which Closed is not called yet.
 	IsClosed(c ConnID) bool
-	// WakeAt sets the handler's only wake-up; another call replaces it.
+	// WakeAt sets the time of the next call of Wake. Each call replaces the time set before.
 	WakeAt(t placement.Millis)
 	// Now returns the time of the event that is being handled.
 	Now() placement.Millis
-	// ReceivedAt returns the time at which the current message was read from its socket. It is before Now while the
-	// handler is busy.
+	// ReceivedAt returns the time at which the current message was read from its socket. It is earlier than Now if the
+	// message was queued while the handler was busy.
 	ReceivedAt() placement.Millis
 }
--- a/internal/transport/handlers_test.go
+++ b/internal/transport/handlers_test.go
@@ -12,15 +12,15 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// echoHandler answers each request as many times as its key says, and records its notifications.
+// echoHandler answers each request Key times, at least once, and records the events it receives.
 type echoHandler struct {
-	dialAddr string // dialled at the start, unless empty
+	dialAddr string // dialled in Start unless empty
 
 	mu       sync.Mutex
 	network  FrameNetwork
 	opened   int
 	requests int
-	closed   []error // reasons of the connections that have ended
+	closed   []error // close reasons, in the order of the calls of Closed
 }
 
 func (e *echoHandler) Start(_ placement.Millis, n FrameNetwork) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// floodRequest returns a request that an echoHandler answers so many times, with 60 kB each.
+// floodRequest returns a request that an echoHandler answers with the given number of answers of 60 kB each.
 func floodRequest(answers uint64) *pb.Frame {
 	f := sampleRequest()
 	f.GetPlaceRequest().Key = answers
@@ -66,7 +66,7 @@
 	return f
 }
 
-// waitUntil waits for a condition on the handler's records.
+// waitUntil waits until the condition is true. It is evaluated with mu held.
 func (e *echoHandler) waitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -76,7 +76,7 @@
 	}, eventually, time.Millisecond)
 }
 
-// closeReasons waits for the end of n connections and returns their reasons.
+// closeReasons waits until n connections have ended, and returns their close reasons.
 func (e *echoHandler) closeReasons(t *testing.T, n int) []error {
 	t.Helper()
 	e.waitUntil(t, func() bool { return len(e.closed) == n })
@@ -85,21 +85,21 @@
 	return slices.Clone(e.closed)
 }
 
-// blockingHandler blocks in its first call of Received until resume is closed, and records for each frame whether the
-// connection had ended by then.
+// blockingHandler blocks in its first call of Received until resume is closed, and records for each frame whether
+// IsClosed returned true for its connection.
 type blockingHandler struct {
 	echoHandler
-	busy     chan struct{} // closed once the handler blocks
-	resume   chan struct{}
-	once     sync.Once
-	peerGone []bool
+	busy       chan struct{} // closed once the handler blocks
+	resume     chan struct{}
+	once       sync.Once
+	peerClosed []bool // result of IsClosed for each frame
 }
 
 func newBlockingHandler() *blockingHandler {
 	return &blockingHandler{busy: make(chan struct{}), resume: make(chan struct{})}
 }
 
-// block blocks when it is called for the first time.
+// block blocks until resume is closed, if it is called for the first time.
 func (h *blockingHandler) block() {
 	h.once.Do(func() {
 		close(h.busy)
@@ -110,7 +110,7 @@
 func (h *blockingHandler) Received(now placement.Millis, c ConnID, f *pb.Frame) {
 	h.block()
 	h.mu.Lock()
-	h.peerGone = append(h.peerGone, h.network.(frameNetwork).IsClosed(c))
+	h.peerClosed = append(h.peerClosed, h.network.(frameNetwork).IsClosed(c))
 	h.mu.Unlock()
 	h.echoHandler.Received(now, c, f)
 }
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -15,7 +15,7 @@
 // eventually is how long a test waits for an event that must occur.
 const eventually = 20 * time.Second
 
-// startEcho runs an echoHandler on a loop of its own, and returns its address.
+// startEcho runs an echoHandler on a new loop, and returns its address.
 func startEcho(t *testing.T, limits Limits) (*Loop, *echoHandler, string) {
 	t.Helper()
 	echo := &echoHandler{}
@@ -23,7 +23,7 @@
 	return loop, echo, addr
 }
 
-// start runs a handler on a loop of its own, and returns its address.
+// start runs a handler on a new loop until the end of the test, and returns its address.
 func start(t *testing.T, h FrameHandler, limits Limits) (*Loop, string) {
 	t.Helper()
 	loop := NewLoop(nil)
@@ -34,8 +34,8 @@
 	return loop, addr
 }
 
-// startBlocked runs a blockingHandler that blocks in the first request of a client, and has the client's second request
-// queued.
+// startBlocked runs a blockingHandler that is blocked in the first request of a client, while the client's second
+// request is queued.
 func startBlocked(t *testing.T) (loop *Loop, handler *blockingHandler, client net.Conn) {
 	t.Helper()
 	handler = newBlockingHandler()
@@ -48,8 +48,8 @@
 	return loop, handler, client
 }
 
-// beginClose calls Close of the loop, and returns once the queue of a handler is closed. The returned channel is closed
-// when Close has returned.
+// beginClose calls Close of the loop on a goroutine, and returns once the queue of h is closed. The returned channel is
+// closed when Close returns.
 func beginClose(loop *Loop, h FrameHandler) (closed <-chan struct{}) {
 	queue := loop.worker(h).queue
 	done := make(chan struct{})
@@ -61,7 +61,7 @@
 	return done
 }
 
-// waitForQueued waits until at least so many events that are not urgent are queued for a handler.
+// waitForQueued waits until at least the given number of events is queued for h, not counting urgent ones.
 func waitForQueued(t *testing.T, loop *Loop, h FrameHandler, events int) {
 	t.Helper()
 	queue := loop.worker(h).queue
@@ -72,7 +72,7 @@
 	}, eventually, time.Millisecond)
 }
 
-// dial connects to an address, until the end of the test.
+// dial connects to an address. The connection is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -81,7 +81,7 @@
 	return conn
 }
 
-// acceptOne accepts the connection of a handler that dials the listener.
+// acceptOne accepts one connection, dialled by a handler. It is closed at the end of the test.
 func acceptOne(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
 	conn, err := ln.Accept()
@@ -106,7 +106,7 @@
 
 func read(r io.Reader) (*pb.Frame, error) { return ReadFrame(r, 1<<30) }
 
-// assertSampleAnswer reads an answer to a sampleRequest.
+// assertSampleAnswer reads a frame, and checks that it answers a sampleRequest.
 func assertSampleAnswer(t *testing.T, r io.Reader) {
 	t.Helper()
 	f, err := read(r)
--- a/internal/transport/hello_test.go
+++ b/internal/transport/hello_test.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// assertRejected checks that a first frame is rejected with that error, of which the text is the reason for the peer.
+// assertRejected checks that CheckHello returns the error want, with the given text, for a first frame.
 func assertRejected(t *testing.T, f *pb.Frame, want error, reason string) {
 	t.Helper()
 	hello, err := transport.CheckHello(f)
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -2,36 +2,37 @@
 
 import "grebeglade/placement"
 
-// Limits bound the resources that peers can make a handler use.
+// Limits bounds the resources that the peers of a handler can consume.
 type Limits struct {
-	MaxFrameSize   int // bytes of one frame
-	MaxWriteBuffer int // bytes that wait to be written to one peer; beyond that its connection ends
-	MaxConnections int // incoming connections of one handler
+	MaxFrameSize   int // size of a frame body in bytes
+	MaxWriteBuffer int // unwritten bytes per connection; above it the connection is closed
+	MaxConnections int // open incoming connections per handler
 
-	// PauseAcceptAtLimit leaves connections over MaxConnections in the listener's backlog until another has ended. It
-	// is meant for handlers that evict connections. Otherwise connections over the limit are rejected.
+	// PauseAcceptAtLimit leaves connections above MaxConnections in the listen backlog until another connection ends.
+	// It suits handlers that evict idle connections. If false, connections above the limit are rejected.
 	PauseAcceptAtLimit bool
 
-	// MaxQueuedEvents is about how many events may be queued for the handler. Beyond that nothing more is read for it,
-	// and its peers wait. Zero means defaultQueuedEvents.
+	// MaxQueuedEvents is the approximate limit of events queued for the handler. Above it, its sockets are not read, so
+	// that TCP flow control slows its peers down. Zero means defaultQueuedEvents.
 	MaxQueuedEvents int
 
-	// MessageTimeout is how long a message may take from its first bytes to its last; zero means no limit. It guards
-	// against peers that stop in the middle of a message and stay connected. A low value harms peers on slow networks.
+	// MessageTimeout is the time limit in milliseconds from the first to the last byte of a message; zero means no
+	// limit. It guards against peers that stop in the middle of a message and stay connected. A low value disconnects
+	// peers on slow networks.
 	MessageTimeout placement.Millis
 }
 
-// DefaultLimits suit handlers without special needs.
+// DefaultLimits are the limits of AddHandler: 1 MiB per frame, 4 MiB of unwritten bytes per connection.
 var DefaultLimits = Limits{
 	MaxFrameSize:   1 << 20,
 	MaxWriteBuffer: 4 << 20,
 	MaxConnections: 4096,
 }
 
-// defaultQueuedEvents bounds a handler's queue if its limits do not.
+// defaultQueuedEvents is used when Limits.MaxQueuedEvents is zero.
 const defaultQueuedEvents = 1 << 16
 
-// withDefaults replaces the limits for which zero means a default.
+// withDefaults returns the limits with MaxQueuedEvents set to its default if it is zero.
 func (l Limits) withDefaults() Limits {
 	if l.MaxQueuedEvents == 0 {
 		l.MaxQueuedEvents = defaultQueuedEvents
--- a/internal/transport/limits_test.go
+++ b/internal/transport/limits_test.go
@@ -9,21 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// smallLimits allow ten connections, and frames in which a sampleRequest fits.
+// smallLimits allows ten connections, and frames that are large enough for a sampleRequest.
 var smallLimits = Limits{
 	MaxFrameSize:   1000,
 	MaxWriteBuffer: 1 << 20,
 	MaxConnections: 10,
 }
 
-func TestLoop_MalformedFrameEndsItsConnectionOnly(t *testing.T) {
+// Guards against a malformed frame that closes the connections of other peers.
+func TestLoop_MalformedFrameClosesItsConnectionOnly(t *testing.T) {
 	loop, echo, addr := startEcho(t, smallLimits)
 	good := dial(t, addr)
 	malformed := [][]byte{
-		{0, 0, 4, 0, 1},          // 1024 bytes, over MaxFrameSize
-		{0xff, 0xff, 0xff, 0xff}, // 4 GiB
+		{0, 0, 4, 0, 1},          // length of 1024 bytes, above MaxFrameSize
+		{0xff, 0xff, 0xff, 0xff}, // length of 4 GiB
 		{0, 0, 0, 2, 0xff, 0xff}, // not a protobuf message
-		{0, 0, 0, 0},             // an empty frame
+		{0, 0, 0, 0},             // empty frame
 	}
 	for _, bad := range malformed {
 		client := dial(t, addr)
@@ -33,7 +34,7 @@
 		require.Error(t, err, "%v", bad)
 	}
 	reasons := echo.closeReasons(t, 4)
-	require.ErrorContains(t, reasons[0], "over the limit of 1000")
+	require.ErrorContains(t, reasons[0], "exceeds the limit of 1000 bytes")
 	for _, reason := range reasons {
 		require.ErrorIs(t, reason, ErrMalformedMessage)
 	}
@@ -42,7 +43,9 @@
 	assertSampleAnswer(t, good)
 }
 
-func TestLoop_IncompleteMessageEndsItsConnectionAfterTheTimeout(t *testing.T) {
+// Guards against peers that occupy a connection by sending a part of a message only. Idle connections, and a message
+// that arrives in two parts before the timeout, are not affected.
+func TestLoop_IncompleteMessageClosesItsConnectionAfterTheTimeout(t *testing.T) {
 	limits := DefaultLimits
 	limits.MessageTimeout = 50
 	_, echo, addr := startEcho(t, limits)
@@ -53,14 +56,14 @@
 	require.NoError(t, err)
 	_, err = inTime.Write(request[:5])
 	require.NoError(t, err)
-	time.Sleep(5 * time.Millisecond) // so that the beginning is read alone
+	time.Sleep(5 * time.Millisecond) // so that the first part is read separately
 	_, err = inTime.Write(request[5:])
 	require.NoError(t, err)
 	_, err = incomplete.Write([]byte{0, 0})
 	require.NoError(t, err)
 	reasons := echo.closeReasons(t, 1)
 	require.ErrorIs(t, reasons[0], ErrMessageTimeout)
-	require.EqualError(t, reasons[0], "message not complete after 50 ms")
+	require.EqualError(t, reasons[0], "message timed out: incomplete 50 ms after its first bytes")
 	_, err = read(incomplete)
 	require.Error(t, err)
 	for _, client := range []net.Conn{idle, inTime} {
@@ -71,23 +74,24 @@
 	echo.closeReasons(t, 1)
 }
 
-func TestLoop_PeerThatDoesNotReadIsDisconnectedAndOthersServed(t *testing.T) {
+// Guards against a peer that does not read: its answers must not consume unlimited memory or delay other peers.
+func TestLoop_PeerThatDoesNotReadIsDisconnectedAndOthersAreServed(t *testing.T) {
 	limits := DefaultLimits
 	limits.MaxWriteBuffer = 256 << 10
 	loop, echo, addr := startEcho(t, limits)
 	slow := dial(t, addr)
-	quick := dial(t, addr)
+	healthy := dial(t, addr)
 	write(t, slow, floodRequest(300))
 	reasons := echo.closeReasons(t, 1)
-	require.EqualError(t, reasons[0], "peer does not read: over 262144 bytes wait to be written")
+	require.EqualError(t, reasons[0], "peer reads too slowly: write buffer exceeds 262144 bytes")
 	require.ErrorIs(t, reasons[0], ErrSlowPeer)
 	assert.NotZero(t, loop.Stats.SlowPeers.Load())
-	write(t, quick, sampleRequest())
-	_, err := read(quick)
+	write(t, healthy, sampleRequest())
+	_, err := read(healthy)
 	assert.NoError(t, err)
 }
 
-func TestLoop_ConnectionOverTheLimitIsRejectedWithTheReason(t *testing.T) {
+func TestLoop_ConnectionAboveTheLimitIsRejectedWithARefusal(t *testing.T) {
 	limits := smallLimits
 	limits.MaxConnections = 2
 	loop, echo, addr := startEcho(t, limits)
@@ -104,7 +108,7 @@
 	echo.waitUntil(t, func() bool { return echo.requests == 1 })
 }
 
-func TestLoop_ConnectionOverTheLimitWaitsForASlotWhereAcceptPauses(t *testing.T) {
+func TestLoop_ConnectionAboveTheLimitIsAcceptedOnceASlotIsFreeWithPauseAcceptAtLimit(t *testing.T) {
 	limits := smallLimits
 	limits.MaxConnections = 2
 	limits.PauseAcceptAtLimit = true
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// acceptPause is how long a listener waits after a connection could not be accepted, mostly for lack of a descriptor.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is how long a listener waits after Accept has failed, usually because the process has no free file
+// descriptor.
+const acceptRetryDelay = 10 * time.Millisecond
 
 // listener accepts a worker's incoming connections.
 type listener struct {
@@ -20,12 +21,12 @@
 	newCodec func() Codec
 	open     atomic.Int64 // number of incoming connections
 
-	// slots holds a value for each incoming connection and for the one that is to be accepted next. It is nil if
-	// connections over the limit are rejected.
+	// slots is a semaphore: it holds a value for each incoming connection, and one for the next Accept. It is nil if
+	// connections above the limit are rejected.
 	slots chan struct{}
 }
 
-// newListener opens a listener for a worker. The system chooses the port if it is 0.
+// newListener opens a listener for a worker. If the port of addr is 0, the operating system chooses one.
 func newListener(addr string, owner *worker, newCodec func() Codec) (*listener, error) {
 	// The handler decides how long idle connections are kept, so TCP keep-alive is disabled.
 	config := net.ListenConfig{KeepAlive: -1}
@@ -44,9 +45,9 @@
 	return l, nil
 }
 
-// serve accepts connections until the worker is closed. While there is no slot or no descriptor for another one, it
-// waits, and connections wait in the backlog: a process that stopped listening would serve nobody. It returns an error
-// if the listener was closed for any other reason.
+// serve accepts connections until the worker is closed. While no slot or file descriptor is free, it keeps retrying and
+// connections wait in the listen backlog: returning would leave the process without a listener. It returns an error if
+// the listener was closed while the worker was running.
 func (l *listener) serve() error {
 	for l.acquireSlot() {
 		socket, err := l.Accept()
@@ -62,12 +63,12 @@
 			return fmt.Errorf("listen on %s: %w", l.Addr(), err)
 		}
 		l.log().Warn("connection not accepted", "error", err)
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 	return nil
 }
 
-// admit registers a connection with the event loop, or rejects it.
+// admit registers an accepted connection with the event loop, or rejects it if there are too many.
 func (l *listener) admit(socket net.Conn) {
 	c := &connection{
 		worker: l.worker,
@@ -83,12 +84,12 @@
 	}
 	if err := l.worker.loops.register(socket, c); err != nil {
 		l.log().Warn("connection not registered", "error", err)
-		_ = socket.Close() // nothing was written to it, and the attempt may have closed it
+		_ = socket.Close() // nothing was written; the failed registration may have closed it already
 		l.connectionEnded()
 	}
 }
 
-// reject sends a refusal and closes the connection. With a codec that has no such message, it only closes.
+// reject sends a Refusal and closes the connection. It only closes it if the codec cannot encode a Refusal.
 func (l *listener) reject(socket net.Conn, codec Codec, reason string) {
 	if out, err := codec.Append(nil, RefusalFrame(reason)); err == nil {
 		if _, err := socket.Write(out); err != nil {
@@ -100,13 +101,13 @@
 	}
 }
 
-// connectionEnded releases the place of an incoming connection.
+// connectionEnded removes an incoming connection from the count, and releases its slot.
 func (l *listener) connectionEnded() {
 	l.open.Add(-1)
 	l.releaseSlot()
 }
 
-// acquireSlot waits until another connection may be accepted, and reports false if the worker is closed first.
+// acquireSlot waits until another connection may be accepted. It returns false if the worker is closed first.
 func (l *listener) acquireSlot() bool {
 	if l.slots == nil {
 		return true
@@ -119,7 +120,7 @@
 	}
 }
 
-// releaseSlot frees a slot that acquireSlot has taken.
+// releaseSlot releases a slot taken by acquireSlot.
 func (l *listener) releaseSlot() {
 	if l.slots != nil {
 		<-l.slots
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// failingConn is a connection on which writing and closing fail.
+// failingConn is a connection whose Write and Close fail.
 type failingConn struct{ net.Conn }
 
 func (failingConn) Write([]byte) (int, error) { return 0, errTestSocket }
@@ -19,8 +19,8 @@
 	newCodec := func() Codec { return frameCodec{maxSize: 1000} }
 	l := &listener{worker: w, newCodec: newCodec}
 	l.admit(failingConn{})
-	assert.Contains(t, log.String(), `level=DEBUG msg="refusal not sent" peer=:7 error="the socket fails"`)
-	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="the socket fails"`)
+	assert.Contains(t, log.String(), `level=DEBUG msg="refusal not sent" peer=:7 error="socket failed"`)
+	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="socket failed"`)
 	assert.Equal(t, uint64(1), w.loop.Stats.RejectedConnections.Load())
 	assert.Zero(t, l.open.Load())
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -9,27 +9,27 @@
 	"grebeglade/placement"
 )
 
-// drainTimeout bounds how long a closing loop waits for the last writes.
+// drainTimeout limits how long Close waits for the last writes.
 const drainTimeout = 2 * time.Second
 
-// Loop runs handlers on sockets. Each handler has a worker with event loops of its own. What a handler sends is written
-// when the worker has handled all queued events, or after maxTurn at the latest.
+// Loop runs handlers on sockets. Each handler has its own worker and event loops. Messages that a handler sends are
+// flushed after the worker has handled a batch of queued events, and at least every maxFlushDelay.
 type Loop struct {
 	// Stats count events on the sockets of all handlers.
 	Stats Stats
 
 	startedAt time.Time
 	log       *slog.Logger
-	failed    chan error     // receives the first error of a listener
+	failed    chan error     // receives the error of the first listener that failed
 	running   sync.WaitGroup // workers' goroutines
 	accepting sync.WaitGroup // listeners' goroutines
 
 	mu      sync.Mutex
-	workers map[any]*worker // by Handler or FrameHandler
+	workers map[any]*worker // keyed by Handler or FrameHandler
 	started bool
 }
 
-// NewLoop returns a loop without handlers; its clock starts at 0. With a nil log nothing is logged.
+// NewLoop returns a loop without handlers, whose clock starts at 0. A nil log disables logging.
 func NewLoop(log *slog.Logger) *Loop {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -42,17 +42,17 @@
 	}
 }
 
-// Failed delivers the error of the first listener that ended before the loop was closed.
+// Failed returns a channel that receives the error of the first listener that ends before the loop is closed.
 func (l *Loop) Failed() <-chan error { return l.failed }
 
-// Now returns the time on the loop's clock, which all handlers share.
+// Now returns the milliseconds since NewLoop. All handlers share this clock.
 func (l *Loop) Now() placement.Millis {
 	return placement.Millis(float64(time.Since(l.startedAt)) / float64(time.Millisecond))
 }
 
-// Listen adds a handler, listens for it at addr and returns the address with its port. The system chooses the port if
-// it is 0. With an empty addr the handler only dials. Each incoming connection gets a codec from newCodec. The handler
-// is called once the loop runs.
+// Listen adds a handler, listens at addr for it, and returns the bound address. If the port is 0, the operating system
+// chooses one. With an empty addr the handler can only dial. newCodec is called for each incoming connection. The
+// handler is not called before Run.
 func (l *Loop) Listen(h Handler, newCodec func() Codec, addr string, limits Limits) (string, error) {
 	return l.listen(h, h, newCodec, addr, limits)
 }
@@ -63,13 +63,13 @@
 	return l.listen(h, frameHandler{h, codec}, func() Codec { return codec }, addr, limits)
 }
 
-// AddHandler adds a handler at a loopback port that the system chooses, with DefaultLimits. The second argument is the
-// zone, which only simulated networks use.
+// AddHandler adds a handler with DefaultLimits that listens at a loopback port chosen by the operating system. The
+// second parameter is the zone, which only simulated networks use.
 func (l *Loop) AddHandler(h FrameHandler, _ string) (string, error) {
 	return l.ListenFrames(h, "127.0.0.1:0", DefaultLimits)
 }
 
-// listen adds a worker for a handler. The key is the value by which callers of the loop refer to the handler.
+// listen adds a worker for a handler. The key is the value that callers pass to Call and RunAt for this handler.
 func (l *Loop) listen(key any, h Handler, newCodec func() Codec, addr string, limits Limits) (string, error) {
 	added := newWorker(l, h, limits)
 	if addr != "" {
@@ -90,7 +90,7 @@
 	return addr, nil
 }
 
-// accept serves a listener, and reports if it ends before the loop is closed.
+// accept serves a listener, and passes its error to Failed if it ends before the loop is closed.
 func (l *Loop) accept(ln *listener) {
 	err := ln.serve()
 	if err == nil {
@@ -98,11 +98,11 @@
 	}
 	select {
 	case l.failed <- err:
-	default: // another listener has failed before
+	default: // the error of another listener is already queued
 	}
 }
 
-// Run starts the handlers that were added; those added later start at once. It does not block.
+// Run starts all added handlers, and returns. Handlers added later are started when they are added.
 func (l *Loop) Run() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// RunAt runs call on the handler's goroutine once that time has come. It does nothing for a handler that was not added.
+// RunAt runs call on the handler's goroutine at the given time or later. It does nothing if the handler was not added.
 func (l *Loop) RunAt(h FrameHandler, at placement.Millis, call func(now placement.Millis)) {
 	if w := l.worker(h); w != nil {
 		w.queue.push(event{
@@ -123,7 +123,7 @@
 	}
 }
 
-// Call runs call on the handler's goroutine and returns once it has returned, or the loop is closed. The handler is a
+// Call runs call on the handler's goroutine, and waits until it has returned or the loop is closed. The handler is a
 // Handler or a FrameHandler; Call does nothing for one that was not added.
 func (l *Loop) Call(h any, call func(now placement.Millis)) {
 	w := l.worker(h)
@@ -141,15 +141,15 @@
 	}
 }
 
-// worker returns the worker of a handler, or nil if the handler was not added.
+// worker returns the worker of a handler, or nil for a handler that was not added.
 func (l *Loop) worker(h any) *worker {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.workers[h]
 }
 
-// Close ends all handlers and connections. Handlers end first, after the events that were queued by then. The event
-// loops end once what the handlers sent is written, or after drainTimeout, so that the last answers are not lost.
+// Close stops all handlers and closes all connections. Workers first handle the events that are already queued. The
+// event loops stop once all sent messages are written, so that the last answers are not lost, or after drainTimeout.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,7 +158,7 @@
 	for _, w := range l.workers {
 		w.queue.close()
 		if w.listener != nil {
-			_ = w.listener.Close() // fails only if the listener has ended already, which serve reports
+			_ = w.listener.Close() // fails only if the listener is already closed, which serve reports
 		}
 	}
 	l.running.Wait()
--- a/internal/transport/loop_test.go
+++ b/internal/transport/loop_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLoop_FrameInPiecesIsOneFrame(t *testing.T) {
+// Guards against decoding that expects a whole frame in one read: the frame is written byte by byte.
+func TestLoop_FrameWrittenByteByByteIsDecoded(t *testing.T) {
 	_, _, addr := startEcho(t, DefaultLimits)
 	client := dial(t, addr)
 	request, err := AppendFrame(nil, sampleRequest())
@@ -24,13 +25,13 @@
 	assert.NoError(t, err)
 }
 
-// exchange sends a request with an ID on a connection of its own and checks the answer.
+// exchange sends a request with the given ID on a new connection, and checks the request ID of the answer.
 func exchange(addr string, id uint64) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // the answer was read, or another error is reported
+	defer func() { _ = conn.Close() }() // an error does not affect the result
 	request := sampleRequest()
 	request.GetPlaceRequest().RequestId = id
 	if err := sendFrame(conn, request); err != nil {
@@ -41,12 +42,13 @@
 		return err
 	}
 	if f.GetAnswer().RequestId != id {
-		return fmt.Errorf("%d got the answer to %d", id, f.GetAnswer().RequestId)
+		return fmt.Errorf("request %d: got the answer to request %d", id, f.GetAnswer().RequestId)
 	}
 	return nil
 }
 
-func TestLoop_ThousandConnectionsAtOnceAreServed(t *testing.T) {
+// Guards against answers that are lost, or sent on the wrong connection, with 1000 concurrent connections.
+func TestLoop_ThousandConcurrentConnectionsAreServed(t *testing.T) {
 	_, echo, addr := startEcho(t, DefaultLimits)
 	var exchanges sync.WaitGroup
 	failures := make(chan error, 1000)
@@ -65,7 +67,7 @@
 	echo.waitUntil(t, func() bool { return len(echo.closed) == 1000 })
 }
 
-func TestLoop_DialWithoutListenerIsReportedAsClosed(t *testing.T) {
+func TestLoop_DialWithoutListenerReportsConnectionRefused(t *testing.T) {
 	loop := NewLoop(nil)
 	echo := &echoHandler{dialAddr: "127.0.0.1:1"}
 	_, err := loop.ListenFrames(echo, "", DefaultLimits)
@@ -77,12 +79,12 @@
 	require.EqualError(t, reasons[0], "connection refused")
 }
 
-func TestLoop_ListenAtABadAddressFails(t *testing.T) {
+func TestLoop_ListenAtInvalidAddressFails(t *testing.T) {
 	_, err := NewLoop(nil).ListenFrames(&echoHandler{}, "127.0.0.1:99999", DefaultLimits)
 	assert.Error(t, err)
 }
 
-func TestLoop_ListenerThatEndsByItselfIsReported(t *testing.T) {
+func TestLoop_ListenerClosedBeforeTheLoopIsReported(t *testing.T) {
 	loop, echo, _ := startEcho(t, DefaultLimits)
 	require.NoError(t, loop.worker(echo).listener.Close())
 	assert.ErrorContains(t, <-loop.Failed(), "listen on 127.0.0.1")
--- a/internal/transport/messagetimeout.go
+++ b/internal/transport/messagetimeout.go
@@ -7,14 +7,14 @@
 	"grebeglade/placement"
 )
 
-// incompleteMessage identifies the message of a connection that the peer has begun and not completed.
+// incompleteMessage identifies the partially received message of a connection.
 type incompleteMessage struct {
-	number atomic.Uint64 // of the message; zero if there is none. The event loop stores it and the worker loads it
-	last   uint64        // last number that was given; used by the event loop only
+	number atomic.Uint64 // number of the message, or zero; stored by the event loop, loaded by the worker
+	last   uint64        // highest number assigned so far; used by the event loop only
 }
 
-// watchMessage enforces Limits.MessageTimeout. The event loop calls it after each read: decoded reports whether a
-// message was complete, begun whether the beginning of another one remains.
+// watchMessage starts and cancels the timeout of Limits.MessageTimeout. The event loop calls it after each read:
+// decoded reports whether at least one message was completed, begun whether a part of the next one remains.
 func (c *connection) watchMessage(decoded, begun bool) {
 	if decoded || !begun {
 		c.incomplete.number.Store(0)
@@ -32,9 +32,9 @@
 	})
 }
 
-// failIfIncomplete ends the connection if the message of that number is still incomplete. The worker calls it.
+// failIfIncomplete closes the connection if the message with that number is still incomplete. The worker calls it.
 func (c *connection) failIfIncomplete(number uint64) {
 	if c.incomplete.number.Load() == number && c.state != stateClosed {
-		c.fail(fmt.Errorf("%w after %v ms", ErrMessageTimeout, c.worker.limits.MessageTimeout))
+		c.fail(fmt.Errorf("%w: incomplete %v ms after its first bytes", ErrMessageTimeout, c.worker.limits.MessageTimeout))
 	}
 }
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// The methods of this file implement Network, whose comments state their contract. The handler calls them on the
-// worker's goroutine.
+// The exported methods in this file implement Network, which documents them. The handler calls them on the worker's
+// goroutine.
 
 func (w *worker) Now() placement.Millis { return w.now }
 
@@ -15,7 +15,7 @@
 
 func (w *worker) WakeAt(t placement.Millis) { w.schedule.setWakeUp(t) }
 
-// DialCodec dials on a goroutine of its own.
+// DialCodec dials on a separate goroutine.
 func (w *worker) DialCodec(addr string, codec Codec, timeout placement.Millis) ConnID {
 	ctx, cancel := context.WithTimeout(context.Background(), duration(timeout))
 	c := &connection{
@@ -32,7 +32,7 @@
 	return c.id
 }
 
-// Send encodes the message at once; the worker flushes it.
+// Send encodes the message into the write buffer of the connection, which the worker flushes later.
 func (w *worker) Send(id ConnID, message any) {
 	c := w.conns.find(id)
 	if c == nil || c.state != stateOpen {
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -12,12 +12,13 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// urgentFrameCodec is a frameCodec of urgent messages.
+// urgentFrameCodec is a frameCodec that implements Urgent.
 type urgentFrameCodec struct{ frameCodec }
 
 func (urgentFrameCodec) Urgent() {}
 
-// orderHandler dials a peer whose frames are urgent, and records the keys of requests in the order of their arrival.
+// orderHandler dials urgentAddr with an urgent codec, and records the keys of requests in the order in which they are
+// handled.
 type orderHandler struct {
 	*blockingHandler
 	urgentAddr string
@@ -36,14 +37,14 @@
 	o.block()
 }
 
-// requestWithKey is a sampleRequest with another key.
+// requestWithKey returns a sampleRequest with the given key.
 func requestWithKey(key uint64) *pb.Frame {
 	f := sampleRequest()
 	f.GetPlaceRequest().Key = key
 	return f
 }
 
-// The test guards against discovery events that arrive in time and are handled after a second's work of other events.
+// Guards against discovery events that arrive in time and are handled a second late, after other queued events.
 func TestLoop_UrgentMessagesAreHandledBeforeAFullQueue(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -68,11 +69,11 @@
 	assert.Equal(t, []uint64{1, 100, 2, 3, 4, 5, 6}, handler.keys)
 }
 
-// stepHandler answers each request, reports it and then blocks until the next step.
+// stepHandler answers each request, signals seen, and then blocks until it receives from step.
 type stepHandler struct {
 	echoHandler
-	seen chan struct{} // receives a value for each request
-	step chan struct{} // a value lets the handler go on
+	seen chan struct{} // is sent a value for each request
+	step chan struct{} // receiving a value unblocks the handler
 }
 
 func (s *stepHandler) Received(now placement.Millis, c ConnID, f *pb.Frame) {
@@ -81,13 +82,13 @@
 	<-s.step
 }
 
-// The answers of a busy handler are written between events: an answer must not wait for all requests that were read
-// together with its own.
-func TestLoop_AnswerLeavesBeforeALongBatchIsDone(t *testing.T) {
+// Answers are flushed during a batch that takes longer than maxFlushDelay. Guards against answers that are delayed
+// until all requests read together with theirs are handled.
+func TestLoop_AnswerIsWrittenBeforeALongBatchEnds(t *testing.T) {
 	handler := &stepHandler{seen: make(chan struct{}), step: make(chan struct{})}
 	loop, addr := start(t, handler, DefaultLimits)
 	client := dial(t, addr)
-	request := requestWithKey(1) // one answer each
+	request := requestWithKey(1) // one answer
 	write(t, client, request)
 	<-handler.seen
 	write(t, client, request)
@@ -97,11 +98,11 @@
 	_, err := read(client)
 	require.NoError(t, err)
 	<-handler.seen
-	time.Sleep(2 * duration(maxTurn))
+	time.Sleep(2 * duration(maxFlushDelay))
 	handler.step <- struct{}{}
 	<-handler.seen // the third request is handled in the batch of the second
 	require.NoError(t, client.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = read(client)
-	assert.NoError(t, err, "the second answer leaves before the third request is handled")
+	assert.NoError(t, err, "the second answer is not written before the third request is handled")
 	handler.step <- struct{}{}
 }
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -7,42 +7,42 @@
 	"grebeglade/placement"
 )
 
-// eventKind says what a worker has to handle.
+// eventKind is the type of an event.
 type eventKind uint8
 
 const (
-	eventCall    eventKind = iota // a function to call once its time has come
-	eventOpened                   // a connection is established
-	eventMessage                  // a message was received
-	eventClosed                   // a connection has ended, or could not be dialled
+	eventCall    eventKind = iota // function call that is due at a given time
+	eventOpened                   // connection established
+	eventMessage                  // message received
+	eventClosed                   // connection ended, or dialling failed
 )
 
-// event is what a worker handles at a time. Fields that do not apply to its kind are zero.
+// event is one unit of work of a worker. Fields that do not apply to its kind are zero.
 type event struct {
 	kind    eventKind
-	conn    *connection // of all kinds but eventCall
-	message any
-	reason  error            // why a connection has ended
-	at      placement.Millis // when a message was read, or a call is due
+	conn    *connection      // nil for eventCall
+	message any              // set for eventMessage
+	reason  error            // set for eventClosed: why the connection ended
+	at      placement.Millis // set for eventMessage: time of the read; for eventCall: due time
 	call    func(now placement.Millis)
 }
 
-// isUrgent reports whether an event is handled before those that are not urgent.
+// isUrgent reports whether the event is handled before other queued events.
 func (e *event) isUrgent() bool { return e.conn != nil && e.conn.class == classUrgent }
 
-// eventQueue holds the events of one worker until it takes them. Events of one connection stay in order. Any goroutine
-// may add events; only the worker takes them.
+// eventQueue queues the events of one worker. Events of one connection stay in order. Any goroutine may add events;
+// only the worker takes them.
 type eventQueue struct {
-	ready     chan struct{} // holds a value while there may be events to take
+	ready     chan struct{} // holds a value if events may be queued
 	closed    chan struct{} // closed by close
 	closeOnce sync.Once
 	maxQueued int
 
 	mu        sync.Mutex
-	notFull   *sync.Cond // signalled once queued was taken, or the queue is closed
+	notFull   *sync.Cond // signalled when the worker takes queued, and when the queue is closed
 	queued    []event
 	urgent    []event     // handled before queued
-	hasUrgent atomic.Bool // whether urgent holds events; read without the lock
+	hasUrgent atomic.Bool // whether urgent is non-empty; read without mu
 }
 
 func newEventQueue(maxQueued int) *eventQueue {
@@ -63,8 +63,8 @@
 	q.signal()
 }
 
-// pushMessages adds messages of one connection. Unless they are urgent, it blocks while the queue is full. This stops
-// the event loop that reads for connections of the same class, so that TCP flow control slows their peers down.
+// pushMessages adds messages of one connection. Unless they are urgent, it blocks while the queue is full. This blocks
+// the event loop of the connection's class, so that TCP flow control slows the peers of the class down.
 func (q *eventQueue) pushMessages(messages []event) {
 	q.mu.Lock()
 	for !messages[0].isUrgent() && len(q.queued) > q.maxQueued && !q.isClosed() {
@@ -75,7 +75,7 @@
 	q.signal()
 }
 
-// add adds events of one connection. The caller holds the lock.
+// add adds events of one connection. The caller holds mu.
 func (q *eventQueue) add(events ...event) {
 	if events[0].isUrgent() {
 		q.urgent = append(q.urgent, events...)
@@ -85,7 +85,7 @@
 	q.queued = append(q.queued, events...)
 }
 
-// signal makes ready readable.
+// signal wakes the worker if it waits for ready.
 func (q *eventQueue) signal() {
 	select {
 	case q.ready <- struct{}{}:
@@ -93,8 +93,8 @@
 	}
 }
 
-// takeQueued takes all events that are not urgent. The queue reuses the memory of handled, the events that were taken
-// before and are no longer needed.
+// takeQueued removes and returns all events that are not urgent. The queue reuses the memory of handled, the slice that
+// the previous call returned.
 func (q *eventQueue) takeQueued(handled []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -104,7 +104,7 @@
 	return taken
 }
 
-// takeUrgent takes all urgent events.
+// takeUrgent removes and returns all urgent events.
 func (q *eventQueue) takeUrgent() []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -114,7 +114,7 @@
 	return taken
 }
 
-// close releases everything that waits for the queue. The events that it holds can still be taken.
+// close unblocks all goroutines that wait for the queue. Queued events can still be taken.
 func (q *eventQueue) close() {
 	q.closeOnce.Do(func() { close(q.closed) })
 	q.mu.Lock()
--- a/internal/transport/queue_test.go
+++ b/internal/transport/queue_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A full queue blocks its reader, and with it the peers, until the worker takes the queued events.
-func TestEventQueue_FullQueueBlocksItsReader(t *testing.T) {
+// Guards against an unbounded queue: pushMessages to a full queue, called by the event loop that reads the sockets,
+// blocks until the worker takes the queued events.
+func TestEventQueue_FullQueueBlocksPushMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := newEventQueue(defaultQueuedEvents)
 		queue.pushMessages(make([]event, defaultQueuedEvents+1))
@@ -27,7 +28,7 @@
 	})
 }
 
-func TestEventQueue_CloseReleasesABlockedReader(t *testing.T) {
+func TestEventQueue_CloseUnblocksPushMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newEventQueue(0)
 		q.pushMessages(make([]event, 1))
@@ -36,6 +37,6 @@
 		assert.Len(t, q.queued, 1)
 		q.close()
 		synctest.Wait()
-		assert.Len(t, q.takeQueued(nil), 2, "a closed queue still returns its events")
+		assert.Len(t, q.takeQueued(nil), 2, "a closed queue does not return its queued events")
 	})
 }
--- a/internal/transport/schedule.go
+++ b/internal/transport/schedule.go
@@ -2,20 +2,20 @@
 
 import "grebeglade/placement"
 
-// schedule holds what a worker has to do later: the calls that are not due yet, and the handler's only wake-up.
+// schedule holds the pending calls of a worker and the handler's wake-up time.
 type schedule struct {
 	calls     Timers
 	wakeAt    placement.Millis
-	wakeAtSet bool // whether there is a wake-up
+	wakeAtSet bool // whether wakeAt is valid
 }
 
-// setWakeUp replaces the wake-up.
+// setWakeUp sets or replaces the wake-up time.
 func (s *schedule) setWakeUp(at placement.Millis) {
 	s.wakeAt = at
 	s.wakeAtSet = true
 }
 
-// takeWakeUp reports whether the wake-up is due, and removes it if it is.
+// takeWakeUp reports whether the wake-up is due, and clears it in that case.
 func (s *schedule) takeWakeUp(now placement.Millis) bool {
 	if !s.wakeAtSet || s.wakeAt > now {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// next returns when the first call or the wake-up is due, and false if there is neither.
+// next returns the due time of the earliest call or of the wake-up, and false if there is neither.
 func (s *schedule) next() (at placement.Millis, ok bool) {
 	at, ok = s.calls.Next()
 	if s.wakeAtSet && (!ok || s.wakeAt < at) {
--- a/internal/transport/socketevents.go
+++ b/internal/transport/socketevents.go
@@ -2,13 +2,13 @@
 
 import "github.com/panjf2000/gnet/v2"
 
-// socketEvents queues what the event loops of a worker report as events for the worker.
+// socketEvents receives the callbacks of a worker's event loops and queues them as events for the worker.
 type socketEvents struct {
 	gnet.BuiltinEventEngine
 	worker *worker
 }
 
-// OnOpen is called by the event loop once it serves a connection.
+// OnOpen is called by the event loop after it has registered a connection.
 func (e *socketEvents) OnOpen(socket gnet.Conn) ([]byte, gnet.Action) {
 	c, ok := socket.Context().(*connection)
 	if !ok {
@@ -19,7 +19,7 @@
 	return nil, gnet.None
 }
 
-// OnClose is called by the event loop once it has closed a connection.
+// OnClose is called by the event loop after it has closed a connection.
 func (e *socketEvents) OnClose(socket gnet.Conn, err error) gnet.Action {
 	c, ok := socket.Context().(*connection)
 	if !ok {
@@ -48,7 +48,7 @@
 		return gnet.None
 	}
 	messages, used, err := e.decode(conn, unread)
-	// Discarding zero bytes would discard all of them.
+	// Discard(0) would discard all buffered bytes.
 	if used > 0 {
 		_, discardErr := socket.Discard(used)
 		if err == nil {
@@ -68,8 +68,8 @@
 	return gnet.None
 }
 
-// decode returns the complete messages at the beginning of unread, and the number of bytes that were consumed. With an
-// error it returns the messages in front of the malformed one.
+// decode returns the complete messages at the beginning of unread, and the number of bytes consumed. On error it also
+// returns the messages before the malformed one.
 func (e *socketEvents) decode(conn *connection, unread []byte) (messages []event, used int, err error) {
 	now := e.worker.loop.Now()
 	for used < len(unread) {
@@ -94,8 +94,8 @@
 	return messages, used, nil
 }
 
-// reportMalformed counts and logs what a peer sent, and records it as the reason for which the event loop is about to
-// close the connection.
+// reportMalformed counts and logs a message that cannot be decoded, and records err as the close reason. The caller
+// closes the connection.
 func (e *socketEvents) reportMalformed(conn *connection, err error) {
 	e.worker.loop.Stats.MalformedMessages.Add(1)
 	e.worker.loop.log.Warn("connection ended", "peer", conn.socket.RemoteAddr(), "reason", err)
--- a/internal/transport/worker.go
+++ b/internal/transport/worker.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// maxTurn is how long a worker may handle events before it runs the timers that are due and flushes what was sent.
-	// Without it, a full queue would delay both for much longer.
-	maxTurn = placement.Millis(1)
+	// maxFlushDelay is the time in milliseconds after which a worker that handles a batch runs due timers and flushes.
+	// Without this limit, a long batch of queued events would delay both until its end.
+	maxFlushDelay = placement.Millis(1)
 
-	// idleWait is how long a worker without timers waits at a time.
+	// idleWait is the timer period of a worker without timers.
 	idleWait = time.Hour
 )
 
-// worker runs one handler: it calls the handler from one goroutine with the events of its queue, and is the Network
-// through which the handler acts.
+// worker runs one handler: it calls the handler from a single goroutine with the events of its queue, and implements
+// the handler's Network.
 type worker struct {
-	loop     *Loop // for its clock, log and statistics
+	loop     *Loop // clock, log and statistics
 	handler  Handler
 	limits   Limits
 	queue    *eventQueue
@@ -26,13 +26,13 @@
 	listener *listener // nil for a handler without an address
 
 	// Used by the worker's goroutine only.
-	now        placement.Millis // time of the event that is being handled
-	receivedAt placement.Millis // when the message that is being handled was read
+	now        placement.Millis // time of the current event
+	receivedAt placement.Millis // time at which the current message was read
 	conns      connTable
 	schedule   schedule
 }
 
-// newWorker returns a worker that is not running, and has no listener.
+// newWorker returns a worker without a listener; its goroutine is not started.
 func newWorker(loop *Loop, h Handler, limits Limits) *worker {
 	limits = limits.withDefaults()
 	w := &worker{
@@ -46,7 +46,7 @@
 	return w
 }
 
-// run handles events until the queue is closed, and then those that are queued by then.
+// run handles events until the queue is closed, and then the events that are still queued.
 func (w *worker) run() {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -66,7 +66,7 @@
 	}
 }
 
-// wait blocks until there are events or the timer fires, and reports whether the queue is closed.
+// wait blocks until events are queued, the timer fires or the queue is closed. It reports whether the queue is closed.
 func (w *worker) wait(timer *time.Timer) (closed bool) {
 	select {
 	case <-w.queue.closed:
@@ -77,7 +77,7 @@
 	return false
 }
 
-// untilNextTimer returns how long it is until a call or the wake-up is due.
+// untilNextTimer returns the time until the next call or wake-up is due, or idleWait if there is none.
 func (w *worker) untilNextTimer() time.Duration {
 	at, ok := w.schedule.next()
 	if !ok {
@@ -86,13 +86,13 @@
 	return max(0, duration(at-w.loop.Now()))
 }
 
-// handleBatch handles events, and clears each so that its memory can be freed. After each event it does what must not
-// wait for the end of the batch.
+// handleBatch handles events, and clears each so that its memory can be freed. Between events it handles urgent events,
+// and runs due timers and flushes every maxFlushDelay.
 func (w *worker) handleBatch(batch []event) {
 	for i := range batch {
 		w.handle(&batch[i])
 		batch[i] = event{}
-		if now := w.loop.Now(); now-w.now >= maxTurn {
+		if now := w.loop.Now(); now-w.now >= maxFlushDelay {
 			w.now = now
 			w.runDue()
 			w.conns.flush()
@@ -103,7 +103,7 @@
 	}
 }
 
-// handleUrgent handles all urgent events.
+// handleUrgent handles all queued urgent events.
 func (w *worker) handleUrgent() {
 	urgent := w.queue.takeUrgent()
 	for i := range urgent {
@@ -111,7 +111,7 @@
 	}
 }
 
-// runDue runs the calls that are due, and the wake-up if it is.
+// runDue runs the due calls, and Handler.Wake if the wake-up is due.
 func (w *worker) runDue() {
 	w.schedule.calls.RunDue(w.now)
 	if w.schedule.takeWakeUp(w.now) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// handle handles one event, according to its kind.
+// handle dispatches one event by its kind.
 func (w *worker) handle(e *event) {
 	switch e.kind {
 	case eventCall:
@@ -161,7 +161,7 @@
 func (w *worker) handleClosed(e *event) {
 	c := e.conn
 	w.conns.remove(c.id)
-	neverOpened := c.id == 0 // an incoming connection that the handler was never notified of
+	neverOpened := c.id == 0 // incoming connection for which Handler.Opened was not called
 	if c.state == stateClosed || neverOpened {
 		return
 	}
@@ -169,7 +169,7 @@
 	w.handler.Closed(w.now, c.id, e.reason)
 }
 
-// duration converts milliseconds.
+// duration converts milliseconds to a time.Duration.
 func duration(t placement.Millis) time.Duration {
 	return time.Duration(float64(t) * float64(time.Millisecond))
 }
