--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -162,7 +162,7 @@
 	configuration := minimalConfig(t.TempDir())
 	first := mustStart(t, configuration)
 	_, err := startQuietly(configuration)
-	require.ErrorContains(t, err, "another process holds the directory")
+	require.ErrorContains(t, err, "directory is locked by another process")
 
 	require.NoError(t, first.binds.Close())
 	first.binds = nil
--- a/internal/storage/benchmark_test.go
+++ b/internal/storage/benchmark_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkCommit measures a durable group of entries in the log and in bbolt on the same disk. Only the ratio within
-// one run is meaningful.
+// BenchmarkCommit measures a durable commit of a group of entries to a Log and to bbolt on the same disk. Only ratios
+// within one run are meaningful.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("log/%d", size), func(b *testing.B) { benchmarkLog(b, size) })
@@ -22,7 +22,7 @@
 	}
 }
 
-// benchmarkGroup returns the bind entries of one commit, whose keys no other commit has.
+// benchmarkGroup returns the bind entries of commit i. No two commits share a key.
 func benchmarkGroup(i, size int) []*statepb.Entry {
 	entries := make([]*statepb.Entry, size)
 	for k := range entries {
@@ -31,7 +31,7 @@
 	return entries
 }
 
-// benchmarkLog commits durable groups of a size to a Log.
+// benchmarkLog commits durable groups of the given size to a Log.
 func benchmarkLog(b *testing.B, size int) {
 	b.Helper()
 	disk, err := OpenDir(b.TempDir())
@@ -45,7 +45,7 @@
 	require.NoError(b, log.Close())
 }
 
-// benchmarkBolt commits groups of a size to a bbolt database.
+// benchmarkBolt commits groups of the given size to a bbolt database.
 func benchmarkBolt(b *testing.B, size int) {
 	b.Helper()
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
@@ -59,7 +59,7 @@
 	require.NoError(b, db.Close())
 }
 
-// putBinds stores binds by their keys, as a registry in bbolt would.
+// putBinds stores binds by key.
 func putBinds(tx *bbolt.Tx, entries []*statepb.Entry) error {
 	bucket, err := tx.CreateBucketIfNotExists([]byte("binds"))
 	if err != nil {
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -10,28 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashLogSize is small enough for a log to be replaced by a snapshot several times in a history.
+// crashLogSize in bytes is small enough that a log is replaced by a snapshot several times in a history.
 const crashLogSize = 300
 
-// historyObserver is notified of what a history commits.
+// historyObserver is notified of the commits of a history.
 type historyObserver struct {
-	committing func(entries []*statepb.Entry) // just before they are committed
-	durable    func()                         // once all entries so far are durable
+	committing func(entries []*statepb.Entry) // called before each commit
+	durable    func()                         // called once all entries so far are durable
 }
 
-// playHistory commits a history that has everything in it: durable commits and others, groups of entries, logs that are
-// replaced by snapshots, and a second incarnation.
-func playHistory(disk Disk, observer historyObserver) error {
+// runHistory commits a history that covers durable and other commits, groups of entries, logs that are replaced by
+// snapshots, and a second incarnation.
+func runHistory(disk Disk, observer historyObserver) error {
 	for i := range uint64(2) {
-		if err := playIncarnation(disk, i, observer); err != nil {
+		if err := runIncarnation(disk, i, observer); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// playIncarnation commits the history of one incarnation, counted from 0.
-func playIncarnation(disk Disk, index uint64, observer historyObserver) error {
+// runIncarnation commits the history of one incarnation; index counts from 0.
+func runIncarnation(disk Disk, index uint64, observer historyObserver) error {
 	incarnation := &statepb.Incarnation{Number: testIncarnation + index, StartedUnixMs: nowUnixMs}
 	log, _, err := Open(disk, incarnation, crashLogSize, unixMs)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// historyEntries returns the entries of a commit of an incarnation. Every commit binds its key. Some also forget
+// historyEntries returns the entries of one commit of an incarnation. Each commit binds its key; some also forget
 // earlier keys and bind a further one.
 func historyEntries(key, commit uint64) []*statepb.Entry {
 	entries := []*statepb.Entry{bindEntry(key, 0)}
@@ -68,8 +68,8 @@
 	return entries
 }
 
-// possibleStates follows a history and knows what a crash may leave of it: the state after the last entry that is
-// durable, or after any entry since.
+// possibleStates holds the states that a crash may leave at the current point of a history: the state after the last
+// durable entry, and the state after each entry since.
 type possibleStates struct {
 	live   liveBinds
 	states []string
@@ -79,7 +79,7 @@
 	return &possibleStates{live: liveBinds{}, states: []string{""}}
 }
 
-// observer returns the observer through which the states follow a history.
+// observer returns an observer that updates the states.
 func (p *possibleStates) observer() historyObserver {
 	return historyObserver{
 		committing: func(entries []*statepb.Entry) {
@@ -92,19 +92,19 @@
 	}
 }
 
-// After a crash in the middle of any operation all that was durable is found, and nothing that was not committed. Then
-// the directory can be used again.
+// Crashes in the middle of each operation of a history. Guards against the loss of durable entries, against entries
+// that were not committed, and against a directory that cannot be opened after the crash.
 func TestLog_CrashAtEveryOperation_LosesNothingDurable(t *testing.T) {
 	withoutCrash := NewMemoryDisk(1)
-	require.NoError(t, playHistory(withoutCrash, newPossibleStates().observer()))
+	require.NoError(t, runHistory(withoutCrash, newPossibleStates().observer()))
 	crashes := 0
 	for operation := 1; operation <= withoutCrash.Calls(); operation++ {
 		for seed := range uint64(8) {
 			disk := NewMemoryDisk(seed)
 			disk.InjectFault = failAt(operation, ErrCrashed)
 			possible := newPossibleStates()
-			if playHistory(disk, possible.observer()) == nil {
-				continue // the crash came while obsolete files were removed, where errors are ignored
+			if runHistory(disk, possible.observer()) == nil {
+				continue // the crash hit the removal of obsolete files, whose errors are ignored
 			}
 			crashes++
 			found := inspectAfterCrash(t, disk, "operation %d, seed %d", operation, seed)
@@ -118,8 +118,9 @@
 	assert.Greater(t, crashes, 500)
 }
 
-// Any one operation fails, as on a disk that is full for a moment, and the process goes on: entries whose commit
-// succeeded are durable, others are not live, and the next commit works.
+// Fails one operation of a history at a time, as on a disk that is full for a moment, while the process continues.
+// Guards against the loss of entries whose commit succeeded, live entries whose commit failed, and failures of later
+// commits.
 func TestLog_EveryOperationFailsOnce_LosesNothingCommitted(t *testing.T) {
 	diskFull := errors.New("no space left on device")
 	for operation := 1; operation < 60; operation++ {
@@ -140,8 +141,8 @@
 	}
 }
 
-// commitShortHistory commits binds, every third together with a Forget of the one before, and returns what is live of
-// the entries whose commit succeeded.
+// commitShortHistory commits binds, every third together with a Forget of the one before, and returns the live binds
+// that result from the successful commits.
 func commitShortHistory(log *Log) liveBinds {
 	committed := liveBinds{}
 	for key := range uint64(20) {
--- a/internal/storage/entries.go
+++ b/internal/storage/entries.go
@@ -5,7 +5,7 @@
 	"grebeglade/internal/storage/statepb"
 )
 
-// BindEntry returns the entry of a bind that is about to be sent.
+// BindEntry returns the log entry to write before the offer of a bind is sent.
 func BindEntry(bind recovery.Bind) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bind{Bind: &statepb.Bind{
 		Key:           bind.Key,
@@ -18,7 +18,7 @@
 	}}}
 }
 
-// ForgetEntry returns the entry of a bind that was never accepted.
+// ForgetEntry returns the log entry that removes a bind which no node has accepted.
 func ForgetEntry(key, incarnation uint64, number uint32) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Forget{Forget: &statepb.Forget{
 		Key:         key,
@@ -27,7 +27,7 @@
 	}}}
 }
 
-// RecoveredBinds returns the live binds of a directory, for the registry of the next incarnation.
+// RecoveredBinds returns the live binds in contents, as the registry of the next incarnation takes them.
 func RecoveredBinds(contents *Contents) []recovery.Bind {
 	binds := make([]recovery.Bind, len(contents.LiveBinds))
 	for i, bind := range contents.LiveBinds {
--- a/internal/storage/faults.go
+++ b/internal/storage/faults.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Operation is an operation of a MemoryDisk or of one of its files.
+// Operation is the kind of a method call on a MemoryDisk or one of its files.
 type Operation uint8
 
-// Operations in which a fault can be injected.
+// Operations into which a fault can be injected.
 const (
 	OpList Operation = iota
 	OpRead
@@ -33,14 +33,14 @@
 
 func (o Operation) String() string { return operationNames[o] }
 
-// Call is one operation that a MemoryDisk is about to perform.
+// Call is one operation on a MemoryDisk, passed to InjectFault before it is performed.
 type Call struct {
-	Number    int // counted from 1
+	Number    int // sequence number of the operation, from 1
 	Operation Operation
-	File      string // empty for List and Sync of the disk
+	File      string // empty for OpList and OpSyncNames
 }
 
-// String returns the operation and its file, as an error names them.
+// String returns the operation and its file, as used in error texts.
 func (c Call) String() string {
 	if c.File == "" {
 		return c.Operation.String()
@@ -48,8 +48,8 @@
 	return c.Operation.String() + " " + c.File
 }
 
-// startOperation counts an operation and injects a fault into it. If the fault is a crash of the machine, the function
-// partialEffect is called first: it does what such a crash may leave of the operation.
+// startOperation counts an operation and returns the fault that InjectFault injects into it. For ErrCrashed it calls
+// partialEffect, which applies a part of the operation, before the crash.
 func (m *MemoryDisk) startOperation(operation Operation, file string, partialEffect func()) error {
 	if m.crashed {
 		return ErrCrashed
@@ -74,5 +74,5 @@
 	return fmt.Errorf("%s: %w", call, err)
 }
 
-// noEffect is the partial effect of an operation that changes nothing, or everything at once.
+// noEffect is the partialEffect of an operation that is atomic or changes nothing.
 func noEffect() {}
--- a/internal/storage/filenames.go
+++ b/internal/storage/filenames.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Extensions of the files in a directory.
+// Extensions of file names in a directory.
 const (
 	logExtension       = ".log"
 	snapshotExtension  = ".snap"
-	temporaryExtension = ".new"     // follows that of a snapshot that is being written
-	damagedExtension   = ".damaged" // follows that of a file that a repair has renamed
+	temporaryExtension = ".new"     // appended to the name of a snapshot while it is written
+	damagedExtension   = ".damaged" // appended by a repair to the name of a file that it drops
 )
 
 func logName(number uint64) string      { return fileName(number, logExtension) }
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%012d%s", number, extension)
 }
 
-// parseFileName returns the number in a file name with the given extension.
+// parseFileName returns the number in a file name with the given extension, and false for any other name.
 func parseFileName(name, extension string) (number uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, extension)
 	if !ok {
@@ -32,14 +32,14 @@
 	return number, err == nil
 }
 
-// directoryFiles are the files of a directory by their kind. Files of other kinds are ignored.
+// directoryFiles lists the files of a directory by kind. Files of other kinds are ignored.
 type directoryFiles struct {
-	logs      []uint64 // in increasing order
-	snapshots []uint64 // in increasing order
-	temporary []string
+	logs      []uint64 // numbers in increasing order
+	snapshots []uint64 // numbers in increasing order
+	temporary []string // names
 }
 
-// listFiles returns the files of a disk. An error is a *DiskError.
+// listFiles lists the files of a disk. Errors are of type *DiskError.
 func listFiles(disk Disk) (directoryFiles, error) {
 	names, err := disk.List()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return files, nil
 }
 
-// add adds a file to those of its kind.
+// add adds a file to the list of its kind.
 func (f *directoryFiles) add(name string) {
 	if number, ok := parseFileName(name, logExtension); ok {
 		f.logs = append(f.logs, number)
@@ -69,7 +69,7 @@
 	}
 }
 
-// obsolete returns the names of the files that the snapshot with a number replaces.
+// obsolete returns the names of the files that the snapshot with the given number replaces.
 func (f *directoryFiles) obsolete(number uint64) []string {
 	names := slices.Clone(f.temporary)
 	for _, log := range f.logs {
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	magic         = "gbstate\n" // the first bytes of each file
-	formatVersion = 1           // of the header and of what follows
+	magic         = "gbstate\n" // first bytes of each file
+	formatVersion = 1           // version of header and records
 
-	// Offsets in the header.
+	// Byte offsets of header fields.
 	versionOffset  = len(magic)
 	numberOffset   = versionOffset + 2
 	checksumOffset = numberOffset + 8
 	headerSize     = checksumOffset + 4
 
-	// A record is the length of its payload, a checksum of both, and the payload.
+	// A record is the length of its payload, a checksum of length and payload, and the payload.
 	lengthSize       = 4
 	recordHeaderSize = lengthSize + 4
-	maxPayloadSize   = 64 << 20 // a larger length is corrupt, and no memory is allocated for it
+	maxPayloadSize   = 64 << 20 // in bytes; a larger length is corrupt, and no memory is allocated for it
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeHeader returns the header of the file with a number.
+// encodeHeader returns the header of the file with the given number.
 func encodeHeader(number uint64) []byte {
 	b := make([]byte, 0, headerSize)
 	b = append(b, magic...)
@@ -35,8 +35,8 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// checkHeader checks the header of a file that should have a number. It returns ErrTruncated for a file that ends
-// within its header, and otherwise a *CorruptionError or a *VersionError.
+// checkHeader checks the header of the file with the given number. It returns ErrTruncated if the file ends within its
+// header, and a *CorruptionError or a *VersionError if the header is invalid.
 func checkHeader(name string, data []byte, number uint64) error {
 	if len(data) < headerSize {
 		return ErrTruncated
@@ -44,7 +44,7 @@
 	if string(data[:versionOffset]) != magic {
 		return corruptHeader(name, ErrNotStateFile)
 	}
-	// A later version may have another header, so that its checksum says nothing.
+	// A later version may have a different header, so its version is checked before the checksum.
 	if v := binary.LittleEndian.Uint16(data[versionOffset:]); v > formatVersion {
 		return &VersionError{File: name, Version: v}
 	}
@@ -52,7 +52,7 @@
 		return corruptHeader(name, ErrHeaderChecksum)
 	}
 	if stored := binary.LittleEndian.Uint64(data[numberOffset:]); stored != number {
-		return corruptHeader(name, fmt.Errorf("the header has number %d", stored))
+		return corruptHeader(name, fmt.Errorf("header has file number %d", stored))
 	}
 	return nil
 }
@@ -65,13 +65,13 @@
 	}
 }
 
-// appendRecord appends a message with its length and checksum to b. After an error b has its former length.
+// appendRecord appends a message with its length and checksum to b. On error it returns b unchanged.
 func appendRecord(b []byte, m proto.Message) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, recordHeaderSize)...)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
-		return b[:start], fmt.Errorf("encode a record: %w", err)
+		return b[:start], fmt.Errorf("encode record: %w", err)
 	}
 	record := b[start:]
 	length := record[:lengthSize]
@@ -81,20 +81,21 @@
 	return b, nil
 }
 
-// recordChecksum covers the length too, and starts from ones: a run of zeros is not a valid record.
+// recordChecksum returns the checksum of length and payload. Its initial value is all ones, so that a sequence of zeros
+// is not a valid record.
 func recordChecksum(length, payload []byte) uint32 {
 	checksum := crc32.Update(^uint32(0), castagnoli, length)
 	return crc32.Update(checksum, castagnoli, payload)
 }
 
-// cutRecord returns the payload of the first record of data, and what follows that record.
-func cutRecord(data []byte) (payload, rest []byte, err error) {
+// decodeRecord returns the payload of the first record in data, and the bytes after the record.
+func decodeRecord(data []byte) (payload, rest []byte, err error) {
 	if len(data) < recordHeaderSize {
 		return nil, nil, ErrTruncated
 	}
 	length := binary.LittleEndian.Uint32(data)
 	if length > maxPayloadSize {
-		return nil, nil, fmt.Errorf("a record has %d bytes, which is more than %d", length, maxPayloadSize)
+		return nil, nil, fmt.Errorf("record of %d bytes exceeds the limit of %d bytes", length, maxPayloadSize)
 	}
 	body := data[recordHeaderSize:]
 	if len(body) < int(length) {
@@ -108,11 +109,11 @@
 	return payload, body[length:], nil
 }
 
-// nextRecord returns the offset of the first valid record that begins behind the first byte of data. A record with an
-// empty payload does not count, since none is ever written.
-func nextRecord(data []byte) (offset int, found bool) {
+// findNextRecord returns the offset of the first valid record that begins after the first byte of data. Records with an
+// empty payload are skipped, since none is ever written.
+func findNextRecord(data []byte) (offset int, found bool) {
 	for offset := 1; offset+recordHeaderSize < len(data); offset++ {
-		if payload, _, err := cutRecord(data[offset:]); err == nil && len(payload) > 0 {
+		if payload, _, err := decodeRecord(data[offset:]); err == nil && len(payload) > 0 {
 			return offset, true
 		}
 	}
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// testFile and testNumber are the name and number of the files that are decoded.
+	// testFile and testNumber are the name and number of the decoded files.
 	testFile   = "x"
 	testNumber = 7
 )
 
-// encodedLog returns a log with some binds, and the offset of the second one.
+// encodedLog returns a log with the given number of binds, and the offset of the second record.
 func encodedLog(tb testing.TB, binds int) (data []byte, second int) {
 	tb.Helper()
 	data = encodeHeader(testNumber)
@@ -32,7 +32,7 @@
 	return data, second
 }
 
-// requireCorruption requires a *CorruptionError at an offset with a cause.
+// requireCorruption requires a *CorruptionError with the given offset and cause.
 func requireCorruption(t *testing.T, err error, offset int, cause error) {
 	t.Helper()
 	var corruption *CorruptionError
@@ -101,7 +101,7 @@
 	}
 }
 
-// Whatever a log holds, decoding ends, and no more is decoded than there is.
+// Guards against decoding that does not terminate, or that returns more data than the log has, for arbitrary input.
 func FuzzDecodeLog(f *testing.F) {
 	valid, _ := encodedLog(f, 4)
 	f.Add(valid)
@@ -115,10 +115,10 @@
 			decoded += recordHeaderSize + proto.Size(entry)
 		})
 		if err == nil && truncated > len(data) {
-			t.Fatal("more is truncated than there is")
+			t.Fatal("truncated size exceeds the size of the log")
 		}
 		if err == nil && truncated == 0 && len(data) > 0 && decoded > len(data)-headerSize {
-			t.Fatal("more was decoded than there is")
+			t.Fatal("decoded size exceeds the size of the log")
 		}
 	})
 }
--- a/internal/storage/helpers_test.go
+++ b/internal/storage/helpers_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// nowUnixMs is the time in all tests.
+	// nowUnixMs is the current time in all tests.
 	nowUnixMs = 1e12
 	dayMs     = 86400e3
-	// unlimited is a size that no log of a test reaches.
+	// unlimited is a log size in bytes that no test reaches.
 	unlimited = 1 << 30
-	// testIncarnation is the first incarnation in a directory.
+	// testIncarnation is the number of the first incarnation in a directory.
 	testIncarnation = 5
 )
 
 func unixMs() float64 { return nowUnixMs }
 
-// bindEntry returns the entry of a bind that expires in a day.
+// bindEntry returns the entry of a bind that expires after dayMs.
 func bindEntry(key uint64, number uint32) *statepb.Entry {
 	return &statepb.Entry{Body: &statepb.Entry_Bind{Bind: &statepb.Bind{
 		Key:           key,
@@ -36,12 +36,12 @@
 	}}}
 }
 
-// forgetEntry returns the entry of a bind of the first incarnation that was never accepted.
+// forgetEntry returns the entry that removes a bind of the first incarnation.
 func forgetEntry(key uint64, number uint32) *statepb.Entry {
 	return ForgetEntry(key, testIncarnation, number)
 }
 
-// openLog opens a directory, and returns its contents from before.
+// openLog opens a directory, and returns the log and the contents before opening.
 func openLog(t require.TestingT, disk Disk, maxSize int) (*Log, *Contents) {
 	incarnation := &statepb.Incarnation{Number: testIncarnation, StartedUnixMs: nowUnixMs}
 	log, contents, err := Open(disk, incarnation, maxSize, unixMs)
@@ -49,12 +49,12 @@
 	return log, contents
 }
 
-// commitDurably commits entries together, and requires that this succeeds.
+// commitDurably commits entries durably in one commit, which must succeed.
 func commitDurably(t require.TestingT, log *Log, entries ...*statepb.Entry) {
 	require.NoError(t, log.Commit(entries, true))
 }
 
-// failAt returns a fault of one operation.
+// failAt returns a fault function that fails the operation with the given sequence number.
 func failAt(number int, err error) func(Call) error {
 	return func(call Call) error {
 		if call.Number == number {
@@ -64,7 +64,7 @@
 	}
 }
 
-// failEvery returns a fault of every operation of some kinds.
+// failEvery returns a fault function that fails all operations of the given kinds.
 func failEvery(err error, operations ...Operation) func(Call) error {
 	return func(call Call) error {
 		if slices.Contains(operations, call.Operation) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// inspectAfterCrash crashes a disk, whose faults end, and returns what it holds then.
+// inspectAfterCrash crashes and recovers a disk, stops its fault injection, and returns its contents.
 func inspectAfterCrash(t require.TestingT, disk *MemoryDisk, message ...any) *Contents {
 	disk.Crash()
 	disk.Recover()
@@ -84,7 +84,7 @@
 	return contents
 }
 
-// describe lists binds in a form that can be compared.
+// describe formats binds as text, one per line, for comparison.
 func describe(binds []*statepb.Bind) string {
 	var lines bytes.Buffer
 	for _, bind := range binds {
@@ -93,7 +93,7 @@
 	return lines.String()
 }
 
-// describeLive is describe for the live binds that have not expired. It sorts them itself, since sorted is under test.
+// describeLive is describe for the unexpired binds in live. It does not use liveBinds.sorted, which is under test.
 func describeLive(live liveBinds) string {
 	unexpired := maps.Clone(live)
 	unexpired.dropExpired(nowUnixMs)
--- a/internal/storage/inspect.go
+++ b/internal/storage/inspect.go
@@ -2,16 +2,16 @@
 
 import "grebeglade/internal/storage/statepb"
 
-// Contents is what a directory holds.
+// Contents holds the state read from a directory.
 type Contents struct {
-	Incarnation    *statepb.Incarnation // the latest; nil in a new directory
-	LiveBinds      []*statepb.Bind      // the last bind of each key that is known, in the order of keys
-	Files          []string             // in the order in which they were read
-	TruncatedBytes int                  // at the ends of logs, which a crash left incomplete
+	Incarnation    *statepb.Incarnation // latest incarnation; nil in a new directory
+	LiveBinds      []*statepb.Bind      // last bind of each live key, sorted by key
+	Files          []string             // names of the files read, in reading order
+	TruncatedBytes int                  // size of the incomplete records that a crash left at the ends of logs
 }
 
-// Inspect reads a directory without changing or locking it. It returns a *CorruptionError, a *VersionError or a
-// *DiskError for one that cannot be read.
+// Inspect reads a directory without changing or locking it. Errors are of type *CorruptionError, *VersionError or
+// *DiskError.
 func Inspect(disk Disk) (*Contents, error) {
 	reader, err := readDirectory(disk)
 	if err != nil {
@@ -20,15 +20,15 @@
 	return reader.contents, nil
 }
 
-// directoryReader collects what the latest snapshot and the logs since hold.
+// directoryReader collects the state in the latest snapshot and the logs since.
 type directoryReader struct {
 	disk     Disk
 	contents *Contents
 	live     liveBinds
-	last     uint64 // the highest number of a file, 0 in a new directory
+	last     uint64 // highest file number; 0 in a new directory
 }
 
-// readDirectory reads the latest snapshot, if there is one, and the logs from its number on.
+// readDirectory reads the latest snapshot, if any, and all logs with at least its number.
 func readDirectory(disk Disk) (*directoryReader, error) {
 	files, err := listFiles(disk)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return data, nil
 }
 
-// readSnapshot reads the snapshot with a number.
+// readSnapshot reads the snapshot with the given number.
 func (r *directoryReader) readSnapshot(number uint64) error {
 	name := snapshotName(number)
 	data, err := r.readFile(name)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// readLog applies the entries of the log with a number.
+// readLog applies the entries of the log with the given number.
 func (r *directoryReader) readLog(number uint64) error {
 	name := logName(number)
 	data, err := r.readFile(name)
--- a/internal/storage/livebinds.go
+++ b/internal/storage/livebinds.go
@@ -7,11 +7,11 @@
 	"grebeglade/internal/storage/statepb"
 )
 
-// liveBinds holds the last bind of each key that must still be known.
+// liveBinds holds the last bind of each live key, by key.
 type liveBinds map[uint64]*statepb.Bind
 
-// apply changes what is live according to an entry. An entry of an incarnation, or of a kind that a later version has
-// added, changes nothing.
+// apply updates the live binds with an entry. Incarnation entries, and kinds of entries that a later version has added,
+// are ignored.
 func (l liveBinds) apply(entry *statepb.Entry) {
 	switch body := entry.Body.(type) {
 	case *statepb.Entry_Bind:
@@ -25,7 +25,7 @@
 	}
 }
 
-// dropExpired forgets the binds that have expired.
+// dropExpired removes the expired binds.
 func (l liveBinds) dropExpired(nowUnixMs float64) {
 	for key, bind := range l {
 		if bind.ExpiresUnixMs <= nowUnixMs {
@@ -34,7 +34,7 @@
 	}
 }
 
-// sorted returns the binds in the order of their keys.
+// sorted returns the binds sorted by key.
 func (l liveBinds) sorted() []*statepb.Bind {
 	var binds []*statepb.Bind
 	for _, bind := range l {
@@ -44,21 +44,21 @@
 	return binds
 }
 
-// savedBinds are the binds that were live for some keys. A key that was not live has a nil bind.
+// savedBinds is a copy of the live binds of some keys. A key that was not live has a nil bind.
 type savedBinds map[uint64]*statepb.Bind
 
-// save returns what is live for the keys of some entries, so that applying these entries can be undone by restore.
+// save returns the live binds of the keys in entries, so that restore can undo the application of these entries.
 func (l liveBinds) save(entries []*statepb.Entry) savedBinds {
 	saved := make(savedBinds, len(entries))
 	for _, entry := range entries {
-		if key, ok := keyOf(entry); ok {
+		if key, ok := entryKey(entry); ok {
 			saved[key] = l[key]
 		}
 	}
 	return saved
 }
 
-// restore undoes what was applied since save.
+// restore undoes all changes of the saved keys since save.
 func (l liveBinds) restore(saved savedBinds) {
 	for key, bind := range saved {
 		if bind == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// keyOf returns the key that an entry is about, if it is about one.
-func keyOf(entry *statepb.Entry) (key uint64, ok bool) {
+// entryKey returns the key of a Bind or Forget entry, and false for any other entry.
+func entryKey(entry *statepb.Entry) (key uint64, ok bool) {
 	switch body := entry.Body.(type) {
 	case *statepb.Entry_Bind:
 		return body.Bind.Key, true
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// DefaultMaxLogSize is the length of a log in bytes above which it is replaced by a snapshot.
+	// DefaultMaxLogSize is the size of a log in bytes above which it is replaced by a snapshot.
 	DefaultMaxLogSize = 8 << 20
 
-	// logBytesPerLiveBind is the length that a log may have for each live bind, whatever its limit: a snapshot of many
-	// live binds should not be written for a few changes.
+	// logBytesPerLiveBind raises the size limit of a log in proportion to the number of live binds, so that a large
+	// snapshot is not written for a few changes.
 	logBytesPerLiveBind = 64
 )
 
-// Log is an open directory. It is not safe for concurrent use.
+// Log is an open state directory. It is not safe for concurrent use.
 type Log struct {
 	disk        Disk
-	maxSize     int            // of a log in bytes
-	unixMs      func() float64 // the present time
+	maxSize     int            // size limit of a log file in bytes
+	unixMs      func() float64 // returns the current time in Unix milliseconds
 	incarnation *statepb.Incarnation
 	live        liveBinds
 
-	number  uint64 // of the current snapshot and log
-	file    File   // the current log
-	size    int    // of the current log in bytes
-	failure error  // why the current log must not be written any more; nil while it may be
+	number  uint64 // number of the current snapshot and log
+	file    File   // current log
+	size    int    // size of the current log in bytes
+	failure error  // why the current log must not be written to; nil if it may be
 	buffer  []byte // reused for encoding
 }
 
-// Open locks a directory, reads it and begins an incarnation in it. The number of the incarnation is raised where that
-// is necessary to exceed the one before, as when the clock was set back. A log that is longer than maxLogSize bytes is
-// replaced by a snapshot. The function unixMs returns the present time in Unix milliseconds.
+// Open locks a directory, reads it and begins an incarnation in it. If incarnation.Number does not exceed that of the
+// previous incarnation, for example because the clock was set back, Open raises it. A log larger than maxLogSize bytes
+// is replaced by a snapshot. The function unixMs returns the current time in Unix milliseconds.
 //
-// The contents are those from before the call. A truncated log is no error. ErrInUse, a *CorruptionError and a
-// *VersionError leave the directory unchanged; any other error is a *DiskError.
+// The returned contents are those before the call. A truncated log is not an error. If the error matches ErrInUse, or
+// is a *CorruptionError or *VersionError, the directory is unchanged; any other error is a *DiskError.
 func Open(disk Disk, incarnation *statepb.Incarnation, maxLogSize int, unixMs func() float64) (*Log, *Contents, error) {
 	if err := lock(disk); err != nil {
 		return nil, nil, err
@@ -45,7 +45,8 @@
 		return nil, nil, errors.Join(err, unlock(disk))
 	}
 	if previous := reader.contents.Incarnation; previous != nil && incarnation.Number <= previous.Number {
-		// The clock was set back, or two incarnations began at once. Nodes reject offers of an earlier incarnation.
+		// The clock was set back, or two incarnations began at the same time. Nodes reject offers of an earlier
+		// incarnation.
 		incarnation.Number = previous.Number + 1
 	}
 	log := &Log{
@@ -62,12 +63,13 @@
 	return log, reader.contents, nil
 }
 
-// Commit appends entries to the log. With durable, they survive a crash of the machine once it returns; otherwise they
-// do so after the next durable commit, or when the system writes them.
+// Commit appends entries to the log. If durable is true, they survive a crash of the machine once Commit has returned;
+// otherwise they do after the next durable commit, or once the operating system has written them.
 //
-// After a write or a sync that failed the file is never used again, since a later sync that succeeds says nothing about
-// what the failed one has lost: all that is live, including these entries, goes to a new snapshot. If that fails too,
-// Commit returns a *DiskError for each of the two steps, the entries are not live, and the next commit tries again.
+// After a failed write or sync the log file is never used again, since a later successful sync does not guarantee that
+// the data of the failed one was written. Instead all live binds, including these entries, are written to a new
+// snapshot. If that fails too, Commit returns a *DiskError for each of the two steps and the entries are not live; the
+// next commit writes a snapshot again.
 func (l *Log) Commit(entries []*statepb.Entry, durable bool) error {
 	saved := l.live.save(entries)
 	for _, entry := range entries {
@@ -81,15 +83,15 @@
 		}
 		return nil
 	}
-	if l.tooLong() {
-		// The new snapshot may have got its name before rotate failed. The next start would read it and not this log,
-		// so that nothing more may be written here; the next commit rotates again.
+	if l.shouldRotate() {
+		// If rotate fails after the rename of the new snapshot, the next start reads the snapshot and skips this log.
+		// So after any failure this log must not be written to; the next commit rotates again.
 		l.failure = l.rotate()
 	}
 	return nil
 }
 
-// append writes entries to the current log in one piece, unless the log must not be written any more.
+// append writes entries to the current log in a single write. It returns l.failure if that is set.
 func (l *Log) append(entries []*statepb.Entry, durable bool) error {
 	if l.failure != nil {
 		return l.failure
@@ -109,15 +111,15 @@
 	return l.file.Sync()
 }
 
-// tooLong reports whether the current log should be replaced by a snapshot.
-func (l *Log) tooLong() bool {
+// shouldRotate reports whether the current log exceeds its size limit.
+func (l *Log) shouldRotate() bool {
 	return l.size > max(l.maxSize, logBytesPerLiveBind*len(l.live))
 }
 
-// LiveCount returns the number of keys that are known.
+// LiveCount returns the number of live keys.
 func (l *Log) LiveCount() int { return len(l.live) }
 
-// Close makes all entries durable and unlocks the directory. An error is a *DiskError, or several.
+// Close makes all entries durable, closes the log and unlocks the directory. The error joins one or more *DiskError.
 func (l *Log) Close() error {
 	err := l.failure
 	if err == nil {
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -15,8 +15,8 @@
 	errReadOnly    = errors.New("read-only file system")
 )
 
-// openFails opens a directory for a later incarnation, and returns the error that this must give.
-func openFails(t *testing.T, disk Disk) error {
+// requireOpenFails requires that opening a directory for a later incarnation fails, and returns the error.
+func requireOpenFails(t *testing.T, disk Disk) error {
 	t.Helper()
 	_, _, err := Open(disk, &statepb.Incarnation{Number: 9}, unlimited, unixMs)
 	require.Error(t, err)
@@ -33,18 +33,18 @@
 	log, contents = openLog(t, disk, unlimited)
 	assert.Equal(t, "2 1 1.0000864e+12\n3 0 1.0000864e+12\n", describe(contents.LiveBinds))
 	assert.EqualValues(t, testIncarnation, contents.Incarnation.Number)
-	const higherNumber = "a later incarnation has a higher number, whatever the clock says"
+	const higherNumber = "a later incarnation has a higher number even if the clock was set back"
 	assert.EqualValues(t, testIncarnation+1, log.incarnation.Number, higherNumber)
 }
 
-func TestOpen_DirectoryInUse_LeavesItAlone(t *testing.T) {
+func TestOpen_DirectoryInUse_LeavesItUnchanged(t *testing.T) {
 	path := t.TempDir()
 	disk, err := OpenDir(path)
 	require.NoError(t, err)
 	log, _ := openLog(t, disk, unlimited)
 	other, err := OpenDir(path)
 	require.NoError(t, err)
-	err = openFails(t, other)
+	err = requireOpenFails(t, other)
 	require.ErrorIs(t, err, ErrInUse)
 	require.ErrorContains(t, err, path)
 	commitDurably(t, log, bindEntry(1, 0))
@@ -59,10 +59,10 @@
 	require.NoError(t, log.Close())
 	name := snapshotName(log.number)
 	disk.visible[name].data[versionOffset] = 2
-	err := openFails(t, disk)
+	err := requireOpenFails(t, disk)
 	var later *VersionError
 	require.ErrorAs(t, err, &later)
-	require.ErrorContains(t, err, name+" is of version 2 and this program reads up to 1")
+	require.ErrorContains(t, err, name+" has format version 2, this program reads versions up to 1")
 	assert.False(t, disk.locked)
 	again, err := disk.Read(name)
 	require.NoError(t, err)
@@ -81,13 +81,14 @@
 			log, _ := openLog(t, disk, unlimited)
 			require.NoError(t, log.Close())
 			disk.InjectFault = failEvery(errInputOutput, operation)
-			requireDiskError(t, openFails(t, disk), step)
+			requireDiskError(t, requireOpenFails(t, disk), step)
 			assert.False(t, disk.locked)
 		})
 	}
 }
 
-// A later sync that succeeds says nothing about what the failed one has lost.
+// Guards against further use of a log file after a failed sync: a later successful sync does not guarantee that the
+// data of the failed one was written.
 func TestLog_Commit_SyncFails_NeverUsesFileAgain(t *testing.T) {
 	disk := NewMemoryDisk(1)
 	log, _ := openLog(t, disk, unlimited)
@@ -102,11 +103,11 @@
 			return errInputOutput
 		}
 		if failed {
-			assert.NotContains(t, []Operation{OpWrite, OpSync}, call.Operation, "the file is used again")
+			assert.NotContains(t, []Operation{OpWrite, OpSync}, call.Operation, "the file is used after a failed sync")
 		}
 		return nil
 	}
-	require.NoError(t, log.Commit([]*statepb.Entry{bindEntry(1, 0)}, true), "all of it went to a new file")
+	require.NoError(t, log.Commit([]*statepb.Entry{bindEntry(1, 0)}, true), "the entries were written to a new file")
 	commitDurably(t, log, bindEntry(2, 0))
 	assert.True(t, failed)
 	assert.Len(t, inspectAfterCrash(t, disk).LiveBinds, 2)
--- a/internal/storage/logreader.go
+++ b/internal/storage/logreader.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decodeLog calls apply for each entry of a log. It returns how many bytes at the end are no complete record, as a
-// crash leaves them. Such bytes in front of a valid record are a *CorruptionError.
+// decodeLog calls apply for each entry of a log. It returns the size in bytes of an incomplete record at the end, as a
+// crash may leave it. It returns a *CorruptionError if a valid record follows an invalid one.
 func decodeLog(name string, data []byte, number uint64, apply func(*statepb.Entry)) (truncated int, err error) {
 	if err := checkHeader(name, data, number); err != nil {
 		if truncatedWhileCreated(data, err) {
@@ -19,13 +19,13 @@
 		return 0, err
 	}
 	for rest := data[headerSize:]; len(rest) > 0; {
-		entry, next, err := cutEntry(rest)
+		entry, next, err := decodeEntry(rest)
 		if err != nil {
-			if distance, found := nextRecord(rest); found {
+			if distance, found := findNextRecord(rest); found {
 				return 0, &CorruptionError{
 					File:   name,
 					Offset: len(data) - len(rest),
-					Err:    fmt.Errorf("%w; the next valid record begins %d bytes later", err, distance),
+					Err:    fmt.Errorf("%w; next valid record begins %d bytes later", err, distance),
 				}
 			}
 			return len(rest), nil
@@ -36,8 +36,8 @@
 	return 0, nil
 }
 
-// truncatedWhileCreated reports whether an error of checkHeader is what a crash leaves of a log that was being created:
-// an incomplete header, or one of the right length with bytes that were never written, and nothing behind it.
+// truncatedWhileCreated reports whether an error of checkHeader can result from a crash while the log was created: the
+// file ends within the header, or directly after a header in which some bytes were not written.
 func truncatedWhileCreated(data []byte, err error) bool {
 	if errors.Is(err, ErrTruncated) {
 		return true
@@ -46,15 +46,15 @@
 	return errors.As(err, &corruption) && len(data) <= headerSize
 }
 
-// cutEntry returns the entry in the first record of data, and what follows that record.
-func cutEntry(data []byte) (entry *statepb.Entry, rest []byte, err error) {
-	payload, rest, err := cutRecord(data)
+// decodeEntry returns the entry in the first record of data, and the bytes after the record.
+func decodeEntry(data []byte) (entry *statepb.Entry, rest []byte, err error) {
+	payload, rest, err := decodeRecord(data)
 	if err != nil {
 		return nil, nil, err
 	}
 	entry = &statepb.Entry{}
 	if err := proto.Unmarshal(payload, entry); err != nil {
-		return nil, nil, fmt.Errorf("decode an entry: %w", err)
+		return nil, nil, fmt.Errorf("decode entry: %w", err)
 	}
 	return entry, rest, nil
 }
--- a/internal/storage/memorycrash.go
+++ b/internal/storage/memorycrash.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// ErrCrashed is what every operation on a MemoryDisk returns after a crash of its machine.
-var ErrCrashed = errors.New("the machine has crashed")
+// ErrCrashed is returned by every operation on a MemoryDisk after a simulated crash of its machine, until Recover.
+var ErrCrashed = errors.New("simulated machine has crashed")
 
-// Crash loses what was not synced: of each file it leaves any part of what was appended, perhaps with zeros in place of
-// the last bytes, and of the changes of names any. Every operation fails until Recover is called.
+// Crash simulates a crash of the machine. Of the unsynced data of each file it keeps a random prefix, sometimes with
+// zeros as its last bytes. Of the unsynced changes of names it keeps a random subset. All operations fail until Recover
+// is called.
 func (m *MemoryDisk) Crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,7 +30,8 @@
 		}
 	}
 	m.unsynced = nil
-	// A file may have two names, and is truncated once. The order decides which random numbers it gets.
+	// A file may have two names but is truncated once. Files are visited in sorted order, so that a seed always gives the
+	// same result.
 	truncated := map[*inode]bool{}
 	for _, name := range m.durable.sorted() {
 		if file := m.durable[name]; !truncated[file] {
@@ -39,7 +41,7 @@
 	}
 }
 
-// truncate reduces what was appended to a file and not synced to what a crash may leave of it.
+// truncate reduces the unsynced data of a file to what a crash may leave of it.
 func (m *MemoryDisk) truncate(file *inode) {
 	unsynced := len(file.data) - file.synced
 	if unsynced <= 0 {
@@ -47,20 +49,20 @@
 	}
 	file.data = file.data[:file.synced+m.random.IntN(unsynced+1)]
 	if remaining := len(file.data) - file.synced; remaining > 0 && m.random.IntN(3) == 0 {
-		// The new length of the file was written, and its last bytes were not.
+		// The new file size was written, but not the last bytes.
 		clear(file.data[len(file.data)-1-m.random.IntN(remaining):])
 	}
 	file.synced = len(file.data)
 }
 
-// Recover starts the machine again after a crash.
+// Recover restarts the machine after a crash, with the files that the crash left.
 func (m *MemoryDisk) Recover() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = false
 	m.visible = fileNames{}
 	for name, file := range m.durable {
-		// A file that was open before the crash must not change the recovered one.
+		// Copied, since a file that was opened before the crash must not change the recovered one.
 		recovered := &inode{data: slices.Clone(file.data), synced: len(file.data)}
 		m.visible[name] = recovered
 		m.durable[name] = recovered
--- a/internal/storage/memorydisk.go
+++ b/internal/storage/memorydisk.go
@@ -8,24 +8,24 @@
 	"sync"
 )
 
-// MemoryDisk is a Disk in memory, for tests and simulations. A crash loses what was not synced, or a part of it, and
-// faults can be injected into its operations. It is safe for concurrent use.
+// MemoryDisk is an in-memory Disk for tests and simulations. Crash discards unsynced data, or a part of it, and
+// InjectFault makes operations fail. It is safe for concurrent use.
 type MemoryDisk struct {
-	// InjectFault, if not nil, is called before each operation and returns the error with which it is to fail.
-	// ErrCrashed crashes the machine in the middle of the operation.
+	// InjectFault, if not nil, is called before each operation, which fails with the error that it returns. ErrCrashed
+	// crashes the machine in the middle of the operation.
 	InjectFault func(Call) error
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	visible  fileNames    // as the running machine sees them
-	durable  fileNames    // as a crash leaves them
-	unsynced []nameChange // what was done to visible and not yet to durable
+	visible  fileNames    // names including unsynced changes
+	durable  fileNames    // names that survive a crash
+	unsynced []nameChange // changes of visible that are not in durable
 	locked   bool
 	crashed  bool
 	calls    int
 }
 
-// NewMemoryDisk returns an empty disk. What a crash leaves depends on the seed.
+// NewMemoryDisk returns an empty disk. The seed determines which unsynced data a crash keeps.
 func NewMemoryDisk(seed uint64) *MemoryDisk {
 	const stream = 0xd15c
 	return &MemoryDisk{
@@ -35,7 +35,7 @@
 	}
 }
 
-// Calls returns the number of operations so far.
+// Calls returns the number of operations so far, which is the Number of the last Call.
 func (m *MemoryDisk) Calls() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,8 +99,8 @@
 	return m.changeNames(OpRemove, name, nameChange{name, nil})
 }
 
-// changeNames performs an operation that consists of changes of names. A crash in the middle of it may leave any of
-// them, so the partial effect is all of them: crash chooses among the changes that were not synced.
+// changeNames performs an operation that consists of changes of names. A crash in the middle of it may keep any of
+// them, so the partial effect adds all of them to unsynced, of which crash keeps a random subset.
 func (m *MemoryDisk) changeNames(operation Operation, file string, changes ...nameChange) error {
 	change := func() {
 		for _, c := range changes {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Lock implements Disk. It does not count as an operation.
+// Lock implements Disk. It is not counted as an operation, and faults are not injected into it.
 func (m *MemoryDisk) Lock() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// Unlock implements Disk. It does not count as an operation.
+// Unlock implements Disk. It is not counted as an operation, and faults are not injected into it.
 func (m *MemoryDisk) Unlock() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/storage/memoryfile.go
+++ b/internal/storage/memoryfile.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// inode is the contents of a file, whatever names it has.
+// inode is the contents of a file. Several names can refer to it.
 type inode struct {
 	data   []byte
-	synced int // the length that a crash preserves
+	synced int // number of bytes that a crash keeps
 }
 
-// fileNames are the files of a MemoryDisk by their names.
+// fileNames maps the file names of a MemoryDisk to contents.
 type fileNames map[string]*inode
 
 func (n fileNames) sorted() []string { return slices.Sorted(maps.Keys(n)) }
 
-// nameChange gives a name to an inode, or removes the name if the inode is nil.
+// nameChange sets the inode of a name, or removes the name if the inode is nil.
 type nameChange struct {
 	name string
 	node *inode
@@ -38,7 +38,7 @@
 	name string
 }
 
-// Write writes a part of the data when it fails, as a disk that is full does, or when the machine crashes.
+// Write implements File. If it fails, it writes a random prefix of the data, as on a full disk or in a crash.
 func (f *memoryFile) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -57,7 +57,7 @@
 	return len(data), nil
 }
 
-// Sync leaves undetermined what a crash loses when it fails, as the sync of a real disk does.
+// Sync implements File. If it fails, the data stays unsynced, so that a crash may keep any prefix of it.
 func (f *memoryFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
--- a/internal/storage/osdirectory.go
+++ b/internal/storage/osdirectory.go
@@ -1,4 +1,4 @@
-//nolint:wrapcheck // errors of package os name the operation and the path; a DiskError adds the step
+//nolint:wrapcheck // errors of package os contain the operation and the path; a DiskError adds the step
 package storage
 
 import (
@@ -14,18 +14,18 @@
 	// lockName is the file that holds the lock of a directory.
 	lockName = "lock"
 
-	// What a directory holds is for the allocator's user alone.
+	// Only the user of the allocator process may access the directory.
 	directoryMode = 0o700
 	fileMode      = 0o600
 )
 
-// osDirectory is a Disk of the operating system. Its errors are those of package os, and ErrInUse.
+// osDirectory is a Disk in the file system. Its errors are those of package os, and ErrInUse.
 type osDirectory struct {
 	path string
 	lock *os.File // nil while the directory is not locked
 }
 
-// OpenDir returns the directory at a path, which is created if there is none.
+// OpenDir returns the directory at a path, and creates it if it does not exist.
 func OpenDir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, &DiskError{Step: StepCreate, Err: err}
@@ -35,7 +35,7 @@
 
 func (d *osDirectory) join(name string) string { return filepath.Join(d.path, name) }
 
-// List implements Disk. The lock is not one of the files.
+// List implements Disk. It omits the lock file.
 func (d *osDirectory) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// Lock implements Disk with an advisory lock, which the system releases when the process ends.
+// Lock implements Disk with an advisory lock, which the operating system releases when the process ends.
 func (d *osDirectory) Lock() error {
 	file, err := os.OpenFile(d.join(lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// RepairPlan is what a repair of a corrupt directory drops: everything in a file from the first byte that cannot be
-// read, and all later logs. What is dropped is kept under names that end in .damaged.
+// RepairPlan lists the data that a repair of a corrupt directory drops: the corrupt file from Offset on, and all later
+// logs. The original files are kept under names that end in .damaged.
 type RepairPlan struct {
-	File         string   // the corrupt one
-	Offset       int      // of the first byte that cannot be read
-	DroppedFiles []string // later logs, which are dropped as a whole
-	LostEntries  int      // valid records of the file that are dropped
+	File         string   // name of the corrupt file
+	Offset       int      // byte offset in File from which it cannot be read
+	DroppedFiles []string // names of later logs, which are dropped completely
+	LostEntries  int      // number of valid records in File after Offset, which are dropped
 }
 
-// PlanRepair returns what a repair of the directory would drop, or nil if the directory is not corrupt. It changes
-// nothing. Errors are those of Inspect, except for a *CorruptionError.
+// PlanRepair returns the plan of a repair, or nil if the directory is not corrupt. It does not change the directory.
+// Errors are of type *VersionError or *DiskError.
 func PlanRepair(disk Disk) (*RepairPlan, error) {
 	_, err := Inspect(disk)
 	var corruption *CorruptionError
@@ -38,7 +38,7 @@
 	return plan, nil
 }
 
-// dropLaterLogs adds the logs that follow a corrupt log. None is dropped if the corrupt file is a snapshot.
+// dropLaterLogs adds the logs after a corrupt log to DroppedFiles. It adds none if the corrupt file is a snapshot.
 func (p *RepairPlan) dropLaterLogs(numbers []uint64) {
 	if !p.isLog() {
 		return
@@ -52,11 +52,11 @@
 
 func (p *RepairPlan) isLog() bool { return strings.HasSuffix(p.File, logExtension) }
 
-// countRecords counts the valid records that begin behind the first byte of data, whatever is between them.
+// countRecords counts the valid records that begin after the first byte of data, including those after invalid bytes.
 func countRecords(data []byte) int {
 	count := 0
 	for {
-		offset, found := nextRecord(data)
+		offset, found := findNextRecord(data)
 		if !found {
 			return count
 		}
@@ -66,12 +66,12 @@
 	}
 }
 
-// skipRecords counts the valid records at the start of data, and returns what follows them. A record with an empty
-// payload does not count, as in nextRecord.
+// skipRecords returns the number of consecutive valid records at the start of data, and the bytes after them. It stops
+// at a record with an empty payload, which findNextRecord skips too.
 func skipRecords(data []byte) (int, []byte) {
 	count := 0
 	for {
-		payload, rest, err := cutRecord(data)
+		payload, rest, err := decodeRecord(data)
 		if err != nil || len(payload) == 0 {
 			return count, data
 		}
@@ -80,8 +80,8 @@
 	}
 }
 
-// Apply performs the plan on the directory that it was made for. It returns ErrInUse while the directory is locked, and
-// otherwise a *DiskError, after which some of the files may have been renamed.
+// Apply performs the plan on the directory for which it was made. The error matches ErrInUse if the directory is
+// locked, and otherwise is a *DiskError, after which some of the files may have been renamed.
 func (p *RepairPlan) Apply(disk Disk) error {
 	if err := lock(disk); err != nil {
 		return err
@@ -100,11 +100,11 @@
 	}
 	if p.isLog() && p.Offset >= headerSize {
 		if err := writeFile(disk, p.File, data[:p.Offset]); err != nil {
-			return fmt.Errorf("write the valid part of %s: %w", p.File, err)
+			return fmt.Errorf("write valid part of %s: %w", p.File, err)
 		}
 	}
 	for _, name := range p.DroppedFiles {
-		// A file that is gone does not have to be dropped any more.
+		// A file that does not exist needs no renaming.
 		if err := markDamaged(disk, name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -112,7 +112,7 @@
 	return disk.Sync()
 }
 
-// markDamaged renames a file so that it is kept and not read any more.
+// markDamaged renames a file so that it is kept but not read by the next start.
 func markDamaged(disk Disk, name string) error {
 	return disk.Rename(name, name+damagedExtension)
 }
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// repairEntries is the number of entries in a log that is to be corrupted.
+	// repairEntries is the number of entries in the log that is corrupted.
 	repairEntries = 10
-	// corruptOffset is that of a byte within an entry in the middle of the log.
+	// corruptOffset is the offset of a byte within an entry in the middle of the log.
 	corruptOffset = headerSize + 200
 )
 
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	corrupt[corruptOffset] ^= 1
 	require.NoError(t, os.WriteFile(logPath, corrupt, 0o600))
-	err = openFails(t, disk)
+	err = requireOpenFails(t, disk)
 	var corruption *CorruptionError
 	require.ErrorAs(t, err, &corruption)
 	require.ErrorContains(t, err, logName(log.number)+" is damaged at byte ")
@@ -53,7 +53,7 @@
 	assert.Equal(t, corrupt, kept)
 }
 
-// corruptDirectory returns a disk with two logs, of which the first is corrupt.
+// corruptDirectory returns a disk with two logs, the first of them corrupt, and the plan of its repair.
 func corruptDirectory(t *testing.T) (disk *MemoryDisk, plan *RepairPlan) {
 	t.Helper()
 	disk = NewMemoryDisk(1)
@@ -70,16 +70,16 @@
 	return disk, plan
 }
 
-func TestRepairPlan_Apply_CorruptFileGone_ReturnsError(t *testing.T) {
+func TestRepairPlan_Apply_CorruptFileMissing_ReturnsError(t *testing.T) {
 	disk, plan := corruptDirectory(t)
 	require.NoError(t, disk.Remove(plan.File))
 	require.ErrorIs(t, plan.Apply(disk), fs.ErrNotExist)
 	_, err := disk.Read(plan.DroppedFiles[0])
-	require.NoError(t, err, "later logs are not changed")
+	require.NoError(t, err, "a later log was changed")
 	assert.False(t, disk.locked)
 }
 
-func TestRepairPlan_Apply_LaterLogGone_Succeeds(t *testing.T) {
+func TestRepairPlan_Apply_LaterLogMissing_Succeeds(t *testing.T) {
 	disk, plan := corruptDirectory(t)
 	require.NoError(t, disk.Remove(plan.DroppedFiles[0]))
 	require.NoError(t, plan.Apply(disk))
@@ -96,7 +96,7 @@
 		}
 		reads++
 		if reads == 1 {
-			return nil // the read in which the corruption is found
+			return nil // Inspect reads the file first and finds the corruption
 		}
 		return errInputOutput
 	}
@@ -111,7 +111,7 @@
 	assert.False(t, disk.locked)
 }
 
-// requireDiskError requires a *DiskError with a step whose cause is errInputOutput.
+// requireDiskError requires a *DiskError with the given step and the cause errInputOutput.
 func requireDiskError(t *testing.T, err error, step Step) {
 	t.Helper()
 	require.ErrorIs(t, err, errInputOutput)
--- a/internal/storage/rotate.go
+++ b/internal/storage/rotate.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// rotate writes all that is live to a snapshot of the next number, begins the log of that number, and removes the files
-// that these replace. The current log is closed last: wherever rotate stops, the earlier files still hold everything.
+// rotate writes the live binds to a snapshot with the next number, creates the log of that number, and removes the
+// files that they replace. The previous files are kept until the new ones are durable, so that a failure loses nothing.
 func (l *Log) rotate() error {
 	number := l.number + 1
 	l.live.dropExpired(l.unixMs())
@@ -15,8 +15,8 @@
 	if err := writeFile(l.disk, temporary, snapshot); err != nil {
 		return err
 	}
-	// The log is created before the snapshot gets its name. Otherwise a start that finds the snapshot without its log
-	// would skip entries that still went to the log before.
+	// The log is created before the snapshot gets its final name. If it were created afterwards and that failed, entries
+	// would still go to the previous log, which the next start skips because of the new snapshot.
 	file, err := createLog(l.disk, number)
 	if err != nil {
 		return err
@@ -24,15 +24,15 @@
 	if err := publish(l.disk, temporary, snapshotName(number)); err != nil {
 		return errors.Join(err, file.Close())
 	}
-	l.useLog(number, file)
+	l.switchLog(number, file)
 	l.removeObsolete()
 	return nil
 }
 
-// useLog makes an empty log the current one, and closes the log before.
-func (l *Log) useLog(number uint64, file File) {
+// switchLog makes an empty log the current one, and closes the previous log.
+func (l *Log) switchLog(number uint64, file File) {
 	if l.file != nil {
-		_ = l.file.Close() // the snapshot replaces what an error would be about
+		_ = l.file.Close() // an error does not matter, since the snapshot replaces the file
 	}
 	l.number = number
 	l.file = file
@@ -40,7 +40,7 @@
 	l.failure = nil
 }
 
-// writeFile creates a file with the given contents, which are durable once the directory is synced too.
+// writeFile creates and syncs a file with the given contents. It is durable once the directory is synced too.
 func writeFile(disk Disk, name string, data []byte) error {
 	file, err := disk.Create(name)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return file, nil
 }
 
-// writeAndSync writes the contents of a new file and makes them durable.
+// writeAndSync writes data to a file and syncs it.
 func writeAndSync(file File, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
@@ -77,8 +77,8 @@
 	return disk.Sync()
 }
 
-// removeObsolete removes the files that the current snapshot replaces. Errors are ignored, since such files do no harm,
-// and the next rotation tries again.
+// removeObsolete removes the files that the current snapshot replaces. Errors are ignored: these files are not read,
+// and the next rotation removes them.
 func (l *Log) removeObsolete() {
 	files, err := listFiles(l.disk)
 	if err != nil {
--- a/internal/storage/rotate_test.go
+++ b/internal/storage/rotate_test.go
@@ -14,13 +14,13 @@
 	errClose = errors.New("close failed")
 )
 
-// faultyFile is a file that cannot be synced, nor closed without an error.
+// faultyFile is a file whose Sync and Close fail.
 type faultyFile struct{ File }
 
 func (faultyFile) Sync() error  { return errSync }
 func (faultyFile) Close() error { return errClose }
 
-// faultyDisk has one file that is a faultyFile.
+// faultyDisk is a disk on which the file with the given name is a faultyFile.
 type faultyDisk struct {
 	*MemoryDisk
 	name string
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// encodeSnapshot returns the file of a snapshot with a number. Equal contents give equal bytes.
+// encodeSnapshot returns the contents of the snapshot file with the given number. Equal arguments give equal bytes.
 func encodeSnapshot(number uint64, incarnation *statepb.Incarnation, live liveBinds) ([]byte, error) {
 	snapshot := &statepb.Snapshot{Incarnation: incarnation}
 	for _, bind := range live.sorted() {
@@ -18,8 +18,8 @@
 	return appendRecord(encodeHeader(number), snapshot)
 }
 
-// decodeSnapshot returns what a snapshot holds. A snapshot gets its name once it is complete and synced, so that one
-// that is truncated is corrupt.
+// decodeSnapshot decodes the contents of a snapshot file. A snapshot gets its final name after it is complete and
+// synced, so a truncated one is corrupt.
 func decodeSnapshot(name string, data []byte, number uint64) (*statepb.Snapshot, error) {
 	corrupt := func(offset int, cause error) error {
 		return &CorruptionError{
@@ -34,13 +34,13 @@
 		}
 		return nil, err
 	}
-	payload, rest, err := cutRecord(data[headerSize:])
+	payload, rest, err := decodeRecord(data[headerSize:])
 	if err != nil {
 		return nil, corrupt(headerSize, err)
 	}
 	snapshot := &statepb.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil {
-		return nil, corrupt(headerSize, fmt.Errorf("decode the snapshot: %w", err))
+		return nil, corrupt(headerSize, fmt.Errorf("decode snapshot: %w", err))
 	}
 	if len(rest) > 0 {
 		return nil, corrupt(len(data)-len(rest), ErrTrailingBytes)
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -11,12 +11,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The files in testdata/version1 were written by the first program that used format version 1, whose process was then
-// killed; the log's last record is truncated. They are never rewritten.
+// The files in testdata/version1 were written by the first program with format version 1, which was then killed; the
+// last record of the log is truncated. They must never be rewritten, since they guard against incompatible changes.
 const (
 	storedDirectory = "testdata/version1"
 	storedNumber    = 2
-	storedTruncated = 35 // bytes of the truncated record
+	storedTruncated = 35 // size of the truncated record in bytes
 )
 
 var storedBinds = []*statepb.Bind{
@@ -50,7 +50,7 @@
 	assert.Equal(t, storedTruncated, c.TruncatedBytes)
 	require.Len(t, c.LiveBinds, len(storedBinds))
 	for i, want := range storedBinds {
-		assert.True(t, proto.Equal(want, c.LiveBinds[i]), "%v, stored are %v", want, c.LiveBinds[i])
+		assert.True(t, proto.Equal(want, c.LiveBinds[i]), "want %v, got %v", want, c.LiveBinds[i])
 	}
 }
 
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -6,40 +6,40 @@
 	"grebeglade/internal/storage/statepb"
 )
 
-// SyncPolicy says when the entries of a Writer become durable.
+// SyncPolicy determines when the entries of a Writer become durable.
 type SyncPolicy uint8
 
 const (
-	// GroupCommit syncs once for all entries that came while the sync before was under way.
+	// GroupCommit syncs once for all entries that were queued during the previous sync.
 	GroupCommit SyncPolicy = iota
-	// SyncPerEntry syncs once for each entry, provided that a caller waits for it.
+	// SyncPerEntry syncs once for each entry that has a callback.
 	SyncPerEntry
-	// NoSync leaves it to the system: a crash of the process loses nothing, one of the machine may.
+	// NoSync never syncs: entries survive a crash of the process, but may be lost in a crash of the machine.
 	NoSync
 )
 
-// maxQueuedEntries is how many entries may wait for the disk: more than ever wait for a disk that works.
+// maxQueuedEntries is the capacity of the queue of a Writer: more entries than are queued for a working disk.
 const maxQueuedEntries = 1 << 16
 
-// Writer commits entries to a log on a goroutine of its own, so that its callers never wait for the disk. It is safe
-// for concurrent use.
+// Writer commits entries to a log on a separate goroutine, so that its callers never wait for the disk. It is safe for
+// concurrent use.
 type Writer struct {
 	log     *Log
 	policy  SyncPolicy
 	mu      sync.Mutex
 	queue   []queuedEntry // guarded by mu
-	wake    chan struct{} // holds a value while the queue may have entries
+	wake    chan struct{} // holds a value if the queue may have entries
 	closing chan struct{} // closed by Close
-	stopped chan struct{} // closed by run
+	stopped chan struct{} // closed when run returns
 }
 
-// queuedEntry is an entry that waits for the disk.
+// queuedEntry is an entry that is not committed yet.
 type queuedEntry struct {
 	entry     *statepb.Entry
-	committed func(error) // nil if nobody waits for the entry
+	committed func(error) // callback; may be nil
 }
 
-// NewWriter returns a writer to a log, which must not be used by others any more.
+// NewWriter returns a writer that takes over the log: the caller must not use the log afterwards.
 func NewWriter(l *Log, policy SyncPolicy) *Writer {
 	w := &Writer{
 		log:     l,
@@ -52,12 +52,12 @@
 	return w
 }
 
-// Write queues an entry. The function committed is called on the writer's goroutine once the entry is durable, as far
-// as the policy says, or with the error for which it was not written. It may be nil: such an entry becomes durable with
-// the next one that has a function.
+// Write queues an entry. The callback committed is called on the writer's goroutine with the result of the commit,
+// after the sync that the policy requires. It may be nil: such an entry is synced with the next entry that has a
+// callback.
 //
-// While too many entries are queued, committed is called with ErrBacklogFull before Write returns. An entry without
-// committed is dropped then: a Forget that is lost only leaves its key known until it expires.
+// If the queue is full, committed is called with ErrBacklogFull before Write returns. An entry without a callback is
+// dropped in this case: a lost Forget only keeps its key live until it expires.
 func (w *Writer) Write(e *statepb.Entry, committed func(error)) {
 	if !w.enqueue(queuedEntry{entry: e, committed: committed}) {
 		if committed != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// enqueue reports whether there was room in the queue.
+// enqueue adds an entry to the queue. It returns false if the queue is full.
 func (w *Writer) enqueue(e queuedEntry) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,7 +82,7 @@
 	return true
 }
 
-// run commits what is queued until the writer is closed.
+// run commits queued entries until the writer is closed.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	var batch []queuedEntry
@@ -94,11 +94,11 @@
 		}
 		batch = w.takeQueue(batch[:0])
 		w.commitBatch(batch)
-		clear(batch) // so that the entries can be collected
+		clear(batch) // lets the garbage collector free the entries
 	}
 }
 
-// takeQueue returns the queued entries, and leaves an empty slice in their place whose capacity is used next.
+// takeQueue returns the queued entries, and replaces the queue by empty, whose capacity is reused.
 func (w *Writer) takeQueue(empty []queuedEntry) []queuedEntry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,7 +107,7 @@
 	return queued
 }
 
-// commitBatch commits entries in the groups that the policy prescribes.
+// commitBatch commits entries one by one for SyncPerEntry, and as a single group otherwise.
 func (w *Writer) commitBatch(batch []queuedEntry) {
 	if w.policy != SyncPerEntry {
 		w.commitGroup(batch)
@@ -118,18 +118,18 @@
 	}
 }
 
-// commitGroup commits entries together and calls the functions that wait for them.
+// commitGroup commits entries together and calls their callbacks.
 func (w *Writer) commitGroup(group []queuedEntry) {
 	if len(group) == 0 {
 		return
 	}
 	entries := make([]*statepb.Entry, len(group))
-	awaited := false
+	hasCallback := false
 	for i, queued := range group {
 		entries[i] = queued.entry
-		awaited = awaited || queued.committed != nil
+		hasCallback = hasCallback || queued.committed != nil
 	}
-	err := w.log.Commit(entries, awaited && w.policy != NoSync)
+	err := w.log.Commit(entries, hasCallback && w.policy != NoSync)
 	for _, queued := range group {
 		if queued.committed != nil {
 			queued.committed(err)
@@ -137,7 +137,7 @@
 	}
 }
 
-// Close commits what is queued and closes the log. The writer must not be used afterwards.
+// Close commits the queued entries and closes the log. The writer must not be used afterwards.
 func (w *Writer) Close() error {
 	close(w.closing)
 	<-w.stopped
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -50,7 +50,7 @@
 	}
 	writer := NewWriter(log, GroupCommit)
 	writer.Write(bindEntry(0, 0), nil)
-	<-hanging // the first entry is being written
+	<-hanging // the commit of the first entry is blocked
 	committed := make(chan error, maxQueuedEntries)
 	for i := range uint64(maxQueuedEntries) {
 		writer.Write(bindEntry(i+1, 0), func(err error) { committed <- err })
