--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkSchedule carries workloads from request to end on fleets with ten residents a node.
+// BenchmarkSchedule schedules, confirms and ends one workload per iteration, on fleets with ten running workloads per
+// node.
 func BenchmarkSchedule(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -31,7 +32,7 @@
 	}
 }
 
-// benchmarkWorkload returns a request of one of 50 services.
+// benchmarkWorkload returns a request for one of 50 services.
 func benchmarkWorkload(id int) Workload {
 	return Workload{
 		ID:             WorkloadID(id),
@@ -42,7 +43,7 @@
 	}
 }
 
-// benchmarkFleet returns a scheduler of one allocator whose nodes have half of their capacity left.
+// benchmarkFleet returns the scheduler of a sole allocator; half of the capacity of each node is free.
 func benchmarkFleet(nodes int) *Scheduler {
 	scheduler := New(Settings{
 		Allocators:           1,
--- a/placement/bind.go
+++ b/placement/bind.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// bindState is how far a bind is known to have come. It never goes back.
+// bindState is the furthest stage that a bind has reached according to the node. It only advances.
 type bindState uint8
 
 const (
-	bindSent      bindState = iota // offered to the node, which has not answered yet
+	bindSent      bindState = iota // offered to the node; no reply yet
 	bindConfirmed                  // accepted by the node
-	bindRunning                    // started: the node has the program of the service
+	bindRunning                    // started; the program of the service is installed on the node
 )
 
-// bind is one offer of a workload to a node, until its end is known.
+// bind is one offer of a workload to a node. It is kept until the offer fails or the workload ends.
 type bind struct {
-	// workload is what the node was offered.
+	// workload is the offered workload.
 	workload *workload
-	// node is where the workload was offered.
+	// node is the node that the workload was offered to.
 	node *node
-	// sentAt is when the offer was made, or when a workload that ran already was adopted.
+	// sentAt is the time of the offer, or the time of the adoption for a workload that already ran.
 	sentAt Millis
-	// state is how far the bind has come.
+	// state is the furthest stage reached.
 	state bindState
-	// usedCores are the cores that the workload used when last observed; NaN before any observation.
+	// usedCores is the number of cores in use by the workload at the last observation; NaN before the first.
 	usedCores float64
 }
 
-// advance records that the bind has come as far as state, if it had not before.
+// advance moves the bind to state. It does nothing if the bind has reached that state or a later one.
 func (b *bind) advance(state bindState) {
 	if b.state == bindSent && state > bindSent {
 		b.node.unanswered--
@@ -54,7 +54,7 @@
 	return added
 }
 
-// removeBind forgets a bind to n that has ended, and records that its resources are free again.
+// removeBind removes a bind that has failed or ended from n and records in n.changes that its resources are free.
 func (n *node) removeBind(now Millis, ended *bind) {
 	n.binds = slices.DeleteFunc(n.binds, func(b *bind) bool { return b == ended })
 	if ended.state == bindSent {
@@ -64,15 +64,16 @@
 	n.changes.add(now, resources{Cores: -released.Cores, Memory: -released.Memory})
 }
 
-// runsService reports whether a workload of ours runs the service on n, so that its program is installed there.
+// runsService reports whether a workload of this allocator runs the service on n. The program of the service is then
+// installed there.
 func (n *node) runsService(id ServiceID) bool {
 	return slices.ContainsFunc(n.binds, func(b *bind) bool {
 		return b.state == bindRunning && b.workload.Service == id
 	})
 }
 
-// bindsOf counts our binds of the service to n, whether they are sent or placed.
-func (n *node) bindsOf(id ServiceID) int {
+// countServiceBinds returns the number of this allocator's binds of the service to n, in any state.
+func (n *node) countServiceBinds(id ServiceID) int {
 	count := 0
 	for _, b := range n.binds {
 		if b.workload.Service == id {
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -1,66 +1,66 @@
-// Capacity decides how much of a node is available to new requests.
+// Capacity estimates how much of a node is available to new requests.
 //
-// Observed: the node's size, the free capacity that the node list or the load reports show, and the requests
-// that our own workloads have added and released. The list and the reports are late, so what our workloads
-// changed since is applied to them. Where neither shows free capacity, the number of allocators: all are taken to
-// have requested as much as we have.
+// Inputs: the node's size, its free capacity according to the node list or its load reports, and the resources that
+// this allocator's binds have requested and released. The list and the reports are out of date on arrival, so this
+// allocator's later changes are applied to them. If neither contains the free capacity, every allocator is assumed to
+// have requested as much as this one.
 //
-// Cost of an error: an estimate that is too high sends a bind that the node rejects, and the workload loses the
-// time of that bind; one that is too low leaves capacity idle while workloads are rejected.
+// Cost of an error: if the estimate is too high, the node rejects the bind and the workload loses the time spent on
+// it; if it is too low, workloads are rejected while capacity is idle.
 
 package placement
 
-// change is a step in what our own workloads request of a node.
+// change is one change of the resources that this allocator's workloads request on a node.
 type change struct {
 	at    Millis
-	added resources // negative where a workload has ended
+	delta resources // negative for a release
 }
 
-// changeLog holds the recent changes of a node, oldest first.
+// changeLog lists the recent changes on a node, oldest first.
 type changeLog []change
 
-// add records a change.
+// add appends a change.
 func (l *changeLog) add(at Millis, added resources) {
-	*l = append(*l, change{at: at, added: added})
+	*l = append(*l, change{at: at, delta: added})
 }
 
-// since sums the changes later than that time.
-func (l changeLog) since(at Millis) (sum resources) {
+// sumSince returns the sum of the changes made after start.
+func (l changeLog) sumSince(start Millis) (sum resources) {
 	for _, c := range l {
-		if c.at > at {
-			sum.Cores += c.added.Cores
-			sum.Memory += c.added.Memory
+		if c.at > start {
+			sum.Cores += c.delta.Cores
+			sum.Memory += c.delta.Memory
 		}
 	}
 	return sum
 }
 
-// capacityEstimator estimates what nobody has requested of a node.
+// capacityEstimator estimates the resources of a node that no workload of any allocator has requested.
 type capacityEstimator struct {
 	settings *Settings
 }
 
-// available returns the resources of n that nobody has requested: as listed or reported, less what our own
-// workloads changed since, and at most what they leave. With neither, all allocators are taken to have requested as
-// much as we have.
+// available returns the resources of n that no workload has requested: the listed or reported free capacity, adjusted
+// by this allocator's later changes, and at most the size of n less this allocator's own requests. If the free capacity
+// is neither listed nor reported, every allocator is assumed to have requested as much as this one.
 func (c *capacityEstimator) available(now Millis, n *node) resources {
-	requested := n.requestedByUs()
-	unrequested := resources{
+	requested := n.ownRequests()
+	upperBound := resources{
 		Cores:  n.size.Cores - requested.Cores,
 		Memory: n.size.Memory - requested.Memory,
 	}
 	if c.settings.EntriesCarryCapacity {
-		changed := n.changes.since(max(n.listedAt-discoveryLag, now-discoverySettling))
+		changed := n.changes.sumSince(max(n.listedAt-discoveryLag, now-discoverySettleTime))
 		return resources{
-			Cores:  min(unrequested.Cores, n.FreeCores-changed.Cores),
-			Memory: min(unrequested.Memory, n.FreeMemory-changed.Memory),
+			Cores:  min(upperBound.Cores, n.FreeCores-changed.Cores),
+			Memory: min(upperBound.Memory, n.FreeMemory-changed.Memory),
 		}
 	}
 	if latest := n.reports.latest(now); latest != nil && !c.settings.ReportsUsage {
-		changed := n.changes.since(latest.at - reportLag)
+		changed := n.changes.sumSince(latest.at - reportLag)
 		return resources{
-			Cores:  min(unrequested.Cores, latest.spare.Cores-changed.Cores),
-			Memory: min(unrequested.Memory, latest.spare.Memory-changed.Memory),
+			Cores:  min(upperBound.Cores, latest.spare.Cores-changed.Cores),
+			Memory: min(upperBound.Memory, latest.spare.Memory-changed.Memory),
 		}
 	}
 	allocators := float64(c.settings.Allocators)
@@ -70,8 +70,8 @@
 	}
 }
 
-// requestedByUs returns what our own workloads on n request.
-func (n *node) requestedByUs() (sum resources) {
+// ownRequests returns the resources that this allocator's binds to n request.
+func (n *node) ownRequests() (sum resources) {
 	for _, b := range n.binds {
 		sum.Cores += b.workload.Cores
 		sum.Memory += b.workload.Memory
--- a/placement/capacity_test.go
+++ b/placement/capacity_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestAvailable_SubtractsRequestsSinceTheEntry(t *testing.T) {
+func TestAvailable_SubtractsRequestsLaterThanTheEntry(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		now  Millis
 		want resources
 	}{
-		{"request later than the entry: subtracted", 0, resources{4, 14}},
-		{"after the list settled: it shows the request", discoverySettling + 1, resources{10, 20}},
+		{"request that the entry may not include: subtracted", 0, resources{4, 14}},
+		{"request that the entry includes: not subtracted", discoverySettleTime + 1, resources{10, 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 1)
--- a/placement/constants.go
+++ b/placement/constants.go
@@ -1,152 +1,169 @@
 package placement
 
-// Tuning of the decisions: every tuned value of the package is here. A utilization is in cores used for each
-// core of a node; times are in milliseconds.
+// This file holds every tuning constant of the package. Utilizations are in cores in use per core of the node, times
+// in milliseconds.
 
-// Load and memory in use that a node may reach.
+// Limits on the load and the memory in use on a node.
 const (
-	// defaultLoadCap is the utilization that a node must stay below, for groups that state no degradation. It is
-	// the design's start.
+	// defaultLoadCap is the utilization that a node must stay below for groups without degradation settings.
 	defaultLoadCap = 0.8
-	// degradationLimit is the part of a group's degradation range that a node may go into, from 0 (full service)
-	// to 1 (none).
-	degradationLimit = 0.5
-	// memoryCap is the share of a node's memory that may be in use. It leaves a tenth for growth after a start.
+	// maxDegradationShare is the share of a group's degradation range that the load of a node may use up, from 0
+	// (full service) to 1 (no service).
+	maxDegradationShare = 0.5
+	// memoryCap is the largest share of a node's memory in use. The remaining tenth is for growth after a start.
 	memoryCap = 0.9
-	// loadTieBand is the difference in utilization within which loads tie. It is the design's: finer than the
-	// noise of load reports.
+	// loadTieBand is the largest difference in utilization between loads that count as equal. Smaller
+	// differences are within the noise of load reports.
 	loadTieBand = 0.05
 )
 
-// Age of what the node list and load reports show.
+// Age and retention of data from the node list and from load reports.
 const (
-	// discoveryLag is the age of an entry's capacity on arrival: the node's report and the list's.
+	// discoveryLag is the age of a node list entry's capacity on arrival: the delay of the node's report plus that of
+	// the list's update.
 	discoveryLag = Millis(750)
-	// discoverySettling is the time within which a change of capacity shows in the list, if it ever will.
-	discoverySettling = Millis(2e3)
-	// reportLag is the age of a load report on arrival: its refresh and its way here.
+	// discoverySettleTime is the time after which the node list includes a change of capacity, if it ever does.
+	discoverySettleTime = Millis(2e3)
+	// reportLag is the age of a load report on arrival: the node's refresh interval plus the transfer.
 	reportLag = Millis(700)
-	// reportMaxAge is the age beyond which a report no longer counts: several workloads ended by then.
-	reportMaxAge = Millis(5e3)
-	// maxReports is how many reports of a node are kept: enough to cover the migration window.
+	// maxReportAge is the age above which a load report is ignored: several workloads have ended by then.
+	maxReportAge = Millis(5e3)
+	// maxReports is the number of load reports kept per node: enough to cover migrationWindow.
 	maxReports = 16
-	// reportSpacing is the time from one report that is kept to the next, where more come: those kept cover the
-	// migration window, with two to spare.
+	// reportSpacing is the minimum time between kept reports of a node. At this spacing, maxReports reports cover
+	// migrationWindow with two to spare.
 	reportSpacing = migrationWindow / (maxReports - 2)
-	// maxUsageSamples is how many usage ratios are kept over the whole fleet: a steady mean that still follows the
-	// time of day.
+	// maxUsageSamples is the number of usage ratios kept for the whole fleet: enough for a stable mean, few enough
+	// to follow changes over the day.
 	maxUsageSamples = 64
-	// defaultUsageRatio is the number of cores used for each one requested, before any sample.
+	// defaultUsageRatio is the assumed number of cores used per core requested, before the first sample.
 	defaultUsageRatio = 0.6
 )
 
-// Timeouts, and what is kept of answers.
+// Bind timeouts, and retention of confirmations and rejections.
 const (
-	// minBindTimeout is the least timeout of a bind that another may follow: a full admission queue takes as long.
+	// minBindTimeout is the minimum timeout of a bind that is not the last one: the reply of a node with a full
+	// admission queue takes as long.
 	minBindTimeout = Millis(1e3)
-	// bindTimeoutFactor is the timeout of a bind that another may follow, in median confirmation times.
+	// bindTimeoutFactor is the timeout of a bind that is not the last one, in multiples of the median confirmation
+	// time.
 	bindTimeoutFactor = 3
-	// bindsInRemainingTime divides the time that remains to a workload: half of it is left for a further bind.
-	bindsInRemainingTime = 2
-	// answerMargin is how long before the pending timeout the final answer is given.
+	// remainingTimeDivisor divides a workload's remaining time to give the timeout of a bind. Half of the time is left for
+	// another bind.
+	remainingTimeDivisor = 2
+	// answerMargin is the time between the latest final answer and the pending timeout.
 	answerMargin = Millis(20)
-	// emptyListRetry is the time after which a workload is scheduled again, while no node is known.
-	emptyListRetry = Millis(50)
-	// maxConfirmations is how many confirmation times are kept over the whole fleet: a steady median that follows
-	// the time of day.
+	// emptyNodeListRetryInterval is the time between attempts to schedule a workload while the node table is empty.
+	emptyNodeListRetryInterval = Millis(50)
+	// maxConfirmations is the number of confirmation times kept for the whole fleet: enough for a stable median, few
+	// enough to follow changes over the day.
 	maxConfirmations = 32
-	// defaultConfirmationTime stands for the longest confirmation before any was seen: the first start of a program.
+	// defaultConfirmationTime is the assumed longest confirmation time before the first confirmation: the time of the
+	// first start of a program on a node.
 	defaultConfirmationTime = Millis(2e3)
-	// capacityRejectionPause is how long a node without capacity is not offered as much again.
+	// capacityRejectionPause is how long a node that rejected a bind for lack of capacity gets no request of the same
+	// size or more.
 	capacityRejectionPause = Millis(1e3)
-	// groupRejectionPause is how long a group avoids a node that rejected it without a reason of capacity.
+	// groupRejectionPause is how long a node gets no binds of a group after rejecting one for a reason other than
+	// capacity.
 	groupRejectionPause = Millis(15e3)
-	// maxRejections is how many rejections of a node are kept: one for each group, and some for lack of capacity.
+	// maxRejections is the number of rejections kept per node: one for each group, and some for lack of capacity.
 	maxRejections = 8
 )
 
 // Reservations for groups of higher priority weight.
 const (
-	// minReservedSlots is how many slots are kept at least, while any request was seen that competes.
+	// minReservedSlots is the minimum number of reserved slots if any recorded request has precedence.
 	minReservedSlots = 1
-	// maxReservedSlotsPerNode limits the slots that are kept for higher groups at once, in slots for each node.
+	// maxReservedSlotsPerNode limits the slots reserved for groups of higher weight, in slots per node of the fleet.
 	maxReservedSlotsPerNode = 0.5
-	// maxReservationScale limits the reservation windows over which our requests are counted to stand for all.
-	maxReservationScale = 10
-	// reservationWindow is the time of requests that capacity is kept for: those before the list shows it.
+	// maxReservationWindows limits the time over which this allocator's requests are counted as an estimate of the
+	// requests at all allocators, in multiples of reservationWindow.
+	maxReservationWindows = 10
+	// reservationWindow is the period of recent requests that capacity is reserved for: the time that the node list takes
+	// to show a change of capacity.
 	reservationWindow = Millis(2e3)
-	// maxGroupRequests is how many requests of a group are kept: more than one group's within reservationWindow.
+	// maxGroupRequests is the number of requests kept per group: more than a group has within reservationWindow.
 	maxGroupRequests = 64
 )
 
 // Slow start of nodes that have just started.
 const (
-	// warmUpWindowFactor is the window over which we count binds, in overload windows: binds bunch up on their way.
+	// warmUpWindowFactor is the window over which binds are counted, in multiples of Settings.OverloadWindow. It is
+	// more than 1 because the network can delay binds so that they arrive closer together than they were sent.
 	warmUpWindowFactor = 1.2
-	// slowStartRamp is the time over which our binds to a new node rise to our whole share of its budget.
+	// slowStartRamp is the time over which the binds to a new node rise from the initial rate to the whole share of
+	// its budget.
 	slowStartRamp = Millis(5e3)
-	// minWarmUpBinds is how many binds our share allows in a window however low the rate is: less than one is none.
+	// minWarmUpBinds is the minimum number of binds per window, however low the rate is: below 1 no bind could be
+	// sent.
 	minWarmUpBinds = 1
-	// turnsPerWindow is how many turns of the allocators any window overlaps at most, so that each has an equal
-	// part of the budget.
+	// turnsPerWindow is the largest number of turns that any window overlaps. Each turn gets an equal part of the
+	// budget.
 	turnsPerWindow = 2
-	// turnOffsets is how many places in the order of allocators the turns on a node may start from: far more than
-	// there are allocators, so that each is as likely as any other.
-	turnOffsets = 1 << 20
+	// turnOffsetRange is the number of different offsets of the first turn on a node in the order of allocators. It is
+	// far larger than the number of allocators, so that all of them are about equally likely to be first.
+	turnOffsetRange = 1 << 20
 )
 
 // Health: checks and ejection.
 const (
-	// healthCheckAfter is the time without a report after which a node is checked.
+	// healthCheckAfter is the time since the last contact after which a node is due for a health check.
 	healthCheckAfter = Millis(1500)
-	// healthChecksPerRequest is how many checks a request pays for: their cost stays a small part of it.
+	// healthChecksPerRequest is the number of health checks allowed per request: it keeps the checks' share of the
+	// total cost small.
 	healthChecksPerRequest = 1.0
-	// unresponsiveAfter is the time beyond the usual after which an unanswered bind hints at an unresponsive node.
+	// unresponsiveAfter is the time beyond the longest recent confirmation time after which a node that has not
+	// answered a bind counts as unresponsive.
 	unresponsiveAfter = Millis(800)
-	// ejectionTime is how long one failed contact ejects a node. It doubles with each further one in a row.
+	// ejectionTime is how long a node is ejected after one failed contact. It doubles with each consecutive failure.
 	ejectionTime = Millis(500)
-	// ejectionDoublings limits the doublings, so that a node is tried again after 16 s at the latest.
+	// ejectionDoublings limits the doublings of ejectionTime, so that a node is ejected for at most 16 s.
 	ejectionDoublings = 5
-	// minNodesPerEjection is how many nodes there must be for each that is ejected: more failures have a common
-	// cause.
+	// minNodesPerEjection is the minimum number of ready nodes per ejected node: if more nodes fail, a common
+	// cause is likely.
 	minNodesPerEjection = 3
 )
 
 // Subscription to the node list, and maintenance.
 const (
-	// resubscribeAfter is the time without an event after which the subscription is renewed.
+	// resubscribeAfter is the mean time without an event after which the subscription is renewed, unless
+	// Settings.PollInterval requires a shorter one.
 	resubscribeAfter = Millis(8e3)
-	// renewalsPerPollInterval is how many renewals fit in the time within which a change must be known: after one
-	// that fails there is time for another.
+	// renewalsPerPollInterval is the number of renewals within Settings.PollInterval: if one fails, there is time for
+	// another.
 	renewalsPerPollInterval = 2
-	// pollBackoff is the time to the next poll after a failed one, on average. It doubles with each further one.
+	// pollBackoff is the mean time from a failed poll to the next one. It doubles with each consecutive failure.
 	pollBackoff = Millis(1500)
-	// maxPollDoublings limits the doublings to 12 s: an overloaded list needs as long to serve every allocator.
+	// maxPollDoublings limits pollBackoff to 12 s: an overloaded discovery service needs as long to serve every
+	// allocator.
 	maxPollDoublings = 3
-	// firstPollSpacing is the time from one allocator's first poll to the next, within resubscribeAfter.
+	// firstPollSpacing is the largest time between the first polls of two allocators with consecutive ordinals. It is
+	// shorter if the polls would otherwise take longer than one renewal period.
 	firstPollSpacing = Millis(20)
-	// jitterSteps is how many different factors jitter draws from, in equal steps.
+	// jitterSteps is the number of different jitter factors, which are equally spaced.
 	jitterSteps = 1000
-	// jitterLeast is the least factor of a jittered duration.
-	jitterLeast = 0.75
-	// jitterRange is the difference between the least and the greatest factor, so that the mean factor is 1.
-	jitterRange = 0.5
-	// maintenanceInterval is the time between calls of Maintain: short against every window above.
+	// minJitterFactor is the smallest jitter factor.
+	minJitterFactor = 0.75
+	// jitterFactorRange is the difference between the largest and the smallest jitter factor. The mean factor is 1.
+	jitterFactorRange = 0.5
+	// maintenanceInterval is the time between calls of Maintain. It is short compared with every window above.
 	maintenanceInterval = Millis(250)
 )
 
-// Migration off overloaded nodes.
+// Migration of workloads off overloaded nodes.
 const (
-	// overloadThreshold is the utilization above which a node counts as overloaded, whatever its groups state.
+	// overloadThreshold is the utilization above which a node is overloaded, whatever the settings of its groups.
 	overloadThreshold = defaultLoadCap
-	// migrationWindow is the time above the threshold after which a workload is moved. The design starts at 10 s,
-	// in which a hotspot's workloads lost service.
+	// migrationWindow is the time above overloadThreshold after which a workload is migrated. With 10 s, workloads on
+	// an overloaded node lose service before the migration.
 	migrationWindow = Millis(1500)
-	// migrationInterval is the time between migrations off one node: reports must show the last one first.
+	// migrationInterval is the minimum time between migrations off a node: load reports must show the effect of one
+	// migration before the next.
 	migrationInterval = Millis(500)
-	// migrationReports is how many reports within the window are evidence; fewer are none.
-	migrationReports = 2
-	// overloadReportMaxAge is the age beyond which a report no longer shows that a node is still overloaded: a
-	// node without one for half as long is checked.
-	overloadReportMaxAge = 2 * healthCheckAfter
+	// minOverloadReports is the minimum number of reports above overloadThreshold that show an overload.
+	minOverloadReports = 2
+	// maxOverloadReportAge is the age above which a report is no evidence that a node is still overloaded. A node
+	// without a report for half of that time gets a health check.
+	maxOverloadReportAge = 2 * healthCheckAfter
 )
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,36 +1,38 @@
-// Package placement decides where workloads run. It does no I/O and reads no clock or global random source: every call
-// is given the time, the same calls give the same results, and schedulers share nothing.
+// Package placement decides where workloads run. It does no I/O and uses no clock and no global random source: every
+// call passes the time, the same calls give the same results, and schedulers share no state.
 //
 // # Calls
 //
-// New makes a [Scheduler] from its [Settings] and a seed. Schedule takes a [Workload] and returns a [Step]: execute it
-// and pass the [Result] to its NextStep, which returns the step after that, until a step has no NextStep. Adopt does
-// the same for a workload that runs already. UpdateNodes, ReportLoad, HealthChecked and ReportUsage take what is
-// observed meanwhile. Maintain, called at the time that it last requested, returns migrations, health checks and
-// whether to subscribe to the node list.
+// New returns a [Scheduler] for [Settings] and a seed. Schedule takes a [Workload] and returns its first [Step]. The
+// caller executes the step and passes the [Result] to the step's NextStep, which returns the following step, until a
+// step has no NextStep. Adopt does the same for a workload that already runs. UpdateNodes, ReportLoad, HealthChecked
+// and ReportUsage pass observations of nodes and workloads to the scheduler. Maintain returns migrations, health checks
+// and whether to subscribe to the node list; it is called again at [Maintenance].NextAt.
 //
 // # A decision
 //
 // A workload goes through these phases:
 //
-//   - Filter: leave out the nodes that the rules of its group, the available capacity and the load cap forbid
-//     (filter.go, rejection.go, capacity.go, load.go), those that warm up beyond their budget (slowstart.go), and those
-//     that are ejected (health.go).
-//   - Reserve: leave out the nodes that are kept for requests of higher priority weight, and for first requests against
-//     retried ones (reservation.go).
-//   - Score: prefer nodes that run the service already, above all those that are not crowded, then the least loaded,
-//     with ties broken at random (score.go).
-//   - Bind: offer the workload to that node, with a timeout that leaves time for another bind (schedule.go).
-//   - Confirm or retry: take the result of the bind; answer the client where no further bind is allowed (outcome.go).
+//   - Filter: exclude nodes by the rules of the group, the available capacity and the load cap (filter.go,
+//     rejection.go, capacity.go, load.go), nodes whose warm-up budget is used up (slowstart.go), and ejected nodes
+//     (health.go).
+//   - Reserve: exclude nodes that are reserved for requests of higher priority weight or, if the request is a retry,
+//     for first requests (reservation.go).
+//   - Score: prefer nodes that already run the service and would give the workload full service, then other nodes that
+//     run the service, then all others. Among the preferred nodes, select the least loaded one and break ties at
+//     random; for a service that no node runs yet, several allocators select the node by a common rank (score.go).
+//   - Bind: offer the workload to the selected node, with a timeout that leaves time for another bind (schedule.go).
+//   - Confirm or retry: process the result of the bind; answer the client if no further bind is allowed (outcome.go).
 //
-// Beside the workloads, Maintain moves workloads off overloaded nodes (migration.go), checks nodes (health.go), renews
-// the subscription to the node list (subscription.go) and forgets nodes that have gone (nodetable.go).
+// In addition, Maintain migrates workloads off overloaded nodes (migration.go), checks nodes (health.go), renews the
+// subscription to the node list (subscription.go) and removes nodes that have gone (nodetable.go).
 //
-// Each of these files starts with what it decides, from which observations, and what an error costs. Every tuned value
-// is in constants.go, with its unit and reason.
+// The head of each of these files states what it decides, its inputs, and the cost of an error. All tuning constants
+// are in constants.go, with unit and reason.
 //
 // # Quantities
 //
-// Times and durations are [Millis]. Memory is in the unit of the settings, and only compared with itself. A utilization
-// is in cores used for each core that a node has; slots count places for the largest request that capacity is kept for.
+// Times and durations are [Millis]. Memory is in the unit of the settings and is only compared with other amounts of
+// memory. A utilization is in cores in use per core of the node. A slot is the capacity for one request of the largest
+// size that capacity is reserved for.
 package placement
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -1,11 +1,11 @@
-// Filter decides which nodes a workload may go to at all.
+// Filter decides which nodes are feasible for a workload.
 //
-// Observed: the node list, the settings of the workload's group, our own binds, the nodes' rejections, and the
+// Inputs: the node list, the settings of the workload's group, this allocator's binds, the nodes' rejections, and the
 // estimates of capacity and load.
 //
-// Cost of an error: a node let through against the rules of a group or of slow start breaks a rule that has no
-// exception; one let through without capacity costs a rejected bind. A node that is kept out in vain may mean that
-// the workload is rejected, as there is no second pass with weaker rules.
+// Cost of an error: a node that passes against the rules of a group or of slow start violates a rule without
+// exceptions; a node that passes without capacity costs a rejected bind. A node that is excluded although it is
+// feasible may cause the rejection of the workload, because the nodes are not filtered again by weaker rules.
 
 package placement
 
@@ -19,8 +19,8 @@
 	slowStart *slowStart
 }
 
-// feasible reports whether the workload may go to n by the rules of its group, the available capacity and the load
-// cap. Every decision calls it for every node of the fleet, so it allocates nothing.
+// feasible reports whether the rules of its group, the available capacity and the load cap allow the workload on n. It
+// does not allocate, because every decision calls it for every node of the fleet.
 func (f *filter) feasible(now Millis, w *workload, n *node) bool {
 	return f.rulesAllow(now, w, n) &&
 		!f.lacksCapacity(now, w, n) &&
@@ -28,18 +28,18 @@
 		f.load.loadWith(now, w, n) < w.group.loadCap
 }
 
-// rulesAllow reports whether everything but capacity and load allows the workload on n.
+// rulesAllow reports whether all rules other than capacity and load allow the workload on n.
 func (f *filter) rulesAllow(now Millis, w *workload, n *node) bool {
 	return n.State == Ready &&
 		hasRequiredKind(w.group, n) &&
 		!slices.Contains(w.excluded, n) &&
-		(w.uncertain == nil || mayRepeat(now, w, n)) &&
+		(w.firstUncertain == nil || mayRepeat(now, w, n)) &&
 		f.spreadAllows(w, n) &&
 		f.slowStart.allows(now, n) &&
 		!n.rejections.blocks(now, w)
 }
 
-// hasRequiredKind reports whether n is of the kind that workloads of the group need.
+// hasRequiredKind reports whether n is of the node kind that the group requires, if it requires one.
 func hasRequiredKind(g *group, n *node) bool {
 	return g.RequiredKind < 0 || int(n.Kind) == g.RequiredKind
 }
@@ -50,16 +50,17 @@
 	return w.Cores > available.Cores || w.Memory > available.Memory
 }
 
-// exceedsMemoryCap reports whether the workload would take the memory in use on n beyond the cap, as far as it is
-// known.
+// exceedsMemoryCap reports whether the workload would raise the memory in use on n above memoryCap. Without a fresh
+// load report it returns false.
 func (f *filter) exceedsMemoryCap(now Millis, w *workload, n *node) bool {
 	used := f.load.usedMemory(now, n)
 	return used > 0 && used+w.Memory > memoryCap*n.size.Memory
 }
 
-// mayRepeat reports whether a further bind of a workload that may run already is harmless on n.
+// mayRepeat reports whether n may get another bind of a workload that may already run on w.firstUncertain.node: a
+// second start there is harmless, or n recognizes the idempotency key.
 func mayRepeat(now Millis, w *workload, n *node) bool {
-	first := w.uncertain
+	first := w.firstUncertain
 	switch w.group.Idempotency {
 	case Idempotent:
 		return true
@@ -71,7 +72,7 @@
 	return !keyExpiresSoon && inScope(w.group.KeyScope, first.node, n)
 }
 
-// inScope reports whether n lies in the scope around center.
+// inScope reports whether n is in the scope that contains center.
 func inScope(scope Scope, center, n *node) bool {
 	switch scope {
 	case ScopeNone:
@@ -85,20 +86,21 @@
 	case ScopeAll:
 		return true
 	}
-	return false // settings name no other scope
+	return false // no other scope is valid in the settings
 }
 
-// spreadAllows reports whether one more workload of the service may run around n, by our own binds.
+// spreadAllows reports whether the spread limit of the group allows one more workload of the service on n. It counts
+// this allocator's binds only.
 func (f *filter) spreadAllows(w *workload, n *node) bool {
 	scope := w.group.SpreadScope
 	if scope == ScopeNone {
 		return true
 	}
-	ours := 0
+	count := 0
 	for _, other := range f.nodes.sorted {
 		if inScope(scope, n, other) {
-			ours += other.bindsOf(w.Service)
+			count += other.countServiceBinds(w.Service)
 		}
 	}
-	return ours < w.group.MaxPerScope
+	return count < w.group.MaxPerScope
 }
--- a/placement/filter_test.go
+++ b/placement/filter_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Rule 3: nothing goes to a node that drains, is removed, or is missing from a snapshot.
+// Rule 3 of internal/simulation/audit: no bind goes to a node that drains, is removed, or is missing from a snapshot.
 func TestFeasible_OnlyReadyNodes(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	pending := pendingWorkload(scheduler, idempotent, 1, 1)
@@ -39,7 +39,7 @@
 	assert.False(t, scheduler.filter.feasible(2, pending, scheduler.node(2)), "missing from the snapshot")
 }
 
-func TestMayRepeat_WithinKeyScopeAndWindow(t *testing.T) {
+func TestMayRepeat_OnlyWithinKeyScopeAndWindow(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		now  Millis
@@ -53,7 +53,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 2)
 			pending := pendingWorkload(scheduler, keyedInCell, 1, 1)
-			pending.uncertain = &bind{
+			pending.firstUncertain = &bind{
 				workload: pending,
 				node:     scheduler.node(1),
 				sentAt:   0,
@@ -63,18 +63,19 @@
 	}
 }
 
-// Rule 5: the workloads of a service in one scope never exceed its limit.
+// Rule 5 of internal/simulation/audit: the number of workloads of a service in one spread scope never exceeds the
+// limit.
 func TestSpreadAllows_AtMostMaxPerScope(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		scope     Scope
 		sameNode  bool
-		otherNode bool // in another cell of the same zone
+		otherNode bool // whether a node in another cell of the same zone is allowed
 	}{
-		{"node: another node is open", ScopeNode, false, true},
-		{"cell: another cell is open", ScopeCell, false, true},
-		{"zone: no node of the zone is open", ScopeZone, false, false},
-		{"none: all nodes are open", ScopeNone, true, true},
+		{"node: another node is allowed", ScopeNode, false, true},
+		{"cell: another cell is allowed", ScopeCell, false, true},
+		{"zone: no node of the zone is allowed", ScopeZone, false, false},
+		{"none: all nodes are allowed", ScopeNone, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 2)
--- a/placement/group.go
+++ b/placement/group.go
@@ -1,33 +1,33 @@
-// A group's settings decide how loaded a node may be for its workloads, and up to which load it serves them in full.
+// Group decides up to which load a node may get the group's workloads, and up to which load they get full service.
 //
-// Observed: nothing; they are what the operators state of the group.
+// Inputs: the group's settings only.
 //
-// Cost of an error: a cap that is too high slows the residents of a node if their use rises after the start; one that
-// is too low rejects workloads while residents would still be served.
+// Cost of an error: if the cap is too high, the workloads on a node are slowed when their usage rises after the start;
+// if it is too low, workloads are rejected although the node could still serve them.
 
 package placement
 
 // GroupID is a priority group's index in Settings.Groups.
 type GroupID uint16
 
-// Idempotency says what a second start of a workload would do.
+// Idempotency is the effect of a second start of a workload.
 type Idempotency uint8
 
 // Idempotency of a group's workloads.
 const (
 	// Idempotent workloads may run again.
 	Idempotent Idempotency = iota
-	// IdempotentByKey workloads may be offered again where nodes recognize the repeat by its key: within
-	// Group.KeyScope and Group.KeyWindow.
+	// IdempotentByKey workloads may be offered again within Group.KeyScope and Group.KeyWindow, where nodes recognize
+	// a repeated offer by its idempotency key.
 	IdempotentByKey
 	// AtMostOnce workloads must never start twice.
 	AtMostOnce
 )
 
-// Scope is a set of nodes around one of them.
+// Scope is a set of nodes, relative to one of them.
 type Scope uint8
 
-// Scopes, from none to the whole fleet.
+// Scopes, from no node to the whole fleet.
 const (
 	ScopeNone Scope = iota
 	ScopeNode
@@ -36,45 +36,46 @@
 	ScopeAll
 )
 
-// Group holds the settings of one priority group. The JSON keys are those of stored histories and of
-// "config check".
+// Group holds the settings of one priority group. Stored histories and "config check"
+// use the JSON keys.
 type Group struct {
-	// LatencyObjective is the time from the request within which a start is in time.
+	// LatencyObjective is the time from the request within which the workload should start.
 	LatencyObjective Millis `json:"Target"`
-	// PriorityWeight is the value of one second of full service of a workload of mean size.
+	// PriorityWeight is the value of one second of full service for a workload of mean size.
 	PriorityWeight float64 `json:"Utility"`
-	// Idempotency says what a second start of a workload would do.
+	// Idempotency is the effect of a second start of a workload.
 	Idempotency Idempotency `json:"Effect"`
-	// KeyScope is the set of nodes that share their idempotency keys.
+	// KeyScope is the set of nodes that share idempotency keys.
 	KeyScope Scope `json:"DedupScope"`
 	// KeyWindow is how long nodes keep an idempotency key.
 	KeyWindow Millis `json:"DedupWindow"`
-	// SpreadScope is the set of nodes on which the workloads of one service are limited, or ScopeNone.
+	// SpreadScope is the set of nodes that MaxPerScope applies to, or ScopeNone for no limit.
 	SpreadScope Scope `json:"Spread"`
-	// MaxPerScope is how many workloads of one service may run in one SpreadScope.
+	// MaxPerScope is the maximum number of workloads of one service in one SpreadScope.
 	MaxPerScope int `json:"SpreadMost"`
-	// FullServiceUtilization is the share of a node's cores in use up to which service is full. 0 says that the
-	// group states no degradation.
+	// FullServiceUtilization is the share of a node's cores in use up to which workloads get full service. 0 means
+	// that the group has no degradation settings.
 	FullServiceUtilization float64 `json:"Calm"`
-	// DegradationRange is the further share of a node's cores over which service falls to nothing.
+	// DegradationRange is the additional share of a node's cores in use over which service falls from full to none.
 	DegradationRange float64 `json:"Fade"`
-	// RequiredKind is the KindID of the nodes that the workloads need, or AnyKind.
+	// RequiredKind is the KindID of the nodes that the workloads require, or AnyKind.
 	RequiredKind int `json:"Kind"`
 }
 
-// group is a priority group: its settings, what follows from them, and its last requests.
+// group is a priority group: its settings, the load limits derived from them, and its recent requests.
 type group struct {
 	Group
-	// loadCap is the load that a node must stay below with one more workload of the group.
+	// loadCap is the load that a node must stay below, the new workload of the group included.
 	loadCap utilization
-	// fullServiceLoad is the load of a node up to which the group's workloads are served in full.
+	// fullServiceLoad is the node load up to which the group's workloads get full service.
 	fullServiceLoad utilization
-	// requests are the last maxGroupRequests requests of this allocator, oldest first. Reservations count them.
+	// requests are the last maxGroupRequests requests that this allocator received, oldest first. Reservations
+	// count them.
 	requests []request
 }
 
-// newGroup derives the loads from the settings. A group that states how it degrades may load a node part of the
-// way into its degradation range; one that does not gets the default cap.
+// newGroup derives the load limits from the settings. The cap of a group with degradation settings is
+// maxDegradationShare of the way into its degradation range, and at most 1; other groups get defaultLoadCap.
 func newGroup(settings Group) group {
 	derived := group{
 		Group:           settings,
@@ -82,7 +83,7 @@
 		fullServiceLoad: defaultLoadCap,
 	}
 	if settings.FullServiceUtilization > 0 {
-		limit := settings.FullServiceUtilization + degradationLimit*settings.DegradationRange
+		limit := settings.FullServiceUtilization + maxDegradationShare*settings.DegradationRange
 		derived.loadCap = utilization(min(1, limit))
 		derived.fullServiceLoad = utilization(settings.FullServiceUtilization)
 	}
--- a/placement/health.go
+++ b/placement/health.go
@@ -1,14 +1,16 @@
-// Health decides which nodes are ejected as outliers, and which are checked.
+// Health decides which nodes are ejected as outliers and which nodes get a health check.
 //
-// Observed: failed contacts in a row, binds that are unanswered for much longer than usual, when a node was last
-// heard of, and how many requests this allocator got. The unknown outcome of a bind whose workload was withdrawn is
-// no failed contact: clients that withdraw hundreds at once had nodes ejected for seconds.
+// Inputs: consecutive failed contacts, binds that are unanswered for much longer than usual, the time of the last
+// contact with each node, and the number of requests that this allocator received. The unknown outcome of a bind whose
+// workload was withdrawn does not count as a failed contact: otherwise a client that withdraws hundreds of workloads
+// simultaneously causes nodes to be ejected for seconds.
 //
-// Cost of an error: a node that fails and stays in use takes binds that are lost, and looks idle while it does. A
-// node that is ejected in vain is capacity lost; at most a part of the fleet is ejected, since more failures have a
-// common cause. Health checks are paid for by requests: where each allocator has few of them, checking all nodes
-// without a recent report would fill the nodes' queues with checks alone, and a fleet without requests needs none.
-// An allocator with few requests knows most nodes by the list alone and takes the mean load for them.
+// Cost of an error: a failed node that is not ejected looks idle, and the binds sent to it are lost. A healthy node
+// that is ejected is lost capacity; only a part of the fleet can be ejected, because more failures probably have a
+// common cause. The number of health checks is limited by the number of requests: if many allocators with few requests
+// each checked all nodes without a recent report, the checks alone would fill the nodes' queues, and a fleet without
+// requests needs no checks. An allocator with few requests therefore has load reports of few nodes and assumes the mean
+// load for the others.
 
 package placement
 
@@ -17,24 +19,25 @@
 	"slices"
 )
 
-// failureCount counts failed contacts with a node in a row.
+// failureCount counts consecutive failed contacts with a node.
 type failureCount struct {
 	consecutive int
-	last        Millis // when a contact last failed; a success does not reset it
+	last        Millis // time of the last failed contact; reset does not change it
 }
 
-// add counts a failed contact.
+// add records a failed contact.
 func (f *failureCount) add(now Millis) {
 	f.consecutive++
 	f.last = now
 }
 
-// reset records a contact that did not fail.
+// reset records a successful contact.
 func (f *failureCount) reset() {
 	f.consecutive = 0
 }
 
-// ejects reports whether the failures eject the node, for a time that doubles with each.
+// ejects reports whether the node is ejected because of its failures. The ejection time starts at ejectionTime and
+// doubles with each consecutive failure, up to ejectionDoublings times.
 func (f *failureCount) ejects(now Millis) bool {
 	if f.consecutive == 0 {
 		return false
@@ -43,19 +46,21 @@
 	return now-f.last < ejectionTime*Millis(int(1)<<doublings)
 }
 
-// healthMonitor decides which nodes are ejected as outliers, and which to check.
+// healthMonitor decides which nodes are ejected and which nodes get a health check.
 type healthMonitor struct {
 	settings *Settings
 	nodes    *nodeTable
-	// seed orders nodes that are due for a check alike, differently at every allocator.
+	// seed determines the order of checks of nodes with the same last contact. It differs between allocators, so that
+	// they do not all check the same nodes first.
 	seed uint64
-	// checkCredit is how many health checks our requests have paid for that are not sent yet.
+	// checkCredit is the number of health checks that may be sent now. Requests add to it, checks subtract from it.
 	checkCredit float64
-	// confirmations are how long the last maxConfirmations binds took to be confirmed.
+	// confirmations are the confirmation times of the last maxConfirmations confirmed binds.
 	confirmations []Millis
 }
 
-// ejected returns the nodes with failed contacts, then those with an overdue bind; at most part of the fleet.
+// ejected returns the ejected nodes: those with failed contacts first, then those with an overdue bind. It returns at
+// most one node per minNodesPerEjection ready nodes.
 func (h *healthMonitor) ejected(now Millis) []*node {
 	var failing []*node
 	var unresponsive []*node
@@ -77,8 +82,8 @@
 	return outliers[:min(len(outliers), ready/minNodesPerEjection)]
 }
 
-// hasOverdueBind reports whether a bind to n has been unanswered for longer than limit. Each decision asks it of every
-// node, and few of them have an unanswered bind at a time.
+// hasOverdueBind reports whether a bind to n has been unanswered for longer than limit. Every decision calls it for
+// every node, so it returns early for the nodes without unanswered binds, which are most of them.
 func (n *node) hasOverdueBind(now, limit Millis) bool {
 	if n.unanswered == 0 {
 		return false
@@ -91,7 +96,7 @@
 	return false
 }
 
-// longestConfirmation returns the longest of the last confirmation times.
+// longestConfirmation returns the longest recent confirmation time, or defaultConfirmationTime before the first.
 func (h *healthMonitor) longestConfirmation() Millis {
 	if len(h.confirmations) == 0 {
 		return defaultConfirmationTime
@@ -99,34 +104,35 @@
 	return slices.Max(h.confirmations)
 }
 
-// recordConfirmation records how long a bind took to be confirmed.
+// recordConfirmation records the time from the offer of a bind to its confirmation.
 func (h *healthMonitor) recordConfirmation(took Millis) {
 	h.confirmations = appendBounded(h.confirmations, took, maxConfirmations)
 }
 
-// earnCredit counts a request, which pays for health checks. At most one check of each node is saved up.
-func (h *healthMonitor) earnCredit() {
+// addCheckCredit adds the health checks that one request allows to the credit, which is at most one check per node.
+func (h *healthMonitor) addCheckCredit() {
 	h.checkCredit = min(h.checkCredit+healthChecksPerRequest, float64(len(h.nodes.sorted)))
 }
 
-// dueChecks returns the nodes to check: those without contact for longest, as far as our requests have paid for
-// it; else the checks of many allocators would fill the nodes' queues.
+// dueChecks returns the nodes to check now, those with the oldest contact first, and subtracts them from the credit.
+// Without the limit by credit, the checks of many allocators would fill the nodes' queues.
 func (h *healthMonitor) dueChecks(now Millis) (ids []NodeID) {
 	if !h.settings.HealthChecksAllowed || h.checkCredit < 1 {
 		return nil
 	}
-	due := h.withoutContact(now)
-	paidFor := min(len(due), int(h.checkCredit))
-	for _, n := range due[:paidFor] {
+	due := h.nodesWithoutContact(now)
+	allowed := min(len(due), int(h.checkCredit))
+	for _, n := range due[:allowed] {
 		n.lastHealthCheck = now
 		ids = append(ids, n.ID)
 	}
-	h.checkCredit -= float64(paidFor)
+	h.checkCredit -= float64(allowed)
 	return ids
 }
 
-// withoutContact returns the ready nodes without contact for a while, those without it for longest first.
-func (h *healthMonitor) withoutContact(now Millis) (due []*node) {
+// nodesWithoutContact returns the ready nodes without contact for longer than healthCheckAfter, those with the oldest
+// contact first.
+func (h *healthMonitor) nodesWithoutContact(now Millis) (due []*node) {
 	for _, n := range h.nodes.sorted {
 		if n.State == Ready && now-n.lastContact() > healthCheckAfter {
 			due = append(due, n)
@@ -141,8 +147,8 @@
 	return due
 }
 
-// lastContact returns when n last reported, or a contact last failed or was begun: a check in flight is not repeated at
-// once.
+// lastContact returns the time of the last load report of n, failed contact with it or health check sent to it. Checks
+// count from when they are sent, so that a check in flight is not repeated.
 func (n *node) lastContact() Millis {
 	return max(n.reports.lastAt(), n.failures.last, n.lastHealthCheck)
 }
--- a/placement/health_test.go
+++ b/placement/health_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// This guards against ejecting nodes when a client withdraws many workloads simultaneously, which leaves the outcomes
+// of their binds unknown.
 func TestEjected_WithdrawalsEjectNoNode(t *testing.T) {
 	scheduler := newFleet(t, 3)
 	for id := range WorkloadID(50) {
@@ -24,15 +26,15 @@
 	assert.Empty(t, scheduler.health.ejected(2))
 }
 
-func TestEjected_AtMostAPartOfTheFleetForAWhile(t *testing.T) {
+func TestEjected_AtMostOneThirdOfTheFleetAndForALimitedTime(t *testing.T) {
 	scheduler := newFleet(t, 6)
 	scheduler.node(3).failures.add(0)
 	require.Len(t, scheduler.health.ejected(1), 1)
 	for _, n := range scheduler.nodes.sorted {
 		n.failures.add(0)
 	}
-	assert.Len(t, scheduler.health.ejected(1), 2, "a fault that all share ejects no more than a third")
-	assert.NotContains(t, scheduler.health.ejected(2*ejectionTime+1), scheduler.node(3), "it is tried again")
+	assert.Len(t, scheduler.health.ejected(1), 2, "a failure of all nodes ejects at most a third of them")
+	assert.NotContains(t, scheduler.health.ejected(2*ejectionTime+1), scheduler.node(3), "after the ejection time")
 }
 
 func TestEjected_NodeWithAnOverdueBind(t *testing.T) {
@@ -43,7 +45,7 @@
 	assert.Equal(t, []*node{scheduler.node(2)}, scheduler.health.ejected(overdueAt))
 }
 
-func TestDueChecks_PaidForByRequests(t *testing.T) {
+func TestDueChecks_LimitedByCreditFromRequests(t *testing.T) {
 	scheduler := newFleet(t, 3)
 	scheduler.settings.HealthChecksAllowed = true
 	assert.Empty(t, scheduler.health.dueChecks(0), "no requests, no checks")
@@ -51,10 +53,10 @@
 	first := scheduler.health.dueChecks(0)
 	assert.Len(t, first, 2)
 	scheduler.health.checkCredit = 2
-	assert.NotContains(t, first, scheduler.health.dueChecks(1)[0], "unanswered ones are not checked again at once")
+	assert.NotContains(t, first, scheduler.health.dueChecks(1)[0], "a node with a check in flight is not checked again")
 }
 
-func TestNode_UnansweredBinds_AreCountedUntilTheirAnswerOrEnd(t *testing.T) {
+func TestNode_UnansweredBindsAreCountedUntilTheirReplyOrEnd(t *testing.T) {
 	scheduler := newFleet(t, 1)
 	n := scheduler.node(1)
 	confirmed := n.addBind(0, pendingWorkload(scheduler, idempotent, 1, 1))
@@ -63,7 +65,7 @@
 	confirmed.advance(bindConfirmed)
 	assert.Equal(t, 1, n.unanswered)
 	confirmed.advance(bindRunning)
-	assert.Equal(t, 1, n.unanswered, "it was answered before")
+	assert.Equal(t, 1, n.unanswered, "confirmed before: already subtracted")
 	n.removeBind(1, confirmed)
 	assert.Equal(t, 1, n.unanswered)
 	n.removeBind(1, failed)
--- a/placement/helpers_test.go
+++ b/placement/helpers_test.go
@@ -16,7 +16,7 @@
 	nodeMemory = 20.0
 )
 
-// newFleet returns a scheduler that knows that many empty nodes, each in a cell of its own.
+// newFleet returns a scheduler with the given number of empty nodes, numbered from 1, each in its own cell.
 func newFleet(t *testing.T, nodes int) *Scheduler {
 	t.Helper()
 	scheduler := New(Settings{
@@ -34,7 +34,7 @@
 	return scheduler
 }
 
-// fleetGroups returns the groups of newFleet by their GroupID. All but one are of equal weight.
+// fleetGroups returns the groups of newFleet, indexed by GroupID. atMostOnce has a higher weight than the others.
 func fleetGroups() []Group {
 	group := Group{
 		LatencyObjective: 1000,
@@ -52,7 +52,7 @@
 	return groups
 }
 
-// entry returns the entry of an empty node in the node list. Its start is long ago, so that it does not warm up.
+// entry returns the node list entry of an empty node. Its start time is DistantPast, so that it does not warm up.
 func entry(id NodeID, state NodeState) Node {
 	return Node{
 		ID:         id,
@@ -64,15 +64,15 @@
 	}
 }
 
-// node returns the node of that id.
+// node returns the node with that ID.
 func (s *Scheduler) node(id NodeID) *node { return s.nodes.byID[id] }
 
-// reportUsed has a node report so many cores in use.
+// reportUsed records a load report of the node with the given number of cores in use.
 func reportUsed(scheduler *Scheduler, now Millis, id NodeID, used float64) {
 	scheduler.ReportLoad(now, id, LoadReport{SpareCores: nodeCores - used, SpareMemory: nodeMemory})
 }
 
-// requestOneCore returns a request for a core and as much memory.
+// requestOneCore returns a request for one core and one unit of memory.
 func requestOneCore(group GroupID, pendingTimeout Millis) Workload {
 	return Workload{
 		Group:          group,
@@ -91,13 +91,13 @@
 			Cores:   cores,
 			Memory:  memory,
 		},
-		group:     &scheduler.groups[group],
-		startBy:   1000,
-		expiresAt: 6000,
+		group:         &scheduler.groups[group],
+		startDeadline: 1000,
+		expiresAt:     6000,
 	}
 }
 
-// isReserved reports whether n is kept from the workload.
+// isReserved reports whether n is excluded for the workload because of a reservation.
 func isReserved(scheduler *Scheduler, now Millis, w *workload, n *node) bool {
 	reserved := scheduler.reservations.against(now, w)
 	return reserved.excludes(n)
--- a/placement/load.go
+++ b/placement/load.go
@@ -1,24 +1,25 @@
-// Load decides how loaded a node counts as: the cores and the memory in use on it.
+// Load estimates the load of a node: the cores and the memory in use on it.
 //
-// Observed: load reports, which are late and may lack values, and what our own workloads were seen to use of the
-// cores that they request. What our workloads changed since a report counts at that ratio.
+// Inputs: load reports, which are out of date on arrival and may lack values, and the usage ratio of this allocator's
+// workloads (cores in use per core requested). Changes of the requested cores since a report are multiplied by that
+// ratio.
 //
-// Cost of an error: a load that is too low crowds a node, and every workload on it is slowed; one that is too
-// high rejects workloads that would have been served.
+// Cost of an error: if the estimate is too low, the node is overloaded and every workload on it is slowed; if it is too
+// high, workloads are rejected that could have been served.
 
 package placement
 
 import "math"
 
-// loadEstimator estimates what is in use on nodes.
+// loadEstimator estimates the resources in use on nodes.
 type loadEstimator struct {
 	settings *Settings
 	nodes    *nodeTable
-	// usageSamples are the last maxUsageSamples usage ratios of our workloads.
+	// usageSamples are the last maxUsageSamples usage ratios of this allocator's workloads.
 	usageSamples []usageRatio
 	// meanUsage is the mean of usageSamples, or defaultUsageRatio before the first.
 	meanUsage usageRatio
-	// mean is the mean load of the fleet, as of meanAt.
+	// mean is the mean load of the fleet at the time meanAt. meanLoad caches it here.
 	mean   utilization
 	meanAt Millis
 }
@@ -32,9 +33,9 @@
 	}
 }
 
-// recordReport adds a load report of n to its history. The cores in use are the first of these that the report has the
-// values for: the size of n less what is spare, where spare counts what is not in use; the utilization; the requested
-// cores at the mean usage ratio.
+// recordReport adds a load report to the history of n. The cores in use are the first of these values that the report
+// provides: the size of n less the spare cores (only with Settings.ReportsUsage), the utilization times the size of n,
+// the requested cores times the mean usage ratio.
 func (l *loadEstimator) recordReport(now Millis, n *node, reported LoadReport) {
 	received := receivedReport{
 		at:    now,
@@ -55,7 +56,7 @@
 	n.reports.add(now, received)
 }
 
-// recordUsage takes the ratio of used to requested cores of one workload.
+// recordUsage adds the usage ratio of one workload to the samples and updates their mean.
 func (l *loadEstimator) recordUsage(ratio usageRatio) {
 	l.usageSamples = appendBounded(l.usageSamples, ratio, maxUsageSamples)
 	sum := usageRatio(0)
@@ -65,27 +66,28 @@
 	l.meanUsage = sum / usageRatio(len(l.usageSamples))
 }
 
-// usedCores returns the cores in use on n, if a report is fresh. Later changes count at the mean usage ratio.
+// usedCores returns the cores in use on n according to the last load report, adjusted by the changes since, at the mean
+// usage ratio. known is false without a fresh report that contains the value.
 func (l *loadEstimator) usedCores(now Millis, n *node) (cores float64, known bool) {
 	latest := n.reports.latest(now)
 	if latest == nil || math.IsNaN(latest.used.Cores) {
 		return 0, false
 	}
-	requestedSince := n.changes.since(latest.at - reportLag).Cores
+	requestedSince := n.changes.sumSince(latest.at - reportLag).Cores
 	return max(0, latest.used.Cores+requestedSince*float64(l.meanUsage)), true
 }
 
-// usedMemory returns the memory in use on n, or 0 without a fresh report.
+// usedMemory returns the memory in use on n, or 0 without a fresh load report that contains it.
 func (l *loadEstimator) usedMemory(now Millis, n *node) float64 {
 	latest := n.reports.latest(now)
 	if latest == nil || math.IsNaN(latest.used.Memory) {
 		return 0
 	}
-	return max(0, latest.used.Memory+n.changes.since(latest.at-reportLag).Memory)
+	return max(0, latest.used.Memory+n.changes.sumSince(latest.at-reportLag).Memory)
 }
 
-// loadWith returns the load that n would have with the workload, which is taken to use all cores that it requests. A
-// node without a fresh report takes the mean load of the others.
+// loadWith returns the load of n with the workload added, which is assumed to use all the cores that it requests. For a
+// node without a fresh load report, the mean load of the other nodes is assumed.
 func (l *loadEstimator) loadWith(now Millis, w *workload, n *node) utilization {
 	if n.size.Cores <= 0 {
 		return utilization(math.Inf(1))
@@ -97,8 +99,8 @@
 	return utilization((used + w.Cores) / n.size.Cores)
 }
 
-// meanLoad returns the mean load of the ready nodes with fresh reports. It is computed once for each time, since
-// many nodes without a report ask for it in one decision.
+// meanLoad returns the mean load of the ready nodes with fresh load reports. It is computed once for each value of now,
+// because one decision may use it for many nodes.
 func (l *loadEstimator) meanLoad(now Millis) utilization {
 	if l.meanAt == now {
 		return l.mean
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -12,12 +12,12 @@
 	for _, c := range []struct {
 		name  string
 		nodes int
-		used  map[NodeID]float64 // as reported
+		used  map[NodeID]float64 // cores in use by node, as reported
 		node  NodeID
 		want  float64
 	}{
-		{"reported: cores in use and the request", 1, map[NodeID]float64{1: 4}, 1, 0.4 + request},
-		{"not reported: mean of the fleet and the request", 3, map[NodeID]float64{1: 2, 2: 4}, 3, 0.3 + request},
+		{"with report: cores in use plus the request", 1, map[NodeID]float64{1: 4}, 1, 0.4 + request},
+		{"without report: mean of the fleet plus the request", 3, map[NodeID]float64{1: 2, 2: 4}, 3, 0.3 + request},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, c.nodes)
@@ -31,15 +31,15 @@
 	}
 }
 
-func TestUsedCores_ByWhatReportsCount(t *testing.T) {
+func TestUsedCores_FromUtilizationOrRequestedCores(t *testing.T) {
 	const spareCores = 5.0
 	for _, c := range []struct {
 		name        string
 		utilization float64
 		want        float64
 	}{
-		{"utilization reported: cores in use", 0.4, 4},
-		{"no utilization: the part of the requested cores that is used", math.NaN(), 5 * defaultUsageRatio},
+		{"with utilization: utilization times the size", 0.4, 4},
+		{"without utilization: requested cores times the usage ratio", math.NaN(), 5 * defaultUsageRatio},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 1)
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -1,16 +1,17 @@
 // Migration decides which placed workloads are moved off overloaded nodes.
 //
-// Observed: a node's load reports over the migration window, what our workloads there were seen to use, and whether
+// Inputs: a node's load reports over migrationWindow, the core usage of this allocator's workloads on it, and whether
 // another node is feasible for them.
 //
-// Cost of an error: a workload that is moved in vain loses the time of a restart; one that is not moved, or too
-// late, keeps every workload on the node slow. Workloads that must not start twice are never moved.
+// Cost of an error: an unnecessary migration costs the workload the time of a restart; without a migration, or with a
+// late one, every workload on the node stays slow. AtMostOnce workloads are never migrated, because they must not start
+// twice.
 
 package placement
 
 import "slices"
 
-// dueMigrations returns the workloads to move off overloaded nodes now, at most one for each node.
+// dueMigrations returns the workloads to migrate now, at most one per node, and records the migration on the node.
 func dueMigrations(now Millis, f *filter) (ids []WorkloadID) {
 	for _, n := range f.nodes.sorted {
 		if moved := migrationCandidate(now, n, f); moved != nil {
@@ -21,8 +22,8 @@
 	return ids
 }
 
-// migrationCandidate returns the bind to move off n, or nil where there is none: n is not overloaded, its last
-// migration is too recent, no workload may be moved, or no other node is feasible.
+// migrationCandidate returns the bind to migrate off n. It returns nil if n is not overloaded, its last migration is
+// too recent, none of its workloads may be migrated, or no other node is feasible.
 func migrationCandidate(now Millis, n *node, f *filter) *bind {
 	if now-n.lastMigration < migrationInterval || !n.overloaded(now) {
 		return nil
@@ -34,8 +35,8 @@
 	return worst
 }
 
-// furthestOverRequest returns the bind to n that uses most cores beyond its request, of those that may be moved;
-// nil where none uses more than it requests.
+// furthestOverRequest returns the bind to n whose workload uses the most cores in excess of its request, among those
+// that may be migrated. It returns nil if none exceeds its request.
 func (n *node) furthestOverRequest() *bind {
 	var worst *bind
 	for _, b := range n.binds {
@@ -49,36 +50,37 @@
 	return worst
 }
 
-// overusesCores reports whether the workload was seen to use more cores than it requests.
+// overusesCores reports whether the workload used more cores than it requests at the last observation.
 func (b *bind) overusesCores() bool {
 	return b.usedCores > b.workload.Cores
 }
 
-// excessCores returns the cores that the workload uses beyond its request.
+// excessCores returns the number of cores in use by the workload in excess of its request.
 func (b *bind) excessCores() float64 {
 	return b.usedCores - b.workload.Cores
 }
 
-// feasibleElsewhere reports whether the workload may go to a node other than current.
+// feasibleElsewhere reports whether a node other than current is feasible for the workload.
 func (f *filter) feasibleElsewhere(now Millis, w *workload, current *node) bool {
 	return slices.ContainsFunc(f.nodes.sorted, func(other *node) bool {
 		return other != current && f.feasible(now, w, other)
 	})
 }
 
-// overloaded reports whether n was above the threshold for the whole migration window, and is by a recent report.
+// overloaded reports whether the load reports of n have been above overloadThreshold for at least migrationWindow, and
+// the last one is not older than maxOverloadReportAge.
 func (n *node) overloaded(now Millis) bool {
-	if len(n.reports) == 0 || now-n.reports.lastAt() > overloadReportMaxAge {
+	if len(n.reports) == 0 || now-n.reports.lastAt() > maxOverloadReportAge {
 		return false
 	}
 	since := now
 	reports := 0
 	for _, report := range slices.Backward(n.reports) {
-		if !(report.used.Cores > overloadThreshold*n.size.Cores) { // also where the report lacks the value (NaN)
+		if !(report.used.Cores > overloadThreshold*n.size.Cores) { // also true if the report lacks the value (NaN)
 			break
 		}
 		since = report.at
 		reports++
 	}
-	return reports >= migrationReports && now-since >= migrationWindow
+	return reports >= minOverloadReports && now-since >= migrationWindow
 }
--- a/placement/nodelist.go
+++ b/placement/nodelist.go
@@ -6,13 +6,13 @@
 // ZoneID identifies a zone.
 type ZoneID uint16
 
-// CellID identifies a small set of nodes that belong together.
+// CellID identifies a cell: a small group of nodes that belong together.
 type CellID uint16
 
 // NodeState is a node's state in the node list.
 type NodeState uint8
 
-// States of a node. Only a ready node gets binds.
+// States of a node. Only ready nodes get binds.
 const (
 	Ready NodeState = iota
 	Draining
@@ -26,26 +26,26 @@
 	Kind       KindID
 	Zone       ZoneID
 	Cell       CellID
-	StartedAt  Millis  // start of this incarnation
+	StartedAt  Millis  // start time of this incarnation
 	FreeCores  float64 // not requested by any workload
 	FreeMemory float64 // not requested by any workload
 }
 
-// NodeUpdateKind says what a message of the node list holds.
+// NodeUpdateKind is the kind of a node list message.
 type NodeUpdateKind uint8
 
-// Messages of the node list.
+// Kinds of node list messages.
 const (
-	Delta          NodeUpdateKind = iota // entries that changed
+	Delta          NodeUpdateKind = iota // the entries that changed
 	Snapshot                             // all entries
-	CachedSnapshot                       // all entries, as an allocator kept them from an earlier run
-	PollFailed                           // nothing: the list did not answer
+	CachedSnapshot                       // all entries, stored by the allocator in an earlier run
+	PollFailed                           // no entries: the poll of the node list failed
 )
 
-// LoadReport is what a node reports of its load. Values that it lacks are NaN.
+// LoadReport is the load of a node as reported by the node. Missing values are NaN.
 type LoadReport struct {
-	SpareCores  float64 // not in use or not requested, as Settings.ReportsUsage says
-	SpareMemory float64 // as for SpareCores
-	Backlog     float64 // workloads that wait on the node
-	Utilization float64 // share of its cores in use
+	SpareCores  float64 // not in use with Settings.ReportsUsage; otherwise not requested
+	SpareMemory float64 // same meaning as SpareCores
+	Backlog     float64 // number of workloads queued on the node
+	Utilization float64 // share of the node's cores in use
 }
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -1,9 +1,9 @@
-// The node table holds what is known of each node, and decides when a node may be forgotten.
+// The node table holds the state of each node and decides when a node is removed from it.
 //
-// Observed: the messages of the node list, which may be late, cached, or lack a node for a moment, and our own binds.
+// Inputs: node list messages, which may be late, cached, or briefly lack a node, and this allocator's binds.
 //
-// Cost of an error: a node that is forgotten too early gets a whole new warm-up budget when it is listed again,
-// and is overloaded; one that is kept too long costs memory and time in every decision.
+// Cost of an error: a node that is removed too early gets a whole new warm-up budget when it is listed again, and is
+// overloaded; a node that is removed too late costs memory, and time in every decision.
 
 package placement
 
@@ -12,44 +12,45 @@
 	"slices"
 )
 
-// node is a node as this scheduler sees it.
+// node is the state of a node as observed by this scheduler.
 type node struct {
 	Node
-	// size is all that the node has, by its kind; zero for a kind that the settings lack.
+	// size is the total resources of the node, according to its kind; zero for a kind that is not in the settings.
 	size resources
-	// binds are our binds that are sent or placed there, oldest first.
+	// binds are this allocator's binds to the node that are unanswered or placed, oldest first.
 	binds []*bind
-	// unanswered is how many of binds are sent and not answered yet.
+	// unanswered is the number of binds in state bindSent.
 	unanswered int
-	// changes are the recent steps in what our workloads request of it.
+	// changes are the recent changes of the resources that this allocator's workloads request on the node.
 	changes changeLog
-	// reports are its last load reports.
+	// reports are the last load reports of the node.
 	reports reportHistory
-	// rejections are the last binds that it rejected.
+	// rejections are the last rejections of binds by the node.
 	rejections rejectionLog
-	// failures counts the failed contacts with it.
+	// failures counts the consecutive failed contacts with the node.
 	failures failureCount
-	// warmUpBinds are when the binds that count against its warm-up budget arrived, or were sent.
+	// warmUpBinds are the times of the binds that count against the warm-up budget: when a bind was sent or, if it may
+	// have arrived later, when its result was received.
 	warmUpBinds []Millis
-	// listedAt is when its last entry of the node list came.
+	// listedAt is the time when the last entry of the node was received from the node list.
 	listedAt Millis
-	// lastHealthCheck is when a health check was last sent to it.
+	// lastHealthCheck is the time when a health check was last sent to the node.
 	lastHealthCheck Millis
-	// lastMigration is when a workload was last moved off it.
+	// lastMigration is the time when a workload was last migrated off the node.
 	lastMigration Millis
 }
 
-// nodeTable holds the nodes that the list names or that still matter to a decision.
+// nodeTable holds the listed nodes and those that may still affect a decision.
 type nodeTable struct {
 	kinds  []NodeKind // by KindID
-	sorted []*node    // by id
+	sorted []*node    // by ID
 	byID   map[NodeID]*node
 }
 
-// getOrAdd returns the node of that id and adds it where it is missing; one that no list named counts as removed.
+// getOrAdd returns the node with that ID. If it is not in the table, it is added with state Removed.
 func (t *nodeTable) getOrAdd(id NodeID) *node {
-	if known := t.byID[id]; known != nil {
-		return known
+	if existing := t.byID[id]; existing != nil {
+		return existing
 	}
 	added := &node{
 		Node: Node{
@@ -67,7 +68,8 @@
 	return added
 }
 
-// update takes entries of the list. A complete list has all others count as removed; prune forgets them.
+// update applies entries of the node list. If the entries are complete, all other nodes become Removed; prune drops
+// them later.
 func (t *nodeTable) update(now Millis, complete bool, entries []Node) {
 	if complete {
 		for _, n := range t.sorted {
@@ -77,7 +79,7 @@
 	for _, entry := range entries {
 		n := t.getOrAdd(entry.ID)
 		if entry.StartedAt != n.StartedAt {
-			n.forgetIncarnation()
+			n.clearIncarnationState()
 		}
 		n.Node = entry
 		n.listedAt = now
@@ -85,15 +87,15 @@
 	}
 }
 
-// forgetIncarnation drops what was observed of an incarnation that has ended.
-func (n *node) forgetIncarnation() {
+// clearIncarnationState drops the observations of an incarnation that has ended.
+func (n *node) clearIncarnationState() {
 	n.reports = nil
 	n.warmUpBinds = nil
 	n.rejections = nil
 	n.failures.consecutive = 0
 }
 
-// sizeOf returns the size of nodes of that kind, or zero for a kind that the settings lack.
+// sizeOf returns the size of nodes of that kind, or zero for a kind that is not in the settings.
 func (t *nodeTable) sizeOf(kind KindID) resources {
 	if int(kind) >= len(t.kinds) {
 		return resources{}
@@ -101,14 +103,15 @@
 	return resources(t.kinds[kind])
 }
 
-// prune drops what no longer matters. A list that lacks a node briefly must not renew its warm-up budget.
+// prune drops the data that no decision depends on. It keeps a node with binds in the warm-up window even if it is not
+// listed: the warm-up budget must not be renewed when the list lacks the node briefly.
 func (t *nodeTable) prune(now, warmUpWindow Millis) {
 	for _, n := range t.sorted {
-		n.changes = slices.DeleteFunc(n.changes, func(c change) bool { return c.at < now-reportMaxAge-reportLag })
+		n.changes = slices.DeleteFunc(n.changes, func(c change) bool { return c.at < now-maxReportAge-reportLag })
 		n.warmUpBinds = slices.DeleteFunc(n.warmUpBinds, func(at Millis) bool { return at < now-warmUpWindow })
 	}
 	t.sorted = slices.DeleteFunc(t.sorted, func(n *node) bool {
-		if n.stillMatters() {
+		if n.affectsDecisions() {
 			return false
 		}
 		delete(t.byID, n.ID)
@@ -116,7 +119,7 @@
 	})
 }
 
-// stillMatters reports whether a decision may depend on n.
-func (n *node) stillMatters() bool {
+// affectsDecisions reports whether a decision may depend on the state of n.
+func (n *node) affectsDecisions() bool {
 	return n.State != Removed || len(n.binds) > 0 || len(n.warmUpBinds) > 0
 }
--- a/placement/nodetable_test.go
+++ b/placement/nodetable_test.go
@@ -6,9 +6,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Rule 4: a snapshot without a node that was warming up made the table forget what had been sent to it, and the next
-// snapshot renewed its whole budget.
-func TestNodeTable_NodeMissingForAMomentKeepsItsWarmUpBudget(t *testing.T) {
+// Rule 4 of internal/simulation/audit: if a snapshot lacks a node that is warming up, the node's table entry must
+// survive. Otherwise the binds sent to it are lost from the count, and the next snapshot with the node renews its whole
+// budget.
+func TestNodeTable_NodeBrieflyMissingKeepsItsWarmUpCount(t *testing.T) {
 	scheduler := newFleet(t, 0)
 	scheduler.settings.WarmUpDuration = 10e3
 	scheduler.settings.InitialRate = 1
@@ -26,5 +27,5 @@
 	scheduler.UpdateNodes(40, Snapshot, nil)
 	scheduler.Maintain(40)
 	scheduler.Maintain(3000)
-	assert.Empty(t, scheduler.nodes.byID, "dropped once nothing of it counts any more")
+	assert.Empty(t, scheduler.nodes.byID, "removed after the warm-up window")
 }
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -1,27 +1,28 @@
-// Outcome decides what follows the result of a bind: wait for its end, another bind, or the final answer.
+// Outcome decides what follows the result of a bind: waiting for the end of the bind, another bind, or the final
+// answer.
 //
-// Observed: the result, and what the workload's group says of a second start.
+// Inputs: the result, and the idempotency settings of the workload's group.
 //
-// Cost of an error: a further bind of a workload that may run already is a second start, which some groups forbid;
-// a final answer where another bind was allowed loses the workload. Rejected where it may run invites the client to
-// start it twice.
+// Cost of an error: another bind of a workload that may already run is a second start, which some groups forbid; a
+// final answer although another bind was allowed loses the workload. The answer Rejected for a workload that may run
+// lets the client retry it, which starts it twice.
 
 package placement
 
-// resultOf returns the continuation that takes each result of the bind.
-func (s *Scheduler) resultOf(b *bind) func(Millis, Result) Step {
+// resultHandler returns the NextStep function that handles the results of the bind.
+func (s *Scheduler) resultHandler(b *bind) func(Millis, Result) Step {
 	return func(now Millis, r Result) Step {
-		return s.takeResult(now, b, r)
+		return s.handleResult(now, b, r)
 	}
 }
 
-// awaitEnd returns the step of a workload for which nothing is to be done until the bind ends.
+// awaitEnd returns a step that does nothing until the bind ends.
 func (s *Scheduler) awaitEnd(b *bind) Step {
-	return Step{Kind: AwaitEnd, NextStep: s.resultOf(b)}
+	return Step{Kind: AwaitEnd, NextStep: s.resultHandler(b)}
 }
 
-// takeResult records the result of a bind and returns the workload's next step.
-func (s *Scheduler) takeResult(now Millis, b *bind, result Result) Step {
+// handleResult records the result of a bind and returns the workload's next step.
+func (s *Scheduler) handleResult(now Millis, b *bind, result Result) Step {
 	if result.Load != nil {
 		s.ReportLoad(now, b.node.ID, *result.Load)
 	}
@@ -52,11 +53,11 @@
 	}
 	s.health.recordConfirmation(now - b.sentAt)
 	n.failures.reset()
-	n.rejections.forgetGroup(b.workload.group)
+	n.rejections.removeGroup(b.workload.group)
 	s.placed[b.workload.ID] = b
 }
 
-// release forgets a bind that has ended, so that its resources count as free.
+// release removes a bind that has failed or ended, so that its resources count as free.
 func (s *Scheduler) release(now Millis, b *bind) {
 	b.node.removeBind(now, b)
 	if s.placed[b.workload.ID] == b {
@@ -64,7 +65,8 @@
 	}
 }
 
-// recordFailure records why a bind failed. Only the first three results prove that the workload has not run.
+// recordFailure records why a bind failed. Only RejectedByNode, NotDelivered and NotAttempted prove that the workload
+// has not run.
 func (s *Scheduler) recordFailure(now Millis, b *bind, r Result) {
 	n := b.node
 	failed := b.workload
@@ -79,47 +81,50 @@
 		failed.excluded = append(failed.excluded, n)
 		return
 	case NotAttempted:
-		failed.binds = s.settings.MaxBinds // no further one is made either
+		failed.binds = s.settings.MaxBinds // prevents further binds
 		return
 	case OutcomeUnknown, TimedOut:
-	case Confirmed, Ended, Withdrawn: // takeResult handles them itself
-	case TimerFired: // no result of a bind
+	case Confirmed, Ended, Withdrawn: // handled by handleResult
+	case TimerFired: // not a result of a bind
 	}
 	recordUncertain(now, b)
 }
 
-// recordUncertain records that a bind failed and may have run all the same.
+// recordUncertain records that a bind failed and that its workload may nevertheless have run.
 func recordUncertain(now Millis, b *bind) {
-	// Clients that withdraw hundreds of workloads at once had nodes ejected: a withdrawal says nothing of them.
+	// A bind of a withdrawn workload is no evidence against its node: a client that withdraws hundreds of workloads
+	// simultaneously must not cause nodes to be ejected.
 	if !b.workload.withdrawn {
 		b.node.failures.add(now)
 	}
-	if b.workload.uncertain == nil {
-		b.workload.uncertain = b
+	if b.workload.firstUncertain == nil {
+		b.workload.firstUncertain = b
 	}
 }
 
-// retry returns the step after a failed bind: another bind, unless nobody waits for it or it might be a second start.
+// retry returns the step after a failed bind: Done if the workload is withdrawn or the result is final, the final
+// answer if another bind might be a forbidden second start, else the step that schedule returns.
 func (s *Scheduler) retry(now Millis, failed *workload, final bool) Step {
 	switch {
 	case failed.withdrawn || final:
 		return Step{Kind: Done}
-	case failed.uncertain != nil && failed.group.Idempotency == AtMostOnce:
+	case failed.firstUncertain != nil && failed.group.Idempotency == AtMostOnce:
 		return finalAnswer(failed)
 	}
 	return s.schedule(now, failed)
 }
 
-// finalAnswer answers a workload that gets no further bind. Rejected promises that a retry by the client is
-// harmless, so a workload that may run is rejected only where every node recognizes a repeat.
+// finalAnswer returns the final step of a workload that gets no further bind. Rejected means that a retry by the client
+// is harmless. A workload that may run is therefore Rejected only if its group is idempotent or every node recognizes
+// the idempotency key, and otherwise Unschedulable.
 func finalAnswer(unplaced *workload) Step {
-	if unplaced.uncertain != nil && unplaced.group.repeatMayHarm() {
+	if unplaced.firstUncertain != nil && unplaced.group.repeatMayHarm() {
 		return Step{Kind: Unschedulable}
 	}
 	return Step{Kind: Rejected}
 }
 
-// repeatMayHarm reports whether there is a node on which a second start of a workload of the group does harm.
+// repeatMayHarm reports whether there may be a node on which a second start of a workload of the group is harmful.
 func (g *group) repeatMayHarm() bool {
 	switch g.Idempotency {
 	case Idempotent:
@@ -129,5 +134,5 @@
 	case AtMostOnce:
 		return true
 	}
-	return false // settings name no other idempotency
+	return false // no other idempotency is valid in the settings
 }
--- a/placement/outcome_test.go
+++ b/placement/outcome_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Rules 1 and 2: what follows each result, by group.
+// Rules 1 and 2 of internal/simulation/audit: the step that follows each kind of result, by idempotency of the group.
 func TestNextStep_AfterABind(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -18,7 +18,7 @@
 		{"idempotent, rejected: another bind", idempotent, RejectedByNode, Bind},
 		{"idempotent, timed out: another bind", idempotent, TimedOut, Bind},
 		{"idempotent, outcome unknown: another bind", idempotent, OutcomeUnknown, Bind},
-		{"idempotent, withdrawn with the bind in progress: awaits its end", idempotent, Withdrawn, AwaitEnd},
+		{"idempotent, withdrawn with the bind in flight: awaits its end", idempotent, Withdrawn, AwaitEnd},
 		{"at most once, rejected: another bind", atMostOnce, RejectedByNode, Bind},
 		{"at most once, not delivered: another bind", atMostOnce, NotDelivered, Bind},
 		{"at most once, timed out: unschedulable", atMostOnce, TimedOut, Unschedulable},
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestFinalAnswer_RejectedOnlyWhereARepeatIsHarmless(t *testing.T) {
+func TestFinalAnswer_RejectedOnlyIfARetryIsHarmless(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		group GroupID
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestNextStep_NothingAfterAWithdrawal(t *testing.T) {
+func TestNextStep_DoneAfterAWithdrawal(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	sent := scheduler.Schedule(0, requestOneCore(idempotent, 9000))
 	withdrawn := sent.NextStep(1, Result{Kind: Withdrawn})
--- a/placement/rejection.go
+++ b/placement/rejection.go
@@ -1,24 +1,24 @@
-// Rejections decide for how long a node that rejected a bind is not offered similar ones.
+// Rejection decides for how long a node that rejected a bind gets no similar binds.
 //
-// Observed: the reason that the node gave, the size and the group of what it rejected, and whether it accepted a
-// workload of that group since.
+// Inputs: the reason of the rejection, the size and the group of the rejected workload, and whether the node has
+// accepted a workload of that group since.
 //
-// Cost of an error: a pause that is too short wastes binds on a node that rejects them and fills its queue; one
-// that is too long leaves a node idle that would accept again.
+// Cost of an error: if the pause is too short, binds are wasted on a node that rejects them, and they fill its queue;
+// if it is too long, a node that would accept binds again stays idle.
 
 package placement
 
 import "slices"
 
-// rejection is a node's rejection of a bind.
+// rejection is the rejection of a bind by a node.
 type rejection struct {
 	at     Millis
 	group  *group
-	size   resources // requested by the rejected workload
+	size   resources // resources requested by the rejected workload
 	reason Reason
 }
 
-// rejectionLog holds the last rejections by a node, oldest first.
+// rejectionLog lists the last rejections by a node, oldest first.
 type rejectionLog []rejection
 
 // add records that the node rejected the workload.
@@ -31,12 +31,12 @@
 	}, maxRejections)
 }
 
-// forgetGroup drops the rejections of a group, once the node has accepted a workload of it.
-func (l *rejectionLog) forgetGroup(g *group) {
+// removeGroup removes the rejections of a group. It is called when the node accepts a workload of the group.
+func (l *rejectionLog) removeGroup(g *group) {
 	*l = slices.DeleteFunc(*l, func(r rejection) bool { return r.group == g })
 }
 
-// blocks reports whether a rejection speaks against offering the workload to the node.
+// blocks reports whether any rejection in the log prevents offering the workload to the node.
 func (l rejectionLog) blocks(now Millis, w *workload) bool {
 	for i := range l {
 		if l[i].blocks(now, w) {
@@ -46,8 +46,9 @@
 	return false
 }
 
-// blocks reports whether the rejection speaks against offering the workload. For lack of capacity it does so only
-// briefly. Any other comes from a node that rejects one group; that group avoids it for longer, the others use it.
+// blocks reports whether the rejection prevents offering the workload to the node. A rejection for lack of capacity
+// blocks workloads of any group for capacityRejectionPause: those that request at least as much of the resource, or all
+// if the queue was full. Any other rejection blocks only the rejected group, for groupRejectionPause.
 func (r *rejection) blocks(now Millis, w *workload) bool {
 	age := now - r.at
 	switch r.reason {
@@ -59,6 +60,6 @@
 		return age < capacityRejectionPause
 	case ReasonUnspecified, WrongNode, Evicted, Preempted, Drained:
 	}
-	// Reasons that a later protocol may add count as those listed last.
+	// A reason that a later version of the protocol adds is treated like those in the last case.
 	return age < groupRejectionPause && r.group == w.group
 }
--- a/placement/rejection_test.go
+++ b/placement/rejection_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRejections_LackOfCapacityBlocksRequestsNoSmallerForAWhile(t *testing.T) {
+func TestRejections_LackOfCapacityBlocksUntilThePauseEnds(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		now   Millis
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRejections_WithoutReasonBlockOnlyTheGroup(t *testing.T) {
+func TestRejections_UnspecifiedReasonBlocksOnlyTheGroup(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		now   Millis
@@ -37,8 +37,8 @@
 		want  bool
 	}{
 		{"rejected group: blocked", groupRejectionPause - 1, atMostOnce, true},
-		{"other group: keeps using the node", 1, idempotent, false},
-		{"rejected group after the pause: the node is tried again", groupRejectionPause, atMostOnce, false},
+		{"other group: not blocked", 1, idempotent, false},
+		{"rejected group after the pause: not blocked", groupRejectionPause, atMostOnce, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 1)
--- a/placement/reports.go
+++ b/placement/reports.go
@@ -1,27 +1,27 @@
 package placement
 
-// receivedReport is a load report with the time when it came. Values that it lacks are NaN.
+// receivedReport is a load report with the time of its receipt. Missing values are NaN.
 type receivedReport struct {
 	at Millis
-	// used is what is in use on the node.
+	// used is the amount of resources in use on the node.
 	used resources
-	// spare is as reported: not in use or not requested, as Settings.ReportsUsage says.
+	// spare is the reported amount that is not in use (with Settings.ReportsUsage) or not requested (without).
 	spare resources
 }
 
 // reportHistory holds the last reports of a node, oldest first.
 type reportHistory []receivedReport
 
-// latest returns the last report while it is fresh enough to count, or nil. Each decision asks for it several times a
-// node, so it is not copied: where a copy happened to cross a page of the stack, a decision took a tenth longer.
+// latest returns the last report, or nil if it is older than maxReportAge. It returns a pointer because every decision
+// calls it several times per node: a copy that crosses a page of the stack makes a decision a tenth slower.
 func (h reportHistory) latest(now Millis) *receivedReport {
-	if now-h.lastAt() > reportMaxAge {
+	if now-h.lastAt() > maxReportAge {
 		return nil
 	}
 	return &h[len(h)-1]
 }
 
-// lastAt returns when the last report came, or DistantPast before the first.
+// lastAt returns the time of the last report, or DistantPast before the first.
 func (h reportHistory) lastAt() Millis {
 	if len(h) == 0 {
 		return DistantPast
@@ -29,8 +29,8 @@
 	return h[len(h)-1].at
 }
 
-// add appends a report. It replaces the last one where reports are dense, so that those kept cover the migration
-// window.
+// add appends a report. It replaces the last one if that came less than reportSpacing after its predecessor, so that
+// the kept reports cover migrationWindow.
 func (h *reportHistory) add(now Millis, report receivedReport) {
 	last := len(*h) - 1
 	if last > 0 && now-(*h)[last-1].at < reportSpacing {
--- a/placement/reports_test.go
+++ b/placement/reports_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestReportHistory_DenseReportsSpanTheMigrationWindow(t *testing.T) {
+func TestReportHistory_FrequentReportsCoverTheMigrationWindow(t *testing.T) {
 	scheduler := newFleet(t, 1)
 	for at := Millis(0); at <= 2*migrationWindow; at += 50 {
 		reportUsed(scheduler, at, 1, 9)
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -1,17 +1,20 @@
-// Reservation decides which nodes are kept from a workload, for requests that are worth more.
+// Reservation decides which nodes are excluded for a workload because their capacity is reserved for requests of higher
+// value.
 //
-// Observed: the requests that this allocator got lately, by group and size and whether they were retried, the number of
-// allocators, and the estimates of capacity and load.
+// Inputs: the recent requests to this allocator by group, size and whether they are retries, the number of allocators,
+// and the estimates of capacity and load.
 //
-// A full fleet that admits all alike rejects what is worth most, above all large requests that need their capacity
-// in one piece. Slots for the largest request of higher priority weight are kept, as many as were requested from us
-// lately and one at least. While there are fewer, the nodes with most slots fill up no further, so that capacity
-// builds up in one piece. Our requests stand for those of all allocators: they are counted over longer and
-// multiplied, and where they are many a part of the fleet stays open. Within a group, first requests come before
-// retried ones: a first start in time earns most of a short workload's value, and a retry cannot earn that any more.
+// If a full fleet accepts all requests alike, it rejects requests of the highest value, above all large ones, which
+// need their capacity on one node. Slots of the size of the largest request of higher priority weight are therefore
+// reserved: as many as the recent requests of that kind take, and at least one. While there are fewer free slots
+// than that, the nodes with the most slots get no other workloads, so that free capacity accumulates on single nodes.
+// The requests to this allocator are an estimate of those to all allocators: they are counted over a longer time and
+// multiplied, and the reserved slots are limited so that a part of the fleet stays open. Among groups of equal weight,
+// first requests have precedence over retries: most of the value of a short workload comes from a first start within
+// the latency objective, which a retry cannot achieve.
 //
-// Cost of an error: a slot too many leaves capacity idle where little of higher weight follows, and retried requests
-// wait longer on a fleet that stays full; one too few rejects a request that is worth more than what took its place.
+// Cost of an error: a slot too many leaves capacity idle if few requests of higher weight follow, and retries wait
+// longer on a fleet that stays full; a slot too few rejects a request of higher value than the one that took its place.
 
 package placement
 
@@ -21,78 +24,78 @@
 	"slices"
 )
 
-// request is a request that this allocator got, as reservations count it.
+// request is the record of a request to this allocator that reservations count.
 type request struct {
 	at      Millis
 	size    resources
 	retried bool
 }
 
-// slots is a number of places for one request of the size that a reservation is made for. It has a fraction where
-// a place fits in part, and is negative where a node is beyond its caps.
+// slots is a number of slots. A slot is the capacity for one request of a given size. The number has a fraction if the
+// last slot is partial, and is negative for a node above its caps.
 type slots float64
 
-// whole returns how many whole places there are.
+// whole returns the number of whole slots, at least 0.
 func (s slots) whole() slots {
 	return slots(max(0, math.Floor(float64(s))))
 }
 
-// reservations keeps capacity for groups of higher priority weight, and for first requests against retried ones.
+// reservations reserves capacity for groups of higher priority weight, and for first requests over retries.
 type reservations struct {
 	groups   []group
 	nodes    *nodeTable
 	capacity *capacityEstimator
 	load     *loadEstimator
-	// window is the time over which our own requests are counted.
+	// window is the time over which the requests to this allocator are counted.
 	window Millis
-	// requestsPerOurs is how many requests all allocators get within reservationWindow, for each of ours within
-	// window: others are taken to be like us.
-	requestsPerOurs float64
+	// requestMultiplier is the estimated number of requests to all allocators within reservationWindow per request to
+	// this allocator within window. All allocators are assumed to receive equally many.
+	requestMultiplier float64
 }
 
-// newReservations returns reservations that count the requests in groups, to which the scheduler adds them. The more
-// allocators there are, the longer our own requests are counted, and the more requests of others each stands for.
+// newReservations returns reservations that count the requests in groups; the scheduler adds requests there. window
+// grows with the number of allocators up to maxReservationWindows windows, beyond that requestMultiplier grows instead.
 func newReservations(
 	settings *Settings, groups []group, nodes *nodeTable, capacity *capacityEstimator, load *loadEstimator,
 ) *reservations {
 	allocators := float64(settings.Allocators)
-	windows := min(allocators, maxReservationScale)
+	windows := min(allocators, maxReservationWindows)
 	return &reservations{
-		groups:          groups,
-		nodes:           nodes,
-		capacity:        capacity,
-		load:            load,
-		window:          reservationWindow * Millis(windows),
-		requestsPerOurs: allocators / windows,
+		groups:            groups,
+		nodes:             nodes,
+		capacity:          capacity,
+		load:              load,
+		window:            reservationWindow * Millis(windows),
+		requestMultiplier: allocators / windows,
 	}
 }
 
-// reservationKind says how a reservation keeps its slots.
+// reservationKind is the way in which a reservation protects its slots.
 type reservationKind uint8
 
 const (
-	nothingReserved reservationKind = iota // no request competes with the workload
-	nodesReserved                          // there are too few slots: the nodes with most of them fill up no further
-	slotsReserved                          // there are enough: the workload must leave as many as are required
+	nothingReserved reservationKind = iota // no request has precedence over the workload
+	nodesReserved                          // too few free slots: the nodes with the most slots are excluded
+	slotsReserved                          // enough free slots: the workload must leave the required number
 )
 
-// reservation is what is kept from one workload at one time.
+// reservation is the reserved capacity that one decision for a workload must not use.
 type reservation struct {
 	reservations *reservations
 	now          Millis
 	workload     *workload
 	kind         reservationKind
-	// nodes are those kept, for nodesReserved.
+	// nodes are the excluded nodes; valid for nodesReserved.
 	nodes map[*node]bool
-	// slot is the size that slots are counted for, for slotsReserved.
+	// slot is the size of a slot; valid for slotsReserved.
 	slot resources
-	// free is the number of whole slots on ready nodes, for slotsReserved.
+	// free is the number of whole slots on ready nodes; valid for slotsReserved.
 	free slots
-	// required is the number of slots to keep, for slotsReserved.
+	// required is the number of slots that must stay free; valid for slotsReserved.
 	required slots
 }
 
-// against returns what is reserved against the workload.
+// against returns the reservation that applies to the workload.
 func (r *reservations) against(now Millis, w *workload) reservation {
 	reserved := reservation{
 		reservations: r,
@@ -118,7 +121,7 @@
 	return reserved
 }
 
-// excludes reports whether n is kept from the workload that the reservation was made against.
+// excludes reports whether the reservation excludes n for its workload.
 func (reserved *reservation) excludes(n *node) bool {
 	switch reserved.kind {
 	case nothingReserved:
@@ -131,16 +134,16 @@
 	return reserved.free-taken < reserved.required
 }
 
-// precedence says which requests of a group come before a workload.
+// precedence states which requests of a group have precedence over a workload.
 type precedence uint8
 
 const (
-	nonePrecede  precedence = iota // the group has lower weight, or equal weight and the workload is a first request
-	firstPrecede                   // the first requests of a group of equal weight, as the workload is a retried one
-	allPrecede                     // the group has higher weight
+	nonePrecede  precedence = iota // the group has lower weight, or equal weight and the workload is not a retry
+	firstPrecede                   // first requests only: the group has equal weight and the workload is a retry
+	allPrecede                     // all requests: the group has higher weight
 )
 
-// precedenceOver returns which requests of g come before the workload.
+// precedenceOver returns which requests of g have precedence over the workload.
 func (g *group) precedenceOver(w *workload) precedence {
 	weight := w.group.PriorityWeight
 	switch {
@@ -152,8 +155,8 @@
 	return nonePrecede
 }
 
-// preceding returns the requests that come before the workload, each with the precedence of its group: the retried ones
-// of a group of equal weight too.
+// preceding returns the requests of all groups with any precedence over the workload, each with the precedence of its
+// group. It does not filter by precedence: with firstPrecede, the caller must skip the retries.
 func (r *reservations) preceding(w *workload) iter.Seq2[precedence, *request] {
 	return func(yield func(precedence, *request) bool) {
 		for i := range r.groups {
@@ -171,31 +174,33 @@
 	}
 }
 
-// slotSize returns the size of the largest request that competes with the workload, in cores and in memory; zero where
-// there is none. Of groups of higher weight it counts older requests too, as one slot is always kept for them.
+// slotSize returns the largest number of cores and the largest amount of memory among the requests with precedence over
+// the workload, or zero if there are none. For groups of higher weight it includes requests that are not recent,
+// because at least one slot is always reserved for these groups.
 func (r *reservations) slotSize(now Millis, w *workload) (slot resources) {
 	for p, req := range r.preceding(w) {
 		if p == allPrecede || r.isRecent(now, req) && !req.retried {
-			slot = slot.atLeast(req.size)
+			slot = slot.elementwiseMax(req.size)
 		}
 	}
 	return slot
 }
 
-// demand is how many slots the recent requests take that compete with a workload, at all allocators.
+// demand is the estimated number of slots that the recent requests with precedence over a workload take, at all
+// allocators.
 type demand struct {
-	higherWeight  slots // for groups of higher priority weight
-	firstRequests slots // for first requests of equal weight, against a retried one
+	higherWeight  slots // by requests of groups of higher priority weight
+	firstRequests slots // by first requests of groups of equal weight; 0 if the workload is not a retry
 }
 
-// competingDemand counts the requests that compete with the workload, in slots of that size.
+// competingDemand returns the demand of the requests with precedence over the workload, in slots of the given size.
 func (r *reservations) competingDemand(now Millis, w *workload, slot resources) demand {
-	var higherWeight, firstRequests float64 // in slots, fractions included
+	var higherWeight, firstRequests float64 // number of slots, with fractions
 	for p, req := range r.preceding(w) {
 		if !r.isRecent(now, req) {
 			continue
 		}
-		atAllAllocators := r.requestsPerOurs * req.size.dividedBy(slot)
+		atAllAllocators := r.requestMultiplier * req.size.dividedBy(slot)
 		switch {
 		case p == allPrecede:
 			higherWeight += atAllAllocators
@@ -209,18 +214,19 @@
 	}
 }
 
-// isRecent reports whether a request is new enough for capacity to be kept for others like it.
+// isRecent reports whether a request is within the window over which requests are counted.
 func (r *reservations) isRecent(now Millis, req *request) bool {
 	return now-req.at < r.window
 }
 
-// requiredSlots returns how many slots to keep. Those for groups of higher weight leave a part of the fleet open.
+// requiredSlots returns the number of slots to reserve. Those for groups of higher weight are limited by the number of
+// nodes, so that a part of the fleet stays open.
 func (r *reservations) requiredSlots(competing demand) slots {
 	limit := slots(float64(len(r.nodes.sorted)) * maxReservedSlotsPerNode)
 	return max(minReservedSlots, min(competing.higherWeight, limit)+competing.firstRequests)
 }
 
-// slotsTaken returns how many whole slots on n the workload would take.
+// slotsTaken returns the number of whole slots on n that the workload would take.
 func (r *reservations) slotsTaken(now Millis, w *workload, n *node, slot resources) slots {
 	before := r.capacity.available(now, n)
 	after := resources{
@@ -230,7 +236,8 @@
 	return r.slotsOn(now, n, before, slot).whole() - r.slotsOn(now, n, after, slot).whole()
 }
 
-// slotsOn returns how many slots n holds within the caps, if so much of its capacity is available.
+// slotsOn returns the number of slots on n that fit both in the available resources and below the caps on load and
+// memory.
 func (r *reservations) slotsOn(now Millis, n *node, available, slot resources) slots {
 	usedCores, _ := r.load.usedCores(now, n)
 	usedMemory := r.load.usedMemory(now, n)
@@ -242,19 +249,19 @@
 	))
 }
 
-// nodeSlots is how many slots a node holds.
+// nodeSlots is the number of free slots on a node.
 type nodeSlots struct {
 	node  *node
 	slots slots
 }
 
-// fleetSlots is how many slots the fleet holds.
+// fleetSlots is the number of free slots on the fleet.
 type fleetSlots struct {
-	byNode []nodeSlots // of the ready nodes, by id
-	whole  slots       // the sum of the whole ones
+	byNode []nodeSlots // for each ready node, ordered by ID
+	whole  slots       // sum of the whole slots of each node
 }
 
-// freeSlots counts the slots on the ready nodes.
+// freeSlots returns the free slots on the ready nodes.
 func (r *reservations) freeSlots(now Millis, slot resources) fleetSlots {
 	free := fleetSlots{byNode: make([]nodeSlots, 0, len(r.nodes.sorted))}
 	for _, n := range r.nodes.sorted {
@@ -268,14 +275,15 @@
 	return free
 }
 
-// nodesWithMostSlots returns count of the nodes, those with the most slots; of equal ones the first.
+// nodesWithMostSlots returns the count nodes with the most slots, or all if there are fewer. Among nodes with equally
+// many, the first ones in free are selected.
 func nodesWithMostSlots(free []nodeSlots, count int) map[*node]bool {
 	count = min(count, len(free))
 	selected := make(map[*node]bool, count)
 	if count == 0 {
 		return selected
 	}
-	least, ties := leastSelected(free, count)
+	least, ties := selectionThreshold(free, count)
 	for _, onNode := range free {
 		switch {
 		case onNode.slots > least:
@@ -288,9 +296,10 @@
 	return selected
 }
 
-// leastSelected returns the least slots of the count nodes that have the most, and how many of those count nodes
-// have just so many. It sorts the numbers alone, which is cheaper than to sort the nodes.
-func leastSelected(free []nodeSlots, count int) (least slots, ties int) {
+// selectionThreshold returns the threshold for the selection of the count nodes with the most slots: least is the
+// smallest number of slots among them, ties the number of them that have exactly that many. It sorts the numbers only,
+// which is cheaper than sorting the nodes.
+func selectionThreshold(free []nodeSlots, count int) (least slots, ties int) {
 	sorted := make([]slots, len(free))
 	for i, onNode := range free {
 		sorted[i] = onNode.slots
--- a/placement/reservation_test.go
+++ b/placement/reservation_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestReservations_NodeWithMostCapacityIsKeptForLargeRequestsOfHigherWeight(t *testing.T) {
+func TestReservations_EmptierNodeIsReservedForHigherWeight(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	emptier := scheduler.node(1)
 	other := scheduler.node(2)
@@ -14,15 +14,15 @@
 	scheduler.groups[atMostOnce].requests = []request{{size: resources{6, 6}}}
 	for _, c := range []struct {
 		name      string
-		freeCores float64 // of the emptier node
+		freeCores float64 // free cores of the emptier node
 		group     GroupID
 		node      *node
 		want      bool
 	}{
-		{"emptier node, lower weight: kept", 6.5, idempotent, emptier, true},
-		{"other node, lower weight: open", 6.5, idempotent, other, false},
-		{"emptier node, the group of higher weight itself: open", 6.5, atMostOnce, emptier, false},
-		{"no whole slot: capacity builds up on the emptier node", 5, idempotent, emptier, true},
+		{"emptier node, lower weight: reserved", 6.5, idempotent, emptier, true},
+		{"other node, lower weight: not reserved", 6.5, idempotent, other, false},
+		{"emptier node, the group of higher weight itself: not reserved", 6.5, atMostOnce, emptier, false},
+		{"no whole slot, lower weight: emptier node reserved", 5, idempotent, emptier, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			emptier.FreeCores = c.freeCores
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestReservations_FirstRequestsComeBeforeRetriedOnes(t *testing.T) {
+func TestReservations_FirstRequestsHavePrecedenceOverRetries(t *testing.T) {
 	scheduler := newFleet(t, 1)
 	scheduler.node(1).FreeCores = 2.5
 	scheduler.groups[idempotent].requests = []request{{size: resources{2, 2}}, {size: resources{2, 2}, retried: true}}
@@ -41,9 +41,9 @@
 		now     Millis
 		want    bool
 	}{
-		{"first request: open", false, 1, false},
-		{"retried request: kept", true, 1, true},
-		{"retried request, no recent first one: open", true, reservationWindow, false},
+		{"first request: not reserved", false, 1, false},
+		{"retry: reserved", true, 1, true},
+		{"retry, no recent first request: not reserved", true, reservationWindow, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			pending := pendingWorkload(scheduler, idempotent, 1, 1)
@@ -53,12 +53,12 @@
 	}
 }
 
-func TestReservations_StandForAllAllocators(t *testing.T) {
+func TestReservations_RequestsOfAllAllocatorsAreEstimated(t *testing.T) {
 	scheduler := newFleet(t, 4)
-	scheduler.reservations.requestsPerOurs = 30
+	scheduler.reservations.requestMultiplier = 30
 	scheduler.groups[atMostOnce].requests = []request{{size: resources{1, 1}}}
 	for _, n := range scheduler.nodes.sorted {
-		n.FreeCores = 0.6 // no slot for the request of higher weight: half of the nodes fill up no further
+		n.FreeCores = 0.6 // too few for a slot of the higher weight: half of the nodes are reserved
 	}
 	reserved := scheduler.reservations.against(1, pendingWorkload(scheduler, idempotent, 0.5, 0.5))
 	count := 0
@@ -70,24 +70,25 @@
 	assert.Equal(t, 2, count)
 }
 
-func TestNewReservations_RequestsPerOursByAllocators(t *testing.T) {
+func TestNewReservations_RequestMultiplierByAllocators(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		allocators int
 		want       float64
 	}{
-		{"more than the greatest scale: the rest is multiplied", 300, 30},
-		{"fewer: the longer window counts them all", 3, 1},
+		{"more allocators than maxReservationWindows: the rest is multiplied", 300, 30},
+		{"fewer allocators: the longer window is enough", 3, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := New(Settings{Allocators: c.allocators}, 1)
-			assert.InDelta(t, c.want, scheduler.reservations.requestsPerOurs, 0)
+			assert.InDelta(t, c.want, scheduler.reservations.requestMultiplier, 0)
 		})
 	}
 }
 
-// Of equal nodes the first are chosen. This guards against another choice by an order that is only partly
-// computed; sorting the nodes of a large fleet for each request took most of a small core.
+// Among nodes with equally many slots, the first ones must be selected. This guards against a different selection,
+// since nodesWithMostSlots does not sort the nodes: on a large fleet, sorting them for each request takes most of a
+// small core.
 func TestNodesWithMostSlots_FirstOfEqualNodes(t *testing.T) {
 	var free []nodeSlots
 	for _, onNode := range []slots{0.5, 3, 2, 3, -1, 2, 2} {
@@ -97,7 +98,7 @@
 		chosen := nodesWithMostSlots(free, count)
 		assert.Len(t, chosen, len(want))
 		for _, i := range want {
-			assert.True(t, chosen[free[i].node], "%d of the %d", i, count)
+			assert.True(t, chosen[free[i].node], "node %d of the %d selected", i, count)
 		}
 	}
 	assert.Len(t, nodesWithMostSlots(free, 9), 7)
--- a/placement/resources.go
+++ b/placement/resources.go
@@ -1,24 +1,25 @@
 package placement
 
-// resources is an amount of cores and memory: the size of a node, a request, or what is in use or available.
+// resources is an amount of cores and memory, such as the size of a node, a request, or the amount in use.
 type resources struct {
 	Cores  float64
 	Memory float64
 }
 
-// atLeast returns the greater of two amounts, in cores and in memory.
-func (r resources) atLeast(other resources) resources {
+// elementwiseMax returns the greater number of cores and the greater amount of memory of r and other.
+func (r resources) elementwiseMax(other resources) resources {
 	return resources{Cores: max(r.Cores, other.Cores), Memory: max(r.Memory, other.Memory)}
 }
 
-// dividedBy returns how many units hold r, fractions included: the greater of the ratios in cores and in memory.
+// dividedBy returns the number of units that r occupies, fractions included: the greater of the ratios in cores and in
+// memory.
 func (r resources) dividedBy(unit resources) float64 {
 	return max(r.Cores/unit.Cores, r.Memory/unit.Memory)
 }
 
-// utilization is a number of cores for each core that a node has: 0.5 is half of its cores. The utilization by
-// the cores in use is a node's load, the ρ of docs/design.md.
+// utilization is a number of cores per core of a node: 0.5 is half of its cores. The load of a node is the utilization
+// by the cores in use, called ρ in docs/design.md.
 type utilization float64
 
-// usageRatio is the number of cores that workloads use for each core that they request.
+// usageRatio is the number of cores in use by workloads per core requested.
 type usageRatio float64
--- a/placement/result.go
+++ b/placement/result.go
@@ -1,40 +1,40 @@
 package placement
 
-// ResultKind says how a step of a workload went.
+// ResultKind is the kind of result of a step.
 type ResultKind uint8
 
-// Results of a step.
+// Kinds of results.
 const (
-	Confirmed      ResultKind = iota // the node accepted it; the bind stays open until it ends
-	RejectedByNode                   // the node rejected it: never ran
-	NotDelivered                     // no connection: never ran
-	NotAttempted                     // the bind was never made
-	OutcomeUnknown                   // no answer, or a malformed one: may have run
-	TimedOut                         // no answer in time: may have run
-	Ended                            // a confirmed bind has ended
-	Withdrawn                        // the client no longer wants it; the bind may still be in flight
-	TimerFired                       // the time of a Wait has come
+	Confirmed      ResultKind = iota // the node accepted the workload; the bind stays open until Ended
+	RejectedByNode                   // the node rejected the workload: it has not run
+	NotDelivered                     // no connection to the node: the workload has not run
+	NotAttempted                     // the bind was not sent
+	OutcomeUnknown                   // no reply, or a malformed one: the workload may have run
+	TimedOut                         // no reply before Step.Timeout: the workload may have run
+	Ended                            // the confirmed bind has ended
+	Withdrawn                        // the client withdrew the workload; the bind may still be in flight
+	TimerFired                       // Step.WakeAt of a Wait has come
 )
 
-// Reason says why a node rejected or ended a workload.
+// Reason is the reason why a node rejected or ended a workload.
 type Reason uint8
 
-// Reasons of a node.
+// Reasons that a node reports.
 const (
 	ReasonUnspecified Reason = iota
 	InsufficientCores
 	InsufficientMemory
 	QueueFull
-	WrongNode // the node is not the one that was addressed
-	Evicted   // for lack of memory
-	Preempted // by a workload of higher priority
-	Drained   // the node drains
+	WrongNode // the bind reached a node other than the addressed one
+	Evicted   // ended for lack of memory
+	Preempted // ended in favour of a workload of higher priority
+	Drained   // the node is draining
 )
 
-// Result is passed to the continuation of a step.
+// Result is the result of a step. It is passed to the step's NextStep.
 type Result struct {
 	Kind   ResultKind
 	Reason Reason
-	Final  bool        // the workload needs no further step
-	Load   *LoadReport // nil where none came with the answer
+	Final  bool        // the workload needs neither another bind nor an answer
+	Load   *LoadReport // load report in the node's reply; nil if there was none
 }
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -1,12 +1,12 @@
 // Schedule decides the next step of a pending workload: a bind, a wait for the first node, or the final answer.
 //
-// Observed: the time that the client still waits, the binds made so far, and how long confirmations take.
+// Inputs: the time until the pending timeout, the number of binds so far, and the recent confirmation times.
 //
 // A bind goes through the phases filter (filter.go, health.go), reserve (reservation.go), score (score.go) and bind.
 // The phases confirm and retry follow its result (outcome.go).
 //
-// Cost of an error: a bind timeout that is too short gives up a start that was on its way, and one that is too long
-// leaves no time for a further bind; either way the client may get no start in time.
+// Cost of an error: a bind timeout that is too short ends a bind that would have been confirmed; one that is too long
+// leaves no time for another bind. In both cases the workload may not start in time.
 
 package placement
 
@@ -17,13 +17,13 @@
 	if int(requested.Group) >= len(s.groups) {
 		return Step{Kind: Rejected}
 	}
-	s.health.earnCredit()
+	s.health.addCheckCredit()
 	g := &s.groups[requested.Group]
 	pending := &workload{
-		Workload:  requested,
-		group:     g,
-		startBy:   now + g.LatencyObjective,
-		expiresAt: now + requested.PendingTimeout,
+		Workload:      requested,
+		group:         g,
+		startDeadline: now + g.LatencyObjective,
+		expiresAt:     now + requested.PendingTimeout,
 	}
 	g.requests = appendBounded(g.requests, request{
 		at:      now,
@@ -33,9 +33,10 @@
 	return s.schedule(now, pending)
 }
 
-// Adopt takes over a workload that runs already. The list and the reports count it: no change is recorded.
+// Adopt adds a workload that already runs on the node with that ID and returns its step. The node list and the load
+// reports already include its resources, so no change is recorded in the change log.
 func (s *Scheduler) Adopt(now Millis, running Workload, id NodeID) Step {
-	g := &group{Group: Group{RequiredKind: AnyKind}} // for a group that the settings no longer name
+	g := &group{Group: Group{RequiredKind: AnyKind}} // for a group that is not in the settings
 	if int(running.Group) < len(s.groups) {
 		g = &s.groups[running.Group]
 	}
@@ -45,10 +46,11 @@
 	return s.awaitEnd(adopted)
 }
 
-// schedule offers the workload to the best node, waits while no node is known, or gives the final answer.
+// schedule returns the next step of the workload: a bind to the best node, a wait while the node table is empty, or the
+// final answer.
 func (s *Scheduler) schedule(now Millis, pending *workload) Step {
-	if s.shouldAwaitNodes(now, pending) {
-		return s.awaitNodes(now, pending)
+	if s.shouldWaitForNodes(now, pending) {
+		return s.waitForNodes(now, pending)
 	}
 	remaining := pending.expiresAt - now - answerMargin
 	if pending.binds >= s.settings.MaxBinds || remaining <= 0 {
@@ -62,16 +64,16 @@
 	return s.bind(now, pending, selected, timeout)
 }
 
-// shouldAwaitNodes reports whether no node is known yet, and one may still come in time for the workload.
-func (s *Scheduler) shouldAwaitNodes(now Millis, pending *workload) bool {
-	return len(s.nodes.sorted) == 0 && now+emptyListRetry < pending.startBy
+// shouldWaitForNodes reports whether the node table is empty and a further attempt is possible before startDeadline.
+func (s *Scheduler) shouldWaitForNodes(now Millis, pending *workload) bool {
+	return len(s.nodes.sorted) == 0 && now+emptyNodeListRetryInterval < pending.startDeadline
 }
 
-// awaitNodes has the workload scheduled again after emptyListRetry, unless it is withdrawn meanwhile.
-func (s *Scheduler) awaitNodes(now Millis, pending *workload) Step {
+// waitForNodes returns a Wait after which the workload is scheduled again, unless it is withdrawn meanwhile.
+func (s *Scheduler) waitForNodes(now Millis, pending *workload) Step {
 	return Step{
 		Kind:   Wait,
-		WakeAt: now + emptyListRetry,
+		WakeAt: now + emptyNodeListRetryInterval,
 		NextStep: func(now Millis, r Result) Step {
 			if r.Kind == Withdrawn {
 				return Step{Kind: Done}
@@ -81,8 +83,8 @@
 	}
 }
 
-// selectNode filters the nodes, leaves out what is reserved against the workload, and scores the rest. It returns
-// nil where no node is left.
+// selectNode filters the nodes, excludes those reserved for other requests, and scores the rest. It returns nil if no
+// node is left.
 func (s *Scheduler) selectNode(now Millis, pending *workload) *node {
 	ejected := s.health.ejected(now)
 	reserved := s.reservations.against(now, pending)
@@ -108,17 +110,17 @@
 	return feasible.best(pending, soleAllocator, s.random)
 }
 
-// bindTimeout returns how long the next bind may take. One that another bind may follow leaves time for that.
+// bindTimeout returns the timeout of the next bind. Unless it is the last one, it leaves time for another bind.
 func (s *Scheduler) bindTimeout(pending *workload, remaining Millis) Millis {
 	lastBind := pending.group.Idempotency == AtMostOnce || pending.binds+1 >= s.settings.MaxBinds
 	if lastBind {
 		return remaining
 	}
 	usual := bindTimeoutFactor * median(s.health.confirmations)
-	return min(remaining, max(minBindTimeout, remaining/bindsInRemainingTime, usual))
+	return min(remaining, max(minBindTimeout, remaining/remainingTimeDivisor, usual))
 }
 
-// bind offers the workload to n.
+// bind records an offer of the workload to n and returns the step that sends it.
 func (s *Scheduler) bind(now Millis, pending *workload, n *node, timeout Millis) Step {
 	pending.binds++
 	sent := n.addBind(now, pending)
@@ -128,6 +130,6 @@
 		Kind:     Bind,
 		Node:     n.ID,
 		Timeout:  timeout,
-		NextStep: s.resultOf(sent),
+		NextStep: s.resultHandler(sent),
 	}
 }
--- a/placement/schedule_test.go
+++ b/placement/schedule_test.go
@@ -20,21 +20,21 @@
 	assert.True(t, scheduler.node(1).runsService(1))
 }
 
-func TestSchedule_FullFleetRejectsAtOnce(t *testing.T) {
+func TestSchedule_FullFleetRejectsImmediately(t *testing.T) {
 	scheduler := newFleet(t, 1)
 	scheduler.node(1).FreeCores = 0
 	assert.Equal(t, Rejected, scheduler.Schedule(0, requestOneCore(idempotent, 5000)).Kind)
 }
 
-func TestSchedule_EmptyListWaitsThenRejects(t *testing.T) {
+func TestSchedule_EmptyNodeTableWaitsThenRejects(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		now    Millis
 		result ResultKind
 		want   StepKind
 	}{
-		{"no node in time: rejected", 999, TimerFired, Rejected},
-		{"withdrawn meanwhile: no answer", 10, Withdrawn, Done},
+		{"no node before the start deadline: rejected", 999, TimerFired, Rejected},
+		{"withdrawn during the wait: no answer", 10, Withdrawn, Done},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := newFleet(t, 0)
@@ -48,9 +48,9 @@
 func TestSchedule_AnswersBeforeThePendingTimeout(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	step := scheduler.Schedule(0, requestOneCore(atMostOnce, 3000))
-	assert.InDelta(t, float64(3000-answerMargin), float64(step.Timeout), 0, "the only bind has all the time")
+	assert.InDelta(t, float64(3000-answerMargin), float64(step.Timeout), 0, "the only bind gets all the remaining time")
 	step = scheduler.Schedule(0, requestOneCore(idempotent, 3000))
-	assert.Equal(t, Rejected, step.NextStep(2990, Result{Kind: TimedOut}).Kind, "too late for a further bind")
+	assert.Equal(t, Rejected, step.NextStep(2990, Result{Kind: TimedOut}).Kind, "no time left for another bind")
 }
 
 func TestSchedule_AtMostMaxBinds(t *testing.T) {
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Scheduler places workloads by what this one allocator has seen. It belongs to one goroutine.
+// Scheduler places workloads for one allocator, based on the observations of that allocator alone. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	settings *Settings
 	// groups are the priority groups by GroupID.
@@ -10,15 +11,15 @@
 	// random breaks ties and spreads polls.
 	random *random
 
-	// What is known of the fleet.
+	// The state of the fleet, as observed or estimated.
 
 	nodes    *nodeTable
 	capacity *capacityEstimator
 	load     *loadEstimator
-	// placed are the confirmed binds, by the id of their workload.
+	// placed are the confirmed binds, by workload ID.
 	placed map[WorkloadID]*bind
 
-	// The decisions, each in a file of its own.
+	// The components that decide, each in its own file.
 
 	slowStart    *slowStart
 	health       *healthMonitor
@@ -27,7 +28,8 @@
 	subscription *subscription
 }
 
-// New returns a scheduler that knows no nodes yet. The same settings, seed and calls give the same decisions.
+// New returns a scheduler without nodes. The same settings, seed and calls give the same decisions. The number of
+// allocators is raised to settings.Ordinal+1 if it is lower; a negative ordinal counts as 0.
 func New(settings Settings, seed uint64) *Scheduler {
 	settings.Allocators = max(1, settings.Allocators, settings.Ordinal+1)
 	settings.Ordinal = max(0, settings.Ordinal)
@@ -68,28 +70,28 @@
 	}
 }
 
-// UpdateNodes takes a message of the node list. After a failed poll the nodes stay as they are.
+// UpdateNodes applies a message of the node list. A failed poll does not change the nodes.
 func (s *Scheduler) UpdateNodes(now Millis, kind NodeUpdateKind, entries []Node) {
 	switch kind {
 	case PollFailed:
-		s.subscription.failed(now)
+		s.subscription.recordFailure(now)
 		return
-	case CachedSnapshot: // kept by the allocator itself: it says nothing of the subscription
+	case CachedSnapshot: // stored by the allocator itself, so it does not show that the subscription works
 	case Delta, Snapshot:
-		s.subscription.received(now)
+		s.subscription.recordEvent(now)
 	}
 	complete := kind != Delta
 	s.nodes.update(now, complete, entries)
 }
 
-// ReportLoad takes a load report of a node; one of an unknown node is ignored.
+// ReportLoad records a load report of a node. A report of a node that is not in the node table is ignored.
 func (s *Scheduler) ReportLoad(now Millis, id NodeID, l LoadReport) {
 	if n := s.nodes.byID[id]; n != nil {
 		s.load.recordReport(now, n, l)
 	}
 }
 
-// HealthChecked takes the result of a health check; report is nil where none came with the answer.
+// HealthChecked records the result of a health check. report is nil if the reply contains no load report.
 func (s *Scheduler) HealthChecked(now Millis, id NodeID, answered bool, report *LoadReport) {
 	n := s.nodes.byID[id]
 	if n == nil {
@@ -105,7 +107,8 @@
 	}
 }
 
-// ReportUsage takes an observation of a placed workload; one of another workload, or NaN, is ignored.
+// ReportUsage records an observation of a placed workload. A value of NaN, and an observation of a workload that is not
+// placed, are ignored.
 func (s *Scheduler) ReportUsage(_ Millis, id WorkloadID, kind UsageKind, value float64) {
 	observed := s.placed[id]
 	if observed == nil || math.IsNaN(value) {
@@ -122,7 +125,8 @@
 	}
 }
 
-// Maintain returns what is to be done beside the steps of workloads. It is called again at NextAt.
+// Maintain performs the periodic work and returns the actions that the caller must take beside the steps of workloads.
+// The caller must call it again at Maintenance.NextAt.
 func (s *Scheduler) Maintain(now Millis) Maintenance {
 	if now < s.slowStart.startedAt { // the first call
 		s.slowStart.startedAt = now
--- a/placement/scheduler_test.go
+++ b/placement/scheduler_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestNew_OrdinalOutOfRangeCountsAsAnAllocator(t *testing.T) {
+func TestNew_OrdinalOutOfRange(t *testing.T) {
 	beyond := New(Settings{
 		Allocators:   3,
 		Ordinal:      9,
 		WarmUpBudget: 23,
 	}, 1)
-	assert.InDelta(t, 2, beyond.slowStart.bindsPerWindow, 0, "an ordinal beyond the count raises the count")
+	assert.InDelta(t, 2, beyond.slowStart.bindsPerWindow, 0, "an ordinal beyond Allocators raises Allocators")
 	negative := New(Settings{Allocators: 3, Ordinal: -1}, 1)
 	assert.Zero(t, negative.settings.Ordinal)
 }
@@ -30,14 +30,14 @@
 	})
 	scheduler.HealthChecked(0, 99, false, nil)
 	_, known := scheduler.load.usedCores(0, scheduler.node(1))
-	assert.False(t, known, "a report without values tells nothing")
+	assert.False(t, known, "a report without values must not count")
 	scheduler.UpdateNodes(0, Snapshot, nil)
 	scheduler.Maintain(0)
 	assert.Empty(t, scheduler.nodes.sorted)
 	assert.Equal(t, Rejected, scheduler.Schedule(0, Workload{Group: 99}).Kind)
 }
 
-func TestScheduler_SameCallsSameSteps(t *testing.T) {
+func TestScheduler_SameCallsGiveSameSteps(t *testing.T) {
 	run := func() (nodes []NodeID) {
 		scheduler := newFleet(t, 5)
 		for i := range 40 {
@@ -56,45 +56,45 @@
 }
 
 const (
-	longRunNodes     = 12 // listed at a time
-	longRunDays      = 3
-	secondsPerDay    = 24 * 3600
-	secondsPerLaunch = 600 // after which a node is replaced by a new one
+	longRunNodes        = 12 // number of nodes listed at any time
+	longRunDays         = 3
+	secondsPerDay       = 24 * 3600
+	nodeLifetimeSeconds = 600 // lifetime of a node, after which a new one replaces it
 )
 
-// Three days in which nodes are replaced, services never return and no old id is requested again: what is kept stays
-// bounded, and as many workloads are placed as at first. The clock begins 30 years late.
+// This guards against state that grows without bound, and against fewer placements as state accumulates. For three days
+// nodes are replaced, and services and workload IDs are never used twice. The clock starts at 30 years.
 func TestScheduler_StateStaysBoundedOverDays(t *testing.T) {
-	const begins = Millis(1e12)
+	const startTime = Millis(1e12)
 	run := &longRun{scheduler: newFleet(t, 0)}
 	run.scheduler.settings.HealthChecksAllowed = true
 	for second := range longRunDays * secondsPerDay {
-		run.playSecond(begins+Millis(second)*1000, second)
+		run.simulateSecond(startTime+Millis(second)*1000, second)
 	}
 	assertStateBounded(t, run.scheduler)
 	placedOnFirstDay := run.placed[0]
 	placedOnLastDay := run.placed[longRunDays-1]
-	assert.InDelta(t, placedOnFirstDay, placedOnLastDay, float64(placedOnFirstDay)/100, "as good as on the first day")
+	assert.InDelta(t, placedOnFirstDay, placedOnLastDay, float64(placedOnFirstDay)/100, "within 1 % of the first day")
 	assert.Greater(t, placedOnFirstDay, 80000)
 	assert.Less(t, run.heaps[longRunDays-1], run.heaps[0]+256<<10)
 }
 
-// longRun plays a scheduler to which one workload is requested each second, on nodes that are replaced.
+// longRun simulates a scheduler that gets one request per second, on nodes that are replaced.
 type longRun struct {
 	scheduler *Scheduler
-	running   []runningWorkload // in the order of their ends
-	placed    [longRunDays]int  // workloads, by day
+	running   []runningWorkload // ordered by endsAt
+	placed    [longRunDays]int  // number of workloads placed, by day
 	heaps     [longRunDays]uint64
 }
 
-// runningWorkload is a placed workload and when it ends.
+// runningWorkload is a placed workload with the time of its end.
 type runningWorkload struct {
 	endsAt   Millis
 	nextStep func(Millis, Result) Step
 }
 
-// playSecond plays one second, and measures the heap in the last one of a day.
-func (r *longRun) playSecond(now Millis, second int) {
+// simulateSecond simulates one second. In the last second of a day it measures the heap.
+func (r *longRun) simulateSecond(now Millis, second int) {
 	day := second / secondsPerDay
 	r.scheduler.UpdateNodes(now, Snapshot, replacedNodes(now, second))
 	r.scheduler.Maintain(now)
@@ -113,7 +113,7 @@
 	}
 }
 
-// assertStateBounded checks how much a scheduler keeps of nodes, binds and samples after a long run.
+// assertStateBounded checks the number of nodes, binds and samples that a scheduler holds after a long run.
 func assertStateBounded(t *testing.T, scheduler *Scheduler) {
 	t.Helper()
 	assert.LessOrEqual(t, len(scheduler.nodes.byID), 2*longRunNodes)
@@ -132,19 +132,20 @@
 	assert.LessOrEqual(t, scheduler.health.checkCredit, float64(2*longRunNodes))
 }
 
-// replacedNodes returns the entries of the nodes at that second, each replaced by a new one every ten minutes.
+// replacedNodes returns the node list at the given second. Each node is replaced by a new one every ten minutes.
 func replacedNodes(now Millis, second int) (entries []Node) {
 	for i := range longRunNodes {
 		sinceFirstLaunch := second + i*50 // launches are 50 s apart
-		launch := sinceFirstLaunch / secondsPerLaunch
+		launch := sinceFirstLaunch / nodeLifetimeSeconds
 		launched := entry(NodeID(launch*longRunNodes+i+1), Ready)
-		launched.StartedAt = now - Millis(sinceFirstLaunch%secondsPerLaunch*1000)
+		launched.StartedAt = now - Millis(sinceFirstLaunch%nodeLifetimeSeconds*1000)
 		entries = append(entries, launched)
 	}
 	return entries
 }
 
-// placeOne requests a workload and confirms its binds, after a first rejection in every other second.
+// placeOne requests a workload and confirms its bind. In every other second, the first bind is rejected and the second
+// one confirmed.
 func placeOne(scheduler *Scheduler, now Millis, second int) Step {
 	step := scheduler.Schedule(now, Workload{
 		ID:             WorkloadID(second + 1),
@@ -168,7 +169,7 @@
 	return step
 }
 
-// heapAlloc returns the bytes of live objects.
+// heapAlloc returns the size of the live heap objects in bytes.
 func heapAlloc() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,16 +1,17 @@
-// Score decides which of the feasible nodes a workload goes to.
+// Score selects one of the feasible nodes for a workload.
 //
-// Observed: which nodes run the service already, the load that each would have, and the free capacity of the node
-// list.
+// Inputs: which nodes already run the service, the load that each node would have with the workload, and the free
+// capacity according to the node list.
 //
-// Nodes that run the service come first, since its program is installed there, and of these the ones that would
-// still serve the workload in full. Among them the least loaded is taken, with ties broken at random.
+// Nodes that run the service are preferred, because its program is installed there, and among them those that would
+// give the workload full service. The least loaded of the preferred nodes is selected; ties are broken at random.
 //
-// Where no node is known to run a service, several allocators without communication would start it in as many
-// places as there are allocators. A rank that all compute alike lets the later ones find it already started; of the
-// two nodes of highest rank the one with more capacity is taken.
+// If no feasible node runs the service according to this allocator's binds, allocators that select a node independently
+// would start the service on as many nodes as there are allocators. Therefore all allocators compute the same rank of
+// each node for the service, and later allocators find the program already installed on the node. Of the two
+// highest-ranked nodes, the one with more free capacity is selected.
 //
-// Cost of an error: a start without the program is slower; a crowded node slows all workloads on it.
+// Cost of an error: a start on a node without the program is slower; an overloaded node slows all workloads on it.
 
 package placement
 
@@ -22,21 +23,21 @@
 // candidate is a feasible node.
 type candidate struct {
 	node *node
-	load utilization // that it would have with the workload
+	load utilization // load of the node with the workload added
 }
 
-// candidates are the nodes that a workload may go to, in the order of their ids.
+// candidates are the feasible nodes for a workload, each list ordered by node ID.
 type candidates struct {
-	running []candidate // nodes that run the workload's service already
-	others  []candidate
+	running []candidate // nodes that already run the workload's service
+	others  []candidate // all other feasible nodes
 }
 
-// best selects the node for the workload, or nil where there is no candidate. A sole allocator needs no agreement
-// on the first node of a service. The order of the candidates is lost.
+// best returns the selected node, or nil if there is no candidate. A sole allocator selects the first node of a service
+// by load, since it has no other allocators to agree with. best may reorder the candidates.
 func (c *candidates) best(pending *workload, soleAllocator bool, rng *random) *node {
 	switch {
 	case len(c.running) > 0:
-		return leastLoaded(uncrowdedIfAny(pending, c.running), rng)
+		return leastLoaded(fullServiceIfAny(pending, c.running), rng)
 	case len(c.others) == 0:
 		return nil
 	case soleAllocator:
@@ -45,26 +46,28 @@
 	return highestRanked(pending, c.others)
 }
 
-// uncrowdedIfAny returns the nodes that would serve the workload in full, or all where there are none.
-func uncrowdedIfAny(pending *workload, nodes []candidate) []candidate {
-	uncrowded := slices.DeleteFunc(slices.Clone(nodes), func(c candidate) bool {
+// fullServiceIfAny returns the nodes that would give the workload full service, or all nodes if there are none.
+func fullServiceIfAny(pending *workload, nodes []candidate) []candidate {
+	fullService := slices.DeleteFunc(slices.Clone(nodes), func(c candidate) bool {
 		return c.load > pending.group.fullServiceLoad
 	})
-	if len(uncrowded) == 0 {
+	if len(fullService) == 0 {
 		return nodes
 	}
-	return uncrowded
+	return fullService
 }
 
-// leastLoaded selects a random one of the nodes whose loads tie with the least. It reorders them.
+// leastLoaded returns a random node among those whose load is within loadTieBand of the least load. It overwrites
+// nodes.
 func leastLoaded(nodes []candidate, rng *random) *node {
 	least := slices.MinFunc(nodes, func(x, y candidate) int { return cmp.Compare(x.load, y.load) }).load
 	ties := slices.DeleteFunc(nodes, func(c candidate) bool { return c.load > least+loadTieBand })
 	return ties[rng.intn(len(ties))].node
 }
 
-// highestRanked selects, of the two nodes of highest rank, the one that fits more such workloads; all allocators
-// select alike. Sorting them all dominated the cost on a large fleet.
+// highestRanked returns, of the two highest-ranked nodes, the one whose free capacity fits more workloads of this size.
+// All allocators with the same node list select the same node. It does not sort the nodes: on a large fleet, sorting
+// dominates the cost of a decision.
 func highestRanked(pending *workload, nodes []candidate) *node {
 	var first, second *node
 	var firstRank, secondRank uint64
@@ -81,18 +84,19 @@
 			secondRank = rank
 		}
 	}
-	if second != nil && second.fits(pending) > first.fits(pending) {
+	if second != nil && second.fitCount(pending) > first.fitCount(pending) {
 		return second
 	}
 	return first
 }
 
-// fits returns how many such workloads the free capacity of n holds by the node list, fractions included.
-func (n *node) fits(w *workload) float64 {
+// fitCount returns the number of workloads of the size of w that fit in the listed free capacity of n, fractions
+// included.
+func (n *node) fitCount(w *workload) float64 {
 	return min(n.FreeCores/w.Cores, n.FreeMemory/w.Memory)
 }
 
-// rankFor orders nodes for a service, alike at every allocator and differently for every service.
+// rankFor returns the rank of a node for a service. It is the same at every allocator and different for every service.
 func rankFor(service ServiceID, id NodeID) uint64 {
 	return hash(uint64(id), uint64(service))
 }
--- a/placement/score_test.go
+++ b/placement/score_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSelectNode_LeastLoadedThenTheOneThatRunsTheService(t *testing.T) {
+func TestSelectNode_RunningNodeBeforeLeastLoaded(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	reportUsed(scheduler, 0, 1, 1)
 	reportUsed(scheduler, 0, 2, 5)
@@ -16,7 +16,7 @@
 	assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "runs the service")
 }
 
-func TestSelectNode_UncrowdedNodesOfTheServiceThenCrowdedThenOthers(t *testing.T) {
+func TestSelectNode_PrefersRunningNodesWithFullService(t *testing.T) {
 	scheduler := newFleet(t, 3)
 	scheduler.groups[idempotent].fullServiceLoad = 0.6
 	scheduler.groups[idempotent].loadCap = 0.9
@@ -25,14 +25,14 @@
 		reportUsed(scheduler, 0, id, used)
 	}
 	scheduler.node(2).addBind(0, pending).advance(bindRunning)
-	assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "crowded, but it runs the service")
+	assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "above the full-service load, but runs the service")
 	scheduler.node(3).addBind(0, pending).advance(bindRunning)
 	for range 20 {
 		assert.Equal(t, NodeID(3), scheduler.selectNode(0, pending).ID)
 	}
 }
 
-func TestSelectNode_AllocatorsAgreeOnTheFirstNodeOfAService(t *testing.T) {
+func TestSelectNode_AllocatorsSelectTheSameFirstNodeOfAService(t *testing.T) {
 	selected := map[ServiceID]NodeID{}
 	for seed := range uint64(4) {
 		scheduler := newFleet(t, 6)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSelectNode_FirstNodeOfAServiceIsTheOneOfTwoWithMoreCapacityInAnyZone(t *testing.T) {
+func TestSelectNode_FirstNodeOfAServiceIsTheOneWithMoreCapacityInAnyZone(t *testing.T) {
 	scheduler := newFleet(t, 2)
 	scheduler.settings.Allocators = 300
 	for i, n := range scheduler.nodes.sorted {
@@ -60,6 +60,6 @@
 	for service := range ServiceID(9) {
 		pending := pendingWorkload(scheduler, idempotent, 1, 1)
 		pending.Service = service
-		assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "in another zone than ours")
+		assert.Equal(t, NodeID(2), scheduler.selectNode(0, pending).ID, "more capacity, in a zone other than the allocator's")
 	}
 }
--- a/placement/settings.go
+++ b/placement/settings.go
@@ -3,50 +3,50 @@
 // KindID is a node kind's index in Settings.NodeKinds.
 type KindID uint8
 
-// AnyKind is the RequiredKind of a group whose workloads run on every kind of node.
+// AnyKind is the Group.RequiredKind of workloads that can run on every kind of node.
 const AnyKind = -1
 
-// NodeKind is the size of one kind of node.
+// NodeKind is a kind of node, described by the size of its nodes.
 type NodeKind struct {
 	Cores  float64
 	Memory float64
 }
 
-// Settings are what an allocator knows when it starts. The JSON keys are those of stored histories and of
-// "config check", so the fields stay in one flat struct and in this order.
+// Settings are the settings of a Scheduler. Stored histories and "config check" use the JSON keys and the order of the
+// fields, so the fields must stay in one flat struct and in this order.
 type Settings struct {
-	// Allocators counts the allocators that place workloads on the same nodes, this one included.
+	// Allocators is the number of allocators that place workloads on the same nodes, including this one.
 	Allocators int
-	// Ordinal is this allocator's number among them, from 0.
+	// Ordinal is the number of this allocator, from 0 to Allocators-1.
 	Ordinal int
-	// Groups are the priority groups by GroupID.
+	// Groups are the priority groups, indexed by GroupID.
 	Groups []Group
-	// NodeKinds are the kinds of nodes by KindID.
+	// NodeKinds are the kinds of nodes, indexed by KindID.
 	NodeKinds []NodeKind `json:"Kinds"`
 
-	// WarmUpDuration is how long a node that has just started warms up.
+	// WarmUpDuration is the time from a node's start during which its warm-up budget applies.
 	WarmUpDuration Millis `json:"ColdFor"`
-	// InitialRate is the share of its full rate of binds that a node starts with, from 0 to 1.
+	// InitialRate is the rate of binds at a node's start as a share of its full rate, from 0 to 1.
 	InitialRate float64 `json:"ColdFrom"`
-	// WarmUpBudget is how many binds a node that warms up bears in any OverloadWindow, from all allocators.
+	// WarmUpBudget is the maximum number of binds to a node that warms up in any OverloadWindow, from all allocators.
 	WarmUpBudget float64 `json:"ColdBears"`
-	// OverloadWindow is the time over which the binds to a node that warms up are counted.
+	// OverloadWindow is the time over which binds to a node that warms up are counted.
 	OverloadWindow Millis `json:"OverloadFor"`
 
-	// PolledDiscovery says that the node list sends changes only to subscribers.
+	// PolledDiscovery states that changes of the node list are sent only to subscribers.
 	PolledDiscovery bool `json:"MustAsk"`
-	// PollInterval is the time within which a change of the node list must be known.
+	// PollInterval is the time within which a change of the node list must reach the scheduler.
 	PollInterval Millis `json:"AskWithin"`
 
-	// ConfirmsRunning says that a confirmation means running, and not only accepted.
+	// ConfirmsRunning states that nodes confirm a workload when it runs, not when they accept it.
 	ConfirmsRunning bool
-	// ReportsUsage says that the spare values of a load report count what is not in use. Without it they count
-	// what is not requested.
+	// ReportsUsage states that the spare values of load reports are the resources not in use. If false, they are the
+	// resources not requested.
 	ReportsUsage bool `json:"ReportsUse"`
-	// EntriesCarryCapacity says that entries of the node list hold free capacity.
+	// EntriesCarryCapacity states that the entries of the node list contain the free capacity.
 	EntriesCarryCapacity bool `json:"RoomInList"`
-	// MaxBinds limits the binds of one workload, the first one included.
+	// MaxBinds is the maximum number of binds of one workload, including the first.
 	MaxBinds int
-	// HealthChecksAllowed says that the allocator may check nodes on its own account.
+	// HealthChecksAllowed states that the allocator may send health checks to nodes.
 	HealthChecksAllowed bool `json:"MayProbe"`
 }
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -1,18 +1,19 @@
-// Slow start decides whether a node that has just started may get one more bind of ours.
+// Slow start decides whether a node that has just started may get one more bind from this allocator.
 //
-// Observed: the node's start time, the binds that we sent to it and when they were answered, the number of allocators
-// and our ordinal among them, and when this scheduler started.
+// Inputs: the node's start time, the binds that this allocator sent to the node and the times of their results, the
+// number of allocators, this allocator's ordinal, and the start time of this scheduler.
 //
-// All allocators together must stay within the warm-up budget of such a node, without agreement. Each has an equal
-// share, which it ramps up to. Where allocators outnumber the budget they take turns of one bind, which all compute
-// alike from the node, its start time and their ordinals. A window of the budget overlaps two turns at most, also
-// with binds in flight, so each turn has half of it. What was sent before a restart of the allocator is unknown, so
-// it waits for a window, or for the next turn. Binds that a network partition delays arrive together at its end: a
-// bind counts until it is answered, and from its answer on for a window.
+// All allocators together must stay within the warm-up budget of the node without communicating. Each has an equal
+// share of the budget, up to which its rate rises from the initial rate. If there are more allocators than binds in the
+// budget, they take turns, and an allocator may send one bind per turn; each computes the same order from the node, its
+// start time and the ordinals. A window overlaps at most two turns, binds in flight included, so each turn gets half of
+// the budget. Binds sent before a restart of the allocator are unknown, so after its start it waits for one window or
+// for the next turn. Binds that a network partition delays arrive together when it ends; therefore a bind counts until
+// it is answered, and for one window after that.
 //
-// Cost of an error: a bind too many overloads the node and breaks a rule that has no exception; one too few leaves
-// capacity idle just after a deploy or a crash, as happens in turns of allocators without requests, and while
-// answers are slow.
+// Cost of an error: a bind too many overloads the node and violates a rule without exceptions; a bind too few leaves
+// capacity idle just after a deployment or a crash. Capacity is also idle in the turns of allocators without requests,
+// and while replies are slow.
 
 package placement
 
@@ -21,28 +22,29 @@
 	"slices"
 )
 
-// allocatorCount is a whole number of allocators, or a position in their order, from 0.
+// allocatorCount is a whole number of allocators, or a position in the order of allocators, from 0.
 type allocatorCount float64
 
-// turn is a time of one slowStart.window in which some of the allocators may send one bind each to a node. The turns
-// on a node follow one another from its start.
+// turn is a period of the length of slowStart.window in which some of the allocators may send one bind each to a node.
+// The first turn begins at the start of the node; each further one follows immediately.
 type turn struct {
-	// index is the number of turns on the node before this one.
+	// index is the number of the turn, from 0 at the start of the node.
 	index float64
-	// start is when the turn starts.
+	// start is the time when the turn begins.
 	start Millis
 }
 
-// slowStart keeps what all allocators send to a node that has just started within its warm-up budget.
+// slowStart limits the binds to nodes that have just started, so that all allocators together stay within the warm-up
+// budget of a node.
 type slowStart struct {
 	settings *Settings
-	// window is the time over which we count binds against the budget.
+	// window is the time over which binds count against the budget.
 	window Millis
-	// bindsPerWindow is our share of the budget, in binds in one window. Below 1 allocators take turns.
+	// bindsPerWindow is this allocator's share of the budget, in binds per window. Below 1, allocators take turns.
 	bindsPerWindow float64
-	// allocatorsPerTurn is how many allocators may send one bind each in a turn, once the node takes its full rate.
+	// allocatorsPerTurn is the number of allocators that may send one bind each in a turn at the full rate.
 	allocatorsPerTurn allocatorCount
-	// startedAt is when this scheduler started: what was sent before is unknown.
+	// startedAt is the time of the first call of Maintain, or infinity before it. Binds sent earlier are unknown.
 	startedAt Millis
 }
 
@@ -56,12 +58,12 @@
 	}
 }
 
-// warmingUp reports whether n started so lately that its warm-up budget applies.
+// warmingUp reports whether n started less than Settings.WarmUpDuration ago, so that its warm-up budget applies.
 func (s *slowStart) warmingUp(now Millis, n *node) bool {
 	return now-n.StartedAt < s.settings.WarmUpDuration
 }
 
-// allows reports whether n may get one more bind of ours.
+// allows reports whether this allocator may send one more bind to n. It is always true if n is not warming up.
 func (s *slowStart) allows(now Millis, n *node) bool {
 	if !s.warmingUp(now, n) {
 		return true
@@ -72,13 +74,13 @@
 	return s.withinShare(now, n)
 }
 
-// ramp returns the part of its full rate of binds that n takes by now, from the initial rate up to 1.
-func (s *slowStart) ramp(now Millis, n *node) float64 {
+// rateShare returns the current rate of binds to n as a share of its full rate, from the initial rate up to 1.
+func (s *slowStart) rateShare(now Millis, n *node) float64 {
 	return min(1, s.settings.InitialRate+float64((now-n.StartedAt)/slowStartRamp))
 }
 
-// hasTurn reports whether the current turn on n is ours and unused. What we sent in a turn that had begun before our
-// own start is unknown, so none of that turn is ours.
+// hasTurn reports whether this allocator may send a bind in the current turn on n and has not done so. A turn that
+// began before the start of this scheduler is not used, because the binds sent in it are unknown.
 func (s *slowStart) hasTurn(now Millis, n *node) bool {
 	current := s.currentTurn(now, n)
 	return s.startedAt <= current.start &&
@@ -86,42 +88,43 @@
 		s.positionInTurn(n, current) < s.sendersInTurn(now, n)
 }
 
-// currentTurn returns the turn on n at this time. It is the same for all allocators.
+// currentTurn returns the current turn on n. It is the same for all allocators.
 func (s *slowStart) currentTurn(now Millis, n *node) turn {
 	index := math.Floor(float64((now - n.StartedAt) / s.window))
 	return turn{index: index, start: n.StartedAt + Millis(index)*s.window}
 }
 
-// sendersInTurn returns how many allocators, from the first position on, may send a bind to n in its current turn.
+// sendersInTurn returns the number of allocators that may send a bind to n in its current turn. They are those at the
+// first positions.
 func (s *slowStart) sendersInTurn(now Millis, n *node) allocatorCount {
-	return allocatorCount(math.Floor(float64(s.allocatorsPerTurn) * s.ramp(now, n)))
+	return allocatorCount(math.Floor(float64(s.allocatorsPerTurn) * s.rateShare(now, n)))
 }
 
-// positionInTurn returns our position in the order in which allocators get a place in that turn on n. In the first turn
-// it depends on a hash of the node. Each further turn moves all positions on by the places of a turn, so that every
-// allocator comes to have one.
+// positionInTurn returns this allocator's position in the order of allocators for a turn on n. The order is rotated by
+// a hash of the node, and by allocatorsPerTurn more in each further turn, so that every allocator gets a turn.
 func (s *slowStart) positionInTurn(n *node, t turn) allocatorCount {
-	offset := allocatorCount(hash(uint64(n.ID), 0) % turnOffsets)
+	offset := allocatorCount(hash(uint64(n.ID), 0) % turnOffsetRange)
 	moved := offset + allocatorCount(t.index)*s.allocatorsPerTurn
 	position := math.Mod(float64(moved)+float64(s.settings.Ordinal), float64(s.settings.Allocators))
 	return allocatorCount(position)
 }
 
-// hasWarmUpBindSince reports whether a bind that counts against the budget of n was sent or answered since then.
+// hasWarmUpBindSince reports whether a bind that counts against the budget of n was sent or answered at start or later.
 func (n *node) hasWarmUpBindSince(start Millis) bool {
 	return slices.ContainsFunc(n.warmUpBinds, func(at Millis) bool { return at >= start })
 }
 
-// withinShare reports whether our share of the budget allows one more bind.
+// withinShare reports whether this allocator's share of the budget allows one more bind to n.
 func (s *slowStart) withinShare(now Millis, n *node) bool {
 	windowStart := now - s.window
 	counted := float64(n.countWarmUpBinds(windowStart))
 	return s.startedAt < windowStart &&
 		counted+1 <= s.bindsPerWindow &&
-		counted < max(minWarmUpBinds, s.bindsPerWindow*s.ramp(now, n))
+		counted < max(minWarmUpBinds, s.bindsPerWindow*s.rateShare(now, n))
 }
 
-// countWarmUpBinds returns how many of our binds count against the budget of n in the window from windowStart.
+// countWarmUpBinds returns the number of this allocator's binds that count against the budget of n in the window that
+// begins at windowStart.
 func (n *node) countWarmUpBinds(windowStart Millis) int {
 	counted := 0
 	for _, at := range n.warmUpBinds {
@@ -129,7 +132,7 @@
 			counted++
 		}
 	}
-	// Older binds without an answer may still arrive: after a network partition they did so with later ones.
+	// Older unanswered binds may still arrive: after a network partition they arrive together with later ones.
 	for _, b := range n.binds {
 		if b.state == bindSent && b.sentAt < windowStart {
 			counted++
@@ -138,17 +141,18 @@
 	return counted
 }
 
-// recordSent counts a bind that is sent to n now, if its warm-up budget applies.
+// recordSent counts a bind that is sent to n now if n is warming up.
 func (s *slowStart) recordSent(now Millis, n *node) {
 	if s.warmingUp(now, n) {
 		n.warmUpBinds = append(n.warmUpBinds, now)
 	}
 }
 
-// recordResult counts a bind to a node that warms up from its result on: it may have arrived only then.
+// recordResult counts a bind to a node that is warming up from the time of its result instead of the time when it was
+// sent, if it may have arrived just before the result.
 func (s *slowStart) recordResult(now Millis, b *bind, kind ResultKind) {
 	n := b.node
-	if b.state != bindSent || !s.warmingUp(now, n) || !s.mayHaveArrivedLate(now, b, kind) {
+	if b.state != bindSent || !s.warmingUp(now, n) || !s.mayHaveJustArrived(now, b, kind) {
 		return
 	}
 	if i := slices.Index(n.warmUpBinds, b.sentAt); i >= 0 {
@@ -158,14 +162,14 @@
 	}
 }
 
-// mayHaveArrivedLate reports whether the bind may have reached its node only just before this result. Where a
-// confirmation waits for the start of the workload, only one later than the window counts as such: if all did, nodes
-// would stay idle while answers are slow.
-func (s *slowStart) mayHaveArrivedLate(now Millis, b *bind, kind ResultKind) bool {
+// mayHaveJustArrived reports whether the bind may have reached its node just before this result. With
+// Settings.ConfirmsRunning, a confirmation comes only after the start of the workload; then only a confirmation later
+// than one window counts as such, because otherwise nodes would stay idle while replies are slow.
+func (s *slowStart) mayHaveJustArrived(now Millis, b *bind, kind ResultKind) bool {
 	switch kind {
-	case NotDelivered, NotAttempted: // it never arrived
+	case NotDelivered, NotAttempted: // the bind never arrived
 		return false
-	case Withdrawn: // not an answer of the node, which is still to come
+	case Withdrawn: // not a reply of the node; that is still outstanding
 		return false
 	case Confirmed:
 		withinWindow := now-b.sentAt <= s.window
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// slowStartSettings are the settings of newWarmingNode.
+// slowStartSettings are the settings of newWarmUpNode. See Settings and slowStart for their meanings.
 type slowStartSettings struct {
 	warmUpDuration Millis
 	initialRate    float64
@@ -15,8 +15,8 @@
 	window         Millis
 }
 
-// newWarmingNode returns a scheduler that started long ago, and its node, which starts at time 0.
-func newWarmingNode(t *testing.T, settings slowStartSettings) (*Scheduler, *node) {
+// newWarmUpNode returns a scheduler that started before time 0 and its only node, which starts at time 0.
+func newWarmUpNode(t *testing.T, settings slowStartSettings) (*Scheduler, *node) {
 	t.Helper()
 	scheduler := newFleet(t, 1)
 	scheduler.settings.WarmUpDuration = settings.warmUpDuration
@@ -29,9 +29,9 @@
 	return scheduler, warming
 }
 
-// Rule 4: all allocators together stay within the warm-up budget of a node.
-func TestSlowStart_OurShareOnARamp(t *testing.T) {
-	scheduler, warming := newWarmingNode(t, slowStartSettings{
+// Rule 4 of internal/simulation/audit: all allocators together stay within the warm-up budget of a node.
+func TestSlowStart_ShareRisesFromTheInitialRate(t *testing.T) {
+	scheduler, warming := newWarmUpNode(t, slowStartSettings{
 		warmUpDuration: 10e3,
 		initialRate:    0.25,
 		bindsPerWindow: 8,
@@ -43,7 +43,7 @@
 		want int
 	}{
 		{"at the start: the initial rate", 0, 2},
-		{"half way up: initial rate and half of the ramp", slowStartRamp / 2, 6},
+		{"half of the ramp: initial rate plus half of the full rate", slowStartRamp / 2, 6},
 		{"after the ramp: the whole share", slowStartRamp, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,16 +56,17 @@
 			assert.Equal(t, c.want, allowed)
 		})
 	}
-	t.Run("after our own start: what was sent before it is unknown, so none", func(t *testing.T) {
+	t.Run("just after the scheduler's start: earlier binds are unknown, so none", func(t *testing.T) {
 		scheduler.slowStart.startedAt = 9999
 		warming.warmUpBinds = nil
 		assert.False(t, scheduler.slowStart.allows(9999, warming))
 	})
 }
 
-// Binds that a network partition delays reach the node together with those that are sent as it ends.
+// This guards against exceeding the budget when a network partition ends: binds that it delayed reach the node together
+// with those sent at its end.
 func TestSlowStart_UnansweredBindsCountBeyondTheWindow(t *testing.T) {
-	scheduler, warming := newWarmingNode(t, slowStartSettings{
+	scheduler, warming := newWarmUpNode(t, slowStartSettings{
 		warmUpDuration: 60e3,
 		initialRate:    1,
 		bindsPerWindow: 4,
@@ -83,46 +84,46 @@
 	assert.True(t, scheduler.slowStart.allows(2500, warming))
 }
 
-// A bind that was delayed may have arrived just before its answer: from then on it counts for a window.
-//
-// Where a confirmation waits for the start of the workload, it does not show when the bind arrived. This guards against
-// counting a bind that timed out within the window from when it was sent: binds that a partition delayed arrived
-// together with later ones (seed 81, run 3835).
-func TestRecordResult_FromTheAnswerOn(t *testing.T) {
+// A delayed bind may have arrived just before its result, so it counts for one window from the result on. This guards
+// against counting a bind that timed out within the window from the time when it was sent: binds that a partition
+// delays arrive together with later ones (seed 81, run 3835). With Settings.ConfirmsRunning, the time of a confirmation
+// does not show when the bind arrived.
+func TestRecordResult_CountsFromTheResult(t *testing.T) {
 	const sentAt = Millis(100)
-	const lateAnswer = Millis(2900)  // after the window
-	const earlyAnswer = Millis(1600) // within the window
-	const onAcceptance = false       // Settings.ConfirmsRunning
+	const lateResult = Millis(2900)  // after the window
+	const earlyResult = Millis(1600) // within the window
+	const onAcceptance = false       // value of Settings.ConfirmsRunning
 	const onStart = true
 	for _, c := range []struct {
 		name            string
 		confirmsRunning bool
-		answeredAt      Millis
+		resultAt        Millis
 		kind            ResultKind
 		want            Millis
 	}{
-		{"late, confirmed: from the answer", onStart, lateAnswer, Confirmed, lateAnswer},
-		{"late, rejected: from the answer", onStart, lateAnswer, RejectedByNode, lateAnswer},
-		{"late, timed out: from the timeout", onStart, lateAnswer, TimedOut, lateAnswer},
-		{"late, not delivered: as sent", onStart, lateAnswer, NotDelivered, sentAt},
-		{"late, not attempted: as sent", onStart, lateAnswer, NotAttempted, sentAt},
-		{"early, confirmed on start: as sent", onStart, earlyAnswer, Confirmed, sentAt},
-		{"early, confirmed on acceptance: from the answer", onAcceptance, earlyAnswer, Confirmed, earlyAnswer},
-		{"early, rejected: from the answer", onStart, earlyAnswer, RejectedByNode, earlyAnswer},
-		{"early, timed out: from the timeout", onStart, earlyAnswer, TimedOut, earlyAnswer},
-		{"early, outcome unknown: from the result", onStart, earlyAnswer, OutcomeUnknown, earlyAnswer},
+		{"late, confirmed: from the result", onStart, lateResult, Confirmed, lateResult},
+		{"late, rejected: from the result", onStart, lateResult, RejectedByNode, lateResult},
+		{"late, timed out: from the result", onStart, lateResult, TimedOut, lateResult},
+		{"late, not delivered: from the offer", onStart, lateResult, NotDelivered, sentAt},
+		{"late, not attempted: from the offer", onStart, lateResult, NotAttempted, sentAt},
+		{"early, confirmed on start: from the offer", onStart, earlyResult, Confirmed, sentAt},
+		{"early, confirmed on acceptance: from the result", onAcceptance, earlyResult, Confirmed, earlyResult},
+		{"early, rejected: from the result", onStart, earlyResult, RejectedByNode, earlyResult},
+		{"early, timed out: from the result", onStart, earlyResult, TimedOut, earlyResult},
+		{"early, outcome unknown: from the result", onStart, earlyResult, OutcomeUnknown, earlyResult},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			scheduler, warming := newWarmingNode(t, slowStartSettings{warmUpDuration: 60e3, window: 2000})
+			scheduler, warming := newWarmUpNode(t, slowStartSettings{warmUpDuration: 60e3, window: 2000})
 			scheduler.settings.ConfirmsRunning = c.confirmsRunning
 			warming.warmUpBinds = []Millis{sentAt}
-			scheduler.slowStart.recordResult(c.answeredAt, &bind{node: warming, sentAt: sentAt}, c.kind)
+			scheduler.slowStart.recordResult(c.resultAt, &bind{node: warming, sentAt: sentAt}, c.kind)
 			assert.Equal(t, []Millis{c.want}, warming.warmUpBinds)
 		})
 	}
 }
 
-// Rule 4 where allocators outnumber the warm-up budget: no window holds more than the budget.
+// Rule 4 of internal/simulation/audit if there are more allocators than binds in the warm-up budget: no window contains
+// more binds than the budget.
 func TestSlowStart_TurnsOfManyAllocatorsStayWithinTheBudget(t *testing.T) {
 	const budget = 10
 	const window = Millis(2000)
@@ -146,7 +147,7 @@
 		}
 	}
 	slices.Sort(sent)
-	assert.GreaterOrEqual(t, len(sent), 30, "the budget must be used too")
+	assert.GreaterOrEqual(t, len(sent), 30, "the allocators must make use of the budget")
 	for i, at := range sent[budget:] {
 		assert.Greater(t, at-sent[i], window)
 	}
--- a/placement/subscription.go
+++ b/placement/subscription.go
@@ -1,13 +1,14 @@
-// Subscription decides when to subscribe to the changes of the node list, where the list sends them only to
+// Subscription decides when to subscribe to changes of the node list, if the discovery service sends them only to
 // subscribers.
 //
-// Observed: when the last event came, and how many polls in a row failed. A subscription may break unnoticed, and
-// a failed poll does not tell whether it still holds: it is renewed after a quiet time, which every event extends.
+// Inputs: the time of the last event, and the number of consecutive failed polls. A subscription may end without a
+// notice, and a failed poll does not show whether it is still active. It is therefore renewed after a time without
+// events; every event restarts that time.
 //
-// Cost of an error: renewed too late, decisions are made on nodes that have gone, which breaks the rule that
-// nothing is offered to a draining node; renewed too often, or by many allocators in step, the list is overloaded
-// and immediate retries keep it so. First polls are spaced by ordinal, later ones have jitter, and failures make
-// them back off.
+// Cost of an error: if it is renewed too late, decisions use nodes that have gone, which violates the rule that nothing
+// is offered to a draining node; if it is renewed too often, or by many allocators simultaneously, the discovery
+// service is overloaded, and immediate retries keep it overloaded. The first polls are therefore spaced by ordinal,
+// later ones have jitter, and failed ones are retried with exponential backoff.
 
 package placement
 
@@ -15,11 +16,11 @@
 type subscription struct {
 	settings *Settings
 	random   *random
-	// renewAfter is the quiet time after which the subscription is renewed, on average.
+	// renewAfter is the mean time without events after which the subscription is renewed.
 	renewAfter Millis
-	// nextPoll is when to subscribe next.
+	// nextPoll is the time of the next poll, which renews the subscription.
 	nextPoll Millis
-	// failures counts the polls that failed in a row.
+	// failures is the number of consecutive failed polls.
 	failures int
 }
 
@@ -31,7 +32,7 @@
 	}
 }
 
-// start schedules the first poll. Polls of all allocators are spaced evenly, within the time of one renewal.
+// start schedules the first poll. The first polls of all allocators are evenly spaced within one renewal period.
 func (s *subscription) start(now Millis) {
 	ordinal := float64(s.settings.Ordinal)
 	allocators := float64(s.settings.Allocators)
@@ -40,7 +41,7 @@
 	s.nextPoll = now + min(spaced, partOfRenewal)
 }
 
-// due reports whether to subscribe now, and then schedules the renewal.
+// due reports whether the scheduler must subscribe now. If so, it schedules the next renewal.
 func (s *subscription) due(now Millis) bool {
 	if !s.settings.PolledDiscovery || now < s.nextPoll {
 		return false
@@ -49,14 +50,15 @@
 	return true
 }
 
-// received takes an event, which shows that the subscription holds.
-func (s *subscription) received(now Millis) {
+// recordEvent records an event of the node list, which shows that the subscription is active.
+func (s *subscription) recordEvent(now Millis) {
 	s.nextPoll = now + s.random.jitter(s.renewAfter)
 	s.failures = 0
 }
 
-// failed takes a failed poll. The next one waits twice as long after each failure, up to a limit.
-func (s *subscription) failed(now Millis) {
+// recordFailure records a failed poll and schedules the next one after a backoff that is twice as long with each
+// consecutive failure, at most maxPollDoublings times.
+func (s *subscription) recordFailure(now Millis) {
 	doublings := min(s.failures, maxPollDoublings)
 	s.nextPoll = now + s.random.jitter(pollBackoff*Millis(int(1)<<doublings))
 	s.failures++
--- a/placement/subscription_test.go
+++ b/placement/subscription_test.go
@@ -14,11 +14,11 @@
 	require.True(t, scheduler.Maintain(100).Subscribe)
 	assert.False(t, scheduler.Maintain(200).Subscribe)
 	scheduler.UpdateNodes(300, PollFailed, nil)
-	assert.False(t, scheduler.Maintain(400).Subscribe, "not at once")
-	assert.True(t, scheduler.Maintain(300+2*pollBackoff).Subscribe, "after a failure")
+	assert.False(t, scheduler.Maintain(400).Subscribe, "within the backoff")
+	assert.True(t, scheduler.Maintain(300+2*pollBackoff).Subscribe, "after the backoff")
 	scheduler.UpdateNodes(4000, Delta, nil)
 	assert.False(t, scheduler.Maintain(4000+resubscribeAfter/2).Subscribe)
-	assert.True(t, scheduler.Maintain(4000+2*resubscribeAfter).Subscribe, "after a long quiet time")
+	assert.True(t, scheduler.Maintain(4000+2*resubscribeAfter).Subscribe, "after a long time without events")
 }
 
 func TestSubscription_PollsOfManyAllocatorsAreSpread(t *testing.T) {
@@ -37,9 +37,9 @@
 		for range 4 {
 			scheduler.UpdateNodes(first, PollFailed, nil)
 		}
-		assert.Greater(t, scheduler.subscription.nextPoll, first+3*pollBackoff, "longer after each failure")
+		assert.Greater(t, scheduler.subscription.nextPoll, first+3*pollBackoff, "backoff grows with consecutive failures")
 		scheduler.UpdateNodes(first, Delta, nil)
-		assert.Zero(t, scheduler.subscription.failures, "an event shows that the subscription holds")
+		assert.Zero(t, scheduler.subscription.failures, "an event resets the failures")
 	}
 	assert.Greater(t, len(firstPolls), 200)
 }
@@ -51,7 +51,7 @@
 		want     Millis
 	}{
 		{"short interval: half of it", 4000, 2000},
-		{"long interval: the usual time", 60e3, resubscribeAfter},
+		{"long interval: resubscribeAfter", 60e3, resubscribeAfter},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler := New(Settings{PolledDiscovery: true, PollInterval: c.interval}, 1)
--- a/placement/workload.go
+++ b/placement/workload.go
@@ -11,37 +11,37 @@
 	ID             WorkloadID
 	Service        ServiceID
 	Group          GroupID
-	Cores          float64 // requested
-	Memory         float64 // requested
-	PendingTimeout Millis  // after which the client gives up
-	Retried        bool    // whether it was requested before, and then rejected, lost or migrated
+	Cores          float64 // requested number of cores
+	Memory         float64 // requested memory, in the unit of Settings.NodeKinds
+	PendingTimeout Millis  // time from the request until the client stops waiting
+	Retried        bool    // whether this is a retry after a rejection, loss or migration
 }
 
-// UsageKind says what an observation of a placed workload measures.
+// UsageKind is the kind of an observation of a placed workload.
 type UsageKind uint8
 
-// Observations of a placed workload.
+// Kinds of observations of a placed workload.
 const (
-	Running   UsageKind = iota // it runs now
-	CoresUsed                  // cores in use by it
+	Running   UsageKind = iota // the workload runs; the value is ignored
+	CoresUsed                  // the value is the number of cores in use by the workload
 )
 
-// workload is a request as the scheduler tracks it: while it is pending, and while it is placed.
+// workload is the state of a workload while it is pending or placed.
 type workload struct {
 	Workload
-	// group is the priority group that the request names.
+	// group is the priority group of the request.
 	group *group
-	// startBy is the end of the latency objective.
-	startBy Millis
-	// expiresAt is the end of the pending timeout, when the client gives up.
+	// startDeadline is the time of the request plus the latency objective.
+	startDeadline Millis
+	// expiresAt is the time of the request plus the pending timeout, when the client stops waiting.
 	expiresAt Millis
-	// binds counts the binds made so far; Settings.MaxBinds limits them.
+	// binds is the number of binds so far; Settings.MaxBinds limits it.
 	binds int
-	// uncertain is the first bind that may have run, or nil while it is proven that none did.
-	uncertain *bind
-	// excluded are the nodes that rejected the workload or could not be reached.
+	// firstUncertain is the first bind that may have run, or nil if none can have run.
+	firstUncertain *bind
+	// excluded are the nodes that rejected the workload or that its bind could not be delivered to.
 	excluded []*node
-	// withdrawn is set once the client no longer wants the workload.
+	// withdrawn is set when the client has withdrawn the workload.
 	withdrawn bool
 }
 
