--- a/internal/recovery/registry_test.go
+++ b/internal/recovery/registry_test.go
@@ -34,12 +34,12 @@
 	return bind
 }
 
-func TestRegistry_RequiresDurability_UnlessIdempotent(t *testing.T) {
+func TestRegistry_RequiresDurability_AllButIdempotentGroups(t *testing.T) {
 	r := New(settings, nil, 0)
 	assert.False(t, r.RequiresDurability("idempotent"))
 	assert.True(t, r.RequiresDurability("by-key"))
 	assert.True(t, r.RequiresDurability("once"))
-	assert.True(t, r.RequiresDurability("a group that does not exist any more"))
+	assert.True(t, r.RequiresDurability("a group that is not in the settings"))
 }
 
 func TestRegistry_SameIncarnation_FollowsStates(t *testing.T) {
@@ -50,7 +50,7 @@
 	assert.True(t, r.Forget(1, 1, 0))
 	assert.Equal(t, Admit, r.CheckAdmission(10, 1, "once"))
 	assert.InDelta(t, 60, r.RecordBind(10, newBind(2, "by-key", 0)).ExpiresAt, 0)
-	assert.Equal(t, Admit, r.CheckAdmission(20, 2, "by-key"), "the scheduler knows where the workload may go")
+	assert.Equal(t, Admit, r.CheckAdmission(20, 2, "by-key"), "the scheduler restricts the nodes for the workload")
 }
 
 func TestRegistry_Inherited_MayHaveRunUntilExpired(t *testing.T) {
@@ -71,7 +71,7 @@
 	assert.Equal(t, Admit, r.CheckAdmission(20, 4, "once"))
 }
 
-func TestRegistry_Inherited_NotForgottenAndReboundByNewBind(t *testing.T) {
+func TestRegistry_Inherited_KeptAfterForgetAndReboundByNewBind(t *testing.T) {
 	r := New(settings, []Bind{expiringAt(100, newBind(1, "once", 0))}, 10)
 	assert.False(t, r.Forget(1, 1, 0), "the earlier incarnation may have sent other binds")
 	r.RecordBind(20, newBind(1, "once", 1))
@@ -79,8 +79,8 @@
 	assert.False(t, r.Forget(1, 1, 1), "the inherited bind may have been accepted")
 }
 
-// A rejection of a second bind says nothing of the first, which may have been accepted.
-func TestRegistry_Forget_OnlyLastBindOfBoundKey(t *testing.T) {
+// Guards against removing a key after its second bind was rejected: the first bind may have been accepted.
+func TestRegistry_Forget_RemovesOnlyLastBindOfBoundKey(t *testing.T) {
 	r := New(settings, nil, 0)
 	r.RecordBind(0, newBind(1, "once", 0))
 	r.RecordBind(5, newBind(1, "once", 1))
@@ -90,10 +90,10 @@
 	r.RecordBind(0, newBind(3, "once", 0))
 	assert.True(t, r.Forget(3, 1, 0))
 	r.RecordBind(0, newBind(3, "once", 1))
-	assert.True(t, r.Forget(3, 1, 1), "each of the two was rejected")
+	assert.True(t, r.Forget(3, 1, 1), "both binds were rejected")
 	r.RecordBind(0, newBind(2, "once", 0))
 	assert.False(t, r.Forget(2, 9, 0), "a bind of another incarnation")
-	assert.False(t, r.Forget(7, 1, 0), "a key that is not known")
+	assert.False(t, r.Forget(7, 1, 0), "a key that is not in the registry")
 }
 
 func TestRegistry_Full_RejectsUntilBindsExpire(t *testing.T) {
@@ -103,7 +103,7 @@
 	r.RecordBind(0, newBind(1, "once", 0))
 	r.RecordBind(0, newBind(2, "once", 0))
 	assert.Equal(t, RegistryFull, r.CheckAdmission(10, 3, "once"))
-	assert.Equal(t, Admit, r.CheckAdmission(10, 3, "idempotent"), "a bind that need not be durable takes no entry")
+	assert.Equal(t, Admit, r.CheckAdmission(10, 3, "idempotent"), "a bind that is not durable needs no entry")
 	assert.Equal(t, Admit, r.CheckAdmission(2000, 3, "once"))
 }
 
