--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// Keys that are used in more than one place.
+// Keys that are read in more than one place.
 const (
 	keyDiscovery     = "discovery"
 	keyConfirms      = "family_info.confirms"
@@ -16,14 +16,15 @@
 	keyRequestGroups = "request_classes"
 )
 
-// idempotencies are the names of what a second start of a workload would do.
+// idempotencies maps the names of a group's idempotency in the settings to its values.
 var idempotencies = map[string]placement.Idempotency{
 	"read_like":       placement.Idempotent,
 	"idempotency_key": placement.IdempotentByKey,
 	"non_idempotent":  placement.AtMostOnce,
 }
 
-// scopes are the names of the parts of a cluster within which keys are recognised, or workloads spread.
+// scopes maps the names of scopes in the settings to their values. A scope limits where idempotency keys are recognised
+// or over what workloads are spread.
 var scopes = map[string]placement.Scope{
 	"off":     placement.ScopeNone,
 	"machine": placement.ScopeNode,
@@ -32,14 +33,14 @@
 	"all":     placement.ScopeAll,
 }
 
-// Names that stand for a choice of two.
+// Names of settings with two values, mapped to booleans.
 var (
-	discoveryIsPolled = map[string]bool{"subscribe": true, "automatic": false}
-	confirmMeansRuns  = map[string]bool{"running": true, "accepted": false}
-	reportCountsInUse = map[string]bool{"used": true, "asked": false}
+	polledDiscovery = map[string]bool{"subscribe": true, "automatic": false} // whether node discovery is polled
+	confirmsRunning = map[string]bool{"running": true, "accepted": false}    // whether a confirmed workload is running
+	reportsUsage    = map[string]bool{"used": true, "asked": false}          // whether spare values count unused resources
 )
 
-// decode decodes values by path. The error is that of the first value that is missing or unusable.
+// decode decodes values by path. The error is a *KeyError for the first value that is missing or invalid.
 func decode(values map[string]string) (*Received, error) {
 	input := &reader{values: values}
 	settings := input.clusterSettings()
@@ -60,7 +61,7 @@
 	return received, nil
 }
 
-// clusterSettings reads the settings that apply to all kinds and groups.
+// clusterSettings reads the settings that apply to the whole cluster.
 func (r *reader) clusterSettings() placement.Settings {
 	settings := placement.Settings{
 		Allocators:           int(r.number("balancers")),
@@ -69,9 +70,9 @@
 		InitialRate:          r.number("contract.cold_from"),
 		WarmUpBudget:         r.number("family_info.cold_bears"),
 		OverloadWindow:       r.millis("contract.overload_for_ns"),
-		PolledDiscovery:      choice(r, keyDiscovery, discoveryIsPolled),
-		ConfirmsRunning:      choice(r, keyConfirms, confirmMeansRuns),
-		ReportsUsage:         choice(r, keyReportCounts, reportCountsInUse),
+		PolledDiscovery:      choice(r, keyDiscovery, polledDiscovery),
+		ConfirmsRunning:      choice(r, keyConfirms, confirmsRunning),
+		ReportsUsage:         choice(r, keyReportCounts, reportsUsage),
 		EntriesCarryCapacity: r.boolean("family_info.free_in_list"),
 		MaxBinds:             int(r.number("permissions.most_tries")),
 		HealthChecksAllowed:  r.boolean("permissions.probes"),
@@ -103,7 +104,8 @@
 	return groups
 }
 
-// group reads the priority group at index i: its own object, and its element of each list over all groups.
+// group reads the priority group at index i, from its own object and from element i of each list with one value per
+// group.
 func (r *reader) group(i int) placement.Group {
 	own := groupKey(i, "")
 	group := placement.Group{
@@ -123,7 +125,7 @@
 	return group
 }
 
-// groupNames reads the names of n groups, "" for one without a name.
+// groupNames reads the names of n groups. The name is "" for a group without one.
 func (r *reader) groupNames(n int) []string {
 	var names []string
 	for i := range n {
@@ -132,5 +134,5 @@
 	return names
 }
 
-// groupKey returns the path of a setting of the group at index i.
+// groupKey returns the path of the setting with the given name in the group at index i.
 func groupKey(i int, name string) string { return fmt.Sprintf("%s.%d.%s", keyRequestGroups, i, name) }
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// flattenJSON returns the values of a JSON object by path. A list of plain values becomes one value joined by commas. A
-// list of objects becomes its elements, each flattened under its index, and the length under "count".
+// flattenJSON returns the values of a JSON object by path. A list of plain values becomes one value, joined by commas.
+// Each element of a list of objects is flattened under its index, and the list's length is added under "count".
 func flattenJSON(text []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // keeps the digits of integers above 2^53
+	decoder.UseNumber() // a float64 cannot hold every integer above 2^53
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -23,7 +23,7 @@
 	return values, nil
 }
 
-// flatten adds a JSON value and all that it contains to values, under a path.
+// flatten adds a JSON value and all nested values to values, under a path.
 func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -58,7 +58,7 @@
 	return ok
 }
 
-// splitPairs parses lines of path=value and returns the values by path. Other lines are ignored.
+// splitPairs parses lines of the form path=value and returns the values by path. Other lines are ignored.
 func splitPairs(text string) map[string]string {
 	values := map[string]string{}
 	for line := range strings.Lines(text) {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// UnknownLoad returns a load report in which every value is NaN, which stands for "not reported".
+// UnknownLoad returns a load report in which every value is NaN, meaning "not reported".
 func UnknownLoad() *placement.LoadReport {
 	unknown := math.NaN()
 	return &placement.LoadReport{
@@ -17,8 +17,8 @@
 	}
 }
 
-// SetLoadField sets the field of l that a node reports under a name. Unknown names are ignored, since nodes may report
-// more than placement uses.
+// SetLoadField sets the field of l for the name under which nodes report it. Other names are ignored, since nodes
+// may report more than placement uses.
 func SetLoadField(l *placement.LoadReport, name string, v float64) {
 	switch name {
 	case "x0":
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -9,7 +9,7 @@
 	"grebeglade/placement"
 )
 
-func TestSetLoadField_SetsOnlyTheNamedValue(t *testing.T) {
+func TestSetLoadField_SetsOnlyNamedField(t *testing.T) {
 	for name, value := range map[string]func(*placement.LoadReport) float64{
 		"x0":          func(l *placement.LoadReport) float64 { return l.SpareCores },
 		"x1":          func(l *placement.LoadReport) float64 { return l.SpareMemory },
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSetLoadField_UnknownNameIsIgnored(t *testing.T) {
+func TestSetLoadField_UnusedName_Ignored(t *testing.T) {
 	report := UnknownLoad()
 	SetLoadField(report, "x9", 1)
 	assert.True(t, math.IsNaN(report.SpareCores) && math.IsNaN(report.SpareMemory))
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -15,14 +15,14 @@
 	nanosPerMilli = 1e6
 )
 
-// reader decodes values by path and keeps the first error, so that the caller checks once, at the end. After an error
-// its methods return zero values or what they could decode.
+// reader decodes values by path and keeps the first error, so that the caller can check for errors once, at the end.
+// The results of its methods are only valid if err is nil.
 type reader struct {
 	values map[string]string
 	err    error
 }
 
-// fail records a KeyError, unless an earlier error is recorded.
+// fail records a KeyError, unless an error is already recorded.
 func (r *reader) fail(path, problem, fix string) {
 	if r.err == nil {
 		r.err = &KeyError{
@@ -46,7 +46,7 @@
 	return v
 }
 
-// optionalText returns "" for a value that is missing.
+// optionalText returns the value at a path, or "" if it is missing.
 func (r *reader) optionalText(path string) string { return r.values[path] }
 
 func (r *reader) number(path string) float64 {
@@ -65,12 +65,12 @@
 	return n
 }
 
-// millis reads a number of nanoseconds.
+// millis reads a duration in nanoseconds and converts it to milliseconds.
 func (r *reader) millis(path string) placement.Millis {
 	return placement.Millis(r.number(path) / nanosPerMilli)
 }
 
-// optionalMillis is millis, with 0 for a value that is missing.
+// optionalMillis is like millis, but returns 0 if the value is missing.
 func (r *reader) optionalMillis(path string) placement.Millis {
 	if !r.has(path) {
 		return 0
@@ -95,7 +95,7 @@
 	return strings.Split(v, listSeparator)
 }
 
-// optionalList is list, with nil for a value that is missing.
+// optionalList is like list, but returns nil if the value is missing.
 func (r *reader) optionalList(path string) []string {
 	if r.optionalText(path) == "" {
 		return nil
@@ -103,17 +103,17 @@
 	return r.list(path)
 }
 
-// element returns the element at index i of a list, "" if the list is too short.
+// element returns the element at index i of a list. If the list is too short, it records an error and returns "".
 func (r *reader) element(path string, i int) string {
 	list := r.list(path)
 	if i >= len(list) {
-		r.fail(path, fmt.Sprintf("has %d values, not %d or more", len(list), i+1), "give one for each")
+		r.fail(path, fmt.Sprintf("has %d values, expected at least %d", len(list), i+1), "give one for each group or kind")
 		return ""
 	}
 	return list[i]
 }
 
-// numberAt reads the number at index i of a list, 0 if the list is too short.
+// numberAt reads the number at index i of a list. It returns 0 after an error.
 func (r *reader) numberAt(path string, i int) float64 {
 	v := r.element(path, i)
 	if r.err != nil {
@@ -122,17 +122,17 @@
 	return r.parseNumber(path, v)
 }
 
-// choice returns what a value stands for, which must be one of the given names.
+// choice returns the entry of names for the value at a path. A value that is not in names is an error.
 func choice[T any](r *reader, path string, names map[string]T) T {
 	return parseChoice(r, path, r.text(path), names)
 }
 
-// parseChoice returns what the value v at a path stands for, which must be one of the given names.
+// parseChoice returns the entry of names for v. If v is not in names, it records an error for the path.
 func parseChoice[T any](r *reader, path, v string, names map[string]T) T {
 	converted, ok := names[v]
 	if !ok {
-		known := slices.Sorted(maps.Keys(names))
-		r.fail(path, fmt.Sprintf("is %q, which is not known", v), fmt.Sprintf("give one of %q", known))
+		validNames := slices.Sorted(maps.Keys(names))
+		r.fail(path, fmt.Sprintf("is %q, which is not a valid name", v), fmt.Sprintf("give one of %q", validNames))
 	}
 	return converted
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"grebeglade/placement"
 )
 
-// nested are settings as the platform sends them.
+// nested holds settings in the platform's form.
 const nested = `{"balancers":3,"ordinal":2,"zones":["z1","z2"],"kinds":["small","large"],"discovery":"subscribe",
  "contract":{"cold_ns":17000000000,"cold_from":0.28,"overload_for_ns":2000000000,"ask_within_ns":9000000000},
  "report":{"fields":["x0","util"]},
@@ -24,7 +24,7 @@
   "calm_level":[0.8,0.7],"lost_after":[0.15,0.25],"kind_by_class":[-1,1]},
  "not_needed":{"x":null}}`
 
-// pairs are the same settings as the simulator sends them.
+// pairs holds the settings of nested in the simulator's form.
 const pairs = `balancers=3
 ordinal=2
 zones=z1,z2
@@ -65,7 +65,7 @@
 not.needed=1
 `
 
-// expected are the values of nested and pairs.
+// expected returns the decoded settings of nested and pairs.
 func expected() *Received {
 	return &Received{
 		Settings: placement.Settings{
@@ -126,13 +126,13 @@
 	assert.Equal(t, expected(), received)
 }
 
-func TestFromPairs_DecodesTheSameValuesAsJSON(t *testing.T) {
+func TestFromPairs_SameResultAsJSON(t *testing.T) {
 	received, err := FromPairs(pairs)
 	require.NoError(t, err)
 	assert.Equal(t, expected(), received)
 }
 
-func TestFromPairs_OptionalKeysMissingAreZero(t *testing.T) {
+func TestFromPairs_OptionalKeysMissing_ZeroValues(t *testing.T) {
 	var required []string
 	for line := range strings.Lines(pairs) {
 		if key, _, _ := strings.Cut(line, "="); !isOptional(key) {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestFromJSON_MissingKeyIsNamedWithTheFix(t *testing.T) {
+func TestFromJSON_MissingKey_ErrorHasKeyAndFix(t *testing.T) {
 	t.Run("top level", func(t *testing.T) {
 		text := replace(t, `"balancers"`, `"other"`)
 		assertKeyError(t, text, "balancers", "setting balancers is missing; add it to the settings")
@@ -168,13 +168,13 @@
 		text := replace(t, `"window_ns"`, `"other"`)
 		assertKeyError(t, text, "request_classes.1.window_ns", "is missing")
 	})
-	t.Run("no classes", func(t *testing.T) {
+	t.Run("list of objects", func(t *testing.T) {
 		text := replace(t, `"request_classes"`, `"other"`)
 		assertKeyError(t, text, "request_classes.count", "is missing")
 	})
 }
 
-func TestFromJSON_BadValueIsNamedWithKeyAndFix(t *testing.T) {
+func TestFromJSON_InvalidValue_ErrorHasKeyAndProblem(t *testing.T) {
 	t.Run("not a number", func(t *testing.T) {
 		text := replace(t, `"most_tries":4`, `"most_tries":"many"`)
 		assertKeyError(t, text, "permissions.most_tries", `is "many", not a number`)
@@ -183,28 +183,28 @@
 		text := replace(t, `"probes":true`, `"probes":"maybe"`)
 		assertKeyError(t, text, "permissions.probes", `is "maybe", not true or false`)
 	})
-	t.Run("not a name", func(t *testing.T) {
+	t.Run("not one of the valid names", func(t *testing.T) {
 		text := replace(t, `"discovery":"subscribe"`, `"discovery":"x"`)
-		assertKeyError(t, text, "discovery", `is "x", which is not known; give one of ["automatic" "subscribe"]`)
+		assertKeyError(t, text, "discovery", `is "x", which is not a valid name; give one of ["automatic" "subscribe"]`)
 	})
-	t.Run("too few numbers", func(t *testing.T) {
+	t.Run("list of numbers too short", func(t *testing.T) {
 		text := replace(t, `"spread_most":[2,3]`, `"spread_most":[2]`)
-		assertKeyError(t, text, "family_info.spread_most", "has 1 values, not 2 or more")
+		assertKeyError(t, text, "family_info.spread_most", "has 1 values, expected at least 2")
 	})
-	t.Run("too few names", func(t *testing.T) {
+	t.Run("list of names too short", func(t *testing.T) {
 		text := replace(t, `"apart_by":["off","zone"]`, `"apart_by":["off"]`)
-		assertKeyError(t, text, "family_info.apart_by", "has 1 values, not 2 or more")
+		assertKeyError(t, text, "family_info.apart_by", "has 1 values, expected at least 2")
 	})
 }
 
-// replace returns the nested settings with one part replaced.
+// replace returns the settings of nested with part replaced.
 func replace(t *testing.T, part, replacement string) string {
 	t.Helper()
 	require.Contains(t, nested, part)
 	return strings.Replace(nested, part, replacement, 1)
 }
 
-// assertKeyError checks that decoding JSON fails with a KeyError that names a key and contains a text.
+// assertKeyError checks that decoding the JSON text fails with a KeyError for the key whose message contains want.
 func assertKeyError(t *testing.T, text, key, want string) {
 	t.Helper()
 	received, err := FromJSON([]byte(text))
@@ -215,7 +215,7 @@
 	assert.ErrorContains(t, err, want)
 }
 
-func TestFromJSON_TextThatIsNotJSONIsAnError(t *testing.T) {
+func TestFromJSON_InvalidJSON_Error(t *testing.T) {
 	_, err := FromJSON([]byte("{"))
 	assert.ErrorContains(t, err, "settings: unexpected EOF")
 }
