--- a/internal/frontend/backoff.go
+++ b/internal/frontend/backoff.go
@@ -6,16 +6,17 @@
 	"grebeglade/placement"
 )
 
-// maxDoublings bounds the exponent of a backoff, far beyond where any Max applies.
+// maxDoublings is the greatest exponent of a backoff. Every Max applies well below it.
 const maxDoublings = 16
 
-// Backoff is a delay that doubles with each failure in a row, from Initial up to Max, both in milliseconds.
+// Backoff is an exponential backoff: the delay starts at Initial and doubles with each consecutive failure, up to Max.
 type Backoff struct {
-	Initial placement.Millis
-	Max     placement.Millis
+	Initial placement.Millis // delay after the first failure, in ms
+	Max     placement.Millis // longest delay, in ms
 }
 
-// Delay returns the delay after the given number of earlier failures in a row, 0 for the first, without jitter.
+// Delay returns the delay without jitter, in ms. The failures are the number of consecutive earlier failures: 0 for the
+// first delay.
 func (b Backoff) Delay(failures int) placement.Millis {
 	return min(b.Max, b.Initial*placement.Millis(math.Exp2(float64(min(failures, maxDoublings)))))
 }
--- a/internal/frontend/counters.go
+++ b/internal/frontend/counters.go
@@ -2,20 +2,21 @@
 
 import "grebeglade/internal/allocator"
 
-// Counters are what every frontend counts since its start. A frontend embeds them in its own.
+// Counters are the counters that all frontends share, counted from the frontend's start. A frontend embeds them in its
+// own counters.
 //
-// The Host counts binds, migrations and health checks as the engine starts them. The frontend counts requests and
-// withdrawals where it decodes them, and final answers with CountAnswer where it sends them. The Host cannot count
-// answers: to the engine the parts of a gang are workloads, but a client gets one answer for all of them.
+// The Host counts binds, migrations and health checks when the engine starts them. The frontend counts requests and
+// withdrawals when it decodes them, and final answers with CountAnswer when it sends them. The Host cannot count
+// answers, because the engine handles the parts of a gang as separate workloads but the client gets one answer for all.
 type Counters struct {
-	Requests      uint64 // scheduling requests of clients
-	Placed        uint64 // requests answered with a node
-	Rejected      uint64 // requests answered that nothing ran and a retry does no harm
-	Unschedulable uint64 // requests answered that the workload may have run
-	Withdrawn     uint64 // requests that their client cancelled
-	Binds         uint64 // offers to nodes, retries among them
-	Migrations    uint64 // running workloads that were stopped to be placed anew
-	HealthChecks  uint64 // health checks of nodes
+	Requests      uint64 // scheduling requests from clients
+	Placed        uint64 // final answers: placed on a node
+	Rejected      uint64 // final answers: not placed, and a retry is safe
+	Unschedulable uint64 // final answers: the workload may have run, so a retry is not safe
+	Withdrawn     uint64 // requests withdrawn by their client
+	Binds         uint64 // offers to nodes, including retries
+	Migrations    uint64 // running workloads stopped so that they are placed again
+	HealthChecks  uint64 // health checks started
 }
 
 // CountAnswer counts one final answer to a client.
--- a/internal/frontend/enginehost.go
+++ b/internal/frontend/enginehost.go
@@ -5,7 +5,8 @@
 	"grebeglade/placement"
 )
 
-// engineHost is a Host as its engine sees it: the frontend's actions, some of them counted, and the Host's own wake-up.
+// engineHost implements allocator.Host for a Host's engine: it counts some actions, passes all of them to the frontend,
+// and handles Wake with the Host's wake-up.
 type engineHost struct {
 	allocator.Actions
 	host *Host
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,9 +1,8 @@
-// Package frontend holds what every frontend of the allocator needs once, whatever protocol it speaks: the engine's
-// host (deferred completions, timers, wake-ups), health checks, ids of workloads and groups, the requests that wait for
-// their answers, backoff with jitter, ordered iteration and counters.
+// Package frontend holds the parts that are common to all frontends of the allocator, independent of their protocol:
+// the engine's host (deferred calls, timers, wake-ups), health checks, ids of workloads and groups, the count of
+// unanswered requests, backoff with jitter, ordered iteration and counters.
 //
-// A frontend embeds or holds one Host, implements allocator.Actions, and passes the handling of every event to the
-// Host:
+// A frontend embeds or holds one Host, implements allocator.Actions, and handles every event through the Host:
 //
 //	func (f *Frontend) Start(now placement.Millis, n transport.Network) {
 //		f.host.Attach(now, n)
@@ -18,8 +17,8 @@
 //
 //	func (f *Frontend) Wake(now placement.Millis) { f.host.Wake(now) }
 //
-// Times are milliseconds on a clock that never steps back. Nothing here reads a clock or a global random source, and
-// everything belongs to the one goroutine that handles the frontend's events.
+// Times are milliseconds on a monotonic clock. The package reads no clock and no global random source. All of its types
+// are confined to the goroutine that handles the frontend's events.
 package frontend
 
 import (
@@ -28,8 +27,8 @@
 	"slices"
 )
 
-// SortedValues returns the values of table in the order of its keys. It is a copy: the table may change while the
-// caller goes through it. Every loop over a map whose order can reach the wire, a timer or the engine must use it.
+// SortedValues returns the values of table, sorted by key. The result is a copy, so the table may change while the
+// caller iterates. Every loop over a map must use it if the order can affect messages, timers or the engine.
 func SortedValues[K cmp.Ordered, V any](table map[K]V) []V {
 	values := make([]V, 0, len(table))
 	for _, key := range slices.Sorted(maps.Keys(table)) {
--- a/internal/frontend/groupids.go
+++ b/internal/frontend/groupids.go
@@ -2,10 +2,10 @@
 
 import "grebeglade/placement"
 
-// GroupIDs finds the groups of the settings by their names in the protocol.
+// GroupIDs maps the names of groups in the protocol to the ids of the groups in the settings.
 type GroupIDs struct{ byName map[string]placement.GroupID }
 
-// NewGroupIDs returns the ids of the groups of these names, which are in the order of the settings' groups.
+// NewGroupIDs returns the ids for the given names, which must be in the order of the settings' groups.
 func NewGroupIDs(names []string) GroupIDs {
 	byName := make(map[string]placement.GroupID, len(names))
 	for i, name := range names {
@@ -14,7 +14,7 @@
 	return GroupIDs{byName: byName}
 }
 
-// Lookup returns the id of the group of that name, and whether there is one.
+// Lookup returns the id of the group with the given name, and whether the settings have such a group.
 func (g GroupIDs) Lookup(name string) (placement.GroupID, bool) {
 	id, configured := g.byName[name]
 	return id, configured
--- a/internal/frontend/groupids_test.go
+++ b/internal/frontend/groupids_test.go
@@ -10,12 +10,12 @@
 
 func TestGroupIDs_Lookup_ByOrderOfNames(t *testing.T) {
 	ids := NewGroupIDs([]string{"tiles", "trace"})
-	first, known := ids.Lookup("tiles")
-	assert.True(t, known)
+	first, configured := ids.Lookup("tiles")
+	assert.True(t, configured)
 	assert.Equal(t, placement.GroupID(0), first)
-	second, known := ids.Lookup("trace")
-	assert.True(t, known)
+	second, configured := ids.Lookup("trace")
+	assert.True(t, configured)
 	assert.Equal(t, placement.GroupID(1), second)
-	_, known = ids.Lookup("route")
-	assert.False(t, known)
+	_, configured = ids.Lookup("route")
+	assert.False(t, configured)
 }
--- a/internal/frontend/healthchecks.go
+++ b/internal/frontend/healthchecks.go
@@ -2,16 +2,16 @@
 
 import "grebeglade/placement"
 
-// HealthChecks are the pending health checks of nodes. Each has a number of its own, which the node's reply carries
-// back. Exactly one result of each check reaches the engine: the reply, or its failure.
+// HealthChecks tracks the pending health checks of nodes. Each check has a unique number, which the node's reply
+// repeats. The engine gets exactly one result for each check: the reply or a failure.
 type HealthChecks struct {
 	host    *Host
-	timeout placement.Millis
-	pending map[uint64]placement.NodeID
-	last    uint64 // number of the check that began last
+	timeout placement.Millis            // time within which a reply must arrive, in ms
+	pending map[uint64]placement.NodeID // checked nodes by check number
+	last    uint64                      // number of the latest check
 }
 
-// NewHealthChecks returns an empty set of checks that fail when no reply comes within the timeout, in ms.
+// NewHealthChecks returns a tracker without pending checks. Checks fail if no reply arrives within the timeout, in ms.
 func NewHealthChecks(h *Host, timeout placement.Millis) *HealthChecks {
 	return &HealthChecks{
 		host:    h,
@@ -20,8 +20,8 @@
 	}
 }
 
-// Begin returns the number of a new check of the node, and sets its timeout. It may be called while the engine is at
-// work.
+// Begin registers a new check of the node, sets its timeout and returns its number. It may be called from within the
+// engine's actions.
 func (c *HealthChecks) Begin(node placement.NodeID) uint64 {
 	c.last++
 	check := c.last
@@ -36,11 +36,11 @@
 	return pending
 }
 
-// Len returns how many checks have no result yet.
+// Len returns the number of pending checks.
 func (c *HealthChecks) Len() int { return len(c.pending) }
 
-// Complete passes the reply to a check to the engine, with the load report that the reply carried, or nil. It returns
-// false, and does nothing, where the node has no such check pending.
+// Complete passes the reply to a check to the engine, with the reply's load report, which may be nil. If the node has
+// no pending check with that number, it does nothing and returns false.
 func (c *HealthChecks) Complete(
 	now placement.Millis, check uint64, node placement.NodeID, load *placement.LoadReport,
 ) bool {
@@ -52,18 +52,18 @@
 	return true
 }
 
-// Fail ends a check that could not be sent. The engine is notified by a deferred call of the Host.
+// Fail ends a check that could not be sent. The engine gets the failure in a deferred call of the Host.
 func (c *HealthChecks) Fail(check uint64) {
 	c.host.Defer(func(now placement.Millis) { c.fail(now, check) })
 }
 
-// FailUnsent reports a failed check of a node that cannot be reached, without a check having begun. The engine is
-// notified by a deferred call of the Host.
+// FailUnsent reports a failed check of an unreachable node for which Begin was not called. The engine gets the failure
+// in a deferred call of the Host.
 func (c *HealthChecks) FailUnsent(node placement.NodeID) {
 	c.host.Defer(func(now placement.Millis) { c.host.Engine().HealthChecked(now, node, false, nil) })
 }
 
-// fail reports a check to the engine as failed, unless it has a result already.
+// fail passes the failure of a check to the engine, unless the check already has a result.
 func (c *HealthChecks) fail(now placement.Millis, check uint64) {
 	node, pending := c.pending[check]
 	if !pending {
--- a/internal/frontend/healthchecks_test.go
+++ b/internal/frontend/healthchecks_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// checkResult is a result of a health check that the engine received.
+// checkResult is the result of a health check, as passed to the engine.
 type checkResult struct {
 	node   placement.NodeID
 	passed bool
@@ -35,19 +35,19 @@
 	return NewHealthChecks(host, checkTimeout), host, module
 }
 
-func TestHealthChecks_ReplyInTime_IsTheOneResult(t *testing.T) {
+func TestHealthChecks_ReplyInTime_OnlyResult(t *testing.T) {
 	checks, host, module := newTestChecks(t)
 	check := checks.Begin(5)
 	assert.True(t, checks.Pending(check))
 	assert.True(t, checks.Complete(150, check, 5, nil))
 	assert.False(t, checks.Pending(check))
-	assert.False(t, checks.Complete(160, check, 5, nil), "a second reply is no result")
+	assert.False(t, checks.Complete(160, check, 5, nil), "a second reply is ignored")
 	checks.Fail(check)
 	host.Wake(400)
 	assert.Equal(t, []checkResult{{5, true}}, module.results)
 }
 
-func TestHealthChecks_ReplyOfAnotherNodeOrToNoCheck_IsIgnored(t *testing.T) {
+func TestHealthChecks_ReplyFromOtherNodeOrWithOtherNumber_Ignored(t *testing.T) {
 	checks, _, module := newTestChecks(t)
 	check := checks.Begin(5)
 	assert.False(t, checks.Complete(150, check, 6, nil))
@@ -57,7 +57,7 @@
 	assert.Empty(t, module.results)
 }
 
-func TestHealthChecks_NoReply_FailOnceAtTheTimeout(t *testing.T) {
+func TestHealthChecks_NoReply_FailsOnceAtTimeout(t *testing.T) {
 	checks, host, module := newTestChecks(t)
 	check := checks.Begin(5)
 	host.Wake(attachedAt + checkTimeout - 1)
@@ -69,7 +69,7 @@
 	assert.Len(t, module.results, 1)
 }
 
-func TestHealthChecks_NotSent_FailAsADeferredCall(t *testing.T) {
+func TestHealthChecks_NotSent_FailsInDeferredCall(t *testing.T) {
 	checks, host, module := newTestChecks(t)
 	first := checks.Begin(5)
 	second := checks.Begin(6)
--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -9,40 +9,39 @@
 // Config holds the parameters of a Host.
 type Config struct {
 	Settings placement.Settings
-	Seed     uint64 // of the placement module and of the jitter
+	Seed     uint64 // seed of the placement module and of the jitter
 	Engine   allocator.Options
-	// Actions carries out what the engine decides. Its methods are called while the engine is at work: they must not
-	// call the engine back, and report results to it with Host.Defer.
+	// Actions executes the engine's decisions. Its methods are called by the engine: they must not call back into the
+	// engine, and must pass results to it with Host.Defer.
 	Actions allocator.Actions
-	// MaxWakeInterval is the longest time between two wake-ups, in ms, also where no timer is due.
+	// MaxWakeInterval is the longest time between two wake-ups, in ms, even if no timer is due.
 	MaxWakeInterval placement.Millis
-	// Periodic, where not nil, is called from Wake, after the timers and before the engine's tick, once at least
-	// MaxWakeInterval has passed since its last call.
+	// Periodic, if not nil, is called from Wake, after the timers and before the engine's tick, whenever at least
+	// MaxWakeInterval has passed since its previous call.
 	Periodic func(now placement.Millis)
-	// Counters, where not nil, are the frontend's; the Host counts binds, migrations and health checks there.
+	// Counters, if not nil, are the frontend's counters. The Host counts binds, migrations and health checks in them.
 	Counters *Counters
 }
 
-// Host runs an allocator's engine for a frontend. It keeps the time of the event being handled, the calls deferred
-// until the engine is idle, the frontend's timers, and the one wake-up that covers both those timers and the
-// engine's.
+// Host runs an allocator's engine for a frontend. It holds the time of the current event, the calls deferred until the
+// engine is idle, the frontend's timers, and the single wake-up for the frontend's timers and the engine's ticks.
 //
-// Each event is handled within Handle or Wake.
+// Every event must be handled within Handle or Wake.
 type Host struct {
 	engine   *allocator.Engine
 	jitter   *jitter
 	counters *Counters
-	now      placement.Millis // of the event being handled, or of the last one
+	now      placement.Millis // time of the current or latest event
 	deferred []func(now placement.Millis)
 	timers   transport.Timers
 	wakeup   wakeup
-	stall    stall // the last one
+	stall    stall // latest stall
 
 	periodic     func(now placement.Millis)
 	lastPeriodic placement.Millis
 }
 
-// NewHost returns a host with its engine. Attach must be called before anything else.
+// NewHost returns a host with a new engine. Attach must be called before any other method.
 func NewHost(c Config) *Host {
 	h := &Host{
 		jitter:   newJitter(c.Seed),
@@ -57,8 +56,8 @@
 	return h
 }
 
-// Attach sets the current time and what sets the wake-up. It does not start the engine: the frontend does so, within
-// Handle, among the steps of its own start.
+// Attach sets the current time and the Waker. It does not start the engine: the frontend starts it within Handle, as
+// part of its own start.
 func (h *Host) Attach(now placement.Millis, w Waker) {
 	h.now = now
 	h.wakeup.waker = w
@@ -67,26 +66,26 @@
 // Engine returns the engine. It must not be called from within the frontend's allocator.Actions; see Defer.
 func (h *Host) Engine() *allocator.Engine { return h.engine }
 
-// Now returns the time of the event that is being handled, or of the last one.
+// Now returns the time of the current event or, between events, of the latest one.
 func (h *Host) Now() placement.Millis { return h.now }
 
-// Handle handles one event at the given time: it calls handle, then runs the deferred calls, and those that they
-// defer, in the order in which they were deferred, and then sets the wake-up.
+// Handle handles one event at the given time: it calls handle, runs the deferred calls in order, including those that
+// deferred calls add, and then sets the wake-up.
 //
-// It may be nested, as when handling an event closes a connection and that is handled like a close by the peer. The
-// inner Handle then runs all calls deferred so far, those of the outer one among them.
+// Calls may be nested, for example when handling an event closes a connection and the close is handled like one by the
+// peer. The inner Handle then runs all calls deferred so far, including those of the outer one.
 func (h *Host) Handle(now placement.Millis, handle func()) {
 	h.begin(now)
 	handle()
 	h.flush(now)
 }
 
-// begin records the time of an event, and the stall if the wake-up should have come well before it.
+// begin records the time of an event, and a stall if the wake-up is late.
 func (h *Host) begin(now placement.Millis) {
 	if h.wakeup.isLate(now) {
 		h.stall = stall{length: now - h.now, endedAt: now}
 	}
-	h.wakeup.passed(now)
+	h.wakeup.recordEvent(now)
 	h.now = now
 }
 
@@ -102,10 +101,10 @@
 	h.wakeup.set(now, &h.timers)
 }
 
-// Wake handles the wake-up like any event: it runs the timers that are due, Config.Periodic, and the engine's tick.
+// Wake handles the wake-up within Handle: it runs the due timers, Config.Periodic and the engine's tick, in this order.
 func (h *Host) Wake(now placement.Millis) {
 	h.Handle(now, func() {
-		h.wakeup.fired(now)
+		h.wakeup.recordFired(now)
 		h.timers.RunDue(now)
 		if h.periodic != nil && now-h.lastPeriodic >= h.wakeup.maxInterval {
 			h.lastPeriodic = now
@@ -117,28 +116,28 @@
 	})
 }
 
-// Defer has call run at the end of the Handle that ends next, when the engine is idle. Calls run in the order in
-// which they were deferred. What the call is about may have ended by then, so it must check that first.
+// Defer queues call to run at the end of the next Handle that ends, when the engine is idle. Calls run in the order in
+// which they were deferred. The call must check first whether the object that it handles still exists.
 func (h *Host) Defer(call func(now placement.Millis)) { h.deferred = append(h.deferred, call) }
 
-// Schedule has call run at the given time, from Wake. Timers for the same time run in the order in which they were
-// scheduled. A timer cannot be cancelled: the call checks whether it still applies.
+// Schedule sets a timer: Wake runs call once the given time has come. Timers for the same time run in the order in
+// which they were scheduled. A timer cannot be cancelled, so the call must check whether it still applies.
 func (h *Host) Schedule(at placement.Millis, call func(now placement.Millis)) {
 	h.timers.Schedule(at, call)
 }
 
-// DeferredCalls returns how many calls wait for the end of a Handle.
+// DeferredCalls returns the number of deferred calls that have not run.
 func (h *Host) DeferredCalls() int { return len(h.deferred) }
 
-// PendingTimers returns how many timers set with Schedule have not run.
+// PendingTimers returns the number of timers set with Schedule that have not run.
 func (h *Host) PendingTimers() int { return h.timers.Len() }
 
-// RetryDelay draws the delay until the next attempt after the given number of earlier failures in a row, 0 for the
-// first. Each call takes one draw of the jitter.
+// RetryDelay returns the delay before the next attempt, with jitter, in ms. The failures are the number of consecutive
+// earlier failures: 0 for the first delay. Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) placement.Millis {
 	return h.jitter.apply(b.Delay(failures))
 }
 
-// RecentStall returns for how long, at most, the process was stopped shortly before the event being handled, in ms, or
-// 0 if it was not. Events that are handled after a stall may have waited for all of it.
+// RecentStall returns an upper bound of the time for which the process was stopped shortly before the current event, in
+// ms, or 0 if it was not stopped. Events handled after a stall may have been queued for this time.
 func (h *Host) RecentStall() placement.Millis { return h.stall.recent(h.now) }
--- a/internal/frontend/host_test.go
+++ b/internal/frontend/host_test.go
@@ -9,29 +9,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fakeWaker records the times for which a host sets its wake-up.
+// fakeWaker is a Waker that records the times for which the wake-up is set.
 type fakeWaker struct{ times []placement.Millis }
 
 func (w *fakeWaker) WakeAt(at placement.Millis) { w.times = append(w.times, at) }
 
-// takeTimes returns the times recorded since the last call.
+// takeTimes returns the times recorded since the previous call of takeTimes.
 func (w *fakeWaker) takeTimes() []placement.Millis {
 	times := w.times
 	w.times = nil
 	return times
 }
 
-// callLog records the names of calls in their order.
+// callLog records the names of calls in order.
 type callLog struct{ names []string }
 
 func (l *callLog) add(name string) { l.names = append(l.names, name) }
 
-// call returns a deferred call or timer that records its name.
+// call returns a function for Defer or Schedule that records the name when it runs.
 func (l *callLog) call(name string) func(placement.Millis) {
 	return func(placement.Millis) { l.add(name) }
 }
 
-// fakeActions records the calls of the engine.
+// fakeActions is an allocator.Actions that records the calls of the engine.
 type fakeActions struct {
 	binds   []placement.NodeID
 	stops   []placement.NodeID
@@ -58,19 +58,20 @@
 
 func (a *fakeActions) Forget(placement.WorkloadID) {}
 
-// attachedAt is the time, in ms, at which the hosts of the tests are attached.
+// attachedAt is the time passed to Host.Attach, in ms.
 const attachedAt = placement.Millis(100)
 
-// maxInterval is the longest interval between two wake-ups, in ms.
+// maxInterval is the test hosts' MaxWakeInterval, in ms.
 const maxInterval = placement.Millis(1000)
 
-// noEvent is the handling of an event that does nothing, for what a Host does around it.
+// noEvent is an empty event handler, for tests of Handle itself.
 func noEvent() {}
 
-// noTimer is a timer's call that does nothing, for its effect on the wake-up.
+// noTimer is an empty timer call, for tests of the wake-up.
 func noTimer(placement.Millis) {}
 
-// newTestHost returns an attached host whose engine is not started, so that no timer is set yet.
+// newTestHost returns an attached host whose engine is not started, so that no timer is set. If change is not nil, it
+// can modify the host's configuration.
 func newTestHost(t *testing.T, change func(*Config)) (*Host, *fakeActions, *fakeWaker) {
 	t.Helper()
 	actions := &fakeActions{}
@@ -111,15 +112,15 @@
 			host.Defer(log.call("deferred by the first"))
 		})
 		host.Defer(log.call("second"))
-		assert.Empty(t, log.names, "nothing runs before the event is handled")
+		assert.Empty(t, log.names, "no deferred call runs before the event is handled")
 	})
 	assert.Equal(t, []string{"first", "second", "deferred by the first"}, log.names)
-	assert.Equal(t, []placement.Millis{200}, calledAt, "the time of the event")
+	assert.Equal(t, []placement.Millis{200}, calledAt, "deferred calls get the time of the event")
 	host.Handle(200, noEvent)
 	assert.Len(t, log.names, 3, "each call runs once")
 }
 
-func TestHost_HandleWithinAnEvent_RunsCallsDeferredSoFar(t *testing.T) {
+func TestHost_HandleWithinEvent_RunsCallsDeferredSoFar(t *testing.T) {
 	host, _, _ := newTestHost(t, nil)
 	var log callLog
 	host.Handle(200, func() {
@@ -140,7 +141,7 @@
 	}, log.names)
 }
 
-func TestHost_HandleWithinADeferredCall_RunsCallsDeferredSoFar(t *testing.T) {
+func TestHost_HandleWithinDeferredCall_RunsCallsDeferredSoFar(t *testing.T) {
 	host, _, _ := newTestHost(t, nil)
 	var log callLog
 	host.Handle(200, func() {
@@ -176,22 +177,22 @@
 		host.Handle(now, func() { handled++ })
 	})
 	assert.Zero(t, allocations)
-	assert.Equal(t, 101, handled, "with the one run before those that are measured")
+	assert.Equal(t, 101, handled, "AllocsPerRun adds one warm-up run")
 }
 
 func TestHost_Wakeup_Time(t *testing.T) {
-	t.Run("without timers, after the longest interval", func(t *testing.T) {
+	t.Run("no timer: after the longest interval", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		assert.Equal(t, []placement.Millis{attachedAt + maxInterval}, waker.takeTimes())
 	})
-	t.Run("with an overdue timer, now and not earlier", func(t *testing.T) {
+	t.Run("overdue timer: now and not earlier", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Schedule(50, noTimer)
 		host.Handle(attachedAt, noEvent)
 		assert.Equal(t, []placement.Millis{attachedAt}, waker.takeTimes())
 	})
-	t.Run("with an overdue request of the engine, now and not earlier", func(t *testing.T) {
+	t.Run("overdue tick of the engine: now and not earlier", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		(&engineHost{host: host}).Wake(50)
 		host.Handle(attachedAt, noEvent)
@@ -200,35 +201,35 @@
 }
 
 func TestHost_Wakeup_SetAgain(t *testing.T) {
-	t.Run("early enough for a new timer, unchanged", func(t *testing.T) {
+	t.Run("later timer: unchanged", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		waker.takeTimes()
 		host.Handle(300, func() { host.Schedule(1500, noTimer) })
 		assert.Empty(t, waker.takeTimes())
 	})
-	t.Run("earlier timer, moved forward", func(t *testing.T) {
+	t.Run("earlier timer: set earlier", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		host.Handle(300, func() { host.Schedule(400, noTimer) })
 		assert.Equal(t, []placement.Millis{1100, 400}, waker.takeTimes())
 	})
-	t.Run("earlier request of the engine, moved forward", func(t *testing.T) {
+	t.Run("earlier tick of the engine: set earlier", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		engine := &engineHost{host: host}
 		engine.Wake(500)
-		engine.Wake(700) // the earlier request remains
+		engine.Wake(700) // the request for 500 takes precedence
 		host.Handle(attachedAt, noEvent)
 		assert.Equal(t, []placement.Millis{1100, 500}, waker.takeTimes())
 	})
-	t.Run("came early, set anew", func(t *testing.T) {
+	t.Run("fired early: set again", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		host.Wake(900)
 		assert.Equal(t, []placement.Millis{1100, 1900}, waker.takeTimes())
 	})
-	t.Run("came in time, set anew", func(t *testing.T) {
+	t.Run("fired on time: set again", func(t *testing.T) {
 		host, _, waker := newTestHost(t, nil)
 		host.Handle(attachedAt, noEvent)
 		host.Wake(1100)
@@ -258,7 +259,7 @@
 	}, log.names)
 }
 
-func TestHost_Periodic_RunsOnceAnInterval(t *testing.T) {
+func TestHost_Periodic_RunsOncePerInterval(t *testing.T) {
 	var calledAt []placement.Millis
 	host, _, _ := newTestHost(t, func(c *Config) {
 		c.Periodic = func(now placement.Millis) { calledAt = append(calledAt, now) }
@@ -269,7 +270,7 @@
 	assert.Equal(t, []placement.Millis{1000, 2000, 3000}, calledAt)
 }
 
-func TestHost_Wake_TicksTheEngineOnceItsRequestIsDue(t *testing.T) {
+func TestHost_Wake_TickRequestedAndDue_TicksEngine(t *testing.T) {
 	const pendingTimeout = placement.Millis(300)
 	host, actions, waker := newTestHost(t, nil)
 	engine := host.Engine()
@@ -292,12 +293,12 @@
 	assert.Equal(t, []placement.NodeID{1}, actions.binds)
 	for len(actions.answers) == 0 {
 		times := waker.takeTimes()
-		if !assert.NotEmpty(t, times, "the engine waits for a tick for which no wake-up is set") {
+		if !assert.NotEmpty(t, times, "the engine has requested a tick, but no wake-up is set") {
 			return
 		}
 		host.Wake(times[len(times)-1])
 	}
-	assert.LessOrEqual(t, host.Now(), attachedAt+pendingTimeout, "the answer comes within the client's time")
+	assert.LessOrEqual(t, host.Now(), attachedAt+pendingTimeout, "the answer is sent within the pending timeout")
 	assert.Equal(t, []placement.NodeID{1}, actions.stops)
 }
 
@@ -309,14 +310,14 @@
 		wantStall placement.Millis
 		why       string
 	}{
-		{600, 0, "an event before the wake-up shows no stall"},
-		{1110, 0, "a wake-up may be a little late"},
-		{2500, 1390, "since the last event, as the wake-up was set for 2110"},
-		{2549, 1390, "events that waited through it are still being handled"},
-		{2550, 0, "what is handled now came after it"},
+		{600, 0, "an event before the wake-up indicates no stall"},
+		{1110, 0, "a wake-up may be up to 10 ms late"},
+		{2500, 1390, "time since the previous event, because the wake-up was set for 2110"},
+		{2549, 1390, "events that were queued during the stall may still be handled"},
+		{2550, 0, "events handled now arrived after the stall"},
 	} {
 		host.Handle(event.at, func() {
-			host.Handle(event.at, func() { // an event within the event is no stall, and does not end one
+			host.Handle(event.at, func() { // a nested event neither causes nor ends a stall
 				assert.InDelta(t, float64(event.wantStall), float64(host.RecentStall()), 0, event.why)
 			})
 			assert.InDelta(t, float64(event.wantStall), float64(host.RecentStall()), 0, event.why)
@@ -324,7 +325,7 @@
 	}
 }
 
-func TestHost_Counters_CountTheEnginesActions(t *testing.T) {
+func TestHost_Counters_CountEngineActions(t *testing.T) {
 	var counters Counters
 	host, actions, _ := newTestHost(t, func(c *Config) { c.Counters = &counters })
 	engine := &engineHost{Actions: actions, host: host}
--- a/internal/frontend/jitter_test.go
+++ b/internal/frontend/jitter_test.go
@@ -9,7 +9,7 @@
 	"grebeglade/placement"
 )
 
-func TestJitter_Factors_StayWithinAQuarterAndRepeatBySeed(t *testing.T) {
+func TestJitter_Factors_WithinQuarterAndReproducibleBySeed(t *testing.T) {
 	draw := func(seed uint64) []placement.Millis {
 		source := newJitter(seed)
 		draws := make([]placement.Millis, 2000)
@@ -29,8 +29,8 @@
 	assert.Greater(t, most, placement.Millis(1240))
 }
 
-// Runs in virtual time repeat only as long as these factors do not change.
-func TestJitter_Draws_AreThoseOfStoredRuns(t *testing.T) {
+// Guards against changed factors: stored runs in virtual time can only be repeated with the same ones.
+func TestJitter_Draws_MatchStoredRuns(t *testing.T) {
 	source := newJitter(7)
 	host := &Host{jitter: newJitter(7)}
 	var draws, delays []placement.Millis
--- a/internal/frontend/nodekinds.go
+++ b/internal/frontend/nodekinds.go
@@ -2,8 +2,8 @@
 
 import "grebeglade/placement"
 
-// FitsSomeKind reports whether a request for that many cores and that much memory is within the size of any of the
-// kinds of nodes. Any other request can never be placed.
+// FitsSomeKind reports whether at least one node kind has the requested cores and memory. A request that fits no kind
+// can never be placed.
 func FitsSomeKind(kinds []placement.NodeKind, cores, memory float64) bool {
 	for _, kind := range kinds {
 		if cores <= kind.Cores && memory <= kind.Memory {
--- a/internal/frontend/nodekinds_test.go
+++ b/internal/frontend/nodekinds_test.go
@@ -19,12 +19,12 @@
 		memory float64
 		fits   bool
 	}{
-		"first kind in full":              {4, 64, true},
-		"second kind in full":             {16, 8, true},
-		"more cores than any kind":        {17, 1, false},
-		"more memory than any kind":       {1, 65, false},
-		"cores of one, memory of another": {16, 64, false},
-		"cores not a number":              {math.NaN(), 1, false},
+		"all of the first kind":                {4, 64, true},
+		"all of the second kind":               {16, 8, true},
+		"more cores than any kind":             {17, 1, false},
+		"more memory than any kind":            {1, 65, false},
+		"cores of one kind, memory of another": {16, 64, false},
+		"cores not a number":                   {math.NaN(), 1, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/stall.go
+++ b/internal/frontend/stall.go
@@ -2,18 +2,18 @@
 
 import "grebeglade/placement"
 
-// stallRelevant is for how long, in ms, events that are handled after a stall may have waited through it.
-const stallRelevant = placement.Millis(50)
+// stallBacklogTime is the time after a stall, in ms, in which handled events may have been queued during the stall.
+const stallBacklogTime = placement.Millis(50)
 
-// stall is the last time for which the process was stopped.
+// stall is an interval in which the process was stopped.
 type stall struct {
-	length  placement.Millis // at most
+	length  placement.Millis // upper bound of the stall's length, in ms
 	endedAt placement.Millis
 }
 
-// recent returns the length of the stall if events handled now may have waited through it, and else 0.
+// recent returns the length of the stall if events handled now may have been queued during it, and 0 otherwise.
 func (s stall) recent(now placement.Millis) placement.Millis {
-	if now-s.endedAt < stallRelevant {
+	if now-s.endedAt < stallBacklogTime {
 		return s.length
 	}
 	return 0
--- a/internal/frontend/unanswered.go
+++ b/internal/frontend/unanswered.go
@@ -1,25 +1,25 @@
 package frontend
 
-// AnswerState says whether the client of a request waits for its final answer.
+// AnswerState is whether a request's final answer is due.
 type AnswerState uint8
 
-// The states of an answer. A request has NoAnswerDue once it was answered or withdrawn, and if it expects no answer.
+// The states of an answer.
 const (
-	NoAnswerDue AnswerState = iota
-	AnswerDue
+	NoAnswerDue AnswerState = iota // answered, withdrawn, or no answer expected
+	AnswerDue                      // the client waits for the final answer
 )
 
-// UnansweredRequests counts the requests whose clients wait for their final answers. Each request keeps an AnswerState,
-// which changes by these methods alone. The zero value counts none.
+// UnansweredRequests counts the requests whose final answer is due. The caller stores an AnswerState for each request,
+// which only these methods may change. The zero value has a count of 0.
 type UnansweredRequests struct{ count int }
 
-// Add counts a request, whose answer is due from now on. It must not be due already.
+// Add marks the answer to a request as due and counts the request. The answer must not already be due.
 func (u *UnansweredRequests) Add(request *AnswerState) {
 	*request = AnswerDue
 	u.count++
 }
 
-// MarkAnswered records that the client of a request no longer waits. Further calls for the request do nothing.
+// MarkAnswered marks a request as answered or withdrawn. It does nothing if no answer is due.
 func (u *UnansweredRequests) MarkAnswered(request *AnswerState) {
 	if *request == AnswerDue {
 		*request = NoAnswerDue
--- a/internal/frontend/unanswered_test.go
+++ b/internal/frontend/unanswered_test.go
@@ -16,9 +16,9 @@
 	requests.MarkAnswered(&first)
 	requests.MarkAnswered(&first)
 	assert.Equal(t, NoAnswerDue, first)
-	assert.Equal(t, 1, requests.Count(), "a request is counted down once")
+	assert.Equal(t, 1, requests.Count(), "a second MarkAnswered for the request does nothing")
 	requests.MarkAnswered(&notDue)
-	assert.Equal(t, 1, requests.Count(), "one that expects no answer was not counted")
+	assert.Equal(t, 1, requests.Count(), "a request that expects no answer is not counted")
 	requests.MarkAnswered(&second)
 	assert.Zero(t, requests.Count())
 }
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -5,27 +5,27 @@
 	"grebeglade/placement"
 )
 
-// lateWakeup is the longest time, in ms, by which a wake-up of a running process may come after the time it was set
-// for.
-const lateWakeup = placement.Millis(10)
+// maxWakeupDelay is the longest delay of a wake-up, in ms, while the process is running. A longer delay means that the
+// process was stopped.
+const maxWakeupDelay = placement.Millis(10)
 
-// Waker sets the one wake-up of a frontend. A further call replaces the time. The networks of package transport are
-// Wakers.
+// Waker schedules the wake-up of a frontend, at which Host.Wake must be called. Each call replaces the previous time.
+// The networks of package transport implement it.
 type Waker interface {
 	WakeAt(at placement.Millis)
 }
 
-// wakeup is the one wake-up of a frontend. It comes for the first of its timers, the tick that the engine requested,
-// and the longest interval between two wake-ups.
+// wakeup is the single scheduled wake-up of a frontend. It is set for the earliest of the frontend's first timer, the
+// tick requested by the engine, and the end of the longest interval between two wake-ups.
 type wakeup struct {
 	waker         Waker
-	maxInterval   placement.Millis
-	at            placement.Millis // that it was set for last, or the time of a later event; 0 until it is set
-	tickAt        placement.Millis // if requested: the earliest tick that the engine still waits for
+	maxInterval   placement.Millis // longest interval between two wake-ups, in ms
+	at            placement.Millis // time for which the wake-up is set, or of a later event; 0 if never set
+	tickAt        placement.Millis // time of the tick requested by the engine; valid if tickRequested
 	tickRequested bool
 }
 
-// set sets the wake-up anew, unless it is set for a time that is early enough.
+// set sets the wake-up again, unless it is already set for a time that is early enough.
 func (w *wakeup) set(now placement.Millis, timers *transport.Timers) {
 	next := now + w.maxInterval
 	if at, ok := timers.Next(); ok {
@@ -41,16 +41,16 @@
 	w.waker.WakeAt(next)
 }
 
-// isLate reports whether the wake-up should have come well before now, so that the process was stopped meanwhile.
-func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > lateWakeup }
+// isLate reports whether the wake-up is overdue by more than maxWakeupDelay, which means that the process was stopped.
+func (w *wakeup) isLate(now placement.Millis) bool { return w.at > 0 && now-w.at > maxWakeupDelay }
 
-// passed records the time of an event, so that a nested event does not find the same wake-up late again.
-func (w *wakeup) passed(now placement.Millis) { w.at = max(w.at, now) }
+// recordEvent records the time of an event, so that isLate reports a late wake-up only for the first event after it.
+func (w *wakeup) recordEvent(now placement.Millis) { w.at = max(w.at, now) }
 
-// fired records that the wake-up has come, so that none is set now. It may come before the time that it was set for.
-func (w *wakeup) fired(now placement.Millis) { w.at = now }
+// recordFired records that the wake-up has fired and none is set. It may fire before the time for which it was set.
+func (w *wakeup) recordFired(now placement.Millis) { w.at = now }
 
-// requestTick records that the engine needs a tick at the given time. An earlier request remains.
+// requestTick records that the engine needs a tick at the given time. A request for an earlier time takes precedence.
 func (w *wakeup) requestTick(at placement.Millis) {
 	if !w.tickRequested || at < w.tickAt {
 		w.tickAt = at
@@ -58,7 +58,7 @@
 	}
 }
 
-// popTick reports whether the tick that the engine requested is due, and if so, removes the request.
+// popTick reports whether the tick requested by the engine is due. If it is, the request is removed.
 func (w *wakeup) popTick(now placement.Millis) bool {
 	if !w.tickRequested || w.tickAt > now {
 		return false
--- a/internal/frontend/workloadids.go
+++ b/internal/frontend/workloadids.go
@@ -6,21 +6,21 @@
 	"grebeglade/placement"
 )
 
-// WorkloadIDs gives out the ids of workloads, from 1 on. No id is given out twice, so that a late message about a
-// workload is never taken for one about another. The zero value has given out none.
+// WorkloadIDs allocates workload ids, starting at 1. No id is allocated twice, so that a late message about one
+// workload is never attributed to another. The zero value is ready to use.
 type WorkloadIDs struct{ last placement.WorkloadID }
 
-// WorkloadIDsAfter returns the ids that follow the given one.
+// WorkloadIDsAfter returns an allocator of the ids after last.
 func WorkloadIDsAfter(last placement.WorkloadID) WorkloadIDs { return WorkloadIDs{last: last} }
 
-// Next gives out the next id. It must not be called if none remains.
+// Next allocates an id. It must not be called if Remaining returns 0.
 func (ids *WorkloadIDs) Next() placement.WorkloadID {
 	ids.last++
 	return ids.last
 }
 
-// Last returns the id that was given out last, 0 for none.
+// Last returns the latest allocated id, or 0 if there is none.
 func (ids *WorkloadIDs) Last() placement.WorkloadID { return ids.last }
 
-// Remaining returns how many ids are left.
+// Remaining returns the number of ids that can still be allocated.
 func (ids *WorkloadIDs) Remaining() uint32 { return math.MaxUint32 - uint32(ids.last) }
--- a/internal/frontend/workloadids_test.go
+++ b/internal/frontend/workloadids_test.go
@@ -9,7 +9,7 @@
 	"grebeglade/placement"
 )
 
-func TestWorkloadIDs_CountUpFromOne(t *testing.T) {
+func TestWorkloadIDs_Next_CountsUpFromOne(t *testing.T) {
 	var ids WorkloadIDs
 	assert.Zero(t, ids.Last())
 	assert.Equal(t, uint32(math.MaxUint32), ids.Remaining(), "0 is no id")
