--- a/internal/allocator/gang.go
+++ b/internal/allocator/gang.go
@@ -4,7 +4,7 @@
 
 // ScheduleGang handles a request for workloads that must start together. The module schedules each part. If at least
 // minParts of them get a node, those are offered to their nodes; otherwise no bind is sent, and every step is cancelled
-// in the module. The result tells for each part whether it was offered. The other parts are dropped without an answer.
+// in the module. The result has, for each part, whether it was offered. The other parts are dropped without an answer.
 func (e *Engine) ScheduleGang(now placement.Millis, parts []placement.Workload, minParts int) []bool {
 	steps := make([]placement.Step, len(parts))
 	feasible := 0
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -17,7 +17,7 @@
 	Revision uint64
 	At       placement.Millis
 	Kind     Kind
-	Detail   uint8 // the constants of Kind say what it holds
+	Detail   uint8 // meaning depends on Kind; see the kinds of events
 	Reason   placement.Reason
 	Bind     int32 // number of the bind; in NodesUpdated, the number of nodes in the message
 	Workload placement.WorkloadID
--- a/internal/gang/state.go
+++ b/internal/gang/state.go
@@ -32,7 +32,7 @@
 	Ended                           // no part is active
 )
 
-// stateTexts are the external texts of the states. They differ from the constants' names and must not change, since
+// stateTexts are the external texts of the states. Some differ from the constants' names. They must not change, since
 // stored traces contain them. The two rollback states share one text.
 var stateTexts = [...]string{
 	Pending:            "pending",
