--- a/internal/compatibility/platform_codec_test.go
+++ b/internal/compatibility/platform_codec_test.go
@@ -351,7 +351,7 @@
 		cpu   = "1e0003637075"
 	)
 	line := storedLines(t, nodeMessagesFile)[noteLine]
-	note := &codec.Note{
+	note := &codec.UsageReport{
 		Header: header(noteTag),
 		Kind:   placement.CoresUsed,
 		Value:  storedNoteCores,
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -108,8 +108,8 @@
 	Passed bool
 }
 
-// Note is a node's measurement of a workload that it runs.
-type Note struct {
+// UsageReport is a node's measurement of a workload that it runs.
+type UsageReport struct {
 	Header
 	Kind  placement.UsageKind
 	Value float64
--- a/internal/frontend/platform/codec/node.go
+++ b/internal/frontend/platform/codec/node.go
@@ -209,7 +209,7 @@
 	if !known || err != nil && kind != placement.Running {
 		return &Ignorable{h}
 	}
-	return &Note{
+	return &UsageReport{
 		Header: h,
 		Kind:   kind,
 		Value:  value,
--- a/internal/frontend/platform/codec/node_test.go
+++ b/internal/frontend/platform/codec/node_test.go
@@ -136,7 +136,7 @@
 	checkDecoded(t, map[string]decodeCase{
 		"measurement": {
 			binaryMessage(verbNotice, parameter{paramNote, "cpu"}, parameter{paramFigure, "0.5"}),
-			&Note{
+			&UsageReport{
 				Header: Header{Tag: 7},
 				Kind:   placement.CoresUsed,
 				Value:  0.5,
@@ -144,7 +144,7 @@
 		},
 		"running, without value": {
 			binaryMessage(verbNotice, parameter{paramNote, "up"}),
-			&Note{Header: Header{Tag: 7}, Kind: placement.Running},
+			&UsageReport{Header: Header{Tag: 7}, Kind: placement.Running},
 		},
 		"measurement without value": {
 			binaryMessage(verbNotice, parameter{paramNote, "cpu"}),
--- a/internal/frontend/platform/codec/stored_test.go
+++ b/internal/frontend/platform/codec/stored_test.go
@@ -73,8 +73,8 @@
 			Header:      headerWithLoad(sampleTag, map[string]float64{"x0": 12, "x1": 40, "queue": 3, "util": 0.5}),
 			Description: NewDescription(storedDescription),
 		},
-		"from-node/running": &Note{Header: header, Kind: placement.Running},
-		"from-node/cores-used": &Note{
+		"from-node/running": &UsageReport{Header: header, Kind: placement.Running},
+		"from-node/cores-used": &UsageReport{
 			Header: header,
 			Kind:   placement.CoresUsed,
 			Value:  2.5,
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -51,7 +51,7 @@
 		return h.confirmed(now, c, w, message)
 	case *codec.Termination:
 		return h.terminated(now, w, message)
-	case *codec.Note:
+	case *codec.UsageReport:
 		if w.running() {
 			h.host.Engine().ReportUsage(now, w.id, w.bind.number, message.Kind, message.Value)
 		}
