--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -14,14 +14,14 @@
 const (
 	// maxKeyLength bounds an idempotency key, in bytes.
 	maxKeyLength = 64
-	// maxAmount bounds every number of a request. As a timeout in ms it is a day.
+	// maxAmount is the largest accepted timeout in ms (one day), number of cores and amount of memory of a request.
 	maxAmount = 86400e3
 )
 
-// ClientCodec is the encoding for clients: one JSON object a line.
+// ClientCodec encodes and decodes messages on client connections: one JSON object per line.
 type ClientCodec struct{}
 
-// line is a message from a client.
+// line is the JSON object of a message from a client.
 type line struct {
 	Verb string                     `json:"verb"`
 	Tag  string                     `json:"tag"`
@@ -30,7 +30,7 @@
 	Blob *string                    `json:"blob"` // the description
 }
 
-// replyLine is a message to a client. It has no options.
+// replyLine is the JSON object of a message to a client. Its options are always empty.
 type replyLine struct {
 	Verb string   `json:"verb"`
 	Tag  string   `json:"tag"`
@@ -39,16 +39,16 @@
 	Blob *string  `json:"blob,omitempty"` // the description
 }
 
-// options are the known options of a line, as text. An absent one is empty.
+// options are the supported options of a line, as text. An absent option is empty.
 type options struct {
 	class   string
 	timeout string
 	key     string
 	retry   string
-	extras  string // a list of the form name:value;name:value
+	extras  string // list in the form name:value;name:value
 }
 
-// field returns the option that has the name in the protocol, or nil for an unknown name.
+// field returns the option with the given protocol name, or nil if the name is not supported.
 func (o *options) field(name string) *string {
 	switch name {
 	case "class":
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// Decode decodes the first line of b into a Message, and returns how many bytes it took.
+// Decode decodes the first line of b into a Message, and returns its length in bytes. n is 0 if the line is incomplete.
 func (ClientCodec) Decode(b []byte) (message any, n int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxMessageSize)], '\n')
 	if end < 0 && len(b) >= MaxMessageSize {
-		return nil, 0, fmt.Errorf("%w: no line ends within %d bytes", ErrTooLong, MaxMessageSize)
+		return nil, 0, fmt.Errorf("%w: no line end within %d bytes", ErrTooLong, MaxMessageSize)
 	}
 	if end < 0 {
 		return nil, 0, nil
@@ -81,15 +81,15 @@
 	return message, end + 1, nil
 }
 
-// decodeLine decodes a line without its end.
+// decodeLine decodes a line, given without its line end.
 func decodeLine(b []byte) (Message, error) {
 	var l line
 	if err := json.Unmarshal(b, &l); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	v, known := verbsByName[l.Verb]
-	if !known {
-		return nil, fmt.Errorf("%w: verb %.40q is not known", ErrMalformed, l.Verb)
+	v, ok := verbsByName[l.Verb]
+	if !ok {
+		return nil, fmt.Errorf("%w: unknown verb %.40q", ErrMalformed, l.Verb)
 	}
 	tag, err := parseTag(l.Tag)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return l.message(v, Header{Tag: tag}, opts), nil
 }
 
-// message returns the line as the message that its verb names.
+// message converts the line to the message type of its verb.
 func (l *line) message(v verb, header Header, opts options) Message {
 	switch v {
 	case verbStart:
@@ -122,7 +122,7 @@
 	return &Ignorable{header}
 }
 
-// cause returns the cause, or CauseNone if the line has none.
+// cause returns the line's cause, or CauseNone if it is absent.
 func (l *line) cause() Cause {
 	if l.RC == nil {
 		return CauseNone
@@ -130,7 +130,7 @@
 	return *l.RC
 }
 
-// description returns the description, which may be absent.
+// description returns the line's description, which may be absent.
 func (l *line) description() Description {
 	if l.Blob == nil {
 		return Description{}
@@ -138,8 +138,8 @@
 	return NewDescription(*l.Blob)
 }
 
-// decodeOptions returns the known options. Their values may be strings or numbers; others are ignored whatever they
-// are.
+// decodeOptions decodes the supported options, whose values may be strings or numbers. Other options are ignored,
+// whatever the type of their values.
 func decodeOptions(raw map[string]json.RawMessage) (options, error) {
 	var opts options
 	for name, value := range raw {
@@ -154,7 +154,7 @@
 	return opts, nil
 }
 
-// decodeOption decodes a string or a number as text.
+// decodeOption stores the value of an option, a JSON string or number, as text.
 func decodeOption(name string, value json.RawMessage, text *string) error {
 	var err error
 	if value[0] == '"' {
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// decodeRequest checks a request. A number out of range must not reach the placement decisions: it would stay in the
-// sums that they depend on.
+// decodeRequest returns the request, or an Invalid if a field is out of range. An out-of-range number would corrupt the
+// running sums that placement decisions are based on.
 func decodeRequest(header Header, opts options, description *string) Message {
 	task, node, err := decodeTask(opts, description)
 	if err != nil {
@@ -195,7 +195,8 @@
 	}
 }
 
-// decodeTask returns the workload of a request, and the name of the node that runs it already, or "" if none does.
+// decodeTask returns the workload of a request. If the workload already runs, node is the name of its node; otherwise
+// node is empty.
 func decodeTask(opts options, description *string) (task Task, node string, err error) {
 	if description == nil {
 		return task, "", &FieldError{Field: "blob", Want: "the description of the workload"}
@@ -217,8 +218,8 @@
 	return task, node, err
 }
 
-// setExtras sets the cores, the memory and the service. It returns the name of the node that runs the workload already,
-// or "" if none does.
+// setExtras sets the cores, memory and service from the "extras" option. If the workload already runs, node is the name
+// of its node; otherwise node is empty.
 func (t *Task) setExtras(extras string) (node string, err error) {
 	err = forEachPair(extras, func(name, value string) (err error) {
 		switch name {
@@ -243,7 +244,7 @@
 	return node, err
 }
 
-// parseService decodes the number of a service.
+// parseService parses a service number in hexadecimal digits.
 func parseService(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -256,7 +257,7 @@
 	return n, nil
 }
 
-// parseAmount decodes a number above 0 and up to maxAmount.
+// parseAmount parses a number that must be above 0 and at most maxAmount. name is the field reported in the error.
 func parseAmount(name, text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(n) || n <= 0 || n > maxAmount {
@@ -269,8 +270,8 @@
 	return n, nil
 }
 
-// Append appends the line of a message to a client, which must be a Confirmation, Termination, Migration, HealthCheck
-// or HealthReply. On an error it returns b as it was.
+// Append appends the encoded line of a message, which must be a Confirmation, Termination, Migration, HealthCheck or
+// HealthReply. On an error it returns b unchanged.
 func (ClientCodec) Append(b []byte, message any) ([]byte, error) {
 	reply, err := newReplyLine(message)
 	if err != nil {
@@ -285,7 +286,7 @@
 	return append(b, text.String()...), nil
 }
 
-// newReplyLine returns the line of a message to a client.
+// newReplyLine converts a message to its JSON object. It returns ErrUnsupported for types that are not sent to clients.
 func newReplyLine(message any) (replyLine, error) {
 	switch message := message.(type) {
 	case *Confirmation:
@@ -309,7 +310,7 @@
 	}
 }
 
-// replyTo returns a line without a cause.
+// replyTo returns a line without a cause or description.
 func replyTo(tag Tag, v verb) replyLine {
 	return replyLine{Verb: verbNames[v], Tag: tag.String()}
 }
--- a/internal/frontend/platform/codec/client_test.go
+++ b/internal/frontend/platform/codec/client_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// decodeClientLine decodes a text as one line of a client.
+// decodeClientLine decodes a text that must be exactly one client line.
 func decodeClientLine(t *testing.T, text string) Message {
 	t.Helper()
 	message, n, err := ClientCodec{}.Decode([]byte(text))
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -1,12 +1,12 @@
 // Package codec implements the three encodings of the platform's protocol: lines of JSON with clients, binary messages
 // with nodes, and the discovery service's stream of server-sent events.
 //
-// Each message is decoded once, into a struct of checked fields. Bytes that cannot be framed are an error, after
-// which nothing that follows on the connection can be trusted. A message that is framed correctly, but breaks the
-// protocol, is decoded into an Invalid, so that the receiver can name the workload that it rejects.
+// Each message is decoded once, into a struct of validated fields. Bytes that cannot be framed are an error: the rest
+// of the connection's input cannot be decoded either. A correctly framed message with invalid content is decoded into
+// an Invalid, which has the tag of the workload, so that the receiver can reject that workload.
 //
-// ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and all that it holds
-// is bounded.
+// ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and its buffers have
+// size limits.
 package codec
 
 import (
@@ -17,41 +17,41 @@
 	"unicode/utf8"
 )
 
-// MaxMessageSize bounds a message with a client or a node, in bytes.
+// MaxMessageSize is the maximum size, in bytes, of a message on a client or node connection.
 const MaxMessageSize = 16 << 10
 
 var (
-	// ErrTooLong means that a message exceeds the size that the protocol allows.
+	// ErrTooLong means that a message exceeds its maximum size.
 	ErrTooLong = errors.New("message exceeds its size limit")
-	// ErrMalformed means that the bytes are not a message of the protocol.
+	// ErrMalformed means that the input is not a valid message of the protocol.
 	ErrMalformed = errors.New("malformed message")
-	// ErrUnsupported means that an encoding cannot express a message.
+	// ErrUnsupported means that a codec has no encoding for the type of a message.
 	ErrUnsupported = errors.New("message cannot be sent on this kind of connection")
-	// ErrUnexpected means that the peer may not send a message of this kind.
-	ErrUnexpected = errors.New("message is not expected from this peer")
+	// ErrUnexpected means that the protocol does not allow the peer to send this type of message.
+	ErrUnexpected = errors.New("message type not allowed from this peer")
 )
 
 // FieldError reports a field of a message whose value is invalid.
 type FieldError struct {
-	Field string // as the protocol names it
+	Field string // protocol name
 	Value string
-	Want  string // what the value has to be
+	Want  string // description of the valid values; completes "it must be"
 }
 
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s is %.40q; it must be %s", e.Field, e.Value, e.Want)
 }
 
-// Tag identifies a workload, or a health check, in all messages about it. The side that requests it chooses the tag.
+// Tag identifies a workload or a health check in all messages about it. The side that sends the request chooses it.
 type Tag uint64
 
 // String returns the tag as 16 hexadecimal digits.
 func (t Tag) String() string { return fmt.Sprintf("%016x", uint64(t)) }
 
-// tagDigits is the length of a tag in the encoding for clients.
+// tagDigits is the number of hexadecimal digits of a tag on client connections.
 const tagDigits = 16
 
-// parseTag decodes a tag of the encoding for clients.
+// parseTag parses a tag in the format of Tag.String, also with upper-case digits.
 func parseTag(text string) (Tag, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != tagDigits {
@@ -60,22 +60,23 @@
 	return Tag(n), nil
 }
 
-// verb is the type of a message. Its numbers are those of the binary encoding, its names are the protocol's.
+// verb is the type of a message on the wire: a number on node connections, a name on client connections. The constants
+// have the names and numbers of the protocol.
 type verb uint8
 
 const (
-	verbStart    verb = 1  // from a client: PlaceRequest or AdoptRequest; to a node: Offer
-	verbPending  verb = 6  // progress
+	verbStart    verb = 1  // PlaceRequest or AdoptRequest from a client; Offer to a node
+	verbPending  verb = 6  // Ignorable: progress
 	verbStarted  verb = 9  // Confirmation
 	verbFinish   verb = 12 // Termination
-	verbFinished verb = 16 // acknowledges verbFinish
-	verbNotice   verb = 44 // Note
+	verbFinished verb = 16 // Ignorable: acknowledgement of verbFinish
+	verbNotice   verb = 44 // UsageReport
 	verbMove     verb = 51 // Migration
 	verbEcho     verb = 52 // HealthCheck
 	verbEchoed   verb = 53 // HealthReply
 )
 
-// verbNames are the names of all verbs in the encoding for clients.
+// verbNames maps each verb to its name on client connections.
 var verbNames = map[verb]string{
 	verbStart:    "START",
 	verbPending:  "PENDING",
@@ -97,13 +98,13 @@
 	return byName
 }()
 
-// The causes of the reply to a health check. The check itself states a cause too, which is always causeFailed.
+// Causes of a health reply. A health check has a cause field too, which is always causeFailed.
 const (
 	causeFailed Cause = 0
 	causePassed Cause = 1
 )
 
-// cause returns the cause that states the result.
+// cause returns the cause that encodes Passed.
 func (r *HealthReply) cause() Cause {
 	if r.Passed {
 		return causePassed
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// forEachPair calls handle with each pair of a list of the form name:value;name:value, until one call fails.
+// forEachPair calls handle for each pair of a list in the form name:value;name:value, up to the first error, which it
+// returns.
 func forEachPair(list string, handle func(name, value string) error) error {
 	for part := range strings.SplitSeq(list, ";") {
 		if part == "" {
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -9,57 +9,57 @@
 )
 
 const (
-	// maxEventSize bounds a line, a chunk and an event of the discovery service, in bytes. A list of some thousands of
-	// nodes fits.
+	// maxEventSize is the maximum size of a line, a chunk and an event of the discovery service, in bytes. A list of
+	// several thousand nodes fits.
 	maxEventSize = 1 << 20
-	// maxChunkHeader bounds the line in front of a chunk, in bytes.
+	// maxChunkHeader is the maximum size of the line before a chunk, which has the chunk's size, in bytes.
 	maxChunkHeader = 32
 
-	lineEnd = "\r\n"            // of HTTP
-	headEnd = lineEnd + lineEnd // of the head of a response
+	lineEnd = "\r\n"            // end of an HTTP header line
+	headEnd = lineEnd + lineEnd // end of an HTTP response head
 )
 
 var (
-	// ErrStatus means that the status of the discovery service's response is not 200.
-	ErrStatus = errors.New("unexpected status of the discovery service")
-	// ErrStreamEnded means that the discovery service ended its stream of events.
-	ErrStreamEnded = errors.New("the stream of events has ended")
+	// ErrStatus means that the HTTP status of the discovery service's response is not 200.
+	ErrStatus = errors.New("unexpected HTTP status from the discovery service")
+	// ErrStreamEnded means that the discovery service ended its event stream.
+	ErrStreamEnded = errors.New("discovery service ended the event stream")
 )
 
-// Subscribe requests the events after a revision from the discovery service.
+// Subscribe requests the discovery service's events with revisions above After.
 type Subscribe struct {
-	Host  string
+	Host  string // value of the HTTP Host header
 	After uint64
 }
 
-// EventBatch holds the complete events of one read from the discovery service. An empty batch only shows that the
-// service responds.
+// EventBatch holds the events that were completed by one call of Decode. A response head, a keep-alive comment or an
+// incomplete event yields an empty batch.
 type EventBatch struct{ Events []Event }
 
-// Event is one numbered change.
+// Event is an event of the discovery service.
 type Event struct {
 	Revision uint64
-	Data     []byte // see DecodeEndpoints
+	Data     []byte // JSON; decoded by DecodeEndpoints
 }
 
-// DiscoveryCodec is the encoding of one connection to the discovery service: an HTTP request, then server-sent events.
-// The zero value is ready for a new connection.
+// DiscoveryCodec encodes and decodes one connection to the discovery service: an HTTP request, answered by a stream of
+// server-sent events. It has per-connection state; the zero value is ready for a new connection.
 type DiscoveryCodec struct {
-	streaming bool   // the head of the response was decoded
-	chunked   bool   // the response has the chunked transfer encoding
-	body      []byte // of chunks: the part of the body that is not decoded yet, which is an incomplete line
+	streaming bool   // the response head was decoded
+	chunked   bool   // the response uses chunked transfer encoding
+	body      []byte // if chunked: the incomplete last line of the chunks received so far
 	event     pendingEvent
 }
 
-// pendingEvent is an event of which some lines were decoded.
+// pendingEvent is an event whose terminating empty line was not received yet.
 type pendingEvent struct {
 	Event
 	hasID   bool
 	hasData bool
 }
 
-// Urgent has the transport deliver events ahead of other messages, as a drain applies from when it is published,
-// however many messages are queued.
+// Urgent makes the transport deliver events ahead of queued messages, since a drain applies from the time when it is
+// published.
 func (s *DiscoveryCodec) Urgent() {}
 
 // Append appends the HTTP request of a Subscribe.
@@ -72,7 +72,8 @@
 		subscribe.Host, subscribe.After), nil
 }
 
-// Decode decodes what is complete at the beginning of b into an *EventBatch, and returns how many bytes it took.
+// Decode decodes the complete response head, chunk or lines at the beginning of b into an *EventBatch, and returns the
+// number of bytes decoded, which is 0 if nothing is complete.
 func (s *DiscoveryCodec) Decode(b []byte) (message any, n int, err error) {
 	var batch *EventBatch
 	switch {
@@ -89,12 +90,12 @@
 	return batch, n, nil
 }
 
-// decodeHead decodes the head of the response, once it is complete.
+// decodeHead decodes the response head, once it is complete.
 func (s *DiscoveryCodec) decodeHead(b []byte) (*EventBatch, int, error) {
 	end := bytes.Index(b, []byte(headEnd))
 	if end < 0 {
 		if len(b) > MaxMessageSize {
-			return nil, 0, fmt.Errorf("%w: the head of the response has no end", ErrTooLong)
+			return nil, 0, fmt.Errorf("%w: HTTP response head without an end", ErrTooLong)
 		}
 		return nil, 0, nil
 	}
@@ -118,7 +119,7 @@
 	end := bytes.Index(b[:min(len(b), maxChunkHeader)], []byte(lineEnd))
 	if end < 0 {
 		if len(b) >= maxChunkHeader {
-			return nil, 0, fmt.Errorf("%w: a chunk has no size", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: chunk size line has no end", ErrMalformed)
 		}
 		return nil, 0, nil
 	}
@@ -137,12 +138,13 @@
 	return batch, to + len(lineEnd), err
 }
 
-// parseChunkSize decodes the line in front of a chunk. A chunk of no bytes ends the stream.
+// parseChunkSize parses the size in the line before a chunk, ignoring chunk extensions. It returns ErrStreamEnded for
+// a chunk of 0 bytes, the last of the stream.
 func parseChunkSize(header string) (int, error) {
 	digits, _, _ := strings.Cut(header, ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 32)
 	if err != nil || size > maxEventSize {
-		return 0, fmt.Errorf("%w: chunk size %.20q", ErrMalformed, digits)
+		return 0, fmt.Errorf("%w: invalid chunk size %.20q", ErrMalformed, digits)
 	}
 	if size == 0 {
 		return 0, ErrStreamEnded
@@ -150,7 +152,7 @@
 	return int(size), nil
 }
 
-// decodeLines decodes all complete lines, and returns how many bytes they took.
+// decodeLines decodes all complete lines, and returns their total length in bytes.
 func (s *DiscoveryCodec) decodeLines(b []byte) (*EventBatch, int, error) {
 	batch := &EventBatch{}
 	used := 0
@@ -173,12 +175,12 @@
 		s.event = pendingEvent{}
 	}
 	if len(b)-used > maxEventSize || len(s.event.Data) > maxEventSize {
-		return nil, used, fmt.Errorf("%w: an event of more than %d bytes", ErrTooLong, maxEventSize)
+		return nil, used, fmt.Errorf("%w: event exceeds %d bytes", ErrTooLong, maxEventSize)
 	}
 	return batch, used, nil
 }
 
-// addLine adds a line that is not empty. Comments and unknown fields are ignored.
+// addLine adds a line to the event. The line must not be empty. Comments and unknown fields are ignored.
 func (e *pendingEvent) addLine(text []byte) error {
 	name, value, _ := bytes.Cut(text, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -186,7 +188,7 @@
 	case "id":
 		revision, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
-			return fmt.Errorf("%w: event number %.40q", ErrMalformed, value)
+			return fmt.Errorf("%w: event id %.40q is not a number", ErrMalformed, value)
 		}
 		e.Revision = revision
 		e.hasID = true
--- a/internal/frontend/platform/codec/discovery_test.go
+++ b/internal/frontend/platform/codec/discovery_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readStream decodes a stream that is received in pieces of the size, as an event loop would.
+// readStream decodes a stream that is received in pieces of the given size, as an event loop does.
 func readStream(codec *DiscoveryCodec, text string, size int) (events []Event, err error) {
 	var received []byte
 	for at := 0; at < len(text); at += size {
--- a/internal/frontend/platform/codec/endpoints.go
+++ b/internal/frontend/platform/codec/endpoints.go
@@ -7,13 +7,13 @@
 	"grebeglade/placement"
 )
 
-// EndpointUpdate is an event about nodes: a snapshot of the list, or the endpoints that have changed.
+// EndpointUpdate is an event about nodes: a snapshot of the endpoint list, or a delta with the changed endpoints.
 type EndpointUpdate struct {
 	Snapshot  bool
 	Endpoints []Endpoint
 }
 
-// Endpoint is a node as the discovery service describes it.
+// Endpoint is the discovery service's entry for a node.
 type Endpoint struct {
 	Name       string
 	Address    string
@@ -21,12 +21,12 @@
 	Kind       string
 	Cell       uint16
 	State      placement.NodeState
-	StartedAt  placement.Millis // Unix time in ms; 0 if it has run for long
-	FreeCores  float64          // not requested by any workload; 0 if the event does not state it
-	FreeMemory float64
+	StartedAt  placement.Millis // Unix time in ms; 0 if the node started long ago
+	FreeCores  float64          // cores not requested by any workload; 0 if absent from the event
+	FreeMemory float64          // memory not requested by any workload; 0 if absent from the event
 }
 
-// eventData is the data of an Event, as far as it is about nodes. Keys match without regard to case.
+// eventData is the part of an event's JSON that concerns nodes. Keys are matched case-insensitively.
 type eventData struct {
 	Hosts *struct { // nil if the event is not about nodes
 		Snapshot  bool
@@ -34,7 +34,7 @@
 	}
 }
 
-// endpoint is an Endpoint in the encoding of the discovery service. Keys match without regard to case.
+// endpoint is the JSON form of an Endpoint. Keys are matched case-insensitively.
 type endpoint struct {
 	Name    string
 	Address string
@@ -43,17 +43,18 @@
 	Status  string
 	Group   uint16
 	SinceMs float64   `json:"since_ms"`
-	Room    []float64 // free cores and free memory
+	Room    []float64 // two elements: free cores, free memory
 }
 
-// nodeStates are the states of nodes by their names in the protocol.
+// nodeStates maps the protocol's names of node states to states.
 var nodeStates = map[string]placement.NodeState{
 	"Ready":       placement.Ready,
 	"Terminating": placement.Draining,
 	"Gone":        placement.Removed,
 }
 
-// DecodeEndpoints decodes the data of an Event. It returns false if the event is not about nodes.
+// DecodeEndpoints decodes the data of an Event. aboutNodes is false if the event does not concern nodes. If any
+// endpoint is invalid, it returns an error for the whole event.
 func DecodeEndpoints(data []byte) (update EndpointUpdate, aboutNodes bool, err error) {
 	var decoded eventData
 	if err := json.Unmarshal(data, &decoded); err != nil {
@@ -74,10 +75,10 @@
 	return update, true, nil
 }
 
-// decode checks an endpoint. Capacity that is not two numbers counts as none.
+// decode validates an endpoint and converts it. If Room does not have two elements, the free capacity is 0.
 func (e *endpoint) decode() (Endpoint, error) {
-	state, known := nodeStates[e.Status]
-	if !known {
+	state, ok := nodeStates[e.Status]
+	if !ok {
 		return Endpoint{}, &FieldError{
 			Field: "status",
 			Value: e.Status,
--- a/internal/frontend/platform/codec/node.go
+++ b/internal/frontend/platform/codec/node.go
@@ -10,37 +10,37 @@
 	"grebeglade/placement"
 )
 
-// NodeCodec is the encoding that nodes speak: a length of two bytes, a type, a tag, and parameters.
+// NodeCodec encodes and decodes messages on node connections: a length of two bytes, a type, a tag, and parameters.
 type NodeCodec struct{}
 
 const (
-	lengthSize          = 2
-	fixedSize           = 1 + 8 // type and tag
-	parameterHeaderSize = 1 + 2 // code and length
+	lengthSize          = 2     // bytes of the length field, which it does not count
+	fixedSize           = 1 + 8 // bytes of type and tag
+	parameterHeaderSize = 1 + 2 // bytes of code and length
 )
 
-// paramCode says what a parameter of a message is.
+// paramCode is the code of a message parameter.
 type paramCode uint8
 
-// The codes of parameters. The value of a cause is one byte, all other values are text.
+// Codes of parameters. The value of paramCause is one byte; all other values are UTF-8 text.
 const (
 	paramClass       paramCode = 16
-	paramTimeout     paramCode = 18 // in ms
+	paramTimeout     paramCode = 18 // whole ms
 	paramKey         paramCode = 24
-	paramNote        paramCode = 30 // the kind of a measurement, or the reason of a termination
-	paramReport      paramCode = 34
-	paramFigure      paramCode = 40 // the value of a measurement
+	paramDetail      paramCode = 30 // kind of a measurement, or reason of a termination
+	paramReport      paramCode = 34 // load report, in the form name:value;name:value
+	paramValue       paramCode = 40 // value of a measurement
 	paramCause       paramCode = 44
 	paramDescription paramCode = 46
 )
 
-// noteKinds are the measurements that the engine uses; a node may send others.
-var noteKinds = map[string]placement.UsageKind{
+// usageKinds maps the protocol's names of the supported measurements to their kinds. Nodes may send others.
+var usageKinds = map[string]placement.UsageKind{
 	"up":  placement.Running,
 	"cpu": placement.CoresUsed,
 }
 
-// reasons are the reasons that a node may state in a termination; others are ReasonUnspecified.
+// reasons maps the protocol's names of termination reasons to reasons. Any other name is ReasonUnspecified.
 var reasons = map[string]placement.Reason{
 	"cpu_full":   placement.InsufficientCores,
 	"mem_full":   placement.InsufficientMemory,
@@ -51,31 +51,32 @@
 	"drained":    placement.Drained,
 }
 
-// parameters are the known parameters of a message. A text that is absent is empty.
+// parameters are the supported parameters of a message. An absent text is empty.
 type parameters struct {
 	class       string
 	timeout     string
 	key         string
-	note        string // as paramNote says, of a measurement or a termination
-	figure      string
+	detail      string // see paramDetail
+	value       string
 	report      string
 	hasReport   bool
 	cause       Cause
 	description Description
 }
 
-// Decode decodes the first message of b into a Message, and returns how many bytes it took.
+// Decode decodes the first message of b into a Message, and returns its length in bytes. n is 0 if the message is
+// incomplete.
 func (NodeCodec) Decode(b []byte) (m any, n int, err error) {
 	if len(b) < lengthSize {
 		return nil, 0, nil
 	}
 	size := int(binary.BigEndian.Uint16(b))
 	if size < fixedSize || size > MaxMessageSize-lengthSize {
-		return nil, 0, fmt.Errorf("%w: a length of %d bytes is out of bounds", ErrMalformed, size)
+		return nil, 0, fmt.Errorf("%w: message length %d is out of bounds", ErrMalformed, size)
 	}
-	// An unknown type is an error at once, without waiting for the rest of the message.
+	// An unknown type is reported before the rest of the message is received.
 	if len(b) > lengthSize && verbNames[verb(b[lengthSize])] == "" {
-		return nil, 0, fmt.Errorf("%w: type %d is not known", ErrMalformed, b[lengthSize])
+		return nil, 0, fmt.Errorf("%w: unknown message type %d", ErrMalformed, b[lengthSize])
 	}
 	if len(b) < lengthSize+size {
 		return nil, 0, nil
@@ -86,8 +87,8 @@
 	return m, lengthSize + size, nil
 }
 
-// decodeBinary decodes a message without its length. An invalid load report makes it an Invalid and not an error, since
-// the message is framed correctly.
+// decodeBinary decodes a message, given without its length field. A message with an invalid load report is framed
+// correctly, so it is decoded into an Invalid rather than an error.
 func decodeBinary(b []byte) (Message, error) {
 	params, err := decodeParameters(b[fixedSize:])
 	if err != nil {
@@ -104,7 +105,7 @@
 	return params.message(verb(b[0]), header), nil
 }
 
-// message returns the message of that type with the parameters.
+// message converts the parameters to the message type of the verb.
 func (p *parameters) message(v verb, header Header) Message {
 	switch v {
 	case verbStart:
@@ -115,10 +116,10 @@
 		return &Termination{
 			Header: header,
 			Cause:  p.cause,
-			Reason: reasons[p.note],
+			Reason: reasons[p.detail],
 		}
 	case verbNotice:
-		return p.measurement(header)
+		return p.usageReport(header)
 	case verbMove:
 		return &Migration{header}
 	case verbEcho:
@@ -130,17 +131,18 @@
 	return &Ignorable{header}
 }
 
-// decodeParameters decodes the parameters of a message. If a code occurs twice, the last value counts.
+// decodeParameters decodes the parameters of a message. If a code occurs twice, the last value is used.
 func decodeParameters(rest []byte) (params parameters, err error) {
 	for len(rest) > 0 {
 		if len(rest) < parameterHeaderSize {
-			return params, fmt.Errorf("%w: a parameter is cut short", ErrMalformed)
+			return params, fmt.Errorf("%w: truncated parameter header", ErrMalformed)
 		}
 		code := paramCode(rest[0])
 		size := int(binary.BigEndian.Uint16(rest[1:]))
 		rest = rest[parameterHeaderSize:]
 		if len(rest) < size {
-			return params, fmt.Errorf("%w: parameter %d claims %d bytes of %d", ErrMalformed, code, size, len(rest))
+			return params, fmt.Errorf("%w: parameter %d is %d bytes long, but %d are left",
+				ErrMalformed, code, size, len(rest))
 		}
 		if err := params.set(code, rest[:size]); err != nil {
 			return params, err
@@ -150,7 +152,7 @@
 	return params, nil
 }
 
-// set sets one parameter. The value of an unknown one must be text, too.
+// set sets one parameter. The value of an unsupported one is checked to be UTF-8 and ignored.
 func (p *parameters) set(code paramCode, value []byte) error {
 	if code == paramCause {
 		return p.setCause(value)
@@ -163,30 +165,30 @@
 		p.timeout = text
 	case paramKey:
 		p.key = text
-	case paramNote:
-		p.note = text
+	case paramDetail:
+		p.detail = text
 	case paramReport:
 		p.report = text
 		p.hasReport = true
-	case paramFigure:
-		p.figure = text
+	case paramValue:
+		p.value = text
 	case paramDescription:
 		p.description = NewDescription(text)
-	case paramCause: // not text; see setCause
+	case paramCause: // set by setCause above
 	}
 	return checkUTF8(text)
 }
 
-// setCause sets the cause.
+// setCause sets the cause from its value, which must be one byte.
 func (p *parameters) setCause(value []byte) error {
 	if len(value) != 1 {
-		return fmt.Errorf("%w: a cause of %d bytes", ErrMalformed, len(value))
+		return fmt.Errorf("%w: cause is %d bytes long, must be 1", ErrMalformed, len(value))
 	}
 	p.cause = Cause(value[0])
 	return nil
 }
 
-// offer returns an Offer, which only nodes receive. An allocator ignores offers, so an invalid one is not an error.
+// offer returns an Offer, or an Ignorable if it is invalid: only nodes receive offers, and an allocator ignores them.
 func (p *parameters) offer(h Header) Message {
 	timeout, err := strconv.Atoi(p.timeout)
 	description, present := p.description.Text()
@@ -202,11 +204,12 @@
 	}
 }
 
-// measurement returns a Note, or an Ignorable if the engine cannot use it. That a workload runs needs no value.
-func (p *parameters) measurement(h Header) Message {
-	kind, known := noteKinds[p.note]
-	value, err := strconv.ParseFloat(p.figure, 64)
-	if !known || err != nil && kind != placement.Running {
+// usageReport returns a UsageReport, or an Ignorable if its kind is not supported or its value is not a number. Reports
+// of kind placement.Running need no value.
+func (p *parameters) usageReport(h Header) Message {
+	kind, ok := usageKinds[p.detail]
+	value, err := strconv.ParseFloat(p.value, 64)
+	if !ok || err != nil && kind != placement.Running {
 		return &Ignorable{h}
 	}
 	return &UsageReport{
@@ -216,7 +219,7 @@
 	}
 }
 
-// decodeReport decodes a load report. A value that is not a number is an error; one that is not finite counts as
+// decodeReport decodes a load report. A value that is not a number is an error; an infinite or NaN value is treated as
 // absent.
 func decodeReport(text string) (*placement.LoadReport, error) {
 	load := settings.UnknownLoad()
@@ -240,8 +243,8 @@
 	return load, nil
 }
 
-// Append appends a binary message, which must be an Offer, Confirmation, Termination, HealthCheck or HealthReply. On an
-// error it returns b as it was.
+// Append appends the encoding of a message, which must be an Offer, Confirmation, Termination, HealthCheck or
+// HealthReply. On an error it returns b unchanged.
 func (NodeCodec) Append(b []byte, message any) ([]byte, error) {
 	start := len(b)
 	b, err := appendBinary(b, message)
@@ -250,13 +253,13 @@
 	}
 	size := len(b) - start - lengthSize
 	if size > MaxMessageSize-lengthSize {
-		return b[:start], fmt.Errorf("%w: %d bytes of at most %d", ErrTooLong, size+lengthSize, MaxMessageSize)
+		return b[:start], fmt.Errorf("%w: %d bytes, at most %d allowed", ErrTooLong, size+lengthSize, MaxMessageSize)
 	}
 	binary.BigEndian.PutUint16(b[start:], uint16(size))
 	return b, nil
 }
 
-// appendBinary appends a message whose length is still zero.
+// appendBinary appends the encoding of a message with a length field of 0, which the caller sets.
 func appendBinary(b []byte, message any) ([]byte, error) {
 	switch message := message.(type) {
 	case *Offer:
@@ -282,20 +285,20 @@
 	return b, nil
 }
 
-// appendHeader appends the header of a message, with a length of zero.
+// appendHeader appends the length field of a message, set to 0, its type and its tag.
 func appendHeader(b []byte, v verb, tag Tag) []byte {
 	b = append(b, 0, 0, byte(v))
 	return binary.BigEndian.AppendUint64(b, uint64(tag))
 }
 
-// appendText appends a parameter whose value is text.
+// appendText appends a parameter with a text value.
 func appendText(b []byte, code paramCode, value string) []byte {
 	b = append(b, byte(code))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(value)))
 	return append(b, value...)
 }
 
-// appendCause appends a parameter that is a cause.
+// appendCause appends a paramCause parameter.
 func appendCause(b []byte, cause Cause) []byte {
 	return append(b, byte(paramCause), 0, 1, byte(cause))
 }
--- a/internal/frontend/platform/codec/node_test.go
+++ b/internal/frontend/platform/codec/node_test.go
@@ -13,16 +13,16 @@
 	"grebeglade/placement"
 )
 
-// parameter is a parameter of a binary message.
+// parameter is a parameter of a binary test message.
 type parameter struct {
 	code  paramCode
 	value string
 }
 
-// unknownParam is a code that the protocol does not name.
+// unknownParam is a parameter code that the protocol does not define.
 var unknownParam = paramCode(99)
 
-// binaryMessage returns a binary message about workload 7.
+// binaryMessage returns a binary message with the tag 7.
 func binaryMessage(v verb, params ...parameter) []byte {
 	b := appendHeader(nil, v, 7)
 	for _, param := range params {
@@ -32,7 +32,7 @@
 	return b
 }
 
-// decodeBinaryMessage decodes all bytes as one message of a node.
+// decodeBinaryMessage decodes bytes that must be exactly one node message.
 func decodeBinaryMessage(t *testing.T, b []byte) Message {
 	t.Helper()
 	message, n, err := NodeCodec{}.Decode(b)
@@ -80,16 +80,16 @@
 	require.NoError(t, err)
 	assert.Equal(t, "before\x00\x1a\x01\x00\x00\x00\x00\x00\x00\x00\x07"+
 		"\x10\x00\x01c\x12\x00\x0220\x18\x00\x01k\x2e\x00\x01d", string(b),
-		"parameters in the order of their codes, whole ms")
+		"parameters are in the order of their codes, the timeout is in whole ms")
 }
 
-// decodeCase is a message of a node, and what it is decoded into.
+// decodeCase is an encoded node message and the expected decoded message.
 type decodeCase struct {
 	encoded []byte
 	want    Message
 }
 
-// checkDecoded decodes the message of each case, by its name.
+// checkDecoded runs a subtest for each case; the keys are the names of the subtests.
 func checkDecoded(t *testing.T, cases map[string]decodeCase) {
 	t.Helper()
 	for name, c := range cases {
@@ -101,7 +101,7 @@
 	}
 }
 
-// The load report of the cases, and what it is decoded into.
+// sampleReport is a load report, and loadedHeader the header that a message with it is decoded into.
 const sampleReport = "x0:12;other:3;"
 
 func loadedHeader() Header {
@@ -114,7 +114,7 @@
 	checkDecoded(t, map[string]decodeCase{
 		"rejection with reason and load": {
 			binaryMessage(verbFinish,
-				parameter{paramNote, "mem_full"}, parameter{paramReport, sampleReport}, parameter{paramCause, "\x22"}),
+				parameter{paramDetail, "mem_full"}, parameter{paramReport, sampleReport}, parameter{paramCause, "\x22"}),
 			&Termination{
 				Header: loadedHeader(),
 				Cause:  CauseNoCapacity,
@@ -122,10 +122,10 @@
 			},
 		},
 		"termination without cause": {
-			binaryMessage(verbFinish, parameter{paramNote, "tired"}),
+			binaryMessage(verbFinish, parameter{paramDetail, "tired"}),
 			&Termination{Header: Header{Tag: 7}},
 		},
-		"termination with two causes, the last counts": {
+		"termination with two causes, the last is used": {
 			binaryMessage(verbFinish, parameter{paramCause, "\x10"}, parameter{paramCause, "\x1f"}),
 			NewTermination(7, CauseCancelled),
 		},
@@ -135,7 +135,7 @@
 func TestNodeCodec_Decode_Measurements(t *testing.T) {
 	checkDecoded(t, map[string]decodeCase{
 		"measurement": {
-			binaryMessage(verbNotice, parameter{paramNote, "cpu"}, parameter{paramFigure, "0.5"}),
+			binaryMessage(verbNotice, parameter{paramDetail, "cpu"}, parameter{paramValue, "0.5"}),
 			&UsageReport{
 				Header: Header{Tag: 7},
 				Kind:   placement.CoresUsed,
@@ -143,15 +143,15 @@
 			},
 		},
 		"running, without value": {
-			binaryMessage(verbNotice, parameter{paramNote, "up"}),
+			binaryMessage(verbNotice, parameter{paramDetail, "up"}),
 			&UsageReport{Header: Header{Tag: 7}, Kind: placement.Running},
 		},
 		"measurement without value": {
-			binaryMessage(verbNotice, parameter{paramNote, "cpu"}),
+			binaryMessage(verbNotice, parameter{paramDetail, "cpu"}),
 			&Ignorable{Header{Tag: 7}},
 		},
 		"unknown measurement": {
-			binaryMessage(verbNotice, parameter{paramNote, "mem"}, parameter{paramFigure, "1"}),
+			binaryMessage(verbNotice, parameter{paramDetail, "mem"}, parameter{paramValue, "1"}),
 			&Ignorable{Header{Tag: 7}},
 		},
 	})
@@ -175,15 +175,16 @@
 			binaryMessage(verbStarted, parameter{unknownParam, "x"}, parameter{paramDescription, "d"}),
 			NewConfirmation(7, "d"),
 		},
-		"offer, which no node may send": {
+		"offer, not allowed from a node": {
 			binaryMessage(verbStart, parameter{paramReport, sampleReport}),
 			&Ignorable{loadedHeader()},
 		},
-		"migration, which no node may send": {binaryMessage(verbMove), NewMigration(7)},
+		"migration, not allowed from a node": {binaryMessage(verbMove), NewMigration(7)},
 	})
 }
 
-// describe returns a message with its load report as text, since an unknown value is NaN, which is not equal to itself.
+// describe formats a message with its load report, which cannot be compared directly: absent values are NaN, which is
+// not equal to itself. It removes the load report from the message.
 func describe(message Message) string {
 	load := "none"
 	if report := message.Envelope().Load; report != nil {
@@ -217,12 +218,12 @@
 		"too short":                {0, 3},
 		"too long":                 {0xff, 0xff},
 		"unknown type":             {0, 9, 200},
-		"parameter cut short":      cut,
-		"parameter header cut":     headerCut,
+		"truncated parameter":      cut,
+		"truncated parameter head": headerCut,
 		"text not UTF-8":           notUTF8,
 		"unknown text not UTF-8":   binaryMessage(verbFinish, parameter{unknownParam, "\xfe"}),
-		"cause of two bytes":       binaryMessage(verbFinish, parameter{paramCause, "\x10\x10"}),
-		"cause without a byte":     binaryMessage(verbFinish, parameter{paramCause, ""}),
+		"cause of 2 bytes":         binaryMessage(verbFinish, parameter{paramCause, "\x10\x10"}),
+		"cause of 0 bytes":         binaryMessage(verbFinish, parameter{paramCause, ""}),
 		"report that is not UTF-8": binaryMessage(verbFinish, parameter{paramReport, "\xfe"}),
 		"length over the maximum":  {0x3f, 0xff, 1},
 	} {
--- a/internal/frontend/platform/codec/stored_test.go
+++ b/internal/frontend/platform/codec/stored_test.go
@@ -13,8 +13,8 @@
 	"grebeglade/placement"
 )
 
-// storedMessages reads testdata/messages.txt: a name and a quoted message a line. The messages from clients are
-// those of the platform's documentation; all others were encoded by commit 51e6872.
+// storedMessages reads testdata/messages.txt, which has a name and a quoted message on each line. The messages from
+// clients are the examples of the platform's documentation; all others are output of the encoders at commit 51e6872.
 func storedMessages(t *testing.T) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/messages.txt")
@@ -54,7 +54,7 @@
 	}
 }
 
-// headerWithLoad returns a header with a load report of the fields.
+// headerWithLoad returns a header with a load report that has the given fields.
 func headerWithLoad(tag Tag, fields map[string]float64) Header {
 	load := settings.UnknownLoad()
 	for name, value := range fields {
@@ -63,7 +63,7 @@
 	return Header{Tag: tag, Load: load}
 }
 
-// receivedFromNodes are the stored messages that nodes send, terminations aside.
+// receivedFromNodes are the stored messages that nodes send, except terminations.
 func receivedFromNodes() map[string]Message {
 	header := Header{Tag: sampleTag}
 	return map[string]Message{
@@ -151,7 +151,7 @@
 	}
 }
 
-// codecOf returns the codec of a stored message.
+// codecOf returns the codec of the stored message with the given name.
 func codecOf(name string) codecUnderTest {
 	if strings.Contains(name, "-client/") {
 		return ClientCodec{}
@@ -180,7 +180,7 @@
 
 func TestCodecs_DecodeStored(t *testing.T) {
 	stored := storedMessages(t)
-	decoded := 1 // the message to the discovery service, which is only encoded
+	decoded := 1 // starts at 1 for the message to the discovery service, which is only encoded
 	for _, messages := range []map[string]Message{
 		sentToPeers(),
 		receivedFromNodes(),
