--- a/internal/frontend/simulator/batch.go
+++ b/internal/frontend/simulator/batch.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	maxBatchSize     = 1 << 30 // bytes that a batch may claim to hold
-	batchHeaderSize  = 4 + 8 + 4
-	recordHeaderSize = 1 + 4
-	sizedFrom        = 4 // offset from which the size of a batch counts, in bytes
+	maxBatchSize     = 1 << 30   // maximum value of a batch's size field, in bytes
+	batchHeaderSize  = 4 + 8 + 4 // bytes of size, time and count
+	recordHeaderSize = 1 + 4     // bytes of code and size
+	sizeFieldLength  = 4         // bytes of a batch's size field, which it does not count
 )
 
-// batch is what the simulator sends at one time.
+// batch is a group of records that the simulator sends together and that get one reply.
 type batch struct {
-	time  uint64 // in nanoseconds
-	count int    // of records
-	body  []byte // the records
+	time  uint64 // simulated time, in ns
+	count int    // number of records
+	body  []byte // encoded records
 }
 
 // record is one record of a batch.
@@ -28,11 +28,12 @@
 	fields []byte
 }
 
-// RecordError reports a record that cannot be decoded, or that refers to something that was never sent.
+// RecordError reports a record that cannot be decoded, has invalid settings, or refers to a node list that was never
+// sent.
 type RecordError struct {
-	Index  int // in its batch
+	Index  int // index of the record in its batch
 	Code   uint8
-	Offset int // in its batch
+	Offset int // offset of the record from the beginning of its batch, in bytes
 	Err    error
 }
 
@@ -42,20 +43,20 @@
 
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// readBatch reads one batch. It returns io.EOF if the input ends between two batches, or right behind the size of a
-// batch: the adapter exits with success in both cases.
+// readBatch reads one batch. It returns io.EOF if the input ends between two batches, or immediately after the size
+// field of a batch: the adapter exits with success in both cases.
 func readBatch(r *bufio.Reader) (batch, error) {
 	b, bodySize, err := readBatchHeader(r)
 	if err != nil {
 		return batch{}, err
 	}
-	// The body grows as it arrives, so that a claimed size alone allocates nothing.
+	// The buffer grows with the bytes read, so that a large size field alone allocates no memory.
 	b.body, err = io.ReadAll(io.LimitReader(r, int64(bodySize)))
 	if err != nil {
-		return batch{}, fmt.Errorf("batch body: %w", err)
+		return batch{}, fmt.Errorf("read batch body: %w", err)
 	}
 	if len(b.body) < bodySize {
-		return batch{}, fmt.Errorf("batch body cut short at byte %d of %d",
+		return batch{}, fmt.Errorf("batch truncated: read %d of %d bytes",
 			batchHeaderSize+len(b.body), batchHeaderSize+bodySize)
 	}
 	return b, nil
@@ -64,34 +65,35 @@
 // readBatchHeader reads the header of a batch, and returns it with the size of the body in bytes.
 func readBatchHeader(r *bufio.Reader) (b batch, bodySize int, err error) {
 	var header [batchHeaderSize]byte
-	if _, err := io.ReadFull(r, header[:sizedFrom]); errors.Is(err, io.EOF) {
+	if _, err := io.ReadFull(r, header[:sizeFieldLength]); errors.Is(err, io.EOF) {
 		return batch{}, 0, io.EOF
 	} else if err != nil {
-		return batch{}, 0, fmt.Errorf("batch header cut short: %w", err)
+		return batch{}, 0, fmt.Errorf("batch header truncated: %w", err)
 	}
 	size := int(binary.BigEndian.Uint32(header[:]))
-	if size < batchHeaderSize-sizedFrom || size > maxBatchSize {
-		return batch{}, 0, fmt.Errorf("batch header at byte 0 claims %d bytes", size)
+	if size < batchHeaderSize-sizeFieldLength || size > maxBatchSize {
+		return batch{}, 0, fmt.Errorf("batch size of %d bytes is out of bounds", size)
 	}
-	if _, err := io.ReadFull(r, header[sizedFrom:]); err != nil {
-		return batch{}, 0, fmt.Errorf("batch header cut short: %w", err)
+	if _, err := io.ReadFull(r, header[sizeFieldLength:]); err != nil {
+		return batch{}, 0, fmt.Errorf("batch header truncated: %w", err)
 	}
-	b.time = binary.BigEndian.Uint64(header[sizedFrom:])
-	b.count = int(binary.BigEndian.Uint32(header[sizedFrom+8:]))
-	bodySize = size - (batchHeaderSize - sizedFrom)
+	b.time = binary.BigEndian.Uint64(header[sizeFieldLength:])
+	b.count = int(binary.BigEndian.Uint32(header[sizeFieldLength+8:]))
+	bodySize = size - (batchHeaderSize - sizeFieldLength)
 	if b.count > bodySize/recordHeaderSize {
-		return batch{}, 0, fmt.Errorf("batch of %d bytes claims %d records", size, b.count)
+		return batch{}, 0, fmt.Errorf("batch of %d bytes cannot hold %d records", size, b.count)
 	}
 	return b, bodySize, nil
 }
 
-// forEach calls handle for each record, until one fails with a *RecordError.
+// forEach calls handle for each record, up to the first error. An error of decoding or handling a record is returned as
+// a *RecordError; other errors mean that the batch itself is malformed.
 func (b batch) forEach(handle func(record) error) error {
 	offset := 0
 	for i := range b.count {
 		start := batchHeaderSize + offset
 		if len(b.body)-offset < recordHeaderSize {
-			return fmt.Errorf("record %d at byte %d: header cut short", i, start)
+			return fmt.Errorf("record %d at byte %d: truncated header", i, start)
 		}
 		code, fields, err := splitRecord(b.body[offset:])
 		if err == nil {
@@ -108,19 +110,19 @@
 		offset += recordHeaderSize + len(fields)
 	}
 	if offset != len(b.body) {
-		return fmt.Errorf("batch holds %d bytes after its last record at byte %d",
+		return fmt.Errorf("batch has %d bytes after its last record, which ends at byte %d",
 			len(b.body)-offset, batchHeaderSize+offset)
 	}
 	return nil
 }
 
-// splitRecord returns the code and the fields of the first record, whose header is complete.
+// splitRecord returns the code and the fields of the first record. Its header must be complete.
 func splitRecord(body []byte) (requestCode, []byte, error) {
 	code := requestCode(body[0])
 	size := int(binary.BigEndian.Uint32(body[1:]))
 	rest := body[recordHeaderSize:]
 	if size > len(rest) {
-		return code, nil, fmt.Errorf("claims %d bytes, batch has %d left", size, len(rest))
+		return code, nil, fmt.Errorf("record size is %d bytes, but %d are left in the batch", size, len(rest))
 	}
 	return code, rest[:size], nil
 }
--- a/internal/frontend/simulator/fields.go
+++ b/internal/frontend/simulator/fields.go
@@ -6,18 +6,18 @@
 	"math"
 )
 
-// fieldReader reads the fields of one record in order. Once a read has failed, err is set and all later reads return
-// zero.
+// fieldReader reads the fields of one record in order. The first failed read sets err; that read and all later ones
+// return zero values.
 type fieldReader struct {
 	data   []byte
 	offset int
 	err    error
 }
 
-// bytes returns the next n bytes, or nil if there are fewer.
+// bytes returns the next n bytes. If fewer are left, it sets err and returns nil.
 func (r *fieldReader) bytes(n int) []byte {
 	if r.err == nil && (n < 0 || n > r.remaining()) {
-		r.err = fmt.Errorf("needs %d bytes at %d of %d", n, r.offset, len(r.data))
+		r.err = fmt.Errorf("field of %d bytes at offset %d exceeds the record's %d bytes", n, r.offset, len(r.data))
 	}
 	if r.err != nil {
 		return nil
@@ -26,10 +26,10 @@
 	return r.data[r.offset-n : r.offset]
 }
 
-// remaining returns how many bytes were not read.
+// remaining returns the number of unread bytes.
 func (r *fieldReader) remaining() int { return len(r.data) - r.offset }
 
-// skip reads n bytes that are not needed.
+// skip reads and discards n bytes.
 func (r *fieldReader) skip(n int) { r.bytes(n) }
 
 func (r *fieldReader) uint8() uint8 {
@@ -62,10 +62,12 @@
 
 func (r *fieldReader) float32() float64 { return float64(math.Float32frombits(r.uint32())) }
 
-// count returns n if the rest of the record can hold n elements of the size in bytes, or fails and returns 0.
+// count returns n if the rest of the record can hold n elements of size bytes. Otherwise it sets err and returns 0, so
+// that a count field alone allocates no memory.
 func (r *fieldReader) count(n, size int) int {
 	if r.err == nil && n > r.remaining()/size {
-		r.err = fmt.Errorf("counts %d elements of %d bytes at %d of %d", n, size, r.offset, len(r.data))
+		r.err = fmt.Errorf("count of %d elements of %d bytes at offset %d exceeds the record's %d bytes",
+			n, size, r.offset, len(r.data))
 	}
 	if r.err != nil {
 		return 0
--- a/internal/frontend/simulator/instance.go
+++ b/internal/frontend/simulator/instance.go
@@ -6,16 +6,16 @@
 	"grebeglade/placement"
 )
 
-// instance is one allocator. Instances share only the reply and the lists of nodes. It implements allocator.Host: the
-// engine's actions become records of the reply.
+// instance is one simulated allocator. Instances share only the reply and the node lists. It implements allocator.Host
+// by appending the engine's actions to the reply as records.
 type instance struct {
 	number     uint16
 	engine     *allocator.Engine
-	loadFields []string // names of the values in a load report, in order
+	loadFields []string // names of the values of a load report, in order
 	reply      *reply
 }
 
-// newInstance returns an instance whose engine is not started.
+// newInstance returns an instance whose engine is not started. It returns an error if the settings are invalid.
 func newInstance(number uint16, request startRequest, r *reply) (*instance, error) {
 	received, err := settings.FromPairs(request.settings)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return started, nil
 }
 
-// handle passes a record to the engine.
+// handle decodes a record and calls the engine with it.
 func (in *instance) handle(now placement.Millis, code requestCode, fields *fieldReader) error {
 	switch code {
 	case codeHealthCheckEnded:
@@ -49,7 +49,7 @@
 		return in.handleBindAccepted(now, fields)
 	case codeWakeup:
 		return in.handleWakeup(now, fields)
-	case codeInstanceStart, codeInstanceStop, codeNodeList, codeNodeUpdate, codePeerMessage: // see server
+	case codeInstanceStart, codeInstanceStop, codeNodeList, codeNodeUpdate, codePeerMessage: // handled by server
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 
 func (in *instance) handleUsageReport(now placement.Millis, r *fieldReader) error {
 	m, err := decodeUsageReport(r)
-	if err == nil && m.known {
+	if err == nil && m.kindSupported {
 		in.engine.ReportUsage(now, m.workload, m.bind, m.kind, m.level)
 	}
 	return err
@@ -119,7 +119,8 @@
 	return err
 }
 
-// loadReport names the values of a load report, or returns nil if there are none.
+// loadReport returns the load report with the given values, or nil if there are none. Values beyond loadFields are
+// ignored.
 func (in *instance) loadReport(values []float64) *placement.LoadReport {
 	if len(values) == 0 {
 		return nil
@@ -136,8 +137,8 @@
 	in.reply.bind(in.number, id, node, timeout)
 }
 
-// Stop implements allocator.Actions. Only a migration is sent: the simulator itself ends a bind that has timed out, or
-// whose workload was withdrawn.
+// Stop implements allocator.Actions. Only migrations are sent: the simulator itself ends binds that time out or whose
+// workload is withdrawn.
 func (in *instance) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, reason allocator.StopReason, _ bool) {
 	if reason == allocator.Migrating {
 		in.reply.migrate(in.number, id)
@@ -150,7 +151,7 @@
 // SubscribeNodes implements allocator.Actions.
 func (in *instance) SubscribeNodes() { in.reply.subscribe(in.number) }
 
-// Answer implements allocator.Actions. That a workload was placed is not sent: the simulator has confirmed it itself.
+// Answer implements allocator.Actions. Placements are not sent: the simulator itself has reported the confirmation.
 func (in *instance) Answer(id placement.WorkloadID, verdict allocator.Verdict, _ placement.NodeID) {
 	switch verdict {
 	case allocator.Rejected:
@@ -161,10 +162,10 @@
 	}
 }
 
-// NotifyEnded implements allocator.Actions. It sends nothing: the simulator has reported the end itself.
+// NotifyEnded implements allocator.Actions. It sends nothing: the simulator itself has reported the end.
 func (in *instance) NotifyEnded(placement.WorkloadID, placement.NodeID, bool, placement.Reason) {}
 
-// Forget implements allocator.Actions. An instance has no state of a workload beside the engine's.
+// Forget implements allocator.Actions. It does nothing: an instance keeps no state per workload.
 func (in *instance) Forget(placement.WorkloadID) {}
 
 // Wake implements allocator.Host.
--- a/internal/frontend/simulator/reply.go
+++ b/internal/frontend/simulator/reply.go
@@ -8,35 +8,35 @@
 	"grebeglade/placement"
 )
 
-// replyCode says what a record of a reply is.
+// replyCode is the type of a record of a reply.
 type replyCode uint8
 
-// Codes of the records that are sent, with the protocol's names.
+// Codes of the records of a reply. Each comment begins with the protocol's name of the record.
 const (
-	codeBind          replyCode = 67 // bind: a workload is offered to a node
-	codeSubscribe     replyCode = 68 // observe: discovery is to send its changes
+	codeBind          replyCode = 67 // bind: offer a workload to a node
+	codeSubscribe     replyCode = 68 // observe: subscribe to node discovery's updates
 	codeUnschedulable replyCode = 70 // abort: a workload is unschedulable
-	codeCheckHealth   replyCode = 71 // test: a node is to be checked
-	codeMigrate       replyCode = 72 // take off: a running workload is to be migrated
-	codeWakeAt        replyCode = 74 // alarm: the instance is to be called at a time
+	codeCheckHealth   replyCode = 71 // test: check a node's health
+	codeMigrate       replyCode = 72 // take off: migrate a running workload
+	codeWakeAt        replyCode = 74 // alarm: wake the instance at a time
 	codeReject        replyCode = 76 // push back: a workload is rejected
 )
 
 const (
-	replyHeaderSize    = 4 + 4
-	subscribeToChanges = 1 // in codeSubscribe: changes are to be sent from now on
-	noRetryAfter       = 0 // in codeReject: no advice when to request again
-	timerName          = 0 // in codeWakeAt: returned at the wake-up; an instance has no use for it
+	replyHeaderSize    = 4 + 4 // bytes of count and size
+	subscribeToChanges = 1     // value in codeSubscribe: send updates from now on
+	noRetryAfter       = 0     // retry delay in codeReject: none is suggested
+	timerName          = 0     // timer name in codeWakeAt: returned in codeWakeup, unused by instances
 )
 
-// reply collects the records that answer one batch.
+// reply collects the records of the reply to one batch.
 type reply struct {
-	count   int
-	records []byte
-	fields  []byte // of the record that is being added; reused
+	count   int    // number of records
+	records []byte // encoded records
+	fields  []byte // buffer for the fields of the next record
 }
 
-// add appends a record of an instance.
+// add appends a record. fields are those after the instance number.
 func (p *reply) add(code replyCode, instance uint16, fields []byte) {
 	const instanceSize = 2
 	p.records = append(p.records, uint8(code))
@@ -80,7 +80,7 @@
 	p.add(codeWakeAt, instance, binary.BigEndian.AppendUint32(fields, timerName))
 }
 
-// writeTo writes the reply, which is empty afterwards.
+// writeTo writes the reply and resets it for the next batch.
 func (p *reply) writeTo(w io.Writer) error {
 	var header [replyHeaderSize]byte
 	binary.BigEndian.PutUint32(header[:], uint32(p.count))
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -2,10 +2,10 @@
 
 import "grebeglade/placement"
 
-// startRequest starts an instance.
+// startRequest is a codeInstanceStart record.
 type startRequest struct {
 	seed     uint64
-	settings string // lines of path=value
+	settings string // lines in the form path=value
 }
 
 func decodeStart(r *fieldReader) (startRequest, error) {
@@ -14,7 +14,7 @@
 	return m, r.err
 }
 
-// nodeList is a list of nodes that instances refer to by its number.
+// nodeList is a codeNodeList record. Later nodeUpdates refer to the list by its number.
 type nodeList struct {
 	number uint32
 	nodes  []placement.Node
@@ -29,7 +29,7 @@
 	return l, r.err
 }
 
-// decodeNode decodes an element of a list of nodes. The fields are read in the order of the record.
+// decodeNode decodes an element of a node list. The fields must be read in the order of the record.
 func decodeNode(r *fieldReader) placement.Node {
 	node := placement.Node{StartedAt: placement.DistantPast}
 	node.FreeCores = r.float32()
@@ -46,7 +46,7 @@
 	return node
 }
 
-// nodeState returns the state of that code. A node in any other state gets no binds.
+// nodeState converts the code of a node state. Unknown codes become Removed, so that the node gets no binds.
 func nodeState(code uint8) placement.NodeState {
 	switch code {
 	case nodeReady:
@@ -58,23 +58,23 @@
 	}
 }
 
-// nodeUpdate notifies an instance of the current node list, or that discovery has failed.
+// nodeUpdate is a codeNodeUpdate record: a node list from discovery, or a failed poll.
 type nodeUpdate struct {
-	kind  placement.NodeUpdateKind
-	known bool   // whether the kind is of this version of the protocol
-	list  uint32 // the list's number
+	kind          placement.NodeUpdateKind // valid if kindSupported
+	kindSupported bool
+	list          uint32 // number of the node list
 }
 
 func decodeNodeUpdate(r *fieldReader) (nodeUpdate, error) {
 	var m nodeUpdate
-	m.kind, m.known = nodeUpdateKind(r.uint8())
+	m.kind, m.kindSupported = nodeUpdateKind(r.uint8())
 	r.skip(revisionSize)
 	m.list = r.uint32()
 	return m, r.err
 }
 
-// nodeUpdateKind returns the kind of that code, and whether it is known.
-func nodeUpdateKind(code uint8) (kind placement.NodeUpdateKind, known bool) {
+// nodeUpdateKind converts the code of a kind of node update. supported is false for unknown codes.
+func nodeUpdateKind(code uint8) (kind placement.NodeUpdateKind, supported bool) {
 	switch code {
 	case updateDelta:
 		return placement.Delta, true
@@ -89,7 +89,7 @@
 	}
 }
 
-// decodeRequest decodes the workload that a client requests.
+// decodeRequest decodes a codePlaceRequest record.
 func decodeRequest(r *fieldReader) (placement.Workload, error) {
 	var w placement.Workload
 	w.ID = placement.WorkloadID(r.uint32())
@@ -104,8 +104,8 @@
 	return w, r.err
 }
 
-// runningWorkload is a workload that its instance adopts: it was running before the instance started, or a node has
-// accepted a bind that was abandoned.
+// runningWorkload is a codeRunningWorkload record: a workload that the instance must adopt, because it ran before the
+// instance started or because a node accepted an abandoned bind.
 type runningWorkload struct {
 	workload placement.Workload
 	node     placement.NodeID
@@ -123,7 +123,7 @@
 	return m, r.err
 }
 
-// bindAccepted is a bind that its node has accepted.
+// bindAccepted is a codeBindAccepted record.
 type bindAccepted struct {
 	workload placement.WorkloadID
 	bind     int
@@ -137,27 +137,27 @@
 	return m, r.err
 }
 
-// usageReport is what a running workload reports of its usage.
+// usageReport is a codeUsageReport record.
 type usageReport struct {
-	workload placement.WorkloadID
-	bind     int
-	kind     placement.UsageKind
-	known    bool // whether the kind is of this version of the protocol
-	level    float64
+	workload      placement.WorkloadID
+	bind          int
+	kind          placement.UsageKind // valid if kindSupported
+	kindSupported bool
+	level         float64
 }
 
 func decodeUsageReport(r *fieldReader) (usageReport, error) {
 	var m usageReport
 	m.workload = placement.WorkloadID(r.uint32())
 	m.bind = int(r.uint8())
-	m.kind, m.known = usageKind(r.uint8())
+	m.kind, m.kindSupported = usageKind(r.uint8())
 	r.skip(nodeIDSize)
 	m.level = r.float32()
 	return m, r.err
 }
 
-// usageKind returns the kind of that code, and whether it is known.
-func usageKind(code uint8) (kind placement.UsageKind, known bool) {
+// usageKind converts the code of a kind of usage report. supported is false for unknown codes.
+func usageKind(code uint8) (kind placement.UsageKind, supported bool) {
 	switch code {
 	case usageRunning:
 		return placement.Running, true
@@ -168,13 +168,13 @@
 	}
 }
 
-// bindEnded is the end of a bind that was not accepted, or that ran.
+// bindEnded is a codeBindEnded record: a bind failed, or its workload ran and ended.
 type bindEnded struct {
 	workload placement.WorkloadID
 	bind     int
 	node     placement.NodeID
-	result   placement.Result // without its load
-	load     []float64        // the values of a load report, as the instance's settings name them; empty for none
+	result   placement.Result // without a load report
+	load     []float64        // values of the load report, in the order of instance.loadFields; empty if absent
 }
 
 func decodeBindEnded(r *fieldReader) (bindEnded, error) {
@@ -189,7 +189,8 @@
 	return m, r.err
 }
 
-// reason returns why a node has rejected a bind. The protocol numbers the reasons as package placement does.
+// reason converts the code of the reason for which a node rejected a bind. The protocol has the same numbers as package
+// placement. Unknown codes become ReasonUnspecified.
 func reason(code uint32) placement.Reason {
 	if code > uint32(placement.Drained) {
 		return placement.ReasonUnspecified
@@ -197,8 +198,7 @@
 	return placement.Reason(code)
 }
 
-// resultKind returns the result of a bind of that code. Any other code, also that of success, leaves the outcome
-// unknown.
+// resultKind converts the code of a bind's result. All other codes, including that of success, become OutcomeUnknown.
 func resultKind(code uint8) placement.ResultKind {
 	switch code {
 	case resultRejected:
@@ -214,11 +214,11 @@
 	}
 }
 
-// healthCheckEnded is the result of a health check.
+// healthCheckEnded is a codeHealthCheckEnded record.
 type healthCheckEnded struct {
 	node    placement.NodeID
 	healthy bool
-	load    []float64 // as in bindEnded
+	load    []float64 // see bindEnded.load
 }
 
 func decodeHealthCheckEnded(r *fieldReader) (healthCheckEnded, error) {
@@ -243,7 +243,7 @@
 	return id, r.err
 }
 
-// decodeWakeup checks the record of a wake-up. Its only field is not needed, as all timers have the same name.
+// decodeWakeup checks the length of a codeWakeup record. Its only field, the timer name, is the same for all timers.
 func decodeWakeup(r *fieldReader) error {
 	r.skip(timerNameSize)
 	return r.err
--- a/internal/frontend/simulator/server.go
+++ b/internal/frontend/simulator/server.go
@@ -9,18 +9,18 @@
 	"grebeglade/placement"
 )
 
-// bufferSize is the length of the buffers of input and output in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
 // server runs the instances of one process.
 type server struct {
 	instances map[uint16]*instance
-	lists     map[uint32][]placement.Node // lists of nodes by their numbers
+	lists     map[uint32][]placement.Node // node lists by number
 	reply     reply
 }
 
-// Serve answers batches until the input ends, which is no error between two batches. A batch that cannot be decoded
-// ends it; the error names the place, and is a *RecordError if the batch itself is complete.
+// Serve replies to batches until the input ends, and returns nil if it ends between two batches. It returns an error on
+// the first batch that cannot be decoded or handled. The error is a *RecordError if the cause is one record's contents.
 func Serve(input io.Reader, output io.Writer) error {
 	srv := &server{
 		instances: map[uint16]*instance{},
@@ -42,7 +42,7 @@
 	}
 }
 
-// answer handles a batch and writes the reply.
+// answer handles the records of a batch and writes the reply.
 func (s *server) answer(b batch, out *bufio.Writer) error {
 	now := millis(b.time)
 	if err := b.forEach(func(r record) error { return s.handle(now, r) }); err != nil {
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// handle handles one record. Records of unknown codes are skipped.
+// handle handles one record. Records with unknown codes, or for an instance that does not run, are skipped.
 func (s *server) handle(now placement.Millis, rec record) error {
 	fields := &fieldReader{data: rec.fields}
 	if rec.code == codeNodeList {
 		return s.handleNodeList(fields)
 	}
-	if !rec.code.known() {
+	if !rec.code.supported() {
 		return nil
 	}
 	number := fields.uint16()
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// handleFor handles a record for an instance that runs.
+// handleFor handles a record for a running instance.
 func (s *server) handleFor(now placement.Millis, target *instance, code requestCode, fields *fieldReader) error {
 	switch code {
 	case codeInstanceStop:
@@ -90,13 +90,13 @@
 	case codeHealthCheckEnded, codePlaceRequest, codeBindEnded, codeRunningWorkload, codeUsageReport,
 		codeWithdrawal, codeBindAccepted, codeWakeup:
 		return target.handle(now, code, fields)
-	case codeInstanceStart, codeNodeList: // not for a running instance; see handle
-	case codePeerMessage: // no instance sends any
+	case codeInstanceStart, codeNodeList: // handled by handle
+	case codePeerMessage: // ignored: instances send none
 	}
 	return nil
 }
 
-// handleNodeList stores a list of nodes.
+// handleNodeList stores a node list under its number.
 func (s *server) handleNodeList(r *fieldReader) error {
 	list, err := decodeNodeList(r)
 	if err == nil {
@@ -105,7 +105,7 @@
 	return err
 }
 
-// handleStart starts an instance, in place of one that has the same number.
+// handleStart starts an instance. It replaces a running instance with the same number.
 func (s *server) handleStart(now placement.Millis, number uint16, r *fieldReader) error {
 	request, err := decodeStart(r)
 	if err != nil {
@@ -120,10 +120,10 @@
 	return nil
 }
 
-// handleNodeUpdate passes a list of nodes, or that discovery has failed, to an instance.
+// handleNodeUpdate passes a node list, or a failed poll of discovery, to an instance.
 func (s *server) handleNodeUpdate(now placement.Millis, target *instance, r *fieldReader) error {
 	update, err := decodeNodeUpdate(r)
-	if err != nil || !update.known {
+	if err != nil || !update.kindSupported {
 		return err
 	}
 	if update.kind == placement.PollFailed {
@@ -132,7 +132,7 @@
 	}
 	nodes, sent := s.lists[update.list]
 	if !sent {
-		return fmt.Errorf("names list %d, which was never sent", update.list)
+		return fmt.Errorf("node list %d was never sent", update.list)
 	}
 	target.engine.UpdateNodes(now, update.kind, nodes)
 	return nil
--- a/internal/frontend/simulator/server_test.go
+++ b/internal/frontend/simulator/server_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	testInstance = 3 // number of the instance
-	testNode     = 9 // id of the one node
+	testInstance = 3 // instance number
+	testNode     = 9 // id of the only node
 	testWorkload = 6
 )
 
-// testSettings are settings of one allocator, one class and one kind of nodes.
+// testSettings are the settings of a fleet with one allocator, one class and two kinds of nodes.
 const testSettings = `balancers=1
 ordinal=0
 zone=0
@@ -47,7 +47,7 @@
 a.later.key=7
 `
 
-// encodeRecord returns a record for the test's instance with the fields in their order.
+// encodeRecord returns a record for testInstance with the given fields after the instance number.
 func encodeRecord(t *testing.T, code requestCode, fields ...any) []byte {
 	t.Helper()
 	body := binary.BigEndian.AppendUint16(nil, testInstance)
@@ -59,13 +59,13 @@
 	return encodeRecordBody(code, body)
 }
 
-// encodeRecordBody returns a record with a body, which for most codes begins with the number of an instance.
+// encodeRecordBody returns a record with the given body, which for most codes begins with an instance number.
 func encodeRecordBody(code requestCode, body []byte) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{uint8(code)}, uint32(len(body)))
 	return append(b, body...)
 }
 
-// encodeBatch returns a batch of records at a time of 8 s.
+// encodeBatch returns a batch of records with the time 8 s.
 func encodeBatch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, uint32(12+len(body)))
@@ -74,13 +74,13 @@
 	return append(b, body...)
 }
 
-// encodeStart starts the test's instance.
+// encodeStart returns a record that starts testInstance.
 func encodeStart(t *testing.T, settings string) []byte {
 	t.Helper()
 	return encodeRecord(t, codeInstanceStart, uint64(5), uint32(len(settings)), []byte(settings))
 }
 
-// encodeNodeList returns list 0 with one ready node of kind 0.
+// encodeNodeList returns a record with node list 0, which has one ready node of kind 0.
 func encodeNodeList() []byte {
 	b := binary.BigEndian.AppendUint32(nil, 0)
 	b = binary.BigEndian.AppendUint32(b, 1)
@@ -93,7 +93,7 @@
 	return encodeRecordBody(codeNodeList, b)
 }
 
-// encodePlaceRequest requests the test's workload.
+// encodePlaceRequest returns a record that requests testWorkload.
 func encodePlaceRequest(t *testing.T) []byte {
 	t.Helper()
 	const (
@@ -111,25 +111,25 @@
 		pendingTimeout, duration, service, cores, memory, options)
 }
 
-// encodeNodeUpdate names list 0.
+// encodeNodeUpdate returns an update of the given kind that refers to node list 0.
 func encodeNodeUpdate(t *testing.T, kind uint8) []byte {
 	t.Helper()
 	return encodeRecord(t, codeNodeUpdate, kind, uint64(1), uint32(0))
 }
 
-// serve returns what Serve writes in answer to an input.
+// serve runs Serve on an input and returns its output.
 func serve(input []byte) ([]byte, error) {
 	var out bytes.Buffer
 	err := Serve(bytes.NewReader(input), &out)
 	return out.Bytes(), err
 }
 
-// countRecords counts the records of a code and size, header aside, in a reply.
+// countRecords counts the records in a reply with the given code and size, which excludes the record header.
 func countRecords(out []byte, code replyCode, size uint8) int {
 	return bytes.Count(out, []byte{uint8(code), 0, 0, 0, size})
 }
 
-// Sizes of the records of a reply, header aside.
+// Sizes of reply records, without the record header, in bytes.
 const (
 	bindSize          = 18
 	rejectSize        = 14
@@ -175,13 +175,13 @@
 	wantError string
 }
 
-func TestServe_MalformedBatch_ErrorNamesTheFault(t *testing.T) {
+func TestServe_MalformedBatch_ErrorDescribesTheFault(t *testing.T) {
 	complete := encodeBatch(encodeStart(t, testSettings), encodeNodeList())
 	for name, c := range map[string]malformedInput{
-		"body cut short":         {complete[:len(complete)-3], "cut short"},
-		"header cut short":       {complete[:5], "cut short"},
-		"too large":              {[]byte{0xff, 0xff, 0xff, 0xff}, "claims 4294967295 bytes"},
-		"header without its end": {encodeBatch()[:12], "cut short"},
+		"truncated body":           {complete[:len(complete)-3], "batch truncated"},
+		"truncated header":         {complete[:5], "batch header truncated"},
+		"too large":                {[]byte{0xff, 0xff, 0xff, 0xff}, "batch size of 4294967295 bytes"},
+		"header without the count": {encodeBatch()[:12], "batch header truncated"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := serve(c.input)
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestServe_MalformedRecord_ErrorNamesTheRecord(t *testing.T) {
+func TestServe_MalformedRecord_ErrorLocatesTheRecord(t *testing.T) {
 	oversized := encodeBatch(encodeRecord(t, codeWithdrawal, uint32(testWorkload)))
 	binary.BigEndian.PutUint32(oversized[batchHeaderSize+1:], 1<<30)
 	oversizedCount := encodeNodeList()
@@ -201,20 +201,20 @@
 	shortRecord := encodeRecord(t, codeNodeUpdate, uint8(0))
 	manyAllocators := strings.Replace(testSettings, "balancers=1", "balancers=many", 1)
 	for name, c := range map[string]malformedInput{
-		"larger than its batch": {oversized, "record 0 (code 10) at byte 16: claims 1073741824 bytes"},
+		"larger than its batch": {oversized, "record 0 (code 10) at byte 16: record size is 1073741824 bytes"},
 		"list longer than its record": {
-			encodeBatch(oversizedCount), "record 0 (code 7) at byte 16: counts 2147483648 elements",
+			encodeBatch(oversizedCount), "record 0 (code 7) at byte 16: count of 2147483648 elements",
 		},
 		"too small": {
 			encodeBatch(encodeStart(t, testSettings), encodeNodeList(), shortRecord), "record 2 (code 9)",
 		},
 		"list never sent": {
-			encodeBatch(encodeStart(t, testSettings), encodeNodeUpdate(t, updateDelta)), "list 0, which was never sent",
+			encodeBatch(encodeStart(t, testSettings), encodeNodeUpdate(t, updateDelta)), "node list 0 was never sent",
 		},
 		"setting missing":     {encodeBatch(encodeStart(t, "zone=0")), "setting balancers is missing"},
 		"setting not numeric": {encodeBatch(encodeStart(t, manyAllocators)), `setting balancers is "many"`},
 		"no instance number": {
-			encodeBatch(encodeRecordBody(codeWithdrawal, []byte{0})), "record 0 (code 10) at byte 16: needs 2 bytes",
+			encodeBatch(encodeRecordBody(codeWithdrawal, []byte{0})), "record 0 (code 10) at byte 16: field of 2 bytes",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -227,8 +227,8 @@
 	}
 }
 
-func TestServe_InputEndsBehindTheSizeOfABatch_NoError(t *testing.T) {
+func TestServe_InputEndsAfterASizeField_NoError(t *testing.T) {
 	complete := encodeBatch(encodeStart(t, testSettings))
-	_, err := serve(complete[:sizedFrom])
-	require.NoError(t, err, "as at the end of the input between two batches")
+	_, err := serve(complete[:sizeFieldLength])
+	require.NoError(t, err, "the adapter exits with success, as when the input ends between two batches")
 }
