--- a/internal/frontend/platform/actions.go
+++ b/internal/frontend/platform/actions.go
@@ -5,15 +5,17 @@
 	"grebeglade/placement"
 )
 
-// engineActions is a Frontend as its engine sees it. The engine is at work while these methods run.
+// engineActions implements allocator.Actions for a Frontend. The engine calls its methods while it handles an event, so
+// they must not call the engine; they defer such calls with Host.Defer.
 type engineActions struct{ *Frontend }
 
-// Bind offers a workload to a node.
+// Bind implements allocator.Actions: it offers a workload to a node.
 func (a engineActions) Bind(id placement.WorkloadID, bind int, node placement.NodeID, timeout placement.Millis) {
 	a.binder.offer(a.workloads.get(id), bind, a.nodes.get(node), a.host.Now()+timeout)
 }
 
-// Stop abandons a bind, or ends a running workload.
+// Stop implements allocator.Actions: it abandons a bind, ends a running workload, or notifies the client of a
+// migration.
 func (a engineActions) Stop(id placement.WorkloadID, _ int, _ placement.NodeID, reason allocator.StopReason, _ bool) {
 	w := a.workloads.get(id)
 	switch {
@@ -28,25 +30,27 @@
 	}
 }
 
-// CheckHealth sends a health check to a node.
+// CheckHealth implements allocator.Actions: it sends a health check to a node.
 func (a engineActions) CheckHealth(node placement.NodeID) { a.healthChecks.check(node) }
 
-// SubscribeNodes does nothing: the frontend always keeps a subscription to the discovery service.
+// SubscribeNodes implements allocator.Actions. It does nothing: the frontend is always subscribed to the discovery
+// service.
 func (a engineActions) SubscribeNodes() {}
 
-// Answer sends a client the final answer to its request.
+// Answer implements allocator.Actions: it sends a client the final answer to its request.
 func (a engineActions) Answer(id placement.WorkloadID, verdict allocator.Verdict, _ placement.NodeID) {
 	a.requests.answer(a.workloads.get(id), verdict)
 }
 
-// NotifyEnded notifies a client that its workload has ended. Of a migration it was notified by Stop.
+// NotifyEnded implements allocator.Actions: it notifies a client that its workload has ended. For a migrated workload
+// it does nothing, since Stop has notified the client.
 func (a engineActions) NotifyEnded(id placement.WorkloadID, _ placement.NodeID, migrated bool, _ placement.Reason) {
 	if !migrated {
 		a.requests.notifyEnd(a.workloads.get(id))
 	}
 }
 
-// Forget removes a workload.
+// Forget implements allocator.Actions: it removes a workload from all tables.
 func (a engineActions) Forget(id placement.WorkloadID) {
 	w := a.workloads.get(id)
 	a.requests.markAnswered(w)
--- a/internal/frontend/platform/answers.go
+++ b/internal/frontend/platform/answers.go
@@ -5,7 +5,7 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-// answer sends the final answer to a request.
+// answer sends a client the final answer to its request.
 func (h *requestHandler) answer(w *workload, verdict allocator.Verdict) {
 	h.markAnswered(w)
 	h.counters.CountAnswer(verdict)
@@ -22,14 +22,15 @@
 	}
 }
 
-// notifyMigration notifies a client that its workload is migrated. The platform ends the workload at its node too,
-// and the node then reports the end.
+// notifyMigration notifies a client that its workload will be migrated. The platform itself ends the workload at its
+// node, which then reports the end.
 func (h *requestHandler) notifyMigration(w *workload) {
 	w.migrate()
 	h.clients.notify(w, codec.NewMigration(w.tag))
 }
 
-// notifyEnd notifies a client that its workload has ended, unless it was notified of a migration or ended it itself.
+// notifyEnd notifies a client that its workload has ended. It sends nothing if the client was notified of a migration
+// or ended the workload itself.
 func (h *requestHandler) notifyEnd(w *workload) {
 	cause := w.bind.endCause
 	if cause == codec.CauseNone {
--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -20,24 +20,24 @@
 type bindState uint8
 
 const (
-	bindNone       bindState = iota // no bind was made, or the last one ended unconfirmed
+	bindNone       bindState = iota // no bind, or the last bind ended without a confirmation
 	bindConnecting                  // the offer waits for a connection to the node
-	bindSent                        // the offer was sent and has no reply yet
+	bindSent                        // the offer was sent, the reply is pending
 	bindRunning                     // the workload runs on the node
-	bindMigrating                   // the workload runs, and its client was notified that it will be placed anew
+	bindMigrating                   // the workload runs, and its client was notified of the migration
 )
 
 // bind is the last bind of a workload.
 type bind struct {
 	state        bindState
-	number       int // of the bind within its workload, as the engine counts
-	node         *node
-	conn         *nodeConn // on which the offer was sent; nil before, and kept after the end of the bind
-	sentAt       placement.Millis
-	runningSince placement.Millis
-	// abandonedOn are the connections on which this bind or earlier ones were abandoned.
+	number       int              // the engine's number of the bind, counted per workload
+	node         *node            // nil if the node was removed before the bind
+	conn         *nodeConn        // connection that the offer was sent on, also after the bind's end; nil if not sent
+	sentAt       placement.Millis // time when the offer was sent
+	runningSince placement.Millis // time of the confirmation or adoption
+	// abandonedOn lists the connections on which this bind or an earlier one of the workload was abandoned.
 	abandonedOn []transport.ConnID
-	endCause    codec.Cause // why the running workload ended; CauseNone if its node stated none
+	endCause    codec.Cause // cause of the running workload's end; CauseNone if not reported
 }
 
 // running reports whether the workload runs on its node.
@@ -45,12 +45,12 @@
 	return w.bind.state == bindRunning || w.bind.state == bindMigrating
 }
 
-// connecting reports whether the bind of that number waits for its connection.
+// connecting reports whether the bind with the given number is the last one and waits for a connection.
 func (w *workload) connecting(number int) bool {
 	return w.bind.state == bindConnecting && w.bind.number == number
 }
 
-// beginBind begins a bind to a node, or to nil if the node was removed in the meantime.
+// beginBind begins a bind to a node. n is nil if the node was removed.
 func (w *workload) beginBind(number int, n *node) {
 	w.bind.state = bindConnecting
 	w.bind.number = number
@@ -61,7 +61,7 @@
 	}
 }
 
-// markSent records that the offer was sent on the connection.
+// markSent records that the offer was sent on a connection.
 func (w *workload) markSent(now placement.Millis, c *nodeConn) {
 	w.bind.state = bindSent
 	w.bind.conn = c
@@ -69,7 +69,7 @@
 	c.offers[w.id] = w
 }
 
-// endBind ends a bind that is not confirmed. It does nothing for a running workload.
+// endBind ends an unconfirmed bind. It does nothing for a running workload.
 func (w *workload) endBind() {
 	if w.running() {
 		return
@@ -84,7 +84,7 @@
 	w.bind.runningSince = now
 }
 
-// adopt records that the workload already runs on a node.
+// adopt records that the workload runs on a node without a bind by this allocator.
 func (w *workload) adopt(now placement.Millis, n *node) {
 	w.bind.state = bindRunning
 	w.bind.node = n
@@ -99,7 +99,7 @@
 	}
 }
 
-// detach removes the workload from its node and connection.
+// detach ends the bind in any state, and removes the workload from its node and connection.
 func (w *workload) detach() {
 	w.removeOffer()
 	if w.bind.node != nil {
@@ -108,17 +108,17 @@
 	w.bind.state = bindNone
 }
 
-// removeOffer removes the workload from the open offers of the connection.
+// removeOffer removes the workload from its connection's offers without a reply.
 func (w *workload) removeOffer() {
 	if w.bind.conn != nil {
 		delete(w.bind.conn.offers, w.id)
 	}
 }
 
-// concernedBy reports whether a message about the workload that came on the connection is about its last bind. A node
-// sends such a message on the connection of the offer or, if it has lost that one, on any other; this side may still
-// see the lost connection as open. If an earlier bind to the same node was abandoned on the connection, the message
-// is about the earlier bind: a late reply, or the end that abandoning it caused.
-func (w *workload) concernedBy(c *nodeConn) bool {
+// acceptsMessagesOn reports whether a message about the workload, received on c, concerns its last bind. A node sends
+// such a message on the connection of the offer or, after losing it, on any other; the lost connection may still be
+// open on this side. If the last offer was not sent on c and an earlier bind to the same node was abandoned on c, the
+// message concerns the earlier bind: it is a late reply, or the end caused by abandoning the bind.
+func (w *workload) acceptsMessagesOn(c *nodeConn) bool {
 	return w.bind.node == c.node && (w.bind.conn == c || !slices.Contains(w.bind.abandonedOn, c.id))
 }
--- a/internal/frontend/platform/bind_test.go
+++ b/internal/frontend/platform/bind_test.go
@@ -8,7 +8,7 @@
 	"grebeglade/placement"
 )
 
-// bindFixture is a workload with a node and a connection to it.
+// bindFixture is a workload without a bind, a node and a connection to the node.
 type bindFixture struct {
 	*workload
 	node *node
@@ -29,7 +29,7 @@
 	}
 }
 
-// check checks the state of the bind, and how many workloads the node and how many offers the connection has.
+// check checks the state of the bind, and the numbers of workloads of the node and of offers on the connection.
 func (f *bindFixture) check(t *testing.T, state bindState, running bool, workloadsOfNode, offersOnConn int) {
 	t.Helper()
 	assert.Equal(t, state, f.bind.state)
@@ -58,7 +58,7 @@
 	assert.False(t, placed.connecting(1))
 	placed.endBind()
 	placed.check(t, bindNone, false, 0, 0)
-	assert.Equal(t, placed.conn, placed.bind.conn, "messages of the node on it are about this bind")
+	assert.Equal(t, placed.conn, placed.bind.conn, "kept, since the node's messages on it concern this bind")
 }
 
 func TestBind_Confirmed_RunsUntilDetached(t *testing.T) {
@@ -100,9 +100,9 @@
 	}, w.bind)
 }
 
-func TestBind_ConcernedByItsConnectionAndOthersOfItsNode(t *testing.T) {
+func TestBind_AcceptsMessagesOnConnectionsOfItsNode(t *testing.T) {
 	n := &node{}
-	elsewhere := &node{}
+	otherNode := &node{}
 	own := &nodeConn{id: 1, node: n}
 	other := &nodeConn{id: 2, node: n}
 	abandoned := &nodeConn{id: 3, node: n}
@@ -110,10 +110,10 @@
 	w.bind.node = n
 	w.bind.conn = own
 	w.bind.abandonedOn = append(w.bind.abandonedOn, abandoned.id)
-	assert.True(t, w.concernedBy(own))
-	assert.True(t, w.concernedBy(other))
-	assert.False(t, w.concernedBy(abandoned))
-	assert.False(t, w.concernedBy(&nodeConn{id: 1, node: elsewhere}))
+	assert.True(t, w.acceptsMessagesOn(own))
+	assert.True(t, w.acceptsMessagesOn(other))
+	assert.False(t, w.acceptsMessagesOn(abandoned))
+	assert.False(t, w.acceptsMessagesOn(&nodeConn{id: 1, node: otherNode}))
 	w.bind.abandonedOn = append(w.bind.abandonedOn, own.id)
-	assert.True(t, w.concernedBy(own), "the last bind was offered on it too")
+	assert.True(t, w.acceptsMessagesOn(own), "the last offer was sent on the same connection")
 }
--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -7,7 +7,7 @@
 )
 
 // binder executes the engine's binds: it offers workloads to nodes, abandons offers and stops running workloads. It
-// reports to the engine the ends of binds that no message of a node reports.
+// also reports to the engine the binds that end without a message from the node.
 type binder struct {
 	*environment
 	workloads *workloadTable
@@ -15,15 +15,15 @@
 	conns     *nodeConns
 }
 
-// pendingOffer is a bind that waits for the connection to its node.
+// pendingOffer is an offer that waits for the connection to its node.
 type pendingOffer struct {
 	binder   *binder
 	workload *workload
-	bind     int
-	deadline placement.Millis
+	bind     int              // number of the bind
+	deadline placement.Millis // time at which the offer expires
 }
 
-// offer begins a bind. The offer is sent on a connection that is open or opens before the deadline.
+// offer begins a bind. The offer is sent as soon as a connection to the node is open, but not after the deadline.
 func (b *binder) offer(w *workload, bind int, n *node, deadline placement.Millis) {
 	w.beginBind(bind, n)
 	b.conns.await(n, &pendingOffer{
@@ -34,32 +34,33 @@
 	})
 }
 
-// isPending reports whether the bind has not ended in the meantime.
+// isPending reports whether the bind still waits for its connection.
 func (o *pendingOffer) isPending() bool {
-	return o.binder.workloads.holds(o.workload) && o.workload.connecting(o.bind)
+	return o.binder.workloads.contains(o.workload) && o.workload.connecting(o.bind)
 }
 
-// connected sends the offer, unless the node is draining or the deadline has passed.
+// connected implements connWaiter: it sends the offer. If the node is not ready or the deadline has passed, it ends the
+// bind instead.
 func (o *pendingOffer) connected(c *nodeConn) {
 	if !o.isPending() {
 		return
 	}
 	now := o.binder.host.Now()
 	if c.node.entry.State != placement.Ready || o.deadline <= now {
-		o.binder.notDelivered(o.workload)
+		o.binder.reportNotDelivered(o.workload)
 		return
 	}
 	o.binder.send(now, o, c)
 }
 
-// unreachable ends the bind.
+// unreachable implements connWaiter: it ends the bind.
 func (o *pendingOffer) unreachable() {
 	if o.isPending() {
-		o.binder.notDelivered(o.workload)
+		o.binder.reportNotDelivered(o.workload)
 	}
 }
 
-// send sends the offer on a connection that is open.
+// send sends the offer on an open connection.
 func (b *binder) send(now placement.Millis, o *pendingOffer, c *nodeConn) {
 	w := o.workload
 	w.markSent(now, c)
@@ -73,18 +74,19 @@
 	})
 }
 
-// notDelivered reports to the engine, once it is idle, that the offer of a bind was not sent.
-func (b *binder) notDelivered(w *workload) {
+// reportNotDelivered ends a bind and reports to the engine that its offer was not sent. The report is deferred, since
+// the engine may be handling an event.
+func (b *binder) reportNotDelivered(w *workload) {
 	bind := w.bind.number
 	b.host.Defer(func(now placement.Millis) {
-		if b.workloads.holds(w) && w.bind.number == bind {
+		if b.workloads.contains(w) && w.bind.number == bind {
 			w.endBind()
 			b.reportEnd(now, w, placement.Result{Kind: placement.NotDelivered})
 		}
 	})
 }
 
-// reportEnd reports to the engine how the last bind of a workload ended.
+// reportEnd reports the result of a workload's last bind to the engine.
 func (b *binder) reportEnd(now placement.Millis, w *workload, result placement.Result) {
 	var id placement.NodeID
 	if w.bind.node != nil {
@@ -93,7 +95,8 @@
 	b.host.Engine().BindEnded(now, w.id, w.bind.number, id, result)
 }
 
-// abandonTimedOut abandons the bind of a workload after its timeout. The engine has ended the bind already.
+// abandonTimedOut abandons a bind that the engine has ended because it timed out. If its connection was silent since
+// the offer, the connection is replaced.
 func (b *binder) abandonTimedOut(w *workload) {
 	if !b.abandon(w) {
 		return
@@ -102,7 +105,8 @@
 	b.conns.closeReplaced(w.bind.conn)
 }
 
-// abandonWithdrawn abandons the bind of a workload that its client has withdrawn, and reports the end to the engine.
+// abandonWithdrawn abandons the bind of a workload that its client has withdrawn, and reports the bind's end to the
+// engine.
 func (b *binder) abandonWithdrawn(w *workload) {
 	bind := w.bind.number
 	result := placement.Result{Kind: placement.NotDelivered, Final: true}
@@ -110,14 +114,14 @@
 		result.Kind = placement.OutcomeUnknown
 	}
 	b.host.Defer(func(now placement.Millis) {
-		if b.workloads.holds(w) && w.bind.node != nil {
+		if b.workloads.contains(w) && w.bind.node != nil {
 			b.host.Engine().BindEnded(now, w.id, bind, w.bind.node.id, result)
 		}
 	})
 }
 
-// abandon ends a bind that is not confirmed. If its offer was sent, the offer is withdrawn from the node. It reports
-// whether the offer was sent.
+// abandon ends an unconfirmed bind. If the offer was sent, abandon withdraws it from the node. It reports whether the
+// offer was sent.
 func (b *binder) abandon(w *workload) (sent bool) {
 	sent = w.bind.state == bindSent
 	w.endBind()
@@ -128,7 +132,8 @@
 	return sent
 }
 
-// offersLost handles the end of a connection: the offers that were out on it may have been accepted.
+// offersLost implements nodeEvents: it ends the binds whose replies were pending on the connection. The node may have
+// accepted their offers.
 func (b *binder) offersLost(now placement.Millis, c *nodeConn) {
 	for _, w := range frontend.SortedValues(c.offers) {
 		w.endBind()
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -9,20 +9,20 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-func TestBinder_ProcessOfTheNodeEnds_RunningWorkloadLost(t *testing.T) {
+func TestBinder_NodeProcessEnds_RunningWorkloadLost(t *testing.T) {
 	for name, end := range map[string]func(harness *testHarness){
-		"connections are refused": func(harness *testHarness) {
+		"dials are refused": func(harness *testHarness) {
 			harness.closeConn(harness.nodeConn, errReset)
 			for range 8 {
 				harness.advance(300)
 				harness.closeConn(harness.network.lastDialed(nodeAddr), errRefused)
 			}
 		},
-		"the list removes the node": func(harness *testHarness) {
+		"endpoint list removes the node": func(harness *testHarness) {
 			harness.closeConn(harness.nodeConn, errReset)
 			harness.publishNode(2, "Gone")
 		},
-		"the list states a later start": func(harness *testHarness) {
+		"endpoint list has a later start time": func(harness *testHarness) {
 			harness.advance(100)
 			harness.publish(2, nodeEvent(2, "Ready", float64(harness.endpoints.unixTime())))
 		},
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestBinder_OfferOnALostConnection_RetriedUnlessAtMostOnce(t *testing.T) {
+func TestBinder_OfferOnLostConnection_RetriedUnlessAtMostOnce(t *testing.T) {
 	t.Run("at most once, not retried", func(t *testing.T) {
 		harness := newHarness(t)
 		harness.receive(harness.clientConn, request(7, atMostOnce))
 		harness.closeConn(harness.nodeConn, errReset)
 		assert.Equal(t, []sentMessage{aTermination(codec.CauseReset)}, harness.sentAbout(harness.clientConn, 7),
-			"it may have run, and must not run twice")
+			"the first node may have started it, and it must not run twice")
 	})
 	t.Run("idempotent, retried until rejected", func(t *testing.T) {
 		harness := newHarness(t)
@@ -51,24 +51,24 @@
 		harness.closeConn(harness.nodeConn, errReset)
 		harness.advance(2500)
 		assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8),
-			"a retry does no harm")
+			"it is retried until its timeout, since it may run twice")
 	})
 }
 
-func TestBinder_OfferTimedOut_NoOfferFollowsOnTheSilentConnection(t *testing.T) {
+func TestBinder_OfferTimedOut_NoFurtherOfferOnSilentConnection(t *testing.T) {
 	harness := newHarness(t)
 	harness.advance(50)
 	harness.receive(harness.clientConn, request(7))
 	harness.advance(1500)
-	require.Contains(t, harness.sentAbout(harness.nodeConn, 7), aTermination(codec.CauseNormal), "it timed out")
+	require.Contains(t, harness.sentAbout(harness.nodeConn, 7), aTermination(codec.CauseNormal), "the offer timed out")
 	assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
 	harness.receive(harness.clientConn, request(8))
 	assert.Empty(t, harness.sentAbout(harness.nodeConn, 8))
 }
 
-// An offer that waits for the connection to its node is not sent if its client has disconnected or its node is
-// draining by then.
-func TestBinder_PendingOfferNotNeededAnyMore_NotSent(t *testing.T) {
+// An offer that waits for a connection must not be sent if, when the connection opens, the client has cancelled or
+// disconnected or the node is draining.
+func TestBinder_PendingOfferObsolete_NotSent(t *testing.T) {
 	for name, meanwhile := range map[string]func(harness *testHarness){
 		"client disconnected": func(harness *testHarness) { harness.closeConn(harness.clientConn, errClosed) },
 		"request cancelled": func(harness *testHarness) {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestBinder_StopNotConfirmed_WorkloadEndsAfterGrace(t *testing.T) {
+func TestBinder_StopNotConfirmed_WorkloadEndsAfterEndGrace(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
 	harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
@@ -108,7 +108,7 @@
 	harness.closeConn(harness.nodeConn, errClosed)
 	harness.receive(harness.clientConn, request(7))
 	dialed := harness.network.lastDialed(nodeAddr)
-	harness.now += 3000 // without a wake-up, in which the bind would time out
+	harness.now += 3000 // without a wake-up, which would time out the bind
 	harness.openConn(dialed)
 	assert.Empty(t, harness.sentAbout(dialed, 7))
 }
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,48 +7,50 @@
 )
 
 const (
-	// clientShare is the share of the file descriptors for clients' connections. By the platform's rules clients use a
-	// third; the margin is for those that use more. The rest is for nodes, the discovery service, the listener and the
-	// event loops.
-	clientShare = 0.4
-	// extraClientConns is how many connections beyond their share are accepted, so that the one to evict can be chosen.
+	// clientSocketShare is the share of the file descriptors that client connections may use. The platform's rules allow
+	// clients a third; the margin tolerates clients that use more. The remaining descriptors are for nodes, the discovery
+	// service, the listener and the event loops.
+	clientSocketShare = 0.4
+	// extraClientConns is the number of connections that are accepted beyond that share, so that the frontend can choose
+	// which connection to evict.
 	extraClientConns = 8
-	// firstMessageTimeout is how long, in ms, a connection may stay open without a message. The platform expects a
-	// reply within 3 s.
+	// firstMessageTimeout, in ms, is how long a connection may stay open before its first message. The platform expects
+	// a reply within 3 s.
 	firstMessageTimeout = placement.Millis(2000)
-	// maxUndelivered bounds the notifications that wait for a connection of a client.
+	// maxUndelivered is the maximum number of notifications that wait for a client connection.
 	maxUndelivered = 4096
-	// undeliveredTTL is how long, in ms, such a notification waits.
+	// undeliveredTTL, in ms, is how long a notification waits for a client connection before it is dropped.
 	undeliveredTTL = 10 * endGrace
 )
 
-// maxClientConns is how many connections of clients stay open.
-func (c *Config) maxClientConns() int { return int(float64(c.Limits.Sockets) * clientShare) }
+// maxClientConns returns the maximum number of client connections that are kept open.
+func (c *Config) maxClientConns() int { return int(float64(c.Limits.Sockets) * clientSocketShare) }
 
-// clientConn is a connection of a client.
+// clientConn is a client connection.
 type clientConn struct {
 	id           transport.ConnID
-	active       bool // a message was received
-	placed       int  // workloads placed or adopted for it
-	lastReceived placement.Millis
-	unanswered   map[placement.WorkloadID]*workload // requests of this connection without a final answer
+	active       bool                               // a message was received
+	placed       int                                // number of workloads placed or adopted on this connection
+	lastReceived placement.Millis                   // time of the last message, or of opening if there is none
+	unanswered   map[placement.WorkloadID]*workload // requests on this connection without a final answer
 }
 
-// requestCanceler withdraws the requests of a connection that has ended.
+// requestCanceler withdraws the unanswered requests of a closed connection.
 type requestCanceler interface {
 	cancelAll(now placement.Millis, unanswered map[placement.WorkloadID]*workload)
 }
 
-// clientConns holds the connections of clients, and the notifications that wait for one.
+// clientConns is the table of client connections. It also queues notifications while no client connection can take
+// them.
 type clientConns struct {
 	*environment
 	requests    requestCanceler
 	conns       map[transport.ConnID]*clientConn
-	limit       int
+	limit       int // maximum number of connections
 	undelivered []notification
 }
 
-// notification is a message that waits for a connection.
+// notification is a queued message that waits for a client connection.
 type notification struct {
 	message   codec.Message
 	expiresAt placement.Millis
@@ -62,10 +64,10 @@
 	}
 }
 
-// get returns the connection of that id, or nil.
+// get returns the connection with the given id, or nil.
 func (cs *clientConns) get(id transport.ConnID) *clientConn { return cs.conns[id] }
 
-// opened admits a connection. Beyond the limit one is evicted, which may be the new one.
+// opened adds an accepted connection. If that exceeds the limit, it evicts a connection, which may be the new one.
 func (cs *clientConns) opened(now placement.Millis, id transport.ConnID) {
 	c := &clientConn{
 		id:           id,
@@ -84,9 +86,9 @@
 	})
 }
 
-// evictConnection closes the first connection in the eviction order among those without an unanswered request. It
-// guards against clients that open connections by the thousand and keep them. If all have requests, the latest is
-// closed.
+// evictConnection closes the first connection in eviction order among those without unanswered requests. If all others
+// have unanswered requests, it closes the latest connection. Eviction guards against clients that open thousands of
+// connections and keep them.
 func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
 	var first *clientConn
 	for _, c := range cs.conns {
@@ -100,8 +102,8 @@
 	cs.disconnect(now, first)
 }
 
-// evictedBefore is the eviction order: connections without any message first, then those with fewer placed workloads,
-// then those that were silent for longer.
+// evictedBefore defines the eviction order: connections without any message come first, then those with fewer placed
+// workloads, then those with an older last message.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	switch {
 	case c.active != other.active:
@@ -120,14 +122,15 @@
 	cs.closed(now, c)
 }
 
-// closed handles the end of a connection: its requests are withdrawn, as no answer can reach their client any more.
+// closed removes a closed connection and withdraws its unanswered requests, which can no longer be answered.
 func (cs *clientConns) closed(now placement.Millis, c *clientConn) {
 	delete(cs.conns, c.id)
 	cs.requests.cancelAll(now, c.unanswered)
 }
 
-// notify sends a message about a workload on the connection of its request. If that has ended, it uses the connection
-// with the most placed workloads, which is likely to stay open. Without any, the message waits for a connection.
+// notify sends a message about a workload on the connection of its request. If that is closed, it uses the connection
+// with the most placed workloads, which is likely to stay open. If no connection has placed workloads, the message is
+// queued; beyond maxUndelivered, the oldest queued message is dropped.
 func (cs *clientConns) notify(w *workload, m codec.Message) {
 	if cs.conns[w.client] != nil {
 		cs.net.Send(w.client, m)
@@ -143,7 +146,7 @@
 	cs.undelivered = append(cs.undelivered, notification{message: m, expiresAt: cs.host.Now() + undeliveredTTL})
 }
 
-// mostPlaced returns the last connection in the eviction order among those with placed workloads, or nil.
+// mostPlaced returns the last connection in eviction order among those with placed workloads, or nil.
 func (cs *clientConns) mostPlaced() *clientConn {
 	var last *clientConn
 	for _, c := range cs.conns {
@@ -154,7 +157,8 @@
 	return last
 }
 
-// flushUndelivered sends the notifications that wait for a connection, unless this one has ended.
+// flushUndelivered sends the queued, unexpired notifications on the given connection and empties the queue. It does
+// nothing if the connection is closed.
 func (cs *clientConns) flushUndelivered(now placement.Millis, c *clientConn) {
 	if len(cs.undelivered) == 0 || cs.conns[c.id] != c {
 		return
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -9,7 +9,7 @@
 	"grebeglade/internal/transport"
 )
 
-func TestClientConns_NoMessageInTime_Closed(t *testing.T) {
+func TestClientConns_FirstMessageTimeout_Closed(t *testing.T) {
 	harness := newHarness(t)
 	harness.advance(firstMessageTimeout + 100)
 	assert.True(t, harness.network.closed[harness.clientConn])
@@ -85,24 +85,24 @@
 func TestClientConns_UndeliveredNotificationsExpireAndAreBounded(t *testing.T) {
 	harness := newHarness(t)
 	harness.closeConn(harness.clientConn, errClosed)
-	ofClosedConn := &workload{client: harness.clientConn}
+	requestedOnClosedConn := &workload{client: harness.clientConn}
 	for tag := range codec.Tag(maxUndelivered + 1) {
-		harness.clients.notify(ofClosedConn, codec.NewMigration(tag))
+		harness.clients.notify(requestedOnClosedConn, codec.NewMigration(tag))
 	}
 	assert.Len(t, harness.clients.undelivered, maxUndelivered)
 	assert.Equal(t, codec.Tag(1), harness.clients.undelivered[0].message.Envelope().Tag, "the oldest is dropped")
 	harness.advance(undeliveredTTL)
 	harness.openConn(otherConn)
-	harness.receive(otherConn, codec.NewTermination(1, codec.CauseNormal)) // about no workload
-	assert.Len(t, harness.clients.undelivered, maxUndelivered, "a message without effect sends none")
+	harness.receive(otherConn, codec.NewTermination(1, codec.CauseNormal)) // of an unknown workload
+	assert.Len(t, harness.clients.undelivered, maxUndelivered, "a message without effect sends no notification")
 	harness.receive(otherConn, codec.NewHealthCheck(1))
-	assert.Len(t, harness.network.sent[otherConn], 1, "only the reply")
+	assert.Len(t, harness.network.sent[otherConn], 1, "only the health reply; the notifications have expired")
 	assert.Empty(t, harness.clients.undelivered)
 }
 
-// Connections of clients that send one request and stay open, in large numbers, neither evict the connection of a
-// client with several running workloads, even if it was silent for longer, nor receive its notifications. The cost is
-// that clients with few placed workloads are evicted sooner.
+// Guards against many connections with one request each, which stay open: they must neither cause the eviction of a
+// connection with several running workloads, even if that was silent for longer, nor receive its notifications. The
+// cost is that connections with few placed workloads are evicted sooner.
 func TestClientConns_ClientWithRunningWorkloads_KeptAndNotified(t *testing.T) {
 	harness := newHarness(t)
 	const closedConn = otherConn - 1
@@ -150,7 +150,7 @@
 	harness.openConn(otherConn)
 	harness.closeConn(harness.clientConn, errClosed)
 	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseNormal))
-	assert.Empty(t, harness.sentAbout(otherConn, 7), "it has sent no message yet")
+	assert.Empty(t, harness.sentAbout(otherConn, 7), "no message was received on it yet")
 	assert.Len(t, harness.clients.undelivered, 1)
 	harness.receive(otherConn, request(8))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(otherConn, 7))
--- a/internal/frontend/platform/config.go
+++ b/internal/frontend/platform/config.go
@@ -11,33 +11,34 @@
 	"grebeglade/internal/settings"
 )
 
-// Config is the configuration that the platform gives an allocator at its start.
+// Config is the configuration that the platform passes to an allocator at its start.
 type Config struct {
 	Name             string
 	Listen           string // address that clients connect to
 	DiscoveryAddress string
-	Seed             uint64 // of the placement module and of the jitter
+	Seed             uint64 // seed of the placement module and of the retry jitter
 	Limits           Limits
 	Settings         *settings.Received
-	KnownEvents      []json.RawMessage // the discovery service's events up to Revision
-	Revision         uint64
+	KnownEvents      []json.RawMessage // discovery events published up to Revision; the first is a snapshot
+	Revision         uint64            // revision after which the subscription begins
 }
 
-// Limits are the resources that the process may use.
+// Limits are the resource limits of the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// minSockets leaves a dozen descriptors for nodes beside the clients' share and the reserve.
+// minSockets is the minimum number of file descriptors. It leaves a dozen for nodes besides clientSocketShare,
+// extraClientConns and reservedSockets.
 const minSockets = 64
 
-// configFile is the file that the platform writes. Keys match without regard to case.
+// configFile is the JSON of the platform's configuration file. Keys are matched case-insensitively.
 type configFile struct {
 	Name    string
 	Listen  string
-	Seed    string
+	Seed    string // see parseSeed
 	Journal string // address of the discovery service
 	Limits  Limits
 	Known   struct {
@@ -47,7 +48,8 @@
 	Settings json.RawMessage
 }
 
-// ReadConfig reads the file that the platform writes. Listen, unless empty, takes the place of the file's address.
+// ReadConfig reads and validates the platform's configuration file. If listen is not empty, it overrides the file's
+// listen address.
 func ReadConfig(file, listen string) (*Config, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return config, nil
 }
 
-// parseSeed reads a seed in hexadecimal digits. Any other text is hashed.
+// parseSeed parses a seed in hexadecimal digits. For any other text it returns a hash of the text.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
@@ -87,15 +89,15 @@
 	return hash.Sum64()
 }
 
-// validate checks the values that the settings do not cover. An error names the key and the remedy.
+// validate checks the values that package settings does not check. An error states the key and the valid values.
 func (c *Config) validate() error {
 	switch {
 	case c.Listen == "":
-		return fmt.Errorf("listen is missing; give the address that clients connect to")
+		return fmt.Errorf("listen is missing; set it to the address that clients connect to")
 	case c.DiscoveryAddress == "":
-		return fmt.Errorf("journal is missing; give the journal service's address")
+		return fmt.Errorf("journal is missing; set it to the address of the discovery service")
 	case c.Limits.Sockets < minSockets:
-		return fmt.Errorf("limits.sockets is %d; an allocator needs %d or more", c.Limits.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets is %d; it must be at least %d", c.Limits.Sockets, minSockets)
 	case c.Limits.MemoryMB <= 0:
 		return fmt.Errorf("limits.memory_mb is %d; it must be above 0", c.Limits.MemoryMB)
 	}
--- a/internal/frontend/platform/config_test.go
+++ b/internal/frontend/platform/config_test.go
@@ -69,7 +69,7 @@
 	assert.NotEqual(t, first, read("another"))
 }
 
-func TestReadConfig_InvalidFile_ErrorNamesTheFault(t *testing.T) {
+func TestReadConfig_InvalidFile_ErrorStatesTheFault(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"listen is missing":            {`"listen"`, `"other"`},
 		"journal is missing":           {`"journal"`, `"other"`},
--- a/internal/frontend/platform/dialhistory.go
+++ b/internal/frontend/platform/dialhistory.go
@@ -2,42 +2,42 @@
 
 import "grebeglade/placement"
 
-// dialHistory is what decides when a node is dialed again. The two timers are independent of each other: while the one
-// of redial runs, the node may be connected to send it something, and that connection may be evicted.
+// dialHistory holds the state that determines when a node is dialed again. The two timers may run at the same time:
+// while that of redial runs, the node may be dialed to send a message, and the new connection may be evicted.
 type dialHistory struct {
-	failures       int // in a row
-	refusals       refusalPeriod
-	redialPending  bool // the timer of redial is set
-	revisitPending bool // the timer of revisit is set, as the node's connection was evicted
+	failures             int // consecutive failed dials
+	refusals             refusalPeriod
+	redialPending        bool // the timer of nodeConns.redial is running
+	evictedRedialPending bool // the timer of nodeConns.redialEvicted is running
 }
 
-// refusalPeriod is the time for which each dial of a node has been refused.
+// refusalPeriod is a period in which all dials of a node were refused.
 type refusalPeriod struct {
 	ongoing bool
-	since   placement.Millis // if ongoing: when the first of these dials was refused
+	since   placement.Millis // time of the first refused dial; valid if ongoing
 }
 
-// timerPending reports whether a timer is set that dials the node.
-func (h *dialHistory) timerPending() bool { return h.redialPending || h.revisitPending }
+// timerPending reports whether a timer is running that will dial the node.
+func (h *dialHistory) timerPending() bool { return h.redialPending || h.evictedRedialPending }
 
-// opened records that a connection to the node has opened.
+// opened records a successful dial.
 func (h *dialHistory) opened() {
 	h.failures = 0
 	h.refusals.end()
 }
 
-// redialAt returns when the node is to be dialed again, given the delay of the backoff.
+// redialAt returns the time of the next dial, given the delay of the backoff.
 func (h *dialHistory) redialAt(now, delay placement.Millis) placement.Millis {
 	at := now + delay
 	if h.refusals.ongoing {
-		// An earlier attempt proves nothing new. After the loss of a zone, dialing its nodes more often took so much of
-		// a part of a core that answers were late by half a second.
+		// An earlier dial cannot show that the node is down. After the loss of a zone, dialing its nodes more often
+		// uses so much of a fraction of a core that answers are late by half a second.
 		at = max(at, h.refusals.since+nodeDownAfter)
 	}
 	return at
 }
 
-// add records a refused dial, and returns how long, in ms, the period has lasted.
+// add records a refused dial, and returns the duration of the period in ms.
 func (r *refusalPeriod) add(now placement.Millis) placement.Millis {
 	if !r.ongoing {
 		r.ongoing = true
@@ -46,5 +46,5 @@
 	return now - r.since
 }
 
-// end records a dial that was not refused.
+// end ends the period: a dial succeeded or failed for another reason.
 func (r *refusalPeriod) end() { r.ongoing = false }
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -11,19 +11,20 @@
 	"grebeglade/placement"
 )
 
-// startTolerance is by how much, in ms, two readings of one start may differ: clocks are read anew each time.
+// startTolerance, in ms, is the maximum difference between two calculated start times of one process of a node. They
+// differ because each calculation reads the clocks again.
 const startTolerance = placement.Millis(20)
 
-// endpointList applies the discovery service's events: to the engine, the table of nodes and the connections to them.
+// endpointList applies the discovery service's events to the engine, the node table and the node connections.
 type endpointList struct {
 	*environment
 	nodes    *nodeTable
 	conns    *nodeConns
 	binder   *binder
-	unixTime func() placement.Millis // the system's clock, as the platform states starts of nodes in it
+	unixTime func() placement.Millis // current Unix time, the time base of Endpoint.StartedAt
 }
 
-// apply applies an event, given as the discovery service's data. An event that is not about nodes does nothing.
+// apply implements eventHandler. Events that are not about nodes are ignored.
 func (l *endpointList) apply(now placement.Millis, event []byte) error {
 	update, ok, err := codec.DecodeEndpoints(event)
 	if err != nil || !ok {
@@ -37,8 +38,7 @@
 	return nil
 }
 
-// applyCached applies an event as apply does, as a snapshot that was taken before this process started, and may be out
-// of date.
+// applyCached applies an event as a cached snapshot: it was taken before this process started and may be out of date.
 func (l *endpointList) applyCached(now placement.Millis, event []byte) error {
 	update, ok, err := codec.DecodeEndpoints(event)
 	if err != nil || !ok {
@@ -48,15 +48,15 @@
 	return nil
 }
 
-// applyUpdate applies an update of that kind: to the engine, and then to the nodes and the connections to them.
+// applyUpdate applies an update of the given kind, first to the engine, then to the node table and the connections.
 func (l *endpointList) applyUpdate(now placement.Millis, kind placement.NodeUpdateKind, update codec.EndpointUpdate) {
 	entries := make([]placement.Node, 0, len(update.Endpoints))
 	for i := range update.Endpoints {
 		entries = append(entries, l.entry(now, &update.Endpoints[i]))
 	}
-	// Formatting a list of hundreds is slower than decoding it.
+	// Guarded, since formatting a list of hundreds of endpoints is slower than decoding it.
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
+		l.log.Debug("applying endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
 	}
 	l.host.Engine().UpdateNodes(now, kind, entries)
 	for i, entry := range entries {
@@ -67,14 +67,14 @@
 	}
 }
 
-// entry returns an endpoint as the engine knows it.
+// entry converts an endpoint to the engine's form. It adds the node to the table if it is new.
 func (l *endpointList) entry(now placement.Millis, endpoint *codec.Endpoint) placement.Node {
-	known := l.nodes.intern(endpoint.Name)
+	current := l.nodes.intern(endpoint.Name)
 	return placement.Node{
-		ID:         known.id,
+		ID:         current.id,
 		State:      endpoint.State,
 		Cell:       placement.CellID(endpoint.Cell),
-		StartedAt:  l.startedAt(now, endpoint, known.entry.StartedAt),
+		StartedAt:  l.startedAt(now, endpoint, current.entry.StartedAt),
 		Kind:       placement.KindID(slices.Index(l.config.Settings.KindNames, endpoint.Kind)),
 		Zone:       placement.ZoneID(slices.Index(l.config.Settings.ZoneNames, endpoint.Zone)),
 		FreeCores:  endpoint.FreeCores,
@@ -82,30 +82,30 @@
 	}
 }
 
-// startedAt returns when a node started, on the clock of now. It returns the known time if the two are readings of the
-// same start.
+// startedAt returns the start time of a node's process on the clock of now. If it differs from the last calculated one
+// by less than startTolerance, it returns the last, so that the node does not appear to have restarted.
 func (l *endpointList) startedAt(
-	now placement.Millis, endpoint *codec.Endpoint, known placement.Millis,
+	now placement.Millis, endpoint *codec.Endpoint, last placement.Millis,
 ) placement.Millis {
 	if endpoint.StartedAt <= 0 {
 		return placement.DistantPast
 	}
 	started := now + endpoint.StartedAt - l.unixTime()
-	if max(known-started, started-known) < startTolerance {
-		return known
+	if max(last-started, started-last) < startTolerance {
+		return last
 	}
 	return started
 }
 
-// update brings a node and the connection to it in line with its entry.
+// update applies a new entry to a node and its connection.
 func (l *endpointList) update(now placement.Millis, entry placement.Node, endpoint *codec.Endpoint) {
-	n := l.nodes.intern(endpoint.Name) // an earlier entry of the same list may have removed it
+	n := l.nodes.intern(endpoint.Name) // an earlier entry of the same list may have removed the node
 	moved := n.addr != "" && n.addr != endpoint.Address
 	restarted := n.listed && n.entry.StartedAt != entry.StartedAt
 	n.entry = entry
 	n.listed = true
-	// The node that had the address has ended, even if the list does not say so yet: an offer for it must not reach the
-	// one that has the address now.
+	// The process of the node that had the address before has ended, even if the list still has the node. Its connection
+	// is closed, since an offer for it must not reach the node that has the address now.
 	if displaced := l.nodes.assignAddr(n, endpoint.Address); displaced != nil {
 		l.conns.disconnectNode(now, displaced, errAddressTaken)
 		l.binder.processEnded(now, displaced)
@@ -119,12 +119,12 @@
 	case restarted:
 		l.binder.processRestarted(now, n, entry.StartedAt)
 	}
-	if !n.dialing.revisitPending {
+	if !n.dialing.evictedRedialPending {
 		l.conns.connect(now, n)
 	}
 }
 
-// removeUnlisted removes the nodes that a snapshot does not name.
+// removeUnlisted removes the listed nodes that a snapshot does not contain.
 func (l *endpointList) removeUnlisted(now placement.Millis, entries []placement.Node) {
 	listed := make(map[placement.NodeID]bool, len(entries))
 	for _, entry := range entries {
--- a/internal/frontend/platform/endpoints_test.go
+++ b/internal/frontend/platform/endpoints_test.go
@@ -10,11 +10,12 @@
 	"grebeglade/placement"
 )
 
-// A snapshot that arrives late replaces the list: a node that it does not name is removed, and its workloads are lost.
+// A snapshot replaces the whole list, also if it is received after other events: nodes that it does not contain are
+// removed, and their workloads are lost.
 func TestEndpointList_LateSnapshot_ReplacesTheList(t *testing.T) {
 	harness := newHarness(t)
 	harness.publishNodes(2)
-	harness.receive(harness.clientConn, runningOn(7, extraNodeName(1)))
+	harness.receive(harness.clientConn, adoptRequest(7, extraNodeName(1)))
 	harness.publish(9, snapshotEvent(readyEndpoint(nodeName, nodeAddr)))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseReset)}, harness.sentAbout(harness.clientConn, 7))
 	assert.Nil(t, harness.nodes.byName[extraNodeName(1)])
@@ -23,8 +24,8 @@
 	assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State, "an earlier revision is skipped")
 }
 
-// A new node has the address of one that the list still names: the offers for the old one must not reach it, and the
-// workloads of the old one have ended. The list may be out of date; two nodes never share an address.
+// The list may be out of date and still contain a node whose address a new node has. Two nodes never share an address,
+// so the workloads of the old node have ended, and offers for it must not be sent to the new one.
 func TestEndpointList_AddressTakenOver_EarlierNodeEnds(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
@@ -34,7 +35,7 @@
 		harness.sentAbout(harness.clientConn, 7))
 	assert.True(t, harness.network.closed[harness.nodeConn])
 	harness.receive(harness.clientConn, request(8))
-	assert.Equal(t, harness.nodeConn, harness.network.lastDialed(nodeAddr), "the address is not dialed for the old one")
+	assert.Equal(t, harness.nodeConn, harness.network.lastDialed(nodeAddr), "the address is not dialed for the old node")
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
 	harness.publishNode(3, "Gone")
 	assert.NotNil(t, harness.nodes.byName["s-02"])
@@ -48,11 +49,12 @@
 	harness.publish(2, deltaEvent(fmt.Sprintf(
 		`{"name":%q,"address":%q,"zone":"z","type":"small","status":"Ready"}`, nodeName, moved)))
 	assert.True(t, harness.network.closed[harness.nodeConn])
-	assert.NotZero(t, harness.network.lastDialed(moved), "the end of its workload is to be received")
+	assert.NotZero(t, harness.network.lastDialed(moved), "dialed to receive the end of its workload")
 	assert.Nil(t, harness.nodes.byAddr[nodeAddr])
 }
 
-// Two readings of the clocks must not make one start of a node look like two, which would end its workloads.
+// The start time of a node is calculated from two clocks for each event. A small difference between two calculations
+// must not be treated as a restart, which would end the node's workloads.
 func TestEndpointList_SameStartReadTwice_NoRestart(t *testing.T) {
 	harness := newHarness(t)
 	startedAt := float64(harness.endpoints.unixTime())
@@ -66,8 +68,9 @@
 		harness.sentAbout(harness.clientConn, 7))
 }
 
-// An event may remove a node and name it again: the second entry is that of a new node, and must not crash the process.
-func TestEndpointList_NodeNamedTwiceInOneEvent_LastEntryApplies(t *testing.T) {
+// An event may remove a node and add it again. The first entry removes the node from the table, so the second one must
+// create a new node rather than crash.
+func TestEndpointList_TwoEntriesForOneNode_LastEntryApplies(t *testing.T) {
 	harness := newHarness(t)
 	harness.publish(2, deltaEvent(`{"name":"s-01","status":"Gone"}`, readyEndpoint(nodeName, nodeAddr)))
 	assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State)
@@ -80,16 +83,17 @@
 	assert.Equal(t, uint64(2), harness.subscription.revision)
 	assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State)
 	harness.receive(harness.clientConn, codec.NewHealthCheck(1))
-	assert.Len(t, harness.network.sent[harness.clientConn], 1, "the service has responded")
+	assert.Len(t, harness.network.sent[harness.clientConn], 1, "the frontend is ready after the response")
 }
 
-// A workload is adopted before the list names its node. The node's first entry is neither a restart nor its end.
+// A workload may be adopted before the endpoint list contains its node. Neither a list without the node nor the node's
+// first entry may be treated as the end or restart of its process.
 func TestEndpointList_NodeNotListedBefore_NoRestart(t *testing.T) {
 	harness := newHarness(t)
-	harness.receive(harness.clientConn, runningOn(7, extraNodeName(0)))
+	harness.receive(harness.clientConn, adoptRequest(7, extraNodeName(0)))
 	harness.advance(100)
 	harness.publish(2, snapshotEvent(readyEndpoint(nodeName, nodeAddr)))
-	assert.Empty(t, harness.sentAbout(harness.clientConn, 7), "a list that does not name it yet")
+	assert.Empty(t, harness.sentAbout(harness.clientConn, 7), "the list does not contain the node yet")
 	harness.publish(3, deltaEvent(fmt.Sprintf(
 		`{"name":%q,"address":%q,"zone":"z","type":"small","status":"Ready","since_ms":%f,"room":[20,40]}`,
 		extraNodeName(0), extraNodeAddr(0), float64(harness.endpoints.unixTime()))))
--- a/internal/frontend/platform/fakenetwork_test.go
+++ b/internal/frontend/platform/fakenetwork_test.go
@@ -5,16 +5,16 @@
 	"grebeglade/placement"
 )
 
-// fakeNetwork is a transport.Network that only records.
+// fakeNetwork is a transport.Network that records calls and does no I/O.
 type fakeNetwork struct {
 	now          placement.Millis
-	queuedFor    placement.Millis // between reading a message and handling it
+	queuedFor    placement.Millis // time between receiving and handling a message
 	lastID       transport.ConnID
-	dialed       map[transport.ConnID]string
+	dialed       map[transport.ConnID]string // addresses
 	sent         map[transport.ConnID][]any
-	closed       map[transport.ConnID]bool // by the frontend
-	closedByPeer map[transport.ConnID]bool // before the frontend handles it
-	wakeups      []placement.Millis
+	closed       map[transport.ConnID]bool // closed by the frontend
+	closedByPeer map[transport.ConnID]bool // closed by the peer, not yet handled by the frontend
+	wakeups      []placement.Millis        // the last requested wake-up
 }
 
 func newFakeNetwork() *fakeNetwork {
@@ -44,7 +44,7 @@
 
 func (f *fakeNetwork) Now() placement.Millis { return f.now }
 
-// lastDialed returns the last connection dialed to an address, or 0.
+// lastDialed returns the last connection that was dialed to an address, or 0 if there is none.
 func (f *fakeNetwork) lastDialed(addr string) (last transport.ConnID) {
 	for id, dialed := range f.dialed {
 		if dialed == addr {
@@ -54,7 +54,7 @@
 	return last
 }
 
-// countOpen counts the connections that were dialed and not closed, except one.
+// countOpen counts the connections that were dialed and not closed. The connection except is not counted.
 func (f *fakeNetwork) countOpen(except transport.ConnID) (n int) {
 	for id := range f.dialed {
 		if id != except && !f.IsClosed(id) {
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -1,19 +1,19 @@
-// Package platform is the allocator's frontend on the users' platform: clients send lines of JSON, nodes are sent
-// binary messages, and a discovery service lists the nodes.
+// Package platform is the allocator's frontend on the users' platform. Clients exchange lines of JSON with it, nodes
+// binary messages, and a discovery service publishes the list of nodes.
 //
-// A Frontend wires together the types that own its state:
+// A Frontend consists of types that own state:
 //
-//   - clientConns: the connections of clients, and notifications that wait for one;
+//   - clientConns: the client connections, and the notifications that wait for one;
 //   - nodeTable, nodeConns: the nodes, and the connections to them;
-//   - workloadTable: the workloads, each with its bind;
-//   - subscription, endpointList: the discovery service's stream, and what its events change;
+//   - workloadTable: the workloads, each with its last bind;
+//   - subscription, endpointList: the connection to the discovery service, and the application of its events;
 //   - lifecycle: whether the frontend is starting, ready or draining,
 //
-// and those that act on it: requestHandler for clients' messages, replyHandler for nodes' messages, binder for the
-// engine's binds, healthChecker for its health checks of nodes.
+// and of types that act on that state: requestHandler for messages from clients, replyHandler for messages from nodes,
+// binder for the engine's binds, healthChecker for the engine's health checks.
 //
-// Where a workload goes is decided by the engine's placement module alone. Everything belongs to one goroutine. Times
-// are milliseconds on a clock that never steps back.
+// Placement decisions are made only by the engine's placement module. All types of the package must be used from one
+// goroutine. Times are in milliseconds on a monotonic clock.
 package platform
 
 import (
@@ -27,41 +27,41 @@
 )
 
 const (
-	// maxWakeInterval is the longest time between two wake-ups, in ms.
+	// maxWakeInterval, in ms, is the longest time between two wake-ups.
 	maxWakeInterval = placement.Millis(1000)
-	// endGrace is how long, in ms, a node may take to confirm an end or to reply to a health check.
+	// endGrace, in ms, is the timeout for a node's confirmation of a release and for its reply to a health check.
 	endGrace = placement.Millis(3000)
-	// messageTimeout is how long, in ms, a message may take from its first byte to its last.
+	// messageTimeout, in ms, is the maximum time between the first and the last byte of a received message.
 	messageTimeout = placement.Millis(1000)
-	// maxWriteBuffer bounds the bytes that wait to be written to a peer that does not read.
+	// maxWriteBuffer is the maximum size, in bytes, of a connection's write buffer, which fills if the peer does not read.
 	maxWriteBuffer = 256 << 10
-	// maxQueuedEvents bounds the messages that wait to be handled; while so many wait, connections are not read.
+	// maxQueuedEvents is the number of queued messages at which connections are no longer read.
 	maxQueuedEvents = 512
 )
 
-// Counters count events since the start.
+// Counters count events since the start of the frontend.
 type Counters struct {
 	frontend.Counters
-	Adopted  uint64 // workloads that ran already when a client named them
-	Invalid  uint64 // connections of clients closed for what they sent, or for sending nothing
-	Lost     uint64 // workloads that ended with the process of their node
-	Released uint64 // workloads whose end their client was notified of
+	Adopted  uint64 // running workloads adopted at a client's request
+	Invalid  uint64 // client connections closed because of an invalid message or no message
+	Lost     uint64 // running workloads that ended because their node's process ended
+	Released uint64 // notifications to clients that a workload ended
 }
 
-// environment is what all parts of a Frontend use. It shares no type with the native frontend's: the counters differ,
-// and the exported fields of a shared type would become fields of Frontend.
+// environment holds what all parts of a Frontend use. It is not shared with the native frontend, which has other
+// counters; the exported fields of a shared type would also become fields of Frontend.
 type environment struct {
 	config   *Config
 	log      *slog.Logger
 	host     *frontend.Host
-	net      transport.Network // from Start on
+	net      transport.Network // nil before Start
 	counters *Counters
 }
 
 var _ transport.Handler = (*Frontend)(nil)
 
-// Frontend is an allocator on the platform. It belongs to one goroutine. Its fields are the parts that the package's
-// comment lists; it has no state beside them.
+// Frontend is an allocator on the platform. It must be used from one goroutine. All of its state is in its parts, which
+// the package comment lists.
 type Frontend struct {
 	environment
 	Counters Counters
@@ -79,10 +79,10 @@
 	lifecycle    *lifecycle
 }
 
-// unixTime returns the system's clock as Unix time in ms.
+// unixTime returns the current Unix time in ms.
 func unixTime() placement.Millis { return placement.Millis(float64(time.Now().UnixNano()) / 1e6) }
 
-// Limits returns the limits of the frontend's connections.
+// Limits returns the limits that the transport has to apply to the frontend's connections.
 func (f *Frontend) Limits() transport.Limits {
 	return transport.Limits{
 		MaxFrameSize:       codec.MaxMessageSize,
@@ -94,17 +94,17 @@
 	}
 }
 
-// Start is called once, before any other event.
+// Start implements transport.Handler. It must be called once, before any other event.
 func (f *Frontend) Start(now placement.Millis, net transport.Network) {
 	f.host.Attach(now, net)
 	f.net = net
 	f.host.Handle(now, func() { f.start(now) })
 }
 
-// start applies the events that the configuration holds, starts the engine and connects to the discovery service.
+// start applies the events of the configuration, starts the engine and connects to the discovery service.
 func (f *Frontend) start(now placement.Millis) {
 	for i, event := range f.config.KnownEvents {
-		if err := f.applyKnown(now, i, event); err != nil {
+		if err := f.applyConfigured(now, i, event); err != nil {
 			f.log.Warn("known event not applied", "error", err)
 		}
 	}
@@ -114,21 +114,21 @@
 	f.host.Schedule(now+readyTimeout, f.lifecycle.markReady)
 }
 
-// applyKnown applies the event of that index in the configuration. The first is a snapshot, which counts as cached,
-// since it was written before this process started.
-func (f *Frontend) applyKnown(now placement.Millis, index int, event []byte) error {
+// applyConfigured applies the configuration's event with the given index. The first event is applied as a cached
+// snapshot, since it was written before this process started.
+func (f *Frontend) applyConfigured(now placement.Millis, index int, event []byte) error {
 	if index == 0 {
 		return f.endpoints.applyCached(now, event)
 	}
 	return f.endpoints.apply(now, event)
 }
 
-// Drain begins a graceful shutdown: health checks fail, and requests are served for drainTimeout, then rejected.
-// Running workloads are left running.
+// Drain begins a graceful shutdown: clients' health checks fail, and new requests are accepted for drainTimeout, then
+// rejected. Running workloads are not stopped.
 func (f *Frontend) Drain(now placement.Millis) { f.lifecycle.drain(now) }
 
-// Drained reports whether, after a Drain, the process may end: every request has its answer, and the releases that wait
-// for a connection to their node were sent or have timed out. Notifications that wait for a connection of a client are
+// Drained reports whether the process may exit after Drain: drainTimeout has passed, every request is answered, and the
+// releases that wait for a connection to their node were sent or timed out. Queued notifications to clients are
 // dropped: the allocator that adopts the workload next sends them.
 func (f *Frontend) Drained(now placement.Millis) bool {
 	if f.workloads.unanswered.Count() > 0 {
@@ -137,15 +137,15 @@
 	return f.lifecycle.drainedBy(now, f.nodes.releasesPending())
 }
 
-// Reload subscribes to the discovery service at another address.
+// Reload continues the subscription to the discovery service at another address.
 func (f *Frontend) Reload(now placement.Millis, discoveryAddress string) {
 	f.host.Handle(now, func() { f.subscription.move(now, discoveryAddress) })
 }
 
-// Wake handles the wake-up.
+// Wake implements transport.Handler: it handles a requested wake-up.
 func (f *Frontend) Wake(now placement.Millis) { f.host.Wake(now) }
 
-// Opened handles a connection that was accepted or has been dialed.
+// Opened implements transport.Handler: it handles an accepted connection or a successful dial.
 func (f *Frontend) Opened(now placement.Millis, id transport.ConnID) {
 	f.host.Handle(now, func() {
 		if f.subscription.owns(id) {
@@ -158,7 +158,7 @@
 	})
 }
 
-// Received handles a message.
+// Received implements transport.Handler: it handles a message. Messages on unknown connections are ignored.
 func (f *Frontend) Received(now placement.Millis, id transport.ConnID, message any) {
 	f.host.Handle(now, func() {
 		switch message := message.(type) {
@@ -172,7 +172,7 @@
 	})
 }
 
-// receivedFromPeer handles a message of a node or a client.
+// receivedFromPeer handles a message from a node or a client.
 func (f *Frontend) receivedFromPeer(now placement.Millis, id transport.ConnID, message codec.Message) {
 	if c := f.nodeConns.get(id); c != nil {
 		c.lastReceived = now
@@ -185,7 +185,7 @@
 	}
 }
 
-// Closed handles the end of a connection, or that it could not be dialed.
+// Closed implements transport.Handler: it handles the end of a connection or a failed dial.
 func (f *Frontend) Closed(now placement.Millis, id transport.ConnID, reason error) {
 	f.host.Handle(now, func() {
 		if f.subscription.owns(id) {
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -19,7 +19,7 @@
 	assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseNormal)},
 		harness.sentAbout(harness.clientConn, 7))
 	assert.Equal(t, confirmation(7),
-		harness.network.sent[harness.clientConn][0], "the node's description is passed on to the client")
+		harness.network.sent[harness.clientConn][0], "the client receives the node's description")
 	assert.Empty(t, harness.workloads.byID)
 	assert.Empty(t, harness.workloads.byTag)
 	assert.Zero(t, harness.workloads.unanswered.Count())
@@ -27,7 +27,7 @@
 
 func TestFrontend_ManyWorkloadsAndConnectionsEnded_TablesEmpty(t *testing.T) {
 	harness := newHarness(t)
-	// a first message, so that the connection stays
+	// a first message, so that the connection is not closed after firstMessageTimeout
 	harness.receive(harness.clientConn, codec.NewTermination(1, codec.CauseNormal))
 	for i := range 3000 {
 		tag := codec.Tag(10 + i)
@@ -40,7 +40,7 @@
 			harness.receive(harness.network.lastDialed(nodeAddr), codec.NewTermination(tag, codec.CauseNormal))
 		case 1: // rejected by the node
 			harness.receive(harness.network.lastDialed(nodeAddr), codec.NewTermination(tag, codec.CauseNoCapacity))
-		case 2: // cancelled by the client; in the remaining case its connection ends
+		case 2: // cancelled by the client; in case 3 its connection is closed
 			harness.receive(conn, codec.NewTermination(tag, codec.CauseNormal))
 		}
 		harness.closeConn(conn, errClosed)
--- a/internal/frontend/platform/harness_test.go
+++ b/internal/frontend/platform/harness_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	nodeName      = "s-01" // the node that the harness's configuration names
+	nodeName      = "s-01" // the node in the harness's configuration
 	nodeAddr      = "127.0.0.9:5080"
 	discoveryAddr = "127.0.0.8:7070"
 
-	firstClient = transport.ConnID(1000) // the connection of the harness's client
-	otherConn   = transport.ConnID(2000) // the first connection of another client
+	firstClient = transport.ConnID(1000) // connection of the harness's client
+	otherConn   = transport.ConnID(2000) // first connection of other clients
 )
 
-// testHarness is a frontend with one node, the discovery service and one client, all connected to it.
+// testHarness is a frontend that is connected to one node, the discovery service and one client.
 type testHarness struct {
 	*Frontend
 	network    *fakeNetwork
@@ -32,11 +32,11 @@
 	now        placement.Millis
 }
 
-// unusedWaiter is a connWaiter that only has a node dialed.
-type unusedWaiter struct{}
+// noopWaiter is a connWaiter that ignores its calls. Awaiting a connection with it only dials the node.
+type noopWaiter struct{}
 
-func (unusedWaiter) connected(*nodeConn) {}
-func (unusedWaiter) unreachable()        {}
+func (noopWaiter) connected(*nodeConn) {}
+func (noopWaiter) unreachable()        {}
 
 func newHarness(t *testing.T) *testHarness {
 	t.Helper()
@@ -47,7 +47,7 @@
 	}
 	harness.endpoints.unixTime = func() placement.Millis { return 1e9 + harness.now }
 	harness.Start(0, harness.network)
-	harness.nodeConns.await(harness.nodes.byName[nodeName], unusedWaiter{})
+	harness.nodeConns.await(harness.nodes.byName[nodeName], noopWaiter{})
 	harness.nodeConn = harness.network.lastDialed(nodeAddr)
 	require.NotZero(t, harness.nodeConn)
 	harness.now = 1
@@ -57,7 +57,8 @@
 	return harness
 }
 
-// harnessConfig returns a configuration with one node and two classes: tiles, and trace, which is to run at most once.
+// harnessConfig returns a configuration with one node and two classes: tiles, which is idempotent, and trace, whose
+// workloads must run at most once.
 func harnessConfig() *Config {
 	return &Config{
 		Name:             "one",
@@ -110,7 +111,7 @@
 	}
 }
 
-// advance lets time pass, in ms, with a wake-up every 10 ms.
+// advance advances the clock by a duration in ms, with a wake-up every 10 ms.
 func (h *testHarness) advance(duration placement.Millis) {
 	for end := h.now + duration; h.now < end; {
 		h.now = min(end, h.now+10)
@@ -119,20 +120,20 @@
 	}
 }
 
-// Reasons for which connections end.
+// Reasons for which the transport reports connections as closed.
 var (
 	errReset   = fmt.Errorf("%w: reset", transport.ErrConnectionLost)
 	errClosed  = transport.ErrClosedByPeer
 	errRefused = transport.ErrConnectionRefused
 )
 
-// openConn opens a connection that was dialed, or accepts one of a client.
+// openConn reports a dialed connection as open, or a client connection as accepted.
 func (h *testHarness) openConn(c transport.ConnID) { h.Opened(h.now, c) }
 
-// closeConn ends a connection, or fails one that is being dialed.
+// closeConn reports a connection as closed, or its dial as failed.
 func (h *testHarness) closeConn(c transport.ConnID, reason error) { h.Closed(h.now, c, reason) }
 
-// openNodeConns opens all connections that are being dialed to nodes, and returns how many there are to nodes.
+// openNodeConns opens all node connections that are being dialed, and returns the number of node connections.
 func (h *testHarness) openNodeConns() int {
 	for _, c := range frontend.SortedValues(h.nodeConns.conns) {
 		if c.state == connDialing {
@@ -142,15 +143,15 @@
 	return len(h.nodeConns.conns)
 }
 
-// discoveryConn returns the last connection dialed to the discovery service.
+// discoveryConn returns the last connection that was dialed to the discovery service's first address.
 func (h *testHarness) discoveryConn() transport.ConnID { return h.network.lastDialed(discoveryAddr) }
 
-// receive has the frontend receive a message on a connection.
+// receive passes a message received on a connection to the frontend.
 func (h *testHarness) receive(c transport.ConnID, message codec.Message) {
 	h.Received(h.now, c, message)
 }
 
-// receiveLine has the frontend receive a line on a client's connection, as its bytes.
+// receiveLine decodes a client line and passes it to the frontend.
 func (h *testHarness) receiveLine(t *testing.T, c transport.ConnID, line string) {
 	t.Helper()
 	message, _, err := codec.ClientCodec{}.Decode([]byte(line + "\n"))
@@ -158,23 +159,24 @@
 	h.Received(h.now, c, message)
 }
 
-// startWorkload has the harness's client request a workload, and the harness's node confirm it.
+// startWorkload receives a request for a workload from the harness's client and its confirmation from the harness's
+// node.
 func (h *testHarness) startWorkload(tag codec.Tag) {
 	h.receive(h.clientConn, request(tag))
 	h.receive(h.nodeConn, confirmation(tag))
 }
 
-// publish has the discovery service send an event.
+// publish receives an event from the discovery service.
 func (h *testHarness) publish(revision uint64, data []byte) {
 	h.Received(h.now, h.discoveryConn(), batchOf(revision, data))
 }
 
-// publishNode has the discovery service send an event with the harness's node in a state.
+// publishNode receives an event from the discovery service with the given status of the harness's node.
 func (h *testHarness) publishNode(revision int, status string) {
 	h.publish(uint64(revision), nodeEvent(revision, status, 0))
 }
 
-// publishNodes has the discovery service name n more nodes, all with capacity.
+// publishNodes receives an event from the discovery service that adds n ready nodes with free capacity.
 func (h *testHarness) publishNodes(n int) {
 	endpoints := make([]string, n)
 	for i := range endpoints {
@@ -183,13 +185,13 @@
 	h.publish(2, deltaEvent(endpoints...))
 }
 
-// extraNodeName returns the name of a node of publishNodes.
+// extraNodeName returns the name of node i of publishNodes.
 func extraNodeName(i int) string { return fmt.Sprintf("m-%02d", i) }
 
-// extraNodeAddr returns the address of a node of publishNodes.
+// extraNodeAddr returns the address of node i of publishNodes.
 func extraNodeAddr(i int) string { return fmt.Sprintf("127.0.1.%d:5080", i) }
 
-// sentAbout returns the messages about a workload that were sent on a connection, health checks aside.
+// sentAbout returns the messages with the given tag that were sent on a connection, except health checks.
 func (h *testHarness) sentAbout(c transport.ConnID, tag codec.Tag) (all []sentMessage) {
 	for _, sent := range h.network.sent[c] {
 		message, ok := sent.(codec.Message)
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// readyTimeout is how long after the start, in ms, health checks wait for the discovery service.
+	// readyTimeout, in ms after the start, is when the frontend becomes ready without a response of the discovery
+	// service.
 	readyTimeout = placement.Millis(500)
-	// drainTimeout is how long, in ms, requests are served after a shutdown has begun.
+	// drainTimeout, in ms, is how long new requests are accepted after the beginning of a drain.
 	drainTimeout = placement.Millis(750)
-	// releaseTimeout is how long after that, in ms, the shutdown waits for pending releases. The platform ends a
+	// releaseTimeout, in ms after drainTimeout, is how long a drain waits for pending releases. The platform kills a
 	// process 3.7 s after SIGTERM.
 	releaseTimeout = placement.Millis(1000)
-	// maxPendingChecks bounds the health checks of clients that wait for readiness.
+	// maxPendingChecks is the maximum number of clients' health checks that wait until the frontend is ready.
 	maxPendingChecks = 64
 )
 
-// lifecycleState is the state of a frontend between its start and its end. It only goes forward, and may skip ready.
+// lifecycleState is the state of a frontend. States only advance; lifecycleReady may be skipped.
 type lifecycleState uint8
 
 const (
 	lifecycleStarting lifecycleState = iota // health checks wait for the events published before the start
-	lifecycleReady
-	lifecycleDraining // health checks fail; requests are served, and after a while rejected
+	lifecycleReady                          // health checks pass
+	lifecycleDraining                       // health checks fail; after drainTimeout requests are rejected
 )
 
-// lifecycle is the state of a frontend, and the health checks that wait until it is ready.
+// lifecycle tracks the state of a frontend and replies to clients' health checks.
 type lifecycle struct {
 	*environment
 	state         lifecycleState
-	drainingSince placement.Millis // if draining
+	drainingSince placement.Millis // valid in lifecycleDraining
 	pendingChecks []clientHealthCheck
 }
 
-// clientHealthCheck is a health check that a client has requested and that has no reply yet.
+// clientHealthCheck is a client's health check without a reply.
 type clientHealthCheck struct {
 	client transport.ConnID
-	tag    codec.Tag // of the check
+	tag    codec.Tag
 }
 
 func newLifecycle(env *environment) *lifecycle { return &lifecycle{environment: env} }
 
-// checkHealth replies to a client's health check: at once, or once the frontend is ready.
+// checkHealth replies to a client's health check. While the frontend is starting, the reply is delayed until it is
+// ready, for up to maxPendingChecks checks.
 func (l *lifecycle) checkHealth(client transport.ConnID, tag codec.Tag) {
 	check := clientHealthCheck{client: client, tag: tag}
 	if l.state == lifecycleStarting && len(l.pendingChecks) < maxPendingChecks {
@@ -53,13 +55,13 @@
 	l.reply(check)
 }
 
-// reply replies to a health check. It passes unless the frontend is draining.
+// reply replies to a health check, which passes unless the frontend is draining.
 func (l *lifecycle) reply(check clientHealthCheck) {
 	l.net.Send(check.client, codec.NewHealthReply(check.tag, l.state != lifecycleDraining))
 }
 
-// markReady replies to the health checks that wait for the discovery service. They wait since the configuration's list
-// may be out of date: no workload may be placed by it before the events that were published since are applied.
+// markReady ends lifecycleStarting and replies to the pending health checks. They are delayed because the node list in
+// the configuration may be out of date: clients must not send requests before the events published since are applied.
 func (l *lifecycle) markReady(placement.Millis) {
 	if l.state == lifecycleStarting {
 		l.state = lifecycleReady
@@ -71,7 +73,7 @@
 	}
 }
 
-// drain begins the shutdown. Further calls change nothing.
+// drain begins a graceful shutdown. Further calls have no effect.
 func (l *lifecycle) drain(now placement.Millis) {
 	if l.state != lifecycleDraining {
 		l.state = lifecycleDraining
@@ -79,12 +81,12 @@
 	}
 }
 
-// rejecting reports whether further requests are rejected.
+// rejecting reports whether new requests are rejected.
 func (l *lifecycle) rejecting(now placement.Millis) bool {
 	return l.state == lifecycleDraining && now-l.drainingSince > drainTimeout
 }
 
-// drainedBy reports whether the shutdown may end at the given time, if all requests have their answers.
+// drainedBy reports whether the process may exit at the given time, provided that all requests are answered.
 func (l *lifecycle) drainedBy(now placement.Millis, releasesPending bool) bool {
 	if !l.rejecting(now) {
 		return false
--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -17,7 +17,7 @@
 	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, harness.network.sent[harness.clientConn])
 	harness.advance(drainTimeout + 50)
 	assert.False(t, harness.Drained(harness.now))
-	harness.Drain(harness.now) // a second signal changes nothing
+	harness.Drain(harness.now) // has no effect
 	harness.receive(harness.clientConn, request(8))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
 	harness.receive(harness.nodeConn, confirmation(7))
@@ -34,10 +34,11 @@
 	harness.receive(harness.nodeConn, confirmation(7))
 	assert.False(t, harness.Drained(harness.now))
 	harness.advance(60)
-	assert.True(t, harness.Drained(harness.now), "running workloads are left running")
+	assert.True(t, harness.Drained(harness.now), "running workloads do not delay the end")
 }
 
-// A release that waits for the connection to its node is sent before the process ends, or times out.
+// If the process exited while a release waits for a connection, the node would keep the workload running. The release
+// has to be sent or time out before.
 func TestLifecycle_PendingRelease_DelaysTheEnd(t *testing.T) {
 	for name, opens := range map[string]bool{"connection opens": true, "connection does not open": false} {
 		t.Run(name, func(t *testing.T) {
@@ -60,9 +61,9 @@
 	}
 }
 
-// A health check passes once the discovery service has responded, so that nothing is placed by the configuration's
-// list, which is older than the process: a drain published in between applies. Without a response it passes all the
-// same, after readyTimeout.
+// The node list in the configuration is older than the process, and a drain may have been published since. Health
+// checks therefore wait for a response of the discovery service, so that clients send requests only after the drain
+// applies. Without a response, they pass after readyTimeout.
 func TestLifecycle_Starting_HealthCheckPassesOnceDiscoveryResponded(t *testing.T) {
 	for name, respond := range map[string]func(harness *testHarness){
 		"events were missed": func(harness *testHarness) { harness.publishNode(2, "Terminating") },
@@ -92,7 +93,7 @@
 	assert.Empty(t, harness.network.sent[harness.clientConn])
 	harness.receive(harness.clientConn, codec.NewHealthCheck(2))
 	assert.Equal(t, []any{codec.NewHealthReply(2, true)},
-		harness.network.sent[harness.clientConn], "one more is replied to at once")
+		harness.network.sent[harness.clientConn], "a check beyond the limit gets a reply immediately")
 }
 
 func TestLifecycle_DrainedBeforeReady_PendingHealthChecksFail(t *testing.T) {
@@ -107,7 +108,7 @@
 	harness := newHarness(t)
 	harness.receive(harness.clientConn, codec.NewHealthCheck(1))
 	harness.Received(harness.now, harness.discoveryConn(), &codec.EventBatch{})
-	assert.Empty(t, harness.network.sent[harness.clientConn], "events that were missed may follow")
+	assert.Empty(t, harness.network.sent[harness.clientConn], "missed events may follow")
 	harness.advance(readyDelay - 10)
 	assert.Empty(t, harness.network.sent[harness.clientConn])
 	harness.advance(20)
--- a/internal/frontend/platform/messages_test.go
+++ b/internal/frontend/platform/messages_test.go
@@ -7,7 +7,7 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-// request returns a request for a small workload of the class tiles, with the changes.
+// request returns a request for a small workload of the class tiles, modified by changes.
 func request(tag codec.Tag, changes ...func(*codec.PlaceRequest)) *codec.PlaceRequest {
 	place := &codec.PlaceRequest{
 		Header: codec.Header{Tag: tag},
@@ -30,11 +30,11 @@
 // requestTimeout is the timeout of a request, in ms.
 const requestTimeout = 2000
 
-// atMostOnce changes a request to the class whose workloads must not start twice.
+// atMostOnce changes the class of a request to trace, whose workloads must not run twice.
 func atMostOnce(place *codec.PlaceRequest) { place.Class = "trace" }
 
-// runningOn returns the statement that a node runs the workload of the tag.
-func runningOn(tag codec.Tag, node string) *codec.AdoptRequest {
+// adoptRequest returns a request to adopt the workload with the given tag, which runs on the given node.
+func adoptRequest(tag codec.Tag, node string) *codec.AdoptRequest {
 	place := request(tag)
 	return &codec.AdoptRequest{
 		Header: place.Header,
@@ -43,15 +43,15 @@
 	}
 }
 
-// confirmation returns a node's confirmation of the workload.
+// confirmation returns a node's confirmation of the workload with the given tag.
 func confirmation(tag codec.Tag) *codec.Confirmation {
 	return codec.NewConfirmation(tag, "at "+tag.String())
 }
 
-// sentMessage is the kind of a message that was sent about a workload, with its cause if it is a termination.
+// sentMessage describes a sent message.
 type sentMessage struct {
 	kind  string
-	cause codec.Cause
+	cause codec.Cause // set for terminations only
 }
 
 var (
@@ -64,7 +64,7 @@
 	return sentMessage{kind: "termination", cause: cause}
 }
 
-// sentMessageOf returns the kind of a message.
+// sentMessageOf returns the description of a message.
 func sentMessageOf(message codec.Message) sentMessage {
 	switch message := message.(type) {
 	case *codec.Termination:
@@ -80,31 +80,31 @@
 	}
 }
 
-// nodeEvent returns an event about the harness's node in a state. It is a snapshot if its revision is 1. startedAt is
-// Unix time in ms, or 0.
+// nodeEvent returns an event with the given status of the harness's node. It is a snapshot if its revision is 1.
+// startedAt is Unix time in ms, or 0.
 func nodeEvent(revision int, status string, startedAt float64) []byte {
 	return fmt.Appendf(nil, `{"pos":%d,"hosts":{"index":%d,"snapshot":%t,"endpoints":[{"name":%q,"address":%q,`+
 		`"zone":"z","type":"small","group":0,"status":%q,"weight":1,"since_ms":%f,"room":[20,40]}]}}`,
 		revision, revision, revision == 1, nodeName, nodeAddr, status, startedAt)
 }
 
-// readyEndpoint returns the JSON of a ready node, all of whose cores and memory are free.
+// readyEndpoint returns the JSON of an endpoint that is ready, with all cores and memory free.
 func readyEndpoint(name, addr string) string {
 	return fmt.Sprintf(
 		`{"name":%q,"address":%q,"zone":"z","type":"small","group":0,"status":"Ready","room":[20,40]}`, name, addr)
 }
 
-// snapshotEvent returns an event with the whole endpoint list.
+// snapshotEvent returns an event with a snapshot of the endpoint list.
 func snapshotEvent(endpoints ...string) []byte {
 	return fmt.Appendf(nil, `{"hosts":{"snapshot":true,"endpoints":[%s]}}`, strings.Join(endpoints, ","))
 }
 
-// deltaEvent returns an event with changed endpoints.
+// deltaEvent returns an event with the changed endpoints.
 func deltaEvent(endpoints ...string) []byte {
 	return fmt.Appendf(nil, `{"hosts":{"endpoints":[%s]}}`, strings.Join(endpoints, ","))
 }
 
-// batchOf returns a batch of one event.
+// batchOf returns a batch with one event.
 func batchOf(revision uint64, data []byte) *codec.EventBatch {
 	return &codec.EventBatch{Events: []codec.Event{{Revision: revision, Data: data}}}
 }
--- a/internal/frontend/platform/nodeconn.go
+++ b/internal/frontend/platform/nodeconn.go
@@ -5,13 +5,13 @@
 	"grebeglade/placement"
 )
 
-// connState is the state of a connection to a node. It only goes forward, and from any state to connClosed.
+// connState is the state of a node connection. States advance in the order of the constants; each may be skipped.
 type connState uint8
 
 const (
 	connDialing connState = iota
-	connOpen              // new offers take it
-	connRetired           // replaced: closed once it has no open offer and its successor is open
+	connOpen              // used for new offers
+	connRetired           // replaced; closed once it has no offer without a reply and its successor is open
 	connClosed
 )
 
@@ -20,21 +20,22 @@
 	id           transport.ConnID
 	node         *node
 	state        connState
-	lastSent     placement.Millis // or dialed
-	lastReceived placement.Millis
-	offers       map[placement.WorkloadID]*workload // sent on it and without a reply
+	lastSent     placement.Millis                   // time of the last offer, release or check, or of the dial
+	lastReceived placement.Millis                   // time of the last message, or of opening
+	offers       map[placement.WorkloadID]*workload // offers sent on the connection without a reply
 }
 
 // isOpen reports whether messages can be sent on the connection.
 func (c *nodeConn) isOpen() bool { return c.state == connOpen || c.state == connRetired }
 
-// retire has the node's new offers take another connection.
+// retire stops using the connection for new offers, so that another one can be dialed.
 func (c *nodeConn) retire() {
 	c.state = connRetired
 	c.node.conn = nil
 }
 
-// evictedBefore is the eviction order: connections to nodes without workloads first, then those unused for longer.
+// evictedBefore defines the eviction order: connections to nodes without workloads come first, then those with an older
+// lastSent.
 func (c *nodeConn) evictedBefore(other *nodeConn) bool {
 	unused := len(c.node.workloads) == 0
 	otherUnused := len(other.node.workloads) == 0
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -7,39 +7,40 @@
 	"grebeglade/placement"
 )
 
-// reservedSockets are for neither clients nor nodes: 3 standard files, the listener, 8 of event loops and the
-// runtime, the discovery service's connection, the configuration file when it is read again, and the second
-// descriptors of up to 4 connections while they are handed to their event loops.
+// reservedSockets is the number of file descriptors reserved for other uses than client and node connections: 3
+// standard files, the listener, 8 for the event loops and the runtime, the connection to the discovery service, the
+// configuration file during a reload, and the second descriptors of up to 4 connections while they are passed to their
+// event loops.
 const reservedSockets = 18
 
-// Reasons why the frontend closes a connection to a node.
+// Reasons for which the frontend closes a node connection. They are only logged.
 var (
 	errReplaced       = errors.New("replaced by another connection")
-	errEvicted        = errors.New("another node needs the descriptor")
+	errEvicted        = errors.New("evicted: file descriptor needed for another node")
 	errIdle           = errors.New("idle")
-	errNodeRemoved    = errors.New("the node was removed")
-	errAddressChanged = errors.New("the node's address has changed")
-	errAddressTaken   = errors.New("another node has its address")
-	errNoDescription  = errors.New("a confirmation without a description")
+	errNodeRemoved    = errors.New("node removed")
+	errAddressChanged = errors.New("address of the node changed")
+	errAddressTaken   = errors.New("address of the node assigned to another node")
+	errNoDescription  = errors.New("confirmation without a description")
 )
 
-// maxNodeConns bounds the connections to nodes, those being dialed among them.
+// maxNodeConns returns the maximum number of node connections, including those being dialed.
 func (c *Config) maxNodeConns() int {
 	return max(1, c.Limits.Sockets-c.maxClientConns()-extraClientConns-reservedSockets)
 }
 
-// nodeEvents handles the effects of the end of a connection or of a node's process on workloads.
+// nodeEvents handles the effects of a closed connection, or of the end of a node's process, on workloads.
 type nodeEvents interface {
-	// offersLost handles the end of a connection. Its open offers may have been accepted.
+	// offersLost is called when a connection is closed. Its offers without a reply may have been accepted.
 	offersLost(now placement.Millis, c *nodeConn)
-	// processEnded handles the end of a node's process, and so of all workloads that ran there.
+	// processEnded is called when a node's process has ended, and with it all workloads on the node.
 	processEnded(now placement.Millis, n *node)
 }
 
-// nodeConns holds the connections to nodes. At their share of the descriptors, one is evicted for the next.
+// nodeConns is the table of node connections. At the limit, a connection is evicted for each new one.
 //
-// A node is dialed once there is something to send to it or to receive from it: there may be more nodes than
-// descriptors, and dialing all of them at once would delay a start on a part of a core.
+// A node is dialed only when a message has to be sent to it or is expected from it: there may be more nodes than file
+// descriptors, and dialing all nodes together would delay a start on a fraction of a core.
 type nodeConns struct {
 	*environment
 	nodes          *nodeTable
@@ -49,7 +50,7 @@
 	connectTimeout placement.Millis
 }
 
-// newNodeConns returns an empty table. Its events are set once there is a binder, which handles them.
+// newNodeConns returns an empty table. The caller must set events before the table is used.
 func newNodeConns(env *environment, nodes *nodeTable) *nodeConns {
 	timeout := env.config.Settings.ConnectTimeout
 	if timeout <= 0 {
@@ -64,10 +65,11 @@
 	}
 }
 
-// get returns the connection of that id, or nil.
+// get returns the connection with the given id, or nil.
 func (nc *nodeConns) get(id transport.ConnID) *nodeConn { return nc.conns[id] }
 
-// await calls the waiter once: with the connection to the node, as soon as it is open, or without if there is none.
+// await calls waiter.connected once a connection to the node is open, or waiter.unreachable if there is none. If the
+// result is available, await calls the method before it returns. n may be nil.
 func (nc *nodeConns) await(n *node, waiter connWaiter) {
 	if n == nil {
 		waiter.unreachable()
@@ -85,7 +87,8 @@
 	nc.connect(nc.host.Now(), n)
 }
 
-// opened handles a dialed connection that is open now: it serves the waiters, then sends the pending releases.
+// opened handles a successful dial: it calls the node's waiters and sends the pending releases. A connection that was
+// replaced during the dial is closed.
 func (nc *nodeConns) opened(now placement.Millis, c *nodeConn) {
 	n := c.node
 	c.state = connOpen
@@ -96,7 +99,7 @@
 	}
 	nc.log.Debug("node connected", "node", n.name, "address", n.addr, "workloads", len(n.workloads))
 	n.dialing.opened()
-	n.serveWaiters(c)
+	n.notifyWaiters(c)
 	nc.sendPendingReleases(c)
 }
 
@@ -106,14 +109,14 @@
 	nc.closed(now, c, reason)
 }
 
-// disconnectNode closes a node's connection, open or being dialed.
+// disconnectNode closes a node's current connection, which may be open or being dialed, if there is one.
 func (nc *nodeConns) disconnectNode(now placement.Millis, n *node, reason error) {
 	if n.conn != nil {
 		nc.disconnect(now, n.conn, reason)
 	}
 }
 
-// removeNode removes a node and the connection to it, if the node is no longer listed and has no workloads.
+// removeNode removes a node and closes its connection, if the node is in state Removed and has no workloads.
 func (nc *nodeConns) removeNode(now placement.Millis, n *node) {
 	if !nc.nodes.removable(n) {
 		return
@@ -123,7 +126,7 @@
 	n.failWaiters()
 }
 
-// closed handles the end of a connection, or that dialing it failed.
+// closed handles the end of a connection or a failed dial.
 func (nc *nodeConns) closed(now placement.Millis, c *nodeConn, reason error) {
 	n := c.node
 	wasOpen := c.state != connDialing
--- a/internal/frontend/platform/nodeconns_test.go
+++ b/internal/frontend/platform/nodeconns_test.go
@@ -10,8 +10,8 @@
 
 // recordingWaiter is a connWaiter that records its calls.
 type recordingWaiter struct {
-	conn  *nodeConn
-	calls int
+	conn  *nodeConn // argument of connected
+	calls int       // number of calls of either method
 }
 
 func (w *recordingWaiter) connected(c *nodeConn) {
@@ -21,7 +21,7 @@
 
 func (w *recordingWaiter) unreachable() { w.calls++ }
 
-func TestNodeConns_WaitersAreCalledOnce(t *testing.T) {
+func TestNodeConns_Waiters_CalledExactlyOnce(t *testing.T) {
 	harness := newHarness(t)
 	harness.publishNodes(3)
 	opened := &recordingWaiter{}
@@ -32,7 +32,7 @@
 	harness.nodeConns.await(harness.nodes.byName[extraNodeName(1)], failed)
 	harness.nodeConns.await(harness.nodes.byName[extraNodeName(2)], removed)
 	harness.nodeConns.await(nil, unknown)
-	assert.Equal(t, 1, unknown.calls, "an unknown node is unreachable at once")
+	assert.Equal(t, 1, unknown.calls, "unreachable is called immediately for an unknown node")
 	assert.Zero(t, opened.calls+failed.calls+removed.calls)
 	harness.openConn(harness.network.lastDialed(extraNodeAddr(0)))
 	harness.closeConn(harness.network.lastDialed(extraNodeAddr(1)), errClosed)
@@ -45,32 +45,32 @@
 }
 
 func TestNodeConn_EvictionOrder(t *testing.T) {
-	empty := &node{}
-	holding := &node{workloads: map[placement.WorkloadID]*workload{1: {}}}
+	unused := &node{}
+	used := &node{workloads: map[placement.WorkloadID]*workload{1: {}}}
 	order := []*nodeConn{
 		{
 			id:       3,
-			node:     empty,
+			node:     unused,
 			lastSent: 10,
 		},
 		{
 			id:       4,
-			node:     empty,
+			node:     unused,
 			lastSent: 10,
 		},
 		{
 			id:       2,
-			node:     empty,
+			node:     unused,
 			lastSent: 20,
 		},
 		{
 			id:       1,
-			node:     holding,
+			node:     used,
 			lastSent: 5,
 		},
 		{
 			id:       5,
-			node:     holding,
+			node:     used,
 			lastSent: 6,
 		},
 	}
--- a/internal/frontend/platform/nodeconnuse.go
+++ b/internal/frontend/platform/nodeconnuse.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// idleShare is the share of the settings' idle timeout after which the frontend closes a connection, so that no
-	// offer crosses the node's own close.
+	// idleShare is the fraction of the settings' idle timeout after which the frontend closes a connection. It is below
+	// 1 so that no offer is sent while the node closes the connection.
 	idleShare = 0.9
-	// maxPendingReleases bounds the releases that wait for a connection to one node.
+	// maxPendingReleases is the maximum number of releases per node that wait for a connection.
 	maxPendingReleases = 4096
 )
 
-// release has a node end a workload. The message is sent on the connection of the offer if that is usable, else on the
-// node's current one; without any it waits for the next.
+// release sends a node the request to end a workload. It uses the connection of the offer if that is usable, otherwise
+// the node's current connection. If neither is usable, the release waits for the next connection; beyond
+// maxPendingReleases it is dropped.
 func (nc *nodeConns) release(w *workload) {
 	now := nc.host.Now()
 	n := w.bind.node
@@ -32,7 +33,7 @@
 	nc.connect(now, n)
 }
 
-// sendPendingReleases sends the releases that wait for a connection to the node.
+// sendPendingReleases sends the releases that waited for a connection to the node.
 func (nc *nodeConns) sendPendingReleases(c *nodeConn) {
 	for _, tag := range c.node.pendingReleases {
 		nc.net.Send(c.id, codec.NewTermination(tag, codec.CauseNormal))
@@ -40,13 +41,13 @@
 	c.node.pendingReleases = nil
 }
 
-// usable reports whether a message sent on the connection will reach the node.
+// usable reports whether messages can be sent on the connection: it is open, and the node is not about to close it.
 func (nc *nodeConns) usable(now placement.Millis, c *nodeConn) bool {
 	return c != nil && c.isOpen() && !nc.idle(now, c)
 }
 
-// replaceSilent dials another connection for new offers if nothing was received on this one since the given time, as
-// messages sent on it may have been lost.
+// replaceSilent retires the node's current connection and dials another one if nothing was received on it since the
+// given time: messages sent on it may have been lost.
 func (nc *nodeConns) replaceSilent(now placement.Millis, c *nodeConn, since placement.Millis) {
 	if c.lastReceived < since && c.node.conn == c {
 		c.retire()
@@ -54,7 +55,7 @@
 	}
 }
 
-// closeReplaced closes a connection that was replaced, once it has no open offer and its successor is open.
+// closeReplaced closes a retired connection, if it has no offer without a reply and its successor is open.
 func (nc *nodeConns) closeReplaced(c *nodeConn) {
 	if c.state != connRetired || len(c.offers) > 0 || c.node.openConn() == nil {
 		return
@@ -66,13 +67,14 @@
 	})
 }
 
-// idle reports whether a connection has been unused for so long that the node is about to close it.
+// idle reports whether a connection was unused for idleShare of the idle timeout, so that the node may close it soon.
 func (nc *nodeConns) idle(now placement.Millis, c *nodeConn) bool {
 	timeout := nc.config.Settings.IdleTimeout
 	return timeout > 0 && now-max(c.lastSent, c.lastReceived) > timeout*idleShare
 }
 
-// closeIdle closes idle connections before their nodes do, in the order of their ids.
+// closeIdle closes idle connections before their nodes do, in the order of their ids. Connections with an offer without
+// a reply stay open.
 func (nc *nodeConns) closeIdle(now placement.Millis) {
 	for _, c := range frontend.SortedValues(nc.conns) {
 		if c.isOpen() && len(c.offers) == 0 && nc.idle(now, c) {
--- a/internal/frontend/platform/nodeconnuse_test.go
+++ b/internal/frontend/platform/nodeconnuse_test.go
@@ -9,12 +9,12 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-// A connection that was idle for nearly the settings' timeout is closed by the frontend: an offer that crosses the
-// node's own close would count as one that may have run.
+// The frontend closes a connection shortly before the node's idle timeout. An offer that is sent while the node closes
+// the connection would have an unknown outcome: the workload may have run.
 func TestNodeConns_IdleConnection_ClosedBeforeTheNodeCloses(t *testing.T) {
 	harness := newHarness(t)
 	harness.config.Settings.IdleTimeout = 5000
-	// a first message, so that the connection stays
+	// a first message, so that the connection is not closed after firstMessageTimeout
 	harness.receive(harness.clientConn, codec.NewTermination(1, codec.CauseNormal))
 	harness.advance(5000*idleShare - 100)
 	assert.False(t, harness.network.closed[harness.nodeConn])
@@ -27,7 +27,7 @@
 	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(again, 7))
 }
 
-func TestNodeConns_ReleaseWithoutConnection_SentOnTheNext(t *testing.T) {
+func TestNodeConns_ReleaseWithoutConnection_SentOnNextConnection(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
 	harness.closeConn(harness.nodeConn, errReset)
@@ -48,15 +48,15 @@
 	successor := harness.network.lastDialed(nodeAddr)
 	require.Greater(t, successor, harness.nodeConn)
 	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(c) })
-	assert.False(t, harness.network.closed[harness.nodeConn], "its successor is being dialed")
+	assert.False(t, harness.network.closed[harness.nodeConn], "its successor is still being dialed")
 	harness.openConn(successor)
-	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // about no workload
+	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // of an unknown workload
 	assert.True(t, harness.network.closed[harness.nodeConn])
 	assert.Equal(t, connClosed, c.state)
 	assert.Equal(t, successor, harness.nodes.byName[nodeName].openConn().id)
 }
 
-func TestNodeConns_PendingReleasesAreBounded(t *testing.T) {
+func TestNodeConns_PendingReleases_Bounded(t *testing.T) {
 	harness := newHarness(t)
 	n := harness.nodes.byName[nodeName]
 	harness.closeConn(harness.nodeConn, errReset)
@@ -66,8 +66,8 @@
 	assert.Len(t, n.pendingReleases, maxPendingReleases)
 }
 
-// newIdleHarness returns a harness whose node is about to close its connection, which was idle for long. No wake-up
-// has come since.
+// newIdleHarness returns a harness whose node connection has been idle for the whole idle timeout, so that the node may
+// close it. There was no wake-up in which the frontend would have closed it.
 func newIdleHarness(t *testing.T) *testHarness {
 	t.Helper()
 	harness := newHarness(t)
@@ -77,7 +77,7 @@
 	return harness
 }
 
-func TestNodeConns_IdleConnection_NothingIsSentOnIt(t *testing.T) {
+func TestNodeConns_IdleConnection_NotUsedForSending(t *testing.T) {
 	t.Run("offer", func(t *testing.T) {
 		harness := newIdleHarness(t)
 		waiter := &recordingWaiter{}
@@ -108,7 +108,7 @@
 	offered := harness.nodeConns.get(harness.nodeConn)
 	if len(offered.offers) == 0 {
 		harness.openNodeConns()
-		offered = harness.workloads.tagged(7).bind.conn
+		offered = harness.workloads.getByTag(7).bind.conn
 	}
 	offered.lastSent = -6000
 	offered.lastReceived = -6000
@@ -123,7 +123,7 @@
 	harness.nodeConns.replaceSilent(harness.now, offered, harness.now)
 	harness.openNodeConns()
 	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(offered) })
-	assert.False(t, harness.network.closed[offered.id], "the reply to the offer is pending")
+	assert.False(t, harness.network.closed[offered.id], "the reply to its offer is pending")
 	harness.receive(offered.id, confirmation(7))
 	assert.True(t, harness.network.closed[offered.id])
 }
--- a/internal/frontend/platform/nodedial.go
+++ b/internal/frontend/platform/nodedial.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// defaultConnectTimeout, in ms, applies if the settings state none.
+	// defaultConnectTimeout, in ms, applies if the settings have no connect timeout.
 	defaultConnectTimeout = placement.Millis(250)
-	// nodeDownAfter is for how long, in ms, connections are refused until the workloads of a node count as lost.
+	// nodeDownAfter, in ms, is the duration of refused dials after which a node's workloads are considered lost.
 	nodeDownAfter = placement.Millis(600)
-	// revisitAfter is how long after its eviction, in ms, a node is dialed again. Clients are to be notified of ends
-	// within 8 s.
-	revisitAfter = placement.Millis(3000)
+	// evictedRedialDelay, in ms, is the delay after which a node whose connection was evicted is dialed again. Clients
+	// must be notified of the end of a workload within 8 s.
+	evictedRedialDelay = placement.Millis(3000)
 )
 
-// redialBackoff ends at 2 s, so that the ends of workloads are received within the 8 s in which clients are to be
-// notified.
+// redialBackoff is the backoff of failed dials of a node, in ms. Its maximum of 2 s ensures that the end of a workload
+// is received in time to notify the client within 8 s.
 var redialBackoff = frontend.Backoff{Initial: 50, Max: 2000}
 
-// connect dials a node if it is needed.
+// connect dials a node if a connection to it is needed.
 func (nc *nodeConns) connect(now placement.Millis, n *node) {
-	if n.needed() {
+	if n.needsConn() {
 		nc.dial(now, n)
 	}
 }
 
-// dial dials a node, unless it is connected or has no address.
+// dial dials a node, unless it is connected, being dialed or unreachable. If no connection can be evicted at the limit,
+// the dial is retried after a backoff.
 func (nc *nodeConns) dial(now placement.Millis, n *node) {
 	if c := n.openConn(); c != nil && nc.idle(now, c) {
-		c.retire() // the node may be closing it now
+		c.retire() // the node may be closing the connection
 	}
 	if n.conn != nil || !n.reachable() {
 		return
@@ -52,40 +53,41 @@
 	nc.conns[id] = n.conn
 }
 
-// redial dials a node again after a backoff, if it is still needed then.
+// redial schedules a dial of a node after a backoff, unless a dial is already scheduled or no connection is needed.
 func (nc *nodeConns) redial(now placement.Millis, n *node) {
 	history := &n.dialing
-	if history.timerPending() || !n.reachable() || !n.needed() {
+	if history.timerPending() || !n.reachable() || !n.needsConn() {
 		return
 	}
 	history.redialPending = true
 	at := history.redialAt(now, nc.host.RetryDelay(redialBackoff, history.failures))
 	nc.host.Schedule(at, func(now placement.Millis) {
 		history.redialPending = false
-		if nc.nodes.holds(n) {
+		if nc.nodes.contains(n) {
 			nc.connect(now, n)
 		}
 	})
 }
 
-// evictConnection closes the first connection in the eviction order to free a descriptor for another node, and reports
-// whether there was one. Connections with an open offer are never evicted.
+// evictConnection closes the first connection in eviction order, to free a file descriptor for successor. It returns
+// false if no connection can be evicted.
 func (nc *nodeConns) evictConnection(now placement.Millis, successor *node) bool {
 	first := nc.firstEvictable(successor)
 	if first == nil {
 		return false
 	}
 	if first.node == successor {
-		// It was replaced and not closed yet. The node is about to be dialed and needs no revisit.
+		// The connection was replaced and not closed yet. The node is being dialed, so no later dial is scheduled.
 		nc.disconnect(now, first, errReplaced)
 		return true
 	}
-	nc.revisit(now, first.node)
+	nc.redialEvicted(now, first.node)
 	nc.disconnect(now, first, errEvicted)
 	return true
 }
 
-// firstEvictable returns the first connection in the eviction order that may be evicted for the node, or nil.
+// firstEvictable returns the first connection in eviction order that may be evicted for successor, or nil. Connections
+// with an offer without a reply are never evicted.
 func (nc *nodeConns) firstEvictable(successor *node) *nodeConn {
 	var first *nodeConn
 	for _, c := range nc.conns {
@@ -97,20 +99,20 @@
 	return first
 }
 
-// revisit has a node whose connection is evicted dialed again after revisitAfter, so that it can report the ends of its
-// workloads. Until then the node is dialed only to send something to it.
-func (nc *nodeConns) revisit(now placement.Millis, n *node) {
-	n.dialing.revisitPending = true
-	nc.host.Schedule(now+revisitAfter, func(now placement.Millis) {
-		n.dialing.revisitPending = false
-		if nc.nodes.holds(n) {
+// redialEvicted schedules a dial, after evictedRedialDelay, of a node whose connection is evicted, so that the node can
+// report the ends of its workloads. Until then the node is dialed only to send a message to it.
+func (nc *nodeConns) redialEvicted(now placement.Millis, n *node) {
+	n.dialing.evictedRedialPending = true
+	nc.host.Schedule(now+evictedRedialDelay, func(now placement.Millis) {
+		n.dialing.evictedRedialPending = false
+		if nc.nodes.contains(n) {
 			nc.connect(now, n)
 		}
 	})
 }
 
-// dialFailed records that a node could not be dialed. Once connections were refused for nodeDownAfter, the node's
-// process has ended.
+// dialFailed records a failed dial. If all dials were refused for nodeDownAfter, the node's process is considered
+// ended.
 func (nc *nodeConns) dialFailed(now placement.Millis, n *node, reason error) {
 	history := &n.dialing
 	history.failures++
--- a/internal/frontend/platform/nodedial_test.go
+++ b/internal/frontend/platform/nodedial_test.go
@@ -10,17 +10,17 @@
 	"grebeglade/internal/transport"
 )
 
-// With more nodes than descriptors, each node is reached when something is to be sent to it, within the nodes' share,
-// and the connection to a node without workloads is evicted. This keeps the process from running out of descriptors.
-// The cost is that ends of workloads are received later where nearly all nodes run workloads of this allocator.
-func TestNodeConns_StayWithinTheirShareOfDescriptors(t *testing.T) {
+// Guards against running out of file descriptors with more nodes than descriptors: to send a message to any node, the
+// connection to a node without workloads is evicted, and the number of node connections stays within the limit. The
+// cost is that ends of workloads are received later if nearly all nodes run workloads of this allocator.
+func TestNodeConns_MoreNodesThanDescriptors_LimitKept(t *testing.T) {
 	const nodes = 40
 	harness := newHarness(t)
 	harness.publishNodes(nodes)
-	assert.Len(t, harness.nodeConns.conns, 1, "a list alone does not cause a dial")
+	assert.Len(t, harness.nodeConns.conns, 1, "an endpoint list alone does not cause a dial")
 	require.Less(t, harness.nodeConns.limit, nodes)
 	harness.receive(harness.clientConn, request(7))
-	holder := harness.workloads.tagged(7).bind.node
+	holder := harness.workloads.getByTag(7).bind.node
 	harness.openNodeConns()
 	harness.receive(holder.conn.id, confirmation(7))
 	for i := range 3 * nodes {
@@ -31,19 +31,20 @@
 		assert.LessOrEqual(t, harness.openNodeConns(), harness.nodeConns.limit)
 		require.NotNil(t, waiter.conn, n.name)
 		assert.Equal(t, n, waiter.conn.node)
-		assert.NotNil(t, holder.openConn(), "its workload may end at any time")
+		assert.NotNil(t, holder.openConn(), "kept, since the end of its workload may be reported at any time")
 	}
 	assert.Equal(t, harness.network.countOpen(harness.subscription.conn), harness.openNodeConns(),
-		"each connection that was not closed is known")
+		"each connection that was not closed is in the table")
 }
 
-// A node whose connection was evicted although it runs workloads of this allocator is dialed again soon.
-func TestNodeConns_EvictedNodeIsRevisited(t *testing.T) {
+// A node whose connection was evicted although it runs workloads must be dialed again, so that it can report their ends
+// within the 8 s in which clients must be notified.
+func TestNodeConns_EvictedNodesWithWorkloads_DialedAgain(t *testing.T) {
 	const nodes = 40
 	harness := newHarness(t)
 	harness.publishNodes(nodes)
 	for i := range nodes {
-		harness.receive(harness.clientConn, runningOn(codec.Tag(100+i), extraNodeName(i)))
+		harness.receive(harness.clientConn, adoptRequest(codec.Tag(100+i), extraNodeName(i)))
 		harness.advance(1)
 		harness.openNodeConns()
 	}
@@ -57,12 +58,13 @@
 			}
 		}
 	}
-	assert.GreaterOrEqual(t, len(connected), nodes, "within the 8 s in which clients are to be notified")
+	assert.GreaterOrEqual(t, len(connected), nodes, "each node is connected within the 8 s")
 }
 
-// A node that refuses connections is dialed again only once that proves it down: a hundred of such nodes would take all
-// of a small core. A node that is up again sooner is dialed for the next offer.
-func TestNodeConns_RefusingNodeIsDialedSparingly(t *testing.T) {
+// A node that refuses connections is dialed again only after nodeDownAfter, when another refusal shows that it is down.
+// Frequent dials of a hundred such nodes would use all of a small core. A node that is up again sooner is dialed for
+// the next offer.
+func TestNodeConns_DialsRefused_NextDialAfterNodeDownAfter(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
 	harness.closeConn(harness.nodeConn, errReset)
@@ -77,7 +79,7 @@
 		}
 	}
 	assert.Equal(t, 2, dials-int(harness.Counters.HealthChecks),
-		"one that is refused, and one that shows that it still is")
+		"the first refused dial, and one after nodeDownAfter")
 	assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseReset)},
 		harness.sentAbout(harness.clientConn, 7))
 }
@@ -90,20 +92,21 @@
 		require.True(t, harness.nodeConns.evictConnection(harness.now, &node{}))
 		require.True(t, harness.network.closed[harness.nodeConn])
 		harness.publish(2, nodeEvent(2, "Ready", 0))
-		assert.Equal(t, harness.nodeConn, harness.network.lastDialed(nodeAddr), "the list alone does not cause a dial")
+		assert.Equal(t, harness.nodeConn, harness.network.lastDialed(nodeAddr),
+			"an endpoint list alone does not cause a dial")
 		return harness
 	}
-	t.Run("later", func(t *testing.T) {
+	t.Run("after the delay", func(t *testing.T) {
 		harness := evicted(t)
 		n := harness.nodes.byName[nodeName]
 		assert.False(t, n.dialing.redialPending)
-		harness.advance(revisitAfter - 100)
-		assert.True(t, n.dialing.revisitPending)
+		harness.advance(evictedRedialDelay - 100)
+		assert.True(t, n.dialing.evictedRedialPending)
 		harness.advance(200)
-		assert.False(t, n.dialing.revisitPending)
+		assert.False(t, n.dialing.evictedRedialPending)
 		assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
 	})
-	t.Run("to send something", func(t *testing.T) {
+	t.Run("to send a message", func(t *testing.T) {
 		harness := evicted(t)
 		harness.receive(harness.clientConn, codec.NewTermination(6, codec.CauseNormal))
 		assert.Greater(t, harness.network.lastDialed(nodeAddr), harness.nodeConn)
@@ -119,7 +122,7 @@
 		before := harness.network.lastDialed(nodeAddr)
 		timers := harness.host.PendingTimers()
 		harness.nodeConns.redial(harness.now, n)
-		assert.Equal(t, timers, harness.host.PendingTimers(), "a node is dialed by one timer at a time")
+		assert.Equal(t, timers, harness.host.PendingTimers(), "only one timer is set for a node")
 		for range 100 {
 			harness.advance(10)
 			if harness.network.lastDialed(nodeAddr) != before {
@@ -135,10 +138,10 @@
 	assert.True(t, n.dialing.refusals.ongoing)
 	harness.closeConn(redialed(), transport.ErrDialFailed)
 	assert.Equal(t, 2, n.dialing.failures)
-	assert.False(t, n.dialing.refusals.ongoing, "the dial failed for another reason")
+	assert.False(t, n.dialing.refusals.ongoing, "the dial failed, but was not refused")
 	harness.closeConn(redialed(), errRefused)
 	harness.openConn(redialed())
 	assert.Zero(t, n.dialing.failures)
 	assert.False(t, n.dialing.refusals.ongoing)
-	assert.Equal(t, []sentMessage{aConfirmation}, harness.sentAbout(harness.clientConn, 6), "its workload still runs")
+	assert.Equal(t, []sentMessage{aConfirmation}, harness.sentAbout(harness.clientConn, 6), "the workload still runs")
 }
--- a/internal/frontend/platform/nodehealth.go
+++ b/internal/frontend/platform/nodehealth.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// healthChecker sends nodes the engine's health checks. The tag of a check is its number.
+// healthChecker sends the engine's health checks to nodes. The number of a check is the tag of its message.
 type healthChecker struct {
 	*environment
 	nodes  *nodeTable
@@ -14,23 +14,24 @@
 	checks *frontend.HealthChecks
 }
 
-// pendingCheck is a health check that waits for the connection to its node.
+// pendingCheck is a health check that waits for a connection to its node.
 type pendingCheck struct {
 	checker *healthChecker
 	number  uint64
 }
 
-// check sends a node a health check, on a connection that is open or opens before the check has failed.
+// check sends a health check to a node, once a connection is open. The check fails if there is no reply within
+// endGrace.
 func (h *healthChecker) check(id placement.NodeID) {
 	h.conns.await(h.nodes.get(id), &pendingCheck{checker: h, number: h.checks.Begin(id)})
 }
 
-// completed passes the reply to a health check to the engine. It reports whether the node had such a check pending.
+// completed passes a health reply to the engine. It returns false if the reply is not for a pending check of the node.
 func (h *healthChecker) completed(now placement.Millis, n *node, reply *codec.HealthReply) bool {
 	return h.checks.Complete(now, uint64(reply.Tag), n.id, reply.Load)
 }
 
-// connected sends the check, unless it has failed in the meantime.
+// connected implements connWaiter: it sends the check, unless the check has already failed.
 func (p *pendingCheck) connected(c *nodeConn) {
 	h := p.checker
 	if !h.checks.Pending(p.number) {
@@ -40,7 +41,7 @@
 	h.net.Send(c.id, codec.NewHealthCheck(codec.Tag(p.number)))
 }
 
-// unreachable fails the check.
+// unreachable implements connWaiter: it fails the check.
 func (p *pendingCheck) unreachable() {
 	if p.checker.checks.Pending(p.number) {
 		p.checker.checks.Fail(p.number)
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -7,18 +7,18 @@
 	"grebeglade/placement"
 )
 
-// node is a node that the discovery service or a client has named.
+// node is a node from the endpoint list, or from a client's request to adopt a workload.
 type node struct {
 	id        placement.NodeID
 	name      string
-	addr      string                             // empty if none is known or another node has it now
-	entry     placement.Node                     // of the endpoint list, as the engine knows it
-	listed    bool                               // the endpoint list has named it
-	workloads map[placement.WorkloadID]*workload // bound to it or running there
-
-	conn            *nodeConn    // that new offers take: dialing or open; nil without one
-	waiters         []connWaiter // for the connection to open
-	pendingReleases []codec.Tag  // releases that wait for the connection
+	addr      string                             // empty if there is none, or if another node has taken it over
+	entry     placement.Node                     // last entry of the endpoint list; Removed if there is none
+	listed    bool                               // an endpoint list has contained the node
+	workloads map[placement.WorkloadID]*workload // workloads being bound to the node or running on it
+
+	conn            *nodeConn    // connection for new offers, open or being dialed; nil if there is none
+	waiters         []connWaiter // waiters for conn to open
+	pendingReleases []codec.Tag  // releases that wait for conn to open
 	dialing         dialHistory
 }
 
@@ -28,15 +28,15 @@
 	unreachable()
 }
 
-// reachable reports whether there is an address to dial.
+// reachable reports whether the node has an address to dial and is not removed.
 func (n *node) reachable() bool { return n.addr != "" && n.entry.State != placement.Removed }
 
-// needed reports whether there is something to send to the node or to receive from it.
-func (n *node) needed() bool {
+// needsConn reports whether a connection is needed, to send messages to the node or to receive ends of its workloads.
+func (n *node) needsConn() bool {
 	return len(n.workloads) > 0 || len(n.pendingReleases) > 0 || len(n.waiters) > 0
 }
 
-// openConn returns the connection that new offers take, if it is open, or nil.
+// openConn returns the connection for new offers if it is open, or nil.
 func (n *node) openConn() *nodeConn {
 	if n.conn != nil && n.conn.state == connOpen {
 		return n.conn
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// serveWaiters passes the connection to all waiters.
-func (n *node) serveWaiters(c *nodeConn) {
+// notifyWaiters calls connected of all waiters and removes them.
+func (n *node) notifyWaiters(c *nodeConn) {
 	waiters := n.waiters
 	n.waiters = nil
 	for _, waiter := range waiters {
@@ -53,7 +53,7 @@
 	}
 }
 
-// failWaiters reports to all waiters that there is no connection.
+// failWaiters calls unreachable of all waiters and removes them.
 func (n *node) failWaiters() {
 	waiters := n.waiters
 	n.waiters = nil
@@ -62,7 +62,7 @@
 	}
 }
 
-// nodeTable holds the nodes that the discovery service or a client has named.
+// nodeTable is the table of nodes, by id, name and address.
 type nodeTable struct {
 	byID   map[placement.NodeID]*node
 	byName map[string]*node
@@ -77,14 +77,14 @@
 	}
 }
 
-// get returns the node of that id, or nil.
+// get returns the node with the given id, or nil.
 func (t *nodeTable) get(id placement.NodeID) *node { return t.byID[id] }
 
-// holds reports whether the node has not been removed.
-func (t *nodeTable) holds(n *node) bool { return t.byID[n.id] == n }
+// contains reports whether the node is in the table.
+func (t *nodeTable) contains(n *node) bool { return t.byID[n.id] == n }
 
-// intern returns the node of that name, and adds it if it is new. The id is a hash of the name, so that all allocators
-// use the same.
+// intern returns the node with the given name, and adds it if it is new. The id is a hash of the name, so that all
+// allocators use the same id. If another node has that id, the next free id is used.
 func (t *nodeTable) intern(name string) *node {
 	if n := t.byName[name]; n != nil {
 		return n
@@ -110,7 +110,8 @@
 	return n
 }
 
-// assignAddr sets the address of a node, and returns another node that had it before, or nil. A removed node gets none.
+// assignAddr sets the address of a node. If another node had the address, that node loses it and is returned. For a
+// removed node, assignAddr does nothing.
 func (t *nodeTable) assignAddr(n *node, addr string) (displaced *node) {
 	if n.entry.State == placement.Removed {
 		return nil
@@ -128,12 +129,13 @@
 	return displaced
 }
 
-// removable reports whether a node is no longer listed and has no workloads, and was not removed before.
+// removable reports whether a node can be removed from the table: its state is Removed, it has no workloads, and it is
+// in the table.
 func (t *nodeTable) removable(n *node) bool {
-	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.holds(n)
+	return n.entry.State == placement.Removed && len(n.workloads) == 0 && t.contains(n)
 }
 
-// remove removes a node, and its address unless another node has it now.
+// remove removes a node from the table, and its address unless another node has taken it over.
 func (t *nodeTable) remove(n *node) {
 	delete(t.byID, n.id)
 	delete(t.byName, n.name)
@@ -142,7 +144,7 @@
 	}
 }
 
-// releasesPending reports whether a release waits for the connection to a node that can be reached.
+// releasesPending reports whether a release waits for the connection to a reachable node.
 func (t *nodeTable) releasesPending() bool {
 	for _, n := range t.byID {
 		if len(n.pendingReleases) > 0 && n.reachable() {
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -16,7 +16,7 @@
 	n := one.intern("s-01")
 	assert.Equal(t, n.id, other.intern("s-01").id)
 	assert.Same(t, n, one.intern("s-01"))
-	assert.Equal(t, placement.Removed, n.entry.State, "until the list names it")
+	assert.Equal(t, placement.Removed, n.entry.State, "until the endpoint list contains it")
 }
 
 func TestNodeTable_InternWithTakenID_UsesTheNext(t *testing.T) {
@@ -30,7 +30,7 @@
 	table := newNodeTable()
 	first := table.intern("s-01")
 	second := table.intern("s-02")
-	assert.Nil(t, table.assignAddr(first, "a"), "a removed node gets no address")
+	assert.Nil(t, table.assignAddr(first, "a"), "a removed node is not assigned an address")
 	assert.Empty(t, first.addr)
 	first.entry.State = placement.Ready
 	second.entry.State = placement.Draining
@@ -54,16 +54,16 @@
 	assert.False(t, table.removable(n))
 	n.entry.State = placement.Removed
 	table.remove(n)
-	assert.False(t, table.removable(n), "it was removed before")
-	assert.False(t, table.holds(n))
+	assert.False(t, table.removable(n), "it was already removed")
+	assert.False(t, table.contains(n))
 	assert.Empty(t, table.byName)
 }
 
 func TestNode_Needed_ForWorkloadsReleasesAndWaiters(t *testing.T) {
-	assert.False(t, (&node{}).needed())
-	assert.True(t, (&node{workloads: map[placement.WorkloadID]*workload{1: {}}}).needed())
-	assert.True(t, (&node{pendingReleases: []codec.Tag{1}}).needed())
-	assert.True(t, (&node{waiters: []connWaiter{unusedWaiter{}}}).needed())
+	assert.False(t, (&node{}).needsConn())
+	assert.True(t, (&node{workloads: map[placement.WorkloadID]*workload{1: {}}}).needsConn())
+	assert.True(t, (&node{pendingReleases: []codec.Tag{1}}).needsConn())
+	assert.True(t, (&node{waiters: []connWaiter{noopWaiter{}}}).needsConn())
 }
 
 func TestNodeTable_ReleasesToAnUnreachableNode_NotPending(t *testing.T) {
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -5,8 +5,8 @@
 	"grebeglade/placement"
 )
 
-// replyHandler passes to the engine what nodes send: replies to offers, ends of workloads, load reports and
-// measurements.
+// replyHandler handles messages from nodes: replies to offers, ends of workloads, usage reports, health replies and
+// load reports. It passes them to the engine.
 type replyHandler struct {
 	*environment
 	workloads *workloadTable
@@ -15,13 +15,13 @@
 	checks    *healthChecker
 }
 
-// loadUse says what became of the load report of a node's message while the message was handled.
-type loadUse uint8
+// loadDisposition states how the handling of a node's message treated the load report in it.
+type loadDisposition uint8
 
 const (
-	loadUnused loadUse = iota // the engine still has to be passed it
-	loadUsed                  // the engine was passed it with an event
-	loadVoid                  // it does not count, since the connection was closed for the message
+	loadPending   loadDisposition = iota // not passed to the engine yet
+	loadReported                         // passed to the engine together with another event
+	loadDiscarded                        // not to be passed to the engine: the message was invalid
 )
 
 // received handles a message from a node.
@@ -31,20 +31,21 @@
 		return
 	}
 	load := message.Envelope().Load
-	if h.handle(now, c, message) == loadUnused && load != nil {
+	if h.handle(now, c, message) == loadPending && load != nil {
 		h.host.Engine().ReportLoad(now, c.node.id, *load)
 	}
 	h.conns.closeReplaced(c)
 }
 
-// handle handles a message about a health check or a bind.
-func (h *replyHandler) handle(now placement.Millis, c *nodeConn, message codec.Message) loadUse {
+// handle handles a message about a health check or a bind. Messages that do not concern the last bind of a workload are
+// ignored.
+func (h *replyHandler) handle(now placement.Millis, c *nodeConn, message codec.Message) loadDisposition {
 	if reply, ok := message.(*codec.HealthReply); ok {
 		return h.healthReplied(now, c, reply)
 	}
-	w := h.workloads.tagged(message.Envelope().Tag)
-	if w == nil || !w.concernedBy(c) {
-		return loadUnused // unknown, ended before, or about an abandoned bind
+	w := h.workloads.getByTag(message.Envelope().Tag)
+	if w == nil || !w.acceptsMessagesOn(c) {
+		return loadPending // unknown or ended workload, or abandoned bind
 	}
 	switch message := message.(type) {
 	case *codec.Confirmation:
@@ -56,38 +57,38 @@
 			h.host.Engine().ReportUsage(now, w.id, w.bind.number, message.Kind, message.Value)
 		}
 	}
-	return loadUnused
+	return loadPending
 }
 
 // healthReplied handles the reply to a health check.
-func (h *replyHandler) healthReplied(now placement.Millis, c *nodeConn, reply *codec.HealthReply) loadUse {
+func (h *replyHandler) healthReplied(now placement.Millis, c *nodeConn, reply *codec.HealthReply) loadDisposition {
 	if h.checks.completed(now, c.node, reply) {
-		return loadUsed
+		return loadReported
 	}
-	return loadUnused
+	return loadPending
 }
 
-// confirmed handles the confirmation of an offer. One without a description breaks the protocol, and the connection is
-// closed.
+// confirmed handles the confirmation of an offer. A confirmation without a description is invalid, and its connection
+// is closed.
 func (h *replyHandler) confirmed(
 	now placement.Millis, c *nodeConn, w *workload, confirmation *codec.Confirmation,
-) loadUse {
+) loadDisposition {
 	if w.bind.state != bindSent {
-		return loadUnused
+		return loadPending
 	}
 	description, present := confirmation.Description.Text()
 	if !present {
 		h.conns.disconnect(now, c, errNoDescription)
-		return loadVoid
+		return loadDiscarded
 	}
 	w.replyDescription = description
 	w.confirm(now)
 	h.host.Engine().BindConfirmed(now, w.id, w.bind.number, confirmation.Load)
-	return loadUsed
+	return loadReported
 }
 
-// terminated handles the end of a running workload, or the rejection of an offer.
-func (h *replyHandler) terminated(now placement.Millis, w *workload, termination *codec.Termination) loadUse {
+// terminated handles a termination, which ends a running workload or rejects an offer.
+func (h *replyHandler) terminated(now placement.Millis, w *workload, termination *codec.Termination) loadDisposition {
 	running := w.running()
 	switch {
 	case running:
@@ -95,7 +96,7 @@
 	case w.bind.state == bindSent:
 		w.endBind()
 	default:
-		return loadUnused
+		return loadPending
 	}
 	h.binder.reportEnd(now, w, placement.Result{
 		Kind:   resultOf(termination.Cause),
@@ -103,11 +104,11 @@
 		Final:  running,
 		Load:   termination.Load,
 	})
-	return loadUsed
+	return loadReported
 }
 
-// resultOf returns the result of an offer that a node answers with a termination of that cause. It is used for the end
-// of a running workload too, where it has no effect: the engine takes any end of a placed workload as placement.Ended.
+// resultOf returns the result of an offer that a node rejects with the given cause. For the end of a running workload
+// the result has no effect, since the engine treats any end of a placed workload as placement.Ended.
 func resultOf(cause codec.Cause) placement.ResultKind {
 	switch cause {
 	case codec.CauseNoCapacity:
@@ -117,7 +118,7 @@
 	case codec.CauseNone, codec.CauseNormal, codec.CauseCancelled,
 		codec.CauseReset, codec.CauseError, codec.CauseInvalid:
 		return placement.OutcomeUnknown
-	default: // nodes may send causes that the protocol does not name
+	default: // nodes may send causes that the protocol does not define
 		return placement.OutcomeUnknown
 	}
 }
--- a/internal/frontend/platform/replies_test.go
+++ b/internal/frontend/platform/replies_test.go
@@ -11,9 +11,9 @@
 	"grebeglade/placement"
 )
 
-// A message about a bind that was abandoned on a connection is not taken for one about the workload's next bind to the
-// node: neither the reply to the offer nor the end. Nodes may be silent and then send all at once.
-func TestReplyHandler_MessageAboutAnAbandonedBind_NotTakenForTheLast(t *testing.T) {
+// Guards against attributing a late message about an abandoned bind, a reply or an end, to the workload's next bind to
+// the same node. Nodes may be silent for some time and then send all delayed messages together.
+func TestReplyHandler_LateMessageAboutAbandonedBind_Ignored(t *testing.T) {
 	harness := newHarness(t)
 	harness.advance(50)
 	harness.receive(harness.clientConn, request(7, func(place *codec.PlaceRequest) { place.Timeout = 6000 }))
@@ -21,7 +21,7 @@
 		harness.advance(50)
 	}
 	second := harness.network.lastDialed(nodeAddr)
-	require.Greater(t, second, harness.nodeConn, "an offer on the first timed out")
+	require.Greater(t, second, harness.nodeConn, "the offer on the first connection timed out")
 	harness.openConn(second)
 	for range 100 {
 		harness.advance(50)
@@ -41,7 +41,7 @@
 		harness.sentAbout(harness.clientConn, 7))
 }
 
-// A reply that is repeated, or followed at once by the end of its connection, counts once.
+// A confirmation that is repeated, or followed by the end of its connection, is applied once.
 func TestReplyHandler_RepeatedConfirmation_CountsOnce(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
@@ -53,11 +53,11 @@
 	harness.openConn(again)
 	harness.receive(again, codec.NewTermination(7, codec.CauseNormal))
 	assert.Equal(t, []sentMessage{aConfirmation, aTermination(codec.CauseNormal)},
-		harness.sentAbout(harness.clientConn, 7), "on the next connection")
+		harness.sentAbout(harness.clientConn, 7), "the end is accepted on the next connection")
 }
 
-// A node that has lost a connection which the frontend still sees as open reports an end on another one. The client is
-// notified, although the message does not come on the connection of the offer.
+// A node may lose a connection that is still open for the frontend. It then reports the end of a workload on another
+// connection than that of the offer, and the client must be notified.
 func TestReplyHandler_EndOnAnotherConnectionOfTheNode_ClientNotified(t *testing.T) {
 	harness := newHarness(t)
 	harness.advance(50)
@@ -67,7 +67,7 @@
 	for harness.network.lastDialed(nodeAddr) == harness.nodeConn {
 		harness.advance(50)
 	}
-	second := harness.network.lastDialed(nodeAddr) // an offer on the first timed out
+	second := harness.network.lastDialed(nodeAddr) // the offer on the first connection timed out
 	harness.openConn(second)
 	require.NotNil(t, harness.nodeConns.get(harness.nodeConn))
 	harness.receive(second, codec.NewTermination(7, codec.CauseNormal))
@@ -86,12 +86,12 @@
 			harness.receive(harness.nodeConn, reply)
 			assert.True(t, harness.network.closed[harness.nodeConn])
 			assert.Equal(t, []sentMessage{aTermination(codec.CauseReset)},
-				harness.sentAbout(harness.clientConn, 7), "it may have run")
+				harness.sentAbout(harness.clientConn, 7), "the workload may have run")
 		})
 	}
 	harness := newHarness(t)
 	harness.receive(harness.nodeConn, &codec.Confirmation{Header: codec.Header{Tag: 7}})
-	assert.False(t, harness.network.closed[harness.nodeConn], "a confirmation for no offer is ignored")
+	assert.False(t, harness.network.closed[harness.nodeConn], "a confirmation without an offer is ignored")
 }
 
 func TestResultOf(t *testing.T) {
@@ -104,7 +104,7 @@
 		codec.CauseNormal:       placement.OutcomeUnknown,
 		codec.CauseCancelled:    placement.OutcomeUnknown,
 		codec.CauseInvalid:      placement.OutcomeUnknown,
-		200:                     placement.OutcomeUnknown, // which the protocol does not name
+		200:                     placement.OutcomeUnknown, // not defined by the protocol
 	} {
 		assert.Equal(t, want, resultOf(cause), "cause %d", cause)
 	}
@@ -114,14 +114,14 @@
 	harness := newHarness(t)
 	harness.publishNodes(1)
 	harness.receive(harness.clientConn, request(7))
-	first := harness.workloads.tagged(7).bind.node
+	first := harness.workloads.getByTag(7).bind.node
 	harness.openNodeConns()
 	harness.receive(first.conn.id, &codec.Termination{
 		Header: codec.Header{Tag: 7, Load: settings.UnknownLoad()},
 		Cause:  codec.CauseNoCapacity,
 		Reason: placement.InsufficientCores,
 	})
-	second := harness.workloads.tagged(7).bind.node
+	second := harness.workloads.getByTag(7).bind.node
 	require.NotEqual(t, first.name, second.name)
 	harness.openNodeConns()
 	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(second.conn.id, 7))
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -9,14 +9,14 @@
 	"grebeglade/placement"
 )
 
-// Reasons why a request is invalid.
+// Reasons for which a request is rejected as invalid. They are only logged.
 var (
-	errUnknownClass = errors.New("the class is not among the settings' classes")
-	errTooLarge     = errors.New("no kind of node has that many cores and that much memory")
-	errTagInUse     = errors.New("the tag is that of another request on this connection")
+	errUnknownClass = errors.New("class not defined in the settings")
+	errTooLarge     = errors.New("cores and memory do not fit any kind of node")
+	errTagInUse     = errors.New("tag in use by an unanswered request on this connection")
 )
 
-// requestHandler handles the messages of clients, and sends them answers and notifications.
+// requestHandler handles messages from clients, and sends answers and notifications to them.
 type requestHandler struct {
 	*environment
 	clients   *clientConns
@@ -26,7 +26,7 @@
 	classes   frontend.GroupIDs
 }
 
-// newRequestHandler returns a handler of requests for the classes of the settings.
+// newRequestHandler returns a handler that accepts requests for the classes of the settings.
 func newRequestHandler(
 	env *environment, clients *clientConns, workloads *workloadTable, lifecycle *lifecycle, binder *binder,
 ) *requestHandler {
@@ -40,7 +40,7 @@
 	}
 }
 
-// received handles a message from a client. One that breaks the protocol ends its connection.
+// received handles a message from a client. An invalid message closes the connection.
 func (h *requestHandler) received(now placement.Millis, client *clientConn, message codec.Message) {
 	client.active = true
 	tag := message.Envelope().Tag
@@ -51,7 +51,7 @@
 		h.adopt(now, client, message)
 	case *codec.Termination:
 		if !h.terminate(now, client, tag) {
-			return // a message without effect does not show that the client expects notifications
+			return // without effect: does not show that the client expects notifications on this connection
 		}
 	case *codec.HealthCheck:
 		h.lifecycle.checkHealth(client.id, tag)
@@ -64,10 +64,10 @@
 	h.clients.flushUndelivered(now, client)
 }
 
-// terminate withdraws a workload that its client terminates: a running workload on any connection, a pending request
-// only on its own. It returns false if there is no such workload.
+// terminate withdraws a workload at its client's request. A running workload may be terminated on any connection, an
+// unanswered request only on the connection that it was received on. It returns false if there is no such workload.
 func (h *requestHandler) terminate(now placement.Millis, client *clientConn, tag codec.Tag) bool {
-	w := h.workloads.tagged(tag)
+	w := h.workloads.getByTag(tag)
 	if w == nil || !w.running() && w.client != client.id {
 		return false
 	}
@@ -75,24 +75,24 @@
 	return true
 }
 
-// rejectInvalid answers a message that breaks the protocol, and closes the connection that it was received on.
+// rejectInvalid replies to an invalid message with CauseInvalid and closes its connection.
 func (h *requestHandler) rejectInvalid(now placement.Millis, client *clientConn, tag codec.Tag, err error) {
 	h.counters.Invalid++
-	h.log.Debug("invalid message of a client", "workload", tag, "client", client.id, "error", err)
+	h.log.Debug("invalid message from client", "workload", tag, "client", client.id, "error", err)
 	h.net.Send(client.id, codec.NewTermination(tag, codec.CauseInvalid))
 	h.clients.disconnect(now, client)
 }
 
-// place handles the request to place a workload.
+// place handles a request to place a workload.
 func (h *requestHandler) place(now placement.Millis, client *clientConn, request *codec.PlaceRequest) {
 	requested, err := h.engineWorkload(&request.Task)
-	earlier := h.workloads.tagged(request.Tag)
+	earlier := h.workloads.getByTag(request.Tag)
 	switch {
 	case err != nil:
 		h.rejectInvalid(now, client, request.Tag, err)
 	case h.net.IsClosed(client.id):
-		// The end of the client's connection was read and is queued behind this message. A bind would take capacity
-		// from other clients, only to be abandoned.
+		// The end of the connection was already read and is queued behind this message. A bind would use capacity that
+		// other clients need, and would be abandoned as soon as the end is handled.
 		h.counters.Withdrawn++
 	case earlier != nil:
 		h.rejectTagInUse(now, client, earlier)
@@ -103,11 +103,11 @@
 	}
 }
 
-// schedule adds the workload of a request that is admitted, and hands it to the engine.
+// schedule adds the workload of an accepted request to the table and passes it to the engine.
 func (h *requestHandler) schedule(
 	now placement.Millis, client *clientConn, request *codec.PlaceRequest, requested placement.Workload,
 ) {
-	// The client's timeout runs from when it sent the request, so the time in the queue counts.
+	// The client's timeout begins when it sends the request, so the time in the event queue is subtracted.
 	requested.PendingTimeout = request.Timeout - max(0, now-h.net.ReceivedAt())
 	added := h.workloads.addRequest(request.Tag, &request.Task, client.id)
 	client.unanswered[added.id] = added
@@ -116,14 +116,14 @@
 	h.host.Engine().Schedule(now, requested)
 }
 
-// adopt handles a client's statement that a workload runs on a node already.
+// adopt handles a request to adopt a workload that already runs on a node.
 func (h *requestHandler) adopt(now placement.Millis, client *clientConn, request *codec.AdoptRequest) {
 	running, err := h.engineWorkload(&request.Task)
 	switch {
 	case err != nil:
 		h.rejectInvalid(now, client, request.Tag, err)
-	case h.workloads.tagged(request.Tag) != nil:
-		// A workload of that tag is held: a second statement about it changes nothing.
+	case h.workloads.getByTag(request.Tag) != nil:
+		// The workload is already in the table; a repeated request has no effect.
 	case h.workloads.idsExhausted():
 		h.net.Send(client.id, codec.NewTermination(request.Tag, codec.CauseNoCapacity))
 	default:
@@ -135,8 +135,8 @@
 	}
 }
 
-// rejectTagInUse rejects a request under the tag of an earlier one. If both are unanswered on one connection, their
-// answers could not be distinguished, so the connection is closed.
+// rejectTagInUse rejects a request with the tag of an earlier workload. If the earlier request is unanswered on the
+// same connection, the client could not distinguish the two answers, so the connection is closed.
 func (h *requestHandler) rejectTagInUse(now placement.Millis, client *clientConn, earlier *workload) {
 	if earlier.client == client.id && earlier.answer == frontend.AnswerDue {
 		h.rejectInvalid(now, client, earlier.tag, errTagInUse)
@@ -145,11 +145,11 @@
 	h.net.Send(client.id, codec.NewTermination(earlier.tag, codec.CauseInvalid))
 }
 
-// engineWorkload returns a task as the engine knows it, without an id. A value out of range must not reach the
-// engine: it would stay in the sums that decisions depend on.
+// engineWorkload converts a task to the engine's form, without an id. It returns an error for values out of range: they
+// would corrupt the running sums that placement decisions are based on.
 func (h *requestHandler) engineWorkload(task *codec.Task) (placement.Workload, error) {
-	class, known := h.classes.Lookup(task.Class)
-	if !known {
+	class, ok := h.classes.Lookup(task.Class)
+	if !ok {
 		return placement.Workload{}, fmt.Errorf("%w: %.40q", errUnknownClass, task.Class)
 	}
 	if !frontend.FitsSomeKind(h.config.Settings.NodeKinds, task.Cores, task.Memory) {
@@ -164,21 +164,21 @@
 	}, nil
 }
 
-// cancelAll withdraws requests, in the order of their ids.
+// cancelAll implements requestCanceler: it withdraws requests in the order of their ids.
 func (h *requestHandler) cancelAll(now placement.Millis, unanswered map[placement.WorkloadID]*workload) {
 	for _, w := range frontend.SortedValues(unanswered) {
 		h.withdraw(now, w)
 	}
 }
 
-// withdraw ends a workload, or the request for it, on behalf of its client.
+// withdraw ends a workload, or the request for it, because its client cancelled it or disconnected.
 func (h *requestHandler) withdraw(now placement.Millis, w *workload) {
 	h.counters.Withdrawn++
 	h.markAnswered(w)
 	h.host.Engine().Withdraw(now, w.id)
 }
 
-// markAnswered records that a request needs no answer any more.
+// markAnswered records that a request was answered or needs no answer.
 func (h *requestHandler) markAnswered(w *workload) {
 	if c := h.clients.get(w.client); c != nil {
 		delete(c.unanswered, w.id)
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -20,15 +20,15 @@
 		"unknown class":            {"tiles", "none"},
 		"cores not a number":       {"cores:1", "cores:NaN"},
 		"cores below zero":         {"cores:1", "cores:-1"},
-		"larger than any node":     {"cores:1", "cores:1e9"},
-		"more cores than any":      {"cores:1", "cores:20.5"},
-		"more memory than any":     {"memory:2", "memory:41"},
+		"cores out of range":       {"cores:1", "cores:1e9"},
+		"more cores than any node": {"cores:1", "cores:20.5"},
+		"more memory than a node":  {"memory:2", "memory:41"},
 		"no cores and memory":      {"cores:1;memory:2;service:07", ""},
 		"timeout too long":         {"2000", "1e300"},
 		"no description":           {`"blob"`, `"other"`},
-		"verb of an allocator":     {`"START"`, `"MOVE"`},
+		"verb sent by allocators":  {`"START"`, `"MOVE"`},
 		"confirmation by a client": {`"START"`, `"STARTED"`},
-		"adoption, class wrong":    {`tiles","left":"2000`, `none","at":"s-01`},
+		"adoption, unknown class":  {`tiles","left":"2000`, `none","at":"s-01`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness := newHarness(t)
@@ -40,7 +40,7 @@
 	}
 	harness := newHarness(t)
 	harness.receiveLine(t, harness.clientConn, valid)
-	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(harness.nodeConn, 7), "without the change it is valid")
+	assert.Equal(t, []sentMessage{anOffer}, harness.sentAbout(harness.nodeConn, 7), "the unchanged request is valid")
 }
 
 func TestRequestHandler_MessageWithoutEffect_Ignored(t *testing.T) {
@@ -84,9 +84,9 @@
 	assert.Empty(t, harness.workloads.byID)
 }
 
-// The request of a client that has closed its connection causes no bind, even if it is handled before the close. A
-// running workload is ended all the same.
-func TestRequestHandler_RequestOfAClosedConnectionIsDropped(t *testing.T) {
+// A request from a client that has closed its connection must not cause a bind, even if the request is handled before
+// the close. The termination of a running workload is still handled.
+func TestRequestHandler_RequestOnClosedConnection_Dropped(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(6)
 	harness.network.closedByPeer[harness.clientConn] = true
@@ -99,13 +99,14 @@
 	assert.Zero(t, harness.workloads.unanswered.Count())
 }
 
-// The time for which a request was queued counts for its timeout, so that its answer is sent within it.
+// The time that a request spends in the event queue is subtracted from its timeout. Otherwise its answer could be sent
+// after the client has timed out.
 func TestRequestHandler_TimeoutRunsFromWhenTheRequestWasRead(t *testing.T) {
 	harness := newHarness(t)
 	harness.advance(1000)
 	const queuedFor = 700
 	harness.network.queuedFor = queuedFor
-	harness.receive(harness.clientConn, request(7, atMostOnce)) // so that its one bind has the whole timeout
+	harness.receive(harness.clientConn, request(7, atMostOnce)) // its only bind has the whole timeout
 	harness.network.queuedFor = 0
 	harness.advance(requestTimeout - queuedFor - 30)
 	assert.Empty(t, harness.sentAbout(harness.clientConn, 7))
@@ -115,18 +116,19 @@
 
 func TestRequestHandler_AdoptedWorkloadEnds_ClientNotified(t *testing.T) {
 	harness := newHarness(t)
-	harness.receive(harness.clientConn, runningOn(7, nodeName))
+	harness.receive(harness.clientConn, adoptRequest(7, nodeName))
 	assert.Empty(t, harness.sentAbout(harness.clientConn, 7))
-	harness.receive(harness.clientConn, runningOn(7, nodeName))
-	assert.Len(t, harness.workloads.byID, 1, "a second statement changes nothing")
+	harness.receive(harness.clientConn, adoptRequest(7, nodeName))
+	assert.Len(t, harness.workloads.byID, 1, "a repeated request has no effect")
 	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseNormal))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNormal)}, harness.sentAbout(harness.clientConn, 7))
 }
 
-// A running workload may be adopted before the endpoint list names its node: the node is dialed once the list does.
+// A running workload may be adopted before the endpoint list contains its node. The node is dialed once the list
+// contains it, so that it can report the end.
 func TestRequestHandler_AdoptedOnANodeNotListedYet_EndIsNotified(t *testing.T) {
 	harness := newHarness(t)
-	harness.receive(harness.clientConn, runningOn(7, extraNodeName(0)))
+	harness.receive(harness.clientConn, adoptRequest(7, extraNodeName(0)))
 	harness.advance(100)
 	harness.publishNodes(1)
 	c := harness.network.lastDialed(extraNodeAddr(0))
@@ -142,8 +144,8 @@
 	harness.startWorkload(7)
 	harness.receive(harness.clientConn, request(8))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
-	harness.receive(harness.clientConn, runningOn(9, nodeName))
-	assert.Len(t, harness.workloads.byID, 2, "a running workload is adopted all the same")
+	harness.receive(harness.clientConn, adoptRequest(9, nodeName))
+	assert.Len(t, harness.workloads.byID, 2, "the limit does not apply to running workloads")
 }
 
 func TestRequestHandler_CancelledWorkloadEnds_ClientNotNotified(t *testing.T) {
@@ -151,13 +153,13 @@
 	harness.startWorkload(7)
 	harness.receive(harness.nodeConn, codec.NewTermination(7, codec.CauseCancelled))
 	assert.Equal(t, []sentMessage{aConfirmation},
-		harness.sentAbout(harness.clientConn, 7), "its client ended it, or was notified of the migration")
+		harness.sentAbout(harness.clientConn, 7), "the client ended it, or was notified of its migration")
 }
 
 func TestRequestHandler_MigratedWorkloadEnds_ClientNotifiedOnce(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
-	migrated := harness.workloads.tagged(7)
+	migrated := harness.workloads.getByTag(7)
 	harness.host.Handle(harness.now, func() {
 		last := migrated.bind
 		engineActions{harness.Frontend}.Stop(migrated.id, last.number, last.node.id, allocator.Migrating, false)
@@ -173,7 +175,7 @@
 	harness := newHarness(t)
 	harness.workloads.ids = frontend.WorkloadIDsAfter(math.MaxUint32)
 	harness.receive(harness.clientConn, request(7))
-	harness.receive(harness.clientConn, runningOn(8, nodeName))
+	harness.receive(harness.clientConn, adoptRequest(8, nodeName))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 7))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
 	assert.Empty(t, harness.workloads.byID)
@@ -192,6 +194,6 @@
 func TestRequestHandler_PlacedAndAdopted_CountedForTheirConnection(t *testing.T) {
 	harness := newHarness(t)
 	harness.startWorkload(7)
-	harness.receive(harness.clientConn, runningOn(8, nodeName))
+	harness.receive(harness.clientConn, adoptRequest(8, nodeName))
 	assert.Equal(t, 2, harness.clients.get(harness.clientConn).placed)
 }
--- a/internal/frontend/platform/running.go
+++ b/internal/frontend/platform/running.go
@@ -6,18 +6,18 @@
 	"grebeglade/placement"
 )
 
-// stop ends a running workload at its node, which confirms the end. Without a confirmation the workload counts as
-// ended after endGrace.
+// stop ends a running workload at its node. If the node does not confirm the end within endGrace, the workload is
+// considered ended.
 func (b *binder) stop(w *workload) {
 	b.conns.release(w)
 	b.host.Schedule(b.host.Now()+endGrace, func(now placement.Millis) {
-		if b.workloads.holds(w) {
+		if b.workloads.contains(w) {
 			b.reportEnd(now, w, placement.Result{Kind: placement.Ended, Final: true})
 		}
 	})
 }
 
-// adopt takes over a workload that runs on a node, which is dialed so that it can report the end.
+// adopt passes a workload that already runs on a node to the engine, and dials the node so that it can report the end.
 func (b *binder) adopt(now placement.Millis, w *workload, task placement.Workload, name string) {
 	n := b.nodes.intern(name)
 	w.adopt(now, n)
@@ -25,14 +25,14 @@
 	b.conns.connect(now, n)
 }
 
-// processEnded handles the end of a node's process, and so of all workloads that ran there.
+// processEnded implements nodeEvents: it ends all workloads that ran on the node.
 func (b *binder) processEnded(now placement.Millis, n *node) {
-	justAfter := now + 1 // so that workloads that began to run at this very time count as ended too
+	justAfter := now + 1 // includes workloads that began to run at the time now
 	b.processRestarted(now, n, justAfter)
 }
 
-// processRestarted handles the start of a node's process at the given time: workloads that ran there before have ended.
-// A node that is no longer listed and has no workloads any more is removed.
+// processRestarted handles a start of a node's process at the given time: workloads that ran on the node before have
+// ended. If the node's state is Removed and it has no workloads left, it is removed from the table.
 func (b *binder) processRestarted(now placement.Millis, n *node, startedAt placement.Millis) {
 	for _, w := range frontend.SortedValues(n.workloads) {
 		if w.running() && w.bind.runningSince < startedAt {
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -10,53 +10,56 @@
 )
 
 const (
-	// silenceTimeout is how long, in ms, a connection may be silent. The discovery service sends a comment each second.
+	// silenceTimeout, in ms, is how long nothing may be received before the connection is replaced. The discovery
+	// service sends a keep-alive comment each second.
 	silenceTimeout = placement.Millis(2500)
-	// discoveryConnectTimeout is how long, in ms, dialing the discovery service may take.
+	// discoveryConnectTimeout, in ms, is the timeout for dialing the discovery service.
 	discoveryConnectTimeout = placement.Millis(500)
-	// readyDelay is how long, in ms, the missed events take to arrive after the discovery service's first message.
+	// readyDelay, in ms, is the time allowed for missed events to arrive after the discovery service's first message.
 	readyDelay = placement.Millis(50)
-	// maxMalformed is how often an event that cannot be decoded is requested before it is skipped.
+	// maxMalformed is the number of attempts to decode an event before it is skipped.
 	maxMalformed = 3
 )
 
-// Reasons why the connection to the discovery service is replaced.
+// Reasons for which the connection to the discovery service is replaced. They are only logged.
 var (
-	errSilent         = errors.New("no message within the timeout")
-	errDiscoveryMoved = errors.New("the service's address has changed")
-	errMalformedEvent = errors.New("an event cannot be decoded")
+	errSilent         = errors.New("nothing received within the silence timeout")
+	errDiscoveryMoved = errors.New("address of the discovery service changed")
+	errMalformedEvent = errors.New("event cannot be decoded")
 )
 
-// subscribeBackoff ends at 0.5 s, since the platform counts events as delivered 2 s after a break.
+// subscribeBackoff is the backoff of connections to the discovery service, in ms. Its maximum is 0.5 s, since the
+// platform expects events to be delivered within 2 s after a connection is lost.
 var subscribeBackoff = frontend.Backoff{Initial: 50, Max: 500}
 
 // subscriptionState is the state of the connection to the discovery service.
 type subscriptionState uint8
 
 const (
-	subscriptionDown subscriptionState = iota // a timer connects again
+	subscriptionDown subscriptionState = iota // not connected; a timer dials again
 	subscriptionConnecting
 	subscriptionOpen
 )
 
 // eventHandler applies the events of the discovery service.
 type eventHandler interface {
-	// apply applies one event. An error means that it cannot be decoded.
+	// apply applies one event, given as Event.Data. It returns an error if the event cannot be decoded.
 	apply(now placement.Millis, event []byte) error
 }
 
-// subscription receives the discovery service's events. After a break it continues behind the last event applied.
+// subscription receives the discovery service's events. After a reconnection it requests the events after the last one
+// that was applied or skipped.
 type subscription struct {
 	*environment
 	events       eventHandler
 	lifecycle    *lifecycle
 	addr         string
 	state        subscriptionState
-	conn         transport.ConnID // unless the subscription is down
-	revision     uint64           // of the last event that was applied or skipped
-	lastReceived placement.Millis
-	failures     int // in a row
-	malformed    int // how often the next event could not be decoded
+	conn         transport.ConnID // invalid in subscriptionDown
+	revision     uint64           // revision of the last event that was applied or skipped
+	lastReceived placement.Millis // time of the last message, or of dialing or opening
+	failures     int              // connections closed since the last applied event or change of address
+	malformed    int              // failed attempts to decode the next event
 }
 
 func newSubscription(env *environment, events eventHandler, lifecycle *lifecycle) *subscription {
@@ -69,12 +72,12 @@
 	}
 }
 
-// owns reports whether the connection is the one to the discovery service.
+// owns reports whether the connection is the current one to the discovery service.
 func (s *subscription) owns(id transport.ConnID) bool {
 	return s.state != subscriptionDown && s.conn == id
 }
 
-// connect dials the discovery service, unless it is connected or being dialed.
+// connect dials the discovery service, unless a connection is open or being dialed.
 func (s *subscription) connect(now placement.Millis) {
 	if s.state != subscriptionDown {
 		return
@@ -84,7 +87,7 @@
 	s.lastReceived = now
 }
 
-// opened subscribes on the connection, which is open now.
+// opened handles a successful dial: it sends the subscription request and starts the silence timeout.
 func (s *subscription) opened(now placement.Millis) {
 	s.state = subscriptionOpen
 	s.lastReceived = now
@@ -92,7 +95,7 @@
 	s.watchSilence(s.conn)
 }
 
-// watchSilence reconnects once nothing was received on the connection for silenceTimeout.
+// watchSilence reconnects when nothing was received on the connection for silenceTimeout.
 func (s *subscription) watchSilence(conn transport.ConnID) {
 	s.host.Schedule(s.lastReceived+silenceTimeout, func(now placement.Millis) {
 		switch {
@@ -105,7 +108,7 @@
 	})
 }
 
-// reconnect closes the connection, if there is one, and dials again.
+// reconnect closes the current connection, if there is one, and dials without a delay.
 func (s *subscription) reconnect(now placement.Millis, reason error) {
 	s.log.Info("reconnecting to the discovery service", "address", s.addr, "reason", reason)
 	if s.state != subscriptionDown {
@@ -122,7 +125,7 @@
 	s.reconnect(now, errDiscoveryMoved)
 }
 
-// closed connects again, after a backoff.
+// closed handles the end of the connection or a failed dial: it dials again after a backoff.
 func (s *subscription) closed(now placement.Millis, reason error) {
 	s.state = subscriptionDown
 	delay := s.host.RetryDelay(subscribeBackoff, s.failures)
@@ -131,7 +134,8 @@
 	s.host.Schedule(now+delay, s.connect)
 }
 
-// received applies events. An empty batch shows that the service responds: the missed events follow at once.
+// received applies a batch of events and makes the frontend ready. An empty batch means that the service responds and
+// that missed events may still follow, so the frontend becomes ready after readyDelay.
 func (s *subscription) received(now placement.Millis, batch *codec.EventBatch) {
 	s.lastReceived = now
 	if len(batch.Events) == 0 {
@@ -147,8 +151,8 @@
 	s.lifecycle.markReady(now)
 }
 
-// applyEvent applies an event, unless its revision was applied before. One that cannot be decoded is skipped after
-// maxMalformed attempts; before that, applyEvent returns false, and the event is to be requested again.
+// applyEvent applies an event, unless its revision is not above the last one. It returns false if the event cannot be
+// decoded and has to be requested again; after maxMalformed attempts the event is skipped.
 func (s *subscription) applyEvent(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
--- a/internal/frontend/platform/subscription_test.go
+++ b/internal/frontend/platform/subscription_test.go
@@ -9,13 +9,13 @@
 	"grebeglade/placement"
 )
 
-// Addresses to which the discovery service moves, one after the other.
+// Addresses of the discovery service after one and two changes.
 const (
 	movedAddr = "127.0.0.7:7070"
 	lastAddr  = "127.0.0.6:7070"
 )
 
-func TestSubscription_BreakOrSilenceOrNewAddress_Resumed(t *testing.T) {
+func TestSubscription_LostOrSilentConnectionOrNewAddress_Resumed(t *testing.T) {
 	harness := newHarness(t)
 	first := harness.discoveryConn()
 	assert.Equal(t, []any{codec.Subscribe{Host: discoveryAddr, After: 1}}, harness.network.sent[first])
@@ -29,16 +29,16 @@
 	assert.Equal(t, placement.Draining, harness.nodes.byName[nodeName].entry.State, "an earlier revision is skipped")
 	harness.advance(silenceTimeout + 200)
 	third := harness.discoveryConn()
-	assert.Greater(t, third, second, "the service was silent")
+	assert.Greater(t, third, second, "the silent connection is replaced")
 	harness.Reload(harness.now, movedAddr)
 	assert.True(t, harness.network.closed[third])
 	assert.NotZero(t, harness.network.lastDialed(movedAddr))
 }
 
-// After two changes of the discovery service's address, the subscription continues at the last one, behind the last
-// complete event. Events that arrive late from the first are ignored, since the last sends them again; a drain that
-// it publishes at once applies.
-func TestSubscription_ReloadedTwice_LastAddressFollowed(t *testing.T) {
+// After two changes of the discovery service's address, the subscription continues at the last address, after the last
+// applied event. Late events from the first address are ignored, since the last one sends them again; a drain published
+// there applies.
+func TestSubscription_ReloadedTwice_LastAddressUsed(t *testing.T) {
 	harness := newHarness(t)
 	old := harness.discoveryConn()
 	harness.Reload(harness.now, movedAddr)
@@ -65,7 +65,7 @@
 		conn := harness.discoveryConn()
 		harness.Received(harness.now, conn, batch)
 		assert.True(t, harness.network.closed[conn])
-		assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State, "later events wait")
+		assert.Equal(t, placement.Ready, harness.nodes.byName[nodeName].entry.State, "later events are not applied yet")
 		again := harness.discoveryConn()
 		assert.Greater(t, again, conn)
 		harness.openConn(again)
@@ -90,7 +90,7 @@
 		}
 		last = harness.discoveryConn()
 	}
-	assert.InDelta(t, 22, attempts, 5, "about one every 0.5 s, after shorter delays")
+	assert.InDelta(t, 22, attempts, 5, "about one every 0.5 s, after shorter initial delays")
 }
 
 func TestSubscription_EventOrNewAddress_ResetsFailures(t *testing.T) {
--- a/internal/frontend/platform/wiring.go
+++ b/internal/frontend/platform/wiring.go
@@ -7,7 +7,7 @@
 	"grebeglade/internal/frontend"
 )
 
-// New returns a frontend, which is to be served with its Limits. A nil log discards its messages.
+// New returns a frontend. The transport must serve it with its Limits. If log is nil, log messages are discarded.
 func New(config *Config, log *slog.Logger) *Frontend {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -25,7 +25,7 @@
 	return f
 }
 
-// newHost returns the engine and its host.
+// newHost returns a host with a new engine.
 func (f *Frontend) newHost() *frontend.Host {
 	return frontend.NewHost(frontend.Config{
 		Settings:        f.config.Settings.Settings,
@@ -38,7 +38,7 @@
 	})
 }
 
-// connectParts makes the parts that act on the tables, and connects the tables to those that they call.
+// connectParts creates the parts that use the tables and the host, and sets the tables' references to those parts.
 func (f *Frontend) connectParts(env *environment) {
 	f.healthChecks = &healthChecker{
 		environment: env,
