--- a/internal/daemon/bindstore.go
+++ b/internal/daemon/bindstore.go
@@ -14,24 +14,24 @@
 	"grebeglade/placement"
 )
 
-// syncPolicies are the policies by their names in the configuration.
+// syncPolicies maps the values of config.State.Sync to policies.
 var syncPolicies = map[string]storage.SyncPolicy{
 	config.SyncGroup: storage.GroupCommit,
 	config.SyncEach:  storage.SyncPerEntry,
 	config.SyncNone:  storage.NoSync,
 }
 
-// BindStore writes the frontend's binds to the state directory, and notifies the frontend on the frontend's goroutine
-// once they are durable. It implements native.BindJournal.
+// BindStore implements native.BindJournal: it writes the frontend's binds to the state directory, and notifies the
+// frontend on its own goroutine once they are durable.
 type BindStore struct {
 	writer   *storage.Writer
 	loop     *transport.Loop
 	frontend *native.Frontend
 }
 
-// OpenBindStore begins an incarnation in the state directory. It sets the incarnation, the binds that earlier ones have
-// left, and the store itself in the frontend's configuration. The incarnation's number is greater than that of the
-// previous one, even if the machine's clock was set back in between.
+// OpenBindStore begins an incarnation in the state directory. In the frontend's configuration it sets the number of the
+// incarnation, the live binds of earlier incarnations, the limits from state, and the store as the journal. The number
+// is greater than that of the previous incarnation even if the machine's clock was set back.
 func OpenBindStore(
 	state config.State, frontend *native.Config, loop *transport.Loop, log *slog.Logger,
 ) (*BindStore, error) {
@@ -60,21 +60,21 @@
 	return store, nil
 }
 
-// Attach sets the frontend that is notified when a bind is durable. It must be called before the frontend runs.
+// Attach sets the frontend to notify of durable binds. It must be called before the frontend runs.
 func (s *BindStore) Attach(f *native.Frontend) { s.frontend = f }
 
-// Close makes everything written durable and releases the directory.
+// Close makes all written entries durable and unlocks the directory.
 func (s *BindStore) Close() error { return s.writer.Close() }
 
-// PersistBind writes a bind. It calls done on the frontend's goroutine once the bind is durable, or with the error that
-// prevents it.
+// PersistBind writes a bind. done is called on the frontend's goroutine, with a nil error once the bind is durable, or
+// with the error of the failed write.
 func (s *BindStore) PersistBind(b recovery.Bind, done func(now placement.Millis, err error)) {
 	s.writer.Write(storage.BindEntry(b), func(err error) {
 		s.loop.RunAt(s.frontend, 0, func(now placement.Millis) { done(now, err) })
 	})
 }
 
-// ForgetBind records that a node has not accepted a bind. The frontend is not notified when the entry is durable.
+// ForgetBind removes the entry of a bind that no node has accepted. The frontend is not notified when this is durable.
 func (s *BindStore) ForgetBind(key, incarnation uint64, number uint32) {
 	s.writer.Write(storage.ForgetEntry(key, incarnation, number), nil)
 }
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -12,13 +12,14 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// cluster emulates a discovery service and nodes that start every workload at once and count the starts by key.
+// cluster emulates a discovery service and nodes. The nodes start each offered workload immediately, and count the
+// starts per key.
 type cluster struct {
 	t         *testing.T
 	discovery string // address of the discovery service
 	mu        sync.Mutex
-	starts    map[uint64]int
-	running   map[uint32][]*pb.RunningWorkload // by node
+	starts    map[uint64]int                   // number of starts by key
+	running   map[uint32][]*pb.RunningWorkload // by node ID
 }
 
 func newCluster(t *testing.T, nodes int) *cluster {
@@ -42,7 +43,7 @@
 
 // startNode starts a node and returns its entry in the node list.
 func (c *cluster) startNode(id uint32) *pb.NodeEntry {
-	greet := func(p *peer) error { return c.greet(p, id) }
+	sendHello := func(p *peer) error { return c.sendNodeHello(p, id) }
 	handle := func(p *peer, f *pb.Frame) error {
 		if offer := f.GetOffer(); offer != nil {
 			return c.handleOffer(p, id, offer)
@@ -58,13 +59,13 @@
 		UpForMs:     -1,
 		FreeCores:   1000,
 		FreeMemory:  1000,
-		Address:     c.listen(greet, handle),
+		Address:     c.listen(sendHello, handle),
 	}
 }
 
 // startDiscovery starts a discovery service that sends one snapshot, and returns its address.
 func (c *cluster) startDiscovery(snapshot *pb.NodeListUpdate) string {
-	greet := func(p *peer) error {
+	sendHello := func(p *peer) error {
 		hello := &pb.Hello{
 			Role:        pb.Role_DISCOVERY,
 			Name:        "l",
@@ -75,11 +76,11 @@
 		}
 		return p.send(&pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: snapshot}})
 	}
-	return c.listen(greet, func(*peer, *pb.Frame) error { return nil })
+	return c.listen(sendHello, func(*peer, *pb.Frame) error { return nil })
 }
 
-// listen accepts connections, greets each after its hello, and handles its frames. It returns the address.
-func (c *cluster) listen(greet func(*peer) error, handle func(*peer, *pb.Frame) error) string {
+// listen accepts connections and serves each on a goroutine. It returns the listen address.
+func (c *cluster) listen(sendHello func(*peer) error, handle func(*peer, *pb.Frame) error) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(c.t, err)
 	c.t.Cleanup(func() { _ = ln.Close() })
@@ -89,20 +90,20 @@
 			if err != nil {
 				return
 			}
-			go serve(newPeer(conn), greet, handle)
+			go serve(newPeer(conn), sendHello, handle)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// serve greets a peer after its hello, and handles its frames until the connection ends. An allocator that is killed
-// ends it at any point.
-func serve(client *peer, greet func(*peer) error, handle func(*peer, *pb.Frame) error) {
+// serve receives a hello, calls sendHello, and handles frames until the connection ends. Errors are not reported, since
+// the connection to a killed allocator may end at any point.
+func serve(client *peer, sendHello func(*peer) error, handle func(*peer, *pb.Frame) error) {
 	defer client.close()
 	if _, err := client.next(); err != nil {
 		return
 	}
-	if err := greet(client); err != nil {
+	if err := sendHello(client); err != nil {
 		return
 	}
 	for {
@@ -116,8 +117,8 @@
 	}
 }
 
-// greet sends a node's hello with the workloads that run there.
-func (c *cluster) greet(p *peer, id uint32) error {
+// sendNodeHello sends the hello of a node, with the workloads that run on it.
+func (c *cluster) sendNodeHello(p *peer, id uint32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return p.send(transport.HelloFrame(&pb.Hello{
@@ -130,29 +131,29 @@
 	}))
 }
 
-// fate is what a node does with a workload that it has started.
-type fate int
+// outcome is the behaviour of a node after it has started a workload.
+type outcome int
 
 const (
-	fateConfirmedAndRuns   fate = iota
-	fateUnconfirmedAndRuns      // the allocator learns of it from the node's next hello
-	fateUnconfirmedAndEnds      // no hello ever names it
-	fates
+	outcomeConfirmedRunning   outcome = iota
+	outcomeUnconfirmedRunning         // first reported in the node's next hello
+	outcomeUnconfirmedEnded           // never reported to the allocator
+	numOutcomes
 )
 
-// fateOf gives each fate to a third of the keys.
-func fateOf(key uint64) fate { return fate(key % uint64(fates)) }
+// outcomeOf returns the outcome for a key. Each outcome applies to a third of the keys.
+func outcomeOf(key uint64) outcome { return outcome(key % uint64(numOutcomes)) }
 
-// handleOffer starts a workload and counts the start.
+// handleOffer starts a workload, counts the start, and sends a confirmation if the key's outcome requires one.
 func (c *cluster) handleOffer(p *peer, id uint32, offer *pb.Offer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := offer.Request.Key
 	c.starts[key]++
-	if fateOf(key) != fateUnconfirmedAndEnds {
+	if outcomeOf(key) != outcomeUnconfirmedEnded {
 		c.running[id] = append(c.running[id], &pb.RunningWorkload{Offer: offer, Running: true})
 	}
-	if fateOf(key) != fateConfirmedAndRuns {
+	if outcomeOf(key) != outcomeConfirmedRunning {
 		return nil
 	}
 	confirmation := &pb.OfferReply{Bind: offer.Bind, Accepted: true}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles a running allocator from its configuration: frontend, event loop, durable binds and trace.
-// It starts these parts in order, drains the allocator and closes them.
+// Package daemon runs an allocator: it creates the frontend, event loop, durable bind store and trace recorder from the
+// configuration, starts them in order, drains the allocator and stops them.
 package daemon
 
 import (
@@ -19,16 +19,16 @@
 
 // Daemon is a running allocator.
 type Daemon struct {
-	Addr string // address on which it listens
+	Addr string // listen address, with the actual port
 
 	loop     *transport.Loop
 	frontend *native.Frontend
 	log      *slog.Logger
-	recorder *trace.Recorder // nil without a trace
-	binds    *BindStore      // nil without durable state
+	recorder *trace.Recorder // nil if no trace is configured
+	binds    *BindStore      // nil if no state directory is configured
 }
 
-// Start assembles an allocator and begins to serve. If any part cannot start, those before it are stopped.
+// Start creates an allocator and starts to serve. On error it stops the parts that were already started.
 func Start(configuration *config.Allocator, log *slog.Logger) (*Daemon, error) {
 	seed, err := randomSeed()
 	if err != nil {
@@ -44,16 +44,16 @@
 	return d, nil
 }
 
-// randomSeed draws the seed of the frontend's random choices.
+// randomSeed returns a random seed for the frontend's random number generator.
 func randomSeed() (uint64, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return 0, fmt.Errorf("draw a seed: %w", err)
+		return 0, fmt.Errorf("generate random seed: %w", err)
 	}
 	return binary.LittleEndian.Uint64(seed[:]), nil
 }
 
-// frontendConfig returns the frontend's configuration without durable state and trace.
+// frontendConfig returns the frontend's configuration. Fields for durable state and trace are set by start.
 func (d *Daemon) frontendConfig(configuration *config.Allocator, seed uint64) *native.Config {
 	now := time.Now()
 	return &native.Config{
@@ -71,8 +71,8 @@
 	}
 }
 
-// start opens the durable state first, since it decides the incarnation, and listens last. The parts that it opens
-// complete the frontend's configuration.
+// start opens the durable state first, since it determines the incarnation number, and listens last. openBinds and
+// openRecorder complete the frontend's configuration.
 func (d *Daemon) start(configuration *config.Allocator, frontend *native.Config) error {
 	if err := d.openBinds(configuration.State, frontend); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// openRecorder begins the frontend's trace, if a directory for it is configured.
+// openRecorder starts the frontend's trace recorder, if a trace directory is configured.
 func (d *Daemon) openRecorder(configuration config.Trace, frontend *native.Config) error {
 	if configuration.Dir == "" {
 		return nil
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,13 +14,13 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Reasons of rejected requests.
+// Reasons in answers to rejected requests.
 const (
 	reasonNoNode   = "no node is known"
 	reasonDraining = "the allocator is stopping; ask another"
 )
 
-// startWithoutNodes starts an allocator whose discovery service does not exist, so that it knows no node.
+// startWithoutNodes starts an allocator whose discovery service is unreachable, so that its node table is empty.
 func startWithoutNodes(t *testing.T) *Daemon {
 	t.Helper()
 	configuration, err := config.Decode("t.hcl", []byte(`
@@ -40,26 +40,26 @@
 	return mustStart(t, configuration)
 }
 
-// mustStart starts an allocator that logs nothing.
+// mustStart starts an allocator without log output, which must succeed.
 func mustStart(t *testing.T, configuration *config.Allocator) *Daemon {
 	t.Helper()
-	d, err := startQuietly(configuration)
+	d, err := startWithoutLog(configuration)
 	require.NoError(t, err)
 	return d
 }
 
-// startQuietly starts an allocator that logs nothing, and returns the error if it fails.
-func startQuietly(configuration *config.Allocator) (*Daemon, error) {
+// startWithoutLog starts an allocator without log output.
+func startWithoutLog(configuration *config.Allocator) (*Daemon, error) {
 	return Start(configuration, NewLogger(configuration.Log, io.Discard))
 }
 
-// reply is what a client gets for its request.
+// reply is the result of a client's request: an answer or an error.
 type reply struct {
 	answer *pb.Answer
 	err    error
 }
 
-// request connects as a client of that number, sends one request and returns the reply.
+// request connects as the client with the given number, sends one request and returns the reply.
 func request(address string, number uint64) reply {
 	conn, err := dial(address, fmt.Sprintf("client-%d", number), 1)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return reply{answer: f.GetAnswer()}
 }
 
-// requestAsync is request on a goroutine of its own.
+// requestAsync calls request on a new goroutine, and returns a channel that receives the reply.
 func requestAsync(address string, number uint64) <-chan reply {
 	replies := make(chan reply, 1)
 	go func() { replies <- request(address, number) }()
@@ -97,7 +97,8 @@
 	require.Eventually(t, func() bool { return d.pending() == 1 }, 5*time.Second, time.Millisecond)
 }
 
-func TestDaemon_ThousandClientsAtOnceWithoutNodesAreAllRejected(t *testing.T) {
+// Guards against requests of concurrent clients that get no answer.
+func TestDaemon_ThousandConcurrentClientsWithoutNodesAreAllRejected(t *testing.T) {
 	const clients = 1000
 	d := startWithoutNodes(t)
 	var replies []<-chan reply
@@ -125,7 +126,7 @@
 		unanswered <- n
 	}()
 	late := request(d.Addr, 2)
-	if late.err == nil { // otherwise the allocator had stopped already
+	if late.err == nil { // on an error the allocator had already stopped
 		assert.Equal(t, reasonDraining, late.answer.GetReason())
 	}
 	got := <-pending
@@ -134,9 +135,9 @@
 	assert.Zero(t, <-unanswered)
 }
 
-func TestDaemonDrain_EndedContextReturnsNumberOfUnanswered(t *testing.T) {
+func TestDaemonDrain_CancelledContextReturnsNumberOfUnanswered(t *testing.T) {
 	d := startWithoutNodes(t)
-	requestAsync(d.Addr, 1) // it gets no answer
+	requestAsync(d.Addr, 1) // gets no answer
 	waitForPending(t, d)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -150,7 +151,7 @@
 	configuration := minimalConfig(t.TempDir())
 	configuration.ListenAddress = d.Addr // in use
 
-	_, err := startQuietly(configuration)
+	_, err := startWithoutLog(configuration)
 	require.ErrorContains(t, err, "address already in use")
 
 	configuration.ListenAddress = "127.0.0.1:0"
@@ -161,7 +162,7 @@
 func TestStart_StateDirectoryInUseIsAnError(t *testing.T) {
 	configuration := minimalConfig(t.TempDir())
 	first := mustStart(t, configuration)
-	_, err := startQuietly(configuration)
+	_, err := startWithoutLog(configuration)
 	require.ErrorContains(t, err, "directory is locked by another process")
 
 	require.NoError(t, first.binds.Close())
@@ -172,7 +173,7 @@
 	require.NoError(t, second.binds.Close())
 }
 
-// minimalConfig has a state directory and neither kinds nor groups.
+// minimalConfig returns a configuration with a state directory, and without node kinds and groups.
 func minimalConfig(stateDir string) *config.Allocator {
 	return &config.Allocator{
 		Name:          "a",
--- a/internal/daemon/kill_test.go
+++ b/internal/daemon/kill_test.go
@@ -19,7 +19,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// configVariable is the environment variable that makes this test binary serve as an allocator. It holds the path of
+// configVariable is the environment variable that makes this test binary run as an allocator. Its value is the path of
 // the configuration.
 const configVariable = "GREBEGLADE_TEST_SERVE"
 
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// serveUntilKilled runs an allocator, and does not return.
+// serveUntilKilled runs an allocator until the process is killed. It exits with status 1 if the allocator cannot start.
 func serveUntilKilled(file string) {
 	c, err := config.Load(file)
 	if err == nil {
@@ -44,7 +44,7 @@
 	select {}
 }
 
-// startChild starts this test binary as an allocator and waits until it serves.
+// startChild starts this test binary as an allocator, and waits until the allocator serves.
 func startChild(t *testing.T, file string) *exec.Cmd {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -59,9 +59,9 @@
 	return child
 }
 
-// killedAllocator is the configuration of an allocator with durable state. Its arguments are the address, that of the
-// discovery service, and the state directory.
-const killedAllocator = `
+// durableConfig is the configuration of an allocator with durable state. Its format arguments are the listen address,
+// the address of the discovery service, and the state directory.
+const durableConfig = `
 allocator {
   name   = "a"
   listen = %q
@@ -82,13 +82,13 @@
 }
 `
 
-// writeConfig writes the configuration of an allocator with durable state, and returns the file and the address.
+// writeConfig writes the configuration of an allocator with durable state, and returns the file and the listen address.
 func writeConfig(t *testing.T, discovery string) (file, address string) {
 	t.Helper()
 	address = freeAddress(t)
 	dir := t.TempDir()
 	file = filepath.Join(dir, "a.hcl")
-	text := fmt.Appendf(nil, killedAllocator, address, discovery, filepath.Join(dir, "state"))
+	text := fmt.Appendf(nil, durableConfig, address, discovery, filepath.Join(dir, "state"))
 	require.NoError(t, os.WriteFile(file, text, 0o644))
 	return file, address
 }
@@ -102,8 +102,9 @@
 	return ln.Addr().String()
 }
 
-// Real processes are killed at random moments while a client retries all requests without an answer, under the same
-// keys. No key is started twice, even if the node that ran it no longer knows it.
+// Guards against workloads that are started twice after an allocator crash. Allocator processes are killed at random
+// times while a client retries each request without an answer under the same key. A third of the workloads end without
+// ever being reported by their node, so only the state directory can prevent their second start.
 func TestDaemon_KilledAllocatorStartsNothingTwice(t *testing.T) {
 	const (
 		kills        = 24
@@ -120,14 +121,14 @@
 			maxKeys:   keysPerRound,
 			killAfter: time.Duration(rng.IntN(60)) * time.Millisecond,
 		}
-		_ = killed.run(t, client, file, address) // fails unless all answers arrive before the kill
+		_ = killed.run(t, client, file, address) // returns an error if the kill comes before all answers
 	}
 	last := round{
 		number:    kills,
 		maxKeys:   keys,
 		killAfter: never,
 	}
-	require.NoError(t, last.run(t, client, file, address), "the last one is not killed before its answers")
+	require.NoError(t, last.run(t, client, file, address), "the last allocator is killed only after all answers")
 
 	emulated.mu.Lock()
 	defer emulated.mu.Unlock()
@@ -135,23 +136,23 @@
 		assert.LessOrEqual(t, starts, 1, "key %d", key)
 	}
 	assert.Greater(t, client.verdicts[pb.Verdict_UNSCHEDULABLE], 5,
-		"the test proves nothing unless some workloads may have run before a kill: %v", client.verdicts)
-	t.Logf("%d of %d keys were started; answers %v, %d without",
+		"too few workloads may have run before a kill for the test to be meaningful: %v", client.verdicts)
+	t.Logf("%d of %d keys were started; answers %v, %d keys without an answer",
 		len(emulated.starts), keys, client.verdicts, len(client.outstanding))
 }
 
-// never is the time after which a process is not killed before its answers.
+// never is the killAfter of a process that is killed only after all answers.
 const never = time.Duration(-1)
 
-// round is one run of the allocator.
+// round is one run of the allocator process.
 type round struct {
 	number    int
-	maxKeys   int // of the keys that are requested
-	killAfter time.Duration
+	maxKeys   int           // maximum number of requested keys
+	killAfter time.Duration // time from the requests to the kill, or never
 }
 
-// run starts the allocator, has the client send requests, and kills the allocator after killAfter or all answers. It
-// returns the error if the connection is lost before all answers.
+// run starts the allocator, has the client send requests, and kills the allocator after killAfter or when all answers
+// are received. It returns an error if the connection is lost before all answers.
 func (r round) run(t *testing.T, client *retryingClient, file, address string) error {
 	t.Helper()
 	process := startChild(t, file)
@@ -164,7 +165,7 @@
 		defer timer.Stop()
 	}
 	lost := client.receive(conn, sent)
-	_ = process.Process.Kill() // fails if the timer has killed it
-	require.Error(t, process.Wait(), "the process ends by the kill alone")
+	_ = process.Process.Kill() // fails if the timer has already killed it
+	require.Error(t, process.Wait(), "the process exits only when it is killed")
 	return lost
 }
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -7,7 +7,8 @@
 	"grebeglade/config"
 )
 
-// NewLogger returns a logger with the configured level and format. An unknown level counts as "info".
+// NewLogger returns a logger that writes to w with the configured level and format. An unknown level is treated as
+// "info".
 func NewLogger(c config.Log, w io.Writer) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Level)); err != nil {
--- a/internal/daemon/peer_test.go
+++ b/internal/daemon/peer_test.go
@@ -15,11 +15,11 @@
 	maxFrameSize = 1 << 20
 )
 
-// peer is one end of a connection that speaks the allocator's protocol.
+// peer is one end of a connection with the allocator's protocol.
 type peer struct {
 	conn net.Conn
 	in   *bufio.Reader
-	mu   sync.Mutex // of writes
+	mu   sync.Mutex // guards writes to conn
 }
 
 func newPeer(conn net.Conn) *peer { return &peer{conn: conn, in: bufio.NewReader(conn)} }
@@ -43,7 +43,7 @@
 	return p, nil
 }
 
-// exchangeHellos sends a hello and waits for that of the allocator.
+// exchangeHellos sends a hello and waits for the allocator's hello.
 func (p *peer) exchangeHellos(hello *pb.Hello) error {
 	if err := p.send(transport.HelloFrame(hello)); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	return err
 }
 
-// receive waits for a frame until replyTimeout, as a client does that has sent a request.
+// receive waits for a frame, for at most replyTimeout.
 func (p *peer) receive() (*pb.Frame, error) {
 	if err := p.conn.SetReadDeadline(time.Now().Add(replyTimeout)); err != nil {
 		return nil, err
@@ -71,8 +71,8 @@
 	return p.next()
 }
 
-// next waits for a frame without a timeout, as a server does.
+// next waits for a frame without a timeout.
 func (p *peer) next() (*pb.Frame, error) { return transport.ReadFrame(p.in, maxFrameSize) }
 
-// close ends the connection. No test depends on whether that succeeds.
+// close closes the connection. Errors are ignored, since no test depends on them.
 func (p *peer) close() { _ = p.conn.Close() }
--- a/internal/daemon/retryingclient_test.go
+++ b/internal/daemon/retryingclient_test.go
@@ -39,23 +39,23 @@
 	return keys
 }
 
-// send sends a request for each key, and returns the keys by the requests' numbers. Numbers differ between rounds.
+// send sends a request for each key, and returns the keys by request ID. Request IDs differ between rounds.
 func (c *retryingClient) send(p *peer, round int, keys []uint64) map[uint64]uint64 {
 	sent := map[uint64]uint64{}
 	for i, key := range keys {
-		number := uint64(round+1)<<32 | uint64(i+1)
-		sent[number] = key
-		if err := p.send(requestFrame(number, key)); err != nil {
-			break // the allocator was killed, which receive reports
+		requestID := uint64(round+1)<<32 | uint64(i+1)
+		sent[requestID] = key
+		if err := p.send(requestFrame(requestID, key)); err != nil {
+			break // the allocator was killed; receive returns an error
 		}
 	}
 	return sent
 }
 
-// requestFrame returns a request for a workload that must not start twice.
-func requestFrame(number, key uint64) *pb.Frame {
+// requestFrame returns a request for a workload that must not be started twice.
+func requestFrame(requestID, key uint64) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
-		RequestId:         number,
+		RequestId:         requestID,
 		Key:               key,
 		Service:           key % 5,
 		Group:             "once",
@@ -66,7 +66,7 @@
 	}}}
 }
 
-// receive collects the answers to the requests in sent, until all were received or the connection is lost.
+// receive records the answers to the requests in sent. It returns an error if the connection ends before all answers.
 func (c *retryingClient) receive(p *peer, sent map[uint64]uint64) error {
 	for len(sent) > 0 {
 		f, err := p.receive()
@@ -78,18 +78,18 @@
 			continue
 		}
 		key, expected := sent[answer.RequestId]
-		require.True(c.t, expected, "a second answer, or one to no request")
+		require.True(c.t, expected, "second answer to a request, or unknown request ID")
 		delete(sent, answer.RequestId)
 		c.record(key, answer)
 	}
 	return nil
 }
 
-// reasonDuplicate is part of the reason for which a request under a known key is rejected.
+// reasonDuplicate is a part of the rejection reason for a request whose key the allocator already holds.
 const reasonDuplicate = "held here already"
 
-// record counts an answer that is final for its key. Any other answer means that the workload did not run, so that the
-// key is requested again.
+// record counts an answer that is final for its key. After any other answer the workload did not run, and its key is
+// requested again.
 func (c *retryingClient) record(key uint64, answer *pb.Answer) {
 	if answer.Verdict == pb.Verdict_REJECTED && !strings.Contains(answer.Reason, reasonDuplicate) {
 		return
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,11 +7,11 @@
 	"grebeglade/placement"
 )
 
-// drainPollInterval is the time between two checks of whether all requests are answered.
+// drainPollInterval is the time between two checks for pending workloads.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain rejects new requests and waits until pending ones are answered or ctx ends. It returns the number of workloads
-// without an answer. Placed workloads keep running. Close must follow.
+// Drain rejects new requests, and waits until all pending ones are answered or ctx ends. It returns the number of
+// workloads without an answer. Placed workloads keep running. Close must be called afterwards.
 func (d *Daemon) Drain(ctx context.Context) (unanswered int) {
 	d.loop.Call(d.frontend, func(placement.Millis) { d.frontend.Drain() })
 	unanswered = d.awaitAnswers(ctx)
@@ -19,7 +19,7 @@
 	return unanswered
 }
 
-// Close stops the allocator at once. Requests that are still pending get no answer; placed workloads keep running.
+// Close stops the allocator without draining it: pending requests get no answer, and placed workloads keep running.
 func (d *Daemon) Close() {
 	d.close()
 	counters := d.frontend.Counters
@@ -33,7 +33,7 @@
 	)
 }
 
-// awaitAnswers waits until no workload is pending or ctx has ended, and returns the number of pending workloads.
+// awaitAnswers waits until no workload is pending or ctx ends, and returns the number of pending workloads.
 func (d *Daemon) awaitAnswers(ctx context.Context) int {
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
@@ -55,7 +55,7 @@
 	return workloads
 }
 
-// close stops the event loop, and then closes what the frontend writes to.
+// close stops the event loop, and then closes the trace recorder and the bind store, which the frontend writes to.
 func (d *Daemon) close() {
 	d.loop.Close()
 	if d.recorder != nil {
