--- a/proto/grebeglade/v1/framekind_test.go
+++ b/proto/grebeglade/v1/framekind_test.go
@@ -12,7 +12,7 @@
 		frame *Frame
 		want  string
 	}{
-		{"name kept", &Frame{Body: &Frame_Withdraw{}}, "*pb.Frame_Withdraw"},
+		{"field not renamed", &Frame{Body: &Frame_Withdraw{}}, "*pb.Frame_Withdraw"},
 		{"renamed field", &Frame{Body: &Frame_PlaceRequest{}}, "*pb.Frame_Ask"},
 		{"renamed field of two words", &Frame{Body: &Frame_OfferReply{}}, "*pb.Frame_OfferAnswer"},
 		{"no body", &Frame{}, "<nil>"},
--- a/proto/grebeglade/v1/names_test.go
+++ b/proto/grebeglade/v1/names_test.go
@@ -9,13 +9,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Histories hold frames as JSON. What was renamed in the protocol keeps its former name there, and both names are read.
+// Guards against histories that cannot be read after a field or enum value is renamed in wire.proto: frames are written
+// as JSON with the former name, and both names can be read.
 func TestRenamedIdentifiers_JSONKeepsTheFormerName(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		message proto.Message
-		former  string // as histories hold it
-		present string // with the names of wire.proto
+		former  string // JSON as written to histories
+		present string // JSON with the names in wire.proto
 	}{
 		{
 			name:    "field of a frame",
