--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -53,7 +53,7 @@
 
 // boundBefore reports whether an earlier incarnation left a bind of a key.
 func (d *durableBinds) boundBefore(now placement.Millis, key uint64) bool {
-	return d.enabled && d.registry.KnownBeforeRestart(d.unixTime(now), key)
+	return d.enabled && d.registry.IsInherited(d.unixTime(now), key)
 }
 
 // required reports whether the binds of a group must be durable before their offers are sent.
--- a/internal/recovery/registry.go
+++ b/internal/recovery/registry.go
@@ -125,8 +125,8 @@
 	return Admit
 }
 
-// KnownBeforeRestart reports whether the recorded bind of a key is of an earlier incarnation and has not expired.
-func (r *Registry) KnownBeforeRestart(now float64, key uint64) bool {
+// IsInherited reports whether the recorded bind of a key is of an earlier incarnation and has not expired.
+func (r *Registry) IsInherited(now float64, key uint64) bool {
 	e, recorded := r.entries[key]
 	return recorded && e.state == inherited && !e.expired(now)
 }
--- a/internal/recovery/registry_test.go
+++ b/internal/recovery/registry_test.go
@@ -63,8 +63,8 @@
 	r := New(settings, recovered, 10)
 	assert.Equal(t, 3, r.Len())
 	for key := range uint64(3) {
-		assert.True(t, r.KnownBeforeRestart(20, key+1), "key %d", key+1)
-		assert.False(t, r.KnownBeforeRestart(100, key+1), "key %d, expired", key+1)
+		assert.True(t, r.IsInherited(20, key+1), "key %d", key+1)
+		assert.False(t, r.IsInherited(100, key+1), "key %d, expired", key+1)
 		assert.Equal(t, MayHaveRun, r.CheckAdmission(20, key+1, "once"), "key %d", key+1)
 		assert.Equal(t, Admit, r.CheckAdmission(100, key+1, "once"), "key %d, expired", key+1)
 	}
@@ -75,7 +75,7 @@
 	r := New(settings, []Bind{expiringAt(100, newBind(1, "once", 0))}, 10)
 	assert.False(t, r.Forget(1, 1, 0), "the earlier incarnation may have sent other binds")
 	r.RecordBind(20, newBind(1, "once", 1))
-	assert.False(t, r.KnownBeforeRestart(20, 1))
+	assert.False(t, r.IsInherited(20, 1))
 	assert.False(t, r.Forget(1, 1, 1), "the inherited bind may have been accepted")
 }
 
