--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -10,18 +10,18 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxRegistering limits concurrent registrations with event loops, since a connection uses two descriptors while it is
-// being registered.
-const maxRegistering = 4
+// maxConcurrentRegistrations limits the connections that are being registered with event loops at the same time, since
+// each of them uses two descriptors until it is registered.
+const maxConcurrentRegistrations = 4
 
 var errLoopClosed = errors.New("transport loop is closed")
 
 // eventLoops holds the event loops of one worker, one per priority class. Each is started for its first connection.
 type eventLoops struct {
-	events      *socketEvents
-	log         *slog.Logger
-	closed      <-chan struct{} // once closed, no event loop is started
-	registering chan struct{}   // semaphore: holds a value per registration in progress
+	events            *socketEvents
+	log               *slog.Logger
+	closed            <-chan struct{} // once closed, no event loop is started
+	registrationSlots chan struct{}   // semaphore: holds a value per registration in progress
 
 	mu    sync.Mutex
 	loops [numClasses]*gnet.Client // by priorityClass; nil until started
@@ -29,10 +29,10 @@
 
 func newEventLoops(events *socketEvents, log *slog.Logger, closed <-chan struct{}) *eventLoops {
 	return &eventLoops{
-		events:      events,
-		log:         log,
-		closed:      closed,
-		registering: make(chan struct{}, maxRegistering),
+		events:            events,
+		log:               log,
+		closed:            closed,
+		registrationSlots: make(chan struct{}, maxConcurrentRegistrations),
 	}
 }
 
@@ -40,8 +40,8 @@
 func (l *eventLoops) register(socket net.Conn, c *connection) error {
 	// An urgent connection skips the semaphore, for which hundreds of connections may queue during a start.
 	if c.class != classUrgent {
-		l.registering <- struct{}{}
-		defer func() { <-l.registering }()
+		l.registrationSlots <- struct{}{}
+		defer func() { <-l.registrationSlots }()
 	}
 	loop, err := l.start(c.class)
 	if err != nil {
--- a/internal/transport/handlers_test.go
+++ b/internal/transport/handlers_test.go
@@ -73,7 +73,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return condition()
-	}, eventually, time.Millisecond)
+	}, eventTimeout, time.Millisecond)
 }
 
 // closeReasons waits until n connections have ended, and returns their close reasons.
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -12,8 +12,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// eventually is how long a test waits for an event that must occur.
-const eventually = 20 * time.Second
+// eventTimeout is how long a test waits for an event that must occur.
+const eventTimeout = 20 * time.Second
 
 // startEcho runs an echoHandler on a new loop, and returns its address.
 func startEcho(t *testing.T, limits Limits) (*Loop, *echoHandler, string) {
@@ -69,7 +69,7 @@
 		queue.mu.Lock()
 		defer queue.mu.Unlock()
 		return len(queue.queued) >= events
-	}, eventually, time.Millisecond)
+	}, eventTimeout, time.Millisecond)
 }
 
 // dial connects to an address. The connection is closed at the end of the test.
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -17,9 +17,9 @@
 // listener accepts a worker's incoming connections.
 type listener struct {
 	net.Listener
-	worker   *worker
-	newCodec func() Codec
-	open     atomic.Int64 // number of incoming connections
+	worker    *worker
+	newCodec  func() Codec
+	openCount atomic.Int64 // number of incoming connections
 
 	// slots is a semaphore: it holds a value for each incoming connection, and one for the next Accept. It is nil if
 	// connections above the limit are rejected.
@@ -76,7 +76,7 @@
 		codec:  l.newCodec(),
 	}
 	limit := l.worker.limits.MaxConnections
-	if n := l.open.Add(1); l.slots == nil && n > int64(limit) {
+	if n := l.openCount.Add(1); l.slots == nil && n > int64(limit) {
 		l.worker.loop.Stats.RejectedConnections.Add(1)
 		l.reject(socket, c.codec, fmt.Sprintf("%d connections stand, the most there may be; come again later", limit))
 		l.connectionEnded()
@@ -103,7 +103,7 @@
 
 // connectionEnded removes an incoming connection from the count, and releases its slot.
 func (l *listener) connectionEnded() {
-	l.open.Add(-1)
+	l.openCount.Add(-1)
 	l.releaseSlot()
 }
 
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -22,5 +22,5 @@
 	assert.Contains(t, log.String(), `level=DEBUG msg="refusal not sent" peer=:7 error="socket failed"`)
 	assert.Contains(t, log.String(), `level=WARN msg="connection not closed" peer=:7 error="socket failed"`)
 	assert.Equal(t, uint64(1), w.loop.Stats.RejectedConnections.Load())
-	assert.Zero(t, l.open.Load())
+	assert.Zero(t, l.openCount.Load())
 }
--- a/internal/transport/messagetimeout.go
+++ b/internal/transport/messagetimeout.go
@@ -9,8 +9,8 @@
 
 // incompleteMessage identifies the partially received message of a connection.
 type incompleteMessage struct {
-	number atomic.Uint64 // number of the message, or zero; stored by the event loop, loaded by the worker
-	last   uint64        // highest number assigned so far; used by the event loop only
+	number     atomic.Uint64 // number of the message, or zero; stored by the event loop, loaded by the worker
+	lastNumber uint64        // highest number assigned so far; used by the event loop only
 }
 
 // watchMessage starts and cancels the timeout of Limits.MessageTimeout. The event loop calls it after each read:
@@ -22,8 +22,8 @@
 	if !begun || c.incomplete.number.Load() != 0 {
 		return
 	}
-	c.incomplete.last++
-	number := c.incomplete.last
+	c.incomplete.lastNumber++
+	number := c.incomplete.lastNumber
 	c.incomplete.number.Store(number)
 	c.worker.queue.push(event{
 		kind: eventCall,
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -63,7 +63,7 @@
 	}
 	waitForQueued(t, loop, handler, 3)
 	write(t, urgent, requestWithKey(100))
-	require.Eventually(t, loop.worker(handler).queue.hasUrgent.Load, eventually, time.Millisecond)
+	require.Eventually(t, loop.worker(handler).queue.hasUrgent.Load, eventTimeout, time.Millisecond)
 	close(handler.resume)
 	handler.waitUntil(t, func() bool { return len(handler.keys) == 7 })
 	assert.Equal(t, []uint64{1, 100, 2, 3, 4, 5, 6}, handler.keys)
--- a/internal/transport/worker.go
+++ b/internal/transport/worker.go
@@ -11,8 +11,8 @@
 	// Without this limit, a long batch of queued events would delay both until its end.
 	maxFlushDelay = placement.Millis(1)
 
-	// idleWait is the timer period of a worker without timers.
-	idleWait = time.Hour
+	// idleTimerPeriod is the wait after which a worker without pending timers checks its queue again.
+	idleTimerPeriod = time.Hour
 )
 
 // worker runs one handler: it calls the handler from a single goroutine with the events of its queue, and implements
@@ -48,7 +48,7 @@
 
 // run handles events until the queue is closed, and then the events that are still queued.
 func (w *worker) run() {
-	timer := time.NewTimer(idleWait)
+	timer := time.NewTimer(idleTimerPeriod)
 	defer timer.Stop()
 	w.now = w.loop.Now()
 	w.handler.Start(w.now, w)
@@ -77,11 +77,11 @@
 	return false
 }
 
-// untilNextTimer returns the time until the next call or wake-up is due, or idleWait if there is none.
+// untilNextTimer returns the time until the next call or wake-up is due, or idleTimerPeriod if there is none.
 func (w *worker) untilNextTimer() time.Duration {
 	at, ok := w.schedule.next()
 	if !ok {
-		return idleWait
+		return idleTimerPeriod
 	}
 	return max(0, duration(at-w.loop.Now()))
 }
