--- a/config/block.go
+++ b/config/block.go
@@ -9,44 +9,47 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Block is a block of a file, or the whole file. Its methods read one argument each, return a default if it is absent
-// or wrong, and collect what is wrong. Finish reports that, and everything that was never read.
+// Block is a block of a file, or the file's top level. Each reading method returns one argument, or a default if it is
+// absent or invalid, and records the problem. Finish returns all recorded problems, and reports arguments and blocks
+// that no method has read.
 type Block struct {
-	Name string // its label, or ""
+	Name string // the block's label, "" for none
 
-	body   *hclsyntax.Body
-	file   string
-	line   int
-	known  map[string]bool     // arguments and types of blocks that were read
-	nested map[string][]*Block // by type
-	found  *FileError          // what is wrong with the whole file
+	body       *hclsyntax.Body
+	file       string
+	line       int
+	recognized map[string]bool     // names of arguments and block types that were read or skipped
+	nested     map[string][]*Block // nested blocks that were read, by type
+	problems   *FileError          // problems of the whole file, shared by all its blocks
 }
 
-func newBlock(body *hclsyntax.Body, file string, line int, found *FileError) *Block {
+func newBlock(body *hclsyntax.Body, file string, line int, problems *FileError) *Block {
 	return &Block{
-		body:   body,
-		file:   file,
-		line:   line,
-		known:  map[string]bool{},
-		nested: map[string][]*Block{},
-		found:  found,
+		body:       body,
+		file:       file,
+		line:       line,
+		recognized: map[string]bool{},
+		nested:     map[string][]*Block{},
+		problems:   problems,
 	}
 }
 
-// File returns the name of the file that the block is in.
+// File returns the name of the file that contains the block.
 func (b *Block) File() string { return b.file }
 
-// Skip marks everything in the block as known: another reader is responsible for it.
+// Skip marks all arguments and nested blocks as recognized, so that Finish does not report them. It is for blocks that
+// other code reads.
 func (b *Block) Skip() {
 	for name := range b.body.Attributes {
-		b.known[name] = true
+		b.recognized[name] = true
 	}
 	for _, nested := range b.body.Blocks {
-		b.known[nested.Type] = true
+		b.recognized[nested.Type] = true
 	}
 }
 
-// AddProblem records that something is wrong with an argument, or with the block if it has no such argument.
+// AddProblem records a problem with an argument, at the argument's line, or at the block's if the argument is absent.
+// The fix says what to write instead.
 func (b *Block) AddProblem(name, problem, fix string) {
 	if argument := b.body.Attributes[name]; argument != nil {
 		b.report(argument.SrcRange, problem, fix)
@@ -55,13 +58,13 @@
 	b.add(b.file, b.line, problem, fix)
 }
 
-// report records that something is wrong at a place in the file.
-func (b *Block) report(place hcl.Range, problem, fix string) {
-	b.add(place.Filename, place.Start.Line, problem, fix)
+// report records a problem at a source position.
+func (b *Block) report(position hcl.Range, problem, fix string) {
+	b.add(position.Filename, position.Start.Line, problem, fix)
 }
 
 func (b *Block) add(file string, line int, problem, fix string) {
-	*b.found = append(*b.found, LineError{
+	*b.problems = append(*b.problems, LineError{
 		File:    file,
 		Line:    line,
 		Problem: problem,
@@ -69,26 +72,26 @@
 	})
 }
 
-// Blocks returns the nested blocks of a type in the order of the file.
-func (b *Block) Blocks(kind string) []*Block {
-	if found, read := b.nested[kind]; read {
-		return found
+// Blocks returns the nested blocks of a type in file order.
+func (b *Block) Blocks(blockType string) []*Block {
+	if blocks, read := b.nested[blockType]; read {
+		return blocks
 	}
-	b.known[kind] = true
-	var found []*Block
+	b.recognized[blockType] = true
+	var blocks []*Block
 	for _, nested := range b.body.Blocks {
-		if nested.Type == kind {
-			found = append(found, b.nestedBlock(nested))
+		if nested.Type == blockType {
+			blocks = append(blocks, b.nestedBlock(nested))
 		}
 	}
-	b.nested[kind] = found
-	return found
+	b.nested[blockType] = blocks
+	return blocks
 }
 
-// nestedBlock returns a nested block, whose name is its first label.
+// nestedBlock converts a parsed block. Its first label becomes the name; further labels are a problem.
 func (b *Block) nestedBlock(parsed *hclsyntax.Block) *Block {
-	place := parsed.TypeRange
-	nested := newBlock(parsed.Body, place.Filename, place.Start.Line, b.found)
+	position := parsed.TypeRange
+	nested := newBlock(parsed.Body, position.Filename, position.Start.Line, b.problems)
 	if len(parsed.Labels) > 0 {
 		nested.Name = parsed.Labels[0]
 	}
@@ -98,47 +101,47 @@
 	return nested
 }
 
-// Block returns the nested block of a type that may occur once, an empty one if it is absent.
-func (b *Block) Block(kind string) *Block {
-	found := b.Blocks(kind)
-	if len(found) > 1 {
-		found[1].AddProblem("", "a second "+kind+" block", "keep one")
+// Block returns the nested block of a type that may occur only once, or an empty block if it is absent.
+func (b *Block) Block(blockType string) *Block {
+	blocks := b.Blocks(blockType)
+	if len(blocks) > 1 {
+		blocks[1].AddProblem("", "a second "+blockType+" block", "keep one")
 	}
-	if len(found) > 0 {
-		return found[0]
+	if len(blocks) > 0 {
+		return blocks[0]
 	}
-	empty := newBlock(&hclsyntax.Body{}, b.file, b.line, b.found)
-	b.nested[kind] = []*Block{empty}
+	empty := newBlock(&hclsyntax.Body{}, b.file, b.line, b.problems)
+	b.nested[blockType] = []*Block{empty}
 	return empty
 }
 
-// Named returns the nested blocks of a type whose names must be given and unique.
-func (b *Block) Named(kind string) []*Block {
-	lines := map[string]int{} // by name
-	found := b.Blocks(kind)
-	for _, nested := range found {
+// Named returns the nested blocks of a type, each of which must have a unique name.
+func (b *Block) Named(blockType string) []*Block {
+	lines := map[string]int{} // first line of a block by its name
+	blocks := b.Blocks(blockType)
+	for _, nested := range blocks {
 		line, duplicate := lines[nested.Name]
 		switch {
 		case nested.Name == "":
-			nested.AddProblem("", "a "+kind+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, kind))
+			nested.AddProblem("", "a "+blockType+" without a name", fmt.Sprintf(`write %s "NAME" { … }`, blockType))
 		case duplicate:
-			problem := fmt.Sprintf("%s %q is already defined in line %d", kind, nested.Name, line)
+			problem := fmt.Sprintf("%s %q is already defined in line %d", blockType, nested.Name, line)
 			nested.AddProblem("", problem, "give it another name")
 		default:
 			lines[nested.Name] = nested.line
 		}
 	}
-	return found
+	return blocks
 }
 
-// Finish returns what is wrong with the file as a FileError, nil if nothing is. Arguments and blocks that were never
-// read are wrong.
+// Finish returns the problems of the file as a FileError, sorted by line, or nil if there are none. Arguments and
+// blocks that were neither read nor skipped are problems too.
 func (b *Block) Finish() error {
 	b.reportUnknown()
-	found := *b.found
-	if len(found) == 0 {
+	problems := *b.problems
+	if len(problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(found, func(x, y LineError) int { return cmp.Compare(x.Line, y.Line) })
-	return found
+	slices.SortStableFunc(problems, func(x, y LineError) int { return cmp.Compare(x.Line, y.Line) })
+	return problems
 }
--- a/config/block_test.go
+++ b/config/block_test.go
@@ -14,7 +14,7 @@
 	return b
 }
 
-func TestBlock_ReadsValuesOfEachType(t *testing.T) {
+func TestBlock_ReadsArgumentsOfEachType(t *testing.T) {
 	b := parse(t, `
 text     = "x"
 list     = ["a", "b"]
@@ -38,7 +38,7 @@
 	require.NoError(t, b.Finish())
 }
 
-func TestBlock_AbsentValuesAreTheDefaults(t *testing.T) {
+func TestBlock_AbsentArgument_ReturnsFallback(t *testing.T) {
 	b := parse(t, "")
 	assert.Equal(t, "x", b.String("text", "x"))
 	assert.Equal(t, []string{"a"}, b.Strings("list", []string{"a"}))
@@ -49,7 +49,7 @@
 	require.NoError(t, b.Finish())
 }
 
-func TestBlockFloatPairs_WrongPairIsAProblem(t *testing.T) {
+func TestBlockFloatPairs_MalformedPair_IsReported(t *testing.T) {
 	for name, value := range map[string]string{
 		"one number":    `[[1]]`,
 		"three numbers": `[[1, 2, 3]]`,
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestBlockInherit_AddsOnlyWhatIsAbsent(t *testing.T) {
+func TestBlockInherit_AddsOnlyAbsentArgumentsAndBlocks(t *testing.T) {
 	b := parse(t, `
 own = "kept"
 rules {
@@ -95,7 +95,7 @@
 	require.NoError(t, b.Finish())
 }
 
-func TestBlockFinish_SkippedBlockIsNotUnknown(t *testing.T) {
+func TestBlockFinish_SkippedBlock_IsNotReported(t *testing.T) {
 	const src = "rules {\n  other = 1\n}\n"
 	b := parse(t, src)
 	b.Block("rules").Skip()
@@ -106,7 +106,7 @@
 	assert.ErrorContains(t, b.Finish(), "f.hcl:2: other is not a known argument")
 }
 
-func TestBlockBlock_SecondBlockIsAProblem(t *testing.T) {
+func TestBlockBlock_SecondBlock_IsReported(t *testing.T) {
 	b := parse(t, "rules {}\nrules {}\n")
 	b.Block("rules")
 	assert.ErrorContains(t, b.Finish(), "f.hcl:2: a second rules block; keep one")
--- a/config/config.go
+++ b/config/config.go
@@ -1,21 +1,20 @@
-// Package config reads an allocator's configuration file: HCL in which durations and sizes carry their units.
+// Package config reads an allocator's configuration file: HCL in which durations and sizes have units.
 //
-// A file is read to its end, and everything that is wrong with it is returned at once as a FileError, which has the
-// file, line and fix of each problem. Durations are milliseconds once read.
+// Reading continues after a problem, and all problems of a file are returned together as a FileError, each with its
+// file, line and fix. Durations are converted to milliseconds.
 package config
 
 import "grebeglade/placement"
 
-// Allocator is the configuration of one allocator. It has a field for each block, and for each argument of the block
-// "allocator".
+// Allocator is the configuration of one allocator: the arguments of its "allocator" block, and the other blocks.
 type Allocator struct {
 	Name             string
 	ListenAddress    string
-	DiscoveryAddress string // of the discovery service
+	DiscoveryAddress string // address of the discovery service, with its port
 	Zone             string
 	Settings         placement.Settings
-	GroupNames       []string // in the order of Settings.Groups
-	KindNames        []string // in the order of Settings.NodeKinds
+	GroupNames       []string // names of the priority groups, parallel to Settings.Groups
+	KindNames        []string // names of the node kinds, parallel to Settings.NodeKinds
 	Limits           Limits
 	Log              Log
 	State            State
@@ -24,15 +23,15 @@
 
 // Limits bound the memory that peers can make an allocator use.
 type Limits struct {
-	MaxWorkloads   int   // pending and placed
-	MaxConnections int   // accepted ones
-	MaxFrameBytes  int64 // of one message
-	MaxWriteBuffer int64 // bytes that wait to be written to one peer
+	MaxWorkloads   int   // workloads, pending and placed together
+	MaxConnections int   // accepted connections
+	MaxFrameBytes  int64 // size of one message
+	MaxWriteBuffer int64 // unsent bytes buffered for one peer
 }
 
-// State configures the durable record of binds that must be known after a crash.
+// State configures the state directory, which stores the binds that an allocator needs again after a crash.
 type State struct {
-	Dir        string           `json:"dir"` // "" for no durable state
+	Dir        string           `json:"dir"` // path of the state directory, "" for no durable state
 	Retention  placement.Millis `json:"keep_ms"`
 	MaxEntries int              `json:"most"`
 	Sync       string           `json:"sync"` // one of the Sync constants
@@ -40,17 +39,17 @@
 
 // Values of State.Sync: when an entry counts as durable.
 const (
-	SyncGroup = "group" // after one sync for all entries that wait
-	SyncEach  = "each"  // after a sync of its own
-	SyncNone  = "none"  // without a sync; lost if the machine fails
+	SyncGroup = "group" // after a sync shared by all queued entries
+	SyncEach  = "each"  // after a separate sync for the entry
+	SyncNone  = "none"  // without a sync; entries can be lost if the machine fails
 )
 
 // Trace configures the recording of calls and decisions.
 type Trace struct {
-	Dir           string           // "" for no trace
-	MaxFileBytes  int64            // largest size of one file
-	MaxFileAge    placement.Millis // longest time that one file is written to
-	MaxTotalBytes int64            // largest size of all files
+	Dir           string           // directory of the trace files, "" for no trace
+	MaxFileBytes  int64            // maximum size of one file
+	MaxFileAge    placement.Millis // time after which a new file is started
+	MaxTotalBytes int64            // maximum size of all files together
 }
 
 // Log configures logging.
--- a/config/errors.go
+++ b/config/errors.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// LineError is one thing that is wrong with a file.
+// LineError is a problem in one line of a file.
 type LineError struct {
 	File    string
-	Line    int
+	Line    int    // line number, 1 for the first
 	Problem string // what is wrong
-	Fix     string // what to write instead, or ""
+	Fix     string // what to write instead, "" for no suggestion
 }
 
 func (e LineError) Error() string {
@@ -21,7 +21,7 @@
 	return text
 }
 
-// FileError is everything that is wrong with a file, in the order of its lines. Its text has a line for each.
+// FileError holds all problems of a file in line order. Its text has one line for each problem.
 type FileError []LineError
 
 func (e FileError) Error() string {
@@ -32,7 +32,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns each LineError as an error of its own.
+// Unwrap returns each LineError as a separate error.
 func (e FileError) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i := range e {
--- a/config/inherit.go
+++ b/config/inherit.go
@@ -2,11 +2,12 @@
 
 import "github.com/hashicorp/hcl/v2/hclsyntax"
 
-// Inherit adds from another file what this one lacks: arguments, and blocks of types that it does not have at all. A
-// block without a label occurs once, and inherits from its counterpart in turn. Inherit must be called before reading.
+// Inherit copies from another block the arguments that this one lacks, and the nested blocks whose type is absent here.
+// If both have an unlabelled block of the same type, that block inherits in the same way. Inherit must be called before
+// any argument or nested block is read.
 func (b *Block) Inherit(from *Block) { inherit(b.body, from.body) }
 
-// inherit adds to a body what it lacks of another.
+// inherit copies missing arguments and blocks into body, as Inherit describes.
 func inherit(body, from *hclsyntax.Body) {
 	inheritAttributes(body, from)
 	own := map[string]*hclsyntax.Block{}
@@ -24,7 +25,7 @@
 	}
 }
 
-// inheritAttributes adds to a body the arguments that it lacks of another.
+// inheritAttributes copies into body the arguments of from that body lacks.
 func inheritAttributes(body, from *hclsyntax.Body) {
 	if body.Attributes == nil {
 		body.Attributes = hclsyntax.Attributes{}
--- a/config/json.go
+++ b/config/json.go
@@ -7,15 +7,15 @@
 	"grebeglade/placement"
 )
 
-// The types below are an Allocator as JSON shows it. Their field names are what scripts read from
-// "grebeglade config check --json", so they stay as they are whatever the settings' own fields are named.
+// The types below are the JSON form of an Allocator. Scripts read their field names as the keys of
+// "grebeglade config check --json", so a field must keep its name even when the field of Allocator is renamed.
 type (
 	allocatorJSON struct {
 		Name     string
 		Listen   string
 		List     string
 		Zone     string
-		Settings placement.Settings // names its own keys
+		Settings placement.Settings // defines its keys by struct tags
 		Groups   []string
 		Kinds    []string
 		Limits   limitsJSON
@@ -39,7 +39,7 @@
 	}
 )
 
-// MarshalJSON returns the allocator's settings under the names that "grebeglade config check --json" prints.
+// MarshalJSON returns the allocator's configuration with the keys that "grebeglade config check --json" prints.
 func (a Allocator) MarshalJSON() ([]byte, error) {
 	encoded, err := json.Marshal(allocatorJSON{
 		Name:     a.Name,
--- a/config/json_test.go
+++ b/config/json_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The expected file was printed by "grebeglade config check --json" before the fields had names of their own for JSON.
+// Scripts read the output of "grebeglade config check --json", which the expected file holds for the HCL file. Guards
+// against a renamed Go field that changes a key, or the order of the keys.
 func TestAllocatorMarshalJSON_KeepsKeysAndOrder(t *testing.T) {
 	a, err := Load("testdata/allocator.hcl")
 	require.NoError(t, err)
--- a/config/load.go
+++ b/config/load.go
@@ -9,18 +9,18 @@
 	"grebeglade/placement"
 )
 
-// Defaults that are too large to be read as numbers in their place.
+// Defaults of the state and trace blocks.
 const (
-	defaultRetention     = placement.Millis(24 * 3600e3)
+	defaultRetention     = placement.Millis(24 * 3600e3) // 24 h
 	defaultMaxEntries    = 1_000_000
-	defaultMaxFileAge    = placement.Millis(3600e3)
+	defaultMaxFileAge    = placement.Millis(3600e3) // 1 h
 	defaultMaxFileBytes  = 64 << 20
 	defaultMaxTotalBytes = 1 << 30
 
-	maxAllocators = 100_000
+	maxAllocators = 100_000 // allocators that share a fleet
 )
 
-// Load reads an allocator's configuration file. The error is a FileError if the file is wrong.
+// Load reads an allocator's configuration file. The error is a FileError if the file's content is invalid.
 func Load(file string) (*Allocator, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -29,15 +29,15 @@
 	return Decode(file, src)
 }
 
-// Decode reads an allocator's configuration from a file's text. Besides the error, which is a FileError if the file is
-// wrong, it returns what could be read.
+// Decode reads an allocator's configuration from src, the content of a file; file is its name in errors. If the syntax
+// is valid but values are not, Decode returns both a FileError and a configuration with defaults for these values.
 func Decode(file string, src []byte) (*Allocator, error) {
 	root, err := Parse(file, src)
 	if err != nil {
 		return nil, err
 	}
 	a := &Allocator{}
-	a.readOwn(root.Block("allocator"))
+	a.readAllocator(root.Block("allocator"))
 	a.Limits = ReadLimits(root.Block("limits"))
 	a.Log = readLog(root.Block("log"))
 	a.State = readState(root.Block("state"))
@@ -46,8 +46,8 @@
 	return a, root.Finish()
 }
 
-// readOwn reads what distinguishes one allocator from the others.
-func (a *Allocator) readOwn(b *Block) {
+// readAllocator reads the allocator block: name, addresses, zone, and the ordinal among all allocators.
+func (a *Allocator) readAllocator(b *Block) {
 	a.Name = b.String("name", "allocator")
 	a.ListenAddress = b.String("listen", "127.0.0.1:7070")
 	a.DiscoveryAddress = b.String("list", "127.0.0.1:7071")
@@ -66,7 +66,7 @@
 	checkLoopback(b, "list", a.DiscoveryAddress)
 }
 
-// ReadLimits reads a limits block.
+// ReadLimits reads a limits block. Problems are recorded in the block.
 func ReadLimits(b *Block) Limits {
 	return Limits{
 		MaxWorkloads:   b.Int("workloads", 200_000, 1, math.MaxInt32),
@@ -76,7 +76,6 @@
 	}
 }
 
-// readLog reads the log block.
 func readLog(b *Block) Log {
 	return Log{
 		Level:  b.OneOf("level", "info", "debug", "info", "warn", "error"),
@@ -84,7 +83,6 @@
 	}
 }
 
-// readState reads the state block.
 func readState(b *Block) State {
 	state := State{
 		Dir:        b.String("dir", ""),
@@ -98,7 +96,6 @@
 	return state
 }
 
-// readTrace reads the trace block.
 func readTrace(b *Block) Trace {
 	trace := Trace{
 		Dir:           b.String("dir", ""),
--- a/config/parse.go
+++ b/config/parse.go
@@ -8,39 +8,40 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Parse parses a file's text. The error is a FileError if the syntax is wrong.
+// Parse parses src, the content of a file; file is its name in errors. The error is a FileError if the syntax is
+// invalid.
 func Parse(file string, src []byte) (*Block, error) {
 	parsed, diagnostics := hclsyntax.ParseConfig(src, file, hcl.InitialPos)
-	found := syntaxErrors(file, diagnostics)
-	if len(found) > 0 {
-		return nil, found
+	problems := syntaxErrors(file, diagnostics)
+	if len(problems) > 0 {
+		return nil, problems
 	}
 	body, ok := parsed.Body.(*hclsyntax.Body)
 	if !ok {
 		return nil, errors.New(file + ": not in HCL's native syntax")
 	}
-	return newBlock(body, file, 1, &found), nil
+	return newBlock(body, file, 1, &problems), nil
 }
 
-// syntaxErrors returns what the HCL parser found wrong.
+// syntaxErrors converts the HCL parser's diagnostics. The line is 1 if a diagnostic has no position.
 func syntaxErrors(file string, diagnostics hcl.Diagnostics) FileError {
-	var found FileError
+	var problems FileError
 	for _, diagnostic := range diagnostics {
 		line := 1
 		if diagnostic.Subject != nil {
 			line = diagnostic.Subject.Start.Line
 		}
-		found = append(found, LineError{
+		problems = append(problems, LineError{
 			File:    file,
 			Line:    line,
 			Problem: asClause(diagnostic.Summary),
 			Fix:     asClause(diagnostic.Detail),
 		})
 	}
-	return found
+	return problems
 }
 
-// asClause makes a sentence of the HCL parser part of a message: without a capital and a full stop.
+// asClause lowers the first letter of a sentence and removes its full stop, so that it can be part of a message.
 func asClause(sentence string) string {
 	sentence = strings.TrimSuffix(sentence, ".")
 	if sentence == "" {
--- a/config/placement.go
+++ b/config/placement.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxKinds                = 200 // of the 256 that a placement.KindID can number
+	maxKinds                = 200 // node kinds; a placement.KindID has 256 values
 	defaultLatencyObjective = placement.Millis(1e3)
 )
 
@@ -19,7 +19,7 @@
 	effectAtMostOnce      = "run-once"
 )
 
-// Values of arguments of the rules block that stand for a choice of two.
+// Values of the rules block's arguments "list", "confirms" and "reports".
 const (
 	discoveryPushed = "push"
 	discoveryPolled = "ask"
@@ -45,8 +45,8 @@
 	"all":  placement.ScopeAll,
 }
 
-// ReadPlacement reads the blocks that an allocator's configuration and a scenario have in common: rules, kinds of nodes
-// and priority groups. It appends to the names.
+// ReadPlacement reads the blocks that allocator configurations and scenarios share: rules, node kinds and priority
+// groups. It fills s, and appends the names of the kinds and groups in file order. Problems are recorded in root.
 func ReadPlacement(root *Block, s *placement.Settings, kindNames, groupNames *[]string) {
 	readRules(root.Block("rules"), s)
 	readKinds(root, s, kindNames)
@@ -59,7 +59,6 @@
 	}
 }
 
-// readRules reads the rules block.
 func readRules(b *Block, s *placement.Settings) {
 	s.WarmUpDuration = b.Duration("cold_for", 15e3)
 	s.InitialRate = b.Float("cold_from", 0.25, 0, 1)
@@ -74,7 +73,7 @@
 	s.EntriesCarryCapacity = b.Bool("room_in_list", true)
 }
 
-// readKinds reads the blocks of node kinds, and appends to their names.
+// readKinds reads the kind blocks into s, and appends their names.
 func readKinds(root *Block, s *placement.Settings, names *[]string) {
 	for _, block := range root.Named("kind") {
 		*names = append(*names, block.Name)
@@ -92,7 +91,6 @@
 	}
 }
 
-// readGroup reads the block of a priority group.
 func readGroup(b *Block, kindNames []string) placement.Group {
 	group := placement.Group{
 		LatencyObjective: b.Duration("target", defaultLatencyObjective),
@@ -114,7 +112,7 @@
 	return group
 }
 
-// checkIdempotency checks that a group has a key scope and window exactly if it is idempotent by key.
+// checkIdempotency reports a group that is idempotent by key without a key scope and window, or the reverse.
 func checkIdempotency(b *Block, group *placement.Group) {
 	byKey := group.Idempotency == placement.IdempotentByKey
 	if byKey && (group.KeyScope == placement.ScopeNone || group.KeyWindow <= 0) {
@@ -127,7 +125,7 @@
 	}
 }
 
-// readRequiredKind returns the index of the kind that a group's workloads need, or placement.AnyKind.
+// readRequiredKind returns the index of the node kind that a group's workloads require, or placement.AnyKind.
 func readRequiredKind(b *Block, kindNames []string) int {
 	name := b.String("kind", "")
 	if name == "" {
--- a/config/units.go
+++ b/config/units.go
@@ -12,7 +12,8 @@
 	"grebeglade/placement"
 )
 
-// Duration reads a duration with its unit, such as "250ms".
+// Duration returns a duration in milliseconds. The argument is a string with a unit, such as "250ms"; fallback is
+// returned if it is absent, malformed or negative.
 func (b *Block) Duration(name string, fallback placement.Millis) placement.Millis {
 	value, ok := b.value(name, cty.DynamicPseudoType, `a time with its unit, such as "250ms"`)
 	if !ok {
@@ -33,7 +34,7 @@
 	return placement.Millis(float64(d) / float64(time.Millisecond))
 }
 
-// textOr returns a value as text, or a fallback if it has none.
+// textOr converts a value to text, and returns fallback if that is not possible.
 func textOr(v cty.Value, fallback string) string {
 	if s, err := convert.Convert(v, cty.String); err == nil && !s.IsNull() && s.IsKnown() {
 		return s.AsString()
@@ -41,7 +42,7 @@
 	return fallback
 }
 
-// sizeUnits are the units of sizes. "B" is last, since the others end in it too.
+// sizeUnits are tried in order. "B" must be last, since it is a suffix of the others.
 var sizeUnits = []struct {
 	suffix string
 	bytes  float64
@@ -52,10 +53,11 @@
 	{"B", 1},
 }
 
-// maxByteSize is the largest size that a float64 holds exactly.
+// maxByteSize is the limit below which a float64 holds every whole number of bytes exactly.
 const maxByteSize = 1 << 53
 
-// ByteSize reads a number of bytes with its unit, such as "4MiB".
+// ByteSize returns a size in bytes. The argument is a string with a unit, such as "4MiB"; fallback is returned if it is
+// absent or malformed.
 func (b *Block) ByteSize(name string, fallback int64) int64 {
 	text := b.String(name, "")
 	if text == "" {
@@ -70,7 +72,8 @@
 	return size
 }
 
-// parseByteSize returns the bytes of a size with its unit, false if it is malformed, not positive or too large.
+// parseByteSize converts a size with its unit to bytes. It returns false if the size is malformed, not positive or at
+// least maxByteSize.
 func parseByteSize(text string) (size int64, ok bool) {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(text, unit.suffix)
--- a/config/unknown.go
+++ b/config/unknown.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// reportUnknown reports the arguments and blocks that were never read, in this block and in those within it.
+// reportUnknown reports the arguments and blocks that were neither read nor skipped, in this block and in nested ones.
 func (b *Block) reportUnknown() {
 	for name, argument := range b.body.Attributes {
-		if !b.known[name] {
+		if !b.recognized[name] {
 			b.report(argument.SrcRange, name+" is not a known argument", b.suggestion(name))
 		}
 	}
 	for _, nested := range b.body.Blocks {
-		if !b.known[nested.Type] {
+		if !b.recognized[nested.Type] {
 			b.report(nested.TypeRange, nested.Type+" is not a known block", b.suggestion(nested.Type))
 		}
 	}
@@ -26,27 +26,27 @@
 	}
 }
 
-// maxTypos is how many letters a name may differ from a known one for that to be suggested.
+// maxTypos is the largest edit distance, in bytes, at which a recognized name is suggested for an unknown one.
 const maxTypos = 3
 
-// suggestion returns the fix for a name that is not known: the closest known one, or all of them.
+// suggestion returns the fix for an unknown name: the closest recognized name, or the list of all.
 func (b *Block) suggestion(name string) string {
-	known := slices.Sorted(maps.Keys(b.known))
+	names := slices.Sorted(maps.Keys(b.recognized))
 	closest := ""
-	fewest := maxTypos + 1
-	for _, candidate := range known {
-		if distance := editDistance(name, candidate); distance < fewest {
+	shortest := maxTypos + 1
+	for _, candidate := range names {
+		if distance := editDistance(name, candidate); distance < shortest {
 			closest = candidate
-			fewest = distance
+			shortest = distance
 		}
 	}
 	if closest == "" {
-		return "known are " + strings.Join(known, ", ")
+		return "known are " + strings.Join(names, ", ")
 	}
 	return fmt.Sprintf("did you mean %s?", closest)
 }
 
-// editDistance returns the Levenshtein distance: the number of bytes to insert, delete or replace.
+// editDistance returns the Levenshtein distance of two texts: the fewest bytes to insert, delete or replace.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
