--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -13,37 +13,37 @@
 
 const (
 	handshakeTimeout = 5 * time.Second
-	bufferSize       = 1 << 16
-	flushThreshold   = 1 << 15 // bytes in the buffer after which it is flushed at once
-	maxFrameSize     = 16 << 20
+	bufferSize       = 1 << 16  // bytes, for reading and for writing
+	flushThreshold   = 1 << 15  // buffered bytes above which frames are flushed before the next pause
+	maxFrameSize     = 16 << 20 // bytes
 )
 
-// requestState is the state of a request that was sent.
+// requestState is the state of a sent request.
 type requestState uint8
 
 const (
 	requestPending  requestState = iota
-	requestPlaced                // until its workload ends
-	requestAnswered              // rejected or unschedulable
-	requestLost                  // the connection was lost before the answer
+	requestPlaced                // answered; the workload has not ended
+	requestAnswered              // answered: rejected or unschedulable
+	requestLost                  // not answered before the connection was lost
 )
 
-// sentRequest is a request that was sent. It is removed when its workload has ended.
+// sentRequest is a request that was sent. It is deleted when its workload ends.
 type sentRequest struct {
-	due     time.Time // by the schedule
-	expires time.Time // its pending timeout
+	due     time.Time // scheduled time
+	expires time.Time // when the pending timeout has passed
 	state   requestState
 }
 
-// client is a connection to the allocator. Its writer belongs to the goroutine that sends, its reader to the one that
-// reads; the other fields are guarded by the mutex of the tally.
+// client is a connection to the allocator. Only the sending goroutine uses out, and only the connection's reading
+// goroutine uses in. The tally's mutex guards requests, last and err.
 type client struct {
 	conn     net.Conn
 	in       *bufio.Reader
 	out      *bufio.Writer
-	requests map[uint64]*sentRequest // by number
-	last     uint64                  // number of the last request
-	err      error                   // that ended the connection, nil while it is open
+	requests map[uint64]*sentRequest // by request number
+	last     uint64                  // number of the latest request, 0 for none
+	err      error                   // cause of the connection's loss, nil while it is open
 }
 
 // connect opens a connection and exchanges hellos.
@@ -60,15 +60,16 @@
 	}
 	if err := c.handshake(name); err != nil {
 		c.close()
-		return nil, fmt.Errorf("%s: %w", target, err)
+		return nil, fmt.Errorf("handshake with %s: %w", target, err)
 	}
 	return c, nil
 }
 
-// handshake sends the client's hello and checks the allocator's. Each run is a new incarnation of the client.
+// handshake sends the client's hello and checks the allocator's. The incarnation is the current
+// time, so each run is a new incarnation of the client.
 func (c *client) handshake(name string) error {
 	if err := c.conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return fmt.Errorf("set the deadline of the handshake: %w", err)
+		return fmt.Errorf("set the handshake deadline: %w", err)
 	}
 	hello := &pb.Hello{
 		Role:        pb.Role_CLIENT,
@@ -90,12 +91,12 @@
 		return err
 	}
 	if err := c.conn.SetDeadline(time.Time{}); err != nil {
-		return fmt.Errorf("clear the deadline of the handshake: %w", err)
+		return fmt.Errorf("clear the handshake deadline: %w", err)
 	}
 	return nil
 }
 
-// send puts a frame into the buffer.
+// send appends a frame to the write buffer, which is written when it is full.
 func (c *client) send(frame *pb.Frame) error {
 	encoded, err := transport.AppendFrame(nil, frame)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// flush writes what is in the buffer.
+// flush writes the buffered frames.
 func (c *client) flush() error {
 	if err := c.out.Flush(); err != nil {
 		return fmt.Errorf("send to the allocator: %w", err)
@@ -115,13 +116,13 @@
 	return nil
 }
 
-// receive waits for the next frame.
+// receive blocks until a frame arrives or the connection ends.
 func (c *client) receive() (*pb.Frame, error) { return transport.ReadFrame(c.in, maxFrameSize) }
 
-// close ends the connection. An error does not matter: no answer is waited for any more.
+// close ends the connection. The error is ignored, since no more answers are read.
 func (c *client) close() { _ = c.conn.Close() }
 
-// requestFrame returns the frame of a request, pendingTimeout before it expires.
+// requestFrame returns the frame of a request; pendingTimeout is the time left until the request expires.
 func (c *client) requestFrame(number uint64, request Request, pendingTimeout time.Duration) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
 		RequestId:         number,
@@ -130,25 +131,25 @@
 		Group:             request.Group,
 		Cores:             request.Cores,
 		Memory:            request.Memory,
-		PendingTimeoutMs:  inMilliseconds(pendingTimeout),
-		ExpectedRuntimeMs: inMilliseconds(request.RunTime),
+		PendingTimeoutMs:  toMillis(pendingTimeout),
+		ExpectedRuntimeMs: toMillis(request.RunTime),
 		Retried:           request.Retried,
 		SentMs:            processTime(),
 	}}}
 }
 
-// idempotencyKey returns a key that requests of other connections and runs do not have.
+// idempotencyKey returns a key that differs, with high probability, from those of other connections and runs.
 func (c *client) idempotencyKey(number uint64) uint64 {
-	const numberFactor = 0x9e3779b97f4a7c15 // odd, with well-mixed bits: successive numbers give distant keys
+	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio, odd: spreads successive numbers
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(c.conn.LocalAddr().String())) // a hash never returns an error
-	return hash.Sum64() ^ uint64(time.Now().UnixNano())<<20 ^ number*numberFactor
+	return hash.Sum64() ^ uint64(time.Now().UnixNano())<<20 ^ number*multiplier
 }
 
-// processStart is the zero of processTime.
+// processStart is the origin of processTime.
 var processStart = time.Now()
 
-// processTime is the time in ms that frames are stamped with.
-func processTime() float64 { return inMilliseconds(time.Since(processStart)) }
+// processTime returns the time in ms since processStart, for the SentMs of frames.
+func processTime() float64 { return toMillis(time.Since(processStart)) }
 
-func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/loadgen/emulator_test.go
+++ b/internal/loadgen/emulator_test.go
@@ -13,10 +13,10 @@
 )
 
 // rejectionReason is the reason in all answers of emulated allocators.
-const rejectionReason = "so"
+const rejectionReason = "test rejection"
 
-// peer is an allocator's side of a connection. Its methods ignore errors: what is not sent shows in what the client
-// counts.
+// peer is the allocator's end of a connection. Its methods ignore write errors: a frame that is not sent is missing in
+// the client's counts.
 type peer struct {
 	conn net.Conn
 	in   *bufio.Reader
@@ -30,7 +30,7 @@
 	}
 }
 
-// receiveRequest returns the number of the next request, or 0 once the connection has ended.
+// receiveRequest returns the number of the next request, or 0 if the connection has ended.
 func (p *peer) receiveRequest() uint64 {
 	frame, err := p.receive()
 	if err != nil {
@@ -39,7 +39,6 @@
 	return frame.GetPlaceRequest().GetRequestId()
 }
 
-// answer sends the answer to a request.
 func (p *peer) answer(request uint64, verdict pb.Verdict) {
 	p.send(&pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{
 		RequestId: request,
@@ -48,8 +47,8 @@
 	}}})
 }
 
-// emulateAllocator starts an allocator that serves each connection with a function after the hellos, and returns its
-// address.
+// emulateAllocator starts a listener that exchanges hellos as an allocator does and then calls serve, for each
+// connection in a separate goroutine. It returns the listener's address.
 func emulateAllocator(t *testing.T, serve func(p *peer)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/loadgen/fromtrace.go
+++ b/internal/loadgen/fromtrace.go
@@ -12,14 +12,15 @@
 	"grebeglade/trace/tracepb"
 )
 
-// ErrNoRequests means that a trace holds no request.
-var ErrNoRequests = errors.New("the trace holds no request")
+// ErrNoRequests is returned by FromTrace for traces without a request.
+var ErrNoRequests = errors.New("the trace contains no request")
 
-// FromTrace returns a schedule of the requests in traces of allocators, at the times by the system's clock at which
-// they came, speed times as fast. Traces do not hold how long workloads run: all run for runTime.
+// FromTrace returns a schedule of the requests that allocators recorded in traces. The requests keep the order and the
+// intervals of their recorded wall-clock times, divided by speed. Traces do not contain the run times of workloads, so
+// all run for runTime.
 func FromTrace(files []*trace.Reader, speed float64, runTime time.Duration) (Schedule, error) {
 	if !(speed > 0) {
-		return nil, fmt.Errorf("a speed of %g is none; give one above 0", speed)
+		return nil, fmt.Errorf("replay speed is %g; it must be above 0", speed)
 	}
 	var recorded []recordedRequest
 	for _, file := range files {
@@ -35,7 +36,7 @@
 	return newFixedSchedule(recorded, speed, runTime), nil
 }
 
-// newFixedSchedule returns a schedule of recorded requests, with the earliest at its start.
+// newFixedSchedule returns a schedule of recorded requests in which the earliest is due at 0.
 func newFixedSchedule(recorded []recordedRequest, speed float64, runTime time.Duration) *fixedSchedule {
 	first := math.Inf(1)
 	for _, r := range recorded {
@@ -44,27 +45,27 @@
 	requests := make([]Request, len(recorded))
 	for i, r := range recorded {
 		requests[i] = r.request
-		requests[i].At = milliseconds((r.unixMs - first) / speed)
+		requests[i].At = fromMillis((r.unixMs - first) / speed)
 		requests[i].RunTime = runTime
 	}
 	slices.SortStableFunc(requests, func(x, y Request) int { return cmp.Compare(x.At, y.At) })
 	return &fixedSchedule{requests: requests}
 }
 
-// recordedRequest is a request of a trace, without its time in the schedule and its run time.
+// recordedRequest is a request from a trace.
 type recordedRequest struct {
-	request Request
-	unixMs  float64
+	request Request // without At and RunTime
+	unixMs  float64 // recorded wall-clock time
 }
 
-// readRequests returns the requests of a file, in its order.
+// readRequests returns the requests of a trace file in the order of its records.
 func readRequests(file *trace.Reader) (requests []recordedRequest, err error) {
-	groups := map[uint32][]string{} // names, by the record's source
+	groups := map[uint32][]string{} // group names by record source
 	for record, err := range file.Records(trace.Span{}) {
 		if err != nil {
 			return nil, err
 		}
-		switch body := record.Body.(type) { // only requests, and the names in them, matter here
+		switch body := record.Body.(type) { // records of other kinds are skipped
 		case *tracepb.Record_Start:
 			groups[record.Source] = body.Start.Groups
 		case *tracepb.Record_Schedule:
@@ -78,10 +79,11 @@
 	return requests, nil
 }
 
-// newRequest converts a recorded workload. The names of the groups are those of the allocator that recorded it.
+// newRequest converts a recorded workload. The groups are the group names of the allocator that recorded it, empty if
+// its start record is missing.
 func newRequest(workload *tracepb.Workload, groups []string) (Request, error) {
 	if int(workload.Group) >= len(groups) {
-		return Request{}, fmt.Errorf("the trace does not name group %d: it begins in the middle; use an uncut one",
+		return Request{}, fmt.Errorf("no name for group %d: the trace lacks its start record; use a trace that is not cut",
 			workload.Group)
 	}
 	return Request{
@@ -89,9 +91,9 @@
 		Group:          groups[workload.Group],
 		Cores:          workload.Cores,
 		Memory:         workload.Memory,
-		PendingTimeout: milliseconds(workload.PendingTimeout),
+		PendingTimeout: fromMillis(workload.PendingTimeout),
 		Retried:        workload.Retried,
 	}, nil
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/loadgen/fromtrace_test.go
+++ b/internal/loadgen/fromtrace_test.go
@@ -13,8 +13,8 @@
 	"grebeglade/trace"
 )
 
-// recordTrace plays a short scenario in virtual time and returns the trace of its first allocator, and how many
-// requests the clients of all allocators sent.
+// recordTrace runs a scenario of 4 s in virtual time. It returns the trace of the scenario's first allocator, and the
+// number of requests that the clients of all allocators sent.
 func recordTrace(t *testing.T) (file *trace.Reader, sent int) {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,7 +31,7 @@
 	return file, result.Workloads
 }
 
-func TestFromTrace_KeepsRecordedTimes(t *testing.T) {
+func TestFromTrace_KeepsRecordedIntervals(t *testing.T) {
 	file, sent := recordTrace(t)
 	schedule, err := FromTrace([]*trace.Reader{file}, 1, time.Second)
 	require.NoError(t, err)
@@ -50,13 +50,13 @@
 	assert.Greater(t, requests[0].PendingTimeout, time.Second)
 }
 
-func TestFromTrace_SpeedOfZeroIsAnError(t *testing.T) {
+func TestFromTrace_SpeedZero_IsAnError(t *testing.T) {
 	file, _ := recordTrace(t)
 	_, err := FromTrace([]*trace.Reader{file}, 0, 0)
 	require.ErrorContains(t, err, "speed")
 }
 
-func TestFromTrace_NoFileHasNoRequests(t *testing.T) {
+func TestFromTrace_NoFiles_ReturnsErrNoRequests(t *testing.T) {
 	_, err := FromTrace(nil, 1, time.Second)
 	require.ErrorIs(t, err, ErrNoRequests)
 }
--- a/internal/loadgen/latency.go
+++ b/internal/loadgen/latency.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxLatency    = 10 * time.Minute // longer ones count as this
-	latencyDigits = 3                // significant digits of a latency
+	maxLatency    = 10 * time.Minute // longer durations are recorded as this
+	latencyDigits = 3                // significant decimal digits of a recorded duration
 )
 
-// Latency is a distribution of times in milliseconds.
+// Latency summarizes a distribution of durations; all but Count are in milliseconds.
 type Latency struct {
 	Count  int64   `json:"count"`
 	Median float64 `json:"p50_ms"`
@@ -21,20 +21,20 @@
 	Max    float64 `json:"max_ms"`
 }
 
-// histogram collects times. It is not safe for concurrent use.
+// histogram is a distribution of durations in microseconds. It is not safe for concurrent use.
 type histogram struct{ *hdrhistogram.Histogram }
 
 func newHistogram() histogram {
 	return histogram{hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
 
-// add adds a time, limited to the range of the histogram.
+// add records a duration, clamped to the range from 1 µs to maxLatency.
 func (h histogram) add(d time.Duration) {
-	limited := min(max(d, time.Microsecond), maxLatency)
-	_ = h.RecordValue(limited.Microseconds()) // the only error is a value out of range
+	clamped := min(max(d, time.Microsecond), maxLatency)
+	_ = h.RecordValue(clamped.Microseconds()) // fails only for a value out of range
 }
 
-// countAbove returns how many of the times are longer.
+// countAbove returns the number of recorded durations above d, up to the histogram's resolution.
 func (h histogram) countAbove(d time.Duration) (n int64) {
 	for _, bar := range h.Distribution() {
 		if bar.From > d.Microseconds() {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// latency returns the distribution of the times.
+// latency summarizes the recorded durations.
 func (h histogram) latency() Latency {
 	const microsecondsPerMs = 1000
 	ms := func(percentile float64) float64 { return float64(h.ValueAtQuantile(percentile)) / microsecondsPerMs }
--- a/internal/loadgen/progress.go
+++ b/internal/loadgen/progress.go
@@ -7,15 +7,15 @@
 
 const progressInterval = time.Second
 
-// Progress is how far a load has come.
+// Progress is the state of a load that is being sent. The counts are since its start.
 type Progress struct {
-	At       time.Duration // since the start of the load
-	Sent     int           // requests
-	Answered int           // requests
-	Placed   int           // requests
+	At       time.Duration // time since the start of the load
+	Sent     int           // requests sent
+	Answered int           // requests answered, or lost with their connection
+	Placed   int           // requests answered with a placement
 }
 
-// reportProgress calls Options.OnProgress once a second until the returned function is called.
+// reportProgress calls Options.OnProgress every progressInterval until the returned function is called.
 func (r *runner) reportProgress() (stop func()) {
 	if r.options.OnProgress == nil {
 		return func() {}
--- a/internal/loadgen/random.go
+++ b/internal/loadgen/random.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Shape is what the requests of a random schedule are for.
+// Shape describes the workloads that a random schedule requests.
 type Shape struct {
-	Group          string
-	Cores          float64
-	Memory         float64
-	Services       int           // among which the workloads are spread evenly
-	PendingTimeout time.Duration // after which the client gives up
-	RunTime        time.Duration // how long a workload runs
+	Group          string        // name of the priority group
+	Cores          float64       // cores of each workload
+	Memory         float64       // memory of each workload, in the unit of the node kinds
+	Services       int           // number of services; each workload belongs to one, drawn uniformly
+	PendingTimeout time.Duration // time until a request that is not answered expires
+	RunTime        time.Duration // expected run time of each workload
 }
 
 const (
-	randomStream = 0x10ad                 // of the generator, so that other users of the seed get other numbers
-	evenStep     = 100 * time.Microsecond // over which the rate is integrated if requests come at even intervals
+	randomStream = 0x10ad                 // PCG stream, separate from those of other packages that share the seed
+	evenStep     = 100 * time.Microsecond // integration step of the rate, for requests at even intervals
 )
 
-// randomSchedule draws requests from a random generator.
+// randomSchedule draws requests from a pseudorandom generator.
 type randomSchedule struct {
 	rate   Rate
 	shape  Shape
 	random *rand.Rand
-	at     time.Duration
-	due    float64 // requests due by now and not returned yet, if they come at even intervals
+	at     time.Duration // time of the latest request since the start of the load
+	due    float64       // requests due at the time at and not yet returned, if rate.Evenly is set
 }
 
-// NewRandom returns a random schedule. It depends on its arguments only.
+// NewRandom returns a random schedule. The same arguments give the same requests.
 func NewRandom(rate Rate, shape Shape, seed uint64) Schedule {
 	return &randomSchedule{
 		rate:   rate,
@@ -38,7 +38,7 @@
 	}
 }
 
-// Next draws the next request.
+// Next implements Schedule.
 func (s *randomSchedule) Next() (Request, bool) {
 	advance := s.advanceRandomly
 	if s.rate.Evenly {
@@ -58,7 +58,8 @@
 	}, true
 }
 
-// advanceEvenly goes to the time of the next request, and returns false if the load is over by then.
+// advanceEvenly sets the time of the next request by integrating the rate in steps of evenStep. It returns false if the
+// load ends before.
 func (s *randomSchedule) advanceEvenly() bool {
 	for s.due < 1 {
 		if s.at >= s.rate.For {
@@ -71,16 +72,17 @@
 	return true
 }
 
-// advanceRandomly goes to the time of the next request, and returns false if the load is over by then. It thins out a
-// Poisson process of the highest rate: each of its events is a request with the probability of the rate at that time.
+// advanceRandomly sets the time of the next request, and returns false if the load ends before. It samples an
+// inhomogeneous Poisson process by thinning: events are drawn at the upper bound of the rate, and each is kept with the
+// ratio of the rate at its time to that bound as probability.
 func (s *randomSchedule) advanceRandomly() bool {
-	highest := s.rate.upperBound()
+	bound := s.rate.upperBound()
 	for {
-		s.at += time.Duration(s.random.ExpFloat64() / highest * float64(time.Second))
+		s.at += time.Duration(s.random.ExpFloat64() / bound * float64(time.Second))
 		if s.at >= s.rate.For {
 			return false
 		}
-		if s.random.Float64()*highest < s.rate.at(s.at) {
+		if s.random.Float64()*bound < s.rate.at(s.at) {
 			return true
 		}
 	}
--- a/internal/loadgen/random_test.go
+++ b/internal/loadgen/random_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// allRequests returns the requests of a schedule.
+// allRequests returns all requests of a schedule.
 func allRequests(schedule Schedule) (requests []Request) {
 	for {
 		request, ok := schedule.Next()
@@ -18,7 +18,7 @@
 	}
 }
 
-// countBetween counts the requests of an interval.
+// countBetween counts the requests due in the interval [from, until).
 func countBetween(requests []Request, from, until time.Duration) (count int) {
 	for _, request := range requests {
 		if from <= request.At && request.At < until {
@@ -28,7 +28,7 @@
 	return count
 }
 
-// steadyRate is a rate without bursts that does not change.
+// steadyRate returns a constant rate without bursts, for 10 s.
 func steadyRate(perSecond float64) Rate {
 	return Rate{
 		From: perSecond,
@@ -37,7 +37,7 @@
 	}
 }
 
-// randomRequests returns the requests at a rate, by the same seed in each call.
+// randomRequests returns the random requests at a rate with seed 1.
 func randomRequests(rate Rate) []Request { return allRequests(NewRandom(rate, testShape, 1)) }
 
 var testShape = Shape{
@@ -48,13 +48,13 @@
 	RunTime:        time.Second,
 }
 
-// The tolerances are four standard deviations of a Poisson process.
+// The tolerances of this and the next random tests are four standard deviations of a Poisson process.
 func TestRandom_SteadyRate(t *testing.T) {
 	rate := steadyRate(200)
 	requests := randomRequests(rate)
 	assert.InDelta(t, 2000, len(requests), 4*45)
-	assert.Equal(t, requests, randomRequests(rate), "the same seed")
-	assert.NotEqual(t, requests, allRequests(NewRandom(rate, testShape, 2)), "another seed")
+	assert.Equal(t, requests, randomRequests(rate), "the same seed gives the same requests")
+	assert.NotEqual(t, requests, allRequests(NewRandom(rate, testShape, 2)), "another seed gives other requests")
 }
 
 func TestRandom_EvenIntervals(t *testing.T) {
@@ -63,7 +63,7 @@
 	requests := randomRequests(rate)
 	assert.InDelta(t, 2000, len(requests), 1)
 	interval := requests[101].At - requests[100].At
-	assert.InDelta(t, 5, inMilliseconds(interval), 0.2)
+	assert.InDelta(t, 5, toMillis(interval), 0.2)
 }
 
 func TestRandom_GrowingRate(t *testing.T) {
@@ -88,13 +88,13 @@
 	assert.InDelta(t, 800, between, 4*29)
 }
 
-func TestRateCheck_ImpossibleRateIsAnError(t *testing.T) {
+func TestRateCheck_ImpossibleRate_IsAnError(t *testing.T) {
 	negative := steadyRate(2)
 	negative.From = -1
 	burstWithoutTimes := steadyRate(1)
 	burstWithoutTimes.Burst = 2
 	for name, rate := range map[string]Rate{
-		"no length":           {From: 1},
+		"no duration":         {From: 1},
 		"no rate":             {For: time.Second},
 		"negative rate":       negative,
 		"burst without times": burstWithoutTimes,
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// answerGrace is how long after the last pending timeout answers are still read, and count as late.
+// answerGrace is how long answers are still read after the last pending timeout. They count as late.
 const answerGrace = 500 * time.Millisecond
 
 // Options configure a load.
 type Options struct {
-	Target      string         // address of the allocator
-	Connections int            // connections, each a client of its own; at least one is used
-	Name        string         // that the clients' names begin with
-	OnProgress  func(Progress) // called once a second while requests are sent; nil for no calls
+	Target      string         // address of the allocator, with its port
+	Connections int            // number of connections, each a separate client; values below 1 count as 1
+	Name        string         // prefix of the clients' names
+	OnProgress  func(Progress) // called once a second while requests are sent; may be nil
 }
 
-// Run sends the requests of a schedule, and returns when the last is answered or its pending timeout has passed. If the
-// context ends earlier, Run returns what there is by then.
+// Run sends the requests of a schedule, and returns when all are answered or answerGrace has passed since the last
+// pending timeout. If ctx is cancelled earlier, Run returns the result so far. The error is not nil if a connection
+// cannot be established; a connection lost later is reported in the Result.
 func Run(ctx context.Context, schedule Schedule, options Options) (*Result, error) {
 	r := &runner{options: options, tally: newTally(options.Target)}
 	defer r.close()
@@ -36,7 +37,7 @@
 	return r.tally.finish(lastSent.Sub(r.start)), nil
 }
 
-// runner is a load that is being run.
+// runner is a load in progress.
 type runner struct {
 	options Options
 	start   time.Time
@@ -45,8 +46,8 @@
 	tally   *tally
 }
 
-// connect opens the connections and starts their readers. The clients' names are new in each run: the allocator would
-// treat requests with the client and number of an earlier run as repeated.
+// connect opens the connections and starts their readers. Client names contain a run ID: the allocator treats a request
+// with the client name and number of an earlier one as a repetition.
 func (r *runner) connect() error {
 	runID := time.Now().UnixNano()
 	for i := range max(1, r.options.Connections) {
@@ -61,14 +62,14 @@
 	return nil
 }
 
-// close closes the connections, which ends their readers.
+// close closes the connections, which stops their readers.
 func (r *runner) close() {
 	for _, c := range r.clients {
 		c.close()
 	}
 }
 
-// read counts frames until the connection ends.
+// read receives and counts frames until the connection ends.
 func (r *runner) read(c *client) {
 	for {
 		frame, err := c.receive()
@@ -80,8 +81,8 @@
 	}
 }
 
-// send sends each request when it is due, or as soon after as it can, and returns when the last was sent and when the
-// last pending timeout passes. Requests that are due together go out in one write.
+// send sends each request at its scheduled time, or as soon as possible after it. It returns the time when the last was
+// sent, and the time when the last pending timeout passes. Requests with the same time are sent in one write.
 func (r *runner) send(ctx context.Context, schedule Schedule) (lastSent, lastExpires time.Time) {
 	defer r.flush()
 	lastSent = time.Now()
@@ -108,8 +109,8 @@
 	return lastSent, lastExpires
 }
 
-// awaitTime waits until a request is due, and returns false if the context ends before. What was sent earlier is
-// flushed first, so that it does not wait too.
+// awaitTime blocks until a request is due, and returns false if ctx is cancelled before. It flushes earlier requests
+// before it waits.
 func (r *runner) awaitTime(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -124,8 +125,8 @@
 	}
 }
 
-// sendRequest puts a request into the buffer of its connection. If it is late, the allocator has less time until the
-// pending timeout, as with any client.
+// sendRequest appends a request to the write buffer of its connection. The pending timeout that it sends is the time
+// left until expires, so a request that is sent late leaves the allocator less time.
 func (r *runner) sendRequest(c *client, request Request, due, expires time.Time) {
 	now := time.Now()
 	number, send := r.tally.countDue(c, now, due, expires)
@@ -137,7 +138,7 @@
 	}
 }
 
-// flush writes what is in the buffers of all connections.
+// flush writes the buffered requests of all connections.
 func (r *runner) flush() {
 	for _, c := range r.clients {
 		if err := c.flush(); err != nil {
@@ -146,7 +147,7 @@
 	}
 }
 
-// awaitAnswers waits until no request is pending, or the last pending timeout has passed for a while.
+// awaitAnswers blocks until no request is pending, answerGrace has passed since lastExpires, or ctx is cancelled.
 func (r *runner) awaitAnswers(ctx context.Context, lastExpires time.Time) {
 	timeout := time.After(time.Until(lastExpires) + answerGrace)
 	for r.tally.anyPending() {
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -15,7 +15,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// runLoad runs a load that must not fail.
+// runLoad sends the requests and returns the result; an error fails the test.
 func runLoad(t *testing.T, target string, connections int, requests ...Request) *Result {
 	t.Helper()
 	options := Options{
@@ -28,7 +28,7 @@
 	return result
 }
 
-// requestAt returns a request that is due at a time since the start of the load.
+// requestAt returns a request that is due at the given time since the start of the load.
 func requestAt(at time.Duration) Request {
 	return Request{
 		At:             at,
@@ -39,7 +39,7 @@
 	}
 }
 
-// requestsAtIntervals returns requests of which the first is due at once.
+// requestsAtIntervals returns requests that are due at even intervals, the first at the start of the load.
 func requestsAtIntervals(count int, interval time.Duration) []Request {
 	var requests []Request
 	for i := range count {
@@ -48,8 +48,9 @@
 	return requests
 }
 
-// The allocator answers nothing until it has all requests, so the first request's latency holds the whole time until
-// the last one is due. It rejects every fifth.
+// Guards against a generator that waits for an answer before it sends the next request, and so measures latencies that
+// are too short. The allocator answers only when it has all requests, so the first request's latency covers the time
+// until the last is due. It rejects every fifth.
 func TestRun_RequestsDoNotWaitForAnswers(t *testing.T) {
 	const (
 		requestCount   = 50
@@ -81,7 +82,7 @@
 	assert.Equal(t, requestCount-rejected, result.Placed)
 	assert.Equal(t, rejected, result.Rejected)
 	assert.Equal(t, map[string]int{rejectionReason: rejected}, result.Reasons)
-	assert.GreaterOrEqual(t, result.Latency.Max, float64(intervalMs*(requestCount-1)), "from when it was due")
+	assert.GreaterOrEqual(t, result.Latency.Max, float64(intervalMs*(requestCount-1)), "from the scheduled time")
 	assert.EqualValues(t, requestCount, result.Latency.Count)
 	assert.Zero(t, result.Unanswered)
 	assert.Empty(t, result.Wrong)
@@ -94,7 +95,7 @@
 		p.answer(number, pb.Verdict_PLACED)
 		p.answer(99, pb.Verdict_PLACED)
 		p.receiveRequest()
-		_ = p.conn.Close() // with a request unanswered
+		_ = p.conn.Close() // while the second request is unanswered
 	})
 	result := runLoad(t, target, 1, requestAt(0), requestAt(time.Millisecond))
 	assert.Equal(t, []string{
@@ -109,14 +110,14 @@
 func TestRun_UnansweredRequest_Counted(t *testing.T) {
 	target := emulateAllocator(t, func(p *peer) {
 		p.receiveRequest()
-		p.receiveRequest() // none comes: it waits until the connection ends
+		p.receiveRequest() // blocks until the connection ends, since no second request is sent
 	})
 	result := runLoad(t, target, 1, Request{Group: "g", PendingTimeout: 10 * time.Millisecond})
 	assert.Equal(t, 1, result.Unanswered)
-	assert.Zero(t, result.Latency.Count, "what has no answer has no latency")
+	assert.Zero(t, result.Latency.Count, "an unanswered request has no latency")
 }
 
-// All requests are late already when the load begins.
+// Guards against an overrun that is not reported. All requests are due 1 s before the load starts, so all are late.
 func TestRun_GeneratorTooSlow_ReportsOverrun(t *testing.T) {
 	target := emulateAllocator(t, func(p *peer) {
 		for number := p.receiveRequest(); number != 0; number = p.receiveRequest() {
@@ -133,36 +134,36 @@
 	assert.Greater(t, result.SendDelay.Median, 900.0)
 }
 
-func TestRun_ConnectionFails_ErrorNamesTarget(t *testing.T) {
+func TestRun_ConnectionFails_ErrorHasTarget(t *testing.T) {
 	_, err := Run(context.Background(), &fixedSchedule{}, Options{Target: "127.0.0.1:1", Connections: 1})
 	require.ErrorContains(t, err, "no allocator at 127.0.0.1:1")
 }
 
-func TestRun_EmptySchedule_NothingIsDue(t *testing.T) {
+func TestRun_EmptySchedule_CountsNothingDue(t *testing.T) {
 	target := emulateAllocator(t, func(*peer) {})
 	result := runLoad(t, target, 1)
 	assert.Zero(t, result.Due)
 }
 
-func TestRun_PeerRefusesHello_ReturnsItsReason(t *testing.T) {
+func TestRun_PeerRefusesHello_ReturnsReason(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, listener.Close()) }()
 	go func() {
 		if conn, err := listener.Accept(); err == nil {
-			(&peer{conn: conn}).send(transport.RefusalFrame("not here"))
+			(&peer{conn: conn}).send(transport.RefusalFrame("no clients accepted"))
 		}
 	}()
 	target := listener.Addr().String()
 	_, err = Run(context.Background(), &fixedSchedule{}, Options{Target: target, Connections: 1})
 	var refused *transport.RefusedError
 	require.ErrorAs(t, err, &refused)
-	assert.Equal(t, "not here", refused.Reason)
+	assert.Equal(t, "no clients accepted", refused.Reason)
 	assert.ErrorContains(t, err, target)
 }
 
-// Without a node, an allocator rejects all requests at once, with the reason.
-func TestRun_RealAllocator_Rejects(t *testing.T) {
+// An allocator without nodes rejects all requests immediately, with the same reason.
+func TestRun_AllocatorWithoutNodes_RejectsAllRequests(t *testing.T) {
 	target := startAllocator(t)
 	result := runLoad(t, target, 2, requestAt(0), requestAt(0), requestAt(0))
 	assert.Equal(t, 3, result.Rejected)
--- a/internal/loadgen/schedule.go
+++ b/internal/loadgen/schedule.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Request is a request for one workload.
+// Request is a scheduled request to place one workload.
 type Request struct {
-	At             time.Duration // from the start of the load
-	Service        uint64
-	Group          string
+	At             time.Duration // scheduled time since the start of the load
+	Service        uint64        // service that the workload belongs to
+	Group          string        // name of the priority group
 	Cores          float64
-	Memory         float64
-	PendingTimeout time.Duration // after which the client gives up
-	RunTime        time.Duration // of the workload
-	Retried        bool          // the client has requested the workload before
+	Memory         float64       // in the unit of the node kinds
+	PendingTimeout time.Duration // time until the request expires if it is not answered
+	RunTime        time.Duration // expected run time of the workload
+	Retried        bool          // the client has requested this workload before
 }
 
-// Schedule holds the requests of a load.
+// Schedule is the sequence of requests of a load.
 type Schedule interface {
-	// Next returns the requests in the order of their times, and false after the last.
+	// Next returns the next request in the order of At, and false after the last.
 	Next() (Request, bool)
 }
 
-// fixedSchedule is a schedule of known requests, in the order of their times.
+// fixedSchedule is a schedule of given requests.
 type fixedSchedule struct {
-	requests []Request
-	next     int
+	requests []Request // sorted by At
+	next     int       // index of the next request to return
 }
 
-// Next returns the requests in their order.
+// Next implements Schedule.
 func (s *fixedSchedule) Next() (Request, bool) {
 	if s.next == len(s.requests) {
 		return Request{}, false
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -10,21 +10,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxWrong is how many protocol violations are reported.
+// maxWrong is the maximum number of protocol violations that a Result lists.
 const maxWrong = 20
 
-// tally counts what happens to requests. Its methods may be called from any goroutine.
+// tally counts the outcomes of requests. The methods that lock mu are safe for concurrent use; mu must be held when the
+// others are called.
 type tally struct {
 	mu            sync.Mutex
 	result        Result
 	latency       histogram
 	placedLatency histogram
 	sendDelay     histogram
-	pending       int           // requests that were sent and not answered
-	idle          chan struct{} // receives a value when no request is pending any more
+	pending       int           // requests that are sent and not answered
+	idle          chan struct{} // receives a value when pending becomes 0; holds one value
 }
 
-// newTally returns a tally without requests.
 func newTally(target string) *tally {
 	return &tally{
 		result: Result{
@@ -41,8 +41,8 @@
 	}
 }
 
-// countDue counts a request whose time has come, and returns its number if it is to be sent: its connection is open,
-// and its pending timeout has not passed yet.
+// countDue counts a request that is due. If its connection is open and its pending timeout has not passed, countDue
+// records it as sent and returns its number; otherwise it counts the request as unanswered and returns false.
 func (t *tally) countDue(sender *client, now, due, expires time.Time) (number uint64, send bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	return sender.last, true
 }
 
-// countFrame counts a frame from the allocator. Frames other than answers and ends of workloads do not matter here.
+// countFrame counts an answer or the end of a workload. Other frames are ignored.
 func (t *tally) countFrame(c *client, now time.Time, frame *pb.Frame) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// countAnswer counts the answer to a request, which must be its first.
+// countAnswer counts the answer to a request. A second answer, or one without a request, is a protocol violation.
 func (t *tally) countAnswer(c *client, now time.Time, answer *pb.Answer) {
 	request := c.requests[answer.RequestId]
 	switch {
@@ -98,7 +98,7 @@
 		t.result.Reasons[answer.Reason]++
 	case pb.Verdict_UNSCHEDULABLE, pb.Verdict_VERDICT_UNSPECIFIED:
 		t.countUnschedulable(answer.Reason)
-	default: // of a later version of the protocol: the workload may have run
+	default: // verdict of a later protocol version: the workload may have run
 		t.countUnschedulable(answer.Reason)
 	}
 	t.settle(1)
@@ -109,7 +109,7 @@
 	t.result.Reasons[reason]++
 }
 
-// countEnd counts the end of a workload, which must have been placed.
+// countEnd counts the end of a workload. If the workload was not placed, that is a protocol violation.
 func (t *tally) countEnd(c *client, number uint64) {
 	request := c.requests[number]
 	if request == nil || request.state != requestPlaced {
@@ -120,8 +120,8 @@
 	delete(c.requests, number)
 }
 
-// countLost counts the requests of a connection that ended: those that are pending remain unanswered. A connection that
-// this side closed is not lost.
+// countLost records the loss of a connection, whose pending requests count as unanswered. A connection that the
+// generator itself has closed is not lost.
 func (t *tally) countLost(c *client, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,7 +141,7 @@
 	t.settle(lost)
 }
 
-// settle subtracts requests from the pending ones, and signals idle when none is left.
+// settle subtracts from the number of pending requests, and signals idle when none is left.
 func (t *tally) settle(requests int) {
 	t.pending -= requests
 	if t.pending > 0 {
@@ -149,7 +149,7 @@
 	}
 	select {
 	case t.idle <- struct{}{}:
-	default: // a value is waiting already
+	default: // the channel already holds a value
 	}
 }
 
@@ -177,13 +177,13 @@
 	}
 }
 
-// finish returns the result of a load whose requests were sent within some time. What is pending stays unanswered.
-func (t *tally) finish(length time.Duration) *Result {
+// finish returns the result of a load whose requests took sendTime to send. Pending requests count as unanswered.
+func (t *tally) finish(sendTime time.Duration) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	result := t.result
 	result.Unanswered += t.pending
-	result.Seconds = length.Seconds()
+	result.Seconds = sendTime.Seconds()
 	if result.Seconds > 0 {
 		result.DuePerSec = float64(result.Due) / result.Seconds
 		result.SentPerSec = float64(result.Sent) / result.Seconds
