--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -15,19 +15,19 @@
 	maxBenchNodes   = 20_000
 	bytesPerMiB     = 1 << 20
 	measurementHelp = "length of each measurement; there are five of each"
-	residentsHelp   = "placed workloads on each node"
+	residentsHelp   = "number of placed workloads on each node"
 )
 
 type benchOptions struct {
-	nodes     []int
-	residents int
-	held      int // workloads whose memory is measured
-	length    time.Duration
-	sockets   bool
-	asJSON    bool
+	nodes           []int
+	residents       int
+	memoryWorkloads int           // placed workloads for the memory measurement, 0 to skip it
+	length          time.Duration // length of each measurement
+	sockets         bool
+	asJSON          bool
 }
 
-// benchResult is what JSON shows of a benchmark.
+// benchResult is the JSON output of the benchmark.
 type benchResult struct {
 	Rates  []benchmark.Rates `json:"rates"`
 	Memory *benchmark.Memory `json:"memory,omitempty"`
@@ -36,9 +36,10 @@
 var errBenchFlags = errors.New("--nodes takes 1 to 20000 each, --residents 0 or more, --for a time above 0")
 
 const benchHelp = `
-Measures decisions a second of the placement module alone, of the engine, and of the whole path over loopback
-sockets with nodes that accept at once, alternating in one run: the ratios hold on any machine. A decision is a
-workload's whole lifecycle: request, bind, confirmation, end.
+Measures decisions a second of the placement module alone, of the engine, and of a complete allocator over
+loopback sockets with nodes that accept every bind immediately. The measurements alternate in one run, so that
+their ratios are comparable between machines. A decision is a workload's whole lifecycle: request, bind,
+confirmation, end.
 `
 
 // benchCommand defines "bench".
@@ -52,17 +53,18 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntSliceVar(&options.nodes, "nodes", []int{10, 100, 1000}, "sizes of the fleet")
+	flags.IntSliceVar(&options.nodes, "nodes", []int{10, 100, 1000}, "numbers of nodes to measure with")
 	flags.IntVar(&options.residents, "residents", 10, residentsHelp)
-	flags.IntVar(&options.held, "held", 100000, "placed workloads whose memory is measured, 0 for none")
+	flags.IntVar(&options.memoryWorkloads, "held", 100000,
+		"number of placed workloads whose memory is measured, 0 to skip the measurement")
 	flags.DurationVar(&options.length, "for", time.Second, measurementHelp)
-	flags.BoolVar(&options.sockets, "sockets", true, "measure over sockets too")
+	flags.BoolVar(&options.sockets, "sockets", true, "also measure over sockets")
 	jsonFlag(cmd, &options.asJSON)
 	cmd.AddCommand(benchTraceCommand(), benchStateCommand())
 	return cmd
 }
 
-// run measures each size of the fleet, then the memory, and prints the result.
+// run measures the rates for each number of nodes, then the memory, and prints the result.
 func (o *benchOptions) run(cmd *cobra.Command) error {
 	var result benchResult
 	for _, nodes := range o.nodes {
@@ -76,8 +78,8 @@
 		}
 		result.Rates = append(result.Rates, rates)
 	}
-	if o.held > 0 {
-		memory, err := benchmark.MeasureMemory(o.held)
+	if o.memoryWorkloads > 0 {
+		memory, err := benchmark.MeasureMemory(o.memoryWorkloads)
 		if err != nil {
 			return runError{err}
 		}
@@ -89,7 +91,7 @@
 	return o.print(cmd, result)
 }
 
-// print prints a row for each size of the fleet, and then the memory.
+// print prints a row for each number of nodes, and then the memory.
 func (o *benchOptions) print(cmd *cobra.Command, result benchResult) error {
 	rows := [][]string{
 		{"NODES", "MODULE/S", "ENGINE/S", "RATIO", "SOCKETS/S", "RATIO", "ASK TO OFFER, MEDIAN", "P99"},
@@ -102,12 +104,12 @@
 	}
 	if memory := result.Memory; memory != nil {
 		cmd.Printf("%d residents hold %.1f MiB, %.0f bytes each\n",
-			o.held, float64(memory.Bytes)/bytesPerMiB, memory.BytesPerResident)
+			o.memoryWorkloads, float64(memory.Bytes)/bytesPerMiB, memory.BytesPerResident)
 	}
 	return nil
 }
 
-// ratesRow returns the row for a fleet. It ends before the columns for sockets if these are not measured.
+// ratesRow returns the table row for a number of nodes. The columns for sockets are absent if they are not measured.
 func (o *benchOptions) ratesRow(nodes int, rates *benchmark.Rates) []string {
 	row := []string{
 		strconv.Itoa(nodes),
--- a/internal/command/bench_state.go
+++ b/internal/command/bench_state.go
@@ -27,10 +27,10 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.fleet.Nodes, "nodes", 100, "nodes to place on")
+	flags.IntVar(&options.fleet.Nodes, "nodes", 100, "number of nodes to place on")
 	flags.IntVar(&options.fleet.Residents, "residents", 10, residentsHelp)
 	flags.StringVar(&options.dir, "dir", "",
-		"directory on the disk to measure; by default where the system keeps temporary files")
+		"directory on the disk to measure (default: the system's directory for temporary files)")
 	flags.DurationVar(&options.length, "for", time.Second, measurementHelp)
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
@@ -51,7 +51,7 @@
 	return printStateCosts(cmd, costs)
 }
 
-// printStateCosts prints a row for each way of syncing, and then how long the directory takes to read at a start.
+// printStateCosts prints a row for each sync mode, and then the time to read the directory at startup.
 func printStateCosts(cmd *cobra.Command, costs *benchmark.StateResult) error {
 	rows := [][]string{{"SYNC", "PLACED/S", "RATIO", "ASK TO OFFER 50%", "99%"}}
 	for _, cost := range costs.Costs {
--- a/internal/command/bench_trace.go
+++ b/internal/command/bench_trace.go
@@ -11,9 +11,9 @@
 
 type benchTraceOptions struct {
 	fleet   benchmark.Fleet
-	script  string
-	fileMiB int64
-	length  time.Duration
+	script  string        // name of the scenario whose trace is measured
+	fileMiB int64         // size of the file for the look-up measurement, 0 to skip it
+	length  time.Duration // length of each measurement
 	asJSON  bool
 }
 
@@ -30,10 +30,10 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.fleet.Nodes, "nodes", 100, "nodes to record on")
+	flags.IntVar(&options.fleet.Nodes, "nodes", 100, "number of nodes in the measured fleet")
 	flags.IntVar(&options.fleet.Residents, "residents", 10, residentsHelp)
 	flags.StringVar(&options.script, "script", "full", "scenario whose trace is measured")
-	flags.Int64Var(&options.fileMiB, "file-mib", 64, "size of the file for the look-up, 0 for none")
+	flags.Int64Var(&options.fileMiB, "file-mib", 64, "size in MiB of the file for the look-up measurement, 0 to skip it")
 	flags.DurationVar(&options.length, "for", time.Second, measurementHelp)
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	replyTimeout = 5 * time.Second // for a connection, and for a reply that needs no placing
-	maxReplySize = 64 << 20        // bytes of one frame from an allocator
+	replyTimeout = 5 * time.Second // for connecting, and for replies that do not wait for a placement
+	maxReplySize = 64 << 20        // maximum size in bytes of a frame from an allocator
 )
 
 // client is a blocking connection to an allocator.
 type client struct {
 	conn      net.Conn
 	in        *bufio.Reader
-	connected time.Time
+	connected time.Time // when the connection was established
 }
 
 // dial connects to an allocator and exchanges hellos.
 func dial(address string, role pb.Role, name string) (*client, error) {
 	conn, err := net.DialTimeout("tcp", address, replyTimeout)
 	if err != nil {
-		return nil, runErrorf("no allocator at %s: %w; start one with 'grebeglade serve', or name it with --to",
+		return nil, runErrorf("no allocator at %s: %w; start one with 'grebeglade serve', or give its address with --to",
 			address, err)
 	}
 	c := &client{
@@ -33,20 +33,20 @@
 		in:        bufio.NewReader(conn),
 		connected: time.Now(),
 	}
-	if err := c.hello(address, role, name); err != nil {
+	if err := c.handshake(address, role, name); err != nil {
 		c.close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// hello sends the client's hello and checks the allocator's.
-func (c *client) hello(address string, role pb.Role, name string) error {
+// handshake sends the client's hello and checks the allocator's.
+func (c *client) handshake(address string, role pb.Role, name string) error {
 	hello := &pb.Hello{
 		Role:        role,
 		Name:        name,
 		Incarnation: 1,
-		SentMs:      c.clock(),
+		SentMs:      c.elapsedMs(),
 	}
 	if err := c.send(transport.HelloFrame(hello)); err != nil {
 		return err
@@ -56,13 +56,13 @@
 		return err
 	}
 	if _, err := transport.CheckHello(reply); err != nil {
-		return runErrorf("%s: %w", address, err)
+		return runErrorf("handshake with %s: %w", address, err)
 	}
 	return nil
 }
 
-// clock returns the milliseconds since the connection was made, with which a client's frames are stamped.
-func (c *client) clock() float64 { return milliseconds(time.Since(c.connected)) }
+// elapsedMs returns the time since the connection was established, for the SentMs of frames.
+func (c *client) elapsedMs() float64 { return milliseconds(time.Since(c.connected)) }
 
 // send writes a frame.
 func (c *client) send(frame *pb.Frame) error {
@@ -76,17 +76,17 @@
 	return nil
 }
 
-// receive reads the next frame, which must be complete before the timeout.
+// receive reads the next frame. It returns an error if the frame is not complete within the timeout.
 func (c *client) receive(timeout time.Duration) (*pb.Frame, error) {
 	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		return nil, runErrorf("set the deadline of a reply: %w", err)
+		return nil, runErrorf("set the read deadline: %w", err)
 	}
 	frame, err := transport.ReadFrame(c.in, maxReplySize)
 	if err != nil {
-		return nil, runErrorf("no answer: %w", err)
+		return nil, runErrorf("receive from the allocator: %w", err)
 	}
 	return frame, nil
 }
 
-// close ends the connection. All replies have been read, so an error does not matter.
+// close ends the connection. The error is ignored, since all replies have been read.
 func (c *client) close() { _ = c.conn.Close() }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,10 +1,10 @@
-// Package command is grebeglade's command line.
+// Package command implements grebeglade's command line.
 //
-// Exit codes: 0 done and well, 1 done and something is wrong, 2 bad input. With --json, standard output holds one JSON
-// document and nothing else; logs and progress go to standard error.
+// Exit codes: 0 for success, 1 if a command has found a problem or could not do its work, 2 for invalid input. With
+// --json, standard output holds one JSON document and nothing else; logs and progress go to standard error.
 //
-// Each sub-command has a file of its own, named after it. A function that ends in Command defines the flags, and the
-// options that these fill have a method that does the work.
+// Each sub-command has a file named after it. A function whose name ends in Command defines its flags, which set the
+// fields of an options struct; a method of that struct does the work.
 package command
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Run runs a command line and returns the exit code.
+// Run runs a command line and returns the exit code. SIGINT and SIGTERM cancel the command's context.
 func Run(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -28,11 +28,12 @@
 }
 
 const rootHelp = `
-grebeglade places long-running workloads on a cluster's nodes. Any number of allocators work side by side;
-each decides by what it sees itself. To try it without any file: grebeglade demo
+grebeglade places long-running workloads on a cluster's nodes. Any number of allocators share the nodes; each
+decides from its own view of them. To try it without any file: grebeglade demo
 `
 
-// rootCommand defines the program's command with all its sub-commands. Errors and usage are printed by exitCode alone.
+// rootCommand defines the program's command with all its sub-commands. Cobra prints no errors and no usage, since
+// exitCode prints errors.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "grebeglade",
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// commandResult is what a command line came to.
+// commandResult is the exit code and output of a command line.
 type commandResult struct {
 	code   int
 	stdout string
 	stderr string
 }
 
-// runCommand runs a command line, whose arguments are separated by spaces, in this process.
+// runCommand runs a command line in this process. Its arguments are separated by spaces.
 func runCommand(line string) commandResult {
 	var stdout, stderr bytes.Buffer
 	code := Run(strings.Fields(line), &stdout, &stderr)
@@ -30,7 +30,7 @@
 	}
 }
 
-// runJSON runs a command line that must succeed with --json, and decodes its output into document.
+// runJSON runs a command line with --json, which must succeed, and decodes its output into document.
 func runJSON(t *testing.T, line string, document any) {
 	t.Helper()
 	result := runCommand(line + " --json")
@@ -38,24 +38,25 @@
 	require.NoError(t, json.Unmarshal([]byte(result.stdout), document), result.stdout)
 }
 
-const unknownMutant = `--break "nothing" is not known; known are [binds-more` // and so on
+// unknownMutant is the beginning of the error for an unknown value of --break.
+const unknownMutant = `unknown value "nothing" for --break; expected one of [binds-more`
 
 func TestRun_ExitCode(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.hcl")
-	require.NoError(t, os.WriteFile(bad, []byte("kind \"k\" {\n  cores = -1\n}\n"), 0o600))
-	good := filepath.Join(t.TempDir(), "good")
-	wrong := filepath.Join(t.TempDir(), "wrong")
+	invalidFile := filepath.Join(t.TempDir(), "bad.hcl")
+	require.NoError(t, os.WriteFile(invalidFile, []byte("kind \"k\" {\n  cores = -1\n}\n"), 0o600))
+	validHistory := filepath.Join(t.TempDir(), "good")
+	brokenHistory := filepath.Join(t.TempDir(), "wrong")
 	for _, test := range []struct {
 		line   string
 		code   int
-		stderr string // what it contains
+		stderr string // expected part of standard error
 	}{
 		{"lab play quiet --virtual", exitOK, ""},
-		{"lab play quiet --virtual --history " + good, exitOK, ""},
-		{"lab play quiet --virtual --break two-binds --history " + wrong, exitProblem, ""},
-		{"lab check " + good, exitOK, ""},
-		{"lab check " + good + " " + wrong, exitProblem, ""},
-		{"lab check " + bad, exitBadInput, "bad.hcl:1: invalid character"},
+		{"lab play quiet --virtual --history " + validHistory, exitOK, ""},
+		{"lab play quiet --virtual --break two-binds --history " + brokenHistory, exitProblem, ""},
+		{"lab check " + validHistory, exitOK, ""},
+		{"lab check " + validHistory + " " + brokenHistory, exitProblem, ""},
+		{"lab check " + invalidFile, exitBadInput, "bad.hcl:1: invalid character"},
 		{"lab check nowhere", exitBadInput, "no such file"},
 		{"lab play quiet --virtual --break nothing", exitBadInput, unknownMutant},
 		{"lab play nothing --virtual", exitBadInput, `no script is named "nothing"`},
@@ -66,10 +67,10 @@
 		{"demo --fro 1s", exitBadInput, "unknown flag: --fro"},
 		{"serve", exitBadInput, `required flag(s) "config" not set`},
 		{"serve --config nowhere.hcl", exitBadInput, "no such file"},
-		{"config check " + bad, exitBadInput, "bad.hcl:2: cores is -1; write a number from 0.001"},
+		{"config check " + invalidFile, exitBadInput, "bad.hcl:2: cores is -1; write a number from 0.001"},
 		{"nodes --to 127.0.0.1:1", exitProblem, "no allocator at 127.0.0.1:1"},
 		{"submit --cores 1", exitBadInput, "--group is missing"},
-		{"submit --gang " + bad, exitBadInput, "bad.hcl:1: no part; write at least one"},
+		{"submit --gang " + invalidFile, exitBadInput, "bad.hcl:1: no part; write at least one"},
 	} {
 		t.Run(test.line, func(t *testing.T) {
 			result := runCommand(test.line)
@@ -79,12 +80,12 @@
 	}
 }
 
-func TestRun_HelpIsSuggestedOnlyForMistakesInTheCommandLine(t *testing.T) {
+func TestRun_SuggestsHelpOnlyForCommandLineErrors(t *testing.T) {
 	for line, suggested := range map[string]bool{
 		"demo --fro 1s":              true,
 		"nothing":                    true,
 		"serve":                      true,
-		"serve --config flag.hcl":    false, // the file is missing, not the flag
+		"serve --config flag.hcl":    false, // the flag is set, but the file does not exist
 		"lab play quiet --nodes -1":  false,
 		"nodes --to 127.0.0.1:1":     false,
 		"lab check unknown.history":  false,
@@ -99,7 +100,7 @@
 	}
 }
 
-func TestLabPlay_JSONHasStableKeysAndRepeatsTheDigest(t *testing.T) {
+func TestLabPlay_SameSeed_HasSameJSONKeysAndDigest(t *testing.T) {
 	const line = "lab play rough --virtual --seed 3 --allocators 3 --nodes 12"
 	var first map[string]any
 	runJSON(t, line, &first)
@@ -116,7 +117,7 @@
 	assert.Equal(t, first["digest"], second["digest"])
 }
 
-func TestLabList_JSONHasTheScenarios(t *testing.T) {
+func TestLabList_JSONHasScenarioNames(t *testing.T) {
 	var names []string
 	runJSON(t, "lab list", &names)
 	assert.Subset(t, names, []string{"rough", "quiet"})
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -17,7 +17,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Report everything that is wrong with an allocator's configuration",
+		Short: "Report all problems of an allocator's configuration",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file := args[0]
@@ -32,7 +32,7 @@
 	return cmd
 }
 
-// printConfiguration says that a file is valid, and what it holds.
+// printConfiguration prints that a file is valid, and a summary of its content.
 func printConfiguration(cmd *cobra.Command, file string, configuration *config.Allocator) {
 	cmd.Printf("%s is valid: allocator %s, number %d of %d, listens on %s, discovery service at %s, "+
 		"%d groups, %d node kinds\n",
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -10,14 +10,14 @@
 // Exit codes of the program.
 const (
 	exitOK       = 0
-	exitProblem  = 1 // done, and something is wrong
-	exitBadInput = 2
+	exitProblem  = 1 // a problem was found, or the command could not do its work
+	exitBadInput = 2 // the command line or an input is invalid
 )
 
-// errProblemFound ends a command that is done and found something wrong, which it has printed.
-var errProblemFound = errors.New("something is wrong")
+// errProblemFound is returned by a command that has found a problem and printed it. exitCode does not print it again.
+var errProblemFound = errors.New("the command found a problem")
 
-// problemIf returns errProblemFound if a command has found and printed something wrong, and nil otherwise.
+// problemIf returns errProblemFound if found is set, and nil otherwise.
 func problemIf(found bool) error {
 	if found {
 		return errProblemFound
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// runError ends a command that could not do its work although its input was good.
+// runError is the error of a command that could not do its work although its input is valid. Its exit code
+// is exitProblem.
 type runError struct{ err error }
 
 func (e runError) Error() string { return e.err.Error() }
@@ -34,13 +35,14 @@
 // runErrorf returns a runError with the message and the wrapped errors of fmt.Errorf.
 func runErrorf(format string, args ...any) error { return runError{fmt.Errorf(format, args...)} }
 
-// inputError is a command's error about its input, as opposed to cobra's errors about the command line.
+// inputError marks an error that a command returned, as opposed to cobra's errors about the syntax of the command line.
 type inputError struct{ err error }
 
 func (e inputError) Error() string { return e.err.Error() }
 func (e inputError) Unwrap() error { return e.err }
 
-// exitCode prints an error, unless the command has done so, and returns its exit code.
+// exitCode prints an error, unless it is errProblemFound, and returns its exit code. After cobra's errors about the
+// syntax of the command line it also prints how to get help.
 func exitCode(root *cobra.Command, err error) int {
 	switch {
 	case err == nil:
@@ -60,8 +62,8 @@
 	return exitBadInput
 }
 
-// markInputErrors makes cmd and all commands below it return their own errors as inputErrors, so that these can be
-// distinguished from cobra's.
+// markInputErrors makes cmd and all its sub-commands wrap the errors of their RunE in an inputError, so that exitCode
+// can distinguish them from cobra's.
 func markInputErrors(cmd *cobra.Command) {
 	if run := cmd.RunE; run != nil {
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
--- a/internal/command/flags.go
+++ b/internal/command/flags.go
@@ -12,16 +12,16 @@
 	cmd.Flags().BoolVar(on, "json", false, "print one JSON document")
 }
 
-// toFlag adds the flag that names the allocator to connect to.
+// toFlag adds the flag --to, the address of the allocator to connect to.
 func toFlag(cmd *cobra.Command, to *string) {
 	cmd.Flags().StringVar(to, "to", defaultAllocator(),
-		"address of the allocator; GREBEGLADE_ADDR in the environment sets it for all commands")
+		"address of the allocator; the environment variable GREBEGLADE_ADDR sets the default of all commands")
 }
 
-// defaultAllocator returns the address of the allocator to connect to if none is given.
+// defaultAllocator returns the address of the allocator for commands that are run without one.
 func defaultAllocator() string { return environmentOr("GREBEGLADE_ADDR", "127.0.0.1:7070") }
 
-// environmentOr returns a variable of the environment, or fallback if it is empty or not set.
+// environmentOr returns an environment variable, or fallback if it is empty or not set.
 func environmentOr(name, fallback string) string {
 	if value := os.Getenv(name); value != "" {
 		return value
@@ -32,9 +32,9 @@
 // requireFlag marks a flag as required. The flag must exist.
 func requireFlag(cmd *cobra.Command, name string) {
 	if err := cmd.MarkFlagRequired(name); err != nil {
-		panic(err) // the flag is not defined: a mistake in this package
+		panic(err) // the flag is not defined: a programming error in this package
 	}
 }
 
-// helpText returns the help text in a raw string, whose first and last line breaks only set it apart in the source.
+// helpText removes the leading and trailing line breaks of a help text, which make its raw string readable.
 func helpText(raw string) string { return strings.Trim(raw, "\n") }
--- a/internal/command/lab.go
+++ b/internal/command/lab.go
@@ -31,7 +31,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "list",
-		Short: "List the scenarios that come with the program",
+		Short: "List the built-in scenarios",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if asJSON {
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-// printScenarios prints the name of each scenario and what happens in it.
+// printScenarios prints the name and description of each built-in scenario.
 func printScenarios(cmd *cobra.Command) error {
 	rows := [][]string{{"SCRIPT", "WHAT HAPPENS"}}
 	for _, name := range scenario.Names() {
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -11,9 +11,9 @@
 )
 
 const labCheckHelp = `
-Audits the rules from nothing but what a history holds: frames with their times and directions, connections,
-starts and ends of processes. Exit status 0 if they held, 1 if one broke, 2 if a file is truncated, out of order
-or malformed.
+Audits the rules from the events in a history alone: frames with their times and directions, connections, starts
+and ends of processes. Exit status 0 if all rules held, 1 if one was broken, 2 if a file is truncated, out of
+order or malformed.
 `
 
 // labCheckCommand defines "lab check".
@@ -30,7 +30,7 @@
 	return cmd
 }
 
-// checkHistories audits files and prints the violations in each. The error is errProblemFound if there are any.
+// checkHistories audits history files and prints the violations in each. The error is errProblemFound if there are any.
 func checkHistories(cmd *cobra.Command, names []string, asJSON bool) error {
 	violations := map[string][]audit.Violation{} // by file
 	anyBroken := false
@@ -58,8 +58,8 @@
 func readHistory(name string) (*observer.History, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, fmt.Errorf("read a history: %w", err)
+		return nil, fmt.Errorf("read the history: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	return observer.ReadHistory(name, file)
 }
--- a/internal/command/lab_compare.go
+++ b/internal/command/lab_compare.go
@@ -12,14 +12,15 @@
 )
 
 type compareOptions struct {
-	showEqual bool
+	showEqual bool // include measures that are equal in every pair
 	asJSON    bool
 }
 
 const labCompareHelp = `
-Compares two directories cell by cell, or two cells named as DIR:LEVEL/LEVEL, in pairs of the same seed. Shows for
-each measure how B differs from A with a 95% interval, and where nothing is seen, how small a difference would have
-been. Exit status 1 if anything is worse beyond chance.
+Compares two experiments' directories cell by cell, or two cells given as DIR:LEVEL/LEVEL, pairing runs with the
+same seed. Shows for each measure the difference of B from A with its 95% confidence interval, and the smallest
+difference that would have been detected if there is no significant one. Exit status 1 if a measure is
+significantly worse.
 `
 
 // labCompareCommand defines "lab compare".
@@ -32,12 +33,12 @@
 		Args:  cobra.ExactArgs(2),
 		RunE:  func(cmd *cobra.Command, args []string) error { return options.run(cmd, args[0], args[1]) },
 	}
-	cmd.Flags().BoolVar(&options.showEqual, "all", false, "show also what is the same in every pair")
+	cmd.Flags().BoolVar(&options.showEqual, "all", false, "also show measures that are equal in every pair")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-// run prints the differences of B from A. The error is errProblemFound if B is worse in any measure.
+// run prints the differences of B from A. The error is errProblemFound if B is significantly worse in a measure.
 func (o *compareOptions) run(cmd *cobra.Command, nameA, nameB string) error {
 	a, err := experiment.OpenSide(nameA)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return problemIf(slices.ContainsFunc(differences, isWorse))
 }
 
-// print prints all differences as JSON, or as a table without the measures that are equal, unless these are wanted.
+// print prints all differences as JSON, or as a table, which omits equal measures unless showEqual is set.
 func (o *compareOptions) print(cmd *cobra.Command, differences []experiment.Difference) error {
 	var comparisons []comparison
 	rows := [][]string{{"CELL", "FIGURE", "A", "B", "B - A", "95% FROM", "TO", "PAIRS", "VERDICT"}}
@@ -75,7 +76,7 @@
 	return printTable(cmd, rows)
 }
 
-// differenceRow returns the row of a table for a difference.
+// differenceRow returns the table row for a difference.
 func differenceRow(d *experiment.Difference) []string {
 	return []string{
 		d.Cell,
@@ -93,7 +94,7 @@
 // formatShort formats a measure with four significant digits.
 func formatShort(v float64) string { return fmt.Sprintf("%.4g", v) }
 
-// comparison is an experiment.Difference as JSON shows it.
+// comparison is the JSON form of an experiment.Difference.
 type comparison struct {
 	Cell    string  `json:"cell"`
 	Measure string  `json:"measure"`
@@ -104,8 +105,8 @@
 	Verdict string `json:"verdict"`
 }
 
-// delta is an experiment.Estimate as JSON shows it, among the fields of a comparison. JSON has no infinity, so bounds
-// that are not finite are left out.
+// delta is the JSON form of an experiment.Estimate, embedded in a comparison. Bounds that are not finite are omitted,
+// since JSON cannot represent them.
 type delta struct {
 	Mean     float64  `json:"b_minus_a"`
 	Low      *float64 `json:"low_95,omitempty"`
@@ -114,7 +115,7 @@
 	Pairs    int      `json:"pairs"`
 }
 
-// newComparison converts a difference for JSON.
+// newComparison converts a difference to its JSON form.
 func newComparison(difference *experiment.Difference) comparison {
 	return comparison{
 		Cell:    difference.Cell,
@@ -133,7 +134,7 @@
 	}
 }
 
-// finite returns nil for a value that JSON cannot hold.
+// finite returns a pointer to v, or nil if v is infinite or NaN, which JSON cannot represent.
 func finite(v float64) *float64 {
 	if math.IsInf(v, 0) || math.IsNaN(v) {
 		return nil
--- a/internal/command/lab_fleet.go
+++ b/internal/command/lab_fleet.go
@@ -8,16 +8,15 @@
 )
 
 type fleetOptions struct {
-	scenario  string
-	discovery string
-	nodes     int
+	scenario  string // name or file of the scenario whose nodes are emulated
+	discovery string // address that the discovery service listens on
+	nodes     int    // number of nodes, 0 for the scenario's
 	seed      uint64
 }
 
 const labFleetHelp = `
-Runs the discovery service and the nodes of a scenario on loopback until it is stopped, so that
-'grebeglade serve' has something to place on. There are no faults; stop and restart it to see what allocators
-do then.
+Runs the discovery service and the nodes of a scenario on loopback sockets until it is stopped, as a fleet for
+'grebeglade serve'. It injects no faults; stop and restart it to see how allocators handle the loss of the fleet.
 `
 
 // labFleetCommand defines "lab fleet".
@@ -31,14 +30,14 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.scenario, "script", "quiet", "scenario whose nodes to run")
+	flags.StringVar(&options.scenario, "script", "quiet", "scenario whose nodes are emulated")
 	flags.StringVar(&options.discovery, "list", "127.0.0.1:7071", "address that the discovery service listens on")
-	flags.IntVar(&options.nodes, "nodes", 0, "so many nodes instead of the scenario's")
+	flags.IntVar(&options.nodes, "nodes", 0, "number of nodes, instead of the scenario's")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the nodes' properties")
 	return cmd
 }
 
-// run serves the fleet until the command's context is done.
+// run emulates the fleet until the command's context is done.
 func (o *fleetOptions) run(cmd *cobra.Command) error {
 	script, err := scenario.Open(o.scenario)
 	if err != nil {
--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -16,19 +16,20 @@
 
 const minHuntNodes = 4
 
-var errHuntFlags = errors.New("give --seconds or --days above 0, --allocators of 1 and --nodes of 4 or more")
+var errHuntFlags = errors.New(
+	"--seconds or --days must be above 0, --allocators 1 or more, --nodes 4 or more, --worst 0 or more")
 
 type huntOptions struct {
 	search  search.Search
-	seconds int
-	dir     string
-	mutant  string
+	seconds int    // maximum search time in seconds, 0 for no limit
+	dir     string // directory for the scenarios found, "" to write none
+	mutant  string // a simulation.Mutant, "" for none
 	asJSON  bool
 }
 
 const labHuntHelp = `
-Draws scenarios with overlapping faults at random, runs them in virtual time on all cores, and reduces each that
-breaks a rule to the fewest faults and the smallest size that still break it. Exit status 1 if one does.
+Generates random scenarios with overlapping faults, runs them in virtual time on all cores, and reduces each that
+breaks a rule to the fewest faults and the smallest size that still break it. Exit status 1 if a rule was broken.
 `
 
 // labHuntCommand defines "lab hunt".
@@ -36,26 +37,27 @@
 	var options huntOptions
 	cmd := &cobra.Command{
 		Use:   "hunt --seconds N",
-		Short: "Search for scenarios that break a rule, or in which most is lost",
+		Short: "Search for scenarios that break a rule, or that lose the most workloads",
 		Long:  helpText(labHuntHelp),
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.seconds, "seconds", 0, "search for so long; reduction comes after")
-	flags.IntVar(&options.search.MaxRuns, "days", 0, "search over so many scenarios")
-	flags.Uint64Var(&options.search.Seed, "seed", 1, "seed of the scenarios that are drawn")
-	flags.IntVar(&options.search.Allocators, "allocators", 16, "allocators of a scenario, at most")
-	flags.IntVar(&options.search.Nodes, "nodes", 24, "nodes of a scenario, at most")
-	flags.IntVar(&options.search.KeepWorst, "worst", 1, "scenarios to keep that break nothing and lose most")
-	flags.StringVarP(&options.dir, "output", "o", "", "directory for what is found, as scenario files")
+	flags.IntVar(&options.seconds, "seconds", 0, "search time in seconds, without the reduction that follows")
+	flags.IntVar(&options.search.MaxRuns, "days", 0, "maximum number of scenarios to run")
+	flags.Uint64Var(&options.search.Seed, "seed", 1, "seed of the generated scenarios")
+	flags.IntVar(&options.search.Allocators, "allocators", 16, "maximum number of allocators in a scenario")
+	flags.IntVar(&options.search.Nodes, "nodes", 24, "maximum number of nodes in a scenario")
+	flags.IntVar(&options.search.KeepWorst, "worst", 1,
+		"number of scenarios to keep that break no rule and lose the most workloads")
+	flags.StringVarP(&options.dir, "output", "o", "", "directory for the scenarios found, as HCL files")
 	flags.StringVar(&options.mutant, "break", "",
-		"let the allocators break a rule on purpose, to see the search find it")
+		"variant of the allocators that breaks a rule, to test that the search finds it")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-// check checks the values of the flags.
+// check validates the flags.
 func (o *huntOptions) check() error {
 	limited := o.seconds >= 0 && o.search.MaxRuns >= 0 && o.seconds+o.search.MaxRuns > 0
 	sized := o.search.Allocators >= 1 && o.search.Nodes >= minHuntNodes
@@ -65,7 +67,7 @@
 	return checkMutant(o.mutant)
 }
 
-// run searches, writes and prints what is found. The error is errProblemFound if a rule broke in any scenario.
+// run searches, and writes and prints the findings. The error is errProblemFound if a scenario broke a rule.
 func (o *huntOptions) run(cmd *cobra.Command) error {
 	if err := o.check(); err != nil {
 		return err
@@ -87,10 +89,10 @@
 	return problemIf(slices.ContainsFunc(report.Findings, breaksRule))
 }
 
-// breaksRule reports whether a scenario broke a rule, rather than only losing many workloads.
+// breaksRule reports whether a finding is a broken rule. Other findings are scenarios that lose many workloads.
 func breaksRule(f search.Finding) bool { return f.Rule > 0 }
 
-// writeFindings writes each scenario that was found into a file of its own, unless dir is "".
+// writeFindings writes the scenario of each finding into a separate file, unless dir is "".
 func writeFindings(dir string, findings []search.Finding) error {
 	if dir == "" {
 		return nil
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// findingFile returns the name of the file for a scenario that was found.
+// findingFile returns the file name for the scenario of a finding.
 func findingFile(f search.Finding) string {
 	if breaksRule(f) {
 		return fmt.Sprintf("rule%d-day%d-seed%d.hcl", f.Rule, f.Run, f.Seed)
@@ -115,7 +117,7 @@
 	return fmt.Sprintf("lost-day%d-seed%d.hcl", f.Run, f.Seed)
 }
 
-// printHunt prints how near the scenarios came to the limits, and the findings.
+// printHunt prints how closely the scenarios approached each limit, and the findings.
 func printHunt(cmd *cobra.Command, report *search.Report, dir string) {
 	nearest := report.Nearest
 	cmd.Printf("%d scenarios in %.0f s. Nearest approach to a limit, which is 1: "+
--- a/internal/command/lab_load.go
+++ b/internal/command/lab_load.go
@@ -15,19 +15,19 @@
 type loadOptions struct {
 	run    loadgen.Options
 	rate   loadgen.Rate
-	ramp   float64 // requests a second at the end, if the flag is given
+	ramp   float64 // requests per second at the end; ignored unless --ramp-to is given
 	shape  loadgen.Shape
 	seed   uint64
-	traces []string // to send instead of random requests
-	speed  float64
+	traces []string // trace files or directories to replay instead of random requests
+	speed  float64  // replay speed as a multiple of the recorded one
 	asJSON bool
 }
 
 const labLoadHelp = `
-Sends requests at times that are fixed beforehand, whether or not answers come: at random (Poisson), in bursts,
-with a rate that grows, or as recorded in a trace. Latency counts from when a request was due. Ends by itself,
-once all are answered. Exit status 1 if an answer is missing, late or given twice, or if the tool itself did not
-keep up.
+Sends requests at scheduled times, whether or not earlier ones are answered: at random (Poisson), in bursts, at
+a rate that changes, or as recorded in a trace. Latency is measured from the scheduled time. Ends when all
+requests are answered or have timed out. Exit status 1 if an answer is missing, late or duplicated, or if the
+tool itself did not keep up.
 `
 
 // labLoadCommand defines "lab load".
@@ -42,42 +42,42 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.run.Target, "target", defaultAllocator(), "address of the allocator")
-	flags.IntVar(&options.run.Connections, "connections", 2, "connections, each a client of its own")
-	flags.StringVar(&options.run.Name, "name", "load", "name of the clients")
+	flags.IntVar(&options.run.Connections, "connections", 2, "number of connections, each a separate client")
+	flags.StringVar(&options.run.Name, "name", "load", "prefix of the clients' names")
 	options.addRateFlags(cmd)
 	options.addShapeFlags(cmd)
 	flags.StringSliceVar(&options.traces, "trace", nil,
-		"send what this trace, a file or directory, recorded, at its times; several for several allocators")
-	flags.Float64Var(&options.speed, "speed", 1, "times as fast as the trace")
+		"trace file or directory whose requests to send at their recorded times; several for several allocators")
+	flags.Float64Var(&options.speed, "speed", 1, "replay speed of a trace, as a multiple of the recorded one")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the times and services")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-// addRateFlags adds the flags for when requests are sent.
+// addRateFlags adds the flags for the request rate and its duration.
 func (o *loadOptions) addRateFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.Float64Var(&o.rate.From, "rate", 50, "requests a second")
-	flags.Float64Var(&o.ramp, "ramp-to", 0, "let the rate grow, or fall, evenly to this one")
+	flags.Float64Var(&o.ramp, "ramp-to", 0, "requests a second at the end, reached by linear change")
 	flags.DurationVar(&o.rate.For, "for", 20*time.Second, "how long to send requests")
-	flags.BoolVar(&o.rate.Evenly, "evenly", false, "at even intervals instead of at random")
-	flags.Float64Var(&o.rate.Burst, "burst", 1, "times as many requests during bursts")
+	flags.BoolVar(&o.rate.Evenly, "evenly", false, "send at even intervals instead of at random")
+	flags.Float64Var(&o.rate.Burst, "burst", 1, "factor of the rate during bursts")
 	flags.DurationVar(&o.rate.BurstFor, "burst-for", time.Second, "how long a burst lasts")
-	flags.DurationVar(&o.rate.Every, "burst-every", 5*time.Second, "from the beginning of a burst to that of the next")
+	flags.DurationVar(&o.rate.Every, "burst-every", 5*time.Second, "interval between the starts of bursts")
 }
 
-// addShapeFlags adds the flags for what is requested.
+// addShapeFlags adds the flags that describe the requested workloads.
 func (o *loadOptions) addShapeFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&o.shape.Group, "group", "serve", "priority group of the workloads")
-	flags.Float64Var(&o.shape.Cores, "cores", 0.5, "that each requests")
-	flags.Float64Var(&o.shape.Memory, "memory", 1, "that each requests")
-	flags.IntVar(&o.shape.Services, "services", 10, "services that they belong to")
+	flags.Float64Var(&o.shape.Cores, "cores", 0.5, "cores of each workload")
+	flags.Float64Var(&o.shape.Memory, "memory", 1, "memory of each workload, in the unit of the node kinds")
+	flags.IntVar(&o.shape.Services, "services", 10, "number of services that the workloads belong to")
 	flags.DurationVar(&o.shape.PendingTimeout, "pending", 6*time.Second, "pending timeout of a request")
-	flags.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each runs")
+	flags.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each workload runs")
 }
 
-// check checks the values of the flags. A NaN for the cores is refused as well.
+// check validates the flags. It also rejects NaN for the cores.
 func (o *loadOptions) check() error {
 	counted := o.run.Connections >= 1 && o.shape.Services >= 1
 	sized := o.shape.Cores > 0 && !(o.shape.Memory < 0)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// measure sends the requests and prints the result. The error is errProblemFound if that is not good.
+// measure sends the requests and prints the result. The error is errProblemFound if loadgen.Result.Good is false.
 func (o *loadOptions) measure(cmd *cobra.Command) error {
 	if err := o.check(); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return problemIf(!result.Good())
 }
 
-// schedule returns the requests to send, and what to call once all are sent.
+// schedule returns the requests to send, and a function that closes the trace files.
 func (o *loadOptions) schedule(cmd *cobra.Command) (schedule loadgen.Schedule, closeSchedule func(), err error) {
 	if len(o.traces) == 0 {
 		schedule, err = o.randomSchedule(cmd)
@@ -129,7 +129,7 @@
 	return schedule, files.close, nil
 }
 
-// randomSchedule returns requests at random times. The rate stays the same unless --ramp-to is given.
+// randomSchedule returns random requests. The rate is constant unless --ramp-to is given.
 func (o *loadOptions) randomSchedule(cmd *cobra.Command) (loadgen.Schedule, error) {
 	o.rate.To = o.rate.From
 	if cmd.Flags().Changed("ramp-to") {
--- a/internal/command/lab_load_output.go
+++ b/internal/command/lab_load_output.go
@@ -18,7 +18,7 @@
 // printLoad prints the result of a load.
 func printLoad(cmd *cobra.Command, result *loadgen.Result) {
 	printLoadCounts(cmd, result)
-	// As with everything else printed here, a reader who went away is no failure.
+	// Write errors of standard output are ignored, as cmd.Printf does.
 	_ = printTable(cmd, [][]string{
 		{"MS FROM WHEN IT WAS DUE", "COUNT", "50%", "90%", "99%", "99.9%", "MOST"},
 		latencyRow("to any answer", result.Latency),
@@ -36,7 +36,7 @@
 	}
 }
 
-// printLoadCounts prints how many requests had which outcome, and whether the generator kept up with its schedule.
+// printLoadCounts prints the number of requests by outcome, and a warning if the generator did not keep up.
 func printLoadCounts(cmd *cobra.Command, result *loadgen.Result) {
 	cmd.Printf("%d requests were due and %d sent in %.1f s: %.1f of %.1f a second.\n",
 		result.Due, result.Sent, result.Seconds, result.SentPerSec, result.DuePerSec)
@@ -52,7 +52,7 @@
 		result.SendDelay.Median, result.SendDelay.P99)
 }
 
-// latencyRow returns the row of a table for a distribution of latencies.
+// latencyRow returns the table row for a latency distribution.
 func latencyRow(name string, latency loadgen.Latency) []string {
 	row := []string{name, fmt.Sprint(latency.Count)}
 	for _, ms := range []float64{latency.Median, latency.P90, latency.P99, latency.P999, latency.Max} {
@@ -61,7 +61,7 @@
 	return row
 }
 
-// byFrequency returns the keys with the most frequent first, and equally frequent ones in the order of their text.
+// byFrequency returns the keys by descending count; keys with the same count are in alphabetical order.
 func byFrequency(counts map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(counts), func(x, y string) int {
 		return cmp.Or(cmp.Compare(counts[y], counts[x]), cmp.Compare(x, y))
--- a/internal/command/lab_overrides.go
+++ b/internal/command/lab_overrides.go
@@ -11,28 +11,28 @@
 	"grebeglade/placement"
 )
 
-// scenarioOverrides are the properties of a scenario that flags can replace. Zero keeps what the scenario says.
+// scenarioOverrides are flags that replace properties of a scenario. Zero keeps the scenario's value.
 type scenarioOverrides struct {
 	allocators int
 	nodes      int
-	rate       float64 // new workloads a second
-	load       float64 // share of the fleet's cores
-	length     time.Duration
-	gangs      string // a scenario.GangPolicy; there is always one
+	rate       float64       // new workloads per second
+	load       float64       // mean demand as a share of the fleet's cores
+	length     time.Duration // length of the scenario
+	gangs      string        // a scenario.GangPolicy, never empty
 }
 
 func (o *scenarioOverrides) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.IntVar(&o.allocators, "allocators", 0, "so many allocators instead of the scenario's")
-	flags.IntVar(&o.nodes, "nodes", 0, "so many nodes instead of the scenario's; the load follows")
-	flags.Float64Var(&o.rate, "rate", 0, "so many new workloads a second instead of the scenario's")
-	flags.DurationVar(&o.length, "for", 0, "another length of the scenario; the faults follow")
-	flags.Float64Var(&o.load, "load", 0, "request that share of the fleet's cores, in the mean: 0.8 for 80%")
+	flags.IntVar(&o.allocators, "allocators", 0, "number of allocators, instead of the scenario's")
+	flags.IntVar(&o.nodes, "nodes", 0, "number of nodes, instead of the scenario's; request rates scale with it")
+	flags.Float64Var(&o.rate, "rate", 0, "new workloads a second, instead of the scenario's")
+	flags.DurationVar(&o.length, "for", 0, "length of the run, instead of the scenario's; the faults scale with it")
+	flags.Float64Var(&o.load, "load", 0, "mean demand as a share of the fleet's cores, such as 0.8")
 	flags.StringVar(&o.gangs, "gangs", string(scenario.Together),
-		"how clients request gangs: together, or to compare independent or for-ever")
+		"how clients request gangs: together, or, for comparison, independent or for-ever")
 }
 
-// apply changes a scenario. The load comes after nodes and rate: it scales the rate by the cores of all nodes.
+// apply changes a scenario. The load is set after nodes and rate, since it scales the rate to the cores of all nodes.
 func (o *scenarioOverrides) apply(script *scenario.Script) error {
 	if o.allocators < 0 || o.nodes < 0 || o.rate < 0 || o.length < 0 {
 		return errors.New("--allocators, --nodes, --rate and --for must not be below 0")
@@ -51,7 +51,7 @@
 	case scenario.Together, scenario.Independent, scenario.UntilPlaced:
 		script.Client.GangPolicy = policy
 	default:
-		return fmt.Errorf("--gangs %q is not known; known are together, independent, for-ever", o.gangs)
+		return fmt.Errorf("unknown value %q for --gangs; expected together, independent or for-ever", o.gangs)
 	}
 	return nil
 }
--- a/internal/command/lab_play.go
+++ b/internal/command/lab_play.go
@@ -17,15 +17,15 @@
 type playOptions struct {
 	run       simulation.Options
 	overrides scenarioOverrides
-	virtual   bool
-	mutant    string
+	virtual   bool   // run in virtual time instead of on sockets
+	mutant    string // a simulation.Mutant, "" for none
 	verbose   bool
 	asJSON    bool
 }
 
 const labPlayHelp = `
 Runs a scenario with real allocators against emulated peers, on loopback sockets or in virtual time, and audits
-the five rules from the frames that passed. Exit status 0 if they held, 1 if one broke.
+the five rules from the frames that were sent. Exit status 0 if all rules held, 1 if one was broken.
 `
 
 // labPlayCommand defines "lab play".
@@ -41,15 +41,15 @@
 	flags := cmd.Flags()
 	flags.Uint64Var(&options.run.Seed, "seed", 1, "seed of all random choices")
 	flags.BoolVar(&options.virtual, "virtual", false,
-		"in virtual time: fast, and the same result on every run of a seed")
+		"run in virtual time: fast, and with the same result for the same seed")
 	options.overrides.addFlags(cmd)
 	flags.StringVar(&options.mutant, "break", "",
-		"let the allocators break a rule on purpose, to see the auditor detect it")
+		"variant of the allocators that breaks a rule, to test that the auditor detects it")
 	flags.StringVar(&options.run.TraceDirectory, "trace", "",
-		"record each allocator into a directory of its own below this one")
+		"directory for traces; each allocator records into a subdirectory")
 	flags.StringVar(&options.run.HistoryFile, "history", "",
-		"write everything seen from outside into this file, for 'lab check'")
-	flags.BoolVar(&options.verbose, "verbose", false, "show the allocators' log")
+		"file for the history of frames, connections and processes, for 'lab check'")
+	flags.BoolVar(&options.verbose, "verbose", false, "print the allocators' log to standard error")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
@@ -77,7 +77,7 @@
 	return printResult(cmd, result, o.asJSON)
 }
 
-// runScenario runs a scenario in virtual time or on sockets.
+// runScenario runs a scenario in virtual time or on loopback sockets.
 func (o *playOptions) runScenario(cmd *cobra.Command, script *scenario.Script) (*simulation.Result, error) {
 	if !o.virtual {
 		return playSockets(cmd, script, o.run)
@@ -89,15 +89,15 @@
 	return result, nil
 }
 
-// playSockets runs a scenario on loopback sockets and prints its progress. It ends early, with an error, if the
-// command's context is done.
+// playSockets runs a scenario on loopback sockets and prints its progress. It returns an error if the command's context
+// is cancelled before the scenario is over.
 func playSockets(
 	cmd *cobra.Command, script *scenario.Script, options simulation.Options,
 ) (*simulation.Result, error) {
 	onProgress := func(p simulation.Progress) { printProgress(cmd, p) }
 	result, err := simulation.PlaySockets(cmd.Context(), script, options, onProgress)
 	if errors.Is(err, context.Canceled) {
-		err = errors.New("stopped before the scenario was over; nothing is audited")
+		err = errors.New("interrupted before the end of the scenario; the rules are not audited")
 	}
 	if err != nil {
 		return nil, runError{err}
@@ -105,13 +105,13 @@
 	return result, nil
 }
 
-// checkMutant checks the name of a rule-breaking variant; "" is none.
+// checkMutant returns an error unless name is "" or a known simulation.Mutant.
 func checkMutant(name string) error {
 	if name == "" {
 		return nil
 	}
 	if _, known := simulation.MutantRules[simulation.Mutant(name)]; !known {
-		return fmt.Errorf("--break %q is not known; known are %v",
+		return fmt.Errorf("unknown value %q for --break; expected one of %v",
 			name, slices.Sorted(maps.Keys(simulation.MutantRules)))
 	}
 	return nil
--- a/internal/command/lab_play_output.go
+++ b/internal/command/lab_play_output.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	maxBrokenShown  = 5 // breaks of rules; --json shows more
-	millisPerSecond = 1000
+	maxViolationsShown = 5 // violations printed as text; --json prints more
+	millisPerSecond    = 1000
 )
 
-// printProgress prints how far a run on sockets has come.
+// printProgress prints the elapsed time and the request counts of a run on sockets.
 func printProgress(cmd *cobra.Command, p simulation.Progress) {
 	at := float64(min(p.At, p.Of)) / millisPerSecond
 	of := float64(p.Of) / millisPerSecond
@@ -25,7 +25,7 @@
 		at, of, p.Requests, p.Placed, p.Rejected, p.Unschedulable, p.Pending)
 }
 
-// printResult prints the result of a run. The error is errProblemFound if a rule broke.
+// printResult prints the result of a run. The error is errProblemFound if a rule was broken.
 func printResult(cmd *cobra.Command, result *simulation.Result, asJSON bool) error {
 	if err := printOutput(cmd, asJSON, result, func() { printResultText(cmd, result) }); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	printAudit(cmd, result.Frames, result.Violations, result.MoreViolations)
 }
 
-// printRunCounts prints the size of a run and the outcomes of the requests in it.
+// printRunCounts prints the size of a run and the number of its requests by outcome.
 func printRunCounts(cmd *cobra.Command, result *simulation.Result) {
 	medium := "on loopback sockets"
 	if result.Virtual {
@@ -70,7 +70,7 @@
 		100*result.GangWasted, result.PartialLeft)
 }
 
-// describeEnds returns how many workloads ended for each reason, in the order of the reasons' names.
+// describeEnds returns the number of ended workloads for each reason, sorted by the reason's name.
 func describeEnds(ended map[string]int) []string {
 	var ends []string
 	for _, reason := range slices.Sorted(maps.Keys(ended)) {
@@ -80,15 +80,15 @@
 	return ends
 }
 
-// printAudit prints whether the rules held, and the frames of the first violations. Further violations, whose frames
-// were not kept, are counted by more.
-func printAudit(cmd *cobra.Command, frames int, violations []audit.Violation, more int) {
+// printAudit prints that all rules held, or the first violations with their frames. The parameter omitted is the number
+// of further violations, whose frames were not kept.
+func printAudit(cmd *cobra.Command, frames int, violations []audit.Violation, omitted int) {
 	if len(violations) == 0 {
 		cmd.Printf("All rules held, by the %d frames that passed.\n", frames)
 		return
 	}
-	cmd.Printf("RULES WERE BROKEN, %d times:\n", len(violations)+more)
-	for _, violation := range violations[:min(len(violations), maxBrokenShown)] {
+	cmd.Printf("RULES WERE BROKEN, %d times:\n", len(violations)+omitted)
+	for _, violation := range violations[:min(len(violations), maxViolationsShown)] {
 		cmd.Printf("  rule %d at %.0f ms: %s (workload %d, node %d)\n",
 			violation.Rule, violation.At, violation.Message, violation.Workload, violation.Node)
 		for _, frame := range violation.Frames {
--- a/internal/command/lab_report.go
+++ b/internal/command/lab_report.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// writeReport writes the report into the directory of the experiment, and prints where it is.
+// writeReport writes the report into the experiment's directory, and prints its path.
 func writeReport(cmd *cobra.Command, dir string) error {
 	results, err := experiment.Read(dir)
 	if err != nil {
--- a/internal/command/lab_run.go
+++ b/internal/command/lab_run.go
@@ -9,17 +9,17 @@
 	"grebeglade/internal/experiment"
 )
 
-const progressInterval = 20 // runs between two lines of progress
+const progressInterval = 20 // runs between two progress lines
 
 type experimentOptions struct {
-	dir     string
-	workers int
+	dir     string // directory for the results, "" for the experiment's name
+	workers int    // concurrent runs, 0 for the experiment's setting
 	asJSON  bool
 }
 
 const labRunHelp = `
-Runs the scenarios of an experiment in virtual time on all cores and keeps the results in a directory. Stopped or
-killed, the same command resumes it. Exit status 1 if a rule broke in any run, or a run failed.
+Runs the scenarios of an experiment in virtual time on all cores and stores the results in a directory. The same
+command resumes an experiment that was stopped or killed. Exit status 1 if a run broke a rule or failed.
 `
 
 // labRunCommand defines "lab run".
@@ -27,14 +27,14 @@
 	var options experimentOptions
 	cmd := &cobra.Command{
 		Use:   "run EXPERIMENT.hcl -o DIR",
-		Short: "Run an experiment: scenarios with something varied, each with the same seeds",
+		Short: "Run an experiment: scenarios with varied parameters, each with the same seeds",
 		Long:  helpText(labRunHelp),
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return options.run(cmd, args[0]) },
 	}
 	flags := cmd.Flags()
-	flags.StringVarP(&options.dir, "output", "o", "", "directory for the results; by default named like the experiment")
-	flags.IntVar(&options.workers, "workers", 0, "concurrent runs, instead of what the experiment says")
+	flags.StringVarP(&options.dir, "output", "o", "", "directory for the results (default: the experiment's name)")
+	flags.IntVar(&options.workers, "workers", 0, "number of concurrent runs, instead of the experiment's")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
@@ -49,7 +49,7 @@
 		o.dir = plan.Name
 	}
 	if o.workers < 0 {
-		return fmt.Errorf("--workers %d must not be below 0", o.workers)
+		return fmt.Errorf("--workers is %d; it must not be below 0", o.workers)
 	}
 	if o.workers > 0 {
 		plan.Limits.Workers = o.workers
@@ -65,7 +65,7 @@
 	return problemIf(report.Failed+report.Broken > 0)
 }
 
-// printRun prints the error of a run, if any, and now and then how many runs are done.
+// printRun prints the error of a run, if any, and a progress line after every progressInterval runs and the last one.
 func printRun(cmd *cobra.Command, run experiment.Run, done, of int) {
 	if run.Error != "" {
 		cmd.PrintErrf("cell %d (%s), seed %d: %s\n", run.Cell, strings.Join(run.Levels, " / "), run.Seed, run.Error)
@@ -75,7 +75,7 @@
 	}
 }
 
-// printExperiment prints how many runs are done, and how to see their results.
+// printExperiment prints the number of finished runs, and the command that reports their results.
 func printExperiment(cmd *cobra.Command, report *experiment.Report, dir string) {
 	cmd.Printf("%d of %d runs are done (%d of them before), in %.0f s; %d failed, in %d a rule broke.\n",
 		report.Done, report.Total, report.Earlier, report.Seconds, report.Failed, report.Broken)
--- a/internal/command/lists.go
+++ b/internal/command/lists.go
@@ -8,19 +8,19 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// listing is a command that prints a table of what an allocator holds.
+// listing describes a command that prints one kind of an allocator's state as a table.
 type listing struct {
 	use    string
 	short  string
 	query  pb.Query_Kind
-	header []string
-	rows   func(*pb.State) [][]string
+	header []string                   // column names
+	rows   func(*pb.State) [][]string // table rows, without the header
 }
 
 func workloadsCommand() *cobra.Command {
 	return listing{
 		use:    "workloads",
-		short:  "List the workloads that an allocator holds",
+		short:  "List an allocator's workloads",
 		query:  pb.Query_WORKLOADS,
 		header: []string{"WORKLOAD", "STATE", "NODE", "GROUP", "SERVICE", "CORES", "MEMORY", "BINDS", "SINCE", "OWNER"},
 		rows:   workloadRows,
@@ -31,7 +31,7 @@
 func nodesCommand() *cobra.Command {
 	return listing{
 		use:   "nodes",
-		short: "List the nodes that an allocator knows",
+		short: "List the nodes in an allocator's node table",
 		query: pb.Query_NODES,
 		header: []string{
 			"NODE", "STATE", "CONNECTION", "KIND", "ZONE", "FREE CORES", "FREE MEMORY", "OURS", "OUT", "LISTED",
@@ -44,7 +44,7 @@
 func gangsCommand() *cobra.Command {
 	return listing{
 		use:    "gangs",
-		short:  "List the gangs that an allocator holds, and their progress",
+		short:  "List an allocator's gangs and their progress",
 		query:  pb.Query_GANGS,
 		header: []string{"GANG", "STATE", "RUNNING", "NEEDED", "PARTS", "TRIES", "SINCE", "OWNER", "WORKLOADS"},
 		rows:   gangRows,
@@ -53,8 +53,8 @@
 
 // listOptions are the flags of a listing.
 type listOptions struct {
-	to     string
-	limit  uint32
+	to     string // address of the allocator
+	limit  uint32 // maximum number of entries
 	asJSON bool
 }
 
@@ -68,7 +68,7 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return l.run(cmd, &options) },
 	}
 	toFlag(cmd, &options.to)
-	cmd.Flags().Uint32Var(&options.limit, "most", 1000, "list so many at most")
+	cmd.Flags().Uint32Var(&options.limit, "most", 1000, "maximum number of entries to list")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
@@ -86,7 +86,7 @@
 	return printList(cmd, rows, state.LeftOut)
 }
 
-// queryState returns the state of an allocator, with at most limit entries.
+// queryState connects to an allocator and returns its state of one kind, with at most limit entries.
 func queryState(to string, kind pb.Query_Kind, limit uint32) (*pb.State, error) {
 	connection, err := dial(to, pb.Role_OPERATOR, "")
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	state := reply.GetState()
 	if state == nil {
-		return nil, runErrorf("the allocator answered with %s", pb.FrameKind(reply))
+		return nil, runErrorf("query the allocator: received a frame of kind %s, expected a state", pb.FrameKind(reply))
 	}
 	return state, nil
 }
--- a/internal/command/lists_document.go
+++ b/internal/command/lists_document.go
@@ -2,8 +2,8 @@
 
 import pb "grebeglade/proto/grebeglade/v1"
 
-// stateDocument is an allocator's state as --json prints it. Its keys are those of earlier versions, so that scripts
-// that read it still work when a field of the protocol is renamed.
+// stateDocument is the JSON form of an allocator's state. Scripts read its keys, so a key must not change when a field
+// of the protocol is renamed.
 type stateDocument struct {
 	Workloads []workloadDocument `json:"workloads,omitempty"`
 	Nodes     []nodeDocument     `json:"nodes,omitempty"`
@@ -12,7 +12,7 @@
 	Gangs     []gangDocument     `json:"gangs,omitempty"`
 }
 
-// workloadDocument is a pb.WorkloadState, with one field for each of the message.
+// workloadDocument is the JSON form of a pb.WorkloadState, and has all its fields.
 type workloadDocument struct {
 	Workload       uint64  `json:"workload,omitempty"`
 	Client         string  `json:"owner,omitempty"`
@@ -28,7 +28,7 @@
 	SinceMs        float64 `json:"since_ms,omitempty"`
 }
 
-// nodeDocument is a pb.NodeStatus, with one field for each of the message.
+// nodeDocument is the JSON form of a pb.NodeStatus, and has all its fields.
 type nodeDocument struct {
 	ID            uint32  `json:"id,omitempty"`
 	State         string  `json:"state,omitempty"`
@@ -44,7 +44,7 @@
 	LastRejection string  `json:"last_refusal,omitempty"`
 }
 
-// gangDocument is a pb.GangStatus, with one field for each of the message.
+// gangDocument is the JSON form of a pb.GangStatus, and has all its fields.
 type gangDocument struct {
 	Client    string   `json:"owner,omitempty"`
 	RequestID uint64   `json:"ask,omitempty"`
@@ -57,7 +57,6 @@
 	Workloads []uint64 `json:"workloads,omitempty"`
 }
 
-// newStateDocument converts an allocator's state for JSON.
 func newStateDocument(state *pb.State) stateDocument {
 	document := stateDocument{Revision: state.Revision, LeftOut: state.LeftOut}
 	for _, workload := range state.Workloads {
@@ -72,7 +71,6 @@
 	return document
 }
 
-// newWorkloadDocument converts the state of a workload for JSON.
 func newWorkloadDocument(workload *pb.WorkloadState) workloadDocument {
 	return workloadDocument{
 		Workload:       workload.Workload,
@@ -90,7 +88,6 @@
 	}
 }
 
-// newNodeDocument converts the status of a node for JSON.
 func newNodeDocument(node *pb.NodeStatus) nodeDocument {
 	return nodeDocument{
 		ID:            node.Id,
@@ -108,7 +105,6 @@
 	}
 }
 
-// newGangDocument converts the status of a gang for JSON.
 func newGangDocument(gang *pb.GangStatus) gangDocument {
 	return gangDocument{
 		Client:    gang.Client,
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// printJSON prints one document.
+// printJSON prints v as one indented JSON document.
 func printJSON(cmd *cobra.Command, v any) error {
 	encoder := json.NewEncoder(cmd.OutOrStdout())
 	encoder.SetIndent("", "  ")
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// printList prints a table of which leftOut rows were left out, and says so on standard error.
+// printList prints a table. If the allocator has left out rows, it prints their number to standard error.
 func printList(cmd *cobra.Command, rows [][]string, leftOut uint32) error {
 	if err := printTable(cmd, rows); err != nil {
 		return err
@@ -57,10 +57,10 @@
 
 func formatUint[T uint32 | uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
 
-// formatAmount formats an amount of cores or memory with the digits that a float32 needs.
+// formatAmount formats an amount of cores or memory with the fewest digits that identify a float32.
 func formatAmount(amount float64) string { return strconv.FormatFloat(amount, 'f', -1, 32) }
 
-// formatAge formats milliseconds as a duration in tenths of a second.
+// formatAge formats milliseconds as a duration, rounded to tenths of a second.
 func formatAge(ms float64) string {
 	age := time.Duration(ms * float64(time.Millisecond))
 	return age.Truncate(time.Millisecond).Round(100 * time.Millisecond).String()
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -22,19 +22,19 @@
 )
 
 const (
-	heapShare         = 0.5                    // of the process's memory; code and sockets need the rest
-	drainPollInterval = 20 * time.Millisecond  // between checks of whether all requests are answered
-	reloadInterval    = 100 * time.Millisecond // between attempts to read a configuration
-	maxReloadAttempts = 10                     // a new configuration counts as applied 4 s after its signal
+	heapShare         = 0.5                    // heap share of the memory limit; the rest is for code and sockets
+	drainPollInterval = 20 * time.Millisecond  // between checks whether all requests are answered
+	reloadInterval    = 100 * time.Millisecond // between attempts to read a new configuration
+	maxReloadAttempts = 10                     // 0.9 s in all; a new configuration counts as applied 4 s after its signal
 )
 
-// errNoConfig means that the platform's environment lacks the path of the configuration.
+// errNoConfig is returned if the environment does not contain the path of the configuration.
 var errNoConfig = errors.New("NODE_CONFIG is not set; give the path of the platform's configuration")
 
 const platformHelp = `
-Runs an allocator that speaks the shared platform's protocol. NODE_CONFIG names its configuration, NODE_LISTEN
-the address that it listens on. On SIGHUP it reads the discovery service's address again. On SIGTERM it answers
-pending requests and exits; placed workloads keep running.
+Runs an allocator with the shared platform's protocol. The environment variable NODE_CONFIG is the path of its
+configuration, NODE_LISTEN the address that it listens on. On SIGHUP it reloads the address of the discovery
+service. On SIGTERM it answers pending requests and exits; placed workloads keep running.
 `
 
 // platformCommand defines "platform".
@@ -47,13 +47,13 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runPlatform(cmd, verbose) },
 	}
-	cmd.Flags().BoolVar(&verbose, "verbose", false, "log each message that is not accepted")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "log each rejected message")
 	return cmd
 }
 
-// runPlatform runs the frontend with the configuration that the environment names, until it has drained.
+// runPlatform runs the platform's frontend until it has drained. Its configuration comes from the environment.
 func runPlatform(cmd *cobra.Command, verbose bool) error {
-	// Caught before anything else: a reload during the start must not end the process.
+	// Registered first, since a SIGHUP during startup must not terminate the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -82,7 +82,7 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-// limitProcess applies the platform's limits to Go's runtime, which does not learn them by itself.
+// limitProcess applies the platform's limits to the Go runtime, which does not detect them.
 func limitProcess(limits platform.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Floor(limits.Cores))))
 	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * (1 << 20)))
@@ -92,15 +92,15 @@
 type platformServer struct {
 	frontend *platform.Frontend
 	loop     *transport.Loop
-	file     string // of the configuration
-	listen   string
+	file     string // path of the configuration
+	listen   string // address that the frontend listens on
 	log      *slog.Logger
 
-	reloadDue      <-chan time.Time // nil unless a reload is under way
-	reloadAttempts int              // that failed, of this reload
+	reloadDue      <-chan time.Time // fires when the next reload attempt is due; nil if no reload is in progress
+	reloadAttempts int              // failed attempts of the current reload
 }
 
-// startPlatform listens on the configured address and starts the event loop. The caller closes the loop.
+// startPlatform listens on the configured address and starts the event loop, which the caller must close.
 func startPlatform(configuration *platform.Config, file string, log *slog.Logger) (*platformServer, error) {
 	server := &platformServer{
 		frontend: platform.New(configuration, log),
@@ -122,7 +122,8 @@
 	return server, nil
 }
 
-// serve runs until the frontend has drained after stop is closed, or the event loop fails.
+// serve reloads the configuration on hangups. It starts to drain when stop is closed, and returns when the frontend has
+// drained or the event loop has failed.
 func (s *platformServer) serve(stop <-chan struct{}, hangups <-chan os.Signal) error {
 	var drainPoll <-chan time.Time // nil until stop is closed
 	for {
@@ -133,7 +134,7 @@
 		case <-s.reloadDue:
 			s.reload()
 		case <-stop:
-			stop = nil // a closed channel would be selected again and again
+			stop = nil // a closed channel is always ready to receive
 			s.loop.Call(s.frontend, s.frontend.Drain)
 			ticker := time.NewTicker(drainPollInterval)
 			defer ticker.Stop()
@@ -149,8 +150,8 @@
 	}
 }
 
-// reload reads the configuration and applies it. A file that cannot be read may be half written, so it is read again
-// after a while, maxReloadAttempts times at most; then the configuration stays as it was.
+// reload reads the configuration and applies it. An invalid file may be incompletely written, so it is read again after
+// reloadInterval, up to maxReloadAttempts times in all; after that the current configuration stays in use.
 func (s *platformServer) reload() {
 	s.reloadDue = nil
 	configuration, err := platform.ReadConfig(s.file, s.listen)
--- a/internal/command/platform_client_test.go
+++ b/internal/command/platform_client_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// platformClient is one client connection to the program.
+// platformClient is a client's connection to the program.
 type platformClient struct {
 	net.Conn
 	t       *testing.T
@@ -41,32 +41,32 @@
 // receive returns the next reply, a line of JSON.
 func (c *platformClient) receive() string {
 	c.t.Helper()
-	require.NoError(c.t, c.SetReadDeadline(time.Now().Add(replyLimit)))
+	require.NoError(c.t, c.SetReadDeadline(time.Now().Add(waitLimit)))
 	line, err := c.replies.ReadString('\n')
 	require.NoError(c.t, err)
 	return strings.TrimSpace(line)
 }
 
-// awaitDraining waits until the program's health checks report that it drains.
+// awaitDraining sends health checks until a reply reports that the program is draining.
 func (c *platformClient) awaitDraining() {
 	for reply := ""; !strings.Contains(reply, `"rc":0`); reply = c.receive() {
 		c.send(healthCheck)
 	}
 }
 
-// Messages of the platform's protocol, as clients see them.
+// A health check of the platform's protocol, and its reply while the program is not draining.
 const (
 	healthCheck = `{"verb":"ECHO","tag":"0000000000000001","opts":{},"rc":0}` + "\n"
 	healthy     = `{"verb":"ECHOED","tag":"0000000000000001","opts":{},"rc":1}`
 )
 
-// startRequest returns a request to place a workload.
+// startRequest returns a request to place a workload of service tag.
 func startRequest(tag int) string {
 	return fmt.Sprintf(`{"verb":"START","tag":"%016x","opts":{"class":"tiles","left":"6000","key":"aa",`+
 		`"extras":"cores:1;memory:1;service:%x"},"blob":"what is asked"}`+"\n", tag, tag)
 }
 
-// placedReply returns the final answer to a request whose workload a node has accepted.
+// placedReply returns the answer to a request whose workload a node has accepted.
 func placedReply(tag int) string {
 	return fmt.Sprintf(`{"verb":"STARTED","tag":"%016x","opts":{},"blob":"taken by a node"}`, tag)
 }
--- a/internal/command/platform_config_test.go
+++ b/internal/command/platform_config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const platformDescriptors = 256 // the limit on sockets, unless a test gives another
+const defaultDescriptors = 256 // limit on sockets
 
 const platformSettings = `{"balancers":1,"ordinal":0,"zones":["z"],"kinds":["small"],"discovery":"automatic",
  "contract":{"cold_ns":17000000000,"cold_from":0.28,"overload_for_ns":2000000000},"report":{"fields":["x0"]},
@@ -20,7 +20,7 @@
   "kind_cores":[20],"memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],
   "lost_after":[0.15],"kind_by_class":[-1]}}`
 
-// platformConfig returns a configuration with these nodes as the known ones.
+// platformConfig returns a configuration whose node list has the given addresses.
 func platformConfig(discovery string, descriptors int, nodes ...string) []byte {
 	var endpoints []string
 	for i, address := range nodes {
@@ -33,10 +33,10 @@
 "settings":%s}`, discovery, descriptors, strings.Join(endpoints, ","), platformSettings)
 }
 
-// writePlatformConfig writes a configuration into a file.
+// writePlatformConfig writes a configuration with defaultDescriptors into a file.
 func writePlatformConfig(t *testing.T, file, discovery string, nodes ...string) {
 	t.Helper()
-	content := platformConfig(discovery, platformDescriptors, nodes...)
+	content := platformConfig(discovery, defaultDescriptors, nodes...)
 	require.True(t, json.Valid(content))
 	require.NoError(t, os.WriteFile(file, content, 0o600))
 }
--- a/internal/command/platform_emulators_test.go
+++ b/internal/command/platform_emulators_test.go
@@ -13,8 +13,8 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
-// emulateDiscovery starts a discovery service without events and returns its address. It reports the event from which
-// each subscriber resumes.
+// emulateDiscovery starts a discovery service that sends no events, and returns its address. The channel subscribed
+// receives the Last-Event-ID of each subscription.
 func emulateDiscovery(t *testing.T) (address string, subscribed <-chan string) {
 	t.Helper()
 	subscribers := make(chan string, 10)
@@ -40,8 +40,8 @@
 
 // emulatedNode is a node that accepts every bind.
 type emulatedNode struct {
-	offered chan<- codec.Tag // reports binds as they arrive; nil for none
-	release <-chan struct{}  // each answer waits for a value or the close; nil for no wait
+	offered chan<- codec.Tag // receives the tag of each bind; nil if not needed
+	release <-chan struct{}  // each answer is delayed until a receive succeeds; nil for no delay
 }
 
 // listen starts the node and returns its address.
@@ -62,14 +62,14 @@
 	return listener.Addr().String()
 }
 
-// serve answers the binds on a connection until that is lost.
+// serve answers the binds on a connection until the connection is lost.
 func (n emulatedNode) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var received []byte
-	part := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	for {
-		size, err := conn.Read(part)
-		received = append(received, part[:size]...)
+		size, err := conn.Read(buffer)
+		received = append(received, buffer[:size]...)
 		var answered bool
 		if received, answered = n.answerAll(conn, received); !answered || err != nil {
 			return
@@ -77,7 +77,8 @@
 	}
 }
 
-// answerAll answers the complete messages and returns the rest, and false once the connection is lost.
+// answerAll answers the complete messages in received and returns the remaining bytes. It returns false if the
+// connection is lost.
 func (n emulatedNode) answerAll(conn net.Conn, received []byte) (rest []byte, ok bool) {
 	for {
 		message, used, err := codec.NodeCodec{}.Decode(received)
--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -16,6 +16,8 @@
 	"grebeglade/internal/frontend/platform/codec"
 )
 
+// Guards against a faulty reload or drain: an invalid configuration must leave the current one in use, a valid one must
+// move the subscription to the new discovery service, and SIGTERM must end the process with exit code 0.
 func TestPlatform_ServesReloadsAndDrains(t *testing.T) {
 	first, firstSubscribed := emulateDiscovery(t)
 	second, secondSubscribed := emulateDiscovery(t)
@@ -33,24 +35,25 @@
 	require.NoError(t, os.WriteFile(file, []byte("{"), 0o600))
 	program.signal(t, syscall.SIGHUP)
 	client.send(healthCheck)
-	assert.JSONEq(t, healthy, client.receive(), "a wrong configuration is not applied")
+	assert.JSONEq(t, healthy, client.receive(), "an invalid configuration is not applied")
 	writePlatformConfig(t, file, second, node)
 	program.signal(t, syscall.SIGHUP)
 	assert.Equal(t, "1", <-secondSubscribed)
 
 	program.signal(t, syscall.SIGTERM)
 	client.awaitDraining()
-	require.NoError(t, program.Wait(), "it exits with 0")
+	require.NoError(t, program.Wait(), "the exit code is 0")
 }
 
-// A new configuration that is half written when the signal comes is read again: no second signal is needed.
-func TestPlatformReload_HalfWrittenConfigurationIsReadAgain(t *testing.T) {
+// Guards against a lost reload: a configuration that is incompletely written when SIGHUP arrives must be read again
+// without a second signal.
+func TestPlatformReload_IncompleteFile_IsReadAgain(t *testing.T) {
 	first, _ := emulateDiscovery(t)
 	second, secondSubscribed := emulateDiscovery(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, first)
 	program := startPlatformProcess(t, file, "")
-	complete := platformConfig(second, platformDescriptors)
+	complete := platformConfig(second, defaultDescriptors)
 	require.NoError(t, os.WriteFile(file, complete[:len(complete)/2], 0o600))
 	program.signal(t, syscall.SIGHUP)
 	client := program.connect(t)
@@ -61,15 +64,16 @@
 	require.NoError(t, os.WriteFile(file, complete, 0o600))
 	select {
 	case <-secondSubscribed:
-	case <-time.After(replyLimit):
+	case <-time.After(waitLimit):
 		t.Fatal("no subscription at the new discovery service")
 	}
 }
 
-// A planned restart: requests that arrived before the signal, in part before it, or shortly after it are answered. A
-// second signal changes nothing, and a change of the discovery service's address is still applied.
+// Guards against requests lost in a planned restart: those that arrive before SIGTERM, partly before it, or shortly
+// after it must be answered. A second SIGTERM must have no effect, and a reload of the discovery service's address must
+// still be applied.
 func TestPlatformShutdown_AnswersAllAcceptedRequests(t *testing.T) {
-	const partSize = 40 // bytes of a request that arrive before the signal
+	const partSize = 40 // bytes of the partial request that are sent before the signal
 	first, _ := emulateDiscovery(t)
 	second, secondSubscribed := emulateDiscovery(t)
 	offered := make(chan codec.Tag, 10)
@@ -78,12 +82,12 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, first, node)
 	program := startPlatformProcess(t, file, "")
-	waiting := program.connect(t)
+	pending := program.connect(t)
 	partial := program.connect(t)
 	late := program.connect(t)
 	observer := program.connect(t)
 
-	waiting.send(startRequest(2))
+	pending.send(startRequest(2))
 	assert.Equal(t, codec.Tag(2), <-offered)
 	partial.send(startRequest(3)[:partSize])
 	program.signal(t, syscall.SIGTERM)
@@ -96,15 +100,15 @@
 	<-secondSubscribed
 	close(release)
 
-	for tag, client := range map[int]*platformClient{2: waiting, 3: partial, 4: late} {
+	for tag, client := range map[int]*platformClient{2: pending, 3: partial, 4: late} {
 		assert.JSONEq(t, placedReply(tag), client.receive())
 	}
 	require.NoError(t, program.Wait())
 }
 
-// More nodes than descriptors, and clients that open connections by hundreds and send nothing: the discovery service is
-// subscribed to, and every client is accepted and served. This guards against an event loop that ends for good when it
-// cannot accept.
+// Guards against an event loop that stops when accept fails for lack of descriptors. The nodes and idle clients need
+// more descriptors than the process may open; it must still subscribe to the discovery service, and accept and serve
+// every client.
 func TestPlatform_FewDescriptorsSufficeForManyNodesAndIdleClients(t *testing.T) {
 	const (
 		descriptors   = 64
@@ -119,8 +123,8 @@
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, platformConfig(discovery, descriptors, nodes...), 0o600))
-	limited := fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptors)
-	program := startPlatformProcess(t, file, limited)
+	shellLine := fmt.Sprintf(`ulimit -n %d; exec "$0"`, descriptors)
+	program := startPlatformProcess(t, file, shellLine)
 	<-subscribed
 	for range idleClients {
 		program.connect(t)
@@ -133,10 +137,10 @@
 	}
 }
 
-func TestPlatformStart_WrongConfigurationIsReported(t *testing.T) {
+func TestPlatformStart_InvalidConfiguration_IsReported(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	writePlatformConfig(t, file, "127.0.0.1:1", "127.0.0.1:1")
-	good, err := os.ReadFile(file)
+	valid, err := os.ReadFile(file)
 	require.NoError(t, err)
 	for problem, change := range map[string]struct{ from, to string }{
 		"limits.sockets is 0":                        {`"sockets":256`, `"sockets":0`},
@@ -146,7 +150,7 @@
 		"setting permissions.most_tries is \"many\"": {`"most_tries":4`, `"most_tries":"many"`},
 	} {
 		t.Run(problem, func(t *testing.T) {
-			changed := strings.Replace(string(good), change.from, change.to, 1)
+			changed := strings.Replace(string(valid), change.from, change.to, 1)
 			require.NoError(t, os.WriteFile(file, []byte(changed), 0o600))
 			t.Setenv("NODE_CONFIG", file)
 			var stderr strings.Builder
@@ -156,7 +160,7 @@
 	}
 }
 
-func TestPlatformStart_EnvironmentWithoutConfigurationIsReported(t *testing.T) {
+func TestPlatformStart_NoConfigurationPath_IsReported(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "")
 	var stderr strings.Builder
 	assert.Equal(t, exitBadInput, Run([]string{"platform"}, io.Discard, &stderr))
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -14,23 +14,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// commandLine is the environment variable that makes the test binary run as the program itself.
-const commandLine = "GREBEGLADE_TEST_COMMAND"
+// commandVariable is the environment variable with a command line for the test binary to run as the program itself.
+const commandVariable = "GREBEGLADE_TEST_COMMAND"
 
-const replyLimit = 20 * time.Second // for anything that a test waits for
+const waitLimit = 20 * time.Second // maximum time for a reply, or any other wait of a test
 
 func TestMain(m *testing.M) {
-	if line := os.Getenv(commandLine); line != "" {
+	if line := os.Getenv(commandVariable); line != "" {
 		os.Exit(Run(strings.Fields(line), os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// startCommand starts a command line as a process of its own, and waits until it prints a line that contains ready.
+// startCommand runs a command line in a new process, and waits until it prints a line that contains ready.
 func startCommand(t *testing.T, line, ready string) *exec.Cmd {
 	t.Helper()
 	program := exec.Command(os.Args[0])
-	program.Env = append(os.Environ(), commandLine+"="+line)
+	program.Env = append(os.Environ(), commandVariable+"="+line)
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
 	program.Stdout = write
@@ -53,8 +53,8 @@
 	address string
 }
 
-// startPlatformProcess starts the program and waits until it serves. If a line for the shell is given, the program is
-// started by that, which must end in exec "$0".
+// startPlatformProcess starts the program and waits until it serves. If shellLine is not empty, a shell runs that line,
+// which must end in exec "$0" to start the program.
 func startPlatformProcess(t *testing.T, file, shellLine string) *platformProcess {
 	t.Helper()
 	program := &platformProcess{Cmd: exec.Command(os.Args[0]), address: freeAddress(t)}
@@ -62,7 +62,7 @@
 		program.Cmd = exec.Command("sh", "-c", shellLine, os.Args[0])
 	}
 	program.Env = append(os.Environ(),
-		commandLine+"=platform",
+		commandVariable+"=platform",
 		"NODE_CONFIG="+file,
 		"NODE_LISTEN="+program.address)
 	log, err := program.StderrPipe()
@@ -82,7 +82,7 @@
 	require.NoError(t, p.Process.Signal(signal))
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address with a port that is free at the time of the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -13,14 +13,14 @@
 )
 
 type serveOptions struct {
-	file     string
-	traceDir string
-	grace    time.Duration
+	file     string        // path of the configuration
+	traceDir string        // directory for traces, "" for the configuration's
+	grace    time.Duration // maximum time to drain
 }
 
 const serveHelp = `
 Runs an allocator until it receives SIGTERM or SIGINT. It then rejects new requests, waits until pending ones
-are answered, and exits; placed workloads keep running. A second signal ends it at once.
+are answered, and exits; placed workloads keep running. A second signal ends it immediately.
 `
 
 // serveCommand defines "serve".
@@ -35,13 +35,14 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.file, "config", "", "the allocator's configuration, in HCL")
-	flags.StringVar(&options.traceDir, "trace", "", "record calls and decisions into files of this directory")
-	flags.DurationVar(&options.grace, "grace", time.Minute, "how long to wait until pending requests are answered")
+	flags.StringVar(&options.traceDir, "trace", "", "directory for traces of calls and decisions")
+	flags.DurationVar(&options.grace, "grace", time.Minute, "maximum time to wait until pending requests are answered")
 	requireFlag(cmd, "config")
 	return cmd
 }
 
-// run serves until the command's context is done, and then drains.
+// run serves until the command's context is done, and then drains. The error is errProblemFound if workloads are left
+// without an answer.
 func (o *serveOptions) run(cmd *cobra.Command) error {
 	configuration, err := config.Load(o.file)
 	if err != nil {
@@ -63,7 +64,8 @@
 	return problemIf(unanswered > 0)
 }
 
-// drain drains the daemon for the grace period at most, or until a further signal.
+// drain drains the allocator until all requests are answered, the grace period is over or another signal arrives. It
+// returns the number of unanswered workloads.
 func (o *serveOptions) drain(allocator *daemon.Daemon) (unanswered int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/internal/command/serve_test.go
+++ b/internal/command/serve_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	fleetNodes    = 4
-	idempotentKey = 11 // of the run-once workload
+	fleetNodes = 4
+	runOnceKey = 11 // idempotency key of the run-once workload
 )
 
-// allocatorProcess is "grebeglade serve" with a fleet of its own, a state directory and a trace.
+// allocatorProcess is a process of "grebeglade serve" with a separate fleet, a state directory and a trace.
 type allocatorProcess struct {
 	*exec.Cmd
 	address  string
@@ -27,8 +27,7 @@
 	traceDir string
 }
 
-// startAllocator starts a fleet and an allocator, and waits until every node is connected. The allocator has the groups
-// of the fleet's scenario.
+// startAllocator starts a fleet and an allocator, and waits until every node is connected.
 func startAllocator(t *testing.T) *allocatorProcess {
 	t.Helper()
 	discovery := freeAddress(t)
@@ -46,11 +45,11 @@
 	require.Eventually(t, func() bool {
 		nodes := runCommand("nodes" + allocator.to()).stdout
 		return strings.Count(nodes, "open") == fleetNodes
-	}, replyLimit, 20*time.Millisecond, "every node is connected")
+	}, waitLimit, 20*time.Millisecond, "every node is connected")
 	return allocator
 }
 
-// writeConfig writes the allocator's configuration into a file.
+// writeConfig writes the allocator's configuration, with the groups of the fleet's scenario, into a file.
 func (a *allocatorProcess) writeConfig(t *testing.T, file, discovery string) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, `
@@ -70,10 +69,10 @@
 `, a.address, discovery, a.stateDir), 0o600))
 }
 
-// to returns the flag of a command line that connects to the allocator.
+// to returns the flag --to with the allocator's address, for the end of a command line.
 func (a *allocatorProcess) to() string { return " --to " + a.address }
 
-// query runs a command line that connects to the allocator and must succeed, and decodes its JSON.
+// query runs a command line against the allocator, which must succeed, and decodes its JSON.
 func (a *allocatorProcess) query(t *testing.T, line string) map[string]any {
 	t.Helper()
 	var document map[string]any
@@ -81,25 +80,27 @@
 	return document
 }
 
-// The cases share one allocator and follow each other: what one submits, later ones list and read from the files.
+// The subtests share one allocator and run in order: later ones list the workloads that the first one submits, and read
+// them from the allocator's files.
 func TestServe_SubmittedWorkloadsAreListedAndRecorded(t *testing.T) {
 	allocator := startAllocator(t)
 	t.Run("submit", func(t *testing.T) { checkSubmit(t, allocator) })
 	t.Run("lists", func(t *testing.T) { checkLists(t, allocator) })
 	t.Run("drain", func(t *testing.T) {
 		require.NoError(t, allocator.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, allocator.Wait(), "it exits with 0")
+		require.NoError(t, allocator.Wait(), "the exit code is 0")
 	})
 	t.Run("files", func(t *testing.T) { checkFiles(t, allocator) })
 }
 
-// checkSubmit submits a workload and a gang that run on, a workload that ends, and one that fits on no node.
+// checkSubmit submits a workload and a gang that are still running afterwards, a workload that ends, and one that fits
+// on no node.
 func checkSubmit(t *testing.T, allocator *allocatorProcess) {
 	t.Helper()
-	line := fmt.Sprintf("submit --group trace --cores 1 --memory 1 --key %d --runs-for 60s", idempotentKey)
+	line := fmt.Sprintf("submit --group trace --cores 1 --memory 1 --key %d --runs-for 60s", runOnceKey)
 	placed := allocator.query(t, line)
 	assert.Equal(t, "placed", placed["verdict"])
-	assert.InDelta(t, idempotentKey, placed["key"], 0)
+	assert.InDelta(t, runOnceKey, placed["key"], 0)
 	assert.NotZero(t, placed["node"])
 	ended := allocator.query(t, "submit --group serve --cores 1 --memory 1 --runs-for 100ms --wait")
 	assert.Equal(t, "FINISHED", ended["ended"])
@@ -116,10 +117,10 @@
 	assert.Len(t, gang["nodes"], 2)
 }
 
-// checkLists checks what the allocator lists after checkSubmit.
+// checkLists checks the allocator's lists after checkSubmit.
 func checkLists(t *testing.T, allocator *allocatorProcess) {
 	t.Helper()
-	assert.Len(t, allocator.query(t, "workloads")["workloads"], 3, "the one that ended is not listed")
+	assert.Len(t, allocator.query(t, "workloads")["workloads"], 3, "the workload that has ended is not listed")
 	assert.Len(t, allocator.query(t, "nodes")["nodes"], fleetNodes)
 	assert.Len(t, allocator.query(t, "gangs")["gangs"], 1)
 	limited := runCommand("workloads --most 1" + allocator.to())
@@ -128,12 +129,12 @@
 	assert.Contains(t, limited.stderr, "2 more are left out; --most lists more")
 }
 
-// checkFiles checks the state directory and the trace that the allocator left after checkSubmit.
+// checkFiles checks the allocator's state directory and trace after it has exited.
 func checkFiles(t *testing.T, allocator *allocatorProcess) {
 	t.Helper()
 	state := runCommand("state show " + allocator.stateDir)
 	assert.Equal(t, exitOK, state.code)
-	assert.Contains(t, state.stdout, fmt.Sprintf("\n%d  ", idempotentKey), "the key of the run-once workload")
+	assert.Contains(t, state.stdout, fmt.Sprintf("\n%d  ", runOnceKey), "the key of the run-once workload")
 	var summary map[string]any
 	runJSON(t, "trace summary "+allocator.traceDir, &summary)
 	assert.Len(t, summary["groups"], 2)
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -15,20 +15,20 @@
 	return cmd
 }
 
-// openStateDir opens a state directory, which must exist: storage.OpenDir would create it.
+// openStateDir opens a state directory. It first checks that the directory exists, since storage.OpenDir creates it.
 func openStateDir(path string) (storage.Disk, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, fmt.Errorf("no state directory: %w; the setting state.dir names the one of an allocator", err)
+		return nil, fmt.Errorf("open the state directory: %w; an allocator's setting state.dir has its path", err)
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no directory; the setting state.dir names the one of an allocator", path)
+		return nil, fmt.Errorf("%s is not a directory; an allocator's setting state.dir has the right path", path)
 	}
 	return storage.OpenDir(path)
 }
 
-// inspectState reads a state directory without changing it. If the directory is damaged, the error is a runError, since
-// the input is good.
+// inspectState reads a state directory without changing it. If the directory is damaged, the error is a runError, whose
+// exit code is exitProblem and not exitBadInput.
 func inspectState(path string) (*storage.Contents, error) {
 	disk, err := openStateDir(path)
 	if err != nil {
--- a/internal/command/state_repair.go
+++ b/internal/command/state_repair.go
@@ -7,9 +7,9 @@
 )
 
 const stateRepairHelp = `
-Names the place of the damage and what follows it. With --drop, truncates the file there and sets later ones aside;
-the original of each stays beside it under a name that ends in .damaged. A run-once workload whose bind is dropped may
-be started a second time if its client retries. No allocator may run in the directory meanwhile.
+Reports the position of the damage and the records after it. With --drop, truncates the file there and sets later
+files aside; the original of each is kept beside it under a name that ends in .damaged. A run-once workload whose bind
+is dropped may be started a second time if its client retries. No allocator may use the directory during the repair.
 `
 
 // stateRepairCommand defines "state repair".
@@ -22,12 +22,12 @@
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return repairState(cmd, args[0], drop) },
 	}
-	cmd.Flags().BoolVar(&drop, "drop", false, "set aside what cannot be read and everything after it")
+	cmd.Flags().BoolVar(&drop, "drop", false, "set aside the damaged records and all that follow")
 	return cmd
 }
 
-// repairState prints the plan of a repair, and carries it out if drop is set. The error is errProblemFound if a
-// directory is damaged and stays so.
+// repairState prints the plan of a repair, and applies it if drop is set. The error is errProblemFound if the directory
+// is damaged and drop is not set.
 func repairState(cmd *cobra.Command, path string, drop bool) error {
 	disk, err := openStateDir(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 		return errProblemFound
 	}
 	if err := repair.Apply(disk); err != nil {
-		return runErrorf("the repair stopped half way: %w", err)
+		return runErrorf("the repair is incomplete: %w", err)
 	}
 	cmd.Println("It is set aside, under names that end in .damaged.")
 	return nil
--- a/internal/command/state_show.go
+++ b/internal/command/state_show.go
@@ -14,7 +14,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "show DIR",
-		Short: "List the workloads that may have run according to a state directory; changes nothing",
+		Short: "List the workloads that may have run, according to a state directory; changes nothing",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			contents, err := inspectState(args[0])
@@ -28,7 +28,7 @@
 	return cmd
 }
 
-// printBinds prints the binds of a state directory as JSON or as a table.
+// printBinds prints the unexpired binds of a state directory as JSON or as a table.
 func printBinds(cmd *cobra.Command, contents *storage.Contents, asJSON bool) error {
 	binds := []durableBind{} // never null in JSON
 	rows := [][]string{{"KEY", "GROUP", "LAST NODE", "BIND", "KNOWN UNTIL"}}
@@ -50,17 +50,17 @@
 	return printTable(cmd, rows)
 }
 
-// durableBind is a bind as JSON shows it.
+// durableBind is the JSON form of a bind in a state directory.
 type durableBind struct {
 	Key         uint64    `json:"key"`
 	Group       string    `json:"group"`
 	Node        uint32    `json:"node"`
 	Incarnation uint64    `json:"incarnation"`
 	Bind        uint32    `json:"bind"`
-	ExpiresAt   time.Time `json:"until"`
+	ExpiresAt   time.Time `json:"until"` // when the stored bind expires
 }
 
-// row returns the row of a table for a bind.
+// row returns the table row for a bind.
 func (b *durableBind) row() []string {
 	return []string{
 		formatUint(b.Key),
--- a/internal/command/submission.go
+++ b/internal/command/submission.go
@@ -10,35 +10,35 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Verdicts as they are printed.
+// Printed names of verdicts.
 const (
 	verdictPlaced        = "placed"
 	verdictRejected      = "rejected"
 	verdictUnschedulable = "unschedulable"
 )
 
-// submission is a request to place a workload or a gang.
+// submission is a request to place a workload or a gang, with its timeouts.
 type submission struct {
-	frame         *pb.Frame
-	id            uint64
-	key           uint64        // 0 for a gang, whose parts have keys of their own
-	answerTimeout time.Duration // from when the request is sent
-	endTimeout    time.Duration // from the answer to the end of what was placed
+	frame         *pb.Frame     // the request's frame
+	id            uint64        // request ID, which the answer repeats
+	key           uint64        // idempotency key; 0 for a gang, whose parts have separate keys
+	answerTimeout time.Duration // maximum wait for each frame before the answer
+	endTimeout    time.Duration // maximum wait for each frame before the end of the workload or gang
 }
 
-// submissionOutcome is the answer to a request, and the end of what was placed.
+// submissionOutcome is the JSON form of the answer to a request, and of the reason why the workload or gang ended.
 type submissionOutcome struct {
 	Request uint64   `json:"ask"`
 	Key     uint64   `json:"key"`
 	Verdict string   `json:"verdict"`
 	Node    uint32   `json:"node,omitempty"`
-	Nodes   []uint32 `json:"nodes,omitempty"` // of a gang's parts
+	Nodes   []uint32 `json:"nodes,omitempty"` // nodes of a gang's parts, 0 for a part without one
 	Reason  string   `json:"reason,omitempty"`
 	TookMs  float64  `json:"took_ms"`
-	Ended   string   `json:"ended,omitempty"`
+	Ended   string   `json:"ended,omitempty"` // reason of the end, "" while running or not placed
 }
 
-// exchange sends the request and waits for its answer. The error is a runError if the allocator refuses the connection.
+// exchange sends the request and waits for its answer. It returns a runError if the allocator sends a refusal instead.
 func (s *submission) exchange(connection *client) (*submissionOutcome, error) {
 	start := time.Now()
 	if err := connection.send(s.frame); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// outcome returns the outcome by an answer that took so long.
+// outcome converts an answer; took is the time from sending the request to the answer.
 func (s *submission) outcome(answer *pb.Answer, took time.Duration) *submissionOutcome {
 	return &submissionOutcome{
 		Request: s.id,
@@ -71,7 +71,7 @@
 	}
 }
 
-// awaitEnd waits until what was placed has ended, and sets why.
+// awaitEnd waits until the placed workload or gang has ended, and sets outcome.Ended to the reason.
 func (s *submission) awaitEnd(connection *client, outcome *submissionOutcome) error {
 	for {
 		frame, err := connection.receive(s.endTimeout)
@@ -100,7 +100,7 @@
 	}
 }
 
-// verdictName returns a verdict as it is printed, "" for one that this version does not know.
+// verdictName returns the printed name of a verdict, "" for an unknown one.
 func verdictName(verdict pb.Verdict) string {
 	switch verdict {
 	case pb.Verdict_PLACED:
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// formatNodes names the nodes of a gang's parts in their order.
+// formatNodes formats the nodes of a gang's parts in the order of the parts. A part without a node has node 0.
 func formatNodes(nodes []uint32) string {
 	names := make([]string, len(nodes))
 	for i, node := range nodes {
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -11,15 +11,15 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// endGrace is how long beyond its expected duration a workload's end is waited for.
+// endGrace is the time to wait for a workload's end beyond its expected run time.
 const endGrace = time.Hour
 
 type submitOptions struct {
-	to       string
-	client   string
+	to       string // address of the allocator
+	client   string // name of the client
 	workload workloadOptions
-	gangFile string // to submit a gang instead of a workload
-	wait     bool
+	gangFile string // path of a gang file, "" to submit a single workload
+	wait     bool   // wait for the end of a placed workload or gang
 	asJSON   bool
 }
 
@@ -29,14 +29,14 @@
 	cores   float64
 	memory  float64
 	service uint64
-	key     uint64 // 0 for a random one
-	runsFor time.Duration
-	pending time.Duration
+	key     uint64        // idempotency key, 0 for a random one
+	runsFor time.Duration // expected run time
+	pending time.Duration // pending timeout
 }
 
 const submitHelp = `
-Requests the placement of one workload and prints its one answer: placed, rejected (a retry does no harm) or
-unschedulable (it may have run). Exit status 0 only if it was placed.
+Requests the placement of one workload and prints the answer: placed, rejected (a retry is safe) or unschedulable
+(it may have run). Exit status 0 only if it was placed.
 `
 
 // submitCommand defines "submit".
@@ -58,22 +58,22 @@
 	toFlag(cmd, &options.to)
 	options.workload.addFlags(cmd)
 	flags.StringVar(&options.client, "owner", fmt.Sprintf("submit-%d", os.Getpid()), "name of the client")
-	flags.BoolVar(&options.wait, "wait", false, "wait until a placed workload has ended")
+	flags.BoolVar(&options.wait, "wait", false, "wait until the placed workload or gang has ended")
 	jsonFlag(cmd, &options.asJSON)
 	flags.StringVar(&options.gangFile, "gang", "",
-		"file in HCL with a gang, whose parts start together or not at all")
+		"HCL file that describes a gang, whose parts start together or not at all")
 	return cmd
 }
 
 func (o *workloadOptions) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&o.group, "group", "", "priority group")
-	flags.Float64Var(&o.cores, "cores", 0, "cores that it requests")
-	flags.Float64Var(&o.memory, "memory", 0, "memory that it requests, in the unit of the node kinds")
-	flags.Uint64Var(&o.service, "service", 1, "service that it belongs to")
+	flags.Float64Var(&o.cores, "cores", 0, "cores of the workload")
+	flags.Float64Var(&o.memory, "memory", 0, "memory of the workload, in the unit of the node kinds")
+	flags.Uint64Var(&o.service, "service", 1, "service that the workload belongs to")
 	flags.Uint64Var(&o.key, "key", 0, "idempotency key; give the same in a retry (default: random)")
-	flags.DurationVar(&o.runsFor, "runs-for", 10*time.Second, "how long it is expected to run")
-	flags.DurationVar(&o.pending, "pending", 6*time.Second, "pending timeout: how long to wait for the answer")
+	flags.DurationVar(&o.runsFor, "runs-for", 10*time.Second, "expected run time")
+	flags.DurationVar(&o.pending, "pending", 6*time.Second, "pending timeout: the maximum time until the answer")
 }
 
 // request returns the request to place the workload, with a random id, and a random key if none is given.
@@ -107,7 +107,7 @@
 	}
 	defer connection.close()
 	request := o.workload.request()
-	request.SentMs = connection.clock()
+	request.SentMs = connection.elapsedMs()
 	return o.submit(cmd, connection, &submission{
 		frame:         &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: request}},
 		id:            request.RequestId,
@@ -117,7 +117,7 @@
 	})
 }
 
-// submit sends a request and prints its outcome. The error is errProblemFound if nothing was placed.
+// submit sends a request and prints its outcome. The error is errProblemFound unless the verdict is placed.
 func (o *submitOptions) submit(cmd *cobra.Command, connection *client, request *submission) error {
 	outcome, err := request.exchange(connection)
 	if err != nil {
--- a/internal/command/submit_gang.go
+++ b/internal/command/submit_gang.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	maxGangPending = placement.Millis(24 * 3600e3) // a day
-	maxPartCount   = 1000                          // workloads of one part block
-	gangEndTimeout = 1000 * time.Hour              // parts have no common duration to go by
-	maxService     = 1 << 50                       // highest number of a service
-	minAmount      = 0.0001                        // of cores or memory
+	maxGangPending = placement.Millis(24 * 3600e3) // maximum pending timeout: 24 h
+	maxPartCount   = 1000                          // maximum number of workloads of one part block
+	gangEndTimeout = 1000 * time.Hour              // fixed, since parts can have different run times
+	maxService     = 1 << 50                       // highest service number
+	minAmount      = 0.0001                        // minimum cores or memory of a workload
 	maxCores       = 1e6
 	maxMemory      = 1e9
 )
 
-// Values of on_loss: what an allocator does when a gang that runs loses a part.
+// Values of on_loss: how an allocator handles the loss of a part of a running gang.
 const (
-	onLossUndo    = "undo"
-	onLossReplace = "replace"
+	onLossUndo    = "undo"    // stops the other parts
+	onLossReplace = "replace" // places the part again; stops the other parts if that fails
 )
 
-// Default times of a gang, in milliseconds.
+// Default timeouts and run time of a gang.
 const (
 	defaultGangPending    = placement.Millis(10e3)
 	defaultReplaceTimeout = placement.Millis(3e3)
 	defaultPartRuntime    = placement.Millis(10e3)
 )
 
-// submitGang submits the gang of a file.
+// submitGang submits the gang that gangFile describes.
 func (o *submitOptions) submitGang(cmd *cobra.Command) error {
 	request, err := readGang(o.gangFile)
 	if err != nil {
@@ -47,7 +47,7 @@
 		return err
 	}
 	defer connection.close()
-	request.SentMs = connection.clock()
+	request.SentMs = connection.elapsedMs()
 	pending := time.Duration(request.PendingTimeoutMs * float64(time.Millisecond))
 	return o.submit(cmd, connection, &submission{
 		frame:         &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: request}},
@@ -57,11 +57,12 @@
 	})
 }
 
-// readGang reads the request for a gang from a file. The error names everything that is wrong with it.
+// readGang reads the request for a gang from a file. If its content is invalid, the error is a config.FileError with
+// all problems.
 func readGang(file string) (*pb.GangRequest, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("read a gang: %w", err)
+		return nil, fmt.Errorf("read the gang file: %w", err)
 	}
 	root, err := config.Parse(file, src)
 	if err != nil {
@@ -84,12 +85,12 @@
 	}
 	request.MinParts = uint32(root.Int("need", len(request.Parts), 1, max(1, len(request.Parts))))
 	if pending <= 0 || pending > maxGangPending {
-		root.AddProblem("pending", "pending is no time to wait", `write one such as "10s"`)
+		root.AddProblem("pending", "pending is out of range", `write a time above 0 and up to 24h, such as "10s"`)
 	}
 	return request, root.Finish()
 }
 
-// readPart reads the workloads of a part block, which are alike but for their keys.
+// readPart reads a part block into one request for each workload. The requests differ only in their idempotency keys.
 func readPart(part *config.Block) []*pb.PlaceRequest {
 	var workloads []*pb.PlaceRequest
 	for range part.Int("count", 1, 1, maxPartCount) {
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -5,8 +5,8 @@
 )
 
 const traceHelp = `
-Traces hold the requests that allocators received and what they decided. Record them with --trace DIR.
-Where a command takes files, a directory stands for the trace files in it, in the order of writing.
+Traces hold the requests that allocators received and the decisions that they made. Record them with --trace DIR.
+Where a command takes files, a directory means all trace files in it, in the order in which they were written.
 `
 
 // traceCommand defines "trace".
--- a/internal/command/trace_anonymise.go
+++ b/internal/command/trace_anonymise.go
@@ -10,15 +10,16 @@
 )
 
 type anonymiseOptions struct {
-	out     string
-	keyFile string
-	coarsen bool
+	out     string // file to write
+	keyFile string // file with the key of the pseudonyms
+	coarsen bool   // round amounts to powers of two
 }
 
 const traceAnonymiseHelp = `
-Replaces ids of workloads, services, requests, nodes, places and the like, names, and all free text. With one key
-the same name has the same pseudonym in every file; keep the key, or destroy it. Times stay. A trace under
-pseudonyms cannot be replayed: some choices rest on the ids themselves.
+Replaces all names and free text, and the ids of workloads, services, requests, nodes, locations and so on, by
+pseudonyms. The same key gives a name the same pseudonym in every file; keep the key to anonymise further files,
+or destroy it. Times are not changed. An anonymised trace cannot be replayed, since some decisions depend on the
+ids themselves.
 `
 
 // traceAnonymiseCommand defines "trace anonymise".
@@ -26,7 +27,7 @@
 	var options anonymiseOptions
 	cmd := &cobra.Command{
 		Use:   "anonymise FILE --key-file FILE -o FILE",
-		Short: "Replace everything that identifies someone or something by pseudonyms",
+		Short: "Replace ids, names and free text by pseudonyms",
 		Long:  helpText(traceAnonymiseHelp),
 		Args:  cobra.ExactArgs(1),
 		RunE:  options.run,
@@ -34,12 +35,12 @@
 	outputFlag(cmd, &options.out)
 	cmd.Flags().StringVar(&options.keyFile, "key-file", "", "file with the key, 16 bytes or more")
 	cmd.Flags().BoolVar(&options.coarsen, "coarsen", false,
-		"also round cores, memory and the like to powers of two")
+		"also round cores, memory and other amounts to powers of two")
 	requireFlag(cmd, "key-file")
 	return cmd
 }
 
-// run writes a copy of the trace under pseudonyms.
+// run writes an anonymised copy of the trace.
 func (o *anonymiseOptions) run(cmd *cobra.Command, args []string) error {
 	anonymiser, err := o.anonymiser()
 	if err != nil {
@@ -67,7 +68,7 @@
 	})
 }
 
-// anonymiser returns an anonymiser with the key of the key file.
+// anonymiser returns an anonymiser with the key in the key file.
 func (o *anonymiseOptions) anonymiser() (*trace.Anonymiser, error) {
 	key, err := os.ReadFile(o.keyFile)
 	if err != nil {
--- a/internal/command/trace_cut.go
+++ b/internal/command/trace_cut.go
@@ -18,7 +18,7 @@
 	var options cutOptions
 	cmd := &cobra.Command{
 		Use:   "cut FILE -o FILE --from TIME --to TIME",
-		Short: "Copy the records of a span of time",
+		Short: "Copy the records of a time span",
 		Args:  cobra.ExactArgs(1),
 		RunE:  withTraces(options.run),
 	}
@@ -27,7 +27,7 @@
 	return cmd
 }
 
-// run copies the records and prints how many there are.
+// run copies the records and prints their number.
 func (o *cutOptions) run(cmd *cobra.Command, files traceFiles) error {
 	file, err := files.single("cut")
 	if err != nil {
--- a/internal/command/trace_export.go
+++ b/internal/command/trace_export.go
@@ -13,7 +13,7 @@
 	var out string
 	cmd := &cobra.Command{
 		Use:   "export FILE|DIR... --parquet FILE",
-		Short: "Write one row for each decision, for common tools",
+		Short: "Write a Parquet file with one row for each decision",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
 			return exportTraces(cmd, files, out)
@@ -24,7 +24,7 @@
 	return cmd
 }
 
-// exportTraces writes the decisions of all files and prints how many there are.
+// exportTraces writes the decisions of all files and prints their number.
 func exportTraces(cmd *cobra.Command, files traceFiles, name string) error {
 	return writeOutput(name, func(out *os.File) error {
 		rows, err := trace.Export(files, out)
--- a/internal/command/trace_extract.go
+++ b/internal/command/trace_extract.go
@@ -11,7 +11,7 @@
 	var workload uint32
 	cmd := &cobra.Command{
 		Use:   "extract FILE|DIR... --workload ID",
-		Short: "Print the few calls that a decision rests on, as a test in Go",
+		Short: "Print the calls that a workload's decision depends on, as a Go test",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
 			reproduction, err := replay.ReproduceFiles(files, workload)
@@ -21,7 +21,7 @@
 			return reproduction.Print(cmd.OutOrStdout())
 		}),
 	}
-	cmd.Flags().Uint32Var(&workload, "workload", 0, "whose decision")
+	cmd.Flags().Uint32Var(&workload, "workload", 0, "id of the workload whose decision is extracted")
 	requireFlag(cmd, "workload")
 	return cmd
 }
--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -14,8 +14,8 @@
 // traceFiles are open trace files.
 type traceFiles []*trace.Reader
 
-// openTraces opens files, and those in directories. Files without even a header are skipped with a message, and damage
-// in the others is reported.
+// openTraces opens trace files, including those in directories. It prints the damage of each file, and skips files
+// without a header with a message.
 func openTraces(cmd *cobra.Command, args []string) (traceFiles, error) {
 	names, err := traceNames(args)
 	if err != nil {
@@ -40,22 +40,24 @@
 	return files, nil
 }
 
-// close closes the files. They were only read, so an error does not matter.
+// close closes the files. Errors are ignored, since the files were opened only for reading.
 func (files traceFiles) close() {
 	for _, reader := range files {
 		_ = reader.Close()
 	}
 }
 
-// single returns the file of a command that takes exactly one.
+// single returns the only file, or an error if there is another number of files. The error contains the
+// command's name.
 func (files traceFiles) single(command string) (*trace.Reader, error) {
 	if len(files) != 1 {
-		return nil, fmt.Errorf("%s takes one file, not %d; merge them first", command, len(files))
+		return nil, fmt.Errorf("%s takes one file, but %d are given; merge them first", command, len(files))
 	}
 	return files[0], nil
 }
 
-// withTraces makes a RunE of a function that takes the files which the arguments name. They are closed after it.
+// withTraces converts a function of open trace files to a RunE, which opens the files that the arguments name before
+// calling run and closes them afterwards.
 func withTraces(run func(cmd *cobra.Command, files traceFiles) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		files, err := openTraces(cmd, args)
@@ -67,13 +69,13 @@
 	}
 }
 
-// traceNames returns the names of files, with directories replaced by the trace files in them.
+// traceNames returns args with each directory replaced by the names of the trace files in it.
 func traceNames(args []string) ([]string, error) {
 	var names []string
 	for _, arg := range args {
 		info, err := os.Stat(arg)
 		if err != nil {
-			return nil, fmt.Errorf("find a trace: %w", err)
+			return nil, fmt.Errorf("find trace files: %w", err)
 		}
 		if !info.IsDir() {
 			names = append(names, arg)
@@ -81,15 +83,15 @@
 		}
 		found := tracesBelow(arg)
 		if len(found) == 0 {
-			return nil, fmt.Errorf("%s: no files *%s are in it", arg, trace.FileExtension)
+			return nil, fmt.Errorf("%s: the directory has no files *%s", arg, trace.FileExtension)
 		}
 		names = append(names, found...)
 	}
 	return names, nil
 }
 
-// tracesBelow returns the trace files of a directory and of its subdirectories, which hold one allocator each. As in
-// trace.ListFiles, a directory that cannot be read has none.
+// tracesBelow returns the names of the trace files in a directory and its subdirectories, each of which has the files
+// of one allocator. A directory that cannot be read is treated as empty, as in trace.ListFiles.
 func tracesBelow(dir string) []string {
 	var names []string
 	for _, file := range trace.ListFiles(dir) {
--- a/internal/command/trace_merge.go
+++ b/internal/command/trace_merge.go
@@ -10,13 +10,13 @@
 )
 
 type mergeOptions struct {
-	out    string
+	out    string // file to write
 	asJSON bool
 }
 
 const traceMergeHelp = `
-Records are ordered by time; those of one allocator always by incarnation and revision. Records that are in
-several files are copied once. Clocks that differ are reported.
+Records are sorted by time; those of one allocator always by incarnation and revision. Records that are in several
+files are copied once. Differences between the allocators' clocks are reported.
 `
 
 // traceMergeCommand defines "trace merge".
@@ -49,7 +49,7 @@
 	return printOutput(cmd, o.asJSON, report, func() { printMerge(cmd, report, len(files)) })
 }
 
-// printMerge prints how many records were copied, and which allocators' clocks differ.
+// printMerge prints the numbers of records and duplicates, and the differences between the allocators' clocks.
 func printMerge(cmd *cobra.Command, report *trace.MergeReport, files int) {
 	cmd.Printf("%d records of %d files, %d that stood in several\n", report.Records, files, report.Duplicates)
 	for _, difference := range report.Clocks {
--- a/internal/command/trace_replay.go
+++ b/internal/command/trace_replay.go
@@ -13,12 +13,12 @@
 )
 
 const traceReplayHelp = `
-Prints "identical" if the module decides everything as recorded, or shows the first decision that differs, with what
-came before. Exit status 1 if one differs. Files of one allocator must be given from its start on.
+Prints "identical" if the module makes every decision as recorded; otherwise prints the first decision that differs
+and the records before it. Exit status 1 if a decision differs. The files of an allocator must begin at its start.
 
-With --what-if the module gets other settings, and the requests are counted that it decides differently. What
-nodes would have answered is unknown: recorded answers are used where a workload is bound as it was, wherever
-that is; where the two differ the workload is left out from there on.
+With --what-if the module uses other settings, and the requests that it decides differently are counted. The
+replies of nodes to other decisions are unknown: as long as a workload's decisions are of the recorded kind, the
+recorded replies are used, whichever node a bind is to; from the first difference on the workload is left out.
 `
 
 // traceReplayCommand defines "trace replay".
@@ -27,20 +27,20 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "replay FILE|DIR...",
-		Short: "Call the placement module with the recorded calls again and compare every decision",
+		Short: "Repeat the recorded calls of the placement module and compare every decision",
 		Long:  helpText(traceReplayHelp),
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
 			return replayTraces(cmd, files, whatIf, asJSON)
 		}),
 	}
-	cmd.Flags().StringVar(&whatIf, "what-if", "", "an allocator's configuration to decide with instead")
+	cmd.Flags().StringVar(&whatIf, "what-if", "", "allocator configuration whose settings replace the recorded ones")
 	jsonFlag(cmd, &asJSON)
 	return cmd
 }
 
-// replayTraces decides the recorded calls again and prints a report for each allocator. The error is errProblemFound if
-// a decision differs although the settings are those recorded.
+// replayTraces repeats the recorded calls and prints a report for each allocator. The error is errProblemFound if a
+// decision with the recorded settings differs.
 func replayTraces(cmd *cobra.Command, files traceFiles, whatIf string, asJSON bool) error {
 	var options replay.Options
 	if whatIf != "" {
@@ -63,17 +63,17 @@
 	return problemIf(slices.ContainsFunc(reports, differs))
 }
 
-// differs reports whether a replay with the recorded settings decided something other than what was recorded.
+// differs reports whether a replay with the recorded settings made a decision that differs from the recorded one.
 func differs(report *replay.Report) bool { return report.WhatIf == nil && !report.Identical() }
 
-// replaceSettings returns the settings of a configuration for an allocator of a trace, which keeps its ordinal among
-// the others. Groups and kinds must be as many as recorded: records refer to them by number.
+// replaceSettings returns the settings of a configuration with the recorded allocator count and ordinal. The numbers of
+// groups and kinds must be the recorded ones, since records refer to groups and kinds by index.
 func replaceSettings(recorded placement.Settings, configuration *config.Allocator) (placement.Settings, error) {
 	settings := native.WithSpreadVariants(configuration.Settings)
 	if len(settings.Groups) != len(recorded.Groups) || len(settings.NodeKinds) != len(recorded.NodeKinds) {
-		variants := len(settings.Groups) / len(configuration.GroupNames) // of each configured group
+		variants := len(settings.Groups) / len(configuration.GroupNames) // spread variants of each configured group
 		return recorded, fmt.Errorf(
-			"the settings have %d groups and %d kinds, the trace has %d and %d; they must be as many",
+			"the settings have %d groups and %d kinds, the trace has %d and %d; the numbers must be equal",
 			len(configuration.GroupNames), len(settings.NodeKinds),
 			len(recorded.Groups)/variants, len(recorded.NodeKinds))
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// printReplay prints whether an allocator's decisions are the same, or how those by other settings differ.
+// printReplay prints whether an allocator's decisions are identical, or the counts of a replay with other settings.
 func printReplay(cmd *cobra.Command, report *replay.Report) {
 	switch {
 	case report.WhatIf != nil:
--- a/internal/command/trace_show.go
+++ b/internal/command/trace_show.go
@@ -12,7 +12,7 @@
 type showOptions struct {
 	bounds spanFlags
 	filter replay.Filter
-	limit  int
+	limit  int // maximum number of printed records
 	asJSON bool
 }
 
@@ -21,21 +21,22 @@
 	var options showOptions
 	cmd := &cobra.Command{
 		Use:   "show FILE|DIR...",
-		Short: "Print records, one a line",
+		Short: "Print records, one per line",
 		Args:  cobra.MinimumNArgs(1),
 		RunE:  withTraces(options.run),
 	}
 	options.bounds.addFlags(cmd)
 	flags := cmd.Flags()
-	flags.Uint32Var(&options.filter.Workload, "workload", 0, "only what concerns this workload")
-	flags.Uint64Var(&options.filter.Service, "service", 0, "only what concerns workloads of this service")
-	flags.Uint32Var(&options.filter.Node, "node", 0, "only what concerns this node")
-	flags.IntVar(&options.limit, "most", 1000, "show so many at most")
+	flags.Uint32Var(&options.filter.Workload, "workload", 0, "only records that concern this workload")
+	flags.Uint64Var(&options.filter.Service, "service", 0, "only records that concern workloads of this service")
+	flags.Uint32Var(&options.filter.Node, "node", 0, "only records that concern this node")
+	flags.IntVar(&options.limit, "most", 1000, "maximum number of records to print")
 	jsonFlag(cmd, &options.asJSON)
 	return cmd
 }
 
-// run prints the records that match, as they are read or as one document, and how many were left out.
+// run prints the matching records, as lines while they are read or as one JSON document, and the number of records
+// above the limit.
 func (o *showOptions) run(cmd *cobra.Command, files traceFiles) error {
 	span, err := o.bounds.span(files)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// matching returns the records of a file that the filter accepts. Damage is reported and skipped.
+// matching returns the records of a file in the span that match the filter. Damaged parts are reported and skipped.
 func (o *showOptions) matching(cmd *cobra.Command, file *trace.Reader, span trace.Span) iter.Seq[*trace.Record] {
 	return func(yield func(*trace.Record) bool) {
 		match := o.filter.Matcher()
@@ -81,7 +82,8 @@
 	}
 }
 
-// formatRecord describes a record in a line, with its allocator if the file holds several.
+// formatRecord describes a record in one line. If the file has several allocators, the line begins with the name of the
+// record's allocator.
 func formatRecord(file *trace.Reader, record *trace.Record) string {
 	line := formatTime(file.UnixMillis(record)) + " " + replay.Describe(record)
 	sources := file.Header.Sources
--- a/internal/command/trace_span.go
+++ b/internal/command/trace_span.go
@@ -10,8 +10,8 @@
 	"grebeglade/trace"
 )
 
-// spanFlags are the bounds of a span of time as the flags give them: absolute, or relative to the first record. An
-// empty one is no bound.
+// spanFlags are the flags for the bounds of a time span. Each is absolute, relative to the first record, or "" for no
+// bound.
 type spanFlags struct {
 	from string
 	to   string
@@ -19,11 +19,11 @@
 
 func (f *spanFlags) addFlags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.from, "from", "",
-		`from this time on: "2026-03-02T07:15:00Z", or "+90s" after the first record`)
-	cmd.Flags().StringVar(&f.to, "to", "", "up to this time, in the same forms")
+		`start of the time span: "2026-03-02T07:15:00Z", or "+90s" for 90 s after the first record`)
+	cmd.Flags().StringVar(&f.to, "to", "", "end of the time span, in the same formats")
 }
 
-// span returns the bounds as Unix times. Relative ones count from the first record of the files.
+// span returns the bounds as Unix times. Relative bounds count from the earliest record of the files.
 func (f *spanFlags) span(files traceFiles) (trace.Span, error) {
 	first := firstMillis(files)
 	from, err := parseTime("from", f.from, first)
@@ -49,18 +49,18 @@
 	if offset, relative := strings.CutPrefix(text, "+"); relative {
 		duration, err := time.ParseDuration(offset)
 		if err != nil {
-			return 0, fmt.Errorf(`--%s %q is no time; write one such as "+90s"`, flag, text)
+			return 0, fmt.Errorf(`--%s %q is not a time; write one such as "+90s"`, flag, text)
 		}
 		return first + milliseconds(duration), nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return 0, fmt.Errorf(`--%s %q is no time; write one such as "2026-03-02T07:15:00Z" or "+90s"`, flag, text)
+		return 0, fmt.Errorf(`--%s %q is not a time; write one such as "2026-03-02T07:15:00Z" or "+90s"`, flag, text)
 	}
 	return float64(t.UnixNano()) / float64(time.Millisecond), nil
 }
 
-// firstMillis returns the time of the earliest record, 0 if there is none.
+// firstMillis returns the Unix time in milliseconds of the earliest record, 0 if there is none.
 func firstMillis(files traceFiles) (first float64) {
 	for _, reader := range files {
 		if at := reader.FirstUnixMillis(); at != 0 && (first == 0 || at < first) {
@@ -70,7 +70,7 @@
 	return first
 }
 
-// formatTime formats Unix milliseconds.
+// formatTime formats a Unix time in milliseconds.
 func formatTime(unixMs float64) string {
 	const microsPerMilli = 1000
 	return time.UnixMicro(int64(unixMs * microsPerMilli)).UTC().Format("2006-01-02T15:04:05.000Z")
--- a/internal/command/trace_span_test.go
+++ b/internal/command/trace_span_test.go
@@ -23,7 +23,7 @@
 	for _, text := range []string{"+90", "yesterday"} {
 		t.Run(text, func(t *testing.T) {
 			_, err := parseTime("from", text, first)
-			assert.ErrorContains(t, err, "--from \""+text+"\" is no time; write one such as")
+			assert.ErrorContains(t, err, "--from \""+text+"\" is not a time; write one such as")
 		})
 	}
 }
--- a/internal/command/trace_summary.go
+++ b/internal/command/trace_summary.go
@@ -10,7 +10,7 @@
 	"grebeglade/trace"
 )
 
-const maxRejectionsShown = 20 // --json shows all
+const maxRejectionsShown = 20 // printed as text; --json prints all
 
 // traceSummaryCommand defines "trace summary".
 func traceSummaryCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 	return printSummary(cmd, summary)
 }
 
-// printSummary prints the outcomes of each group, the rejections by nodes, and what is missing from the files.
+// printSummary prints the outcomes of each group, the rejections by nodes, and missing records and damage.
 func printSummary(cmd *cobra.Command, summary *trace.Summary) error {
 	cmd.Printf("%d records of %s, from %s to %s\n\n",
 		summary.Records, strings.Join(summary.Sources, ", "), formatTime(summary.FromMs), formatTime(summary.ToMs))
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// outcomesRow returns the row of a table for a group.
+// outcomesRow returns the table row for a group.
 func outcomesRow(outcomes *trace.Outcomes) []string {
 	return []string{
 		outcomes.Group,
@@ -83,7 +83,7 @@
 
 func formatWait(ms float64) string { return fmt.Sprintf("%.1f ms", ms) }
 
-// printRejections prints the most frequent rejections. An empty row sets their table apart from what comes before.
+// printRejections prints a table of the most frequent rejections, which begins with an empty line.
 func printRejections(cmd *cobra.Command, rejections []trace.NodeRejection) error {
 	if len(rejections) == 0 {
 		return nil
--- a/internal/command/trace_verify.go
+++ b/internal/command/trace_verify.go
@@ -11,7 +11,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "verify FILE|DIR...",
-		Short: "Read each file to its end and report what is wrong with it",
+		Short: "Read each file to its end and report its problems",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: withTraces(func(cmd *cobra.Command, files traceFiles) error {
 			return verifyTraces(cmd, files, asJSON)
@@ -21,7 +21,7 @@
 	return cmd
 }
 
-// verifyTraces checks files and prints what is wrong. The error is errProblemFound if anything is.
+// verifyTraces checks files and prints their problems. The error is errProblemFound if there are any.
 func verifyTraces(cmd *cobra.Command, files traceFiles, asJSON bool) error {
 	var checks []*trace.Check
 	anyWrong := false
