--- a/internal/frontend/native/acceptor.go
+++ b/internal/frontend/native/acceptor.go
@@ -18,7 +18,7 @@
 	workloads   *workloadTable
 }
 
-// opened handles a connection that was accepted. It is refused if there is no hello within helloTimeout.
+// opened handles an accepted connection. It is refused if no hello is received within helloTimeout.
 func (a *acceptor) opened(now placement.Millis, id transport.ConnID) {
 	a.connections.add(id, &connection{})
 	a.host.Schedule(now+helloTimeout, func(placement.Millis) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// acceptRole returns why a peer may not connect to an allocator, or nil.
+// acceptRole returns an error if peers of the role may not connect to an allocator.
 func acceptRole(hello *pb.Hello) error {
 	if hello.Role != pb.Role_CLIENT && hello.Role != pb.Role_OPERATOR {
 		return fmt.Errorf("an allocator serves owners and operators, not the role %s", hello.Role)
@@ -50,21 +50,21 @@
 	return nil
 }
 
-// clientConnected begins a client's session, in place of an earlier one under the same name.
+// clientConnected opens a client's session and closes an earlier one under the same name.
 func (a *acceptor) clientConnected(
 	now placement.Millis, id transport.ConnID, peer *connection, hello *pb.Hello,
 ) {
-	if earlier, ok := a.clients.connected(hello.Name); ok {
+	if earlier, ok := a.clients.get(hello.Name); ok {
 		a.connections.refuse(earlier.conn, fmt.Errorf("another connection came in under the name %s", hello.Name))
 	}
 	peer.role = hello.Role
 	peer.client = a.clients.open(id, hello.Name)
-	peer.client.transit.delay(now, hello.SentMs)
-	a.network.Send(id, a.hello(a.running(now, hello.Name)...))
+	peer.client.transit.observe(now, hello.SentMs)
+	a.network.Send(id, a.hello(a.runningWorkloads(now, hello.Name)...))
 }
 
-// running are a client's placed workloads, in the order of the ids of their binds.
-func (a *acceptor) running(now placement.Millis, client string) []*pb.RunningWorkload {
+// runningWorkloads returns a client's placed workloads, ordered by the workload number of their bind ids.
+func (a *acceptor) runningWorkloads(now placement.Millis, client string) []*pb.RunningWorkload {
 	var running []*pb.RunningWorkload
 	placed := a.workloads.ofClient(client, func(w *workload) bool { return w.state == workloadPlaced })
 	for _, w := range placed {
--- a/internal/frontend/native/acceptor_test.go
+++ b/internal/frontend/native/acceptor_test.go
@@ -38,7 +38,7 @@
 			harness.openConn(otherConn)
 			harness.receive(otherConn, test.first)
 			assert.True(t, harness.network.closed[otherConn])
-			assert.Equal(t, test.reason, harness.network.take(otherConn)[0].GetRefusal().GetReason())
+			assert.Equal(t, test.reason, harness.network.takeSent(otherConn)[0].GetRefusal().GetReason())
 		})
 	}
 }
@@ -56,5 +56,5 @@
 	assert.False(t, harness.network.closed[otherConn])
 	harness.advanceTo(helloTimeout)
 	assert.True(t, harness.network.closed[otherConn])
-	assert.Equal(t, errHelloTimeout.Error(), harness.network.take(otherConn)[0].GetRefusal().GetReason())
+	assert.Equal(t, errHelloTimeout.Error(), harness.network.takeSent(otherConn)[0].GetRefusal().GetReason())
 }
--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -13,12 +13,11 @@
 	nodes     *nodeTable
 	sender    *nodeSender
 	durable   *durableBinds
-	// persisting are the workloads whose last bind is being written to the journal, also those that the engine has
-	// forgotten meanwhile.
+	// persisting has the workloads whose last bind is being written to the journal, including those that the engine has
+	// forgotten in the meantime.
 	persisting map[placement.WorkloadID]*workload
 }
 
-// newBinder returns a binder without binds.
 func newBinder(
 	env *environment, workloads *workloadTable, nodes *nodeTable, sender *nodeSender, durable *durableBinds,
 ) *binder {
@@ -32,8 +31,8 @@
 	}
 }
 
-// pendingBind is a bind whose offer was not sent yet. It keeps its number, since its workload may have later binds.
-// It is passed by value, so that a bind which is sent at once needs no allocation for it.
+// pendingBind is a bind whose offer was not sent yet. It has its own number, since its workload may have later binds.
+// It is passed by value, so that a bind that is sent without persisting needs no allocation.
 type pendingBind struct {
 	workload *workload
 	number   int
@@ -44,8 +43,8 @@
 // isLast reports whether the workload has no later bind.
 func (p pendingBind) isLast() bool { return p.workload.lastBind() == p.number }
 
-// offer begins a bind of a workload to a node, which may accept it within the timeout. An offer that must be durable is
-// sent once the journal has it.
+// offer begins a bind of a workload to a node, which may accept it within the timeout. A bind that must be
+// durable is offered after it is written to the journal.
 func (b *binder) offer(w *workload, node placement.NodeID, timeout placement.Millis) {
 	w.beginBind(node)
 	offer := b.workloads.offer(b.host.Now(), w)
@@ -63,9 +62,9 @@
 	b.send(bind)
 }
 
-// persist makes a bind durable and then sends its offer, unless what the placement was decided by has changed
-// meanwhile: the bind has ended, the node is no longer ready or was restarted, or more of the service was found
-// running. A bind that could not be made durable is not sent.
+// persist makes a bind durable and then sends its offer. The offer is not sent if the bind could not be made durable,
+// or if the placement decision became invalid in the meantime: the bind has ended, the node is not ready or was
+// restarted, or another running workload of the service was found.
 func (b *binder) persist(bind pendingBind) {
 	began := b.host.Now()
 	incarnation := b.nodes.incarnation(bind.node)
@@ -88,17 +87,17 @@
 		b.counters.BindsNotPersisted++
 		b.log.Error("bind not persisted, offer not sent",
 			"workload", bind.workload.id, "bind", bind.number, "node", bind.node, "error", err)
-		b.notSent(bind)
+		b.rollBack(bind)
 	case !valid:
-		b.notSent(bind)
+		b.rollBack(bind)
 	default:
 		b.counters.BindsPersisted++
 		b.send(bind)
 	}
 }
 
-// finishPersisting ends the time in which a bind is written to the journal. It reports whether the placement decision
-// still holds, so that the offer may be sent.
+// finishPersisting removes a bind from persisting. It reports whether the placement decision is still valid, so that
+// the offer may be sent.
 func (b *binder) finishPersisting(bind pendingBind, incarnation uint64) bool {
 	if !bind.isLast() {
 		return false // the workload has a later bind
@@ -113,11 +112,12 @@
 	return known && n.incarnation == incarnation && n.state() == placement.Ready
 }
 
-// outdate keeps binds of a service from being sent that were decided before more of the service was found running.
-func (b *binder) outdate(service uint64) {
+// invalidate prevents the offers of a service's binds that are being persisted. It is called when another running
+// workload of the service was found after the decision.
+func (b *binder) invalidate(service uint64) {
 	for _, w := range b.persisting {
 		if w.request.Service == service && w.bindState == bindPersisting {
-			w.bindState = bindOutdated
+			w.bindState = bindInvalidated
 		}
 	}
 }
@@ -125,15 +125,15 @@
 // send sends the offer of a bind, if its node is connected.
 func (b *binder) send(bind pendingBind) {
 	if !b.sender.offer(bind.node, bind.offer) {
-		b.notSent(bind)
+		b.rollBack(bind)
 		return
 	}
 	bind.workload.bindState = bindSent
 }
 
-// notSent undoes a bind whose offer was never sent. The engine is notified once it is idle. The state of the bind
-// does not change if it was cancelled meanwhile, or if the workload has a later bind.
-func (b *binder) notSent(bind pendingBind) {
+// rollBack undoes a bind whose offer was never sent. The engine is notified once it is idle. The bind state does not
+// change if the bind was cancelled in the meantime or the workload has a later bind.
+func (b *binder) rollBack(bind pendingBind) {
 	w := bind.workload
 	if bind.isLast() && w.bindState != bindStopRequested {
 		w.bindState = bindNotSent
@@ -148,14 +148,14 @@
 // rejected undoes a bind that its node rejected.
 func (b *binder) rejected(w *workload, id *pb.BindID) { b.durable.forget(w, id) }
 
-// stop carries out the engine's stop of a workload's last bind.
+// stop stops a workload's last bind on its node.
 func (b *binder) stop(w *workload) {
 	w.bindState = bindStopRequested
 	b.sender.stop(w.lastNode(), b.workloads.bindID(w))
 }
 
-// stopPending carries out the engine's stop of a workload's last bind where the node has not accepted it yet. A
-// workload that it has accepted runs on.
+// stopPending cancels a workload's last bind if the node has not accepted it yet. An accepted workload continues to
+// run.
 func (b *binder) stopPending(w *workload) {
 	w.bindState = bindStopRequested
 	b.sender.stopPending(w.lastNode(), b.workloads.bindID(w))
--- a/internal/frontend/native/binder_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, harness.verdicts())
 	// The node had accepted it: it may have had an effect, so it runs on, and is adopted.
 	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
-	for _, frame := range harness.network.take(nodeConn) {
+	for _, frame := range harness.network.takeSent(nodeConn) {
 		assert.Nil(t, frame.GetStop())
 	}
 	assert.Equal(t, 1, harness.WorkloadCount())
@@ -30,7 +30,7 @@
 	offer = harness.offer(nodeConn)
 	harness.closeConn(nodeConn, errReset)
 	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
-	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 }
 
 // Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or was
--- a/internal/frontend/native/bindid.go
+++ b/internal/frontend/native/bindid.go
@@ -7,17 +7,17 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// adoptedBind names the bind of an adopted workload: one of an earlier incarnation, or one that this one had abandoned.
-type adoptedBind struct {
+// adoptedBindKey identifies the bind of an adopted workload: one that an earlier incarnation made, or one that the
+// current incarnation abandoned.
+type adoptedBindKey struct {
 	node        placement.NodeID
 	incarnation uint64
 	workload    uint64
 	number      uint32
 }
 
-// adoptedBindOf returns the name of a bind to that node.
-func adoptedBindOf(node placement.NodeID, b *pb.BindID) adoptedBind {
-	return adoptedBind{node, b.Incarnation, b.Workload, b.Number}
+func adoptedBindKeyOf(node placement.NodeID, b *pb.BindID) adoptedBindKey {
+	return adoptedBindKey{node, b.Incarnation, b.Workload, b.Number}
 }
 
 // bindID is the identity of a workload's last bind on the wire.
@@ -33,7 +33,7 @@
 	}
 }
 
-// offer is a workload's last bind as it is sent, without the time until which it may be accepted.
+// offer returns the offer of a workload's last bind, without the acceptance timeout.
 func (t *workloadTable) offer(now placement.Millis, w *workload) *pb.Offer {
 	offer := &pb.Offer{
 		Bind:    t.bindID(w),
@@ -41,17 +41,18 @@
 		Request: w.request,
 	}
 	if w.gang != nil {
-		offer.Gang = w.gang.offerPart(now, w.part)
+		offer.Gang = w.gang.partDescription(now, w.part)
 	}
 	return offer
 }
 
-// find returns the workload and the number of its bind that a node names, if it is a bind of ours to that node.
-func (t *workloadTable) find(node placement.NodeID, b *pb.BindID) (w *workload, bind int, ok bool) {
+// findByBind returns the workload and the bind number of a bind id that a node reports. ok is false unless the bind is
+// one of this allocator to that node.
+func (t *workloadTable) findByBind(node placement.NodeID, b *pb.BindID) (w *workload, bind int, ok bool) {
 	if b == nil || b.Allocator != t.allocator {
 		return nil, 0, false
 	}
-	if id, adopted := t.byAdopted[adoptedBindOf(node, b)]; adopted {
+	if id, adopted := t.byAdopted[adoptedBindKeyOf(node, b)]; adopted {
 		return t.byID[id], 0, true
 	}
 	if b.Incarnation != t.incarnation || b.Workload > math.MaxUint32 {
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -22,7 +22,7 @@
 func TestFrontend_StateOverDays_StaysBounded(t *testing.T) {
 	harness := newHarness(t, func(c *Config) { c.EventLogSize = 100 })
 	for minute := range uint32(boundsMinutes) {
-		harness.playMinute(minute)
+		harness.simulateMinute(minute)
 		for part, size := range harness.stateSizes() {
 			require.LessOrEqual(t, size, 16, "minute %d: %s", minute, part)
 		}
@@ -31,15 +31,15 @@
 	assert.EqualValues(t, boundsMinutes, harness.Counters.GangsPlaced)
 }
 
-// playMinute lets a minute pass in which a new node and a new client connect, a workload and a gang run and end,
+// simulateMinute lets a minute pass in which a new node and a new client connect, a workload and a gang run and end,
 // and both disconnect.
-func (h *testHarness) playMinute(minute uint32) {
+func (h *testHarness) simulateMinute(minute uint32) {
 	h.t.Helper()
 	nodeConn := h.replaceNode(minute)
 	h.advance(25e3) // warm-up budgets apply only some time after the start
 	client := transport.ConnID(1e6 + minute)
 	h.connectNewClient(client, minute)
-	h.requestOfMinute(client, minute)
+	h.sendRequestsOfMinute(client, minute)
 	offers := h.offers(nodeConn)
 	require.Len(h.t, offers, 3)
 	for _, offer := range offers {
@@ -86,8 +86,8 @@
 	h.receive(client, hello)
 }
 
-// requestOfMinute sends a request for a workload and one for a gang of two parts, each with a month of time.
-func (h *testHarness) requestOfMinute(client transport.ConnID, minute uint32) {
+// sendRequestsOfMinute sends a request for a workload and one for a gang of two parts, each with a month of time.
+func (h *testHarness) sendRequestsOfMinute(client transport.ConnID, minute uint32) {
 	part := func(number uint64) *pb.PlaceRequest {
 		request := gangPartRequest(uint64(minute)*10 + number)
 		request.Service = uint64(minute)
@@ -111,7 +111,7 @@
 		"connections":      len(h.connections.byID),
 		"clients":          len(h.clients.byName),
 		"nodes":            len(h.nodes.sorted),
-		"removed nodes":    len(h.nodes.removed),
+		"removed nodes":    len(h.nodes.removedStarts),
 		"zones":            len(h.nodes.zones.byName),
 		"zone numbers":     len(h.nodes.zones.used),
 		"cells":            len(h.nodes.cells.byName),
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -9,8 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// catalog translates the protocol's names of priority groups and node kinds to the numbers of the settings. A name that
-// is not configured gets the number after the last.
+// catalog translates protocol names of priority groups and node kinds to their indexes in the settings. A name that is
+// not configured gets the index after the last one.
 type catalog struct {
 	settings   placement.Settings // without the variants of WithSpreadVariants
 	groupNames []string
@@ -18,7 +18,6 @@
 	groupIDs   frontend.GroupIDs
 }
 
-// newCatalog makes a catalog of the configured names.
 func newCatalog(c Config) *catalog {
 	return &catalog{
 		settings:   c.Settings,
@@ -50,7 +49,7 @@
 	return placement.KindID(len(t.kindNames)), false
 }
 
-// workload is a request as the engine takes it.
+// workload converts a request to the engine's type.
 func (t *catalog) workload(id placement.WorkloadID, request *pb.PlaceRequest) placement.Workload {
 	return placement.Workload{
 		ID:             id,
@@ -63,7 +62,7 @@
 	}
 }
 
-// idempotency is what a second start of a group's workloads does. Those of an unknown group are taken as idempotent.
+// idempotency returns a group's idempotency. A group that is not configured counts as idempotent.
 func (t *catalog) idempotency(group string) placement.Idempotency {
 	if id, configured := t.groupIDs.Lookup(group); configured {
 		return t.settings.Groups[id].Idempotency
@@ -71,8 +70,8 @@
 	return placement.Idempotent
 }
 
-// gangRequest is a request for a gang as the gang's state machine takes it. The timeout is what is left of the
-// client's.
+// gangRequest converts a request for a gang to the type of the gang's state machine. The timeout, in ms, is the
+// remainder of the client's timeout.
 func (t *catalog) gangRequest(r *pb.GangRequest, timeout placement.Millis) gang.Request {
 	request := gang.Request{
 		MinParts:       int(r.MinParts),
@@ -88,8 +87,8 @@
 	return request
 }
 
-// gangPart is a part of a gang as the gang's state machine takes it. Its size is its largest share of a node of any
-// kind.
+// gangPart converts a part of a gang to the type of the gang's state machine. Its size is its largest share of the
+// cores or memory of a node, over all kinds.
 func (t *catalog) gangPart(r *pb.PlaceRequest) gang.Part {
 	part := gang.Part{Idempotency: t.idempotency(r.Group)}
 	for _, kind := range t.settings.NodeKinds {
@@ -98,8 +97,8 @@
 	return part
 }
 
-// fitsSomeKind reports whether a request is within the size of any kind of node. Unlike on the platform, one that is
-// not reaches the engine all the same, and this only explains its rejection.
+// fitsSomeKind reports whether a request is within the size of any kind of node. Unlike on the platform, an
+// oversized request is still passed to the engine; the result only selects the reason of its rejection.
 func (t *catalog) fitsSomeKind(r *pb.PlaceRequest) bool {
 	return frontend.FitsSomeKind(t.settings.NodeKinds, r.Cores, r.Memory)
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -6,7 +6,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// clientSession is a client's connection from its hello to its end.
+// clientSession is the state of a client's connection between its hello and its end.
 type clientSession struct {
 	name    string
 	conn    transport.ConnID
@@ -14,9 +14,10 @@
 	transit transitTimes
 }
 
-// clientSessions are the sessions of the connected clients. Unlike on the platform, where a client is a connection
-// and notifications wait for its next one, a client has a name, and nothing waits: its next hello is answered with
-// what runs. A client has one at a time: a later connection under the same name replaces the earlier one.
+// clientSessions has the sessions of the connected clients. On the platform a client is identified by its connection,
+// and notifications are queued for its next one. Here a client has a name, and nothing is queued: the reply to its next
+// hello lists its running workloads. A client has one session: a later connection under its name replaces the earlier
+// one.
 type clientSessions struct {
 	*environment
 	byName map[string]*clientSession
@@ -26,27 +27,28 @@
 	return &clientSessions{environment: env, byName: map[string]*clientSession{}}
 }
 
-// open begins a client's session, with an empty history. An earlier one under the same name is forgotten.
+// open begins a client's session, with an empty history. It replaces an earlier one under the same name.
 func (s *clientSessions) open(c transport.ConnID, name string) *clientSession {
 	session := &clientSession{name: name, conn: c}
 	s.byName[name] = session
 	return session
 }
 
-// close ends a session, unless another one has its name by now.
+// close removes a session, unless another one has replaced it.
 func (s *clientSessions) close(session *clientSession) {
 	if s.byName[session.name] == session {
 		delete(s.byName, session.name)
 	}
 }
 
-// connected returns a client's session, if it has one.
-func (s *clientSessions) connected(name string) (*clientSession, bool) {
+// get returns a client's session, if it has one.
+func (s *clientSessions) get(name string) (*clientSession, bool) {
 	session, ok := s.byName[name]
 	return session, ok
 }
 
-// send sends a frame to a client. To one that is not connected nothing is sent: it learns what runs at its next hello.
+// send sends a frame to a client. It drops the frame if the client is not connected: the reply to the client's next
+// hello lists its running workloads.
 func (s *clientSessions) send(name string, f *pb.Frame) {
 	if session, ok := s.byName[name]; ok {
 		s.network.Send(session.conn, f)
@@ -59,18 +61,18 @@
 	s.send(name, &pb.Frame{Body: &pb.Frame_Answer{Answer: a}})
 }
 
-// notifyEnded notifies a client that a workload or a gang of it has ended.
+// notifyEnded notifies a client that one of its workloads or gangs has ended.
 func (s *clientSessions) notifyEnded(name string, end *pb.WorkloadEnded) {
 	s.send(name, &pb.Frame{Body: &pb.Frame_WorkloadEnded{WorkloadEnded: end}})
 }
 
-// requestDelay is how much of a request's time had passed when it was received, in ms: what the network delayed it
-// as far as is known, or what it may have waited while this process was stopped. It is called once for each
-// request, since the session keeps the transit time.
+// requestDelay returns how much of a request's timeout had elapsed when it was received, in ms: the larger of the
+// estimated network delay and the last stall of this process. It must be called once per request, since the session
+// records the transit time.
 func (s *clientSessions) requestDelay(
 	now placement.Millis, session *clientSession, sentMs float64,
 ) placement.Millis {
-	return max(session.transit.delay(now, sentMs), s.host.RecentStall())
+	return max(session.transit.observe(now, sentMs), s.host.RecentStall())
 }
 
 // markAnswered records in the client's session that a request was answered.
@@ -80,8 +82,8 @@
 	}
 }
 
-// withdrew reports whether a client has withdrawn a request in its present session.
-func (s *clientSessions) withdrew(name string, request uint64) bool {
+// hasWithdrawn reports whether a client has withdrawn a request in its present session.
+func (s *clientSessions) hasWithdrawn(name string, request uint64) bool {
 	session, ok := s.byName[name]
 	return ok && session.history.withdrawn(request)
 }
--- a/internal/frontend/native/clients_test.go
+++ b/internal/frontend/native/clients_test.go
@@ -20,10 +20,10 @@
 	assert.Equal(t, uint64(1), harness.Counters.Withdrawn, "no answer can be sent for what was pending")
 	harness.openConn(otherConn)
 	harness.receive(otherConn, clientHello(clientName))
-	running := harness.network.take(otherConn)[0].GetHello().RunningWorkloads
+	running := harness.network.takeSent(otherConn)[0].GetHello().RunningWorkloads
 	require.Len(t, running, 1)
 	assert.Equal(t, uint64(1), running[0].Offer.Request.RequestId)
 	harness.listNode(1, pb.NodeEntry_REMOVED, nodeIncarnation, longRunning)
 	harness.closeConn(nodeConn, errReset)
-	assert.Equal(t, pb.Reason_LOST, harness.network.take(otherConn)[0].GetWorkloadEnded().Reason)
+	assert.Equal(t, pb.Reason_LOST, harness.network.takeSent(otherConn)[0].GetWorkloadEnded().Reason)
 }
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -9,31 +9,31 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// helloTimeout is how long, in ms, a new connection may take until the peer's hello.
+// helloTimeout is the time limit, in ms, for the peer's hello on a new connection.
 const helloTimeout = placement.Millis(5e3)
 
-// reconnectBackoff is the delay before the next dial to a node or to the discovery service. A longer Max would leave a
-// node unused for long after it is back.
+// reconnectBackoff is the delay before the next dial to a node or to the discovery service. A longer Max would
+// delay the use of a node that is reachable again.
 var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
 
 // Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer, and operators see
 // errWrongNode.
 var (
 	errHelloTimeout   = errors.New("no hello came in time")
-	errConnectTimeout = errors.New("no connection in time")
-	errAddressChanged = errors.New("the discovery service names another address")
-	errWrongNode      = errors.New("another than the node that the list names answers at its address")
-	errNoDiscovery    = errors.New("no discovery service answers at its address")
+	errConnectTimeout = errors.New("connection not established before the connect timeout")
+	errAddressChanged = errors.New("node address changed in the node list")
+	errWrongNode      = errors.New("peer at the node's address is not the listed node")
+	errNoDiscovery    = errors.New("peer at the discovery address does not have the discovery role")
 )
 
-// connection is what is known of the peer of a connection to a node or of one that was accepted.
+// connection describes the peer of an accepted connection or of one to a node.
 type connection struct {
-	role   pb.Role        // unspecified while the hello is awaited
-	client *clientSession // of the role CLIENT
-	node   *node          // of the role NODE
+	role   pb.Role        // unspecified until the hello is received
+	client *clientSession // session of a peer with the role CLIENT; otherwise nil
+	node   *node          // node at the peer of a connection with the role NODE; otherwise nil
 }
 
-// awaitsHello reports whether the peer connected to this side and has sent no hello yet.
+// awaitsHello reports whether the connection was accepted and the peer has not sent its hello.
 func (c *connection) awaitsHello() bool { return c.role == pb.Role_ROLE_UNSPECIFIED }
 
 // closeHandler handles the end of a connection.
@@ -41,11 +41,11 @@
 	Closed(now placement.Millis, conn transport.ConnID, reason error)
 }
 
-// connections are the open connections, but for the one to the discovery service.
+// connections has all open connections except the one to the discovery service.
 type connections struct {
 	*environment
 	byID map[transport.ConnID]*connection
-	// closeHandler handles the end of a connection that disconnect ends, as if the peer had closed it.
+	// closeHandler is called for a connection that disconnect closes, as if the peer had closed it.
 	closeHandler closeHandler
 }
 
@@ -59,7 +59,7 @@
 
 func (t *connections) add(id transport.ConnID, peer *connection) { t.byID[id] = peer }
 
-// get returns what is known of the peer, if the connection is open.
+// get returns the peer of a connection, if it is open.
 func (t *connections) get(id transport.ConnID) (peer *connection, open bool) {
 	peer, open = t.byID[id]
 	return peer, open
@@ -80,7 +80,7 @@
 	t.disconnect(id, reason)
 }
 
-// clientName returns the name of the client at the other end, "" if its hello is awaited or it is no client.
+// clientName returns the name of the connected client, or "" if the peer is not a client or has not sent its hello.
 func (t *connections) clientName(id transport.ConnID) string {
 	peer, open := t.get(id)
 	if !open || peer.client == nil {
@@ -95,7 +95,7 @@
 	return open && peer.awaitsHello()
 }
 
-// helloOf returns the hello that is a peer's first frame. The error is one of transport.CheckHello or of accepts.
+// helloOf returns the hello in a peer's first frame. It returns the error of transport.CheckHello or of accepts.
 func helloOf(frame *pb.Frame, accepts func(*pb.Hello) error) (*pb.Hello, error) {
 	hello, err := transport.CheckHello(frame)
 	if err != nil {
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -6,7 +6,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// discovery is the subscription to the discovery service. The engine requests it when there was no update for too long.
+// discovery maintains the subscription to the discovery service. The engine requests a subscription if it received no
+// update for too long.
 type discovery struct {
 	*environment
 	address     string
@@ -15,12 +16,12 @@
 
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
-	failures int              // dials that failed since the last hello
-	// awaitingUpdate is set from when the engine requested a subscription until an update arrives or the connection
-	// ends. The request is sent after the hello.
+	failures int              // failed dials since the last hello
+	// awaitingUpdate is true from the engine's request for a subscription until an update is received or the
+	// connection ends. The request is sent after the hello.
 	awaitingUpdate bool
-	epoch          uint64 // of the last update
-	revision       uint64 // of the last update; 0 for none of this epoch
+	epoch          uint64 // epoch of the last update
+	revision       uint64 // revision of the last update; 0 for no update in this epoch
 }
 
 // owns reports whether a connection is the one to the discovery service.
@@ -43,7 +44,7 @@
 	})
 }
 
-// closed handles the end of the connection, or that it could not be dialed.
+// closed handles the end of the connection or a failed dial.
 func (d *discovery) closed(now placement.Millis, reason error) {
 	d.log.Warn("no connection to discovery service", "address", d.address, "reason", reason)
 	wasAwaited := d.awaitingUpdate
@@ -58,7 +59,7 @@
 	d.host.Schedule(now+delay, d.dial)
 }
 
-// subscribe requests the changes since the last update, and further ones as they come.
+// subscribe requests all changes since the last update, and a stream of further ones.
 func (d *discovery) subscribe() {
 	d.awaitingUpdate = true
 	if d.state != sessionConnected {
@@ -103,12 +104,12 @@
 	}
 }
 
-// updateKind says how an update of the node list relates to the last one that was applied.
+// updateKind is how an update of the node list relates to the last one that was applied.
 type updateKind uint8
 
 const (
-	updateFailed      updateKind = iota // the poll has failed: it tells nothing of the nodes
-	updateWithoutBase                   // a delta of another epoch: the revision it changes is not known here
+	updateFailed      updateKind = iota // the poll failed; the update has no entries
+	updateWithoutBase                   // a delta of another epoch, whose base revision was not received
 	updateOutdated                      // older than the last one
 	updateUnchanged                     // a delta without changes, which shows that the subscription is alive
 	updateNew
@@ -131,7 +132,7 @@
 	return updateNew
 }
 
-// updated handles an answer to the subscription, or an update that came by itself.
+// updated handles an update of the node list, requested or not.
 func (d *discovery) updated(now placement.Millis, update *pb.NodeListUpdate) {
 	d.awaitingUpdate = false
 	switch d.kindOf(update) {
@@ -147,13 +148,13 @@
 	}
 }
 
-// resubscribe requests a snapshot: no delta applies to the last revision any more.
+// resubscribe requests a snapshot, since deltas of another epoch do not apply to the last revision.
 func (d *discovery) resubscribe() {
 	d.revision = 0
 	d.subscribe()
 }
 
-// apply applies an update, and remembers its revision.
+// apply applies an update and records its revision.
 func (d *discovery) apply(now placement.Millis, update *pb.NodeListUpdate) {
 	d.epoch = update.Epoch
 	d.revision = update.Revision
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -24,13 +24,13 @@
 func TestDiscovery_ServiceRestarted_DeltaOnlyAfterSnapshot(t *testing.T) {
 	harness := newHarness(t)
 	harness.startNode(1)
-	harness.network.take(harness.discoveryConn)
+	harness.network.takeSent(harness.discoveryConn)
 	harness.receive(harness.discoveryConn, nodeListUpdate(&pb.NodeListUpdate{
 		Kind:     pb.NodeListUpdate_DELTA,
 		Epoch:    2,
 		Revision: 1,
 	}))
-	assert.NotNil(t, harness.network.take(harness.discoveryConn)[0].GetNodeListRequest())
+	assert.NotNil(t, harness.network.takeSent(harness.discoveryConn)[0].GetNodeListRequest())
 	assert.Len(t, harness.nodes.sorted, 1)
 	harness.receive(harness.discoveryConn, nodeListUpdate(&pb.NodeListUpdate{
 		Kind:     pb.NodeListUpdate_SNAPSHOT,
@@ -40,14 +40,14 @@
 	assert.Equal(t, placement.Removed, harness.firstNode().entry.State, "kept while it is connected")
 }
 
-// polled has the engine subscribe by itself.
-func polled(c *Config) {
+// withPolledDiscovery has the engine subscribe by itself.
+func withPolledDiscovery(c *Config) {
 	c.Settings.PolledDiscovery = true
 	c.Settings.PollInterval = 3000
 }
 
 func TestDiscovery_Disconnected_PollFailsAndDialedAgainWithBackoff(t *testing.T) {
-	harness := newHarness(t, polled)
+	harness := newHarness(t, withPolledDiscovery)
 	harness.advanceTo(100)
 	require.Equal(t, uint64(1), harness.Counters.DiscoveryCalls)
 	dialed := harness.network.dialed
@@ -73,7 +73,7 @@
 func TestDiscovery_NoHello_Disconnected(t *testing.T) {
 	harness := newHarness(t)
 	harness.reconnectDiscovery()
-	assert.NotNil(t, harness.network.take(harness.discoveryConn)[0].GetHello())
+	assert.NotNil(t, harness.network.takeSent(harness.discoveryConn)[0].GetHello())
 	harness.advance(helloTimeout)
 	assert.True(t, harness.network.closed[harness.discoveryConn])
 }
@@ -86,13 +86,13 @@
 }
 
 func TestDiscovery_Reconnected_SubscribesFromLastRevision(t *testing.T) {
-	harness := newHarness(t, polled)
+	harness := newHarness(t, withPolledDiscovery)
 	harness.startNode(1)
 	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
 	harness.reconnectDiscovery()
 	harness.receive(harness.discoveryConn, discoveryHello())
 	harness.advanceTo(2000)
-	sent := harness.network.take(harness.discoveryConn)
+	sent := harness.network.takeSent(harness.discoveryConn)
 	require.Greater(t, len(sent), 1)
 	call := sent[1].GetNodeListRequest()
 	assert.True(t, call.GetWatch())
--- a/internal/frontend/native/doc.go
+++ b/internal/frontend/native/doc.go
@@ -1,6 +1,6 @@
-// Package native is the allocator's frontend on the project's own protobuf protocol: frames become calls of the
-// engine, and what the engine decides becomes frames. It is a handler of package transport, so it runs alike on
-// sockets and in virtual time.
+// Package native is the allocator's frontend for the project's own protobuf protocol: it translates frames to calls of
+// the engine, and the engine's decisions to frames. It implements transport.FrameHandler, so it runs both on sockets
+// and in virtual time.
 //
 // Tables own state and call no other part; handlers act on the tables and call only parts that are listed before them:
 //
@@ -30,15 +30,14 @@
 //	discovery         revision of the last update              membership
 //	status            -                                        the tables
 //
-// Two calls go the other way, both to Frontend: the engine calls engineActions, and connections pass what they close
-// themselves to Frontend.Closed, as if the peer had closed it. Where a workload goes is decided by the engine's
-// placement module alone.
+// There are two callbacks to Frontend: the engine calls engineActions, and connections calls Frontend.Closed for each
+// connection that it closes, as if the peer had closed it. Only the engine's placement module selects nodes.
 //
 // How a request is handled: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives
 // it an id in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder
-// sends the offer, after the journal has it where it must be durable. The node's reply reaches replyHandler, which
-// notifies the engine, and the engine calls engineActions.Answer, from which requestHandler answers the client.
-// What an action reports to the engine is deferred until the engine is idle.
+// sends the offer. A bind that must be durable is written to the journal first. replyHandler passes the node's reply to
+// the engine, which calls engineActions.Answer, and requestHandler answers the client. Results that an action reports
+// to the engine are deferred until the engine is idle.
 //
-// Times are milliseconds on a clock that never steps back. A Frontend belongs to one goroutine.
+// Times are milliseconds on a clock that never steps back. A Frontend must be used by one goroutine only.
 package native
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -6,8 +6,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// durableBinds keeps what the next incarnation must know of this one's binds: the registry decides which binds must be
-// durable, and the journal writes them. Without a journal no bind is durable, and nothing is known of earlier ones.
+// durableBinds persists binds for the next incarnation: the registry decides which binds must be durable, and the
+// journal writes them. Without a journal no bind is durable, and there are no recovered binds.
 type durableBinds struct {
 	enabled         bool
 	journal         BindJournal
@@ -15,7 +15,7 @@
 	wallClockOffset float64
 }
 
-// newDurableBinds makes the registry from the binds that earlier incarnations left in the journal.
+// newDurableBinds fills the registry with the binds that earlier incarnations left in the journal.
 func newDurableBinds(config Config) *durableBinds {
 	if config.Journal == nil {
 		return &durableBinds{}
@@ -38,12 +38,12 @@
 	}
 }
 
-// unixTime is a time of the frontend's clock as one that the next incarnation knows too, in ms.
+// unixTime converts a time of the frontend's clock to Unix time in ms, which is valid across restarts.
 func (d *durableBinds) unixTime(now placement.Millis) float64 {
 	return d.wallClockOffset + float64(now)
 }
 
-// admit returns what the binds that are known of a request's key allow.
+// admit returns whether the recorded binds of a request's key permit another bind.
 func (d *durableBinds) admit(now placement.Millis, r *pb.PlaceRequest) recovery.Admission {
 	if !d.enabled {
 		return recovery.Admit
@@ -51,8 +51,8 @@
 	return d.registry.CheckAdmission(d.unixTime(now), r.Key, r.Group)
 }
 
-// boundBefore reports whether an earlier incarnation left a bind of a key.
-func (d *durableBinds) boundBefore(now placement.Millis, key uint64) bool {
+// hasRecoveredBind reports whether an earlier incarnation left a bind of the key in the journal.
+func (d *durableBinds) hasRecoveredBind(now placement.Millis, key uint64) bool {
 	return d.enabled && d.registry.KnownBeforeRestart(d.unixTime(now), key)
 }
 
@@ -61,7 +61,7 @@
 	return d.enabled && d.registry.RequiresDurability(group)
 }
 
-// persist makes a workload's bind durable. It calls done once, with nil when it is, or with the error of the journal.
+// persist makes a workload's bind durable. It calls done once, with nil or with the journal's error.
 func (d *durableBinds) persist(
 	now placement.Millis, w *workload, node placement.NodeID, id *pb.BindID, done func(now placement.Millis, err error),
 ) {
--- a/internal/frontend/native/endcause.go
+++ b/internal/frontend/native/endcause.go
@@ -6,12 +6,12 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// endCause is why a workload ended for whose end the engine has no placement.Reason.
+// endCause is the cause of a workload's end for which the engine has no placement.Reason.
 type endCause uint8
 
 const (
-	endFinished    endCause = iota // by itself
-	endInterrupted                 // its node stopped or lost it, or ended its lease
+	endFinished    endCause = iota // the workload finished by itself
+	endInterrupted                 // the node stopped or lost the workload, or its lease expired
 )
 
 // endCauseOf returns the cause of an end that a node reports.
@@ -22,11 +22,11 @@
 	return endFinished
 }
 
-// reportEnds calls the engine with an event that may end workloads, of which the cause is known. The engine calls
-// NotifyEnded for each of them before the call returns.
+// reportEnds runs a call of the engine that may end workloads for the given cause. The engine calls NotifyEnded for
+// each of them before the call returns.
 //
-// The cause reaches NotifyEnded by the environment and not through the engine: no placement decision depends on it, and
-// it is known from the event alone. Calls cannot be nested, since Actions must not call the engine.
+// The cause is passed to NotifyEnded in the environment and not through the engine, since no placement decision depends
+// on it. Calls cannot be nested, since Actions must not call the engine.
 func (e *environment) reportEnds(cause endCause, call func()) {
 	e.endCause = cause
 	call()
@@ -51,7 +51,7 @@
 	return pb.Reason_FINISHED
 }
 
-// partEndOf returns how a part of a gang ended: by itself only if nothing says otherwise.
+// partEndOf returns how a part of a gang ended. It is gang.Finished only if no other reason or cause applies.
 func partEndOf(reason placement.Reason, migrating bool, cause endCause) gang.PartEnd {
 	if migrating || cause == endInterrupted || reason != placement.ReasonUnspecified {
 		return gang.EndedEarly
--- a/internal/frontend/native/engineactions.go
+++ b/internal/frontend/native/engineactions.go
@@ -7,22 +7,22 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// engineActions is a Frontend as its engine sees it. The engine is at work while these methods run, so that they defer
-// each result that they report back to it.
+// engineActions implements the engine's callbacks. The engine is busy while these methods run, so they defer each
+// result that they report back to it.
 type engineActions struct{ *Frontend }
 
 var _ allocator.Actions = engineActions{}
 
 // Bind implements allocator.Actions.
 func (a engineActions) Bind(id placement.WorkloadID, _ int, node placement.NodeID, timeout placement.Millis) {
-	a.binder.offer(a.workloads.held(id), node, timeout)
+	a.binder.offer(a.workloads.existing(id), node, timeout)
 }
 
 // Stop implements allocator.Actions.
 func (a engineActions) Stop(
 	id placement.WorkloadID, _ int, _ placement.NodeID, _ allocator.StopReason, onlyPending bool,
 ) {
-	w := a.workloads.held(id)
+	w := a.workloads.existing(id)
 	if onlyPending {
 		a.binder.stopPending(w)
 		return
@@ -38,7 +38,7 @@
 
 // Answer implements allocator.Actions.
 func (a engineActions) Answer(id placement.WorkloadID, v allocator.Verdict, node placement.NodeID) {
-	w := a.workloads.held(id)
+	w := a.workloads.existing(id)
 	a.workloads.markAnswered(w, v)
 	if w.gang != nil {
 		a.gangParts.answered(w, v)
@@ -51,7 +51,7 @@
 func (a engineActions) NotifyEnded(
 	id placement.WorkloadID, _ placement.NodeID, migrating bool, reason placement.Reason,
 ) {
-	w := a.workloads.held(id)
+	w := a.workloads.existing(id)
 	if w.gang != nil {
 		a.gangParts.ended(w, partEndOf(reason, migrating, a.endCause))
 		return
@@ -64,7 +64,7 @@
 
 // Forget implements allocator.Actions.
 func (a engineActions) Forget(id placement.WorkloadID) {
-	w := a.workloads.held(id)
+	w := a.workloads.existing(id)
 	if w.gang != nil && w.state.withdrawn() {
 		a.gangParts.ended(w, gang.EndedEarly)
 	}
--- a/internal/frontend/native/environment.go
+++ b/internal/frontend/native/environment.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// defaultEventLogSize is how many events the event log holds, if the configuration states no number.
+	// defaultEventLogSize is the capacity of the event log, in events, if the configuration has none.
 	defaultEventLogSize = 1 << 14
 	// maxWakeInterval is the longest time between two wake-ups, in ms: a process that is not woken cannot detect
 	// that it was stopped.
 	maxWakeInterval = placement.Millis(20)
 )
 
-// environment is what all parts of a Frontend use: the engine's host, the network and where events are recorded. The
-// platform's has the log, the host and counters too. Package frontend has no type for these, since the counters differ,
-// and since its exported fields would become fields of Frontend, which embeds the environment.
+// environment has what all parts of a Frontend use: the engine's host, the network, and the logs and counters. The
+// platform frontend has a similar type. Package frontend has no shared type, because the counters differ and because
+// its exported fields would become fields of Frontend, which embeds the environment.
 type environment struct {
 	config   Config
 	log      *slog.Logger
 	host     *frontend.Host
-	network  transport.FrameNetwork // from Start on
+	network  transport.FrameNetwork // nil before Start
 	eventLog *eventlog.Log
 	recorder traceRecorder
 	counters *Counters
-	// endCause is the cause of the ends that the engine reports without a reason; see reportEnds.
+	// endCause applies to workload ends that the engine reports without a reason; see reportEnds.
 	endCause endCause
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// newHost returns the engine's host. With a trace, the engine's placement module is one that records its calls.
+// newHost returns the engine's host. If a trace is configured, the placement module records its calls.
 func (e *environment) newHost(actions allocator.Actions) *frontend.Host {
 	settings := WithSpreadVariants(e.config.Settings)
 	options := allocator.Options{EnforceTimeouts: true, Log: e.eventLog}
--- a/internal/frontend/native/fakenetwork_test.go
+++ b/internal/frontend/native/fakenetwork_test.go
@@ -40,8 +40,8 @@
 func (n *fakeNetwork) WakeAt(at placement.Millis)  { n.wakeAt = at }
 func (n *fakeNetwork) Now() placement.Millis       { return n.now }
 
-// take returns what was sent on a connection since the last call.
-func (n *fakeNetwork) take(conn transport.ConnID) []*pb.Frame {
+// takeSent returns what was sent on a connection since the last call.
+func (n *fakeNetwork) takeSent(conn transport.ConnID) []*pb.Frame {
 	sent := n.sent[conn]
 	delete(n.sent, conn)
 	return sent
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -9,8 +9,8 @@
 
 var _ transport.FrameHandler = (*Frontend)(nil)
 
-// Frontend is an allocator on the protocol. New makes one, and a transport starts it. It has a field for each part that
-// events and the engine's actions go to; see the package's comment.
+// Frontend is an allocator that serves the native protocol. New creates it, and a transport starts it. It has a field
+// for each part that handles events or the engine's actions; see the package comment.
 type Frontend struct {
 	*environment
 	Counters Counters
@@ -31,7 +31,7 @@
 	status       *status
 }
 
-// New makes an allocator's frontend with its engine.
+// New returns an allocator's frontend with its engine.
 func New(config Config) *Frontend {
 	f := &Frontend{}
 	env := newEnvironment(config, &f.Counters)
@@ -68,10 +68,10 @@
 	return f
 }
 
-// FlushTrace passes what was recorded since the last call to Config.Trace.
+// FlushTrace writes the records that were added since the last call to Config.Trace.
 func (f *Frontend) FlushTrace() { f.recorder.flush() }
 
-// EventLog returns what happened, by revision.
+// EventLog returns the log of engine and connection events, ordered by revision.
 func (f *Frontend) EventLog() *eventlog.Log { return f.eventLog }
 
 // Pending returns the number of requests that have no final answer, each gang counted as one.
@@ -80,10 +80,11 @@
 // WorkloadCount returns the number of workloads that are pending or placed.
 func (f *Frontend) WorkloadCount() int { return f.workloads.count() }
 
-// Drain has every further request rejected. What is pending is still answered; Pending returns how much is left.
+// Drain makes the frontend reject every further request. Pending requests are still answered; Pending returns their
+// number.
 func (f *Frontend) Drain() { f.validator.draining = true }
 
-// Start begins to work on a network. It is called once, before any other event.
+// Start attaches the frontend to a network. It must be called once, before any other event.
 func (f *Frontend) Start(now placement.Millis, network transport.FrameNetwork) {
 	f.network = network
 	f.host.Attach(now, network)
@@ -131,7 +132,7 @@
 	})
 }
 
-// Closed handles the end of a connection, or that it could not be dialed.
+// Closed handles the end of a connection or a failed dial.
 func (f *Frontend) Closed(now placement.Millis, conn transport.ConnID, reason error) {
 	f.host.Handle(now, func() {
 		peer, open := f.connections.get(conn)
--- a/internal/frontend/native/ganganswers.go
+++ b/internal/frontend/native/ganganswers.go
@@ -7,7 +7,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangAnswers sends the clients the final answers and the ends of their gangs.
+// gangAnswers sends clients the final answers for their gangs and notifications of their ends.
 type gangAnswers struct {
 	*environment
 	gangs     *gangTable
@@ -28,7 +28,7 @@
 	a.send(g, &pb.Answer{Verdict: pb.Verdict_PLACED, Nodes: nodes})
 }
 
-// rejected answers that a gang does not run, and that a retry does no harm.
+// rejected answers that a gang does not run and can be retried safely.
 func (a *gangAnswers) rejected(g *gangRequest) {
 	a.counters.GangsAbandoned++
 	a.send(g, &pb.Answer{
@@ -38,7 +38,7 @@
 	})
 }
 
-// unschedulable answers that a gang does not run, and that a part may have run.
+// unschedulable answers that a gang does not run, but a part may have run.
 func (a *gangAnswers) unschedulable(g *gangRequest) {
 	a.counters.GangsAbandoned++
 	a.send(g, &pb.Answer{
@@ -48,14 +48,14 @@
 	})
 }
 
-// send sends a gang's final answer, which has the node of each part, or 0 for one that does not run.
+// send sends a gang's final answer. Its Nodes have an entry for each part: the node, or 0 if the part does not run.
 func (a *gangAnswers) send(g *gangRequest, answer *pb.Answer) {
 	answer.RequestId = g.id.request
 	a.gangs.markAnswered(g)
 	a.clients.answer(g.id.client, answer)
 }
 
-// rejectionReason says why a gang was rejected.
+// rejectionReason returns the reason of a gang's rejection.
 func (a *gangAnswers) rejectionReason(g *gangRequest) string {
 	if g.machine.Attempts() <= 1 && g.unrequestedParts() == len(g.parts) {
 		return fmt.Sprintf("%d of %d parts do not fit together on the %d nodes known",
--- a/internal/frontend/native/ganganswers_test.go
+++ b/internal/frontend/native/ganganswers_test.go
@@ -26,12 +26,12 @@
 	confirmed := runningOf(offers[0])
 	confirmed.Confirmed = true
 	nodeConn = harness.reconnectNode(confirmed, runningOf(offers[1]))
-	sent := harness.network.take(nodeConn)[1:]
+	sent := harness.network.takeSent(nodeConn)[1:]
 	require.Len(t, sent, 1)
 	assert.Equal(t, offers[1].Bind, sent[0].GetConfirmGang().GetBind())
 	// Withdrawn, both parts are stopped, and the gang is forgotten once they have ended.
 	harness.withdraw(1)
-	for _, frame := range harness.network.take(nodeConn) {
+	for _, frame := range harness.network.takeSent(nodeConn) {
 		harness.endWorkload(nodeConn, frame.GetStop().Bind, pb.Reason_STOPPED)
 	}
 	assert.Zero(t, harness.WorkloadCount())
@@ -45,7 +45,7 @@
 		for _, offer := range harness.runGang(nodeConn) {
 			harness.endWorkload(nodeConn, offer.Bind, pb.Reason_FINISHED)
 		}
-		assert.Equal(t, pb.Reason_FINISHED, harness.network.take(clientConn)[0].GetWorkloadEnded().GetReason())
+		assert.Equal(t, pb.Reason_FINISHED, harness.network.takeSent(clientConn)[0].GetWorkloadEnded().GetReason())
 		assert.Empty(t, harness.gangs.byRequest)
 	})
 	t.Run("a part lost", func(t *testing.T) {
@@ -53,7 +53,7 @@
 		nodeConn := harness.startNode(1)
 		offers := harness.runGang(nodeConn)
 		harness.endWorkload(nodeConn, offers[0].Bind, pb.Reason_LOST)
-		assert.Equal(t, pb.Reason_LOST, harness.network.take(clientConn)[0].GetWorkloadEnded().GetReason())
+		assert.Equal(t, pb.Reason_LOST, harness.network.takeSent(clientConn)[0].GetWorkloadEnded().GetReason())
 		assert.Equal(t, []*pb.BindID{offers[1].Bind}, harness.stops(nodeConn))
 		harness.endWorkload(nodeConn, offers[1].Bind, pb.Reason_STOPPED)
 		assert.Empty(t, harness.gangs.byRequest)
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -6,8 +6,8 @@
 	"grebeglade/placement"
 )
 
-// gangExecutor carries out what the gangs' state machines decide: it requests parts from the engine and has them
-// stopped, notifies nodes and clients, and sets timers.
+// gangExecutor executes the actions of the gangs' state machines: it schedules and withdraws parts, notifies nodes and
+// clients, and sets timers.
 type gangExecutor struct {
 	*environment
 	gangs     *gangTable
@@ -17,7 +17,7 @@
 	answers   *gangAnswers
 }
 
-// execute carries out what a gang's state machine decided.
+// execute executes the actions of a gang's state machine and records its new state.
 func (e *gangExecutor) execute(now placement.Millis, g *gangRequest, decided []gang.Action) {
 	for _, action := range decided {
 		e.executeAction(now, g, action)
@@ -29,7 +29,6 @@
 	g.tracedState = g.machine.State()
 }
 
-// executeAction carries out one action.
 func (e *gangExecutor) executeAction(now placement.Millis, request *gangRequest, action gang.Action) {
 	switch action.Kind {
 	case gang.Attempt:
@@ -73,7 +72,8 @@
 	e.execute(now, request, request.machine.AttemptResult(offeredParts))
 }
 
-// requestPart makes the workload of a part for the engine, with the time until the engine must have placed it.
+// requestPart adds a part to the workload table and returns its workload for the engine, with the pending timeout in
+// ms.
 func (e *gangExecutor) requestPart(
 	now placement.Millis, g *gangRequest, part int, timeout placement.Millis,
 ) placement.Workload {
@@ -87,8 +87,8 @@
 	return requested
 }
 
-// stopPart has a part stopped. One that the engine has forgotten has ended already. The stop of one that was
-// withdrawn is sent again, since the first one may have been lost.
+// stopPart stops a part. A part that the engine has forgotten has already ended. The stop of a withdrawn part is sent
+// again, since the first stop may have been lost.
 func (e *gangExecutor) stopPart(now placement.Millis, g *gangRequest, part int) {
 	id := g.parts[part]
 	w, held := e.workloads.get(id)
@@ -115,12 +115,12 @@
 	}
 }
 
-// setTimer has a gang's state machine called at the given time, if the gang is held by then. A timer is set for a
-// minute at most, as in the engine, so that those of gangs that have ended are bounded.
+// setTimer calls a gang's state machine at the given time, unless the gang was removed. As in the engine, a timer is
+// set for at most a minute and then set again, which bounds the timers of gangs that have ended.
 func (e *gangExecutor) setTimer(now placement.Millis, g *gangRequest, at placement.Millis) {
 	e.host.Schedule(max(now, min(at, now+allocator.MaxTimerDelay)), func(now placement.Millis) {
 		switch {
-		case !e.gangs.holds(g):
+		case !e.gangs.contains(g):
 		case now < at:
 			e.setTimer(now, g, at)
 		default:
@@ -129,13 +129,13 @@
 	})
 }
 
-// deferEvent hands a gang's state machine an event of a part, and carries out what it decides, once the engine is
-// idle. It has no effect if the gang is recovering or has ended, or the part has another workload by then.
+// deferEvent passes an event of a part to the gang's state machine and executes the resulting actions, once the engine
+// is idle. It has no effect if, by then, the gang is recovering or has ended, or the part has another workload.
 func (e *gangExecutor) deferEvent(
 	g *gangRequest, id placement.WorkloadID, part int, event func(now placement.Millis) []gang.Action,
 ) {
 	e.host.Defer(func(now placement.Millis) {
-		if !g.recovering() && e.gangs.holds(g) && g.parts[part] == id {
+		if !g.recovering() && e.gangs.contains(g) && g.parts[part] == id {
 			e.execute(now, g, event(now))
 		}
 	})
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -9,8 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangHandler handles the clients' requests for gangs and their withdrawals: it admits a request and starts its
-// gang, or rejects it at once.
+// gangHandler handles requests for gangs and their withdrawals: it admits a request and starts its gang, or rejects it
+// immediately.
 type gangHandler struct {
 	*environment
 	clients   *clientSessions
@@ -21,7 +21,7 @@
 	executor  *gangExecutor
 }
 
-// request starts a gang, or rejects it at once with the reason.
+// request starts a gang, or rejects it immediately with a reason.
 func (h *gangHandler) request(now placement.Millis, session *clientSession, request *pb.GangRequest) {
 	h.counters.Requests++
 	delay := h.clients.requestDelay(now, session, request.SentMs)
@@ -36,7 +36,7 @@
 		h.answer(id, pb.Verdict_REJECTED, err.Error())
 		return
 	}
-	if h.boundBefore(now, request) {
+	if h.hasRecoveredBind(now, request) {
 		h.counters.AnsweredFromJournal++
 		h.answer(id, pb.Verdict_UNSCHEDULABLE, reasonPartKeyBound)
 		return
@@ -44,7 +44,7 @@
 	h.start(now, id, request, placement.Millis(request.PendingTimeoutMs)-delay)
 }
 
-// completeGangRequest sets the default of MinParts, and gives each part the request's id and timeout.
+// completeGangRequest sets the default of MinParts, and copies the request's id and timeout to each part.
 func completeGangRequest(request *pb.GangRequest) {
 	if request.MinParts == 0 {
 		request.MinParts = uint32(len(request.Parts))
@@ -55,10 +55,10 @@
 	}
 }
 
-// boundBefore reports whether an earlier incarnation left a bind of a part's key.
-func (h *gangHandler) boundBefore(now placement.Millis, request *pb.GangRequest) bool {
+// hasRecoveredBind reports whether an earlier incarnation left a bind of a part's key.
+func (h *gangHandler) hasRecoveredBind(now placement.Millis, request *pb.GangRequest) bool {
 	return slices.ContainsFunc(request.Parts, func(part *pb.PlaceRequest) bool {
-		return h.durable.boundBefore(now, part.Key)
+		return h.durable.hasRecoveredBind(now, part.Key)
 	})
 }
 
@@ -71,7 +71,7 @@
 	})
 }
 
-// start starts a gang that was admitted. Its client waits for the given time from now.
+// start starts an admitted gang. The timeout, in ms from now, is the remainder of the client's timeout.
 func (h *gangHandler) start(now placement.Millis, id requestID, request *pb.GangRequest, timeout placement.Millis) {
 	g := &gangRequest{
 		id:         id,
@@ -96,8 +96,8 @@
 	return held
 }
 
-// withdraw rolls back a gang that its client no longer wants. It has no effect on a gang that is recovering: what
-// becomes of its parts is decided for all of them at once, when the time for finding them has passed.
+// withdraw rolls back a gang for its client. It has no effect on a recovering gang: gangRecovery decides about all of
+// its parts together when gangRecoveryTime has elapsed.
 func (h *gangHandler) withdraw(now placement.Millis, g *gangRequest) {
 	if g.recovering() {
 		return
@@ -106,10 +106,10 @@
 	h.executor.execute(now, g, g.machine.Withdraw(now))
 }
 
-// clientDisconnected withdraws the gangs of a client that have no answer yet, since it can be sent none.
+// clientDisconnected withdraws a client's unanswered gangs, since no answer can be sent to it.
 func (h *gangHandler) clientDisconnected(now placement.Millis, client string) {
 	for _, g := range h.gangs.sorted() {
-		if h.gangs.holds(g) && g.id.client == client && g.answer == frontend.AnswerDue {
+		if h.gangs.contains(g) && g.id.client == client && g.answer == frontend.AnswerDue {
 			h.withdraw(now, g)
 		}
 	}
--- a/internal/frontend/native/ganghandler_test.go
+++ b/internal/frontend/native/ganghandler_test.go
@@ -55,7 +55,7 @@
 	for i, test := range inadmissibleGangs {
 		harness.requestGang(uint64(i+1), test.change)
 	}
-	sent := harness.network.take(clientConn)
+	sent := harness.network.takeSent(clientConn)
 	require.Len(t, sent, len(inadmissibleGangs))
 	for i, test := range inadmissibleGangs {
 		assert.Equal(t, test.reason, sent[i].GetAnswer().GetReason())
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -7,8 +7,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangParts hands the gangs' state machines what happens to their parts. The engine may be at work while its
-// methods run.
+// gangParts passes the events of parts to their gangs' state machines. The engine may be busy while its methods run, so
+// they defer each event.
 type gangParts struct {
 	*environment
 	workloads *workloadTable
@@ -17,7 +17,7 @@
 	executor  *gangExecutor
 }
 
-// deferEvent hands a gang's state machine what happened to a part, once the engine is idle.
+// deferEvent passes an event of a part to the gang's state machine once the engine is idle.
 func (p *gangParts) deferEvent(w *workload, event func(now placement.Millis) []gang.Action) {
 	p.executor.deferEvent(w.gang, w.id, w.part, event)
 }
@@ -29,21 +29,22 @@
 	switch v {
 	case allocator.Placed:
 		if p.config.Settings.ConfirmsRunning {
-			p.running(w)
+			p.reportRunning(w)
 		}
 	case allocator.Rejected:
 		p.deferEvent(w, func(now placement.Millis) []gang.Action {
 			return w.gang.machine.PartFailed(now, w.part, gang.NeverRan)
 		})
 	case allocator.Unschedulable:
-		p.mayRun(w)
+		p.outcomeUnknown(w)
 	}
 }
 
-// mayRun handles a part that may run on the node of its last bind, whose reply was not received. The gang is rolled
-// back, so the part must not run on: its bind is stopped, unless the engine has stopped it. An at-most-once workload is
-// stopped in any case, since the engine's stop after a timeout only drops an offer that the node has not accepted.
-func (p *gangParts) mayRun(w *workload) {
+// outcomeUnknown handles a part that may run on the node of its last bind, whose reply was not received. The gang is
+// rolled back, so the part must not run on: its bind is stopped, unless the engine has stopped it. An at-most-once
+// workload is stopped in any case, since the engine's stop after a timeout only drops an offer that the node has not
+// accepted.
+func (p *gangParts) outcomeUnknown(w *workload) {
 	node := w.lastNode()
 	bind := p.workloads.bindID(w)
 	stopped := w.bindState == bindStopRequested && p.catalog.idempotency(w.request.Group) != placement.AtMostOnce
@@ -55,22 +56,22 @@
 	})
 }
 
-// running handles that a workload runs, if it is a part of a gang.
-func (p *gangParts) running(w *workload) {
+// reportRunning reports that a workload runs to its gang, if it is part of one.
+func (p *gangParts) reportRunning(w *workload) {
 	if w.gang != nil {
 		p.deferEvent(w, func(placement.Millis) []gang.Action { return w.gang.machine.PartStarted(w.part) })
 	}
 }
 
-// ended handles that a part runs no more, or never will.
+// ended reports that a part has ended, or will never run.
 func (p *gangParts) ended(w *workload, end gang.PartEnd) {
 	p.deferEvent(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartEnded(now, w.part, end) })
 }
 
-// repeatConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
+// resendConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
 // connection.
-func (p *gangParts) repeatConfirmation(n *node, w *workload, running *pb.RunningWorkload) {
-	if w.gang != nil && !running.Confirmed && w.gang.runs() {
+func (p *gangParts) resendConfirmation(n *node, w *workload, running *pb.RunningWorkload) {
+	if w.gang != nil && !running.Confirmed && w.gang.isRunning() {
 		p.sender.confirmGang(n.id, running.Offer.Bind)
 	}
 }
--- a/internal/frontend/native/gangparts_test.go
+++ b/internal/frontend/native/gangparts_test.go
@@ -20,7 +20,7 @@
 	harness.endWorkload(nodeConn, offers[0].Bind, pb.Reason_LEASE_EXPIRED)
 	harness.startWorkload(nodeConn, offers[1].Bind)
 	assert.Empty(t, harness.verdicts(), "it is rolled back, and retried later")
-	assert.NotNil(t, harness.network.take(nodeConn)[0].GetStop())
+	assert.NotNil(t, harness.network.takeSent(nodeConn)[0].GetStop())
 }
 
 func TestGangPart_LostToBeReplaced_OfferedAgain(t *testing.T) {
@@ -35,10 +35,10 @@
 	assert.Equal(t, offers[0].Gang.Part, replacement.Gang.Part)
 	assert.InDelta(t, 3000+float64(leaseMargin), replacement.Gang.LeaseMs, 1e-6)
 	harness.startWorkload(nodeConn, replacement.Bind)
-	sent := harness.network.take(nodeConn)
+	sent := harness.network.takeSent(nodeConn)
 	require.Len(t, sent, 2)
 	assert.Equal(t, replacement.Bind, sent[0].GetConfirmGang().GetBind())
-	assert.Empty(t, harness.network.take(clientConn), "the client is not notified of it")
+	assert.Empty(t, harness.network.takeSent(clientConn), "the client is not notified of it")
 }
 
 func TestGangPart_AtMostOnceUnanswered_GangUnschedulable(t *testing.T) {
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -6,10 +6,11 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangRecoveryTime is how long, in ms, parts that are found on nodes after a restart wait for the other parts.
+// gangRecoveryTime is how long, in ms, a recovering gang waits for further parts to be found on nodes. It starts when
+// the first part is found.
 const gangRecoveryTime = placement.Millis(1500)
 
-// gangRecovery restores gangs that an earlier incarnation started, from the parts that are found on nodes.
+// gangRecovery restores gangs of earlier incarnations from their parts that are found on nodes.
 type gangRecovery struct {
 	*environment
 	workloads *workloadTable
@@ -18,8 +19,8 @@
 	executor  *gangExecutor
 }
 
-// partFound handles a part that an earlier incarnation started. Once all nodes had time to connect, its gang goes
-// on if it was confirmed to run, or all of it is stopped.
+// partFound handles a part that an earlier incarnation started. After gangRecoveryTime, its gang continues
+// if it was confirmed; otherwise all its parts are stopped.
 func (r *gangRecovery) partFound(now placement.Millis, found *workload, running *pb.RunningWorkload) {
 	id := requestID{found.client, found.request.RequestId}
 	recovered, known := r.gangs.get(id)
@@ -27,8 +28,8 @@
 		recovered = r.begin(now, id, running.Offer.Gang)
 	}
 	part := int(running.Offer.Gang.Part)
-	if !recovered.lacks(part) {
-		// It was found too late, or twice.
+	if !recovered.isPartMissing(part) {
+		// The part was found after gangRecoveryTime, or twice.
 		r.workloads.markWithdrawn(found)
 		r.host.Engine().Withdraw(now, found.id)
 		return
@@ -37,7 +38,7 @@
 	recovered.addFound(found, running.Confirmed)
 }
 
-// begin begins to recover a gang, of which the given part was found first.
+// begin starts the recovery of a gang from the first part that was found.
 func (r *gangRecovery) begin(now placement.Millis, id requestID, part *pb.GangPart) *gangRequest {
 	parts := min(max(part.Of, part.Part+1), maxGangParts)
 	recovered := &gangRequest{
@@ -57,9 +58,9 @@
 	return recovered
 }
 
-// finish decides about a gang by the parts that were found.
+// finish creates a gang's state machine from the parts that were found, and executes its decision.
 func (r *gangRecovery) finish(now placement.Millis, recovered *gangRequest) {
-	if !r.gangs.holds(recovered) {
+	if !r.gangs.contains(recovered) {
 		return
 	}
 	var running []int
--- a/internal/frontend/native/gangrecovery_test.go
+++ b/internal/frontend/native/gangrecovery_test.go
@@ -24,7 +24,7 @@
 				running = append(running, earlierGangPart(uint64(i), atMostOnce, part, test.confirmed))
 			}
 			nodeConn := harness.startNode(1, running...)
-			harness.network.take(nodeConn)
+			harness.network.takeSent(nodeConn)
 			harness.advance(gangRecoveryTime + 10)
 			assert.Len(t, harness.stops(nodeConn), test.stops)
 			assert.Equal(t, 2, harness.WorkloadCount())
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// leaseMargin is how long, in ms, a part whose gang was not confirmed runs beyond the timeout of its start.
+	// leaseMargin is how long, in ms, the lease of a part outlasts the timeout within which its gang must run.
 	leaseMargin = placement.Millis(3e3)
-	// maxGangParts is how many parts a gang may have.
+	// maxGangParts is the maximum number of parts of a gang.
 	maxGangParts = 1000
 )
 
 // gangSeed is the seed of a gang's state machine.
 func gangSeed(seed uint64, id requestID) uint64 { return seed ^ id.request }
 
-// gangRequest is a client's request for a gang.
+// gangRequest is a gang with the client's request for it.
 type gangRequest struct {
 	id           requestID
 	request      *pb.GangRequest
-	machine      *gang.Gang             // nil while the gang is recovering, as gang.Recover takes all parts at once
-	parts        []placement.WorkloadID // the workload of each part, 0 for one that is not requested now
+	machine      *gang.Gang             // nil while recovering: gang.Recover needs all parts together
+	parts        []placement.WorkloadID // workload of each part; 0 if the part is not requested
 	receivedAt   placement.Millis
-	deadline     placement.Millis // until which the client waits for its answer
+	deadline     placement.Millis // time until which the client waits for its answer
 	answer       frontend.AnswerState
-	confirmation gang.Confirmation // of one that is recovering, by the parts found so far
-	tracedState  gang.State        // the last one that the trace has
+	confirmation gang.Confirmation // only for recovery: whether any found part is confirmed
+	tracedState  gang.State        // state at the last check for the trace
 }
 
 // recovering reports whether parts of the gang were found on nodes after a restart, and others may follow.
 func (g *gangRequest) recovering() bool { return g.machine == nil }
 
-// stateName is the gang's state as operators are shown it. The names are part of the command line's output.
+// stateName returns the gang's state for operators. The names are part of the command line's output.
 func (g *gangRequest) stateName() string {
 	if g.recovering() {
 		return "found"
@@ -41,15 +41,15 @@
 	return g.machine.State().String()
 }
 
-// runs reports whether enough of the gang's parts run, and its client has its answer.
-func (g *gangRequest) runs() bool { return !g.recovering() && g.machine.State() == gang.Running }
+// isRunning reports whether the gang runs: enough parts run and its client was answered.
+func (g *gangRequest) isRunning() bool { return !g.recovering() && g.machine.State() == gang.Running }
 
-// lacks reports whether the gang is recovering and the part was not found yet.
-func (g *gangRequest) lacks(part int) bool {
+// isPartMissing reports whether the gang is recovering and the part has not been found.
+func (g *gangRequest) isPartMissing(part int) bool {
 	return g.recovering() && part < len(g.parts) && g.parts[part] == 0
 }
 
-// addFound adds a part of a recovering gang. Confirmed is whether the part's node was notified that the gang runs.
+// addFound adds a part to a recovering gang. confirmed is true if the part's node was notified that the gang runs.
 func (g *gangRequest) addFound(w *workload, confirmed bool) {
 	g.parts[w.part] = w.id
 	g.request.Parts[w.part] = w.request
@@ -58,11 +58,11 @@
 	}
 }
 
-// offerPart is the description of the gang in the offer of a part. The node ends the part after its lease, unless the
-// gang is confirmed by then.
-func (g *gangRequest) offerPart(now placement.Millis, part int) *pb.GangPart {
+// partDescription is the description of the gang in the offer of a part. The node ends the part after its lease, unless
+// the gang is confirmed by then.
+func (g *gangRequest) partDescription(now placement.Millis, part int) *pb.GangPart {
 	lease := max(0, g.deadline-now) + leaseMargin
-	if g.runs() {
+	if g.isRunning() {
 		lease = placement.Millis(g.request.ReplaceTimeoutMs) + leaseMargin
 	}
 	return &pb.GangPart{
@@ -75,7 +75,7 @@
 	}
 }
 
-// unrequestedParts counts the parts that have no workload now.
+// unrequestedParts returns the number of parts that have no workload.
 func (g *gangRequest) unrequestedParts() int {
 	count := 0
 	for _, id := range g.parts {
@@ -86,7 +86,7 @@
 	return count
 }
 
-// endReason is the reason that the client gets for the end of its running gang.
+// endReason returns the reason in the notification of a running gang's end.
 func (g *gangRequest) endReason() pb.Reason {
 	if g.machine.CountParts(gang.PartFinished) < len(g.parts) {
 		return pb.Reason_LOST
--- a/internal/frontend/native/gangtable.go
+++ b/internal/frontend/native/gangtable.go
@@ -7,7 +7,7 @@
 	"grebeglade/internal/frontend"
 )
 
-// gangTable holds the gangs, by the request that each was started by.
+// gangTable has the gangs by the id of their request.
 type gangTable struct {
 	byRequest  map[requestID]*gangRequest
 	unanswered frontend.UnansweredRequests
@@ -15,13 +15,13 @@
 
 func newGangTable() *gangTable { return &gangTable{byRequest: map[requestID]*gangRequest{}} }
 
-// get returns the gang of that request, if it is held.
+// get returns the gang of a request, if the table has it.
 func (t *gangTable) get(id requestID) (*gangRequest, bool) {
 	g, held := t.byRequest[id]
 	return g, held
 }
 
-// addRequested adds the gang of a request, which is to be answered.
+// addRequested adds the gang of a new request, whose answer is due.
 func (t *gangTable) addRequested(g *gangRequest) {
 	t.addFound(g)
 	t.unanswered.Add(&g.answer)
@@ -30,16 +30,16 @@
 // addFound adds a gang whose parts were found on nodes. No client waits for its answer.
 func (t *gangTable) addFound(g *gangRequest) { t.byRequest[g.id] = g }
 
-// holds reports whether a gang is still held: another may have come under its request since.
-func (t *gangTable) holds(g *gangRequest) bool { return t.byRequest[g.id] == g }
+// contains reports whether the table still has a gang. Another gang may have replaced it under the same request id.
+func (t *gangTable) contains(g *gangRequest) bool { return t.byRequest[g.id] == g }
 
-// remove forgets a gang that has ended. Its client no longer waits for an answer.
+// remove removes a gang that has ended. No answer is due for it.
 func (t *gangTable) remove(g *gangRequest) {
 	t.markAnswered(g)
 	delete(t.byRequest, g.id)
 }
 
-// markAnswered records that the client no longer waits for an answer.
+// markAnswered records that no answer is due for a gang.
 func (t *gangTable) markAnswered(g *gangRequest) { t.unanswered.MarkAnswered(&g.answer) }
 
 // sorted returns the gangs in the order of their clients and requests.
@@ -51,8 +51,8 @@
 	return all
 }
 
-// unrequestedParts counts the parts that have no workload now. They count for the limit on workloads, since a gang that
-// waits for its next attempt will request them.
+// unrequestedParts returns the number of parts without a workload. They count towards the limit on workloads, since a
+// gang that waits for its next attempt will request them.
 func (t *gangTable) unrequestedParts() int {
 	count := 0
 	for _, g := range t.byRequest {
--- a/internal/frontend/native/harnessclient_test.go
+++ b/internal/frontend/native/harnessclient_test.go
@@ -12,21 +12,21 @@
 func (h *testHarness) connectClient(conn transport.ConnID, name string) {
 	h.openConn(conn)
 	h.receive(conn, clientHello(name))
-	h.network.take(conn)
+	h.network.takeSent(conn)
 }
 
 // connectOperator connects an operator and drops the answer to its hello.
 func (h *testHarness) connectOperator() {
 	h.openConn(operatorConn)
 	h.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
-	h.network.take(operatorConn)
+	h.network.takeSent(operatorConn)
 }
 
 // query returns the answer to a query of the operator.
 func (h *testHarness) query(kind pb.Query_Kind) *pb.State {
 	h.t.Helper()
 	h.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: kind}}})
-	sent := h.network.take(operatorConn)
+	sent := h.network.takeSent(operatorConn)
 	require.Len(h.t, sent, 1)
 	return sent[0].GetState()
 }
@@ -57,7 +57,7 @@
 // answers returns the answers that the client was sent since the last call, in order.
 func (h *testHarness) answers() []*pb.Answer {
 	var answers []*pb.Answer
-	for _, frame := range h.network.take(clientConn) {
+	for _, frame := range h.network.takeSent(clientConn) {
 		if answer := frame.GetAnswer(); answer != nil {
 			answers = append(answers, answer)
 		}
--- a/internal/frontend/native/harnessnode_test.go
+++ b/internal/frontend/native/harnessnode_test.go
@@ -65,14 +65,14 @@
 		h.startWorkload(nodeConn, offer.Bind)
 	}
 	require.Equal(h.t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, h.verdicts())
-	h.network.take(nodeConn)
+	h.network.takeSent(nodeConn)
 	return offers
 }
 
 // offers returns the offers that were sent to a node since the last call, in order.
 func (h *testHarness) offers(nodeConn transport.ConnID) []*pb.Offer {
 	var offers []*pb.Offer
-	for _, frame := range h.network.take(nodeConn) {
+	for _, frame := range h.network.takeSent(nodeConn) {
 		if offer := frame.GetOffer(); offer != nil {
 			offers = append(offers, offer)
 		}
@@ -123,7 +123,7 @@
 // stops returns the binds whose stop was sent to a node since the last call, in order.
 func (h *testHarness) stops(nodeConn transport.ConnID) []*pb.BindID {
 	var stops []*pb.BindID
-	for _, frame := range h.network.take(nodeConn) {
+	for _, frame := range h.network.takeSent(nodeConn) {
 		if stop := frame.GetStop(); stop != nil {
 			stops = append(stops, stop.Bind)
 		}
@@ -134,7 +134,7 @@
 // confirmations returns the binds whose gang was confirmed to a node since the last call, in order.
 func (h *testHarness) confirmations(nodeConn transport.ConnID) []*pb.BindID {
 	var confirmations []*pb.BindID
-	for _, frame := range h.network.take(nodeConn) {
+	for _, frame := range h.network.takeSent(nodeConn) {
 		if confirmation := frame.GetConfirmGang(); confirmation != nil {
 			confirmations = append(confirmations, confirmation.Bind)
 		}
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -5,7 +5,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// membership applies the updates of the discovery service to the node table, and has nodes dialed and removed.
+// membership applies the updates of the discovery service to the node table, dials listed nodes and removes unlisted
+// ones.
 type membership struct {
 	*environment
 	nodes       *nodeTable
@@ -21,7 +22,7 @@
 	kind := placement.Delta
 	if update.Kind == pb.NodeListUpdate_SNAPSHOT {
 		kind = placement.Snapshot
-		m.nodes.markMissing(update.Entries)
+		m.nodes.markUnlistedRemoved(update.Entries)
 	}
 	entries := make([]placement.Node, 0, len(update.Entries))
 	var updated []*node
@@ -41,7 +42,7 @@
 	m.removeUnlisted(now)
 }
 
-// applyEntry applies one entry, and returns its node. It is not ok if the node is new and the node table is full.
+// applyEntry applies one entry, and returns its node. ok is false if the node is new and the table is full.
 func (m *membership) applyEntry(now placement.Millis, entry *pb.NodeEntry) (n *node, ok bool) {
 	id := placement.NodeID(entry.Id)
 	_, known := m.nodes.get(id)
@@ -50,7 +51,7 @@
 		return nil, false
 	}
 	n.updatedAt = now
-	// An entry of an earlier incarnation than the node itself has named is late. Applying it would undo a drain,
+	// An entry with an earlier incarnation than the node reported itself is outdated. Applying it would undo a drain
 	// and end a warm-up.
 	if entry.Incarnation < n.incarnation {
 		return n, true
@@ -63,23 +64,23 @@
 	if !configured && !known {
 		m.logUnknownKind(entry)
 	}
-	m.nodes.describe(n, entry, kind)
+	m.nodes.setEntry(n, entry, kind)
 	return n, true
 }
 
-// logUnknownKind logs that a node has a kind that is not configured. That is done for new nodes only, or each update of
-// the node list would log it again.
+// logUnknownKind logs that a node has a kind that is not configured. It is called only for new nodes, so that updates
+// of the node list do not repeat the message.
 func (m *membership) logUnknownKind(entry *pb.NodeEntry) {
 	m.log.Warn("node kind unknown, node gets no binds",
 		"node", entry.Id, "kind", entry.Kind, "known", m.catalog.kindNames)
 }
 
-// removeUnlisted forgets the nodes that the discovery service has removed and that are not connected.
+// removeUnlisted removes the nodes that the discovery service has removed and that are not connected.
 func (m *membership) removeUnlisted(now placement.Millis) {
 	unlisted := map[*node]bool{}
 	for _, n := range m.nodes.sorted {
 		if n.entry.State == placement.Removed && n.session.state == sessionDisconnected {
-			m.sessions.lost(now, n)
+			m.sessions.reportNodeLost(now, n)
 			unlisted[n] = true
 		}
 	}
--- a/internal/frontend/native/node.go
+++ b/internal/frontend/native/node.go
@@ -12,19 +12,19 @@
 type node struct {
 	id placement.NodeID
 	listing
-	entry         placement.Node   // of the discovery service
-	incarnation   uint64           // the latest that the service or the node itself has named
+	entry         placement.Node   // latest entry from the discovery service
+	incarnation   uint64           // latest incarnation that the service or the node reported
 	updatedAt     placement.Millis // when the service last listed it
-	draining      bool             // as the node reports
-	lastRejection string           // of a connection or a bind, for operators
+	draining      bool             // whether the node reports that it is draining
+	lastRejection string           // text of the last rejected handshake or bind, for operators
 	session       nodeSession
 }
 
-// listing is what the discovery service says of a node, in the protocol's names.
+// listing has the attributes that the discovery service reports for a node, by their protocol names.
 type listing struct {
 	kind    string
 	zone    string
-	cell    string // with its zone in front
+	cell    string // "zone/cell"
 	address string
 }
 
@@ -54,16 +54,16 @@
 type nodeSession struct {
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
-	failures int              // dials that failed since the node was last connected
-	dials    uint64           // in all
+	failures int              // failed dials since the node was last connected
+	dials    uint64           // total number of dials
 }
 
 // connected reports whether the node has sent its hello, so that frames may be sent to it.
 func (n *node) connected() bool { return n.session.state == sessionConnected }
 
 // state is the node's state for placement. A node that reports that it is draining counts as draining even while the
-// discovery service lists it as ready: the service learns of it later. That ends when the node reports otherwise or is
-// restarted.
+// discovery service lists it as ready, since the node list lags behind. The node clears the state by a report or a
+// restart.
 func (n *node) state() placement.NodeState {
 	if n.draining && n.entry.State == placement.Ready {
 		return placement.Draining
@@ -71,16 +71,16 @@
 	return n.entry.State
 }
 
-// placementEntry is the node as the engine sees it.
+// placementEntry returns the node's entry for the engine.
 func (n *node) placementEntry() placement.Node {
 	entry := n.entry
 	entry.State = n.state()
 	return entry
 }
 
-// setIncarnation records that the node was started, if the incarnation is not the known one. The start time is computed
-// once for each incarnation: the delay of messages differs, and the placement module would take another start time for
-// another start. A negative upFor, in ms, means longer ago than is remembered.
+// setIncarnation records a restart of the node if the incarnation changed. The start time is computed only once per
+// incarnation: message delays vary, and the placement module would treat a different start time as another restart.
+// upFor is the uptime in ms; if it is negative, the node has been up for longer than its source tracks.
 func (n *node) setIncarnation(now placement.Millis, incarnation uint64, upFor float64) {
 	if n.incarnation == incarnation {
 		return
--- a/internal/frontend/native/nodehealth.go
+++ b/internal/frontend/native/nodehealth.go
@@ -6,11 +6,11 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// healthCheckTimeout is how long, in ms, a node may take to reply to a health check.
+// healthCheckTimeout is the time limit, in ms, for a node's reply to a health check.
 const healthCheckTimeout = placement.Millis(250)
 
-// healthChecker checks the health of nodes for the engine. Unlike on the platform, a check does not wait for a
-// connection.
+// healthChecker sends health checks for the engine. Unlike on the platform, a check is not queued until the node is
+// connected.
 type healthChecker struct {
 	*environment
 	nodes  *nodeTable
@@ -25,7 +25,7 @@
 	}
 }
 
-// check sends a health check to a node. One that is not connected fails it at once.
+// check sends a health check to a node. The check fails immediately if the node is not connected.
 func (h *healthChecker) check(id placement.NodeID) {
 	n, known := h.nodes.get(id)
 	if !known || !n.connected() {
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -5,7 +5,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// replyHandler handles what nodes report of binds and workloads, and hands it to the engine.
+// replyHandler passes the reports of nodes about binds and workloads to the engine.
 type replyHandler struct {
 	*environment
 	workloads *workloadTable
@@ -13,19 +13,19 @@
 	gangParts *gangParts
 }
 
-// findBind finds the bind that a node's message is about. Messages about no bind of ours are counted.
+// findBind returns the workload and bind number that a node's message refers to. It counts messages that refer to no
+// bind of this allocator.
 func (h *replyHandler) findBind(n *node, id *pb.BindID) (w *workload, bind int, ok bool) {
-	w, bind, ok = h.workloads.find(n.id, id)
+	w, bind, ok = h.workloads.findByBind(n.id, id)
 	if !ok {
 		h.counters.UnmatchedReplies++
-		h.log.Debug("unknown bind in message of node", "node", n.id,
+		h.log.Debug("node message refers to an unknown bind", "node", n.id,
 			"incarnation", id.GetIncarnation(), "workload", id.GetWorkload(), "bind", id.GetNumber())
 	}
 	return w, bind, ok
 }
 
-// offerReplied handles a node's reply to an offer. The load report that comes with it counts also if the bind is
-// unknown.
+// offerReplied handles a node's reply to an offer. Its load report is used even if the bind is unknown.
 func (h *replyHandler) offerReplied(now placement.Millis, n *node, reply *pb.OfferReply) {
 	offered, bind, ok := h.findBind(n, reply.Bind)
 	load := loadOf(reply.Load)
@@ -37,7 +37,7 @@
 	case reply.Accepted:
 		h.host.Engine().BindConfirmed(now, offered.id, bind, load)
 	case h.host.Engine().IsPlaced(offered.id, bind):
-		// A node may not reject what it accepted. The workload's end will be reported by itself.
+		// A node may not reject a bind that it accepted. It reports the end of the workload separately.
 		h.counters.UnmatchedReplies++
 	default:
 		h.offerRejected(now, n, offered, reply)
@@ -57,8 +57,8 @@
 	h.binder.rejected(offered, reply.Bind)
 }
 
-// ended handles the end of a workload that its node reports. One that was placed needs no further step; the end of any
-// other is an offer's unknown outcome, after which the workload may be placed elsewhere.
+// ended handles a node's report that a workload has ended. The end of a placed workload is final. For any other
+// workload the outcome of its offer is unknown, and the workload may be placed on another node.
 func (h *replyHandler) ended(now placement.Millis, n *node, end *pb.End) {
 	w, bind, ok := h.findBind(n, end.Bind)
 	if !ok {
@@ -75,7 +75,7 @@
 	})
 }
 
-// usageReported handles what a node reports of a running workload.
+// usageReported handles a node's usage report for a workload.
 func (h *replyHandler) usageReported(now placement.Millis, n *node, report *pb.UsageReport) {
 	w, bind, ok := h.findBind(n, report.Bind)
 	if !ok {
@@ -87,6 +87,6 @@
 	}
 	h.host.Engine().ReportUsage(now, w.id, bind, kind, report.Value)
 	if kind == placement.Running && h.host.Engine().IsPlaced(w.id, bind) {
-		h.gangParts.running(w)
+		h.gangParts.reportRunning(w)
 	}
 }
--- a/internal/frontend/native/nodesender.go
+++ b/internal/frontend/native/nodesender.go
@@ -5,9 +5,9 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// nodeSender sends frames to the nodes that are connected. To any other node nothing is sent, and nothing waits for a
-// connection: by then the node of an offer may be draining or restarted, and a measurement showed no gain
-// (docs/review-findings.md). A workload whose stop was not sent is named in the node's next hello; see reconciler.
+// nodeSender sends frames to connected nodes. It drops frames to other nodes and does not queue them: when the node is
+// connected again, it may be draining or restarted, and queueing offers brings no gain (docs/review-findings.md). A
+// workload whose stop was not sent is listed in the node's next hello; see reconciler.
 type nodeSender struct {
 	*environment
 	nodes *nodeTable
@@ -28,12 +28,12 @@
 	return s.send(id, &pb.Frame{Body: &pb.Frame_Offer{Offer: offer}})
 }
 
-// stop has a node stop a workload, whether it has accepted it or not.
+// stop sends a node the stop of a workload, whether the node has accepted it or not.
 func (s *nodeSender) stop(id placement.NodeID, bind *pb.BindID) {
 	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind}}})
 }
 
-// stopPending has a node drop an offer that it has not accepted yet. A workload that it has accepted runs on.
+// stopPending cancels an offer that the node has not accepted yet. An accepted workload continues to run.
 func (s *nodeSender) stopPending(id placement.NodeID, bind *pb.BindID) {
 	s.send(id, &pb.Frame{Body: &pb.Frame_Stop{Stop: &pb.Stop{Bind: bind, OnlyWaiting: true}}})
 }
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -7,20 +7,20 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// connectTimeout is how long, in ms, a node may take until its hello, counted from the dial.
+// connectTimeout is the time limit, in ms, from the dial to the node's hello.
 const connectTimeout = placement.Millis(250)
 
-// Details of the event log's events of the kind NodeConnection.
+// Values of Detail in events of the kind NodeConnection.
 const (
 	nodeDisconnected uint8 = iota
 	nodeConnected
 )
 
-// nodeSessions holds the connections to the nodes: it dials the nodes and completes the handshakes. What the nodes
-// send then goes to the parts that it concerns.
+// nodeSessions manages the connections to the nodes: it dials the nodes, completes the handshakes and passes the frames
+// that follow to their handlers.
 //
-// Unlike on the platform, where a node is dialed on need and connections are evicted for others, every listed node
-// stays connected: its hello names the workloads that run there, and the node table bounds the connections.
+// Unlike on the platform, where nodes are dialed on demand and idle connections are evicted, every listed node stays
+// connected: its hello lists the workloads that run there, and the size of the node table limits the connections.
 type nodeSessions struct {
 	*environment
 	nodes        *nodeTable
@@ -30,7 +30,7 @@
 	reconciler   *reconciler
 }
 
-// dial connects to a node, unless it is connected or being dialed, or there is nothing to dial.
+// dial connects to a node. It does nothing if the node is connected, being dialed or removed, or has no address.
 func (s *nodeSessions) dial(now placement.Millis, n *node) {
 	if n.session.state != sessionDisconnected || n.address == "" || n.entry.State == placement.Removed {
 		return
@@ -47,7 +47,7 @@
 	})
 }
 
-// closed handles the end of a node's connection, or that it could not be dialed.
+// closed handles the end of a node's connection or a failed dial.
 func (s *nodeSessions) closed(now placement.Millis, conn transport.ConnID, n *node, reason error) {
 	if n.session.conn != conn {
 		return
@@ -62,15 +62,15 @@
 		n.session.failures = 0
 	}
 	if n.entry.State == placement.Removed {
-		s.lost(now, n)
+		s.reportNodeLost(now, n)
 		return
 	}
 	s.redial(now, n)
 }
 
-// redial dials a node after a backoff, unless it was dialed meanwhile: that dial has a retry of its own. On the
-// platform a flag keeps the timer to one; here an update of the node list dials at once, so that timers are
-// distinguished by the number of dials before them.
+// redial dials a node after a backoff, unless it was dialed in the meantime, since that dial has its own retry. On the
+// platform a flag ensures that there is only one timer. Here an update of the node list dials immediately, so a timer
+// is valid only if the number of dials is unchanged.
 func (s *nodeSessions) redial(now placement.Millis, n *node) {
 	delay := s.host.RetryDelay(reconnectBackoff, n.session.failures)
 	n.session.failures++
@@ -82,12 +82,12 @@
 	})
 }
 
-// lost ends the workloads of a node that was removed.
-func (s *nodeSessions) lost(now placement.Millis, n *node) {
+// reportNodeLost ends the workloads of a node that was removed.
+func (s *nodeSessions) reportNodeLost(now placement.Millis, n *node) {
 	s.reportEnds(endInterrupted, func() { s.host.Engine().NodeLost(now, n.id) })
 }
 
-// received handles a frame of a node. Frames of other kinds than those here are ignored.
+// received handles a frame of a node. Frames of unexpected kinds are ignored.
 func (s *nodeSessions) received(now placement.Millis, conn transport.ConnID, n *node, frame *pb.Frame) {
 	if n.session.conn != conn {
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// handshake handles the first frame of a node: a hello of the node that was dialed, or the connection ends.
+// handshake handles the first frame of a node. It closes the connection unless the frame is a hello of the dialed node.
 func (s *nodeSessions) handshake(now placement.Millis, conn transport.ConnID, n *node, frame *pb.Frame) {
 	hello, err := helloOf(frame, func(hello *pb.Hello) error {
 		if hello.Role != pb.Role_NODE || placement.NodeID(hello.Node) != n.id {
@@ -127,14 +127,15 @@
 	s.helloReceived(now, n, hello)
 }
 
-// helloReceived handles a node's hello: since when it runs, whether it drains, and which of our workloads run there.
+// helloReceived handles a node's hello: its incarnation and uptime, its draining state, and the workloads of this
+// allocator that run there.
 func (s *nodeSessions) helloReceived(now placement.Millis, n *node, hello *pb.Hello) {
 	n.session.state = sessionConnected
 	n.session.failures = 0
 	n.lastRejection = ""
 	s.logConnection(now, n, nodeConnected)
-	// A restarted node reports that itself, long before the discovery service does. Without that it would be offered
-	// workloads beyond its warm-up budget meanwhile.
+	// A node's hello reports a restart long before the discovery service does. Until then, offers would exceed the
+	// node's warm-up budget.
 	if hello.Incarnation > n.incarnation {
 		n.setIncarnation(now, hello.Incarnation, hello.UpForMs)
 		s.updatePlacement(now, n)
@@ -143,8 +144,8 @@
 	s.reconciler.reconcile(now, n, hello.RunningWorkloads)
 }
 
-// setDraining records a node's own statement of whether it drains. It outlasts the connection: the node takes it
-// back at its next hello, or by a restart.
+// setDraining records whether a node reports that it is draining. The state remains valid after the connection ends:
+// the node's next hello or a restart changes it.
 func (s *nodeSessions) setDraining(now placement.Millis, n *node, draining bool) {
 	if n.draining == draining {
 		return
@@ -153,7 +154,7 @@
 	s.updatePlacement(now, n)
 }
 
-// updatePlacement passes the entry of a node, with what the node reported itself, to the engine.
+// updatePlacement passes a node's entry, including its own reports, to the engine.
 func (s *nodeSessions) updatePlacement(now placement.Millis, n *node) {
 	s.host.Engine().UpdateNodes(now, placement.Delta, []placement.Node{n.placementEntry()})
 }
--- a/internal/frontend/native/nodesessions_test.go
+++ b/internal/frontend/native/nodesessions_test.go
@@ -55,7 +55,7 @@
 	harness.request(1, idempotent)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, harness.verdicts())
 	nodeConn = harness.connectNode(1, nodeIncarnation+1, 0)
-	assert.Empty(t, harness.network.take(nodeConn)[1:])
+	assert.Empty(t, harness.network.takeSent(nodeConn)[1:])
 	assert.InDelta(t, float64(harness.now), float64(harness.firstNode().entry.StartedAt), 0)
 	// A late update about the incarnation before does not undo it.
 	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation, longRunning)
@@ -126,9 +126,9 @@
 func TestHealthCheck_SentToConnectedNode(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
-	harness.network.take(nodeConn)
+	harness.network.takeSent(nodeConn)
 	harness.healthChecks.check(1)
-	check := harness.network.take(nodeConn)[0].GetHealthCheck()
+	check := harness.network.takeSent(nodeConn)[0].GetHealthCheck()
 	require.NotNil(t, check)
 	assert.Equal(t, 1, harness.healthChecks.checks.Len())
 	harness.receive(nodeConn, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: check.Id}}})
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -9,7 +9,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxNodes is how many nodes are kept: under half of the numbers that zones and cells have.
+// maxNodes limits the node table to half of the 16-bit number range of zones and cells.
 const maxNodes = 1 << 15
 
 // nodeStart is an incarnation of a node and when it was started.
@@ -19,40 +19,40 @@
 }
 
 // nodeTable holds the nodes in the order of their ids, and the numbers of their zones and cells. Unlike on the
-// platform, the protocol gives nodes their ids and incarnations, and an address that another node takes over needs
-// no care: the hello names the node.
+// platform, ids and incarnations of nodes come from the protocol, and the reuse of an address by another node needs no
+// special handling, since the hello contains the node id.
 type nodeTable struct {
 	sorted    []*node
 	zones     numbering[placement.ZoneID]
 	cells     numbering[placement.CellID]
 	localZone string
-	// removed are the starts of nodes that were removed while warming up. One that is listed again has the start
-	// time that was computed before, or the placement module would take its warm-up budget for unused.
-	removed map[placement.NodeID]nodeStart
-	warmUp  placement.Millis // how long a node is warming up after its start, in ms
+	// removedStarts has the starts of nodes that were removed while warming up. A node that is listed again gets the
+	// same start time; otherwise the placement module would treat its warm-up budget as unused.
+	removedStarts map[placement.NodeID]nodeStart
+	warmUp        placement.Millis // duration of the warm-up after a node's start, in ms
 }
 
 func newNodeTable(c Config) *nodeTable {
 	return &nodeTable{
-		zones:     newNumbering[placement.ZoneID](c.Zone),
-		cells:     newNumbering[placement.CellID](""),
-		localZone: c.Zone,
-		removed:   map[placement.NodeID]nodeStart{},
-		warmUp:    c.Settings.WarmUpDuration,
+		zones:         newNumbering[placement.ZoneID](c.Zone),
+		cells:         newNumbering[placement.CellID](""),
+		localZone:     c.Zone,
+		removedStarts: map[placement.NodeID]nodeStart{},
+		warmUp:        c.Settings.WarmUpDuration,
 	}
 }
 
-// search returns where the node of that id is or would be in sorted, and whether it is there.
+// search returns the index of the node in sorted, or its insertion index if it is not there.
 func (t *nodeTable) search(id placement.NodeID) (index int, known bool) {
 	return slices.BinarySearchFunc(t.sorted, id, func(n *node, id placement.NodeID) int {
 		return cmp.Compare(n.id, id)
 	})
 }
 
-// count returns the number of known nodes.
+// count returns the number of nodes in the table.
 func (t *nodeTable) count() int { return len(t.sorted) }
 
-// get returns the node of that id, if it is known.
+// get returns the node with the id, if it is in the table.
 func (t *nodeTable) get(id placement.NodeID) (*node, bool) {
 	i, known := t.search(id)
 	if !known {
@@ -61,7 +61,7 @@
 	return t.sorted[i], true
 }
 
-// incarnation returns a node's incarnation, 0 if the node is not known.
+// incarnation returns a node's incarnation, or 0 if the node is not in the table.
 func (t *nodeTable) incarnation(id placement.NodeID) uint64 {
 	if n, known := t.get(id); known {
 		return n.incarnation
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// getOrAdd returns the node of that id. A new one has the start time that it had before it was removed, if it is
-// the same incarnation still. It is not ok where the table is full.
+// getOrAdd returns the node with the id. A new node gets the start time that it had before its removal, if its
+// incarnation is unchanged. ok is false if the node is new and the table is full.
 func (t *nodeTable) getOrAdd(id placement.NodeID, incarnation uint64) (n *node, ok bool) {
 	i, known := t.search(id)
 	if known {
@@ -80,18 +80,18 @@
 		return nil, false
 	}
 	n = &node{id: id}
-	if s, ok := t.removed[id]; ok && s.incarnation == incarnation {
+	if s, ok := t.removedStarts[id]; ok && s.incarnation == incarnation {
 		n.incarnation = s.incarnation
 		n.entry.StartedAt = s.startedAt
 	}
-	delete(t.removed, id)
+	delete(t.removedStarts, id)
 	t.sorted = slices.Insert(t.sorted, i, n)
 	return n, true
 }
 
-// describe applies an entry of the discovery service. Cells are distinguished by their zone too: two zones may each
-// have a cell of one name, and an idempotency key that is known in one of them is not known in the other.
-func (t *nodeTable) describe(n *node, listed *pb.NodeEntry, kind placement.KindID) {
+// setEntry applies an entry from the discovery service. The cell name includes the zone: two zones may have cells with
+// the same name, and a cell does not deduplicate an idempotency key that was used in another one.
+func (t *nodeTable) setEntry(n *node, listed *pb.NodeEntry, kind placement.KindID) {
 	n.listing = listing{
 		kind:    listed.Kind,
 		zone:    listed.Zone,
@@ -110,8 +110,8 @@
 	}
 }
 
-// markMissing marks the nodes that a snapshot does not name as removed.
-func (t *nodeTable) markMissing(snapshot []*pb.NodeEntry) {
+// markUnlistedRemoved sets the state of the nodes that are missing from a snapshot to removed.
+func (t *nodeTable) markUnlistedRemoved(snapshot []*pb.NodeEntry) {
 	named := make(map[placement.NodeID]bool, len(snapshot))
 	for _, e := range snapshot {
 		named[placement.NodeID(e.Id)] = true
@@ -123,14 +123,14 @@
 	}
 }
 
-// remove forgets nodes, and the names of zones and cells that no other node has.
+// remove deletes nodes, and the numbers of zones and cells that have no other node.
 func (t *nodeTable) remove(now placement.Millis, unlisted map[*node]bool) {
-	for n := range unlisted { // in any order: each has an entry of its own
+	for n := range unlisted { // the order does not matter: each node has its own entry
 		if now-n.entry.StartedAt < t.warmUp {
-			t.removed[n.id] = nodeStart{n.incarnation, n.entry.StartedAt}
+			t.removedStarts[n.id] = nodeStart{n.incarnation, n.entry.StartedAt}
 		}
 	}
-	maps.DeleteFunc(t.removed, func(_ placement.NodeID, s nodeStart) bool { return now-s.startedAt >= t.warmUp })
+	maps.DeleteFunc(t.removedStarts, func(_ placement.NodeID, s nodeStart) bool { return now-s.startedAt >= t.warmUp })
 	if len(unlisted) == 0 {
 		return
 	}
--- a/internal/frontend/native/nodetable_test.go
+++ b/internal/frontend/native/nodetable_test.go
@@ -74,13 +74,13 @@
 	entry.UpForMs = 601.5
 	harness.publishSnapshot(entry)
 	assert.InDelta(t, float64(startedAt), float64(harness.firstNode().entry.StartedAt), 0)
-	assert.Empty(t, harness.nodes.removed)
+	assert.Empty(t, harness.nodes.removedStarts)
 	harness.closeConn(harness.firstNode().session.conn, errRefused)
 	harness.publishSnapshot()
-	assert.Len(t, harness.nodes.removed, 1)
+	assert.Len(t, harness.nodes.removedStarts, 1)
 	harness.setTime(20e3)
 	harness.publishSnapshot()
-	assert.Empty(t, harness.nodes.removed, "it has warmed up by then")
+	assert.Empty(t, harness.nodes.removedStarts, "it has warmed up by then")
 }
 
 func TestNodes_BeyondMaximum_Unused(t *testing.T) {
--- a/internal/frontend/native/numbering.go
+++ b/internal/frontend/native/numbering.go
@@ -1,8 +1,8 @@
 package native
 
-// numbering gives each name of a zone or cell a number of its own, in the order in which the names occur. There are
-// never more names than nodes are kept, and so fewer than numbers. Numbers are given out in a cycle: one that is free
-// again is reused as late as possible, since the placement module may still have state under it.
+// numbering assigns a unique number to each zone or cell name, in the order in which the names first occur. maxNodes
+// limits the names to fewer than the available numbers. Numbers are assigned cyclically: a freed number is reused as
+// late as possible, since the placement module may still have state for it.
 type numbering[T ~uint16] struct {
 	byName map[string]T
 	used   map[T]bool
@@ -18,7 +18,7 @@
 	}
 }
 
-// number returns the number of a name, a new one if the name is new.
+// number returns the number of a name, and assigns one if the name has none.
 func (n *numbering[T]) number(name string) T {
 	number, known := n.byName[name]
 	if known {
@@ -34,7 +34,7 @@
 	return number
 }
 
-// retain forgets all names but these.
+// retain frees the numbers of all names except the given ones.
 func (n *numbering[T]) retain(names map[string]bool) {
 	for name, number := range n.byName {
 		if !names[name] {
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -11,8 +11,8 @@
 // maxReportAge is the age, in ms, from which a load report is ignored.
 const maxReportAge = placement.Millis(100e3)
 
-// reasonOf translates a node's reason for rejecting or ending a workload. Reasons that are only for clients, and
-// those of a later version of the protocol, are no reason.
+// reasonOf translates a node's reason for rejecting or ending a workload. It returns
+// ReasonUnspecified for reasons that are only sent to clients and for those of later protocol versions.
 func reasonOf(reason pb.Reason) placement.Reason {
 	switch reason {
 	case pb.Reason_INSUFFICIENT_CORES:
@@ -35,8 +35,8 @@
 	return placement.ReasonUnspecified
 }
 
-// nodeStateOf translates the state of a node in the node list. A node in a state of a later version of the protocol
-// gets no binds.
+// nodeStateOf translates the state of a node in the node list. A state of a later protocol version counts as
+// removed, so that the node gets no binds.
 func nodeStateOf(state pb.NodeEntry_State) placement.NodeState {
 	switch state {
 	case pb.NodeEntry_READY:
@@ -48,7 +48,7 @@
 	return placement.Removed
 }
 
-// usageKindOf translates the kind of a usage report. Kinds that the engine does not know are not ok.
+// usageKindOf translates the kind of a usage report. ok is false for kinds that the engine does not use.
 func usageKindOf(reported pb.UsageReport_Kind) (kind placement.UsageKind, ok bool) {
 	switch reported {
 	case pb.UsageReport_RUNNING:
@@ -72,8 +72,8 @@
 	return pb.Verdict_UNSCHEDULABLE
 }
 
-// loadOf translates a load report. It returns nil where there is none, or one older than maxReportAge; values that the
-// report lacks are NaN.
+// loadOf translates a load report. It returns nil if there is none or its age is maxReportAge or more. Missing values
+// are NaN.
 func loadOf(load *pb.Load) *placement.LoadReport {
 	if load == nil || !(placement.Millis(load.AgeMs) < maxReportAge) { // not >=, so that an age of NaN is ignored too
 		return nil
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -17,24 +17,25 @@
 	recovery  *gangRecovery
 }
 
-// bindRef names a workload's bind by its number.
+// bindRef identifies a bind by its workload and number.
 type bindRef struct {
 	workload placement.WorkloadID
 	bind     int
 }
 
-// reconcile handles the workloads of ours that a node runs. Those that it does not name have ended; those that it names
-// and the engine does not hold are adopted or stopped.
+// reconcile handles the list of this allocator's workloads in a node's hello. Workloads that the engine has placed
+// there and that are not listed have ended. Listed workloads that the engine has not placed there are adopted or
+// stopped.
 func (r *reconciler) reconcile(now placement.Millis, n *node, reported []*pb.RunningWorkload) {
 	named := map[bindRef]bool{}
 	var unknown []*pb.RunningWorkload
 	for _, running := range reported {
 		offer := running.GetOffer()
-		w, bind, found := r.workloads.find(n.id, offer.GetBind())
+		w, bind, found := r.workloads.findByBind(n.id, offer.GetBind())
 		switch {
 		case found && r.host.Engine().IsPlaced(w.id, bind):
 			named[bindRef{w.id, bind}] = true
-			r.repeatLost(n, w, running)
+			r.resendLost(n, w, running)
 		case offer.GetBind() != nil && offer.Request != nil:
 			unknown = append(unknown, running)
 		}
@@ -49,21 +50,21 @@
 	}
 }
 
-// repeatLost repeats what may have been lost with the node's last connection, for a workload that the engine holds on
-// the node: its stop, the node's report that it runs, and the confirmation of its gang.
-func (r *reconciler) repeatLost(n *node, w *workload, running *pb.RunningWorkload) {
+// resendLost repeats the messages about a placed workload that may have been lost with the node's last connection: its
+// stop, the node's report that it runs, and the confirmation of its gang.
+func (r *reconciler) resendLost(n *node, w *workload, running *pb.RunningWorkload) {
 	switch {
 	case w.bindState == bindStopRequested:
 		r.sender.stop(n.id, running.Offer.Bind)
 	case running.Running:
-		r.gangParts.running(w)
-		r.gangParts.repeatConfirmation(n, w, running)
+		r.gangParts.reportRunning(w)
+		r.gangParts.resendConfirmation(n, w, running)
 	}
 }
 
-// adoptOrStop handles a workload that the engine does not hold: an unwanted one is stopped, any other is adopted.
+// adoptOrStop adopts a workload that the engine has not placed on the node, or stops it if shouldStop returns true.
 func (r *reconciler) adoptOrStop(now placement.Millis, n *node, running *pb.RunningWorkload) {
-	if r.unwanted(running.Offer) {
+	if r.shouldStop(running.Offer) {
 		r.sender.stop(n.id, running.Offer.Bind)
 		return
 	}
@@ -75,13 +76,13 @@
 	r.adopt(now, n, running)
 }
 
-// unwanted reports whether a workload that the engine does not hold is to be stopped:
+// shouldStop reports whether a workload that the engine does not hold is to be stopped:
 //   - its client withdrew it, and the stop was lost with the connection;
-//   - it is a duplicate, as this incarnation abandoned its bind or holds a workload of its key; and it is a part of a
-//     gang, which must not run in part, or of a group whose duplicates are stopped.
-func (r *reconciler) unwanted(offer *pb.Offer) bool {
+//   - it is a duplicate, since this incarnation abandoned its bind or has a workload with its key, and it is part of a
+//     gang, which must not run partially, or its group's duplicates are stopped.
+func (r *reconciler) shouldStop(offer *pb.Offer) bool {
 	ours := offer.Bind.Incarnation == r.config.Incarnation
-	if ours && r.clients.withdrew(offer.Client, offer.Request.RequestId) {
+	if ours && r.clients.hasWithdrawn(offer.Client, offer.Request.RequestId) {
 		return true
 	}
 	duplicate := ours || r.workloads.hasKey(offer.Request.Key)
@@ -89,11 +90,11 @@
 	return duplicate && (offer.Gang != nil || r.host.Engine().StopsDuplicates(group))
 }
 
-// adopt has the engine hold a workload that was found on a node.
+// adopt adds a workload that was found on a node to the engine.
 func (r *reconciler) adopt(now placement.Millis, n *node, running *pb.RunningWorkload) {
 	w := r.workloads.adopt(now, n.id, running.Offer)
 	r.recorder.request(now, w)
-	r.binder.outdate(w.request.Service)
+	r.binder.invalidate(w.request.Service)
 	r.host.Engine().Adopt(now, r.catalog.workload(w.id, w.request), n.id)
 	if running.Running {
 		r.host.Engine().ReportUsage(now, w.id, 0, placement.Running, 1)
--- a/internal/frontend/native/reconcile_test.go
+++ b/internal/frontend/native/reconcile_test.go
@@ -21,7 +21,7 @@
 	nodeConn = harness.reconnectNode(runningOf(offer))
 	assert.Equal(t, 1, harness.WorkloadCount())
 	harness.withdraw(offer.Request.RequestId)
-	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 	harness.endWorkload(nodeConn, offer.Bind, pb.Reason_STOPPED)
 	assert.Zero(t, harness.WorkloadCount())
 }
@@ -34,10 +34,10 @@
 	offer := harness.offer(nodeConn)
 	harness.acceptOffer(nodeConn, offer.Bind)
 	harness.withdraw(1)
-	assert.NotNil(t, harness.network.take(nodeConn)[0].GetStop())
+	assert.NotNil(t, harness.network.takeSent(nodeConn)[0].GetStop())
 	harness.closeConn(nodeConn, errReset)
 	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
-	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 }
 
 // A workload was withdrawn before its node's reply, and its stop was lost with the connection. An at-most-once one that
@@ -52,7 +52,7 @@
 			harness.withdraw(1)
 			harness.closeConn(nodeConn, errReset)
 			nodeConn = harness.reconnectNode(runningOf(offer))
-			assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+			assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 			assert.Zero(t, harness.WorkloadCount())
 		})
 	}
--- a/internal/frontend/native/requesthistory.go
+++ b/internal/frontend/native/requesthistory.go
@@ -1,27 +1,27 @@
 package native
 
-// maxHistory is how many ended requests of a session are remembered: more than a client that sends a request twice has
-// sent in between.
+// maxHistory limits the ended requests that are recorded per session. It is more than the number of requests that a
+// client sends between two copies of the same request.
 const maxHistory = 1024
 
 // requestEnd is how a request ended.
 type requestEnd uint8
 
 const (
-	requestAnswered  requestEnd = iota // it was never withdrawn
-	requestWithdrawn                   // whether it was answered or not
+	requestAnswered  requestEnd = iota // answered and never withdrawn
+	requestWithdrawn                   // withdrawn, answered or not
 )
 
-// requestHistory remembers the last requests of a session that were answered or withdrawn, so that a frame that arrives
-// twice, or a request that arrives after its withdrawal, has no effect. A new session of the same client begins with an
-// empty history, since a client that starts anew may number its requests from 1 again.
+// requestHistory records the last requests of a session that were answered or withdrawn, so that a frame that is
+// received twice, or a request that is received after its withdrawal, has no effect. A new session of the same client
+// starts with an empty history, since a restarted client may number its requests from 1 again.
 type requestHistory struct {
 	ended  map[uint64]requestEnd
-	order  []uint64 // in which they ended; a ring once it is full
-	oldest int      // in order, once it is full
+	order  []uint64 // requests in the order of their ends; a ring buffer once it is full
+	oldest int      // index of the oldest request in order, once order is full
 }
 
-// add records that a request has ended. One that was ever withdrawn stays so.
+// add records the end of a request. A withdrawal is never overwritten.
 func (h *requestHistory) add(request uint64, end requestEnd) {
 	before, known := h.ended[request]
 	if h.ended == nil {
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -23,8 +23,8 @@
 	reasonPartMayHaveRun = "a part that must not run twice may have run"
 )
 
-// requestHandler handles the frames of clients: it hands requests to the engine, or rejects them at once, and sends the
-// final answers. What concerns a gang it hands to the gangHandler.
+// requestHandler handles the frames of clients: it passes requests to the engine or rejects them immediately, and sends
+// the final answers. It passes requests for gangs to the gangHandler.
 type requestHandler struct {
 	*environment
 	connections *connections
@@ -51,13 +51,13 @@
 	}
 }
 
-// place hands a request to the engine, or rejects it at once with the reason.
+// place passes a request to the engine, or rejects it immediately with a reason.
 func (h *requestHandler) place(now placement.Millis, session *clientSession, request *pb.PlaceRequest) {
 	h.counters.Requests++
 	delay := h.clients.requestDelay(now, session, request.SentMs)
 	id := requestID{session.name, request.RequestId}
 	if h.workloads.hasRequest(id) || session.history.contains(id.request) {
-		h.counters.DuplicateRequests++ // its one answer is or was sent for the first one
+		h.counters.DuplicateRequests++ // only the first copy of a request is answered
 		return
 	}
 	if err := h.validator.validate(request); err != nil {
@@ -75,7 +75,7 @@
 	h.host.Engine().Schedule(now, w)
 }
 
-// reject answers a request that does not reach the engine.
+// reject answers a request that is not passed to the engine.
 func (h *requestHandler) reject(now placement.Millis, id requestID, v pb.Verdict, reason string) {
 	h.eventLog.Add(eventlog.Event{At: now, Kind: eventlog.NotAdmitted})
 	h.clients.answer(id.client, &pb.Answer{
@@ -85,8 +85,8 @@
 	})
 }
 
-// answeredFromJournal answers a request whose key the journal knows, or that it has no capacity for, and reports
-// whether it did. The answer is final at once, since the outcome of an earlier bind cannot be found out.
+// answeredFromJournal answers a request if the journal has its key or no capacity for it, and reports whether it did.
+// The answer is final, since the outcome of an earlier bind cannot be determined.
 func (h *requestHandler) answeredFromJournal(
 	now placement.Millis, id requestID, request *pb.PlaceRequest,
 ) bool {
@@ -115,7 +115,7 @@
 	})
 }
 
-// answerReason says why a workload was not placed, or "" for one that was.
+// answerReason returns the reason why a workload was not placed, or "" if it was placed.
 func (h *requestHandler) answerReason(w *workload, v allocator.Verdict) string {
 	known := h.nodes.count()
 	switch {
@@ -133,14 +133,14 @@
 	return fmt.Sprintf("none of %d nodes is feasible", known)
 }
 
-// withdrawRequest handles a client's withdrawal. A request that arrives after it has no effect.
+// withdrawRequest handles a client's withdrawal. A request that is received after its withdrawal has no effect.
 func (h *requestHandler) withdrawRequest(now placement.Millis, session *clientSession, request uint64) {
 	session.history.add(request, requestWithdrawn)
 	id := requestID{session.name, request}
 	if h.gangs.withdrawRequest(now, id) {
 		return
 	}
-	if w, ok := h.workloads.requested(id); ok {
+	if w, ok := h.workloads.getByRequest(id); ok {
 		h.withdraw(now, w)
 	}
 }
@@ -155,7 +155,8 @@
 	h.host.Engine().Withdraw(now, w.id)
 }
 
-// clientDisconnected withdraws what a client had pending, since it can be sent no answer. What is placed runs on.
+// clientDisconnected withdraws a client's unanswered requests, since no answer can be sent to it. Placed workloads
+// continue to run.
 func (h *requestHandler) clientDisconnected(now placement.Millis, client string) {
 	unanswered := h.workloads.ofClient(client, func(w *workload) bool { return w.answer == frontend.AnswerDue })
 	for _, w := range unanswered {
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -29,7 +29,7 @@
 func (h *testHarness) rejectionReasons() []string {
 	h.t.Helper()
 	var reasons []string
-	for _, frame := range h.network.take(clientConn) {
+	for _, frame := range h.network.takeSent(clientConn) {
 		assert.Equal(h.t, pb.Verdict_REJECTED, frame.GetAnswer().GetVerdict())
 		reasons = append(reasons, frame.GetAnswer().GetReason())
 	}
@@ -175,7 +175,7 @@
 func TestTransitTimes_Full_ForgetsOldest(t *testing.T) {
 	transit := &transitTimes{}
 	for range 2 * maxTransitTimes {
-		transit.delay(4000, 8000)
+		transit.observe(4000, 8000)
 	}
 	assert.Len(t, *transit, maxTransitTimes)
 }
@@ -212,5 +212,5 @@
 	harness := newHarness(t)
 	harness.receive(clientConn, healthCheck())
 	assert.True(t, harness.network.closed[clientConn])
-	assert.Contains(t, harness.network.take(clientConn)[0].GetRefusal().GetReason(), "Frame_Probe")
+	assert.Contains(t, harness.network.takeSent(clientConn)[0].GetRefusal().GetReason(), "Frame_Probe")
 }
--- a/internal/frontend/native/spread.go
+++ b/internal/frontend/native/spread.go
@@ -6,14 +6,14 @@
 	"grebeglade/placement"
 )
 
-// spreadScope is a place that no two parts of a gang may share, by its name in the protocol.
+// spreadScope is a topology scope in which a gang may have at most one part, with its protocol name.
 type spreadScope struct {
 	name  string
 	scope placement.Scope
 }
 
 // spreadScopes are the scopes that a gang may request. Each group of the settings has a variant for each of them,
-// so that the placement module needs no notion of gangs.
+// so that the placement module does not need to handle gangs.
 var spreadScopes = []spreadScope{
 	{"node", placement.ScopeNode},
 	{"cell", placement.ScopeCell},
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -10,7 +10,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// defaultStatusLimit is how many entries an operator's query returns at most, unless it says otherwise.
+// defaultStatusLimit is the maximum number of entries in the answer to a query without a limit.
 const defaultStatusLimit = 1000
 
 // status answers the queries of operators.
@@ -21,7 +21,7 @@
 	gangs     *gangTable
 }
 
-// received answers a query that came on the given connection.
+// received answers a query on the connection on which it was received.
 func (s *status) received(now placement.Millis, conn transport.ConnID, query *pb.Query) {
 	s.network.Send(conn, &pb.Frame{Body: &pb.Frame_State{State: s.answer(now, query)}})
 }
@@ -72,8 +72,7 @@
 	return states, uint32(max(0, len(all)-limit))
 }
 
-// countByNode counts the workloads by the node of their last bind: those that are placed there, and those whose bind is
-// in flight.
+// countByNode counts the workloads by the node of their last bind: placed ones, and ones with a bind in flight.
 func (s *status) countByNode() (placed, inFlight map[placement.NodeID]uint32) {
 	placed = map[placement.NodeID]uint32{}
 	inFlight = map[placement.NodeID]uint32{}
@@ -89,7 +88,7 @@
 	return placed, inFlight
 }
 
-// workloadStateOf is a workload as operators are shown it.
+// workloadStateOf returns a workload's entry in the answer to a query.
 func workloadStateOf(now placement.Millis, held *workload) *pb.WorkloadState {
 	return &pb.WorkloadState{
 		Workload:  uint64(held.id),
@@ -107,7 +106,7 @@
 	}
 }
 
-// nodeStatusOf is a node as operators are shown it, without the counts of its workloads.
+// nodeStatusOf returns a node's entry in the answer to a query, without the counts of its workloads.
 func nodeStatusOf(now placement.Millis, n *node) *pb.NodeStatus {
 	return &pb.NodeStatus{
 		Id:            uint32(n.id),
@@ -123,14 +122,14 @@
 	}
 }
 
-// nodeStateNames are the states of nodes as operators are shown them. They are part of the command line's output.
+// nodeStateNames has the names of node states for operators. They are part of the command line's output.
 var nodeStateNames = [...]string{
 	placement.Ready:    "ready",
 	placement.Draining: "draining",
 	placement.Removed:  "gone",
 }
 
-// gangStatusOf is a gang as operators are shown it.
+// gangStatusOf returns a gang's entry in the answer to a query.
 func gangStatusOf(now placement.Millis, held *gangRequest) *pb.GangStatus {
 	shown := &pb.GangStatus{
 		Client:    held.id.client,
--- a/internal/frontend/native/tracerecorder.go
+++ b/internal/frontend/native/tracerecorder.go
@@ -7,18 +7,18 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// traceRecorder adds to the trace what the placement module does not see: requests and answers of clients,
-// rejections of nodes, revisions of the node list, and gangs. Without a trace it does nothing.
+// traceRecorder adds events to the trace that do not reach the placement module: requests and answers of clients,
+// rejections by nodes, revisions of the node list, and gangs. Without a trace it does nothing.
 type traceRecorder struct{ recorder *replay.Recorder }
 
-// flush passes what was recorded since the last call to the trace.
+// flush writes the records that were added since the last call to the trace.
 func (t traceRecorder) flush() {
 	if t.recorder != nil {
 		t.recorder.Flush()
 	}
 }
 
-// request records which client and request a workload belongs to; the placement module knows its id only.
+// request records the client and request of a workload; the placement module only receives its id.
 func (t traceRecorder) request(now placement.Millis, w *workload) {
 	if t.recorder != nil {
 		t.recorder.RecordRequest(now, w.id, w.client, w.request.RequestId, w.request.Key)
@@ -34,21 +34,21 @@
 	}
 }
 
-// nodeRejection records the text of a node's rejection, if it has one; the placement module sees its reason only.
+// nodeRejection records the text of a node's rejection, if it has one; the placement module only receives its reason.
 func (t traceRecorder) nodeRejection(now placement.Millis, w *workload, node placement.NodeID, text string) {
 	if t.recorder != nil && text != "" {
 		t.recorder.RecordRejection(now, w.id, node, text)
 	}
 }
 
-// discoveryRevision records which revision of the node list the next update of the placement module has.
+// discoveryRevision records the revision of the node list that the next update of the placement module is based on.
 func (t traceRecorder) discoveryRevision(now placement.Millis, update *pb.NodeListUpdate) {
 	if t.recorder != nil {
 		t.recorder.RecordListRevision(now, update.Epoch, update.Revision)
 	}
 }
 
-// gangRequest records a client's request for a gang, with the time for which the client waits.
+// gangRequest records a client's request for a gang, with the remainder of its timeout in ms.
 func (t traceRecorder) gangRequest(now placement.Millis, g *gangRequest, timeout placement.Millis) {
 	if t.recorder != nil {
 		t.recorder.RecordGangRequest(now, replay.GangRequest{
--- a/internal/frontend/native/transit.go
+++ b/internal/frontend/native/transit.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// maxTransitTimes is how many frames of a session are compared: some of them were not delayed.
+	// maxTransitTimes is the number of frames per session to compare with; some of them were not delayed.
 	maxTransitTimes = 64
-	// transitWindow is how long, in ms, a frame is compared with later ones. In a longer time, two clocks may drift
-	// apart by more than the answer margin.
+	// transitWindow is the maximum age, in ms, of frames to compare with. In a longer window, the two clocks may
+	// drift apart by more than the answer margin.
 	transitWindow = placement.Millis(60e3)
 )
 
-// transitTimes estimates how long the network delayed the frames of a session, by comparing how long they were in
-// transit. That is known up to a constant only, since the sender's clock is not ours.
+// transitTimes estimates the network delay of a session's frames by comparing their transit times. A transit time has
+// an unknown constant offset, since it is the difference of two unsynchronised clocks.
 //
 // A client counts its pending timeout from when it sent the request. One that the network delays by more than the
 // placement module's answer margin would be answered after its client's timeout. A wider margin for all requests
-// costs far more than taking the delay from those requests alone that arrived late (see docs/review-findings.md).
-// Not covered are delays of every frame of the last minute alike, clients that send no times, and the transit of the
-// answer.
+// costs far more than subtracting the delay from the requests that arrived late (see docs/review-findings.md).
+// It does not detect a delay that is the same for every frame of the last minute, frames without a send time, or the
+// transit time of the answer.
 type transitTimes []transitTime
 
-// transitTime is how long a frame was in transit, by the clocks of both sides, in ms.
+// transitTime is the transit time of a frame, in ms: the local receive time minus the sender's send time.
 type transitTime struct {
 	receivedAt placement.Millis
 	duration   placement.Millis
 }
 
-// delay adds a frame that was sent at the given time of its sender's clock, in ms, and returns how much longer it
-// was in transit than the quickest of the recent ones. A frame without a valid time counts as not delayed.
-func (t *transitTimes) delay(now placement.Millis, sent float64) placement.Millis {
+// observe records a frame with the send time of its sender's clock, in ms. It returns by how much its transit time
+// exceeds the shortest recent one, in ms. It returns 0 for a frame without a valid send time.
+func (t *transitTimes) observe(now placement.Millis, sent float64) placement.Millis {
 	if !(sent > 0) || math.IsInf(sent, 0) { // not <=, so that NaN is not valid either
 		return 0
 	}
--- a/internal/frontend/native/validation.go
+++ b/internal/frontend/native/validation.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Errors of requests that are not admitted. Their texts are the reasons of the answers.
+// Errors for requests that are not admitted. Their texts are sent to clients as the reason of the answer.
 var (
 	errDraining         = errors.New("the allocator is stopping; ask another")
 	errKeyHeld          = errors.New("a workload of that key is held here already")
@@ -17,17 +17,17 @@
 	errDuplicateKey     = errors.New("has the key of another part")
 )
 
-// requestValidator checks what can be known of a request without the engine: that its contents are valid, and that the
-// allocator may hold its workloads. The text of an error is the reason of the answer.
+// requestValidator checks requests before they reach the engine: that their fields are valid and that the allocator has
+// capacity for their workloads. The text of an error is sent to the client as the reason of the answer.
 type requestValidator struct {
 	workloads    *workloadTable
 	gangs        *gangTable
 	catalog      *catalog
 	maxWorkloads int  // 0 for no limit
-	draining     bool // no further request is admitted
+	draining     bool // true if no further request is admitted
 }
 
-// validate returns why a request cannot be admitted, or nil.
+// validate returns an error if a request cannot be admitted.
 func (v *requestValidator) validate(request *pb.PlaceRequest) error {
 	if v.draining {
 		return errDraining
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// validateAmounts returns which amount of a request is out of range, or nil.
+// validateAmounts returns an error if an amount in a request is out of range.
 func validateAmounts(request *pb.PlaceRequest) error {
 	amounts := []struct {
 		field string
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// validateGang returns why a gang cannot be admitted, or nil. Its parts must be complete; see completeGangRequest.
+// validateGang returns an error if a gang cannot be admitted. The request must be completed by completeGangRequest.
 func (v *requestValidator) validateGang(request *pb.GangRequest) error {
 	parts := len(request.Parts)
 	held := v.workloads.count() + v.gangs.unrequestedParts()
@@ -87,7 +87,7 @@
 	return v.validateParts(request.Parts)
 }
 
-// validateParts returns why a part of a gang cannot be admitted, or nil.
+// validateParts returns an error if a part of a gang cannot be admitted.
 func (v *requestValidator) validateParts(parts []*pb.PlaceRequest) error {
 	keys := make(map[uint64]bool, len(parts))
 	for i, part := range parts {
--- a/internal/frontend/native/wiring.go
+++ b/internal/frontend/native/wiring.go
@@ -1,6 +1,5 @@
 package native
 
-// newGangExecutor makes what carries out the decisions of gangs.
 func (f *Frontend) newGangExecutor(catalog *catalog, sender *nodeSender) *gangExecutor {
 	answers := &gangAnswers{
 		environment: f.environment,
@@ -19,7 +18,7 @@
 	}
 }
 
-// addClientHandlers makes what handles the frames of clients.
+// addClientHandlers creates the handlers of client frames.
 func (f *Frontend) addClientHandlers(catalog *catalog, durable *durableBinds, executor *gangExecutor) {
 	f.validator = &requestValidator{
 		workloads:    f.workloads,
@@ -54,7 +53,7 @@
 	}
 }
 
-// addNodeHandlers makes what handles the frames of nodes and of the discovery service.
+// addNodeHandlers creates the handlers of frames from nodes and the discovery service.
 func (f *Frontend) addNodeHandlers(catalog *catalog, sender *nodeSender, executor *gangExecutor) {
 	f.nodeSessions = &nodeSessions{
 		environment: f.environment,
@@ -83,7 +82,6 @@
 	}
 }
 
-// newReconciler makes what compares the workloads on a node with those that the engine holds.
 func (f *Frontend) newReconciler(catalog *catalog, sender *nodeSender, executor *gangExecutor) *reconciler {
 	return &reconciler{
 		environment: f.environment,
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -10,14 +10,14 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// workloadState is the state of a workload as its client knows it.
+// workloadState is the state of a workload from its client's point of view.
 type workloadState uint8
 
 const (
-	workloadPending    workloadState = iota // it has no final answer
+	workloadPending    workloadState = iota // no final answer yet
 	workloadPlaced                          // answered: it was accepted by a node
 	workloadNotPlaced                       // answered: rejected or unschedulable
-	workloadCancelling                      // withdrawn or stopped before it was placed; a bind of it may be unanswered
+	workloadCancelling                      // withdrawn or stopped before it was placed; a bind may be unanswered
 	workloadStopping                        // withdrawn or stopped after it was placed
 )
 
@@ -57,24 +57,24 @@
 // accepted reports whether the workload was placed on the node of its last bind.
 func (s workloadState) accepted() bool { return s == workloadPlaced || s == workloadStopping }
 
-// bindState is the state of a workload's last bind until its offer is sent or the engine cancels it. What the node
-// replies is part of the engine's state. Each bind begins as not sent:
+// bindState is the state of a workload's last bind until its offer is sent or the engine cancels it. The engine tracks
+// the node's reply. Each bind begins as not sent:
 //
-//	notSent -> persisting -> sent       if the journal must have it first
-//	notSent -> sent                     if not
-//	persisting -> outdated -> notSent   if the decision no longer holds
-//	any -> stopRequested                if the engine cancels it
+//	notSent -> persisting -> sent          if the bind must be durable first
+//	notSent -> sent                        otherwise
+//	persisting -> invalidated -> notSent   if the placement decision became invalid
+//	any -> stopRequested                   if the engine cancels it
 //
 // The binder makes these transitions.
 type bindState uint8
 
 const (
 	bindNone          bindState = iota // no bind was made
-	bindPersisting                     // it is being written to the journal, and its offer is sent afterwards
-	bindOutdated                       // it is being written, but its decision no longer holds: no offer will be sent
-	bindNotSent                        // its offer is not sent, yet or at all
-	bindSent                           // its offer was sent
-	bindStopRequested                  // the engine has cancelled it
+	bindPersisting                     // being persisted; the offer is sent afterwards
+	bindInvalidated                    // being persisted; its decision became invalid, so no offer is sent
+	bindNotSent                        // offer not sent yet, or never to be sent
+	bindSent                           // offer sent
+	bindStopRequested                  // cancelled by the engine
 )
 
 // workload is one workload that the engine holds. The workloadTable changes its state and the binder its binds.
@@ -85,16 +85,16 @@
 	receivedAt placement.Millis
 	state      workloadState
 	answer     frontend.AnswerState // not due for a part of a gang or an adopted workload
-	bindNodes  []placement.NodeID   // to which it was offered, in order
-	bindState  bindState            // of the last bind
-	adopted    *pb.BindID           // by which its node knows a workload that was found there; nil for any other
+	bindNodes  []placement.NodeID   // node of each bind, in order
+	bindState  bindState            // state of the last bind
+	adopted    *pb.BindID           // bind id on the node of an adopted workload; nil for any other
 	partOfGang
 }
 
-// partOfGang is of which gang a workload is a part. It is set where the workload is added, or by gangRecovery.
+// partOfGang refers to a workload's gang. It is set when the workload is added, or by gangRecovery.
 type partOfGang struct {
-	gang *gangRequest // nil if it is none
-	part int          // its number in the gang
+	gang *gangRequest // nil if the workload is not part of a gang
+	part int          // index of the part in the gang
 }
 
 // lastNode is the node of the last bind, or 0, which is no node's id, if there was none.
@@ -114,7 +114,7 @@
 	w.bindState = bindNotSent
 }
 
-// requestID names a request: its number counts within its client.
+// requestID identifies a request. Request numbers are unique per client.
 type requestID struct {
 	client  string
 	request uint64
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -10,25 +10,25 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// reservedIDs is how many ids, the last ones, are not given to requests. They are for workloads that are found on nodes
-// and for parts of gangs, which are requested anew by later attempts.
+// reservedIDs is the number of ids at the end of the range that are not assigned to requests. They are reserved for
+// adopted workloads and for parts of gangs, which later attempts request again.
 const reservedIDs = 1 << 20
 
 // workloadTable holds the workloads that the engine holds, and finds them by id, by request, by idempotency key and
 // by bind. With it, the requestHandler distinguishes a repeated request from a new one.
 //
-// On the platform a tag of the client names a workload in all cases. Here a request, a key, and a bind of an earlier
-// incarnation each do, and the last ids are reserved for adopted workloads and for parts of gangs.
+// On the platform a client's tag always identifies a workload. Here a request, a key or a bind of an earlier
+// incarnation can identify it, and the last ids are reserved for adopted workloads and parts of gangs.
 type workloadTable struct {
-	allocator   string // by which nodes know our binds
+	allocator   string // allocator name in the bind ids
 	incarnation uint64
 
 	byID      map[placement.WorkloadID]*workload
-	byRequest map[requestID]placement.WorkloadID // but for parts of gangs, which share their gang's request
+	byRequest map[requestID]placement.WorkloadID // without parts of gangs, which share their gang's request
 	byKey     map[uint64]placement.WorkloadID
-	byAdopted map[adoptedBind]placement.WorkloadID
+	byAdopted map[adoptedBindKey]placement.WorkloadID
 	ids       frontend.WorkloadIDs
-	// unanswered counts the requests but for gangs, which the gangTable counts.
+	// unanswered counts the requests except those for gangs, which the gangTable counts.
 	unanswered frontend.UnansweredRequests
 }
 
@@ -39,7 +39,7 @@
 		byID:        map[placement.WorkloadID]*workload{},
 		byRequest:   map[requestID]placement.WorkloadID{},
 		byKey:       map[uint64]placement.WorkloadID{},
-		byAdopted:   map[adoptedBind]placement.WorkloadID{},
+		byAdopted:   map[adoptedBindKey]placement.WorkloadID{},
 	}
 }
 
@@ -52,9 +52,9 @@
 	return w, ok
 }
 
-// held returns the workload of an id that the engine passes to an action. It is held, since the engine passes no id
-// after the Forget that removes the workload.
-func (t *workloadTable) held(id placement.WorkloadID) *workload { return t.byID[id] }
+// existing returns the workload of an id that the engine passes to an action. It is always in the table, since the
+// engine passes no id after the Forget that removes the workload.
+func (t *workloadTable) existing(id placement.WorkloadID) *workload { return t.byID[id] }
 
 // hasKey reports whether a workload of that idempotency key is held.
 func (t *workloadTable) hasKey(key uint64) bool {
@@ -68,8 +68,8 @@
 	return ok
 }
 
-// requested returns the workload of a request, if it is held.
-func (t *workloadTable) requested(id requestID) (*workload, bool) {
+// getByRequest returns the workload of a request, if the table has it.
+func (t *workloadTable) getByRequest(id requestID) (*workload, bool) {
 	if w, ok := t.byRequest[id]; ok {
 		return t.get(w)
 	}
@@ -82,7 +82,7 @@
 // adoptionIDsExhausted reports whether no id at all is left.
 func (t *workloadTable) adoptionIDsExhausted() bool { return t.ids.Remaining() == 0 }
 
-// add gives the workload of a new request the next id.
+// add adds the workload of a new request under the next id.
 func (t *workloadTable) add(now placement.Millis, client string, r *pb.PlaceRequest) *workload {
 	w := t.insert(&workload{
 		client:     client,
@@ -95,7 +95,7 @@
 	return w
 }
 
-// addPart gives a part of a gang the next id. It has no request of its own.
+// addPart adds a part of a gang under the next id. It has no entry by request.
 func (t *workloadTable) addPart(now placement.Millis, g *gangRequest, part int) *workload {
 	r := g.request.Parts[part]
 	w := t.insert(&workload{
@@ -108,7 +108,7 @@
 	return w
 }
 
-// adopt gives a workload that was found on a node the next id. Its key may be held by another one.
+// adopt adds a workload that was found on a node under the next id. Another workload may have the same key.
 func (t *workloadTable) adopt(now placement.Millis, node placement.NodeID, offer *pb.Offer) *workload {
 	adopted := t.insert(&workload{
 		client:     offer.Client,
@@ -119,7 +119,7 @@
 		bindState:  bindSent,
 		adopted:    offer.Bind,
 	})
-	t.byAdopted[adoptedBindOf(node, offer.Bind)] = adopted.id
+	t.byAdopted[adoptedBindKeyOf(node, offer.Bind)] = adopted.id
 	t.byRequest[requestID{adopted.client, adopted.request.RequestId}] = adopted.id
 	if !t.hasKey(adopted.request.Key) {
 		t.byKey[adopted.request.Key] = adopted.id
@@ -127,21 +127,21 @@
 	return adopted
 }
 
-// insert gives a workload the next id.
+// insert adds a workload under the next id.
 func (t *workloadTable) insert(w *workload) *workload {
 	w.id = t.ids.Next()
 	t.byID[w.id] = w
 	return w
 }
 
-// remove forgets a workload that the engine has forgotten.
+// remove deletes a workload after the engine's Forget.
 func (t *workloadTable) remove(w *workload) {
 	delete(t.byID, w.id)
 	if request := (requestID{w.client, w.request.RequestId}); t.byRequest[request] == w.id {
 		delete(t.byRequest, request)
 	}
 	if w.adopted != nil {
-		delete(t.byAdopted, adoptedBindOf(w.bindNodes[0], w.adopted))
+		delete(t.byAdopted, adoptedBindKeyOf(w.bindNodes[0], w.adopted))
 	}
 	if t.byKey[w.request.Key] == w.id {
 		delete(t.byKey, w.request.Key)
@@ -150,19 +150,19 @@
 
 // markAnswered changes a workload's state by its final answer.
 func (t *workloadTable) markAnswered(w *workload, v allocator.Verdict) {
-	t.change(w, w.state.afterAnswer(v))
+	t.setState(w, w.state.afterAnswer(v))
 }
 
 // markWithdrawn changes a workload's state by its withdrawal.
-func (t *workloadTable) markWithdrawn(w *workload) { t.change(w, w.state.afterWithdrawal()) }
+func (t *workloadTable) markWithdrawn(w *workload) { t.setState(w, w.state.afterWithdrawal()) }
 
-// change changes a workload's state. Unless it is pending, no answer is due.
-func (t *workloadTable) change(w *workload, to workloadState) {
+// setState sets a workload's state to one in which no answer is due.
+func (t *workloadTable) setState(w *workload, to workloadState) {
 	t.unanswered.MarkAnswered(&w.answer)
 	w.state = to
 }
 
-// ofClient returns a client's workloads that are wanted, in the order of their ids.
+// ofClient returns a client's workloads for which wanted returns true, in the order of their ids.
 func (t *workloadTable) ofClient(client string, wanted func(*workload) bool) []*workload {
 	var found []*workload
 	for _, w := range t.byID {
--- a/internal/frontend/native/workloadtable_test.go
+++ b/internal/frontend/native/workloadtable_test.go
@@ -52,7 +52,7 @@
 	harness.request(1, idempotent)
 	harness.offer(nodeConn)
 	harness.request(2, idempotent)
-	sent := harness.network.take(clientConn)
+	sent := harness.network.takeSent(clientConn)
 	assert.Equal(t, "the allocator has named all its workloads; restart it", sent[0].GetAnswer().GetReason())
 	harness.workloads.ids = frontend.WorkloadIDsAfter(math.MaxUint32 - 1)
 	harness.closeConn(nodeConn, errReset)
