--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -104,12 +104,12 @@
 	}
 	w := bind.workload
 	delete(b.persisting, w.id)
-	_, held := b.workloads.get(w.id)
-	if !held || w.bindState != bindPersisting {
+	_, exists := b.workloads.get(w.id)
+	if !exists || w.bindState != bindPersisting {
 		return false
 	}
-	n, known := b.nodes.get(bind.node)
-	return known && n.incarnation == incarnation && n.state() == placement.Ready
+	n, listed := b.nodes.get(bind.node)
+	return listed && n.incarnation == incarnation && n.state() == placement.Ready
 }
 
 // invalidate prevents the offers of a service's binds that are being persisted. It is called when another running
--- a/internal/frontend/native/binder_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -19,13 +19,13 @@
 	harness.setTime(5)
 	harness.closeConn(nodeConn, errReset)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, harness.verdicts())
-	// The node had accepted it: it may have had an effect, so it runs on, and is adopted.
+	// The node accepted the workload, which may have had an effect: it continues to run and is adopted.
 	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
 	for _, frame := range harness.network.takeSent(nodeConn) {
 		assert.Nil(t, frame.GetStop())
 	}
 	assert.Equal(t, 1, harness.WorkloadCount())
-	// An idempotent copy that no client waits for is stopped.
+	// An idempotent workload whose request is not pending is stopped.
 	harness.request(2, idempotent)
 	offer = harness.offer(nodeConn)
 	harness.closeConn(nodeConn, errReset)
@@ -33,9 +33,9 @@
 	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 }
 
-// Between the decision and the offer the bind is written to a disk, which may take its time. A node that drained or was
-// restarted meanwhile, or that named workloads of an earlier incarnation, was offered what had been decided before.
-// Found by a search (seed 81, run 2462), where 4 workloads of a service came to run on a node that may have 3.
+// Guards against offers that are based on an outdated decision: while a bind is written to disk, its node may drain,
+// restart or report workloads of an earlier incarnation. A search found the fault (seed 81, run 2462): 4 workloads of a
+// service ran on a node with a limit of 3.
 func TestBind_ChangeWhilePersisting_NotSent(t *testing.T) {
 	const unchanged = "nothing changes"
 	for name, change := range map[string]func(harness *testHarness) transport.ConnID{
--- a/internal/frontend/native/bindid.go
+++ b/internal/frontend/native/bindid.go
@@ -58,8 +58,8 @@
 	if b.Incarnation != t.incarnation || b.Workload > math.MaxUint32 {
 		return nil, 0, false
 	}
-	w, held := t.byID[placement.WorkloadID(b.Workload)]
-	if !held || w.adopted != nil || int(b.Number) >= len(w.bindNodes) || w.bindNodes[b.Number] != node {
+	w, exists := t.byID[placement.WorkloadID(b.Workload)]
+	if !exists || w.adopted != nil || int(b.Number) >= len(w.bindNodes) || w.bindNodes[b.Number] != node {
 		return nil, 0, false
 	}
 	return w, int(b.Number), true
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -17,8 +17,9 @@
 	monthMs       = 30 * 24 * 3600e3
 )
 
-// Three days, a minute at a time: nodes are replaced in new cells, clients connect under new names, send requests
-// with weeks of time and leave, gangs start and end, connections break. All state stays within a bound.
+// Guards against state that is never released. For three days, every minute a node is replaced by one in a new cell, a
+// client connects under a new name, sends requests with timeouts of a month and disconnects, and a gang starts and
+// ends.
 func TestFrontend_StateOverDays_StaysBounded(t *testing.T) {
 	harness := newHarness(t, func(c *Config) { c.EventLogSize = 100 })
 	for minute := range uint32(boundsMinutes) {
@@ -31,8 +32,8 @@
 	assert.EqualValues(t, boundsMinutes, harness.Counters.GangsPlaced)
 }
 
-// simulateMinute lets a minute pass in which a new node and a new client connect, a workload and a gang run and end,
-// and both disconnect.
+// simulateMinute simulates a minute in which a new node and a new client connect, a workload and a gang run and end,
+// and the node and the client disconnect.
 func (h *testHarness) simulateMinute(minute uint32) {
 	h.t.Helper()
 	nodeConn := h.replaceNode(minute)
@@ -56,7 +57,7 @@
 	clear(h.network.closed)
 }
 
-// replaceNode has the discovery service list one new node alone, in a new cell, and connects it.
+// replaceNode publishes a snapshot with only one new node, in a new cell, and connects the node.
 func (h *testHarness) replaceNode(minute uint32) transport.ConnID {
 	h.t.Helper()
 	const upForMs = 5
@@ -78,7 +79,7 @@
 	return nodeConn
 }
 
-// connectNewClient connects a client under a new name, which sends the time of its frames.
+// connectNewClient connects a client under a new name. Its hello contains a send time.
 func (h *testHarness) connectNewClient(client transport.ConnID, minute uint32) {
 	h.openConn(client)
 	hello := clientHello(fmt.Sprint("client-", minute))
@@ -86,7 +87,8 @@
 	h.receive(client, hello)
 }
 
-// sendRequestsOfMinute sends a request for a workload and one for a gang of two parts, each with a month of time.
+// sendRequestsOfMinute sends a request for a workload and one for a gang of two parts, each with a timeout of a
+// month.
 func (h *testHarness) sendRequestsOfMinute(client transport.ConnID, minute uint32) {
 	part := func(number uint64) *pb.PlaceRequest {
 		request := gangPartRequest(uint64(minute)*10 + number)
@@ -105,7 +107,7 @@
 	}}})
 }
 
-// stateSizes are the sizes of everything that the frontend keeps.
+// stateSizes returns the size of each part of the frontend's state.
 func (h *testHarness) stateSizes() map[string]int {
 	return map[string]int{
 		"connections":      len(h.connections.byID),
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -37,10 +37,10 @@
 		Epoch:    2,
 		Revision: 1,
 	}))
-	assert.Equal(t, placement.Removed, harness.firstNode().entry.State, "kept while it is connected")
+	assert.Equal(t, placement.Removed, harness.firstNode().entry.State, "kept until the node is disconnected")
 }
 
-// withPolledDiscovery has the engine subscribe by itself.
+// withPolledDiscovery configures the engine to request the node list periodically.
 func withPolledDiscovery(c *Config) {
 	c.Settings.PolledDiscovery = true
 	c.Settings.PollInterval = 3000
@@ -78,7 +78,7 @@
 	assert.True(t, harness.network.closed[harness.discoveryConn])
 }
 
-func TestDiscovery_PeerOfAnotherRole_Disconnected(t *testing.T) {
+func TestDiscovery_PeerWithOtherRole_Disconnected(t *testing.T) {
 	harness := newHarness(t)
 	harness.reconnectDiscovery()
 	harness.receive(harness.discoveryConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_NODE, Name: "n"}))
--- a/internal/frontend/native/fakenetwork_test.go
+++ b/internal/frontend/native/fakenetwork_test.go
@@ -7,7 +7,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNetwork is a transport.FrameNetwork that only records.
+// fakeNetwork is a transport.FrameNetwork that records its calls.
 type fakeNetwork struct {
 	now    placement.Millis
 	dialed map[string]transport.ConnID // the last connection to each address
@@ -47,7 +47,7 @@
 	return sent
 }
 
-// fakeJournal is a BindJournal whose binds are durable when the test calls done.
+// fakeJournal is a BindJournal that records the done callbacks for the test to call.
 type fakeJournal struct {
 	done []func(now placement.Millis, err error)
 }
--- a/internal/frontend/native/ganganswers.go
+++ b/internal/frontend/native/ganganswers.go
@@ -21,7 +21,7 @@
 	a.counters.GangsPlaced++
 	nodes := make([]uint32, len(g.parts))
 	for part, id := range g.parts {
-		if w, held := a.workloads.get(id); held && g.machine.PartState(part) == gang.PartRunning {
+		if w, exists := a.workloads.get(id); exists && g.machine.PartState(part) == gang.PartRunning {
 			nodes[part] = uint32(w.lastNode())
 		}
 	}
--- a/internal/frontend/native/ganganswers_test.go
+++ b/internal/frontend/native/ganganswers_test.go
@@ -21,7 +21,7 @@
 	harness.startWorkload(nodeConn, offers[1].Bind)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, harness.verdicts())
 	assert.Len(t, harness.confirmations(nodeConn), 2)
-	// A confirmation that was lost with the connection is repeated to the node that does not know it.
+	// A confirmation that was lost with the connection is sent again for the part that the node reports as unconfirmed.
 	harness.closeConn(nodeConn, errReset)
 	confirmed := runningOf(offers[0])
 	confirmed.Confirmed = true
@@ -29,7 +29,7 @@
 	sent := harness.network.takeSent(nodeConn)[1:]
 	require.Len(t, sent, 1)
 	assert.Equal(t, offers[1].Bind, sent[0].GetConfirmGang().GetBind())
-	// Withdrawn, both parts are stopped, and the gang is forgotten once they have ended.
+	// A withdrawal stops both parts. The gang is removed after they have ended.
 	harness.withdraw(1)
 	for _, frame := range harness.network.takeSent(nodeConn) {
 		harness.endWorkload(nodeConn, frame.GetStop().Bind, pb.Reason_STOPPED)
--- a/internal/frontend/native/gangexecutor.go
+++ b/internal/frontend/native/gangexecutor.go
@@ -77,10 +77,10 @@
 func (e *gangExecutor) requestPart(
 	now placement.Millis, g *gangRequest, part int, timeout placement.Millis,
 ) placement.Workload {
-	held := e.workloads.addPart(now, g, part)
-	g.parts[part] = held.id
-	e.recorder.request(now, held)
-	requested := e.catalog.workload(held.id, held.request)
+	added := e.workloads.addPart(now, g, part)
+	g.parts[part] = added.id
+	e.recorder.request(now, added)
+	requested := e.catalog.workload(added.id, added.request)
 	requested.PendingTimeout = timeout
 	requested.Retried = requested.Retried || g.machine.Attempts() > 1
 	requested.Group = spreadVariant(requested.Group, g.request.Spread, len(e.catalog.groupNames))
@@ -91,9 +91,9 @@
 // again, since the first stop may have been lost.
 func (e *gangExecutor) stopPart(now placement.Millis, g *gangRequest, part int) {
 	id := g.parts[part]
-	w, held := e.workloads.get(id)
+	w, exists := e.workloads.get(id)
 	switch {
-	case !held:
+	case !exists:
 		e.deferEvent(g, id, part, func(now placement.Millis) []gang.Action {
 			return g.machine.PartEnded(now, part, gang.EndedEarly)
 		})
@@ -109,7 +109,7 @@
 // confirmParts notifies the nodes of the running parts that their gang runs.
 func (e *gangExecutor) confirmParts(g *gangRequest) {
 	for part, id := range g.parts {
-		if w, held := e.workloads.get(id); held && g.machine.PartState(part) == gang.PartRunning {
+		if w, exists := e.workloads.get(id); exists && g.machine.PartState(part) == gang.PartRunning {
 			e.sender.confirmGang(w.lastNode(), e.workloads.bindID(w))
 		}
 	}
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -26,7 +26,7 @@
 	h.counters.Requests++
 	delay := h.clients.requestDelay(now, session, request.SentMs)
 	id := requestID{session.name, request.RequestId}
-	if _, held := h.gangs.get(id); held || session.history.contains(id.request) {
+	if _, exists := h.gangs.get(id); exists || session.history.contains(id.request) {
 		h.counters.DuplicateRequests++
 		return
 	}
@@ -89,11 +89,11 @@
 
 // withdrawRequest handles a client's withdrawal of a request, and reports whether the request was one for a gang.
 func (h *gangHandler) withdrawRequest(now placement.Millis, id requestID) bool {
-	g, held := h.gangs.get(id)
-	if held {
+	g, exists := h.gangs.get(id)
+	if exists {
 		h.withdraw(now, g)
 	}
-	return held
+	return exists
 }
 
 // withdraw rolls back a gang for its client. It has no effect on a recovering gang: gangRecovery decides about all of
--- a/internal/frontend/native/ganghandler_test.go
+++ b/internal/frontend/native/ganghandler_test.go
@@ -9,8 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// inadmissibleGangs are changes of a request for a gang of two parts that have it rejected at once where one node of 10
-// cores is known, with the reasons.
+// inadmissibleGangs has changes to a request for a gang of two parts, and the reasons of the resulting rejections.
+// There is one node with 10 cores.
 var inadmissibleGangs = []struct {
 	change func(*pb.GangRequest)
 	reason string
@@ -60,7 +60,7 @@
 	for i, test := range inadmissibleGangs {
 		assert.Equal(t, test.reason, sent[i].GetAnswer().GetReason())
 	}
-	assert.Empty(t, harness.offers(nodeConn), "none of their parts was sent")
+	assert.Empty(t, harness.offers(nodeConn), "no part is offered")
 	assert.Zero(t, harness.WorkloadCount())
 	assert.Zero(t, harness.Pending())
 }
@@ -81,7 +81,8 @@
 	assert.Zero(t, harness.Pending())
 }
 
-// A gang that waits for its next attempt has no workloads, and was not counted under the limit.
+// Guards against exceeding MaxWorkloads: a gang that waits for its next attempt has no workloads in the table, but its
+// parts must count towards the limit.
 func TestGangRequest_OtherGangWaitsForRetry_CountsAgainstMaxWorkloads(t *testing.T) {
 	harness := newHarness(t, func(c *Config) { c.MaxWorkloads = 3 })
 	nodeConn := harness.startNode(1)
--- a/internal/frontend/native/gangparts_test.go
+++ b/internal/frontend/native/gangparts_test.go
@@ -9,8 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// A part whose lease expired has not finished. It was taken for finished, and its gang was confirmed with one part of
-// three left. Found by a search (seed 72, run 537), where a node's clock was stepped ahead.
+// Guards against treating a part whose lease expired as finished. A search found the fault (seed 72, run 537): after a
+// forward step of a node's clock, a gang was confirmed with one part of three left.
 func TestGangPart_LeaseExpired_NotFinished(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -19,7 +19,7 @@
 	harness.startWorkload(nodeConn, offers[0].Bind)
 	harness.endWorkload(nodeConn, offers[0].Bind, pb.Reason_LEASE_EXPIRED)
 	harness.startWorkload(nodeConn, offers[1].Bind)
-	assert.Empty(t, harness.verdicts(), "it is rolled back, and retried later")
+	assert.Empty(t, harness.verdicts(), "the gang is rolled back and retried later")
 	assert.NotNil(t, harness.network.takeSent(nodeConn)[0].GetStop())
 }
 
@@ -38,7 +38,7 @@
 	sent := harness.network.takeSent(nodeConn)
 	require.Len(t, sent, 2)
 	assert.Equal(t, replacement.Bind, sent[0].GetConfirmGang().GetBind())
-	assert.Empty(t, harness.network.takeSent(clientConn), "the client is not notified of it")
+	assert.Empty(t, harness.network.takeSent(clientConn), "the client is not notified of a replacement")
 }
 
 func TestGangPart_AtMostOnceUnanswered_GangUnschedulable(t *testing.T) {
@@ -50,7 +50,7 @@
 	harness.startWorkload(nodeConn, offers[1].Bind)
 	harness.advanceTo(6000)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_UNSCHEDULABLE}, harness.verdicts())
-	assert.Contains(t, harness.stops(nodeConn), offers[0].Bind, "it may run, and no part of the gang may")
+	assert.Contains(t, harness.stops(nodeConn), offers[0].Bind, "the part may run, but its gang is rolled back")
 }
 
 func TestGangPart_AtMostOnceConnectionLost_GangUnschedulable(t *testing.T) {
@@ -76,5 +76,5 @@
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_PLACED}, harness.verdicts())
 }
 
-// firstPartAtMostOnce changes a request so that its first part must run at most once.
+// firstPartAtMostOnce sets the group of a gang's first part to atMostOnce.
 func firstPartAtMostOnce(request *pb.GangRequest) { request.Parts[0].Group = atMostOnce }
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -23,8 +23,8 @@
 // if it was confirmed; otherwise all its parts are stopped.
 func (r *gangRecovery) partFound(now placement.Millis, found *workload, running *pb.RunningWorkload) {
 	id := requestID{found.client, found.request.RequestId}
-	recovered, known := r.gangs.get(id)
-	if !known {
+	recovered, exists := r.gangs.get(id)
+	if !exists {
 		recovered = r.begin(now, id, running.Offer.Gang)
 	}
 	part := int(running.Offer.Gang.Part)
@@ -65,7 +65,7 @@
 	}
 	var running []int
 	for part, id := range recovered.parts {
-		if _, held := r.workloads.get(id); held {
+		if _, exists := r.workloads.get(id); exists {
 			running = append(running, part)
 		}
 		if recovered.request.Parts[part] == nil {
--- a/internal/frontend/native/gangtable.go
+++ b/internal/frontend/native/gangtable.go
@@ -17,8 +17,8 @@
 
 // get returns the gang of a request, if the table has it.
 func (t *gangTable) get(id requestID) (*gangRequest, bool) {
-	g, held := t.byRequest[id]
-	return g, held
+	g, exists := t.byRequest[id]
+	return g, exists
 }
 
 // addRequested adds the gang of a new request, whose answer is due.
--- a/internal/frontend/native/harness_test.go
+++ b/internal/frontend/native/harness_test.go
@@ -17,21 +17,21 @@
 
 const discoveryAddress = "list"
 
-// Reasons for which connections end.
+// Reasons for the end of connections.
 var (
 	errReset   = transport.ErrConnectionLost
 	errClosed  = transport.ErrClosedByPeer
 	errRefused = transport.ErrConnectionRefused
 )
 
-// testHarness is a frontend on a fake network, with a discovery service and a client that are connected to it.
+// testHarness is a frontend on a fake network, with a connected discovery service and client.
 type testHarness struct {
 	*Frontend
 	t             *testing.T
 	network       *fakeNetwork
 	now           placement.Millis
 	discoveryConn transport.ConnID
-	revision      uint64 // of the discovery service's last update
+	revision      uint64 // revision of the discovery service's last update
 }
 
 func newHarness(t *testing.T, change ...func(*Config)) *testHarness {
@@ -91,16 +91,16 @@
 	return []placement.Group{group, once, keyed}
 }
 
-// setTime sets the time without a wake-up, as if the process had been stopped.
+// setTime sets the time without a wake-up, like a stall of the process.
 func (h *testHarness) setTime(now placement.Millis) {
 	h.now = now
 	h.network.now = now
 }
 
-// advance lets time pass, in ms, with the wake-ups that the frontend requests.
+// advance advances the time by a duration in ms, with the wake-ups that the frontend requests.
 func (h *testHarness) advance(duration placement.Millis) { h.advanceTo(h.now + duration) }
 
-// advanceTo lets time pass until the given time, with the wake-ups that the frontend requests and one at the end.
+// advanceTo advances the time to the given one, with the wake-ups that the frontend requests and one at the end.
 func (h *testHarness) advanceTo(end placement.Millis) {
 	for h.network.wakeAt <= end {
 		h.setTime(h.network.wakeAt)
@@ -116,5 +116,5 @@
 // closeConn ends a connection, or fails one that is being dialed.
 func (h *testHarness) closeConn(conn transport.ConnID, reason error) { h.Closed(h.now, conn, reason) }
 
-// receive has the frontend receive a frame on a connection.
+// receive passes a frame on a connection to the frontend.
 func (h *testHarness) receive(conn transport.ConnID, frame *pb.Frame) { h.Received(h.now, conn, frame) }
--- a/internal/frontend/native/harnessclient_test.go
+++ b/internal/frontend/native/harnessclient_test.go
@@ -8,21 +8,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// connectClient connects a client and drops the answer to its hello.
+// connectClient connects a client and discards the reply to its hello.
 func (h *testHarness) connectClient(conn transport.ConnID, name string) {
 	h.openConn(conn)
 	h.receive(conn, clientHello(name))
 	h.network.takeSent(conn)
 }
 
-// connectOperator connects an operator and drops the answer to its hello.
+// connectOperator connects an operator and discards the reply to its hello.
 func (h *testHarness) connectOperator() {
 	h.openConn(operatorConn)
 	h.receive(operatorConn, transport.HelloFrame(&pb.Hello{Role: pb.Role_OPERATOR}))
 	h.network.takeSent(operatorConn)
 }
 
-// query returns the answer to a query of the operator.
+// query sends a query of the operator and returns the answer.
 func (h *testHarness) query(kind pb.Query_Kind) *pb.State {
 	h.t.Helper()
 	h.receive(operatorConn, &pb.Frame{Body: &pb.Frame_Query{Query: &pb.Query{Kind: kind}}})
@@ -54,7 +54,7 @@
 	h.receive(clientConn, &pb.Frame{Body: &pb.Frame_Withdraw{Withdraw: &pb.Withdraw{RequestId: request}}})
 }
 
-// answers returns the answers that the client was sent since the last call, in order.
+// answers returns the answers sent to the client since the last call, in order.
 func (h *testHarness) answers() []*pb.Answer {
 	var answers []*pb.Answer
 	for _, frame := range h.network.takeSent(clientConn) {
@@ -65,7 +65,7 @@
 	return answers
 }
 
-// verdicts returns the verdicts of the answers that the client was sent since the last call, by request.
+// verdicts returns the verdicts of the answers sent to the client since the last call, by request.
 func (h *testHarness) verdicts() map[uint64]pb.Verdict {
 	verdicts := map[uint64]pb.Verdict{}
 	for _, answer := range h.answers() {
--- a/internal/frontend/native/harnessdiscovery_test.go
+++ b/internal/frontend/native/harnessdiscovery_test.go
@@ -4,10 +4,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// nodeAddress returns the address of a node that listNode lists.
+// nodeAddress returns the address that listNode sets for a node.
 func nodeAddress(id uint32) string { return "node-" + string(rune('0'+id)) }
 
-// listNode has the discovery service list a node in a delta.
+// listNode publishes a delta with one node.
 func (h *testHarness) listNode(id uint32, state pb.NodeEntry_State, incarnation uint64, upForMs float64) {
 	h.revision++
 	h.publishFirstSnapshot()
@@ -24,7 +24,7 @@
 	}))
 }
 
-// publishSnapshot has the discovery service list all its nodes.
+// publishSnapshot publishes a snapshot with the given nodes.
 func (h *testHarness) publishSnapshot(entries ...*pb.NodeEntry) {
 	h.publishFirstSnapshot()
 	h.revision++
@@ -36,7 +36,7 @@
 	}))
 }
 
-// publishFirstSnapshot has the discovery service publish an empty snapshot before the update of revision 1.
+// publishFirstSnapshot publishes an empty snapshot with revision 0 if the current revision is 1.
 func (h *testHarness) publishFirstSnapshot() {
 	if h.revision == 1 {
 		h.receive(h.discoveryConn, nodeListUpdate(&pb.NodeListUpdate{
--- a/internal/frontend/native/harnessnode_test.go
+++ b/internal/frontend/native/harnessnode_test.go
@@ -7,14 +7,14 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// startNode has a node listed and connected, with the workloads that run on it.
+// startNode lists and connects a node. The given workloads run on it.
 func (h *testHarness) startNode(id uint32, running ...*pb.RunningWorkload) transport.ConnID {
 	h.t.Helper()
 	h.listNode(id, pb.NodeEntry_READY, nodeIncarnation, longRunning)
 	return h.connectNode(id, nodeIncarnation, longRunning, running...)
 }
 
-// connectNode opens the connection that was dialed to a node, and sends its hello.
+// connectNode opens the connection that was dialed to a node, and passes the node's hello to the frontend.
 func (h *testHarness) connectNode(
 	id uint32, incarnation uint64, upForMs float64, running ...*pb.RunningWorkload,
 ) transport.ConnID {
@@ -33,7 +33,7 @@
 	return conn
 }
 
-// reconnectNode waits until node 1, which was connected, is dialed again, and connects it.
+// reconnectNode advances the time until node 1 is dialed again, and connects it.
 func (h *testHarness) reconnectNode(running ...*pb.RunningWorkload) transport.ConnID {
 	h.t.Helper()
 	before := h.network.dialed[nodeAddress(1)]
@@ -43,7 +43,7 @@
 	return h.connectNode(1, nodeIncarnation, longRunning, running...)
 }
 
-// firstNode returns the known node with the smallest id.
+// firstNode returns the node with the smallest id in the node table.
 func (h *testHarness) firstNode() *node { return h.nodes.sorted[0] }
 
 // refuseDials fails all connections that are being dialed to nodes.
@@ -55,7 +55,7 @@
 	}
 }
 
-// runGang requests a gang and has its two parts run on a node. It returns their offers.
+// runGang requests a gang of two parts and starts both on a node. It returns their offers.
 func (h *testHarness) runGang(nodeConn transport.ConnID, change ...func(*pb.GangRequest)) []*pb.Offer {
 	h.t.Helper()
 	h.requestGang(1, change...)
@@ -88,19 +88,19 @@
 	return offers[0]
 }
 
-// acceptOffer has a node accept an offer.
+// acceptOffer passes a node's acceptance of an offer to the frontend.
 func (h *testHarness) acceptOffer(nodeConn transport.ConnID, bind *pb.BindID) {
 	reply := &pb.OfferReply{Bind: bind, Accepted: true}
 	h.receive(nodeConn, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: reply}})
 }
 
-// rejectOffer has a node reject an offer.
+// rejectOffer passes a node's rejection of an offer to the frontend.
 func (h *testHarness) rejectOffer(nodeConn transport.ConnID, bind *pb.BindID, reason pb.Reason) {
 	reply := &pb.OfferReply{Bind: bind, Reason: reason}
 	h.receive(nodeConn, &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: reply}})
 }
 
-// startWorkload has a node accept an offer and report that the workload runs.
+// startWorkload passes a node's acceptance of an offer, and its report that the workload runs, to the frontend.
 func (h *testHarness) startWorkload(nodeConn transport.ConnID, bind *pb.BindID) {
 	h.acceptOffer(nodeConn, bind)
 	h.receive(nodeConn, &pb.Frame{Body: &pb.Frame_UsageReport{UsageReport: &pb.UsageReport{
@@ -110,12 +110,12 @@
 	}}})
 }
 
-// endWorkload has a node report the end of a workload.
+// endWorkload passes a node's report of a workload's end to the frontend.
 func (h *testHarness) endWorkload(nodeConn transport.ConnID, bind *pb.BindID, reason pb.Reason) {
 	h.receive(nodeConn, &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Reason: reason}}})
 }
 
-// setDraining has a node report whether it drains.
+// setDraining passes a node's draining report to the frontend.
 func (h *testHarness) setDraining(nodeConn transport.ConnID, draining bool) {
 	h.receive(nodeConn, &pb.Frame{Body: &pb.Frame_Drain{Drain: &pb.Drain{Draining: draining}}})
 }
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -45,7 +45,7 @@
 // applyEntry applies one entry, and returns its node. ok is false if the node is new and the table is full.
 func (m *membership) applyEntry(now placement.Millis, entry *pb.NodeEntry) (n *node, ok bool) {
 	id := placement.NodeID(entry.Id)
-	_, known := m.nodes.get(id)
+	_, listed := m.nodes.get(id)
 	n, ok = m.nodes.getOrAdd(id, entry.Incarnation)
 	if !ok {
 		return nil, false
@@ -61,7 +61,7 @@
 		m.connections.disconnect(n.session.conn, errAddressChanged)
 	}
 	kind, configured := m.catalog.kindID(entry.Kind)
-	if !configured && !known {
+	if !configured && !listed {
 		m.logUnknownKind(entry)
 	}
 	m.nodes.setEntry(n, entry, kind)
--- a/internal/frontend/native/messages_test.go
+++ b/internal/frontend/native/messages_test.go
@@ -17,11 +17,11 @@
 	allocatorName        = "a"
 	allocatorIncarnation = 5
 	earlierIncarnation   = 3
-	nodeIncarnation      = 1 // of nodes that were not restarted
-	longRunning          = -1.0
+	nodeIncarnation      = 1    // incarnation of nodes that were not restarted
+	longRunning          = -1.0 // uptime, in ms, of nodes that started before the tracked time
 )
 
-// placeRequest returns a request for a workload of one core and one unit of memory, for 6 s.
+// placeRequest returns a request for a workload with one core, one unit of memory and a timeout of 6 s.
 func placeRequest(id uint64, group string) *pb.PlaceRequest {
 	return &pb.PlaceRequest{
 		RequestId:         id,
@@ -47,7 +47,7 @@
 	}
 }
 
-// gangRequestOfTwo returns a request for a gang of two parts, for 6 s.
+// gangRequestOfTwo returns a request for a gang of two parts with a timeout of 6 s.
 func gangRequestOfTwo(id uint64) *pb.GangRequest {
 	return &pb.GangRequest{
 		RequestId:        id,
@@ -56,12 +56,12 @@
 	}
 }
 
-// runningOf returns what a node says in its hello of a workload that it runs, by the offer that it accepted.
+// runningOf returns the entry in a node's hello for a running workload whose offer the node accepted.
 func runningOf(offer *pb.Offer) *pb.RunningWorkload {
 	return &pb.RunningWorkload{Offer: offer, Running: true}
 }
 
-// earlierOffer returns an offer of an earlier incarnation of the allocator, for the given workload of it.
+// earlierOffer returns an offer from an earlier incarnation of the allocator, with that incarnation's workload id.
 func earlierOffer(workload uint64, group string) *pb.Offer {
 	return &pb.Offer{
 		Bind: &pb.BindID{
@@ -81,7 +81,7 @@
 	}
 }
 
-// gangPart returns a part of a gang that runs only as a whole.
+// gangPart returns a part of a gang that needs all its parts to run.
 func gangPart(part, of uint32) *pb.GangPart {
 	return &pb.GangPart{
 		Part:     part,
@@ -90,7 +90,7 @@
 	}
 }
 
-// earlierGangPart returns what a node says of a part of a gang of an earlier incarnation.
+// earlierGangPart returns the entry in a node's hello for a part of a gang that an earlier incarnation started.
 func earlierGangPart(workload uint64, group string, part *pb.GangPart, confirmed bool) *pb.RunningWorkload {
 	offer := earlierOffer(workload, group)
 	offer.Request.RequestId = 7
--- a/internal/frontend/native/nodehealth.go
+++ b/internal/frontend/native/nodehealth.go
@@ -27,8 +27,8 @@
 
 // check sends a health check to a node. The check fails immediately if the node is not connected.
 func (h *healthChecker) check(id placement.NodeID) {
-	n, known := h.nodes.get(id)
-	if !known || !n.connected() {
+	n, listed := h.nodes.get(id)
+	if !listed || !n.connected() {
 		h.checks.FailUnsent(id)
 		return
 	}
--- a/internal/frontend/native/nodereplies_test.go
+++ b/internal/frontend/native/nodereplies_test.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-func TestOfferReply_OfUnknownBind_Ignored(t *testing.T) {
+func TestOfferReply_UnknownBind_Ignored(t *testing.T) {
 	harness := newHarness(t)
 	offeredConn := harness.startNode(1)
 	otherNodeConn := harness.startNode(2)
--- a/internal/frontend/native/nodesender.go
+++ b/internal/frontend/native/nodesender.go
@@ -15,8 +15,8 @@
 
 // send sends a frame, and reports whether the node is connected.
 func (s *nodeSender) send(id placement.NodeID, frame *pb.Frame) bool {
-	n, known := s.nodes.get(id)
-	if !known || !n.connected() {
+	n, listed := s.nodes.get(id)
+	if !listed || !n.connected() {
 		return false
 	}
 	s.network.Send(n.session.conn, frame)
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -76,13 +76,13 @@
 	n.session.failures++
 	dials := n.session.dials
 	s.host.Schedule(now+delay, func(now placement.Millis) {
-		if current, known := s.nodes.get(n.id); known && current == n && n.session.dials == dials {
+		if current, listed := s.nodes.get(n.id); listed && current == n && n.session.dials == dials {
 			s.dial(now, n)
 		}
 	})
 }
 
-// reportNodeLost ends the workloads of a node that was removed.
+// reportNodeLost reports a removed node to the engine, which ends its workloads.
 func (s *nodeSessions) reportNodeLost(now placement.Millis, n *node) {
 	s.reportEnds(endInterrupted, func() { s.host.Engine().NodeLost(now, n.id) })
 }
--- a/internal/frontend/native/nodesessions_test.go
+++ b/internal/frontend/native/nodesessions_test.go
@@ -16,19 +16,19 @@
 	nodeConn := harness.startNode(1)
 	harness.setDraining(nodeConn, true)
 	harness.setDraining(nodeConn, true)
-	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning) // older than what the node reported
+	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning) // older than the node's report
 	harness.request(1, idempotent)
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, harness.verdicts())
 	harness.setDraining(nodeConn, false)
 	harness.request(2, idempotent)
 	offer := harness.offer(nodeConn)
-	// It drains before it replies to the offer, and rejects it.
+	// The node drains before it replies to the offer, and rejects it.
 	harness.setDraining(nodeConn, true)
 	harness.rejectOffer(nodeConn, offer.Bind, pb.Reason_WRONG_NODE)
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, harness.verdicts())
 }
 
-// The end of the connection takes nothing back: only the node does, at its next hello or by a restart.
+// The end of the connection does not clear a node's draining report. Only the node's next hello or a restart does.
 func TestNode_DrainingAndDisconnected_DrainsUntilHelloOrRestart(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -44,7 +44,7 @@
 	assert.Equal(t, placement.Ready, harness.firstNode().state())
 }
 
-// A restarted node says so in its hello, before the discovery service does. Nothing is offered to it until it is
+// A node's hello reports a restart before the discovery service does. No offers are sent to the node until it is
 // connected.
 func TestNode_Restarted_HelloCountsBeforeDiscovery(t *testing.T) {
 	harness := newHarness(t)
@@ -57,26 +57,26 @@
 	nodeConn = harness.connectNode(1, nodeIncarnation+1, 0)
 	assert.Empty(t, harness.network.takeSent(nodeConn)[1:])
 	assert.InDelta(t, float64(harness.now), float64(harness.firstNode().entry.StartedAt), 0)
-	// A late update about the incarnation before does not undo it.
+	// A late update for the previous incarnation has no effect.
 	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation, longRunning)
 	assert.Equal(t, placement.Ready, harness.firstNode().entry.State)
 	assert.InDelta(t, float64(harness.now), float64(harness.firstNode().entry.StartedAt), 0)
-	// Nor does it when the connection has ended again: found by a search, where a late update undid a drain.
+	// Neither does it have one after the connection has ended: a search found a late update that undid a drain.
 	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation+1, longRunning)
 	harness.closeConn(nodeConn, errReset)
 	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
 	assert.Equal(t, placement.Draining, harness.firstNode().entry.State)
 }
 
-// Each failed dial set a timer for the next, and updates of the node dialed it besides: each such dial began a
-// series of retries of its own. An unreachable node that was updated every 200 ms was dialed ever more often.
+// Guards against an increasing dial rate for an unreachable node: each update of the node dials it, and each failed
+// dial schedules a retry. If these retries run in parallel, updates every 200 ms increase their number without limit.
 func TestNode_UpdatedWhileUnreachable_DialedInOneSeries(t *testing.T) {
 	harness := newHarness(t)
 	first := harness.countDials(60e3)
 	harness.countDials(600e3)
 	last := harness.countDials(60e3)
-	assert.LessOrEqual(t, first, 330, "one for each update, and those of the series")
-	assert.LessOrEqual(t, last, 330, "no more after minutes")
+	assert.LessOrEqual(t, first, 330, "one dial for each update, and one series of retries")
+	assert.LessOrEqual(t, last, 330, "the dial rate does not increase over minutes")
 }
 
 // countDials updates node 1 every 200 ms and refuses its connections, for the given duration. It returns the number of
@@ -96,7 +96,7 @@
 	return int(h.network.lastID - before)
 }
 
-func TestNode_NotConnectedInTime_DialedAgain(t *testing.T) {
+func TestNode_ConnectTimeout_DialedAgain(t *testing.T) {
 	harness := newHarness(t)
 	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
 	first := harness.network.dialed[nodeAddress(1)]
@@ -108,7 +108,7 @@
 	assert.NotEqual(t, first, harness.network.dialed[nodeAddress(1)])
 }
 
-func TestNode_AnotherNodeAtItsAddress_Disconnected(t *testing.T) {
+func TestNode_OtherNodeAtAddress_Disconnected(t *testing.T) {
 	harness := newHarness(t)
 	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
 	conn := harness.network.dialed[nodeAddress(1)]
@@ -134,6 +134,6 @@
 	harness.receive(nodeConn, &pb.Frame{Body: &pb.Frame_HealthReply{HealthReply: &pb.HealthReply{Id: check.Id}}})
 	assert.Zero(t, harness.healthChecks.checks.Len())
 	harness.healthChecks.check(2)
-	assert.Zero(t, harness.healthChecks.checks.Len(), "an unknown node fails it at once")
+	assert.Zero(t, harness.healthChecks.checks.Len(), "the check of an unlisted node fails immediately")
 	assert.Equal(t, 1, harness.host.DeferredCalls())
 }
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -43,7 +43,7 @@
 }
 
 // search returns the index of the node in sorted, or its insertion index if it is not there.
-func (t *nodeTable) search(id placement.NodeID) (index int, known bool) {
+func (t *nodeTable) search(id placement.NodeID) (index int, found bool) {
 	return slices.BinarySearchFunc(t.sorted, id, func(n *node, id placement.NodeID) int {
 		return cmp.Compare(n.id, id)
 	})
@@ -54,8 +54,8 @@
 
 // get returns the node with the id, if it is in the table.
 func (t *nodeTable) get(id placement.NodeID) (*node, bool) {
-	i, known := t.search(id)
-	if !known {
+	i, found := t.search(id)
+	if !found {
 		return nil, false
 	}
 	return t.sorted[i], true
@@ -63,7 +63,7 @@
 
 // incarnation returns a node's incarnation, or 0 if the node is not in the table.
 func (t *nodeTable) incarnation(id placement.NodeID) uint64 {
-	if n, known := t.get(id); known {
+	if n, found := t.get(id); found {
 		return n.incarnation
 	}
 	return 0
@@ -72,8 +72,8 @@
 // getOrAdd returns the node with the id. A new node gets the start time that it had before its removal, if its
 // incarnation is unchanged. ok is false if the node is new and the table is full.
 func (t *nodeTable) getOrAdd(id placement.NodeID, incarnation uint64) (n *node, ok bool) {
-	i, known := t.search(id)
-	if known {
+	i, found := t.search(id)
+	if found {
 		return t.sorted[i], true
 	}
 	if len(t.sorted) >= maxNodes {
@@ -112,12 +112,12 @@
 
 // markUnlistedRemoved sets the state of the nodes that are missing from a snapshot to removed.
 func (t *nodeTable) markUnlistedRemoved(snapshot []*pb.NodeEntry) {
-	named := make(map[placement.NodeID]bool, len(snapshot))
+	listed := make(map[placement.NodeID]bool, len(snapshot))
 	for _, e := range snapshot {
-		named[placement.NodeID(e.Id)] = true
+		listed[placement.NodeID(e.Id)] = true
 	}
 	for _, n := range t.sorted {
-		if !named[n.id] {
+		if !listed[n.id] {
 			n.entry.State = placement.Removed
 		}
 	}
--- a/internal/frontend/native/nodetable_test.go
+++ b/internal/frontend/native/nodetable_test.go
@@ -11,8 +11,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Cells were numbered by their names alone: rack 1 of one zone was rack 1 of another, and a workload that might run in
-// the one was offered again in the other, where its idempotency key is not known.
+// Guards against one number for cells with the same name, such as rack 1, in two zones. A workload that may run in the
+// cell of one zone would be offered again in the cell of the other, which does not deduplicate its idempotency key.
 func TestCells_SameNameInTwoZones_NumberedApart(t *testing.T) {
 	harness := newHarness(t)
 	harness.publishSnapshot(
@@ -25,7 +25,8 @@
 	assert.Equal(t, cell(1), cell(2))
 }
 
-// Cell numbers were never given back. After 65,536 cells they began anew, and two cells in use had the same number.
+// Guards against duplicate cell numbers: if numbers are not freed, the assignment wraps around after 65,536 cells, and
+// two cells in use have the same number.
 func TestCells_NumbersReused_NeverTwiceAtATime(t *testing.T) {
 	harness := newHarness(t)
 	const fleet = 50
@@ -35,7 +36,7 @@
 			cell := fmt.Sprint("cell-", generation, "-", i)
 			entries = append(entries, listEntry(uint32(generation*fleet+i+1), "z", cell))
 		}
-		for i := range 5 { // that stay
+		for i := range 5 { // listed in every generation
 			entries = append(entries, listEntry(uint32(1e6+i), "z", fmt.Sprint("stable-", i)))
 		}
 		harness.publishSnapshot(entries...)
@@ -47,7 +48,7 @@
 	}
 }
 
-// requireDistinctCells requires that no two cells of known nodes have the same number.
+// requireDistinctCells requires that no two cells of nodes in the table have the same number.
 func (h *testHarness) requireDistinctCells() {
 	h.t.Helper()
 	names := map[placement.CellID]string{}
@@ -59,8 +60,8 @@
 	}
 }
 
-// The placement module takes another start time for another start, after which nothing was sent to the node yet. The
-// delay of updates differs by some ms, so the start time is computed once.
+// Guards against an unused warm-up budget for a node that did not restart. The placement module treats a different
+// start time as a restart, and the delay of updates varies by some ms, so the start time is computed only once.
 func TestNode_RemovedAndListedAgain_KeepsStartTime(t *testing.T) {
 	harness := newHarness(t)
 	entry := listEntry(1, "z", "c")
@@ -80,7 +81,7 @@
 	assert.Len(t, harness.nodes.removedStarts, 1)
 	harness.setTime(20e3)
 	harness.publishSnapshot()
-	assert.Empty(t, harness.nodes.removedStarts, "it has warmed up by then")
+	assert.Empty(t, harness.nodes.removedStarts, "the node has warmed up")
 }
 
 func TestNodes_BeyondMaximum_Unused(t *testing.T) {
--- a/internal/frontend/native/numbering.go
+++ b/internal/frontend/native/numbering.go
@@ -20,8 +20,8 @@
 
 // number returns the number of a name, and assigns one if the name has none.
 func (n *numbering[T]) number(name string) T {
-	number, known := n.byName[name]
-	if known {
+	number, assigned := n.byName[name]
+	if assigned {
 		return number
 	}
 	for n.used[n.next] {
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -27,25 +27,25 @@
 // there and that are not listed have ended. Listed workloads that the engine has not placed there are adopted or
 // stopped.
 func (r *reconciler) reconcile(now placement.Millis, n *node, reported []*pb.RunningWorkload) {
-	named := map[bindRef]bool{}
-	var unknown []*pb.RunningWorkload
+	listed := map[bindRef]bool{}
+	var unplaced []*pb.RunningWorkload
 	for _, running := range reported {
 		offer := running.GetOffer()
 		w, bind, found := r.workloads.findByBind(n.id, offer.GetBind())
 		switch {
 		case found && r.host.Engine().IsPlaced(w.id, bind):
-			named[bindRef{w.id, bind}] = true
+			listed[bindRef{w.id, bind}] = true
 			r.resendLost(n, w, running)
 		case offer.GetBind() != nil && offer.Request != nil:
-			unknown = append(unknown, running)
+			unplaced = append(unplaced, running)
 		}
 	}
 	r.reportEnds(endInterrupted, func() {
 		r.host.Engine().ReconcileNode(now, n.id, func(id placement.WorkloadID, bind int) bool {
-			return named[bindRef{id, bind}]
+			return listed[bindRef{id, bind}]
 		})
 	})
-	for _, running := range unknown {
+	for _, running := range unplaced {
 		r.adoptOrStop(now, n, running)
 	}
 }
--- a/internal/frontend/native/reconcile_test.go
+++ b/internal/frontend/native/reconcile_test.go
@@ -15,8 +15,8 @@
 	nodeConn := harness.startNode(1, runningOf(offer))
 	assert.Equal(t, 1, harness.WorkloadCount())
 	harness.request(78, atMostOnce, func(request *pb.PlaceRequest) { request.Key = offer.Request.Key })
-	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, harness.verdicts(), "it runs already")
-	// Named again at the next connection, it is the same one. Withdrawn, it is stopped by the bind that its node knows.
+	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, harness.verdicts(), "the key is in use")
+	// The next hello lists the same workload. A withdrawal stops it by its bind id on the node.
 	harness.closeConn(nodeConn, errReset)
 	nodeConn = harness.reconnectNode(runningOf(offer))
 	assert.Equal(t, 1, harness.WorkloadCount())
@@ -26,7 +26,7 @@
 	assert.Zero(t, harness.WorkloadCount())
 }
 
-// A stop can be lost with the connection that it was sent on.
+// A stop can be lost with its connection. It is sent again after the node's next hello.
 func TestReconcile_StopLostWithConnection_Repeated(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -40,8 +40,9 @@
 	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 }
 
-// A workload was withdrawn before its node's reply, and its stop was lost with the connection. An at-most-once one that
-// its node named again was adopted, since it may have had an effect, and ran to its end for no client.
+// Guards against the adoption of withdrawn workloads. A workload is withdrawn before the node's reply, and its stop is
+// lost with the connection. If the node's next hello lists it, it must be stopped, even if it is at-most-once and may
+// have had an effect: otherwise it would run to its end without a client.
 func TestReconcile_WithdrawnWorkload_Stopped(t *testing.T) {
 	for _, group := range []string{atMostOnce, idempotent} {
 		t.Run(group, func(t *testing.T) {
--- a/internal/frontend/native/requesthistory.go
+++ b/internal/frontend/native/requesthistory.go
@@ -23,7 +23,7 @@
 
 // add records the end of a request. A withdrawal is never overwritten.
 func (h *requestHistory) add(request uint64, end requestEnd) {
-	before, known := h.ended[request]
+	before, recorded := h.ended[request]
 	if h.ended == nil {
 		h.ended = map[uint64]requestEnd{}
 	}
@@ -31,7 +31,7 @@
 		end = requestWithdrawn
 	}
 	h.ended[request] = end
-	if known {
+	if recorded {
 		return
 	}
 	if len(h.order) < maxHistory {
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -117,20 +117,20 @@
 
 // answerReason returns the reason why a workload was not placed, or "" if it was placed.
 func (h *requestHandler) answerReason(w *workload, v allocator.Verdict) string {
-	known := h.nodes.count()
+	nodeCount := h.nodes.count()
 	switch {
 	case v == allocator.Placed:
 		return ""
 	case v == allocator.Unschedulable:
 		return reasonMayHaveRun
-	case known == 0:
+	case nodeCount == 0:
 		return reasonNoNodes
 	case !h.catalog.fitsSomeKind(w.request):
 		return reasonTooLarge
 	case len(w.bindNodes) > 0:
 		return fmt.Sprintf("no node is feasible after %d binds", len(w.bindNodes))
 	}
-	return fmt.Sprintf("none of %d nodes is feasible", known)
+	return fmt.Sprintf("none of %d nodes is feasible", nodeCount)
 }
 
 // withdrawRequest handles a client's withdrawal. A request that is received after its withdrawal has no effect.
--- a/internal/frontend/native/requests_test.go
+++ b/internal/frontend/native/requests_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, map[uint64]pb.Verdict{2: pb.Verdict_REJECTED}, harness.verdicts())
 }
 
-// rejectionReasons returns the reasons of the rejections that the client was sent since the last call, in order.
+// rejectionReasons returns the reasons of the rejections sent to the client since the last call, in order.
 func (h *testHarness) rejectionReasons() []string {
 	h.t.Helper()
 	var reasons []string
@@ -36,7 +36,7 @@
 	return reasons
 }
 
-func TestRequest_NoNodeKnown_RejectedAtTimeout(t *testing.T) {
+func TestRequest_NoNodeListed_RejectedAtTimeout(t *testing.T) {
 	harness := newHarness(t)
 	harness.request(1, idempotent, func(request *pb.PlaceRequest) { request.PendingTimeoutMs = 10 })
 	harness.advanceTo(2000)
@@ -94,7 +94,7 @@
 	assert.Equal(t, 1, harness.Pending())
 }
 
-// Frames that waited while the process was stopped are older than they look.
+// Frames that were queued during a stall of the process are older than their receive time indicates.
 func TestRequest_AfterProcessStall_HasLessTimeLeft(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -104,8 +104,8 @@
 	assert.InDelta(t, 3000-answerMargin, harness.offer(nodeConn).AcceptWithinMs, 1)
 }
 
-// A process without anything to do did not notice a stall of 60 ms, and took a request that had waited through it for a
-// new one: its answer was sent 2 ms after its client's timeout. Found by a search.
+// Guards against undetected stalls of an idle process. A search found that a request that was queued during a stall of
+// 60 ms counted as new, and was answered 2 ms after its client's timeout.
 func TestRequest_AfterShortStallWhileIdle_HasLessTimeLeft(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -117,8 +117,8 @@
 	assert.Greater(t, acceptWithin, 6000.0-answerMargin-100)
 }
 
-// A request that arrived again after its answer was answered twice; one that arrived after its withdrawal was
-// placed for no client. Both need a network, or a client, that repeats or reorders what it sends.
+// Guards against answering a request twice, if it is received again after its answer, and against placing a request
+// that is received after its withdrawal. A network or client that duplicates or reorders frames causes both.
 func TestRequest_RepeatedAfterAnswerOrWithdrawal_Ignored(t *testing.T) {
 	harness := newHarness(t)
 	harness.request(1, "unknown")
@@ -129,14 +129,14 @@
 	harness.request(2, atMostOnce)
 	assert.Empty(t, harness.verdicts())
 	assert.EqualValues(t, 2, harness.Counters.DuplicateRequests)
-	// Another connection is another session: a client that starts anew may number its requests from 1 again.
+	// A new connection is a new session: a restarted client may number its requests from 1 again.
 	harness.closeConn(clientConn, errClosed)
 	harness.connectClient(clientConn, clientName)
 	harness.request(1, "unknown")
 	assert.Equal(t, map[uint64]pb.Verdict{1: pb.Verdict_REJECTED}, harness.verdicts())
 }
 
-func TestRequestHistory_Full_ForgetsOldest(t *testing.T) {
+func TestRequestHistory_Full_DropsOldest(t *testing.T) {
 	history := &requestHistory{}
 	for request := range uint64(3 * maxHistory) {
 		history.add(request, requestAnswered)
@@ -147,7 +147,7 @@
 	assert.NotContains(t, history.ended, uint64(2*maxHistory-1))
 }
 
-// Only a request that was longer in transit than the quickest frame of its session in the last minute was delayed.
+// A request counts as delayed only if its transit time exceeds the shortest one of its session in the last minute.
 func TestRequest_DelayedByNetwork_HasLessTimeLeft(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -158,11 +158,11 @@
 		acceptWithinMs float64
 		reason         string
 	}{
-		{1000, 5000, undelayed, "the first of its connection"},
+		{1000, 5000, undelayed, "first frame of its session"},
 		{2000, 5700, undelayed - 300, "300 ms later than the first"},
-		{3000, 7000, undelayed, "as quick as the first"},
-		{3000, 0, undelayed, "its client sends no time"},
-		{4000 + transitWindow, 7900, undelayed, "no earlier frame to compare it with any more"},
+		{3000, 7000, undelayed, "same transit time as the first"},
+		{3000, 0, undelayed, "no send time"},
+		{4000 + transitWindow, 7900, undelayed, "all earlier frames are older than transitWindow"},
 	} {
 		if test.receivedAt > harness.now {
 			harness.advanceTo(test.receivedAt)
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestTransitTimes_Full_ForgetsOldest(t *testing.T) {
+func TestTransitTimes_Full_DropsOldest(t *testing.T) {
 	transit := &transitTimes{}
 	for range 2 * maxTransitTimes {
 		transit.observe(4000, 8000)
@@ -180,8 +180,8 @@
 	assert.Len(t, *transit, maxTransitTimes)
 }
 
-func TestRequest_KeyKnownToJournal_AnsweredAtOnce(t *testing.T) {
-	known := recovery.Bind{
+func TestRequest_KeyInJournal_AnsweredImmediately(t *testing.T) {
+	recovered := recovery.Bind{
 		Key:         101,
 		Group:       atMostOnce,
 		Incarnation: allocatorIncarnation - 1,
@@ -189,13 +189,13 @@
 	}
 	harness := newHarness(t, func(c *Config) {
 		c.Journal = &fakeJournal{}
-		c.RecoveredBinds = []recovery.Bind{known}
+		c.RecoveredBinds = []recovery.Bind{recovered}
 		c.MaxDurableKeys = 1
 	})
 	harness.startNode(1)
 	harness.request(1, atMostOnce)
 	harness.request(2, atMostOnce)
-	harness.requestGang(3, func(request *pb.GangRequest) { request.Parts[1].Key = known.Key })
+	harness.requestGang(3, func(request *pb.GangRequest) { request.Parts[1].Key = recovered.Key })
 	answers := harness.answers()
 	require.Len(t, answers, 3)
 	assert.Equal(t, pb.Verdict_UNSCHEDULABLE, answers[0].Verdict)
@@ -208,7 +208,7 @@
 	assert.Zero(t, harness.WorkloadCount())
 }
 
-func TestRequest_UnknownFrameOfClient_Refused(t *testing.T) {
+func TestRequest_UnexpectedFrameOfClient_Refused(t *testing.T) {
 	harness := newHarness(t)
 	harness.receive(clientConn, healthCheck())
 	assert.True(t, harness.network.closed[clientConn])
--- a/internal/frontend/native/status.go
+++ b/internal/frontend/native/status.go
@@ -89,20 +89,20 @@
 }
 
 // workloadStateOf returns a workload's entry in the answer to a query.
-func workloadStateOf(now placement.Millis, held *workload) *pb.WorkloadState {
+func workloadStateOf(now placement.Millis, w *workload) *pb.WorkloadState {
 	return &pb.WorkloadState{
-		Workload:  uint64(held.id),
-		Client:    held.client,
-		RequestId: held.request.RequestId,
-		Key:       held.request.Key,
-		Service:   held.request.Service,
-		Group:     held.request.Group,
-		Cores:     held.request.Cores,
-		Memory:    held.request.Memory,
-		Binds:     uint32(len(held.bindNodes)),
-		SinceMs:   float64(now - held.receivedAt),
-		State:     held.state.String(),
-		Node:      uint32(held.lastNode()),
+		Workload:  uint64(w.id),
+		Client:    w.client,
+		RequestId: w.request.RequestId,
+		Key:       w.request.Key,
+		Service:   w.request.Service,
+		Group:     w.request.Group,
+		Cores:     w.request.Cores,
+		Memory:    w.request.Memory,
+		Binds:     uint32(len(w.bindNodes)),
+		SinceMs:   float64(now - w.receivedAt),
+		State:     w.state.String(),
+		Node:      uint32(w.lastNode()),
 	}
 }
 
@@ -130,22 +130,22 @@
 }
 
 // gangStatusOf returns a gang's entry in the answer to a query.
-func gangStatusOf(now placement.Millis, held *gangRequest) *pb.GangStatus {
+func gangStatusOf(now placement.Millis, g *gangRequest) *pb.GangStatus {
 	shown := &pb.GangStatus{
-		Client:    held.id.client,
-		RequestId: held.id.request,
-		State:     held.stateName(),
-		Parts:     uint32(len(held.parts)),
-		MinParts:  held.request.MinParts,
-		SinceMs:   float64(now - held.receivedAt),
+		Client:    g.id.client,
+		RequestId: g.id.request,
+		State:     g.stateName(),
+		Parts:     uint32(len(g.parts)),
+		MinParts:  g.request.MinParts,
+		SinceMs:   float64(now - g.receivedAt),
 	}
-	for _, id := range held.parts {
+	for _, id := range g.parts {
 		shown.Workloads = append(shown.Workloads, uint64(id))
 	}
-	if held.recovering() {
+	if g.recovering() {
 		return shown
 	}
-	shown.Attempts = uint32(held.machine.Attempts())
-	shown.Running = uint32(held.machine.CountParts(gang.PartRunning))
+	shown.Attempts = uint32(g.machine.Attempts())
+	shown.Running = uint32(g.machine.CountParts(gang.PartRunning))
 	return shown
 }
--- a/internal/frontend/native/trace_test.go
+++ b/internal/frontend/native/trace_test.go
@@ -11,7 +11,7 @@
 	"grebeglade/trace"
 )
 
-// fakeSink counts the records of a trace by what they hold.
+// fakeSink counts the records of a trace by kind.
 type fakeSink map[string]int
 
 func (s fakeSink) Put(records []*trace.Record) {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestTrace_RecordsWhatHappensAroundThePlacementModule(t *testing.T) {
+func TestTrace_RecordsEventsOutsidePlacementModule(t *testing.T) {
 	sink := fakeSink{}
 	harness := newHarness(t, func(c *Config) { c.Trace = sink })
 	nodeConn := harness.startNode(1)
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -46,7 +46,7 @@
 // count returns the number of workloads that the engine holds.
 func (t *workloadTable) count() int { return len(t.byID) }
 
-// get returns the workload of that id, if the engine holds it.
+// get returns the workload with the id, if the engine holds it.
 func (t *workloadTable) get(id placement.WorkloadID) (*workload, bool) {
 	w, ok := t.byID[id]
 	return w, ok
@@ -56,13 +56,13 @@
 // engine passes no id after the Forget that removes the workload.
 func (t *workloadTable) existing(id placement.WorkloadID) *workload { return t.byID[id] }
 
-// hasKey reports whether a workload of that idempotency key is held.
+// hasKey reports whether the table has a workload with the idempotency key.
 func (t *workloadTable) hasKey(key uint64) bool {
 	_, ok := t.byKey[key]
 	return ok
 }
 
-// hasRequest reports whether a workload of that request is held.
+// hasRequest reports whether the table has the workload of a request.
 func (t *workloadTable) hasRequest(id requestID) bool {
 	_, ok := t.byRequest[id]
 	return ok
@@ -162,11 +162,11 @@
 	w.state = to
 }
 
-// ofClient returns a client's workloads for which wanted returns true, in the order of their ids.
-func (t *workloadTable) ofClient(client string, wanted func(*workload) bool) []*workload {
+// ofClient returns a client's workloads for which match returns true, in the order of their ids.
+func (t *workloadTable) ofClient(client string, match func(*workload) bool) []*workload {
 	var found []*workload
 	for _, w := range t.byID {
-		if w.client == client && wanted(w) {
+		if w.client == client && match(w) {
 			found = append(found, w)
 		}
 	}
--- a/internal/frontend/native/workloadtable_test.go
+++ b/internal/frontend/native/workloadtable_test.go
@@ -24,7 +24,7 @@
 	} {
 		assert.Equal(t, after, before.afterWithdrawal(), before)
 		assert.True(t, after.withdrawn())
-		assert.Equal(t, before.accepted(), after.accepted(), "a withdrawal does not change where it was placed")
+		assert.Equal(t, before.accepted(), after.accepted(), "a withdrawal does not change the acceptance")
 	}
 }
 
@@ -57,6 +57,6 @@
 	harness.workloads.ids = frontend.WorkloadIDsAfter(math.MaxUint32 - 1)
 	harness.closeConn(nodeConn, errReset)
 	harness.reconnectNode(runningOf(earlierOffer(1, idempotent)), runningOf(earlierOffer(2, idempotent)))
-	assert.EqualValues(t, uint32(math.MaxUint32), harness.workloads.ids.Last(), "the id 0 is never given out")
+	assert.EqualValues(t, uint32(math.MaxUint32), harness.workloads.ids.Last(), "the id 0 is never assigned")
 	assert.Equal(t, 1, harness.WorkloadCount())
 }
