--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -67,7 +67,7 @@
 }
 
 // requestDelay returns how much of a request's timeout had elapsed when it was received, in ms: the larger of the
-// estimated network delay and the last stall of this process. It must be called once per request, since the session
+// estimated network delay and a recent stall of this process. It must be called once per request, since the session
 // records the transit time.
 func (s *clientSessions) requestDelay(
 	now placement.Millis, session *clientSession, sentMs float64,
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -108,7 +108,7 @@
 type updateKind uint8
 
 const (
-	updateFailed      updateKind = iota // the poll failed; the update has no entries
+	updateFailed      updateKind = iota // the poll failed: no information about the nodes
 	updateWithoutBase                   // a delta of another epoch, whose base revision was not received
 	updateOutdated                      // older than the last one
 	updateUnchanged                     // a delta without changes, which shows that the subscription is alive
--- a/internal/frontend/native/endcause.go
+++ b/internal/frontend/native/endcause.go
@@ -26,7 +26,7 @@
 // each of them before the call returns.
 //
 // The cause is passed to NotifyEnded in the environment and not through the engine, since no placement decision depends
-// on it. Calls cannot be nested, since Actions must not call the engine.
+// on it, and the event alone determines it. Calls cannot be nested, since Actions must not call the engine.
 func (e *environment) reportEnds(cause endCause, call func()) {
 	e.endCause = cause
 	call()
