--- a/internal/frontend/native/clients_test.go
+++ b/internal/frontend/native/clients_test.go
@@ -17,13 +17,13 @@
 	harness.request(2, idempotent)
 	harness.offer(nodeConn)
 	harness.closeConn(clientConn, errReset)
-	assert.Equal(t, uint64(1), harness.Counters.Withdrawn, "no answer can be sent for what was pending")
+	assert.Equal(t, uint64(1), harness.Counters.Withdrawn, "no answer can be sent to a pending request")
 	harness.openConn(otherConn)
 	harness.receive(otherConn, clientHello(clientName))
-	running := harness.network.take(otherConn)[0].GetHello().RunningWorkloads
+	running := harness.network.takeSent(otherConn)[0].GetHello().RunningWorkloads
 	require.Len(t, running, 1)
 	assert.Equal(t, uint64(1), running[0].Offer.Request.RequestId)
 	harness.listNode(1, pb.NodeEntry_REMOVED, nodeIncarnation, longRunning)
 	harness.closeConn(nodeConn, errReset)
-	assert.Equal(t, pb.Reason_LOST, harness.network.take(otherConn)[0].GetWorkloadEnded().Reason)
+	assert.Equal(t, pb.Reason_LOST, harness.network.takeSent(otherConn)[0].GetWorkloadEnded().Reason)
 }
--- a/internal/frontend/native/fakenetwork_test.go
+++ b/internal/frontend/native/fakenetwork_test.go
@@ -7,7 +7,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNetwork is a transport.FrameNetwork that only records.
+// fakeNetwork is a transport.FrameNetwork that records its calls.
 type fakeNetwork struct {
 	now    placement.Millis
 	dialed map[string]transport.ConnID // the last connection to each address
@@ -40,14 +40,14 @@
 func (n *fakeNetwork) WakeAt(at placement.Millis)  { n.wakeAt = at }
 func (n *fakeNetwork) Now() placement.Millis       { return n.now }
 
-// take returns what was sent on a connection since the last call.
-func (n *fakeNetwork) take(conn transport.ConnID) []*pb.Frame {
+// takeSent returns what was sent on a connection since the last call.
+func (n *fakeNetwork) takeSent(conn transport.ConnID) []*pb.Frame {
 	sent := n.sent[conn]
 	delete(n.sent, conn)
 	return sent
 }
 
-// fakeJournal is a BindJournal whose binds are durable when the test calls done.
+// fakeJournal is a BindJournal that records the done callbacks for the test to call.
 type fakeJournal struct {
 	done []func(now placement.Millis, err error)
 }
--- a/internal/frontend/native/reconcile_test.go
+++ b/internal/frontend/native/reconcile_test.go
@@ -15,18 +15,18 @@
 	nodeConn := harness.startNode(1, runningOf(offer))
 	assert.Equal(t, 1, harness.WorkloadCount())
 	harness.request(78, atMostOnce, func(request *pb.PlaceRequest) { request.Key = offer.Request.Key })
-	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, harness.verdicts(), "it runs already")
-	// Named again at the next connection, it is the same one. Withdrawn, it is stopped by the bind that its node knows.
+	assert.Equal(t, map[uint64]pb.Verdict{78: pb.Verdict_REJECTED}, harness.verdicts(), "the key is in use")
+	// The next hello lists the same workload. A withdrawal stops it by its bind id on the node.
 	harness.closeConn(nodeConn, errReset)
 	nodeConn = harness.reconnectNode(runningOf(offer))
 	assert.Equal(t, 1, harness.WorkloadCount())
 	harness.withdraw(offer.Request.RequestId)
-	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 	harness.endWorkload(nodeConn, offer.Bind, pb.Reason_STOPPED)
 	assert.Zero(t, harness.WorkloadCount())
 }
 
-// A stop can be lost with the connection that it was sent on.
+// A stop can be lost with its connection. It is sent again after the node's next hello.
 func TestReconcile_StopLostWithConnection_Repeated(t *testing.T) {
 	harness := newHarness(t)
 	nodeConn := harness.startNode(1)
@@ -34,14 +34,15 @@
 	offer := harness.offer(nodeConn)
 	harness.acceptOffer(nodeConn, offer.Bind)
 	harness.withdraw(1)
-	assert.NotNil(t, harness.network.take(nodeConn)[0].GetStop())
+	assert.NotNil(t, harness.network.takeSent(nodeConn)[0].GetStop())
 	harness.closeConn(nodeConn, errReset)
 	nodeConn = harness.reconnectNode(&pb.RunningWorkload{Offer: offer})
-	assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+	assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 }
 
-// A workload was withdrawn before its node's reply, and its stop was lost with the connection. An at-most-once one that
-// its node named again was adopted, since it may have had an effect, and ran to its end for no client.
+// Guards against the adoption of withdrawn workloads. A workload is withdrawn before the node's reply, and its stop is
+// lost with the connection. If the node's next hello lists it, it must be stopped, even if it is at-most-once and may
+// have had an effect: otherwise it would run to its end without a client.
 func TestReconcile_WithdrawnWorkload_Stopped(t *testing.T) {
 	for _, group := range []string{atMostOnce, idempotent} {
 		t.Run(group, func(t *testing.T) {
@@ -52,7 +53,7 @@
 			harness.withdraw(1)
 			harness.closeConn(nodeConn, errReset)
 			nodeConn = harness.reconnectNode(runningOf(offer))
-			assert.Equal(t, offer.Bind, harness.network.take(nodeConn)[1].GetStop().GetBind())
+			assert.Equal(t, offer.Bind, harness.network.takeSent(nodeConn)[1].GetStop().GetBind())
 			assert.Zero(t, harness.WorkloadCount())
 		})
 	}
