--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -11,17 +11,17 @@
 	"grebeglade/trace/tracepb"
 )
 
-// MinKeySize is how many bytes a key must have at least: a shorter one can be found by trying.
+// MinKeySize is the minimum size of a key in bytes. A shorter key can be found by trying all of them.
 const MinKeySize = 16
 
-// Anonymiser replaces what identifies someone or something by pseudonyms. Under one key the same name has the same
-// pseudonym in every file. Without the key pseudonyms can neither be undone nor tried out, and neither their order nor
-// their size says anything. An Anonymiser is for use by one goroutine.
+// Anonymiser replaces ids and texts that identify someone or something by pseudonyms. Under the same key, an id or text
+// has the same pseudonym in every file. Without the key, pseudonyms can neither be reversed nor matched against guessed
+// originals, and their order and size reveal nothing. An Anonymiser is for use by one goroutine.
 type Anonymiser struct {
 	Coarse bool // round amounts to powers of two
 
 	key       []byte
-	roundKeys map[string]*[feistelRounds]roundKey // by domain
+	roundKeys map[string]*[feistelRounds]roundKey // derived from key, by domain
 }
 
 // NewAnonymiser returns an anonymiser with a key of MinKeySize bytes or more.
@@ -33,12 +33,12 @@
 	return &Anonymiser{key: key, roundKeys: map[string]*[feistelRounds]roundKey{}}, nil
 }
 
-// Anonymise writes an anonymised copy of a file and closes the writer. Blocks and index are built again; damaged parts
-// are omitted.
+// Anonymise writes anonymised copies of a file's records and closes the writer. Blocks and index are rebuilt; damaged
+// parts are omitted.
 func Anonymise(reader *Reader, writer *Writer, anonymiser *Anonymiser) error {
 	for record, err := range reader.Records(Span{}) {
 		if errors.As(err, new(DamageError)) {
-			continue // what cannot be read is not copied
+			continue // damaged parts are omitted
 		}
 		if err != nil {
 			return err
@@ -58,88 +58,88 @@
 func (a *Anonymiser) Header(h *tracepb.Header) (*tracepb.Header, error) {
 	anonymous := proto.CloneOf(h)
 	anonymous.Anonymised = true
-	return anonymous, a.message(anonymous.ProtoReflect())
+	return anonymous, a.anonymiseMessage(anonymous.ProtoReflect())
 }
 
 // Record returns an anonymised copy of a record.
 func (a *Anonymiser) Record(r *Record) (*Record, error) {
 	anonymous := proto.CloneOf(r)
-	return anonymous, a.message(anonymous.ProtoReflect())
+	return anonymous, a.anonymiseMessage(anonymous.ProtoReflect())
 }
 
-// message replaces the fields of a message in place.
-func (a *Anonymiser) message(message protoreflect.Message) error {
+// anonymiseMessage replaces the field values of a message in place, and removes unknown fields.
+func (a *Anonymiser) anonymiseMessage(message protoreflect.Message) error {
 	message.SetUnknown(nil)
-	var failed error
+	var firstError error
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		if field.Message() != nil {
-			failed = a.nested(field, value)
+			firstError = a.anonymiseNested(field, value)
 		} else {
-			failed = a.field(message, field, value)
+			firstError = a.anonymiseScalar(message, field, value)
 		}
-		return failed == nil
+		return firstError == nil
 	})
-	return failed
+	return firstError
 }
 
-// nested replaces the fields of the message in a field, or of each message in a list of them.
-func (a *Anonymiser) nested(field protoreflect.FieldDescriptor, value protoreflect.Value) error {
+// anonymiseNested anonymises the message in a field, or each message if the field is a list.
+func (a *Anonymiser) anonymiseNested(field protoreflect.FieldDescriptor, value protoreflect.Value) error {
 	if !field.IsList() {
-		return a.message(value.Message())
+		return a.anonymiseMessage(value.Message())
 	}
 	list := value.List()
 	for i := range list.Len() {
-		if err := a.message(list.Get(i).Message()); err != nil {
+		if err := a.anonymiseMessage(list.Get(i).Message()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// field replaces the value of a field that is no message, or each value if it is a list.
-func (a *Anonymiser) field(
+// anonymiseScalar replaces the value of a field that is not a message, or each value if the field is a list.
+func (a *Anonymiser) anonymiseScalar(
 	message protoreflect.Message, field protoreflect.FieldDescriptor, value protoreflect.Value,
 ) error {
 	name := string(message.Descriptor().Name()) + "." + string(field.Name())
-	how, known := treatments[name]
-	if !known {
-		return fmt.Errorf("field %s cannot be anonymised: there is no treatment for it", name)
+	treatment, found := treatments[name]
+	if !found {
+		return fmt.Errorf("field %s cannot be anonymised: no treatment is defined for it", name)
 	}
 	if !field.IsList() {
-		message.Set(field, a.value(how, field, value))
+		message.Set(field, a.anonymisedValue(treatment, field, value))
 		return nil
 	}
 	list := value.List()
 	for i := range list.Len() {
-		list.Set(i, a.value(how, field, list.Get(i)))
+		list.Set(i, a.anonymisedValue(treatment, field, list.Get(i)))
 	}
 	return nil
 }
 
-// value returns what replaces a value of a field.
-func (a *Anonymiser) value(
-	how treatment, field protoreflect.FieldDescriptor, value protoreflect.Value,
+// anonymisedValue returns the replacement for a value of a field.
+func (a *Anonymiser) anonymisedValue(
+	treatment treatment, field protoreflect.FieldDescriptor, value protoreflect.Value,
 ) protoreflect.Value {
-	switch how.action {
-	case keep:
+	switch treatment.action {
+	case keepValue:
 		return value
-	case id:
-		return a.idValue(how.domain, field, value)
-	case text:
+	case replaceID:
+		return a.idPseudonym(treatment.domain, field, value)
+	case replaceText:
 		return protoreflect.ValueOfString(a.Text(value.String()))
-	case amount:
+	case roundAmount:
 		if !a.Coarse {
 			return value
 		}
 		return protoreflect.ValueOfFloat64(roundToPowerOfTwo(value.Float()))
-	case wipe:
+	case clearValue:
 		return field.Default()
 	}
-	return value // there is no other action
+	return value // not reached: all actions are handled above
 }
 
-// idValue returns the pseudonym of an id, in the type of its field.
-func (a *Anonymiser) idValue(
+// idPseudonym returns the pseudonym of an id as a value of the field's type.
+func (a *Anonymiser) idPseudonym(
 	domain string, field protoreflect.FieldDescriptor, value protoreflect.Value,
 ) protoreflect.Value {
 	pseudonym := a.ID(domain, value.Uint(), idBits[domain])
@@ -149,7 +149,8 @@
 	return protoreflect.ValueOfUint64(pseudonym)
 }
 
-// roundToPowerOfTwo returns the nearest power of two, with the sign of v.
+// roundToPowerOfTwo returns the power of two nearest to v on a logarithmic scale, with the sign of v. Zero, NaN and
+// infinities stay unchanged.
 func roundToPowerOfTwo(v float64) float64 {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return v
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -16,7 +16,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// testKey is a key of a permitted length.
+// testKey is a key of at least MinKeySize bytes.
 var testKey = []byte("a key of sixteen bytes or more")
 
 func newAnonymiser(t *testing.T, key []byte) *Anonymiser {
@@ -26,13 +26,13 @@
 	return anonymiser
 }
 
-// identifiers collects the identifiers that a trace is made with.
+// identifiers collects the identifiers put into a trace.
 type identifiers struct {
 	words []string
 	ids   []uint64
 }
 
-// text returns a text with a word that identifies someone.
+// text returns a text that contains an identifying word, and collects the word.
 func (i *identifiers) text(word string) string {
 	i.words = append(i.words, word)
 	return "farmer " + word + " of field 12"
@@ -45,46 +45,46 @@
 
 func (i *identifiers) id32(number uint32) uint32 { return uint32(i.id(uint64(number))) }
 
-// identifyingTrace returns a trace with an identifier in every field that can hold one, and the identifiers.
-func identifyingTrace() (*tracepb.Header, []*Record, *identifiers) {
-	made := &identifiers{}
+// traceWithIdentifiers returns a trace with an identifier in every field that can hold one, and the identifiers.
+func traceWithIdentifiers() (*tracepb.Header, []*Record, *identifiers) {
+	inserted := &identifiers{}
 	source := &tracepb.Source{
-		Allocator:   made.text("Lindqvist"),
-		Incarnation: made.id(0x1122334455667788),
+		Allocator:   inserted.text("Lindqvist"),
+		Incarnation: inserted.id(0x1122334455667788),
 		WallMs:      5,
 	}
 	workload := &tracepb.Workload{
-		Id:      made.id32(0x71829304),
-		Service: made.id(0xa1b2c3d4e5f60718),
+		Id:      inserted.id32(0x71829304),
+		Service: inserted.id(0xa1b2c3d4e5f60718),
 		Cores:   3.3,
 	}
-	records := append(identifyingCalls(made, source, workload), identifyingEvents(made, workload)...)
+	records := append(callsWithIdentifiers(inserted, source, workload), eventsWithIdentifiers(inserted, workload)...)
 	for i, record := range records {
 		record.Revision = uint64(i + 1)
 	}
-	return &tracepb.Header{Sources: []*tracepb.Source{source}, Tool: "grebeglade"}, records, made
+	return &tracepb.Header{Sources: []*tracepb.Source{source}, Tool: "grebeglade"}, records, inserted
 }
 
-// identifyingCalls returns the start of a source, and calls of its placement module with what they returned.
-func identifyingCalls(made *identifiers, source *tracepb.Source, workload *tracepb.Workload) []*Record {
+// callsWithIdentifiers returns the Start record of a source, and calls to its placement module with their results.
+func callsWithIdentifiers(inserted *identifiers, source *tracepb.Source, workload *tracepb.Workload) []*Record {
 	start := &tracepb.Start{
 		Source:   source,
-		Seed:     made.id(0xfeedfacecafebeef),
-		Groups:   []string{made.text("Berg")},
-		Kinds:    []string{made.text("Dal")},
-		Zones:    []string{made.text("Holm")},
+		Seed:     inserted.id(0xfeedfacecafebeef),
+		Groups:   []string{inserted.text("Berg")},
+		Kinds:    []string{inserted.text("Dal")},
+		Zones:    []string{inserted.text("Holm")},
 		Settings: &tracepb.Settings{Zone: 51234, NodeKinds: []*tracepb.NodeKind{{Cores: 3.3}}},
 	}
-	step := &tracepb.Step{Node: made.id32(0x61524334)}
-	adopted := &tracepb.Adopt{Workload: workload, Node: made.id32(0x61524335)}
+	step := &tracepb.Step{Node: inserted.id32(0x61524334)}
+	adopted := &tracepb.Adopt{Workload: workload, Node: inserted.id32(0x61524335)}
 	node := &tracepb.Node{
-		Id:   made.id32(0x61524336),
+		Id:   inserted.id32(0x61524336),
 		Cell: 61111,
 		Zone: 62222,
 	}
 	maintenance := &tracepb.Maintenance{
-		Migrations:   []uint32{made.id32(0x61524337)},
-		HealthChecks: []uint32{made.id32(0x61524338)},
+		Migrations:   []uint32{inserted.id32(0x61524337)},
+		HealthChecks: []uint32{inserted.id32(0x61524338)},
 	}
 	updated := &tracepb.NodesUpdated{Nodes: []*tracepb.Node{node}}
 	return []*Record{
@@ -96,38 +96,38 @@
 	}
 }
 
-// identifyingEvents returns the records of what happens around the calls.
-func identifyingEvents(made *identifiers, workload *tracepb.Workload) []*Record {
+// eventsWithIdentifiers returns records that are not calls to the placement module.
+func eventsWithIdentifiers(inserted *identifiers, workload *tracepb.Workload) []*Record {
 	received := &tracepb.RequestReceived{
 		Workload:  workload.Id,
-		Client:    made.text("Ek"),
-		RequestId: made.id(0x0102030405060709),
-		Key:       made.id(0x1f2e3d4c5b6a7988),
+		Client:    inserted.text("Ek"),
+		RequestId: inserted.id(0x0102030405060709),
+		Key:       inserted.id(0x1f2e3d4c5b6a7988),
 	}
 	rejected := &tracepb.OfferRejected{
 		Workload: workload.Id,
-		Node:     made.id32(0x61524339),
-		Text:     made.text("Sand"),
+		Node:     inserted.id32(0x61524339),
+		Text:     inserted.text("Sand"),
 	}
 	answered := &tracepb.RequestAnswered{
 		Workload: workload.Id,
-		Node:     made.id32(0x6152433a),
-		Text:     made.text("Lund"),
+		Node:     inserted.id32(0x6152433a),
+		Text:     inserted.text("Lund"),
 	}
 	updated := &tracepb.DiscoveryUpdated{
-		Epoch:    made.id(0x2a3b4c5d6e7f8091),
-		Revision: made.id(0x2a3b4c5d6e7f8092),
+		Epoch:    inserted.id(0x2a3b4c5d6e7f8091),
+		Revision: inserted.id(0x2a3b4c5d6e7f8092),
 	}
 	return []*Record{
 		{Body: &tracepb.Record_RequestReceived{RequestReceived: received}},
 		{Body: &tracepb.Record_OfferRejected{OfferRejected: rejected}},
 		{Body: &tracepb.Record_RequestAnswered{RequestAnswered: answered}},
 		{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: updated}},
-		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Reason: made.text("Strand")}}},
+		{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 3, Reason: inserted.text("Strand")}}},
 	}
 }
 
-// anonymise returns a reader of an anonymised copy, with rounded amounts, and the copy's bytes.
+// anonymise returns a reader of an anonymised copy with rounded amounts, and the encoded copy.
 func anonymise(t *testing.T, header *tracepb.Header, records []*Record) (*Reader, []byte) {
 	t.Helper()
 	anonymiser := newAnonymiser(t, testKey)
@@ -142,7 +142,7 @@
 	return newReader(t, out.Bytes()), out.Bytes()
 }
 
-// decompressed returns everything in a file that is not compressed: header, blocks and index.
+// decompressed returns the header and the decompressed records of a file.
 func decompressed(t *testing.T, reader *Reader, encoded []byte) []byte {
 	t.Helper()
 	raw := slices.Clone(encoded[:reader.blocks[0].Offset])
@@ -154,7 +154,7 @@
 	return raw
 }
 
-// encodings returns the forms in which a number may be found in a file.
+// encodings returns the encodings in which a number could occur in a file.
 func encodings(number uint64) [][]byte {
 	littleEndian := binary.LittleEndian.AppendUint64(nil, number)
 	bigEndian := binary.BigEndian.AppendUint64(nil, number)
@@ -173,36 +173,37 @@
 	}
 }
 
-func TestAnonymise_LeavesNoIdentifier(t *testing.T) {
-	header, records, made := identifyingTrace()
+func TestAnonymise_RemovesAllIdentifiers(t *testing.T) {
+	header, records, inserted := traceWithIdentifiers()
 	reader, encoded := anonymise(t, header, records)
 	got, damaged := readAll(reader, Span{})
 	assert.Zero(t, damaged)
 	assert.Len(t, got, len(records))
 	raw := decompressed(t, reader, encoded)
-	for _, word := range made.words {
+	for _, word := range inserted.words {
 		assert.NotContains(t, string(raw), word)
 	}
-	for _, id := range made.ids {
+	for _, id := range inserted.ids {
 		for _, form := range encodings(id) {
 			assert.False(t, bytes.Contains(raw, form), "%x as %x", id, form)
 		}
 	}
 	scheduled := got[1].GetSchedule().Workload
-	assert.Equal(t, scheduled.Id, got[6].GetOfferRejected().Workload, "the same name has the same pseudonym")
-	assert.InDelta(t, 4, scheduled.Cores, 0, "rounded")
+	assert.Equal(t, scheduled.Id, got[6].GetOfferRejected().Workload, "an id has the same pseudonym in every field")
+	assert.InDelta(t, 4, scheduled.Cores, 0, "3.3 rounded to a power of two")
 	assert.True(t, reader.Header.Anonymised)
 }
 
-func TestAnonymiser_PseudonymsDependOnTheKey(t *testing.T) {
+func TestAnonymiser_PseudonymsDependOnKey(t *testing.T) {
 	a := newAnonymiser(t, testKey)
 	other := newAnonymiser(t, []byte("another key of sixteen bytes"))
 	assert.NotEqual(t, a.ID("node", 5, 32), other.ID("node", 5, 32))
 	assert.NotEqual(t, a.Text("x"), other.Text("x"))
 }
 
-// Traces that were anonymised earlier must fit those of today under the same key.
-func TestAnonymiser_PseudonymsStayTheSame(t *testing.T) {
+// Guards against changes to the computation of pseudonyms: traces anonymised by different versions under the same key
+// must have the same pseudonyms.
+func TestAnonymiser_PseudonymsDoNotChange(t *testing.T) {
 	a := newAnonymiser(t, testKey)
 	assert.Equal(t, uint64(300663936), a.ID("node", 5, 32))
 	assert.Equal(t, uint64(12778), a.ID("cell", 7, 16))
@@ -215,7 +216,7 @@
 	require.ErrorContains(t, err, "must have 16 or more")
 }
 
-func TestAnonymiserID_IsPermutationWithoutOrder(t *testing.T) {
+func TestAnonymiserID_IsUnorderedPermutation(t *testing.T) {
 	const (
 		domain  = "cell"
 		bits    = 16
@@ -233,18 +234,18 @@
 		}
 	}
 	assert.Len(t, seen, numbers)
-	assert.InDelta(t, numbers/2, descending, 1<<10, "the order is random")
+	assert.InDelta(t, numbers/2, descending, 1<<10, "about half of the neighbours are in descending order")
 	assert.Zero(t, anonymiser.ID(domain, 0, bits))
 }
 
-// How a new field is anonymised must be decided before it is written.
+// Guards against a field that is added to the format without a treatment: anonymising its records would fail.
 func TestTreatments_CoverEveryField(t *testing.T) {
 	checked := map[protoreflect.FullName]bool{}
 	checkTreatments(t, (&Record{}).ProtoReflect().Descriptor(), checked)
 	checkTreatments(t, (&tracepb.Header{}).ProtoReflect().Descriptor(), checked)
 }
 
-// checkTreatments requires a treatment of each field of a message and of the messages within it.
+// checkTreatments checks that each field of a message and of its nested messages has a treatment.
 func checkTreatments(
 	t *testing.T, message protoreflect.MessageDescriptor, checked map[protoreflect.FullName]bool,
 ) {
@@ -259,10 +260,10 @@
 			checkTreatments(t, field.Message(), checked)
 			continue
 		}
-		treatment, known := treatments[string(message.Name())+"."+string(field.Name())]
-		assert.True(t, known, field.FullName())
+		treatment, found := treatments[string(message.Name())+"."+string(field.Name())]
+		assert.True(t, found, field.FullName())
 		if field.Kind() == protoreflect.StringKind && field.Name() != "tool" && field.Name() != "state" {
-			assert.Equal(t, text, treatment.action, field.FullName())
+			assert.Equal(t, replaceText, treatment.action, field.FullName())
 		}
 	}
 }
--- a/trace/block.go
+++ b/trace/block.go
@@ -11,21 +11,21 @@
 	"grebeglade/trace/tracepb"
 )
 
-// blockHeader precedes the compressed bytes of a block. The times and revisions are the least and the greatest of its
-// records.
+// blockHeader precedes the compressed contents of a block. The first and last times and revisions are the minimum and
+// maximum over its records.
 type blockHeader struct {
 	kind               uint32
-	packedSize         uint32 // of the compressed bytes
-	rawSize            uint32 // of the uncompressed bytes
-	records            uint32
-	compressedChecksum uint32
-	firstMs            float64 // Unix time
-	lastMs             float64 // Unix time
+	compressedSize     uint32  // size of the compressed contents in bytes
+	uncompressedSize   uint32  // size of the uncompressed contents in bytes
+	records            uint32  // number of records
+	compressedChecksum uint32  // checksum of the compressed contents
+	firstMs            float64 // Unix time in milliseconds
+	lastMs             float64 // Unix time in milliseconds
 	firstRevision      uint64
 	lastRevision       uint64
 }
 
-// include extends the ranges of times and revisions by a record.
+// include counts a record and extends the ranges of times and revisions to it.
 func (h *blockHeader) include(unixMs float64, revision uint64) {
 	if h.records == 0 {
 		h.firstMs = unixMs
@@ -40,7 +40,7 @@
 	h.records++
 }
 
-// indexEntry returns the index's entry of a block at an offset.
+// indexEntry returns the index entry of the block, which begins at the given offset of the file.
 func (h *blockHeader) indexEntry(offset int64) *tracepb.Block {
 	return &tracepb.Block{
 		Offset:        uint64(offset),
@@ -52,17 +52,17 @@
 	}
 }
 
-// size returns the bytes of the whole block.
-func (h *blockHeader) size() int64 { return blockHeaderSize + int64(h.packedSize) }
+// size returns the size of the block in bytes, including the header.
+func (h *blockHeader) size() int64 { return blockHeaderSize + int64(h.compressedSize) }
 
-// encode returns the header's bytes, as docs/trace-format.md lays them out.
+// encode returns the header in the layout that docs/trace-format.md specifies.
 func (h *blockHeader) encode() []byte {
 	order := binary.LittleEndian
 	encoded := make([]byte, 0, blockHeaderSize)
 	encoded = order.AppendUint32(encoded, blockMagic)
 	encoded = order.AppendUint32(encoded, h.kind)
-	encoded = order.AppendUint32(encoded, h.packedSize)
-	encoded = order.AppendUint32(encoded, h.rawSize)
+	encoded = order.AppendUint32(encoded, h.compressedSize)
+	encoded = order.AppendUint32(encoded, h.uncompressedSize)
 	encoded = order.AppendUint32(encoded, h.records)
 	encoded = order.AppendUint32(encoded, h.compressedChecksum)
 	encoded = order.AppendUint64(encoded, math.Float64bits(h.firstMs))
@@ -84,8 +84,8 @@
 	}
 	header := blockHeader{
 		kind:               order.Uint32(b[4:]),
-		packedSize:         order.Uint32(b[8:]),
-		rawSize:            order.Uint32(b[12:]),
+		compressedSize:     order.Uint32(b[8:]),
+		uncompressedSize:   order.Uint32(b[12:]),
 		records:            order.Uint32(b[16:]),
 		compressedChecksum: order.Uint32(b[20:]),
 		firstMs:            math.Float64frombits(order.Uint64(b[24:])),
@@ -93,7 +93,7 @@
 		firstRevision:      order.Uint64(b[40:]),
 		lastRevision:       order.Uint64(b[48:]),
 	}
-	if size := max(header.rawSize, header.packedSize); size > maxBlockSize {
+	if size := max(header.uncompressedSize, header.compressedSize); size > maxBlockSize {
 		return blockHeader{}, SizeError{
 			Part:  "a block",
 			Size:  int(size),
@@ -103,17 +103,18 @@
 	return header, nil
 }
 
-// decompress checks and decompresses a block's bytes. It reuses the memory of into.
-func (h *blockHeader) decompress(decoder *zstd.Decoder, packed, into []byte) ([]byte, error) {
-	if checksum(packed) != h.compressedChecksum {
+// decompress verifies the checksum of a block's compressed contents and decompresses them. It reuses the memory of
+// buffer.
+func (h *blockHeader) decompress(decoder *zstd.Decoder, compressed, buffer []byte) ([]byte, error) {
+	if checksum(compressed) != h.compressedChecksum {
 		return nil, errors.New("the checksum of the block does not match")
 	}
-	raw, err := decoder.DecodeAll(packed, into[:0])
+	raw, err := decoder.DecodeAll(compressed, buffer[:0])
 	if err != nil {
 		return nil, fmt.Errorf("the block cannot be decompressed: %w", err)
 	}
-	if len(raw) != int(h.rawSize) {
-		return nil, fmt.Errorf("the block holds %d bytes, not %d", len(raw), h.rawSize)
+	if len(raw) != int(h.uncompressedSize) {
+		return nil, fmt.Errorf("the block holds %d bytes, not %d", len(raw), h.uncompressedSize)
 	}
 	return raw, nil
 }
--- a/trace/clocks.go
+++ b/trace/clocks.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxClockDifference is how far apart, in milliseconds, two allocators may receive the same revision of the node
-	// list before their clocks are said to differ: pushes and polls alone take some hundred.
-	maxClockDifference = 1000
-	millisPerSecond    = 1000
+	// maxClockDifferenceMs is how much the times at which two allocators receive the same revision of the node list may
+	// differ before a clock difference is reported. Push and poll delays alone reach some hundred milliseconds.
+	maxClockDifferenceMs = 1000
+	millisPerSecond      = 1000
 )
 
-// receptionTimes are the Unix times, in milliseconds, at which each source first received each revision of the node
-// list. Sources are given by their places in a header.
-type receptionTimes map[uint32]map[listRevision]float64
+// receptionTimes holds the Unix time, in milliseconds, at which each source first received each revision of the node
+// list. The key is the source's index in the merged header.
+type receptionTimes map[uint32]map[nodeListRevision]float64
 
-// add records that a source has received a revision, unless it had received it before.
-func (t receptionTimes) add(source uint32, revision listRevision, unixMs float64) {
+// add stores the time at which a source first received a revision. Later times are ignored.
+func (t receptionTimes) add(source uint32, revision nodeListRevision, unixMs float64) {
 	received := t[source]
 	if received == nil {
-		received = map[listRevision]float64{}
+		received = map[nodeListRevision]float64{}
 		t[source] = received
 	}
 	if received[revision] == 0 {
@@ -32,24 +32,24 @@
 	}
 }
 
-// clockDifferences describes the clocks that differ: between sources, by when they received the same revisions of the
-// node list, and between incarnations of one allocator, by when they started.
+// clockDifferences describes clock differences: between sources, from the times at which they received the same
+// revisions of the node list, and between incarnations of one allocator, from their start times.
 func clockDifferences(header *tracepb.Header, received receptionTimes) []string {
-	return append(differencesBetweenSources(header, received), clocksSetBack(header)...)
+	return append(sourceClockDifferences(header, received), backwardClockSteps(header)...)
 }
 
-// differencesBetweenSources compares each source with the first one.
-func differencesBetweenSources(header *tracepb.Header, received receptionTimes) []string {
+// sourceClockDifferences describes the clock difference between the first source and each of the others.
+func sourceClockDifferences(header *tracepb.Header, received receptionTimes) []string {
 	found := []string{}
 	sources := slices.Sorted(maps.Keys(received))
 	for _, source := range sources[min(1, len(sources)):] {
 		reference := sources[0]
-		differences := timeDifferences(received[source], received[reference])
+		differences := receptionDelays(received[source], received[reference])
 		if len(differences) == 0 {
 			continue
 		}
 		median := differences[len(differences)/2]
-		if math.Abs(median) <= maxClockDifference {
+		if math.Abs(median) <= maxClockDifferenceMs {
 			continue
 		}
 		found = append(found, fmt.Sprintf("%s receives the same revisions of the node list %s than %s (median of %d)",
@@ -61,7 +61,7 @@
 	return found
 }
 
-// describeDifference returns a difference of times in words, as in "5.0 s later".
+// describeDifference formats a time difference, as in "5.0 s later".
 func describeDifference(ms float64) string {
 	direction := "earlier"
 	if ms > 0 {
@@ -70,8 +70,9 @@
 	return fmt.Sprintf("%.1f s %s", math.Abs(ms)/millisPerSecond, direction)
 }
 
-// timeDifferences returns how much later x received the revisions that both received, sorted.
-func timeDifferences(x, y map[listRevision]float64) []float64 {
+// receptionDelays returns how much later x received each revision than y, in milliseconds and ascending, for the
+// revisions that both received.
+func receptionDelays(x, y map[nodeListRevision]float64) []float64 {
 	var differences []float64
 	for revision, at := range x {
 		if other, both := y[revision]; both {
@@ -82,8 +83,9 @@
 	return differences
 }
 
-// clocksSetBack describes later incarnations whose clock was behind that of an earlier one at its start.
-func clocksSetBack(header *tracepb.Header) []string {
+// backwardClockSteps describes incarnations that started at an earlier clock time than a previous incarnation of their
+// allocator.
+func backwardClockSteps(header *tracepb.Header) []string {
 	if header.Anonymised {
 		return nil // pseudonyms of incarnations have no order
 	}
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -1,7 +1,7 @@
 package trace
 
-// Cut copies the records of a span, and before them the start of each source, which defines the groups, node kinds and
-// zones that they refer to. It closes the writer.
+// Cut copies the records within a span and closes the writer. The first record of each source is preceded by the
+// source's Start record, which defines the groups, node kinds and zones that its records refer to.
 func Cut(reader *Reader, writer *Writer, span Span) error {
 	started := map[uint32]bool{}
 	for record, err := range reader.Records(span) {
@@ -21,7 +21,8 @@
 	return writer.Close()
 }
 
-// copyStart copies the start of the source of its first record in a span, unless that is the start itself.
+// copyStart copies the Start record of a source, given the source's first record within the span. It copies nothing if
+// that is the Start record itself.
 func copyStart(reader *Reader, writer *Writer, first *Record) error {
 	if first.GetStart() != nil {
 		return nil
@@ -33,7 +34,7 @@
 	return writer.Append(start)
 }
 
-// start returns a source's start, nil if the file lacks it.
+// start returns the Start record of a source, nil if the source's first record in the file is another one.
 func (r *Reader) start(source uint32) (*Record, error) {
 	for record, err := range r.Records(Span{}) {
 		if err != nil {
--- a/trace/directory.go
+++ b/trace/directory.go
@@ -9,16 +9,17 @@
 	"grebeglade/trace/tracepb"
 )
 
-// FileExtension ends the names of trace files.
+// FileExtension is the file name extension of trace files.
 const FileExtension = ".gbt"
 
 // File is a trace file in a directory.
 type File struct {
-	Name string // with the path of the directory
+	Name string // path, including the directory
 	Size int64  // in bytes
 }
 
-// ListFiles returns the trace files of a directory in the order of writing. A directory that cannot be read has none.
+// ListFiles returns the trace files in a directory sorted by name, which within one allocator is the order of writing.
+// It returns none if the directory cannot be read.
 func ListFiles(dir string) []File {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("%s-%020d-%06d%s", strings.Map(fileNameRune, s.Allocator), s.Incarnation, n, FileExtension)
 }
 
-// fileNameRune returns the character itself if every file system allows it, otherwise an underscore.
+// fileNameRune returns the character itself if every file system allows it in names, otherwise an underscore.
 func fileNameRune(c rune) rune {
 	const allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 	if strings.ContainsRune(allowed, c) {
--- a/trace/errors.go
+++ b/trace/errors.go
@@ -6,15 +6,15 @@
 )
 
 var (
-	// ErrEmpty means that the file lacks even a header, as after a crash right after its creation.
+	// ErrEmpty means that the file has no header, for example after a crash right after its creation.
 	ErrEmpty = errors.New("the file is empty")
-	// ErrNotTrace means that the file is something else.
+	// ErrNotTrace means that the file does not begin with the magic of a trace file.
 	ErrNotTrace = errors.New("not a trace file")
-	// ErrClosed means that a writer was used after Close.
-	ErrClosed = errors.New("the trace is closed")
+	// ErrClosed means that a Writer was used after Close.
+	ErrClosed = errors.New("the trace writer is closed")
 )
 
-// VersionError means that a file has a later major version than this package reads.
+// VersionError means that a file has a later major version than this package can read.
 type VersionError struct {
 	Major uint16
 	Minor uint16
@@ -27,9 +27,9 @@
 
 // DamageError means that a part of a file cannot be read.
 type DamageError struct {
-	Offset      int64  // of the part in the file
-	LostRecords uint64 // 0 if unknown
-	Problem     string // what is wrong with the part
+	Offset      int64  // position of the part in the file, in bytes
+	LostRecords uint64 // number of records in the part, 0 if unknown
+	Problem     string // description of the damage
 }
 
 func (e DamageError) Error() string {
@@ -41,7 +41,7 @@
 
 // SizeError means that a part of a trace is larger than the format allows.
 type SizeError struct {
-	Part  string // such as "a record"
+	Part  string // name of the part, such as "a record"
 	Size  int    // in bytes
 	Limit int    // in bytes
 }
--- a/trace/export.go
+++ b/trace/export.go
@@ -9,14 +9,14 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Row is one decision as Parquet holds it: a step that the module returned, and the call that it came from. It has a
-// field for each column.
+// Row is the Parquet row of one decision: a step that the module returned, and the call that returned it. Each field is
+// a column.
 type Row struct {
 	AtUnixMs       float64 `parquet:"at_unix_ms"`
 	Allocator      string  `parquet:"allocator,dict"`
 	Incarnation    uint64  `parquet:"incarnation"`
 	Revision       uint64  `parquet:"revision"`
-	Call           string  `parquet:"call,dict"` // place, adopt, or the kind of the result
+	Call           string  `parquet:"call,dict"` // "place", "adopt", or the name of the result's kind
 	Reason         uint32  `parquet:"reason"`
 	Workload       uint32  `parquet:"workload"`
 	Client         string  `parquet:"owner,dict"`
@@ -40,7 +40,7 @@
 // Export writes one row for each decision to a Parquet file.
 func Export(files []*Reader, output io.Writer) (rows int, err error) {
 	batch := newRowBatch(output)
-	decisions := exporter{open: map[workloadKey]*Row{}, groups: map[SourceKey][]string{}}
+	decisions := exporter{lastRows: map[workloadKey]*Row{}, groups: map[SourceKey][]string{}}
 	for _, file := range files {
 		for record, err := range file.Records(Span{}) {
 			if err != nil {
@@ -59,7 +59,7 @@
 	return rows, batch.close()
 }
 
-// rowBatch collects rows, which Parquet writes in batches.
+// rowBatch collects rows and writes them to a Parquet file in batches.
 type rowBatch struct {
 	output *parquet.GenericWriter[Row]
 	rows   []Row
@@ -69,7 +69,7 @@
 	return &rowBatch{output: parquet.NewGenericWriter[Row](output, parquet.Compression(&parquet.Zstd))}
 }
 
-// add adds a row, and writes the batch if it is complete.
+// add adds a row, and writes the batch if it is full.
 func (b *rowBatch) add(row Row) error {
 	b.rows = append(b.rows, row)
 	if len(b.rows) < rowBatchSize {
@@ -80,13 +80,13 @@
 
 func (b *rowBatch) write() error {
 	if _, err := b.output.Write(b.rows); err != nil {
-		return fmt.Errorf("write rows of Parquet: %w", err)
+		return fmt.Errorf("write rows of the Parquet file: %w", err)
 	}
 	b.rows = b.rows[:0]
 	return nil
 }
 
-// close writes the remaining rows and the end of the file.
+// close writes the remaining rows and the footer of the file.
 func (b *rowBatch) close() error {
 	if err := b.write(); err != nil {
 		return err
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// exporter makes the rows of decisions. It follows each workload from its request to its end.
+// exporter builds the rows of decisions. It stores the last row of each workload from its request to its final step.
 type exporter struct {
-	open   map[workloadKey]*Row // the last row of each workload
-	groups map[SourceKey][]string
+	lastRows map[workloadKey]*Row   // last row of each workload without a final step
+	groups   map[SourceKey][]string // group names by number
 }
 
-// row returns the row of a record, false if the record is no decision.
+// row returns the row of a record, false if the record is not a decision.
 func (e *exporter) row(file *Reader, record *Record) (row Row, decided bool) {
 	source := KeyOf(file.source(record))
 	at := file.UnixMillis(record)
@@ -135,25 +135,25 @@
 	last.Node = record.Step.GetNode()
 	last.TimeoutMs = record.Step.GetTimeout()
 	if record.Step.GetKind() >= stepRejected {
-		delete(e.open, workloadKey{source, last.Workload})
+		delete(e.lastRows, workloadKey{source, last.Workload})
 	}
 	return *last, true
 }
 
-// workload returns the last row of a workload, a new one if there is none.
+// workload returns the last row of a workload, or adds a new one if there is none.
 func (e *exporter) workload(source SourceKey, id uint32) *Row {
 	key := workloadKey{source, id}
-	if e.open[key] == nil {
-		e.open[key] = &Row{
+	if e.lastRows[key] == nil {
+		e.lastRows[key] = &Row{
 			Allocator:   source.Allocator,
 			Incarnation: source.Incarnation,
 			Workload:    id,
 		}
 	}
-	return e.open[key]
+	return e.lastRows[key]
 }
 
-// request returns the row of a workload that was requested or adopted at a Unix time.
+// request returns the row of a workload that was requested or adopted at a Unix time in milliseconds.
 func (e *exporter) request(source SourceKey, workload *tracepb.Workload, call string, at float64) *Row {
 	row := e.workload(source, workload.GetId())
 	row.Service = workload.GetService()
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -11,10 +11,10 @@
 	"grebeglade/trace/tracepb"
 )
 
-const retryInterval = 2 * time.Second // after a failed write
+const retryInterval = 2 * time.Second // wait before a new file is opened after an error
 
-// fileSeries writes records into one file after the other, and removes the oldest ones. Records that cannot be written
-// are lost, and a Gap record says how many.
+// fileSeries writes records to a sequence of files, and removes the oldest files when all together exceed a limit.
+// Records that cannot be written are lost, and a Gap record reports their number.
 type fileSeries struct {
 	dir    string
 	source *tracepb.Source
@@ -22,12 +22,12 @@
 	log    *slog.Logger
 	create func(name string) (*os.File, error)
 
-	number  int       // of the last file
-	current *openFile // nil if there is none
-	retryAt time.Time // no file is opened before
+	number  int       // number of the last file
+	current *openFile // file being written, nil if there is none
+	retryAt time.Time // earliest time to open a file after an error
 
-	lost       uint64 // records that the next gap reports
-	lostReason string
+	lost       uint64 // number of lost records, not yet reported by a Gap record
+	lostReason string // reason of the latest loss
 }
 
 func newFileSeries(dir string, source *tracepb.Source, limits Limits, log *slog.Logger) *fileSeries {
@@ -40,7 +40,7 @@
 	}
 }
 
-// createFile creates a file. The error is os.ErrExist if there is one of that name.
+// createFile creates a file. The error wraps os.ErrExist if the file already exists.
 func createFile(name string) (*os.File, error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return file, nil
 }
 
-// write writes a batch, and finishes the file if it has reached a limit.
+// write writes a batch, and finishes the current file if it exceeds a limit.
 func (s *fileSeries) write(next batch) {
-	if next.missing > 0 {
-		s.lose(next.missing, reasonQueueFull)
+	if next.dropped > 0 {
+		s.countLost(next.dropped, gapReasonQueueFull)
 	}
 	for _, record := range next.records {
 		s.writeRecord(record)
@@ -62,22 +62,23 @@
 	}
 }
 
-// writeRecord appends a record, with a gap before it if others were lost.
+// writeRecord appends a record, preceded by a Gap record if earlier ones were lost. If that fails, the record counts as
+// lost.
 func (s *fileSeries) writeRecord(r *Record) {
 	if s.current == nil && !s.open() {
-		s.lose(1, s.lostReason)
+		s.countLost(1, s.lostReason)
 		return
 	}
-	if s.lost > 0 && s.append(s.gapBefore(r)) {
+	if s.lost > 0 && s.append(s.gapRecord(r)) {
 		s.lost = 0
 	}
 	if s.current == nil || !s.append(r) {
-		s.lose(1, s.lostReason)
+		s.countLost(1, s.lostReason)
 	}
 }
 
-// gapBefore returns the gap that reports the records lost before r.
-func (s *fileSeries) gapBefore(r *Record) *Record {
+// gapRecord returns the Gap record that reports the records lost before r.
+func (s *fileSeries) gapRecord(r *Record) *Record {
 	return &Record{
 		AtMs:     r.AtMs,
 		Revision: r.Revision - 1,
@@ -86,13 +87,13 @@
 	}
 }
 
-// lose counts records that are lost. The next gap has the reason of the last ones.
-func (s *fileSeries) lose(count uint64, reason string) {
+// countLost counts lost records. The next Gap record reports the reason of the latest loss.
+func (s *fileSeries) countLost(count uint64, reason string) {
 	s.lost += count
 	s.lostReason = reason
 }
 
-// append adds a record to the current file, and abandons the file if that fails.
+// append adds a record to the current file. If that fails, it abandons the file and returns false.
 func (s *fileSeries) append(r *Record) bool {
 	if err := s.current.append(r); err != nil {
 		s.abandon(err)
@@ -101,7 +102,7 @@
 	return true
 }
 
-// flush writes the appended records to the file, so that a kill of the process loses few.
+// flush writes the appended records to the file, so that few are lost if the process is killed.
 func (s *fileSeries) flush() {
 	if s.current == nil {
 		return
@@ -113,7 +114,7 @@
 	s.current.unflushed = 0
 }
 
-// finish ends the current file with its index.
+// finish writes the index of the current file, closes the file, and removes old files over the limit in total.
 func (s *fileSeries) finish() {
 	if s.current == nil {
 		return
@@ -129,11 +130,11 @@
 	s.prune()
 }
 
-// abandon closes the current file after an error. The records of its last block are lost; recording continues in a new
-// file once one can be created.
+// abandon closes the current file after an error. Its unflushed records are lost; recording continues in a new file
+// once one can be created.
 func (s *fileSeries) abandon(err error) {
 	s.log.Warn("trace not written", "dir", s.dir, "error", err)
-	s.lose(s.current.unflushed, err.Error())
+	s.countLost(s.current.unflushed, err.Error())
 	if err := s.current.file.Close(); err != nil {
 		s.log.Debug("trace file not closed", "dir", s.dir, "error", err)
 	}
@@ -141,13 +142,13 @@
 	s.retryAt = time.Now().Add(retryInterval)
 }
 
-// open opens the next file. It reports whether there is a current file now.
+// open opens the next file. It returns false if that fails or retryInterval has not passed since the last error.
 func (s *fileSeries) open() bool {
 	if time.Now().Before(s.retryAt) {
 		return false
 	}
 	s.prune()
-	current, err := s.openNext()
+	current, err := s.createNext()
 	if err != nil {
 		s.log.Warn("trace file not created", "dir", s.dir, "error", err)
 		s.lostReason = err.Error()
@@ -158,8 +159,8 @@
 	return true
 }
 
-// openNext creates the file with the next number that no file has.
-func (s *fileSeries) openNext() (*openFile, error) {
+// createNext creates a file with the next unused number.
+func (s *fileSeries) createNext() (*openFile, error) {
 	for {
 		s.number++
 		file, err := s.create(filepath.Join(s.dir, fileName(s.source, s.number)))
@@ -172,7 +173,7 @@
 	}
 }
 
-// prune removes the oldest files while the directory's files exceed the limit in total.
+// prune removes the oldest files while the directory's trace files together exceed TotalBytes.
 func (s *fileSeries) prune() {
 	if s.limits.TotalBytes <= 0 {
 		return
--- a/trace/header.go
+++ b/trace/header.go
@@ -7,7 +7,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// toolName is the program that a header names as the file's writer.
+// toolName is the value of Header.Tool in files that this program writes.
 const toolName = "grebeglade"
 
 // SourceKey identifies one incarnation of an allocator across files.
@@ -28,7 +28,7 @@
 	id     uint32
 }
 
-// CopyHeader returns a header for a file with records of another one.
+// CopyHeader returns a header for a file with records copied from a file with header h.
 func CopyHeader(h *tracepb.Header) *tracepb.Header {
 	return &tracepb.Header{
 		Sources:    h.Sources,
--- a/trace/helpers_test.go
+++ b/trace/helpers_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// placedRequest returns the request of a workload that was bound.
+// placedRequest returns the Schedule record of a workload that was bound to a node.
 func placedRequest(at float64, revision uint64, id uint32) *Record {
 	workload := &tracepb.Workload{
 		Id:      id,
@@ -34,7 +34,7 @@
 	}
 }
 
-// encodeFile returns a file with so many records in each block.
+// encodeFile returns an encoded file with perBlock records in each block.
 func encodeFile(t require.TestingT, h *tracepb.Header, records []*Record, perBlock int) []byte {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, h)
@@ -49,14 +49,14 @@
 	return b.Bytes()
 }
 
-// newReader returns a reader of a file's bytes.
+// newReader returns a reader of an encoded file.
 func newReader(t require.TestingT, b []byte) *Reader {
 	r, err := NewReader(bytes.NewReader(b), int64(len(b)))
 	require.NoError(t, err)
 	return r
 }
 
-// readAll returns the records that can be read, and the number of blocks that cannot.
+// readAll returns the readable records, and the number of damaged parts.
 func readAll(r *Reader, s Span) (records []*Record, damaged int) {
 	for record, err := range r.Records(s) {
 		if err != nil {
@@ -68,7 +68,7 @@
 	return records, damaged
 }
 
-// placedRequests returns requests, 10 ms apart, with revisions from 1.
+// placedRequests returns n Schedule records, 10 ms apart, with revisions from 1.
 func placedRequests(n int) (records []*Record) {
 	for i := range n {
 		records = append(records, placedRequest(float64(i*10), uint64(i+1), uint32(i+1)))
@@ -76,7 +76,7 @@
 	return records
 }
 
-// assertSameRecords compares records by what they hold, and in their order.
+// assertSameRecords checks that two lists have equal records in the same order.
 func assertSameRecords(t assert.TestingT, want, got []*Record) {
 	if assert.Len(t, got, len(want)) {
 		for i := range want {
@@ -85,14 +85,14 @@
 	}
 }
 
-// oneSource is the header of a file with the records of one allocator.
-var oneSource = headerOf(source("a", 1, 1e12))
+// testHeader is the header of a file with the records of one allocator.
+var testHeader = headerWithSource(source("a", 1, 1e12))
 
-func headerOf(source *tracepb.Source) *tracepb.Header {
+func headerWithSource(source *tracepb.Source) *tracepb.Header {
 	return &tracepb.Header{Sources: []*tracepb.Source{source}}
 }
 
-// randomRecord returns any record.
+// randomRecord returns a record of a random kind with random values.
 func randomRecord(t *rapid.T) *Record {
 	record := &Record{AtMs: rapid.Float64().Draw(t, "at"), Revision: rapid.Uint64().Draw(t, "revision")}
 	load := &tracepb.Load{SpareCores: rapid.Float64().Draw(t, "spare"), Backlog: rapid.Float64().Draw(t, "backlog")}
--- a/trace/kinds.go
+++ b/trace/kinds.go
@@ -1,8 +1,8 @@
 package trace
 
-// The numbers below equal those of packages placement and allocator, which this package does not import: they are a
-// part of the file format, and files of earlier versions must stay readable whatever the scheduler becomes. A new kind
-// is added at the end. A test of package replay fails if the two no longer agree.
+// The numbers below equal those of packages placement and allocator. This package does not import those: the numbers
+// are part of the file format, and files of earlier versions must stay readable even if the scheduler changes. New
+// kinds are added at the end. A test of package replay fails if the numbers differ.
 
 // Kinds of steps.
 const (
@@ -27,7 +27,7 @@
 	resultTimerFired
 )
 
-// Reasons for which nodes reject binds.
+// Reasons of nodes for rejecting binds.
 const (
 	reasonUnspecified = iota
 	reasonInsufficientCores
@@ -46,8 +46,8 @@
 	verdictUnschedulable
 )
 
-// The names below are those that "grebeglade trace" has always printed and exported, so that some of them differ from
-// the present names of what they stand for.
+// The names below are part of the output format of "grebeglade trace" and of exports and must not change. Some differ
+// from the names of the constants.
 var (
 	stepNames = []string{
 		stepBind:          "bind",
@@ -82,22 +82,21 @@
 	}
 )
 
-// StepName returns the name of a kind of step, or otherwise for one that a later version has added.
-func StepName(kind uint32, otherwise string) string { return nameOr(stepNames, kind, otherwise) }
+// StepName returns the name of a kind of step, or fallback for a kind added by a later version.
+func StepName(kind uint32, fallback string) string { return nameOr(stepNames, kind, fallback) }
 
-// ResultName returns the name of a kind of result, or otherwise for one that a later version has added.
-func ResultName(kind uint32, otherwise string) string { return nameOr(resultNames, kind, otherwise) }
+// ResultName returns the name of a kind of result, or fallback for a kind added by a later version.
+func ResultName(kind uint32, fallback string) string { return nameOr(resultNames, kind, fallback) }
 
-// RejectionName returns the name of the reason of a node's rejection, or otherwise for one that a later version has
-// added.
-func RejectionName(reason uint32, otherwise string) string {
-	return nameOr(rejectionNames, reason, otherwise)
+// RejectionName returns the name of a node's reason for a rejection, or fallback for a reason added by a later version.
+func RejectionName(reason uint32, fallback string) string {
+	return nameOr(rejectionNames, reason, fallback)
 }
 
-// nameOr returns the name of a number, or otherwise if it has none: a later version may have added kinds.
-func nameOr(names []string, number uint32, otherwise string) string {
+// nameOr returns the name of a number, or fallback for a number added by a later version.
+func nameOr(names []string, number uint32, fallback string) string {
 	if int(number) < len(names) {
 		return names[number]
 	}
-	return otherwise
+	return fallback
 }
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -10,15 +10,16 @@
 var ErrContradiction = errors.New(
 	"the files contradict each other: the order of time and the order of revisions cannot both hold")
 
-// MergeReport is what a merge found.
+// MergeReport is the outcome of a merge.
 type MergeReport struct {
-	Records    uint64   `json:"records"`
-	Duplicates uint64   `json:"duplicates"` // records that were in several files
-	Clocks     []string `json:"clocks"`     // allocators whose clocks differ
+	Records    uint64   `json:"records"`    // records written
+	Duplicates uint64   `json:"duplicates"` // records omitted because another file also has them
+	Clocks     []string `json:"clocks"`     // descriptions of clock differences
 }
 
-// Merge writes the records of several files into one: by time, and within an allocator always by incarnation and
-// revision, whatever its clock says. The function create makes the writer once the sources are known.
+// Merge writes the records of several files to one. Records are ordered by time; those of one allocator are always
+// ordered by incarnation and revision, even if its clock was set back. Merge calls create with the merged header to
+// obtain the writer, and closes the writer.
 func Merge(readers []*Reader, create func(*tracepb.Header) (*Writer, error)) (*MergeReport, error) {
 	merged, err := newMerger(readers)
 	if err != nil {
@@ -39,67 +40,67 @@
 	return report, writer.Close()
 }
 
-// merger merges files whose sources have places in one header.
+// merger merges files. Sources are identified by their index in the merged header.
 type merger struct {
-	header   *tracepb.Header
-	places   map[SourceKey]uint32 // of sources in the header
-	inputs   []*mergeInput
-	received receptionTimes
-	written  map[uint32]uint64 // greatest revision of each source
+	header        *tracepb.Header
+	sourceIndexes map[SourceKey]uint32 // index of each source in header
+	inputs        []*mergeInput
+	received      receptionTimes
+	lastWritten   map[uint32]uint64 // greatest written revision, by source
 }
 
-// listRevision identifies a state of the node list.
-type listRevision struct {
+// nodeListRevision identifies a version of the node list.
+type nodeListRevision struct {
 	epoch    uint64
 	revision uint64
 }
 
-// newMerger reads the files once, for what sources and revisions each has.
+// newMerger reads each file once to collect its sources, revisions and record counts.
 func newMerger(readers []*Reader) (*merger, error) {
 	merged := &merger{
-		header:   &tracepb.Header{Tool: toolName},
-		places:   map[SourceKey]uint32{},
-		received: receptionTimes{},
-		written:  map[uint32]uint64{},
+		header:        &tracepb.Header{Tool: toolName},
+		sourceIndexes: map[SourceKey]uint32{},
+		received:      receptionTimes{},
+		lastWritten:   map[uint32]uint64{},
 	}
 	for _, reader := range readers {
 		merged.header.Anonymised = merged.header.Anonymised || reader.Header.Anonymised
 		input := newMergeInput(reader)
 		merged.inputs = append(merged.inputs, input)
 		merged.addSources(input)
-		if err := merged.survey(input); err != nil {
+		if err := merged.collect(input); err != nil {
 			return nil, err
 		}
 	}
 	return merged, nil
 }
 
-// addSources gives the sources of a file places in the header.
+// addSources adds the sources of a file to the merged header and stores their indexes there.
 func (m *merger) addSources(input *mergeInput) {
 	for i, source := range input.reader.Header.Sources {
-		place, known := m.places[KeyOf(source)]
-		if !known {
-			place = uint32(len(m.header.Sources))
-			m.places[KeyOf(source)] = place
+		index, listed := m.sourceIndexes[KeyOf(source)]
+		if !listed {
+			index = uint32(len(m.header.Sources))
+			m.sourceIndexes[KeyOf(source)] = index
 			m.header.Sources = append(m.header.Sources, source)
 		}
-		input.places[uint32(i)] = place
+		input.sourceIndexes[uint32(i)] = index
 	}
 }
 
-// survey counts the records of a file, and takes the times at which revisions of the node list were received.
-func (m *merger) survey(input *mergeInput) error {
+// collect counts the records of a file and collects the times at which it received revisions of the node list.
+func (m *merger) collect(input *mergeInput) error {
 	for record, err := range input.reader.Records(Span{}) {
 		if err != nil {
 			return err
 		}
-		place, err := input.count(record)
+		index, err := input.count(record)
 		if err != nil {
 			return err
 		}
 		if updated := record.GetDiscoveryUpdated(); updated != nil {
-			revision := listRevision{updated.Epoch, updated.Revision}
-			m.received.add(place, revision, input.reader.UnixMillis(record))
+			revision := nodeListRevision{updated.Epoch, updated.Revision}
+			m.received.add(index, revision, input.reader.UnixMillis(record))
 		}
 	}
 	return nil
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// stop ends the reading of the files that were started.
+// stop stops the iterators of the files that were started.
 func (m *merger) stop() {
 	for _, input := range m.inputs {
 		if input.stop != nil {
@@ -124,9 +125,9 @@
 	}
 }
 
-// copyTo writes the records in their order.
+// copyTo writes the records in merged order and counts them in report.
 func (m *merger) copyTo(writer *Writer, report *MergeReport) error {
-	for input := m.first(); input != nil; input = m.first() {
+	for input := m.nextInput(); input != nil; input = m.nextInput() {
 		record := input.head
 		if m.isDuplicate(record) {
 			report.Duplicates++
@@ -134,7 +135,7 @@
 			if err := writer.Append(record); err != nil {
 				return err
 			}
-			m.written[record.Source] = record.Revision
+			m.lastWritten[record.Source] = record.Revision
 			report.Records++
 		}
 		if err := input.advance(); err != nil {
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// isDuplicate reports whether a record, or a later one of its source, has been written.
+// isDuplicate reports whether a record of the same source with the same or a greater revision has been written.
 func (m *merger) isDuplicate(record *Record) bool {
-	written, found := m.written[record.Source]
+	written, found := m.lastWritten[record.Source]
 	return found && record.Revision <= written
 }
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -22,7 +22,7 @@
 			total += records
 		}
 		order := rapid.Permutation(files).Draw(t, "order")
-		merged, report := merge(t, append(order, files[0])...) // one of them twice
+		merged, report := merge(t, append(order, files[0])...) // one file twice
 		got, _ := readAll(merged, Span{})
 		assert.Len(t, got, total)
 		assert.Equal(t, uint64(total), report.Records)
@@ -37,7 +37,7 @@
 	})
 }
 
-// randomFiles returns some files of one incarnation of an allocator, and how many records are in them.
+// randomFiles returns the files of one incarnation of an allocator, and the total number of their records.
 func randomFiles(t *rapid.T, allocator string) (files [][]byte, total int) {
 	wallMs := float64(rapid.IntRange(0, 3).Draw(t, "wall"))
 	at := 0.0
@@ -50,12 +50,12 @@
 			records = append(records, placedRequest(at, revision, uint32(revision)))
 		}
 		total += len(records)
-		files = append(files, encodeFile(t, headerOf(source(allocator, 1, wallMs)), records, 3))
+		files = append(files, encodeFile(t, headerWithSource(source(allocator, 1, wallMs)), records, 3))
 	}
 	return files, total
 }
 
-// merge returns a reader of files that were merged.
+// merge returns a reader of the merged file, and the report.
 func merge(t require.TestingT, files ...[]byte) (*Reader, *MergeReport) {
 	var readers []*Reader
 	for _, file := range files {
@@ -67,10 +67,11 @@
 	return newReader(t, out.Bytes()), report
 }
 
-// The clock of a machine may be set back between two incarnations of its allocator.
+// Guards against an order by clock time alone: the clock of a machine may be set back between two incarnations of its
+// allocator.
 func TestMerge_IncarnationsStayInOrderIfClockIsSetBack(t *testing.T) {
-	first := encodeFile(t, headerOf(source("a", 1, 5e6)), placedRequests(3), 2)
-	second := encodeFile(t, headerOf(source("a", 2, 1e6)), placedRequests(3), 2)
+	first := encodeFile(t, headerWithSource(source("a", 1, 5e6)), placedRequests(3), 2)
+	second := encodeFile(t, headerWithSource(source("a", 2, 1e6)), placedRequests(3), 2)
 	merged, report := merge(t, second, first)
 	got, _ := readAll(merged, Span{})
 	var incarnations []uint64
@@ -82,11 +83,11 @@
 }
 
 func TestMerge_ReportsClocksThatDiffer(t *testing.T) {
-	// received returns a file whose only record is the same revision of the node list.
+	// received returns a file whose only record is the reception of the node list's revision 5.
 	received := func(name string, wallMs float64) []byte {
 		updated := &tracepb.DiscoveryUpdated{Epoch: 1, Revision: 5}
 		record := &Record{Revision: 1, Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: updated}}
-		return encodeFile(t, headerOf(source(name, 1, wallMs)), []*Record{record}, 1)
+		return encodeFile(t, headerWithSource(source(name, 1, wallMs)), []*Record{record}, 1)
 	}
 	_, report := merge(t, received("a", 10e3), received("b", 15e3), received("c", 10.2e3))
 	const difference = "b.1 receives the same revisions of the node list 5.0 s later than a.1 (median of 1)"
--- a/trace/mergeinput.go
+++ b/trace/mergeinput.go
@@ -5,15 +5,15 @@
 	"iter"
 )
 
-// mergeInput is one file that is merged.
+// mergeInput is an input file of a merge. Sources are identified by their index in the merged header.
 type mergeInput struct {
-	reader    *Reader
-	next      func() (*Record, error, bool)
-	stop      func()                   // nil until start
-	head      *Record                  // the next record, nil at the end
-	places    map[uint32]uint32        // of its sources in the merged header
-	ranges    map[uint32]revisionRange // by place
-	remaining map[uint32]uint64        // records that are not taken yet, by place
+	reader        *Reader
+	next          func() (*Record, error, bool)
+	stop          func()                   // nil until start
+	head          *Record                  // the next record, nil at the end
+	sourceIndexes map[uint32]uint32        // index in the merged header, by index in the file's header
+	ranges        map[uint32]revisionRange // by source
+	remaining     map[uint32]uint64        // number of records not merged yet, by source
 }
 
 // revisionRange is the least and the greatest revision of a source in a file.
@@ -24,29 +24,29 @@
 
 func newMergeInput(reader *Reader) *mergeInput {
 	return &mergeInput{
-		reader:    reader,
-		places:    map[uint32]uint32{},
-		ranges:    map[uint32]revisionRange{},
-		remaining: map[uint32]uint64{},
+		reader:        reader,
+		sourceIndexes: map[uint32]uint32{},
+		ranges:        map[uint32]revisionRange{},
+		remaining:     map[uint32]uint64{},
 	}
 }
 
-// count counts a record, and returns the place of its source.
-func (in *mergeInput) count(record *Record) (place uint32, err error) {
-	place, known := in.places[record.Source]
-	if !known {
-		return 0, fmt.Errorf("a record is of source %d, which its file does not name", record.Source)
+// count counts a record and returns the index of its source in the merged header.
+func (in *mergeInput) count(record *Record) (index uint32, err error) {
+	index, listed := in.sourceIndexes[record.Source]
+	if !listed {
+		return 0, fmt.Errorf("a record refers to source %d, which the file's header does not list", record.Source)
 	}
-	revisions, found := in.ranges[place]
+	revisions, found := in.ranges[index]
 	if !found {
 		revisions = revisionRange{record.Revision, record.Revision}
 	}
-	in.ranges[place] = revisionRange{
+	in.ranges[index] = revisionRange{
 		first: min(revisions.first, record.Revision),
 		last:  max(revisions.last, record.Revision),
 	}
-	in.remaining[place]++
-	return place, nil
+	in.remaining[index]++
+	return index, nil
 }
 
 // start reads the first record.
@@ -55,13 +55,13 @@
 	return in.readNext()
 }
 
-// advance takes the next record, and reads the one after it.
+// advance counts the head record as merged and reads the next one.
 func (in *mergeInput) advance() error {
 	in.remaining[in.head.Source]--
 	return in.readNext()
 }
 
-// readNext reads the next record, and gives it its source's place in the merged header.
+// readNext reads the next record and sets its source to the index in the merged header.
 func (in *mergeInput) readNext() error {
 	record, err, ok := in.next()
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	in.head = nil
 	if ok {
-		record.Source = in.places[record.Source]
+		record.Source = in.sourceIndexes[record.Source]
 		in.head = record
 	}
 	return nil
--- a/trace/mergeorder.go
+++ b/trace/mergeorder.go
@@ -1,8 +1,8 @@
 package trace
 
-// first returns the file whose record comes next, nil if there is none: the earliest of the records that no remaining
-// record of their allocator must precede.
-func (m *merger) first() *mergeInput {
+// nextInput returns the file whose head record is written next: the earliest one that no remaining record of the same
+// allocator must precede. It returns nil if there is none.
+func (m *merger) nextInput() *mergeInput {
 	var first *mergeInput
 	for _, input := range m.inputs {
 		if input.head == nil || !m.ready(input) {
@@ -15,7 +15,7 @@
 	return first
 }
 
-// before reports whether a record comes before another by time. The place of the source decides between equal times.
+// before reports whether a record has an earlier time than another. Equal times are ordered by the index of the source.
 func (m *merger) before(record, other *Record) bool {
 	recordTime := unixMillis(m.header, record)
 	otherTime := unixMillis(m.header, other)
@@ -25,8 +25,8 @@
 	return record.Source < other.Source
 }
 
-// ready reports whether the next record of a file may be taken: no file has remaining records of an earlier incarnation
-// of its allocator, and no other file has earlier ones of its own incarnation.
+// ready reports whether the head record of a file may be written: no file has remaining records of an earlier
+// incarnation of the same allocator, and no other file has remaining earlier records of the same incarnation.
 func (m *merger) ready(input *mergeInput) bool {
 	for _, other := range m.inputs {
 		for source, remaining := range other.remaining {
@@ -38,20 +38,20 @@
 	return true
 }
 
-// precedes reports whether what a file has of a source must be taken before the next record of another file.
+// precedes reports whether the records of a source in file other must be written before the head record of input.
 func (m *merger) precedes(other *mergeInput, source uint32, input *mergeInput) bool {
 	own := input.head.Source
 	if source == own {
 		return other != input && other.ranges[source].first < input.ranges[source].first
 	}
-	return m.header.Sources[source].Allocator == m.header.Sources[own].Allocator && m.earlier(source, own)
+	return m.header.Sources[source].Allocator == m.header.Sources[own].Allocator && m.isEarlier(source, own)
 }
 
-// earlier reports whether one incarnation of an allocator was before another. Pseudonyms of incarnations have no order,
-// so the clock decides between them.
-func (m *merger) earlier(place, otherPlace uint32) bool {
-	incarnation := m.header.Sources[place]
-	other := m.header.Sources[otherPlace]
+// isEarlier reports whether one incarnation of an allocator is earlier than another. In anonymised files it compares
+// the clock times of their starts, since pseudonyms of incarnations have no order.
+func (m *merger) isEarlier(index, otherIndex uint32) bool {
+	incarnation := m.header.Sources[index]
+	other := m.header.Sources[otherIndex]
 	if m.header.Anonymised {
 		return incarnation.WallMs < other.WallMs
 	}
--- a/trace/openfile.go
+++ b/trace/openfile.go
@@ -8,15 +8,15 @@
 	"grebeglade/trace/tracepb"
 )
 
-// openFile is the file of a fileSeries that is being written.
+// openFile is the file that a fileSeries is writing to.
 type openFile struct {
 	file      *os.File
 	writer    *Writer
 	opened    time.Time
-	unflushed uint64 // records that are not in the file yet
+	unflushed uint64 // number of appended records that are not written yet
 }
 
-// newOpenFile writes the header of a file with the records of a source. It closes the file after an error.
+// newOpenFile writes the header of a file for the records of a source. On error it closes the file.
 func newOpenFile(file *os.File, source *tracepb.Source) (*openFile, error) {
 	header := &tracepb.Header{Sources: []*tracepb.Source{source}, Tool: toolName}
 	writer, err := NewWriter(file, header)
@@ -30,7 +30,7 @@
 	}, nil
 }
 
-// append adds a record, and counts those that are not in the file yet.
+// append adds a record and updates the number of unflushed records.
 func (f *openFile) append(r *Record) error {
 	blocks := f.writer.blocks()
 	if err := f.writer.Append(r); err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// exceeds reports whether the file has become too large or too old.
+// exceeds reports whether the file is larger or older than the limits.
 func (f *openFile) exceeds(limits Limits) bool {
 	return f.writer.Size() > limits.FileBytes || time.Since(f.opened) > limits.FileAge
 }
--- a/trace/pseudonym.go
+++ b/trace/pseudonym.go
@@ -9,22 +9,23 @@
 
 const (
 	feistelRounds = 4
-	textBytes     = 10 // of a text's hash, in its pseudonym
+	textHashBytes = 10 // bytes of a text's hash that its pseudonym contains
 )
 
 type roundKey = [sha256.Size]byte
 
-// Text returns the pseudonym of any words: of all of them together, so that nothing inside them remains.
+// Text returns the pseudonym of a text. It replaces the text as a whole, so that no part of it remains. The empty text
+// stays empty.
 func (a *Anonymiser) Text(s string) string {
 	if s == "" {
 		return ""
 	}
 	sum := a.hash([]byte("text\x00" + s))
-	return "p" + base32.StdEncoding.EncodeToString(sum[:textBytes])
+	return "p" + base32.StdEncoding.EncodeToString(sum[:textHashBytes])
 }
 
-// ID returns the pseudonym of a number of so many bits. The pseudonyms of a domain are a permutation of its numbers, so
-// no two ids share one: a Feistel network keyed by HMAC-SHA-256. 0 identifies nothing and stays.
+// ID returns the pseudonym of a number with the given number of bits. A Feistel network keyed by HMAC-SHA-256 permutes
+// the numbers of a domain, so that no two ids share a pseudonym. 0 identifies nothing and stays 0.
 func (a *Anonymiser) ID(domain string, number uint64, bits int) uint64 {
 	if number == 0 {
 		return 0
@@ -35,25 +36,25 @@
 		left := number >> half & mask
 		right := number & mask
 		for round := range feistelRounds {
-			mixed := left ^ a.scramble(domain, round, right)&mask
+			mixed := left ^ a.roundFunction(domain, round, right)&mask
 			left = right
 			right = mixed
 		}
-		// The number that is mapped to 0 gets the pseudonym that 0 itself would have had.
+		// 0 is no valid pseudonym. The number that maps to 0 is permuted again and gets the unused image of 0.
 		if number = left<<half | right; number != 0 {
 			return number
 		}
 	}
 }
 
-// scramble is the network's round function.
-func (a *Anonymiser) scramble(domain string, round int, v uint64) uint64 {
+// roundFunction is the round function of the Feistel network.
+func (a *Anonymiser) roundFunction(domain string, round int, v uint64) uint64 {
 	key := a.domainKeys(domain)[round]
 	sum := sha256.Sum256(binary.LittleEndian.AppendUint64(key[:], v))
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
-// domainKeys returns the round keys of a domain, which are derived once.
+// domainKeys returns the round keys of a domain, which are derived on first use.
 func (a *Anonymiser) domainKeys(domain string) *[feistelRounds]roundKey {
 	keys := a.roundKeys[domain]
 	if keys == nil {
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -11,23 +11,23 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Reader reads one file.
+// Reader reads one trace file.
 type Reader struct {
 	Header *tracepb.Header
-	Minor  uint16 // version of the file
-	// IndexRebuilt reports that the file has no usable index, and that one was built by a scan.
+	Minor  uint16 // minor version of the file's format
+	// IndexRebuilt reports that the file's index is missing or damaged and was rebuilt by a scan.
 	IndexRebuilt bool
-	// Damage are the parts that the scan could not read; a truncated end is one of them.
+	// Damage lists the parts that the scan could not read, including a truncated end.
 	Damage []DamageError
 
 	input   io.ReaderAt
 	size    int64
 	decoder *zstd.Decoder
 	blocks  []*tracepb.Block
-	closer  io.Closer // nil if the file is the caller's
+	closer  io.Closer // nil if the caller closes the input
 }
 
-// Open opens a file by name. The errors are those of NewReader, with the name, and those of opening a file.
+// Open opens a trace file. The errors wrap those of os.Open, or those of NewReader together with the name.
 func Open(name string) (*Reader, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -35,17 +35,17 @@
 	}
 	reader, err := newFileReader(file)
 	if err != nil {
-		_ = file.Close() // it was only read
+		_ = file.Close() // the file was only read
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return reader, nil
 }
 
-// newFileReader returns a reader that closes the file when it is closed.
+// newFileReader returns a reader whose Close also closes the file.
 func newFileReader(file *os.File) (*Reader, error) {
 	info, err := file.Stat()
 	if err != nil {
-		return nil, fmt.Errorf("determine the size: %w", err)
+		return nil, fmt.Errorf("determine the size of the file: %w", err)
 	}
 	reader, err := NewReader(file, info.Size())
 	if err != nil {
@@ -55,8 +55,8 @@
 	return reader, nil
 }
 
-// NewReader reads the header and the index, or scans the file if it has none. The error is ErrEmpty, ErrNotTrace, a
-// VersionError, a DamageError of the header, or wraps that of the input.
+// NewReader reads the header and the index, or scans the file if it has no valid index. The error is ErrEmpty,
+// ErrNotTrace, a VersionError, a DamageError if the header is damaged, or wraps an error of the input.
 func NewReader(input io.ReaderAt, size int64) (*Reader, error) {
 	if size == 0 {
 		return nil, ErrEmpty
@@ -68,7 +68,7 @@
 	}
 	reader.decoder, err = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxBlockSize), zstd.WithDecoderConcurrency(1))
 	if err != nil {
-		return nil, fmt.Errorf("start the decompression: %w", err)
+		return nil, fmt.Errorf("create the zstd decoder of a trace: %w", err)
 	}
 	if !reader.readIndex(first) {
 		reader.IndexRebuilt = true
@@ -77,7 +77,7 @@
 	return reader, nil
 }
 
-// Close releases the file.
+// Close releases the decoder, and closes the file if the reader comes from Open.
 func (r *Reader) Close() error {
 	r.decoder.Close()
 	if r.closer == nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// readAt is ReadAt, but a read that ends with the file is no error.
+// readAt calls ReadAt of the input. Reaching the end of the file is not an error: fewer bytes are returned.
 func (r *Reader) readAt(b []byte, offset int64) (int, error) {
 	size, err := r.input.ReadAt(b, offset)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -110,7 +110,7 @@
 	return total
 }
 
-// FirstUnixMillis returns the earliest time of a record, 0 if there are none.
+// FirstUnixMillis returns the Unix time of the earliest record in milliseconds, 0 if there are no records.
 func (r *Reader) FirstUnixMillis() float64 {
 	first := 0.0
 	for i, block := range r.blocks {
@@ -124,7 +124,7 @@
 // UnixMillis returns a record's Unix time in milliseconds, by its source's clock.
 func (r *Reader) UnixMillis(record *Record) float64 { return unixMillis(r.Header, record) }
 
-// source returns a record's source, an empty one if the file does not name it.
+// source returns a record's source, an empty one if the file's header does not list it.
 func (r *Reader) source(record *Record) *tracepb.Source {
 	if int(record.Source) < len(r.Header.Sources) {
 		return r.Header.Sources[record.Source]
--- a/trace/reader_test.go
+++ b/trace/reader_test.go
@@ -19,10 +19,10 @@
 	"grebeglade/trace/tracepb"
 )
 
-func TestReader_ReturnsWhatWasWritten(t *testing.T) {
+func TestReader_ReturnsWrittenRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOf(rapid.Custom(randomRecord)).Draw(t, "records")
-		r := newReader(t, encodeFile(t, oneSource, records, rapid.IntRange(1, 9).Draw(t, "per block")))
+		r := newReader(t, encodeFile(t, testHeader, records, rapid.IntRange(1, 9).Draw(t, "per block")))
 		got, damaged := readAll(r, Span{})
 		assert.Zero(t, damaged)
 		assertSameRecords(t, records, got)
@@ -33,12 +33,12 @@
 
 func TestReader_TruncatedFileIsReadUpToLastCompleteBlock(t *testing.T) {
 	records := placedRequests(20)
-	b := encodeFile(t, oneSource, records, 4)
-	ends := []int{} // of the five blocks
+	b := encodeFile(t, testHeader, records, 4)
+	ends := []int{} // end offsets of the five blocks
 	for _, block := range newReader(t, b).blocks {
 		h, err := decodeBlockHeader(b[block.Offset:])
 		require.NoError(t, err)
-		ends = append(ends, int(block.Offset)+blockHeaderSize+int(h.packedSize))
+		ends = append(ends, int(block.Offset)+blockHeaderSize+int(h.compressedSize))
 	}
 	first := int(newReader(t, b).blocks[0].Offset)
 	for n := range b {
@@ -60,13 +60,13 @@
 	}
 }
 
-func TestReader_FlippedBitLosesOneBlockAtMost(t *testing.T) {
+func TestReader_FlippedBitLosesAtMostOneBlock(t *testing.T) {
 	const (
 		count    = 20
 		perBlock = 4
 	)
 	records := placedRequests(count)
-	intact := encodeFile(t, oneSource, records, perBlock)
+	intact := encodeFile(t, testHeader, records, perBlock)
 	firstBlock, index := blockOffsets(t, intact)
 	for at := range intact {
 		flipped := slices.Clone(intact)
@@ -99,7 +99,7 @@
 }
 
 func TestNewReader_LaterMajorVersionIsAnError(t *testing.T) {
-	later := encodeFile(t, oneSource, placedRequests(3), 3)
+	later := encodeFile(t, testHeader, placedRequests(3), 3)
 	binary.LittleEndian.PutUint16(later[len(magic):], Major+1)
 	_, err := NewReader(bytes.NewReader(later), int64(len(later)))
 	const message = "the trace is of format 2.1 and this program reads 1.x: read it with a newer grebeglade"
@@ -107,10 +107,10 @@
 	assert.Equal(t, VersionError{Major: Major + 1, Minor: Minor}, err)
 }
 
-// A later minor version adds fields and kinds of records; those that are known are read all the same.
+// Guards against rejecting files of a later minor version, which may contain unknown fields and kinds of records.
 func TestReader_UnknownFieldIsIgnored(t *testing.T) {
 	var raw bytes.Buffer
-	w, err := NewWriter(&raw, oneSource)
+	w, err := NewWriter(&raw, testHeader)
 	require.NoError(t, err)
 	r := placedRequest(5, 1, 9)
 	r.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 999, protowire.VarintType), 5))
@@ -121,14 +121,14 @@
 	assert.Equal(t, uint32(9), got[0].GetSchedule().Workload.Id)
 }
 
-func TestOpen_MissingFile_NamesStepAndFile(t *testing.T) {
+func TestOpen_MissingFileErrorContainsPath(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing"+FileExtension)
 	_, err := Open(missing)
 	require.ErrorIs(t, err, fs.ErrNotExist)
 	require.ErrorContains(t, err, "open a trace: open "+missing)
 }
 
-// failingFile is a file that can be neither read nor written.
+// failingFile fails every read and write.
 type failingFile struct{}
 
 func (failingFile) ReadAt([]byte, int64) (int, error) { return 0, errInputOutput }
@@ -136,19 +136,19 @@
 
 var errInputOutput = errors.New("input/output error")
 
-func TestNewReader_DiskFails_NamesOffset(t *testing.T) {
+func TestNewReader_ReadErrorContainsOffset(t *testing.T) {
 	_, err := NewReader(failingFile{}, 1000)
 	require.ErrorIs(t, err, errInputOutput)
 	require.ErrorContains(t, err, "read at byte 0")
 }
 
-func TestNewWriter_DiskFails_NamesStep(t *testing.T) {
-	_, err := NewWriter(failingFile{}, oneSource)
+func TestNewWriter_WriteErrorContainsOperation(t *testing.T) {
+	_, err := NewWriter(failingFile{}, testHeader)
 	require.ErrorIs(t, err, errInputOutput)
 	require.ErrorContains(t, err, "write to a trace")
 }
 
-func TestNewReader_OtherFilesAreErrors(t *testing.T) {
+func TestNewReader_OtherOrEmptyFileIsAnError(t *testing.T) {
 	_, err := NewReader(strings.NewReader("PK\x03\x04 something else"), 19)
 	require.ErrorIs(t, err, ErrNotTrace)
 	_, err = NewReader(bytes.NewReader(nil), 0)
@@ -156,39 +156,39 @@
 }
 
 func TestWriter_UseAfterCloseIsAnError(t *testing.T) {
-	w, err := NewWriter(io.Discard, oneSource)
+	w, err := NewWriter(io.Discard, testHeader)
 	require.NoError(t, err)
 	require.NoError(t, w.Close())
 	require.ErrorIs(t, w.Append(placedRequest(1, 1, 1)), ErrClosed)
 }
 
-func TestWriter_LargeRecordHasBlockOfItsOwn(t *testing.T) {
+func TestWriter_LargeRecordGetsSeparateBlock(t *testing.T) {
 	rejected := &tracepb.OfferRejected{Text: strings.Repeat("x", 5*targetBlockSize)}
 	big := &Record{Revision: 2, Body: &tracepb.Record_OfferRejected{OfferRejected: rejected}}
 	records := []*Record{placedRequest(1, 1, 1), big, placedRequest(2, 3, 2)}
-	r := newReader(t, encodeFile(t, oneSource, records, 100))
+	r := newReader(t, encodeFile(t, testHeader, records, 100))
 	got, _ := readAll(r, Span{})
 	assertSameRecords(t, records, got)
 	assert.Equal(t, 3, r.Blocks())
-	w, err := NewWriter(io.Discard, oneSource)
+	w, err := NewWriter(io.Discard, testHeader)
 	require.NoError(t, err)
 	rejected.Text = strings.Repeat("x", maxBlockSize)
 	err = w.Append(big)
 	require.ErrorContains(t, err, "over the limit")
 	require.ErrorAs(t, err, new(SizeError))
-	require.NoError(t, w.Append(records[0]), "the next one is written all the same")
+	require.NoError(t, w.Append(records[0]), "the writer stays usable")
 }
 
 func TestReaderRecords_SpanSelectsRecords(t *testing.T) {
 	records := placedRequests(100)
-	r := newReader(t, encodeFile(t, oneSource, records, 10))
+	r := newReader(t, encodeFile(t, testHeader, records, 10))
 	got, _ := readAll(r, Span{FromMs: 1e12 + 355, ToMs: 1e12 + 420})
 	assertSameRecords(t, records[36:43], got)
 }
 
 func TestCut_CopiesRecordsOfSpan(t *testing.T) {
 	records := placedRequests(100)
-	r := newReader(t, encodeFile(t, oneSource, records, 10))
+	r := newReader(t, encodeFile(t, testHeader, records, 10))
 	var cut bytes.Buffer
 	w, err := NewWriter(&cut, CopyHeader(r.Header))
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 }
 
 func TestReader_FileWithoutRecordsIsEmpty(t *testing.T) {
-	r := newReader(t, encodeFile(t, oneSource, nil, 1))
+	r := newReader(t, encodeFile(t, testHeader, nil, 1))
 	got, damaged := readAll(r, Span{})
 	assert.Zero(t, len(got)+damaged)
 	s, err := Summarise([]*Reader{r})
@@ -207,7 +207,7 @@
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(encodeFile(f, oneSource, placedRequests(20), 4))
+	f.Add(encodeFile(f, testHeader, placedRequests(20), 4))
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := NewReader(bytes.NewReader(b), int64(len(b)))
@@ -218,7 +218,7 @@
 		Verify(r)
 		require.NoError(t, r.Close())
 		if len(records) > 0 && len(b) < headerSize+blockHeaderSize {
-			t.Error("records out of nothing")
+			t.Error("records read from a file that is too short to contain any")
 		}
 	})
 }
--- a/trace/readheader.go
+++ b/trace/readheader.go
@@ -8,29 +8,29 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Offsets in a file's header.
+// Offsets in the file header.
 const (
 	majorOffset    = len(magic)
 	minorOffset    = majorOffset + 2
 	lengthOffset   = minorOffset + 2
-	checksumOffset = lengthOffset + 4 // of the checksum, and the number of bytes in front of it that it covers
+	checksumOffset = lengthOffset + 4 // the checksum covers the bytes before it, and the header message
 )
 
-// Offsets in a footer.
+// Offsets in the footer.
 const (
 	indexLengthOffset    = 8
-	footerChecksumOffset = indexLengthOffset + 4 // of the checksum, and the number of bytes that it covers
+	footerChecksumOffset = indexLengthOffset + 4 // the checksum covers the bytes before it
 	footerMagicOffset    = footerChecksumOffset + 4
 )
 
-// readHeader reads the file's header, and returns the offset of the first block.
+// readHeader reads the file header, and returns the offset of the first block.
 func (r *Reader) readHeader() (int64, error) {
 	var fixed [headerSize]byte
 	size, err := r.readAt(fixed[:], 0)
 	if err != nil {
 		return 0, err
 	}
-	if known := min(size, len(magic)); string(fixed[:known]) != magic[:known] {
+	if prefixSize := min(size, len(magic)); string(fixed[:prefixSize]) != magic[:prefixSize] {
 		return 0, ErrNotTrace
 	}
 	if size < headerSize {
@@ -49,7 +49,7 @@
 	if _, err := r.readAt(message, headerSize); err != nil {
 		return 0, err
 	}
-	if checksumOf(fixed[:checksumOffset], message) != binary.LittleEndian.Uint32(fixed[checksumOffset:]) {
+	if checksumConcat(fixed[:checksumOffset], message) != binary.LittleEndian.Uint32(fixed[checksumOffset:]) {
 		return 0, DamageError{Problem: "the checksum of the header does not match"}
 	}
 	r.Minor = minor
@@ -60,14 +60,15 @@
 	return headerSize + length, nil
 }
 
-// readIndex reads the index at the end of a file that was closed. It returns false if there is none that can be used.
+// readIndex reads the index at the end of the file. It returns false if the index is damaged or missing, as in a file
+// that was not closed. The first block begins at offset first.
 func (r *Reader) readIndex(first int64) bool {
 	offset, found := r.readFooter(first)
 	if !found {
 		return false
 	}
 	header, raw, err := r.readBlock(offset, nil)
-	if err != nil || header.kind != blockOfIndex {
+	if err != nil || header.kind != indexBlock {
 		return false
 	}
 	var index tracepb.Index
@@ -78,7 +79,7 @@
 	return true
 }
 
-// readFooter returns the offset of the index block, false if there is no valid footer behind the first block.
+// readFooter returns the offset of the index block, false if the file does not end in a valid footer.
 func (r *Reader) readFooter(first int64) (offset int64, found bool) {
 	if r.size < first+footerSize {
 		return 0, false
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -12,47 +12,49 @@
 )
 
 const (
-	maxQueuedBatches = 1024        // that wait to be written; further records are counted as missing
-	flushInterval    = time.Second // what a kill can lose
-	reasonQueueFull  = "the queue was full"
+	maxQueuedBatches   = 1024        // queue capacity; batches beyond it are dropped and their records counted
+	flushInterval      = time.Second // time span of records that a killed process can lose
+	gapReasonQueueFull = "the queue was full"
 )
 
-// Limits bound what a recorder keeps on disk.
+// Limits are the limits of a recorder's files.
 type Limits struct {
-	FileBytes  int64         // a file is closed once it is larger
-	FileAge    time.Duration // or older
-	TotalBytes int64         // the oldest files are removed while all are larger; 0 for no limit
+	FileBytes  int64         // size above which a new file is started
+	FileAge    time.Duration // age above which a new file is started
+	TotalBytes int64         // total size above which the oldest files are removed; 0 for no limit
 }
 
-// DefaultLimits hold some hours of a busy allocator.
+// DefaultLimits are large enough for the records of some hours of a busy allocator.
 var DefaultLimits = Limits{
 	FileBytes:  64 << 20,
 	FileAge:    time.Hour,
 	TotalBytes: 1 << 30,
 }
 
-// batch is what the queue takes at a time.
+// batch is one entry of a recorder's queue.
 type batch struct {
 	records []*Record
-	missing uint64 // records before it that did not fit into the queue
+	dropped uint64 // number of records dropped before this batch because the queue was full
 }
 
-// Recorder writes the records of one incarnation of an allocator into files of a directory. Put does not wait:
-// records that do not fit into its queue, or cannot be written, are counted, and a Gap record with their number takes
-// their place. Put and Close are for use by one goroutine.
+// Recorder writes the records of one incarnation of an allocator to files in a directory. By default, Put does not
+// block: records that do not fit into the queue or cannot be written are dropped, and a Gap record in their place
+// reports how many. Put and Close are for use by one goroutine.
 type Recorder struct {
-	// BlockWhenFull makes Put wait while the queue is full: for a virtual clock, which runs ahead of any disk.
+	// BlockWhenFull makes Put wait while the queue is full. It is meant for runs in virtual time, which produce records
+	// faster than any disk can write them.
 	BlockWhenFull bool
 
-	lock    *os.File // held as long as the recorder owns the directory
+	lock    *os.File // lock file of the directory, locked until the recorder is closed
 	queue   chan batch
-	missing uint64 // since the last batch that was queued
+	dropped uint64 // number of records dropped since the last queued batch
 	done    chan struct{}
-	files   *fileSeries // for the writing goroutine alone
+	files   *fileSeries // used by the goroutine of run only
 	log     *slog.Logger
 }
 
-// NewRecorder creates the directory if necessary and locks it: one recorder a directory.
+// NewRecorder starts a recorder. It creates the directory if necessary and locks it; it is an error if another recorder
+// has locked it. Nothing is logged if log is nil.
 func NewRecorder(dir string, source *tracepb.Source, limits Limits, log *slog.Logger) (*Recorder, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -82,8 +84,8 @@
 		return nil, fmt.Errorf("lock the trace directory: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lock.Close() // nothing was written to it
-		return nil, fmt.Errorf("%s: another allocator records here; give each a directory of its own", dir)
+		_ = lock.Close() // nothing was written to the file
+		return nil, fmt.Errorf("%s: the trace directory is locked by another recorder; use one directory per allocator", dir)
 	}
 	return lock, nil
 }
@@ -95,24 +97,24 @@
 		return
 	}
 	select {
-	case r.queue <- batch{records, r.missing}:
-		r.missing = 0
+	case r.queue <- batch{records, r.dropped}:
+		r.dropped = 0
 	default:
-		r.missing += uint64(len(records))
+		r.dropped += uint64(len(records))
 	}
 }
 
-// Close writes what is queued and ends the last file with its index.
+// Close writes the queued records and the index of the last file, and unlocks the directory.
 func (r *Recorder) Close() {
-	if r.missing > 0 {
-		r.queue <- batch{missing: r.missing}
-		r.missing = 0
+	if r.dropped > 0 {
+		r.queue <- batch{dropped: r.dropped}
+		r.dropped = 0
 	}
 	close(r.queue)
 	<-r.done
 }
 
-// run writes what is queued until the queue is closed.
+// run writes queued batches until the queue is closed.
 func (r *Recorder) run() {
 	defer close(r.done)
 	defer r.unlock()
--- a/trace/recorder_test.go
+++ b/trace/recorder_test.go
@@ -20,7 +20,7 @@
 	return r
 }
 
-// readDirectory returns all records in a directory, in order, and the number of files.
+// readDirectory returns the records of all files in a directory, in order, and the number of non-empty files.
 func readDirectory(t *testing.T, dir string) (records []*Record, files int) {
 	t.Helper()
 	for _, file := range ListFiles(dir) {
@@ -38,7 +38,7 @@
 	return records, files
 }
 
-// onePerBatch makes a recorder begin a new file with each batch.
+// onePerBatch makes a recorder start a new file for each batch.
 var onePerBatch = Limits{
 	FileBytes:  1,
 	FileAge:    time.Hour,
@@ -49,10 +49,10 @@
 	dir := t.TempDir()
 	defer startRecorder(t, dir, DefaultLimits).Close()
 	_, err := NewRecorder(dir, source("b", 1, 0), DefaultLimits, nil)
-	require.ErrorContains(t, err, "another allocator records here")
+	require.ErrorContains(t, err, "the trace directory is locked by another recorder")
 }
 
-func TestRecorder_BeginsFileOnceOneIsTooLarge(t *testing.T) {
+func TestRecorder_StartsNewFileAboveSizeLimit(t *testing.T) {
 	dir := t.TempDir()
 	recorder := startRecorder(t, dir, onePerBatch)
 	records := placedRequests(30)
@@ -65,8 +65,8 @@
 	assert.Equal(t, 3, files)
 }
 
-// An incarnation may keep less than the one before.
-func TestRecorder_RemovesOldestFilesOverTotal(t *testing.T) {
+// The second recorder has a smaller limit in total, and also removes files of the first one.
+func TestRecorder_RemovesOldestFilesAboveTotalLimit(t *testing.T) {
 	dir := t.TempDir()
 	recorder := startRecorder(t, dir, onePerBatch)
 	for batch := range slices.Chunk(placedRequests(30), 10) {
@@ -85,14 +85,14 @@
 	assert.LessOrEqual(t, totalSize(ListFiles(dir)), total)
 	got, _ := readDirectory(t, dir)
 	assertSameRecords(t, placedRequests(10), got[len(got)-10:])
-	assert.Equal(t, uint64(21), got[0].Revision, "the oldest files are gone, the others are complete")
+	assert.Equal(t, uint64(21), got[0].Revision, "the oldest files are removed, the others are complete")
 }
 
 func TestRecorder_SkipsFilesOfKilledRecorder(t *testing.T) {
 	dir := t.TempDir()
-	complete := encodeFile(t, oneSource, placedRequests(8), 4)
+	complete := encodeFile(t, testHeader, placedRequests(8), 4)
 	second := newReader(t, complete).blocks[1]
-	// Killed in a rotation: the old file has no index, the new one not even a header.
+	// A recorder killed while it starts a new file leaves the old file without an index and the new one empty.
 	truncated := complete[:second.Offset+70]
 	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName(source("a", 1, 0), 1)), truncated, 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName(source("a", 1, 0), 2)), nil, 0o600))
@@ -104,7 +104,7 @@
 	assertSameRecords(t, append(placedRequests(8)[:4], placedRequests(2)...), got)
 }
 
-func TestFileSeries_LostRecordsAreReportedInTheirPlace(t *testing.T) {
+func TestFileSeries_GapRecordsReplaceLostRecords(t *testing.T) {
 	dir := t.TempDir()
 	readOnly := filepath.Join(dir, "readonly")
 	require.NoError(t, os.WriteFile(readOnly, nil, 0o600))
@@ -121,7 +121,7 @@
 	broken = false
 	files.retryAt = time.Time{}
 	files.write(batch{records: records[3:5]})
-	files.write(batch{records: records[5:], missing: 7}) // seven did not fit into the queue
+	files.write(batch{records: records[5:], dropped: 7}) // seven were dropped because the queue was full
 	files.finish()
 	got, _ := readDirectory(t, dir)
 	require.Len(t, got, 5)
@@ -137,9 +137,9 @@
 	r.Put(placedRequests(2))
 	r.Put(placedRequests(3))
 	r.Put(placedRequests(4))
-	assert.Equal(t, uint64(7), r.missing)
+	assert.Equal(t, uint64(7), r.dropped)
 	assert.Len(t, (<-r.queue).records, 2)
 	r.Put(placedRequests(1))
-	assert.Equal(t, uint64(7), (<-r.queue).missing)
-	assert.Zero(t, r.missing)
+	assert.Equal(t, uint64(7), (<-r.queue).dropped)
+	assert.Zero(t, r.dropped)
 }
--- a/trace/records.go
+++ b/trace/records.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Span selects records by time. The zero value selects all.
+// Span selects records by time, including both bounds. The zero value selects all records.
 type Span struct {
 	FromMs float64 // Unix time; 0 for no bound
 	ToMs   float64 // Unix time; 0 for no bound
@@ -18,11 +18,11 @@
 	return (s.FromMs == 0 || last >= s.FromMs) && (s.ToMs == 0 || first <= s.ToMs)
 }
 
-// Records iterates over the records of a span in the file's order. For a block that cannot be read it yields a
-// DamageError and continues with the next one. Blocks outside the span are not read.
+// Records iterates over the records within a span in file order. For a block that cannot be read it yields a
+// DamageError and continues with the next block. Blocks outside the span are not read.
 func (r *Reader) Records(span Span) iter.Seq2[*Record, error] {
 	return func(yield func(*Record, error) bool) {
-		var raw []byte // reused from block to block
+		var raw []byte // reused for every block
 		for _, block := range r.blocks {
 			if !span.overlaps(block.FirstMs, block.LastMs) {
 				continue
@@ -41,14 +41,15 @@
 				continue
 			}
 			raw = decompressed
-			if header.kind == blockOfRecords && !r.yieldRecords(raw, offset, span, yield) {
+			if header.kind == recordBlock && !r.yieldRecords(raw, offset, span, yield) {
 				return
 			}
 		}
 	}
 }
 
-// yieldRecords yields the records of a block at an offset. It returns false if the iteration ends.
+// yieldRecords yields the records within a span from the uncompressed contents of the block at offset. It returns false
+// if the caller ended the iteration.
 func (r *Reader) yieldRecords(raw []byte, offset int64, span Span, yield func(*Record, error) bool) bool {
 	for len(raw) > 0 {
 		size, prefix := protowire.ConsumeVarint(raw)
@@ -72,21 +73,22 @@
 	return true
 }
 
-// readBlock reads a block. It reuses the memory of into.
-func (r *Reader) readBlock(offset int64, into []byte) (header blockHeader, raw []byte, err error) {
+// readBlock reads and decompresses the block at offset. It reuses the memory of buffer.
+func (r *Reader) readBlock(offset int64, buffer []byte) (header blockHeader, raw []byte, err error) {
 	header, err = r.readBlockHeader(offset)
 	if err != nil {
 		return header, nil, err
 	}
-	packed := make([]byte, header.packedSize)
-	if _, err := r.readAt(packed, offset+blockHeaderSize); err != nil {
+	compressed := make([]byte, header.compressedSize)
+	if _, err := r.readAt(compressed, offset+blockHeaderSize); err != nil {
 		return header, nil, err
 	}
-	raw, err = header.decompress(r.decoder, packed, into)
+	raw, err = header.decompress(r.decoder, compressed, buffer)
 	return header, raw, err
 }
 
-// readBlockHeader reads the header of a block. The error is io.ErrUnexpectedEOF if the file ends within the block.
+// readBlockHeader reads the header of the block at offset. The error is io.ErrUnexpectedEOF if the file ends within the
+// block.
 func (r *Reader) readBlockHeader(offset int64) (blockHeader, error) {
 	if offset < 0 || offset > r.size-blockHeaderSize {
 		return blockHeader{}, io.ErrUnexpectedEOF
--- a/trace/scan.go
+++ b/trace/scan.go
@@ -6,7 +6,8 @@
 	"io"
 )
 
-// scan builds an index from the headers of the blocks. After a damaged one it continues with the next that is intact.
+// scan builds the index from the block headers, beginning at offset. It adds damaged parts to r.Damage and continues at
+// the next intact block header.
 func (r *Reader) scan(offset int64) {
 	for offset < r.size {
 		header, err := r.readBlockHeader(offset)
@@ -19,17 +20,17 @@
 			offset = next
 			continue
 		}
-		if header.kind != blockOfIndex {
+		if header.kind != indexBlock {
 			r.blocks = append(r.blocks, header.indexEntry(offset))
 		}
 		offset += header.size()
-		if header.kind == blockOfIndex && r.size-offset <= footerSize {
+		if header.kind == indexBlock && r.size-offset <= footerSize {
 			return // only the footer is damaged or truncated; no record is lost
 		}
 	}
 }
 
-// damageText returns what a DamageError says of an error.
+// damageText returns the description of an error for DamageError.Problem.
 func damageText(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return "the file ends within a block"
@@ -37,12 +38,12 @@
 	return err.Error()
 }
 
-// findBlockHeader finds the next intact block header from an offset on.
+// findBlockHeader returns the position of the first intact block header at or after offset.
 func (r *Reader) findBlockHeader(offset int64) (at int64, found bool) {
 	const (
 		step      = 1 << 16
 		magicSize = 4
-		overlap   = magicSize - 1 // a header's magic may lie across two steps
+		overlap   = magicSize - 1 // the magic of a block header may span two steps
 	)
 	buffer := make([]byte, step+overlap)
 	for ; offset < r.size; offset += step {
--- a/trace/summary_test.go
+++ b/trace/summary_test.go
@@ -11,7 +11,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// answer returns the answer to the request of a workload.
+// answer returns the RequestAnswered record of a workload.
 func answer(at float64, revision uint64, workload, verdict uint32) *Record {
 	answered := &tracepb.RequestAnswered{Workload: workload, Verdict: verdict}
 	return &Record{
@@ -21,7 +21,7 @@
 	}
 }
 
-// fourDecisions returns a file with three requests, one of which a node rejects, and their answers.
+// fourDecisions returns a file with three requests, one of them rejected by a node, and two answers.
 func fourDecisions(t *testing.T) *Reader {
 	t.Helper()
 	start := &tracepb.Start{Groups: []string{"serve"}}
@@ -36,7 +36,7 @@
 		Step:     &tracepb.Step{Kind: stepRejected},
 		Body:     &tracepb.Record_StepResult{StepResult: noMemory},
 	}
-	return newReader(t, encodeFile(t, oneSource, []*Record{
+	return newReader(t, encodeFile(t, testHeader, []*Record{
 		{Revision: 1, Body: &tracepb.Record_Start{Start: start}},
 		placedRequest(10, 2, 1),
 		rejectedByNode,
@@ -62,9 +62,9 @@
 	assert.Equal(t, []NodeRejection{{7, "no memory", 1}}, s.NodeRejections)
 }
 
-func TestSummarise_WaitBeyondHistogramCountsAsItsMaximum(t *testing.T) {
+func TestSummarise_WaitBeyondHistogramCountsAsMaximum(t *testing.T) {
 	records := []*Record{placedRequest(0, 2, 1), answer(1e9, 3, 1, verdictPlaced)}
-	s, err := Summarise([]*Reader{newReader(t, encodeFile(t, oneSource, records, 10))})
+	s, err := Summarise([]*Reader{newReader(t, encodeFile(t, testHeader, records, 10))})
 	require.NoError(t, err)
 	assert.Equal(t, 1, s.Groups[0].Placed)
 	assert.InEpsilon(t, maxWaitMicros/microsPerMilli, s.Groups[0].MaxMs, 0.001)
--- a/trace/tally.go
+++ b/trace/tally.go
@@ -10,13 +10,13 @@
 	"grebeglade/trace/tracepb"
 )
 
-// tally counts for a summary.
+// tally collects the counts of a summary.
 type tally struct {
 	summary    *Summary
-	pending    map[workloadKey]*pendingWorkload
-	groups     map[string]*Outcomes // by name
-	groupNames map[SourceKey][]string
-	rejections map[NodeRejection]int // by node and reason
+	pending    map[workloadKey]*pendingWorkload // workloads without a final answer
+	groups     map[string]*Outcomes             // by name
+	groupNames map[SourceKey][]string           // names by group number
+	rejections map[NodeRejection]int            // counts by node and reason; Count is 0 in the keys
 	sources    map[SourceKey]bool
 }
 
@@ -24,7 +24,7 @@
 type pendingWorkload struct {
 	group       *Outcomes
 	requestedMs float64 // Unix time
-	node        uint32  // of the last bind
+	node        uint32  // node of the last bind
 }
 
 func newTally() *tally {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// count counts a record of a file. Kinds of records that are not named here do not occur in a summary.
+// count counts a record of a file. Other kinds of records only affect the summary's totals, times and sources.
 func (t *tally) count(file *Reader, record *Record) {
 	at := file.UnixMillis(record)
 	t.extendTime(at)
@@ -83,7 +83,7 @@
 	}
 }
 
-// extendTime counts a record, and extends the summary's times by its own.
+// extendTime counts a record, and extends the summary's time range to its time.
 func (t *tally) extendTime(unixMs float64) {
 	summary := t.summary
 	summary.Records++
@@ -95,7 +95,7 @@
 	summary.ToMs = max(summary.ToMs, unixMs)
 }
 
-// countRequest counts a request at a Unix time, and the bind to which it led at once.
+// countRequest counts a request received at a Unix time in milliseconds, and its first step if that is a bind.
 func (t *tally) countRequest(source SourceKey, workload *tracepb.Workload, step *tracepb.Step, at float64) {
 	pending := &pendingWorkload{group: t.group(source, workload.GetGroup()), requestedMs: at}
 	pending.group.Requests++
@@ -103,7 +103,7 @@
 	pending.countBind(step)
 }
 
-// group returns the outcomes of a source's group by its number.
+// group returns the outcomes of a source's group, given the group's number.
 func (t *tally) group(source SourceKey, number uint32) *Outcomes {
 	name := nameOr(t.groupNames[source], number, fmt.Sprintf("group %d", number))
 	if t.groups[name] == nil {
@@ -120,7 +120,8 @@
 	}
 }
 
-// countResult counts the results that show a fault of a node. Others are counted by the answers to which they lead.
+// countResult counts the results that indicate a problem with a node. Other results are counted with the answers that
+// follow from them.
 func (t *tally) countResult(workload *pendingWorkload, result *tracepb.StepResult) {
 	switch result.Kind {
 	case resultRejectedByNode:
@@ -133,7 +134,7 @@
 	}
 }
 
-// countAnswer counts the answer to the request at a Unix time. A verdict that a later version has added is not counted.
+// countAnswer counts the answer given at a Unix time in milliseconds. Verdicts added by later versions are not counted.
 func (w *pendingWorkload) countAnswer(verdict uint32, at float64) {
 	switch verdict {
 	case verdictPlaced:
@@ -146,7 +147,7 @@
 	}
 }
 
-// finish completes the summary with what is known only at the end.
+// finish adds to the summary the counts and lists that depend on all records.
 func (t *tally) finish() {
 	for _, workload := range t.pending {
 		workload.group.Open++
@@ -172,7 +173,7 @@
 	}
 }
 
-// finishRejections sorts the rejections by how frequent they are.
+// finishRejections adds the rejections to the summary, most frequent first.
 func (t *tally) finishRejections() {
 	found := []NodeRejection{}
 	for rejection, count := range t.rejections {
--- a/trace/verify.go
+++ b/trace/verify.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Check is what a verification found.
+// Check is the result of a verification.
 type Check struct {
 	Blocks  int      `json:"blocks"`
 	Records uint64   `json:"records"`
-	Missing uint64   `json:"missing"` // records that gaps report
+	Missing uint64   `json:"missing"` // lost records reported by Gap records
 	Index   string   `json:"index"`   // indexIntact or indexRebuilt
-	Wrong   []string `json:"wrong"`
+	Wrong   []string `json:"wrong"`   // descriptions of the problems found
 }
 
 // Values of Check.Index, as "grebeglade trace verify --json" prints them.
@@ -17,7 +17,7 @@
 	indexRebuilt = "missing; made anew by a scan"
 )
 
-// Verify reads a file to its end and reports everything that is wrong with it.
+// Verify reads a whole file and reports every problem found.
 func Verify(reader *Reader) *Check {
 	check := &Check{
 		Blocks: reader.Blocks(),
@@ -35,7 +35,7 @@
 	for record, err := range reader.Records(Span{}) {
 		if err != nil {
 			check.report("%v", err)
-			clear(last) // revisions are missing here, which is reported already
+			clear(last) // the missing revisions are part of the damage reported above
 			continue
 		}
 		check.count(record, last)
@@ -46,14 +46,14 @@
 // count counts a record, and checks that its revision follows the last one of its source.
 func (c *Check) count(record *Record, last map[uint32]uint64) {
 	c.Records++
-	previous, known := last[record.Source]
+	previous, found := last[record.Source]
 	last[record.Source] = record.Revision
 	if gap := record.GetGap(); gap != nil {
 		c.Missing += gap.Missing
 		c.report("%d records are missing before revision %d: %s", gap.Missing, record.Revision+1, gap.Reason)
 		return
 	}
-	if known && record.Revision != previous+1 {
+	if found && record.Revision != previous+1 {
 		c.report("revision %d follows %d", record.Revision, previous)
 	}
 }
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -12,33 +12,34 @@
 	"grebeglade/trace/tracepb"
 )
 
-// targetBlockSize is how many bytes of records make a block: enough for zstd to find repetitions, few enough that a
-// look-up reads little.
+// targetBlockSize is the target size of a block's uncompressed records, in bytes; only a single larger record exceeds
+// it. It is large enough for zstd to find repetitions, and small enough for a lookup to read little data.
 const targetBlockSize = 128 << 10
 
-// maxRecordSize leaves room for a record's length in its block.
+// maxRecordSize is the size limit of an encoded record, in bytes. It leaves room for the record's length prefix.
 var maxRecordSize = maxBlockSize - protowire.SizeVarint(maxBlockSize)
 
-// Writer writes one file. After a failed write nothing more is written, and every method returns that error.
+// Writer writes one trace file. After a failed write it writes nothing more, and Append, Flush and Close return that
+// error.
 type Writer struct {
-	Records uint64 // appended so far
-
-	output  io.Writer
-	header  *tracepb.Header
-	encoder *zstd.Encoder
-	offset  int64
-	raw     []byte // records of the next block
-	packed  []byte
-	next    blockHeader // of the next block
-	index   tracepb.Index
-	err     error
+	Records uint64 // number of records appended
+
+	output     io.Writer
+	header     *tracepb.Header
+	encoder    *zstd.Encoder
+	offset     int64       // bytes written
+	raw        []byte      // uncompressed records of the block being filled
+	compressed []byte      // buffer, reused for every block
+	next       blockHeader // header of the block being filled
+	index      tracepb.Index
+	err        error
 }
 
-// NewWriter writes a file's header.
+// NewWriter returns a writer after writing the file header to output. A header that is too large is a SizeError.
 func NewWriter(output io.Writer, header *tracepb.Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		return nil, fmt.Errorf("start the compression of a trace: %w", err)
+		return nil, fmt.Errorf("create the zstd encoder of a trace: %w", err)
 	}
 	writer := &Writer{
 		output:  output,
@@ -53,7 +54,7 @@
 	return writer, writer.err
 }
 
-// encodeHeader returns the bytes of a file's header.
+// encodeHeader returns the encoded file header. The error is a SizeError if its message exceeds maxHeaderSize.
 func encodeHeader(h *tracepb.Header) ([]byte, error) {
 	message, err := proto.MarshalOptions{Deterministic: true}.Marshal(h)
 	if err != nil {
@@ -72,11 +73,11 @@
 	encoded = order.AppendUint16(encoded, Major)
 	encoded = order.AppendUint16(encoded, Minor)
 	encoded = order.AppendUint32(encoded, uint32(len(message)))
-	encoded = order.AppendUint32(encoded, checksumOf(encoded, message))
+	encoded = order.AppendUint32(encoded, checksumConcat(encoded, message))
 	return append(encoded, message...), nil
 }
 
-// write writes bytes in one call, and keeps the first error.
+// write writes bytes in one call, and stores the first error in w.err.
 func (w *Writer) write(b []byte) {
 	if w.err != nil {
 		return
@@ -91,8 +92,8 @@
 	}
 }
 
-// Append adds a record. It is in the file once its block is: after Flush, Close, or enough further records. A record
-// that is too large is a SizeError, after which the writer can still be used.
+// Append adds a record. The record is written to the file with its block: by Flush, by Close, or once further records
+// fill the block. For a record that is too large the error is a SizeError, and the writer stays usable.
 func (w *Writer) Append(record *Record) error {
 	if w.err != nil {
 		return w.err
@@ -127,26 +128,26 @@
 // blocks returns the number of blocks of records written so far.
 func (w *Writer) blocks() int { return len(w.index.Blocks) }
 
-// Flush writes what was appended as a block.
+// Flush writes the records appended since the last block as a block.
 func (w *Writer) Flush() error {
 	if w.next.records == 0 || w.err != nil {
 		return w.err
 	}
 	w.index.Blocks = append(w.index.Blocks, w.next.indexEntry(w.offset))
-	w.next.kind = blockOfRecords
+	w.next.kind = recordBlock
 	w.writeBlock(w.raw)
 	w.raw = w.raw[:0]
 	w.next = blockHeader{}
 	return w.err
 }
 
-// writeBlock writes a block in one call, so that a kill leaves at most one block truncated.
+// writeBlock compresses a block and writes it in one call, so that a killed process leaves at most one truncated block.
 func (w *Writer) writeBlock(raw []byte) {
-	w.packed = w.encoder.EncodeAll(raw, w.packed[:0])
-	w.next.rawSize = uint32(len(raw))
-	w.next.packedSize = uint32(len(w.packed))
-	w.next.compressedChecksum = checksum(w.packed)
-	w.write(append(w.next.encode(), w.packed...))
+	w.compressed = w.encoder.EncodeAll(raw, w.compressed[:0])
+	w.next.uncompressedSize = uint32(len(raw))
+	w.next.compressedSize = uint32(len(w.compressed))
+	w.next.compressedChecksum = checksum(w.compressed)
+	w.write(append(w.next.encode(), w.compressed...))
 }
 
 // Close writes the last block and the index. It does not close the underlying writer.
@@ -159,7 +160,7 @@
 		return fmt.Errorf("encode the index of a trace: %w", err)
 	}
 	if len(index) > maxBlockSize {
-		return nil // readers rebuild the index by a scan
+		return nil // readers rebuild a missing index by a scan
 	}
 	w.writeIndex(index)
 	if w.err != nil {
@@ -167,7 +168,7 @@
 	}
 	w.err = ErrClosed
 	if err := w.encoder.Close(); err != nil {
-		return fmt.Errorf("end the compression of a trace: %w", err)
+		return fmt.Errorf("close the zstd encoder of a trace: %w", err)
 	}
 	return nil
 }
@@ -175,7 +176,7 @@
 // writeIndex writes the index block and the footer that points to it.
 func (w *Writer) writeIndex(index []byte) {
 	start := w.offset
-	w.next = blockHeader{kind: blockOfIndex}
+	w.next = blockHeader{kind: indexBlock}
 	w.writeBlock(index)
 	footer := binary.LittleEndian.AppendUint64(nil, uint64(start))
 	footer = binary.LittleEndian.AppendUint32(footer, uint32(w.offset-start))
@@ -183,7 +184,8 @@
 	w.write(append(footer, footerMagic...))
 }
 
-// unixMillis returns a record's Unix time in milliseconds, by its source's clock.
+// unixMillis returns a record's Unix time in milliseconds by its source's clock, or AtMs if the header does not list
+// the source.
 func unixMillis(h *tracepb.Header, r *Record) float64 {
 	if int(r.Source) < len(h.Sources) {
 		return r.AtMs + h.Sources[r.Source].WallMs
