--- a/internal/replay/describe.go
+++ b/internal/replay/describe.go
@@ -9,8 +9,8 @@
 	"grebeglade/trace/tracepb"
 )
 
-// The texts of records are those that "grebeglade trace show" and "trace replay --json" have always printed, whatever
-// the records are called now.
+// The texts in this file are part of the output of "grebeglade trace show" and "trace replay --json" and must not
+// change. Some differ from the names of the constants.
 var (
 	verdictNames = []string{
 		allocator.Placed:        "placed",
@@ -26,14 +26,14 @@
 	usageNames = []string{
 		placement.Running:   "running",
 		placement.CoresUsed: "cores used",
-		// Traces of earlier versions have three further kinds.
+		// Three further kinds occur in traces of earlier versions.
 		"memory used",
 		"served share",
 		"memory filled",
 	}
 )
 
-// Describe describes a record in one line.
+// Describe returns a one-line description of a record.
 func Describe(r *trace.Record) string {
 	text := describeCall(r)
 	if text == "" {
@@ -49,7 +49,7 @@
 	return text
 }
 
-// describeCall describes a call of the module, "" for other records.
+// describeCall returns the description of a call to the module, "" for other records.
 func describeCall(r *trace.Record) string {
 	switch body := r.Body.(type) {
 	case *tracepb.Record_Schedule:
@@ -74,7 +74,7 @@
 	return ""
 }
 
-// describeEvent describes what happened around the module, "" for kinds that a later version has added.
+// describeEvent returns the description of a record that is not a call, "" for kinds added by a later version.
 func describeEvent(r *trace.Record) string {
 	switch body := r.Body.(type) {
 	case *tracepb.Record_Start:
@@ -112,14 +112,14 @@
 }
 
 func describeResult(result *tracepb.StepResult) string {
-	text := fmt.Sprintf("workload %d %s", result.Workload, trace.ResultName(result.Kind, unnamed(result.Kind)))
+	text := fmt.Sprintf("workload %d %s", result.Workload, trace.ResultName(result.Kind, fallbackName(result.Kind)))
 	if result.Reason > 0 {
-		text += fmt.Sprintf(" (%s)", trace.RejectionName(result.Reason, unnamed(result.Reason)))
+		text += fmt.Sprintf(" (%s)", trace.RejectionName(result.Reason, fallbackName(result.Reason)))
 	}
 	return text
 }
 
-// describeStep describes a step, or that there is none.
+// describeStep returns the description of a step, which may be nil.
 func describeStep(step *tracepb.Step) string {
 	if step == nil {
 		return "nothing"
@@ -130,9 +130,9 @@
 	case placement.Wait:
 		return fmt.Sprintf("wait until %.3f ms", step.WakeAt)
 	case placement.AwaitEnd, placement.Rejected, placement.Unschedulable, placement.Done:
-		// The name says everything.
+		// The description is the name alone.
 	}
-	return trace.StepName(step.Kind, unnamed(step.Kind))
+	return trace.StepName(step.Kind, fallbackName(step.Kind))
 }
 
 func describeMaintenance(m *tracepb.Maintenance) string {
@@ -144,8 +144,8 @@
 	if int(number) < len(names) {
 		return names[number]
 	}
-	return unnamed(number)
+	return fallbackName(number)
 }
 
-// unnamed describes a kind that a later version has added.
-func unnamed(number uint32) string { return fmt.Sprintf("kind %d", number) }
+// fallbackName returns the name of a kind added by a later version.
+func fallbackName(number uint32) string { return fmt.Sprintf("kind %d", number) }
--- a/internal/replay/encode.go
+++ b/internal/replay/encode.go
@@ -5,10 +5,10 @@
 	"grebeglade/trace/tracepb"
 )
 
-// The functions below, and those in encodesettings.go, convert between the module's types and those of a trace. Every
-// value is kept exactly.
+// The functions below, and those in encodesettings.go, convert between the placement module's types and those of a
+// trace, without loss of precision.
 
-// encodeWorkload returns a workload as a trace holds it.
+// encodeWorkload converts a workload to its encoding in a trace.
 func encodeWorkload(w placement.Workload) *tracepb.Workload {
 	return &tracepb.Workload{
 		Id:             uint32(w.ID),
@@ -21,7 +21,7 @@
 	}
 }
 
-// decodeWorkload returns the workload that was recorded.
+// decodeWorkload converts a recorded workload.
 func decodeWorkload(e *tracepb.Workload) placement.Workload {
 	return placement.Workload{
 		ID:             placement.WorkloadID(e.GetId()),
@@ -34,7 +34,7 @@
 	}
 }
 
-// encodeLoad returns a load report as a trace holds it, nil for none.
+// encodeLoad converts a load report to its encoding in a trace, and nil to nil.
 func encodeLoad(l *placement.LoadReport) *tracepb.Load {
 	if l == nil {
 		return nil
@@ -47,7 +47,7 @@
 	}
 }
 
-// decodeLoad returns the load report that was recorded, nil for none.
+// decodeLoad converts a recorded load report, and nil to nil.
 func decodeLoad(e *tracepb.Load) *placement.LoadReport {
 	if e == nil {
 		return nil
@@ -60,7 +60,7 @@
 	}
 }
 
-// encodeNodes returns nodes as a trace holds them.
+// encodeNodes converts nodes to their encoding in a trace.
 func encodeNodes(nodes []placement.Node) []*tracepb.Node {
 	encoded := make([]*tracepb.Node, len(nodes))
 	for i, n := range nodes {
@@ -78,7 +78,7 @@
 	return encoded
 }
 
-// decodeNodes returns the nodes that were recorded.
+// decodeNodes converts recorded nodes.
 func decodeNodes(encoded []*tracepb.Node) []placement.Node {
 	nodes := make([]placement.Node, len(encoded))
 	for i, n := range encoded {
@@ -105,7 +105,7 @@
 	}
 }
 
-// encodeMaintenance returns maintenance actions as a trace holds them.
+// encodeMaintenance converts maintenance actions to their encoding in a trace.
 func encodeMaintenance(m placement.Maintenance) *tracepb.Maintenance {
 	encoded := &tracepb.Maintenance{Subscribe: m.Subscribe, NextAt: float64(m.NextAt)}
 	for _, id := range m.Migrations {
--- a/internal/replay/encodesettings.go
+++ b/internal/replay/encodesettings.go
@@ -5,7 +5,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// encodeSettings returns a module's settings as the start of a trace holds them.
+// encodeSettings converts a module's settings to their encoding in the Start record of a trace.
 func encodeSettings(settings placement.Settings) *tracepb.Settings {
 	encoded := &tracepb.Settings{
 		Allocators:           int64(settings.Allocators),
@@ -31,7 +31,7 @@
 	return encoded
 }
 
-// encodeGroup returns a priority group as a trace holds it.
+// encodeGroup converts a priority group to its encoding in a trace.
 func encodeGroup(g placement.Group) *tracepb.Group {
 	return &tracepb.Group{
 		LatencyObjective:       float64(g.LatencyObjective),
@@ -47,7 +47,7 @@
 	}
 }
 
-// decodeSettings returns the settings of a module that is to decide as the recorded one did.
+// decodeSettings converts recorded settings. A module with these settings makes the recorded decisions.
 func decodeSettings(encoded *tracepb.Settings) placement.Settings {
 	settings := placement.Settings{
 		Allocators:           int(encoded.GetAllocators()),
@@ -73,7 +73,7 @@
 	return settings
 }
 
-// decodeGroup returns the priority group that was recorded.
+// decodeGroup converts a recorded priority group.
 func decodeGroup(g *tracepb.Group) placement.Group {
 	return placement.Group{
 		LatencyObjective:       placement.Millis(g.LatencyObjective),
--- a/internal/replay/files.go
+++ b/internal/replay/files.go
@@ -7,7 +7,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// RunFiles is Run for files, those of one allocator in the order given.
+// RunFiles is Run for the records of files. The files of one allocator must be in the order of writing.
 func RunFiles(files []*trace.Reader, options Options) ([]*Report, error) {
 	records, sources, err := concatenate(files)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return Run(records, sources, options)
 }
 
-// ReproduceFiles is Reproduce for files, those of one allocator in the order given.
+// ReproduceFiles is Reproduce for the records of files. The files of one allocator must be in the order of writing.
 func ReproduceFiles(files []*trace.Reader, workload uint32) (*Reproduction, error) {
 	records, sources, err := concatenate(files)
 	if err != nil {
@@ -25,17 +25,17 @@
 	return Reproduce(records, sources, workload)
 }
 
-// concatenate returns the records of all files, and the sources to which their numbers refer.
+// concatenate returns the records of all files, and the list of all sources, to which Record.Source refers.
 func concatenate(files []*trace.Reader) (iter.Seq2[*trace.Record, error], []*tracepb.Source, error) {
 	var sources []*tracepb.Source
-	numbers := map[trace.SourceKey]uint32{}
+	indexes := map[trace.SourceKey]uint32{}
 	for _, file := range files {
 		if file.Header.Anonymised {
 			return nil, nil, ErrAnonymised
 		}
 		for _, source := range file.Header.Sources {
-			if _, known := numbers[trace.KeyOf(source)]; !known {
-				numbers[trace.KeyOf(source)] = uint32(len(sources))
+			if _, listed := indexes[trace.KeyOf(source)]; !listed {
+				indexes[trace.KeyOf(source)] = uint32(len(sources))
 				sources = append(sources, source)
 			}
 		}
@@ -44,7 +44,7 @@
 		for _, file := range files {
 			for record, err := range file.Records(trace.Span{}) {
 				if err == nil && int(record.Source) < len(file.Header.Sources) {
-					record.Source = numbers[trace.KeyOf(file.Header.Sources[record.Source])]
+					record.Source = indexes[trace.KeyOf(file.Header.Sources[record.Source])]
 				}
 				if !yield(record, err) {
 					return
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -8,7 +8,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Filter selects records by what they concern. A zero field selects all.
+// Filter selects the records of a workload, a service or a node. A zero field does not restrict the selection.
 type Filter struct {
 	Workload uint32
 	Service  uint64
@@ -16,7 +16,7 @@
 }
 
 // Matcher returns a function that reports whether a record is selected. It must be called for all records of one file
-// in their order: which workloads belong to a service is known from their requests.
+// in file order, since only the request or adoption of a workload contains its service.
 func (f Filter) Matcher() func(*trace.Record) bool {
 	return (&matcher{filter: f, inService: map[workloadKey]bool{}}).matches
 }
@@ -24,7 +24,7 @@
 // matcher selects the records of one file.
 type matcher struct {
 	filter    Filter
-	inService map[workloadKey]bool // whether a workload belongs to the service of the filter
+	inService map[workloadKey]bool // whether a workload belongs to the filter's service
 }
 
 // workloadKey identifies a workload in one file.
@@ -35,15 +35,15 @@
 
 // matches reports whether a record is selected.
 func (m *matcher) matches(record *trace.Record) bool {
-	id, ofWorkload := workloadID(record)
+	id, hasWorkload := workloadID(record)
 	key := workloadKey{record.Source, id}
 	if workload := requestedWorkload(record); workload != nil {
 		m.inService[key] = workload.Service == m.filter.Service
 	}
-	if m.filter.Workload != 0 && (!ofWorkload || id != m.filter.Workload) {
+	if m.filter.Workload != 0 && (!hasWorkload || id != m.filter.Workload) {
 		return false
 	}
-	if m.filter.Service != 0 && (!ofWorkload || !m.inService[key]) {
+	if m.filter.Service != 0 && (!hasWorkload || !m.inService[key]) {
 		return false
 	}
 	return m.filter.Node == 0 || concernsNode(record, m.filter.Node)
@@ -57,7 +57,7 @@
 	return r.GetAdopt().GetWorkload()
 }
 
-// workloadID returns the workload that a record concerns, false if it concerns none or several.
+// workloadID returns the id of the workload that a record concerns, false if it concerns none or several.
 func workloadID(r *trace.Record) (id uint32, ok bool) {
 	switch body := r.Body.(type) {
 	case *tracepb.Record_Schedule:
--- a/internal/replay/gosource.go
+++ b/internal/replay/gosource.go
@@ -12,7 +12,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// goLiterals replaces what %#v prints by expressions, and breaks long lists of nodes and groups into lines.
+// goLiterals replaces values that %#v does not print as valid Go, and puts each node and group of a list on a line.
 var goLiterals = strings.NewReplacer(
 	"StartedAt:-Inf", "StartedAt:placement.DistantPast",
 	"-Inf", "math.Inf(-1)",
@@ -22,7 +22,7 @@
 	"}, placement.Group{", "},\nplacement.Group{",
 )
 
-// Print writes the calls as a test in Go that makes the decision again.
+// Print writes the calls as a Go test that checks the decision.
 func (r *Reproduction) Print(output io.Writer) error {
 	source, err := format.Source([]byte(goLiterals.Replace(r.goTest())))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// goTest returns the test before formatting.
+// goTest returns the unformatted source of the test.
 func (r *Reproduction) goTest() string {
 	before, last := splitLast(r.Calls)
 	lines := []string{
@@ -58,13 +58,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// concernsWorkload reports whether a call leads to a step of a workload, or reports its use.
+// concernsWorkload reports whether a call returns a step of a workload, or reports its usage.
 func concernsWorkload(r *trace.Record) bool {
 	_, ok := workloadID(r)
 	return ok
 }
 
-// goCall returns a call as a statement; steps are in a map by workload.
+// goCall returns a call as a Go statement, which stores a returned step in the map steps by workload.
 func goCall(r *trace.Record) string {
 	at := r.AtMs
 	switch body := r.Body.(type) {
--- a/internal/replay/gosource_test.go
+++ b/internal/replay/gosource_test.go
@@ -15,20 +15,20 @@
 	"grebeglade/internal/replay"
 )
 
-// packages imports the real packages that a printed test uses, and declarations in place of the test libraries, whose
-// sources take long to check.
-type packages struct {
+// stubImporter imports the packages that a printed test uses. It replaces the test libraries by stubs, since their
+// sources take long to type-check.
+type stubImporter struct {
 	fset    *token.FileSet
 	sources types.Importer
 }
 
-func newPackages() *packages {
+func newStubImporter() *stubImporter {
 	fset := token.NewFileSet()
-	return &packages{fset, importer.ForCompiler(fset, "source", nil)}
+	return &stubImporter{fset, importer.ForCompiler(fset, "source", nil)}
 }
 
 // Import implements types.Importer.
-func (p *packages) Import(path string) (*types.Package, error) {
+func (p *stubImporter) Import(path string) (*types.Package, error) {
 	switch path {
 	case "testing":
 		return p.check(path, "package testing\ntype T struct{}")
@@ -39,8 +39,8 @@
 	return p.sources.Import(path)
 }
 
-// check returns the package of a source that passes the type checker.
-func (p *packages) check(path, source string) (*types.Package, error) {
+// check type-checks the source of a package.
+func (p *stubImporter) check(path, source string) (*types.Package, error) {
 	file, err := parser.ParseFile(p.fset, path+".go", source, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 
 func TestReproduction_PrintedTestCompiles(t *testing.T) {
 	files := playTraced(t, "rough")["allocator-1"]
-	known := newPackages()
+	stubs := newStubImporter()
 	for _, workload := range []uint32{1, 60, 120} {
 		t.Run(fmt.Sprint(workload), func(t *testing.T) {
 			reproduction, err := replay.ReproduceFiles(files, workload)
@@ -64,7 +64,7 @@
 			}
 			quoted := strings.Join(imports, "\"\n\"")
 			source := fmt.Sprintf("package extracted\nimport (\n\"%s\"\n)\n%s", quoted, printed.String())
-			_, err = known.check("extracted", source)
+			_, err = stubs.check("extracted", source)
 			require.NoError(t, err, source)
 		})
 	}
--- a/internal/replay/kinds_test.go
+++ b/internal/replay/kinds_test.go
@@ -14,11 +14,12 @@
 	"grebeglade/trace/tracepb"
 )
 
-// noName is what a kind without a name is called here.
+// noName is the fallback for kinds without a name.
 const noName = "no name"
 
-// Package trace numbers kinds by itself, since a file outlives the scheduler that wrote it.
-func TestKinds_TraceNumbersThemAsPlacement(t *testing.T) {
+// Guards against a change of the kinds' numbers in package placement alone: package trace defines its own numbers,
+// since a file outlives the scheduler that wrote it.
+func TestKinds_NumbersEqualThoseOfPlacement(t *testing.T) {
 	steps := map[placement.StepKind]string{
 		placement.Bind:          "bind",
 		placement.Wait:          "wait",
@@ -64,13 +65,13 @@
 	assert.Equal(t, noName, trace.RejectionName(uint32(len(reasons)), noName))
 }
 
-// records is a sink that keeps what is put into it.
-type records []*trace.Record
+// recordSink is a sink that collects records in memory.
+type recordSink []*trace.Record
 
-func (r *records) Put(batch []*trace.Record) { *r = append(*r, batch...) }
+func (r *recordSink) Put(batch []*trace.Record) { *r = append(*r, batch...) }
 
-func TestKinds_TraceNumbersVerdictsAsAllocator(t *testing.T) {
-	var recorded records
+func TestKinds_VerdictsEqualThoseOfAllocator(t *testing.T) {
+	var recorded recordSink
 	source := &tracepb.Source{Allocator: "a", Incarnation: 1}
 	recorder := replay.NewRecorder(replay.RecorderConfig{
 		Source:   source,
--- a/internal/replay/recordevents.go
+++ b/internal/replay/recordevents.go
@@ -7,7 +7,8 @@
 	"grebeglade/trace/tracepb"
 )
 
-// RecordRequest records the client, request and idempotency key of a workload, before it is scheduled or adopted.
+// RecordRequest records the client, request id and idempotency key of a workload. It must be called before the workload
+// is scheduled or adopted.
 func (r *Recorder) RecordRequest(now placement.Millis, id placement.WorkloadID, client string, request, key uint64) {
 	received := &tracepb.RequestReceived{
 		Workload:  uint32(id),
@@ -18,7 +19,7 @@
 	r.add(now, &trace.Record{Body: &tracepb.Record_RequestReceived{RequestReceived: received}})
 }
 
-// RecordAnswer records what a client was answered.
+// RecordAnswer records the answer to a client's request.
 func (r *Recorder) RecordAnswer(
 	now placement.Millis, id placement.WorkloadID, verdict allocator.Verdict, node placement.NodeID, text string,
 ) {
@@ -31,7 +32,7 @@
 	r.add(now, &trace.Record{Body: &tracepb.Record_RequestAnswered{RequestAnswered: answered}})
 }
 
-// RecordRejection records the text with which a node rejected a workload.
+// RecordRejection records a node's rejection of a workload, with the node's text.
 func (r *Recorder) RecordRejection(
 	now placement.Millis, id placement.WorkloadID, node placement.NodeID, text string,
 ) {
@@ -43,7 +44,7 @@
 	r.add(now, &trace.Record{Body: &tracepb.Record_OfferRejected{OfferRejected: rejected}})
 }
 
-// RecordListRevision records which revision of the node list was received.
+// RecordListRevision records the epoch and revision of a received node list.
 func (r *Recorder) RecordListRevision(now placement.Millis, epoch, revision uint64) {
 	updated := &tracepb.DiscoveryUpdated{Epoch: epoch, Revision: revision}
 	r.add(now, &trace.Record{Body: &tracepb.Record_DiscoveryUpdated{DiscoveryUpdated: updated}})
@@ -53,12 +54,12 @@
 type GangRequest struct {
 	Client         string
 	RequestID      uint64
-	Parts          int
-	MinParts       int // that must run
+	Parts          int // number of parts
+	MinParts       int // least number of parts that must run
 	PendingTimeout placement.Millis
 }
 
-// RecordGangRequest records a request for a gang, before the requests of its parts.
+// RecordGangRequest records a request for a gang. It must be called before the requests of its parts are recorded.
 func (r *Recorder) RecordGangRequest(now placement.Millis, request GangRequest) {
 	requested := &tracepb.GangRequested{
 		Client:         request.Client,
@@ -70,7 +71,7 @@
 	r.add(now, &trace.Record{Body: &tracepb.Record_GangRequested{GangRequested: requested}})
 }
 
-// RecordGangState records a gang's new state, with the workloads of its parts: 0 for a part that is not requested.
+// RecordGangState records a gang's new state and the workloads of its parts, 0 for a part that is not requested.
 func (r *Recorder) RecordGangState(
 	now placement.Millis, client string, request uint64, state string, parts []placement.WorkloadID,
 ) {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -26,7 +26,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// playTraced plays a scenario in virtual time and returns the traces of each allocator.
+// playTraced runs a scenario in virtual time and returns the trace files of each allocator.
 func playTraced(t *testing.T, name string) map[string][]*trace.Reader {
 	t.Helper()
 	s, err := scenario.Open(name)
@@ -37,7 +37,7 @@
 	return openTraces(t, dir)
 }
 
-// openTraces returns the traces in a directory by allocator.
+// openTraces returns the trace files in a directory by allocator.
 func openTraces(t *testing.T, dir string) map[string][]*trace.Reader {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -55,7 +55,7 @@
 	return all
 }
 
-// requireIdentical replays traces, and requires that every decision is as recorded.
+// requireIdentical replays trace files, and requires that every decision is as recorded.
 func requireIdentical(t *testing.T, traces map[string][]*trace.Reader) {
 	t.Helper()
 	for name, files := range traces {
@@ -106,7 +106,7 @@
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = slices.Clone(s.Groups)
 		for i := range s.Groups {
-			s.Groups[i].FullServiceUtilization = 0.35 // a lower cap on ρ
+			s.Groups[i].FullServiceUtilization = 0.35 // a lower limit of the utilization ρ
 		}
 		return placement.New(s, seed)
 	}
@@ -140,7 +140,7 @@
 func TestRunFiles_OtherSettingsAreComparedByRequest(t *testing.T) {
 	files := playTraced(t, "full")["allocator-1"]
 	same := whatIf(t, files, func(s placement.Settings) (placement.Settings, error) { return s, nil })
-	assert.Equal(t, same.Requests, same.SameNode+same.StillRejected, "the same settings decide the same")
+	assert.Equal(t, same.Requests, same.SameNode+same.StillRejected, "the same settings give the same decisions")
 	fewerCores := whatIf(t, files, func(s placement.Settings) (placement.Settings, error) {
 		s.NodeKinds = slices.Clone(s.NodeKinds)
 		for i := range s.NodeKinds {
@@ -154,7 +154,7 @@
 	assert.Equal(t, fewerCores.Requests, bound+rejected)
 }
 
-// rewriteFile returns a file with the records that edit keeps, as it leaves them.
+// rewriteFile returns a copy of a file. The function edit may change each record, and returns false to omit it.
 func rewriteFile(t *testing.T, file *trace.Reader, edit func(*trace.Record) (keep bool)) *trace.Reader {
 	t.Helper()
 	var out bytes.Buffer
@@ -172,7 +172,7 @@
 	return r
 }
 
-// keepAll is an edit that changes nothing.
+// keepAll is an edit function that keeps all records unchanged.
 func keepAll(*trace.Record) bool { return true }
 
 func TestRunFiles_IncompleteTraceIsAnError(t *testing.T) {
@@ -213,10 +213,10 @@
 	})
 }
 
-// missingRevision is that of the record that an incomplete trace lacks.
+// missingRevision is the revision of the record that is missing in an incomplete trace.
 const missingRevision = 50
 
-// replaceByGap replaces the missing record by a gap.
+// replaceByGap replaces the record with missingRevision by a Gap record.
 func replaceByGap(r *trace.Record) (keep bool) {
 	if r.Revision == missingRevision {
 		r.Body = &tracepb.Record_Gap{Gap: &tracepb.Gap{Missing: 1, Reason: "the queue was full"}}
@@ -238,7 +238,8 @@
 	assertCallsModule(t, source.String())
 }
 
-// assertCallsModule checks that a printed test calls only methods that the module has, with as many arguments.
+// assertCallsModule checks that a printed test calls only existing methods of the module, with the right number of
+// arguments.
 func assertCallsModule(t *testing.T, source string) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), "", "package p\n"+source, 0)
@@ -279,7 +280,7 @@
 	assert.ErrorIs(t, err, replay.ErrOtherDecision)
 }
 
-func TestFilter_SelectsRecordsByWhatTheyConcern(t *testing.T) {
+func TestFilter_SelectsRecordsOfWorkloadOrNode(t *testing.T) {
 	file := playTraced(t, "quiet")["allocator-1"][0]
 	count := func(f replay.Filter) (n int) {
 		match := f.Matcher()
@@ -293,7 +294,7 @@
 	}
 	assert.Greater(t, count(replay.Filter{}), 500)
 	ofWorkload := count(replay.Filter{Workload: 3})
-	assert.GreaterOrEqual(t, ofWorkload, 4, "requested, scheduled, confirmed, answered")
+	assert.GreaterOrEqual(t, ofWorkload, 4, "at least request, Schedule, confirmation and answer")
 	assert.Less(t, ofWorkload, 30)
 	assert.Zero(t, count(replay.Filter{Workload: 3, Node: 1}))
 }
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -11,17 +11,17 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Reproduction is the shortest list of calls found from which a module makes a recorded decision again.
+// Reproduction is a short list of calls with which a new module makes a recorded decision.
 type Reproduction struct {
 	Source      string
 	Start       *tracepb.Start
 	Calls       []*trace.Record // the last one requests the workload
-	CallsBefore int             // calls before the last one in the trace
-	Decision    *tracepb.Step
+	CallsBefore int             // number of calls before that request in the trace
+	Decision    *tracepb.Step   // recorded step of that request
 }
 
-// Reproduce finds the calls that a workload's first step rests on. It leaves out calls, at first half of them, then
-// smaller parts, as long as the module still decides the same with what remains.
+// Reproduce finds a short list of calls that leads to a workload's first step. It omits calls, first half of them, then
+// smaller parts, as long as the module makes the same decision with the remaining ones.
 func Reproduce(
 	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, workload uint32,
 ) (*Reproduction, error) {
@@ -32,23 +32,23 @@
 	before, last := splitLast(calls)
 	found.Source = sourceName(sources, last.Source)
 	found.CallsBefore = len(before)
-	same := func(before []*trace.Record) bool {
+	reproduces := func(before []*trace.Record) bool {
 		return proto.Equal(found.decide(before, last), found.Decision)
 	}
-	if !same(before) {
+	if !reproduces(before) {
 		return nil, ErrOtherDecision
 	}
-	found.Calls = append(shrink(before, same), last)
+	found.Calls = append(shrink(before, reproduces), last)
 	return found, nil
 }
 
-// splitLast returns the last call, and those before it. There must be a call.
+// splitLast splits off the last call. The list must not be empty.
 func splitLast(calls []*trace.Record) (before []*trace.Record, last *trace.Record) {
 	end := len(calls) - 1
 	return calls[:end], calls[end]
 }
 
-// findRequest returns the calls of the workload's allocator up to the request.
+// findRequest returns the recorded decision on a workload's request, and the calls of its allocator up to the request.
 func findRequest(records iter.Seq2[*trace.Record, error], workload uint32) (*Reproduction, []*trace.Record, error) {
 	calls := map[uint32][]*trace.Record{} // by source
 	starts := map[uint32]*tracepb.Start{}
@@ -89,12 +89,13 @@
 	return false
 }
 
-// shrink omits the calls that are not needed: at first large parts, then smaller ones, then single calls.
-func shrink(calls []*trace.Record, same func([]*trace.Record) bool) []*trace.Record {
+// shrink omits calls, first large parts, then smaller ones, then single calls, and keeps those without which reproduces
+// returns false.
+func shrink(calls []*trace.Record, reproduces func([]*trace.Record) bool) []*trace.Record {
 	for size := max(1, len(calls)/2); ; size = max(1, size/2) {
 		for at := 0; at < len(calls); {
 			without := slices.Concat(calls[:at], calls[min(at+size, len(calls)):])
-			if same(without) {
+			if reproduces(without) {
 				calls = without
 			} else {
 				at += size
@@ -106,22 +107,22 @@
 	}
 }
 
-// decide makes calls on a new module and returns its first step for the last one.
+// decide makes calls on a new module and returns its step for the last one, which requests a workload.
 func (r *Reproduction) decide(before []*trace.Record, last *trace.Record) *tracepb.Step {
 	module := placement.New(decodeSettings(r.Start.Settings), r.Start.Seed)
-	calls := newRun(Options{}, r.Source, 0)
-	calls.module = module
+	current := newRun(Options{}, r.Source, 0)
+	current.module = module
 	for _, record := range before {
-		if calls.possible(record) {
-			calls.call(record)
+		if current.isPossible(record) {
+			current.call(record)
 		}
 	}
 	requested := decodeWorkload(last.GetSchedule().Workload)
 	return encodeStep(module.Schedule(placement.Millis(last.AtMs), requested))
 }
 
-// possible reports whether a call can be made: a result needs the step that it answers, which may have been left out.
-func (r *run) possible(call *trace.Record) bool {
+// isPossible reports whether a call can be made. A result needs the step that it belongs to, whose call may be omitted.
+func (r *run) isPossible(call *trace.Record) bool {
 	result := call.GetStepResult()
 	if result == nil {
 		return true
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -14,12 +14,12 @@
 	"grebeglade/trace/tracepb"
 )
 
-// maxCallsBefore is how many calls before a divergence are reported.
-const maxCallsBefore = 12
+// maxRecentCalls is the number of calls before a divergence that are reported.
+const maxRecentCalls = 12
 
-// Run makes the calls of records on a module and compares each decision. Records of several allocators may be mixed;
-// each has a run and a report of its own. It stops at damage. With the recorded settings, a run stops at its first
-// divergence: what comes after answers another decision.
+// Run replays the calls of records on a module and compares each decision. Records of several sources may be mixed;
+// each source has its own module and report. Run returns the first error of records. With the recorded settings, it
+// skips the records of a source after its first divergence, since they follow from a different decision.
 func Run(
 	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, options Options,
 ) ([]*Report, error) {
@@ -61,7 +61,7 @@
 	return placement.New(settings, seed)
 }
 
-// sourceName returns the name of a source by its number.
+// sourceName returns the name of a source, given its index.
 func sourceName(sources []*tracepb.Source, i uint32) string {
 	if int(i) < len(sources) {
 		return trace.KeyOf(sources[i]).String()
@@ -69,17 +69,17 @@
 	return fmt.Sprintf("source %d", i)
 }
 
-// run makes the calls of one incarnation of an allocator again.
+// run replays the calls of one incarnation of an allocator.
 type run struct {
 	options      Options
 	module       allocator.Module
-	steps        map[uint32]placement.Step // the last one of each workload that is not done
+	steps        map[uint32]placement.Step // last step of each workload, unless it is final
 	report       Report
-	callsBefore  []string
-	nextRevision uint64
+	recentCalls  []string // descriptions of the last calls
+	nextRevision uint64   // expected revision of the next record
 }
 
-// newRun returns a run whose first record has a revision.
+// newRun returns a run whose first record has the given revision.
 func newRun(options Options, source string, revision uint64) *run {
 	return &run{
 		options:      options,
@@ -89,10 +89,11 @@
 	}
 }
 
-// diverged reports whether the run ends here: with the recorded settings, what follows a divergence means nothing.
+// diverged reports whether the run ended with a divergence. With the recorded settings, the calls after it are not
+// comparable.
 func (r *run) diverged() bool { return r.report.Differ != nil && r.options.Settings == nil }
 
-// add makes the call of the next record, if it is one. Its revision must follow that of the record before.
+// add replays the next record if it is a call. The record's revision must be the successor of the previous one.
 func (r *run) add(record *trace.Record) error {
 	if gap := record.GetGap(); gap != nil {
 		return GapError{Missing: gap.Missing, Reason: gap.Reason}
@@ -108,9 +109,9 @@
 		return nil
 	}
 	r.report.Calls++
-	r.callsBefore = append(r.callsBefore, Describe(record))
-	if len(r.callsBefore) > maxCallsBefore {
-		r.callsBefore = r.callsBefore[1:]
+	r.recentCalls = append(r.recentCalls, Describe(record))
+	if len(r.recentCalls) > maxRecentCalls {
+		r.recentCalls = r.recentCalls[1:]
 	}
 	return nil
 }
@@ -129,16 +130,16 @@
 	return nil
 }
 
-// call makes a call and compares its outcome. It returns false if the record is no call.
+// call makes a recorded call and compares its result. It returns false if the record is not a call.
 func (r *run) call(record *trace.Record) bool {
 	now := placement.Millis(record.AtMs)
 	switch body := record.Body.(type) {
 	case *tracepb.Record_Schedule:
 		step := r.module.Schedule(now, decodeWorkload(body.Schedule.Workload))
-		r.decided(record, body.Schedule.Workload.GetId(), step)
+		r.checkStep(record, body.Schedule.Workload.GetId(), step)
 	case *tracepb.Record_Adopt:
 		step := r.module.Adopt(now, decodeWorkload(body.Adopt.Workload), placement.NodeID(body.Adopt.Node))
-		r.decided(record, body.Adopt.Workload.GetId(), step)
+		r.checkStep(record, body.Adopt.Workload.GetId(), step)
 	case *tracepb.Record_StepResult:
 		r.advance(record, body.StepResult)
 	case *tracepb.Record_NodesUpdated:
@@ -155,14 +156,14 @@
 		usage := body.UsageReport
 		r.module.ReportUsage(now, placement.WorkloadID(usage.Workload), placement.UsageKind(usage.Kind), usage.Value)
 	case *tracepb.Record_Maintain:
-		r.maintained(record, encodeMaintenance(r.module.Maintain(now)))
+		r.checkMaintenance(record, encodeMaintenance(r.module.Maintain(now)))
 	default:
 		return false
 	}
 	return true
 }
 
-// advance passes a recorded result to the workload's last step. With other settings there may be none.
+// advance passes a recorded result to the workload's last step. With other settings there may be no such step.
 func (r *run) advance(record *trace.Record, result *tracepb.StepResult) {
 	step, ok := r.steps[result.Workload]
 	if !ok || step.NextStep == nil {
@@ -172,11 +173,11 @@
 		return
 	}
 	next := step.NextStep(placement.Millis(record.AtMs), decodeResult(result))
-	r.decided(record, result.Workload, next)
+	r.checkStep(record, result.Workload, next)
 }
 
-// decided compares a workload's next step with the recorded one, and keeps it for the result that follows.
-func (r *run) decided(record *trace.Record, id uint32, step placement.Step) {
+// checkStep compares a workload's next step with the recorded one, and stores it for the result that follows.
+func (r *run) checkStep(record *trace.Record, id uint32, step placement.Step) {
 	if r.options.Settings != nil {
 		r.estimate(record, id, step)
 		return
@@ -190,14 +191,14 @@
 	r.compare(record, proto.Equal(decided, record.Step), describeStep(record.Step), describeStep(decided))
 }
 
-// maintained compares maintenance actions with the recorded ones.
-func (r *run) maintained(record *trace.Record, decided *tracepb.Maintenance) {
+// checkMaintenance compares maintenance actions with the recorded ones.
+func (r *run) checkMaintenance(record *trace.Record, decided *tracepb.Maintenance) {
 	recorded := record.Maintenance
 	same := proto.Equal(decided, recorded)
 	r.compare(record, same, describeMaintenance(recorded), describeMaintenance(decided))
 }
 
-// compare counts a decision, and reports it if it is the first that differs.
+// compare counts a decision, and adds it to the report if it is the first that differs.
 func (r *run) compare(record *trace.Record, same bool, recorded, decided string) {
 	r.report.Decisions++
 	if same {
@@ -213,6 +214,6 @@
 		Call:     Describe(record),
 		Recorded: recorded,
 		Decided:  decided,
-		Before:   slices.Clone(r.callsBefore),
+		Before:   slices.Clone(r.recentCalls),
 	}
 }
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -5,9 +5,9 @@
 	"grebeglade/trace"
 )
 
-// estimate takes a workload's next step under other settings. As long as it is of the recorded kind, the recorded
-// results are passed to it, whichever node a bind is to. From where it differs its outcome is unknown: a bind is
-// withdrawn, and the workload is not followed further.
+// estimate compares a workload's next step under other settings. While its steps are of the recorded kinds, they get
+// the recorded results, even if a bind is to another node. The outcome of a step of another kind is unknown: a bind is
+// reported as not attempted, and the workload is not replayed further.
 func (r *run) estimate(record *trace.Record, id uint32, step placement.Step) {
 	recorded := placement.StepKind(record.Step.GetKind())
 	sameNode := record.Step.GetNode() == uint32(step.Node)
@@ -21,7 +21,7 @@
 	delete(r.steps, id)
 	switch {
 	case step.NextStep == nil:
-		// The workload has its final answer.
+		// The step is final.
 	case recorded == step.Kind:
 		r.steps[id] = step
 	case step.Kind == placement.Bind || step.Kind == placement.AwaitEnd:
@@ -29,7 +29,8 @@
 	}
 }
 
-// count counts the first step of a workload. A first step of another kind counts as a request alone.
+// count counts the first step of a workload. Combinations with other kinds than bind and rejection only count as
+// requests.
 func (w *WhatIf) count(recorded, decided placement.StepKind, sameNode bool) {
 	w.Requests++
 	wasBound := recorded == placement.Bind
