--- a/internal/simulation/observer/observer.go
+++ b/internal/simulation/observer/observer.go
@@ -1,5 +1,6 @@
-// Package observer records what passes between the processes of a run and their connections. It sees frames with their
-// times and directions, connections, and starts and ends of processes, and nothing of what goes on inside a process.
+// Package observer records the traffic between the processes of a simulation run: frames with their times and
+// directions, opened and closed connections, and starts, ends and pauses of processes. The internal state of a process
+// is not observed.
 package observer
 
 import (
@@ -11,19 +12,19 @@
 )
 
 // Process identifies a process of a run: an allocator, a node, a client or the discovery service. Observers compare
-// processes by their addresses.
+// processes by pointer.
 type Process struct {
 	Name string
 	Role pb.Role
-	ID   int // unique within the role; a node's id
+	ID   int // unique within the role; for a node, its node ID
 }
 
-// Observer is notified of everything that passes at one end of a connection.
+// Observer is notified of the events of the processes of a run. A frame is reported at both ends of its connection.
 type Observer interface {
-	// Frame is called when a process has sent a frame, or when one is delivered to it, which may have waited since it
-	// arrived.
+	// Frame is called when a process has sent a frame, or when a frame is delivered to it. A frame that was queued
+	// before its delivery has an earlier arrival time.
 	Frame(now, arrived placement.Millis, process *Process, conn transport.ConnID, sent bool, frame *pb.Frame)
-	// Connection is called when a connection opens or closes.
+	// Connection is called when a connection of a process opens or closes.
 	Connection(now placement.Millis, process *Process, conn transport.ConnID, open bool)
 	// Process is called when a process starts or is killed.
 	Process(now placement.Millis, process *Process, running bool)
@@ -31,7 +32,7 @@
 	Pause(now placement.Millis, process *Process, until placement.Millis)
 }
 
-// Discard ignores everything.
+// Discard is an Observer that ignores all events.
 type Discard struct{}
 
 // Frame does nothing.
@@ -46,7 +47,7 @@
 // Pause does nothing.
 func (Discard) Pause(placement.Millis, *Process, placement.Millis) {}
 
-// Tee notifies each of its observers, in order.
+// Tee is an Observer that passes each event to all of its observers, in order.
 type Tee []Observer
 
 // Frame implements Observer.
@@ -79,7 +80,7 @@
 	}
 }
 
-// BindKey is the identity of a bind, in a form that can be compared.
+// BindKey identifies a bind, like pb.BindID, and can be used as a map key.
 type BindKey struct {
 	Allocator   string
 	Incarnation uint64
@@ -87,7 +88,7 @@
 	Number      uint32
 }
 
-// KeyOf returns the key of a bind.
+// KeyOf returns the key of a bind ID, or the zero key for nil.
 func KeyOf(b *pb.BindID) BindKey {
 	return BindKey{
 		Allocator:   b.GetAllocator(),
@@ -97,7 +98,7 @@
 	}
 }
 
-// String returns the key as it is shown in reports.
+// String returns the key in the form in which reports show it.
 func (k BindKey) String() string {
 	return fmt.Sprintf("%s.%d bind %d.%d", k.Allocator, k.Incarnation, k.Workload, k.Number)
 }
