--- a/internal/simulation/audit/allocator.go
+++ b/internal/simulation/audit/allocator.go
@@ -6,21 +6,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// allocatorState is what an allocator has been notified of, and the binds that it has not ended yet.
+// allocatorState is the information that an allocator has received so far, and its binds that have not ended.
 type allocatorState struct {
 	name        string
-	incarnation uint64 // by its own hello
+	incarnation uint64 // as in the hello that it sent
 	pauses      []pause
 	nodes       map[uint32]*nodeView
 	openBinds   map[observer.BindKey]*bind
-	epoch       uint64 // of the last discovery update that counted
-	revision    uint64 // of the same update
+	epoch       uint64 // epoch of the last discovery update that was applied
+	revision    uint64 // revision of the same update
 }
 
-// pause is a time in which a process did not run.
+// pause is an interval in which a process did not run.
 type pause struct{ from, until placement.Millis }
 
-// allocator returns the state of an allocator, which is empty at first.
+// allocator returns the state of an allocator, which it adds if there is none.
 func (a *Auditor) allocator(name string) *allocatorState {
 	s := a.allocators[name]
 	if s == nil {
@@ -31,14 +31,14 @@
 	return s
 }
 
-// reset drops what a killed allocator knew.
+// reset clears the state that an allocator loses when it is killed.
 func (s *allocatorState) reset() {
 	s.nodes = map[uint32]*nodeView{}
 	s.openBinds = map[observer.BindKey]*bind{}
 }
 
-// wasPaused reports whether a pause excuses that a deadline has passed without an answer: a paused allocator answers as
-// soon as it runs again.
+// wasPaused reports whether the allocator was paused at a deadline and may still be late because of it: it answers
+// after the pause.
 func (s *allocatorState) wasPaused(deadline, now placement.Millis) bool {
 	for _, p := range s.pauses {
 		from := p.from - pauseTolerance
@@ -50,7 +50,7 @@
 	return false
 }
 
-// closeBinds records that no replies come from a node any more for the binds that were sent to it.
+// closeBinds records that the node sends no more replies for the binds that were sent to it.
 func (s *allocatorState) closeBinds(node uint32) {
 	for _, b := range s.openBinds {
 		if b.node == node {
@@ -59,7 +59,7 @@
 	}
 }
 
-// endBinds ends the binds on a node, except those to be kept.
+// endBinds ends the binds on a node, except the given ones.
 func (s *allocatorState) endBinds(node uint32, kept map[observer.BindKey]bool) {
 	for key, b := range s.openBinds {
 		if b.node == node && !kept[key] {
@@ -68,20 +68,20 @@
 	}
 }
 
-// reconcileNode handles a node's hello, which names the workloads that run on it: other binds have ended.
+// reconcileNode handles a node's hello, which lists the workloads that run on the node: all other binds have ended.
 func (s *allocatorState) reconcileNode(now placement.Millis, hello *pb.Hello) {
 	view := s.view(hello.Node)
 	view.incarnation = max(view.incarnation, hello.Incarnation)
-	// The end of a connection does not end a drain. Only the node does, by this hello or by a new incarnation.
-	view.setDrainedByNode(now, hello.Draining)
+	// A closed connection does not end a drain. Only the node ends it, by this hello or by a new incarnation.
+	view.setReportedDraining(now, hello.Draining)
 	for _, running := range hello.RunningWorkloads {
 		s.adopt(now, hello.Node, running.Offer)
 	}
 	s.endBinds(hello.Node, runningBinds(hello))
 }
 
-// adopt adds a workload that an earlier incarnation of the allocator placed. It belongs to this one now, and counts for
-// the spread of its service.
+// adopt adds a workload that an earlier incarnation of the allocator placed. It counts towards the spread limit of its
+// service in the current incarnation.
 func (s *allocatorState) adopt(now placement.Millis, node uint32, offer *pb.Offer) {
 	key := observer.KeyOf(offer.Bind)
 	if s.openBinds[key] != nil || key.Incarnation >= s.incarnation {
@@ -97,27 +97,27 @@
 			ref:        requestRef{offer.Client, offer.Request.RequestId},
 			spec:       offer.Request,
 			allocator:  s.name,
-			clientView: clientView{excused: true},
+			clientView: clientView{noAnswerDue: true},
 		},
 	}
 }
 
-// runningBinds returns the binds of the workloads that a node's hello names.
+// runningBinds returns the binds of the workloads that a node's hello lists.
 func runningBinds(hello *pb.Hello) map[observer.BindKey]bool {
-	named := map[observer.BindKey]bool{}
+	binds := map[observer.BindKey]bool{}
 	for _, running := range hello.RunningWorkloads {
-		named[observer.KeyOf(running.Offer.Bind)] = true
+		binds[observer.KeyOf(running.Offer.Bind)] = true
 	}
-	return named
+	return binds
 }
 
-// atAllocator handles a frame at an allocator's end.
+// atAllocator handles a frame that an allocator sent or received.
 func (a *Auditor) atAllocator(seen frame) {
 	state := a.allocator(seen.process.Name)
 	other, _ := a.connections.peerOf(seen)
 	switch body := seen.message.Body.(type) {
 	case *pb.Frame_Hello:
-		state.incarnation = body.Hello.Incarnation // its own, as received ones do not come here
+		state.incarnation = body.Hello.Incarnation // its own hello; Auditor.Frame handles received ones
 	case *pb.Frame_PlaceRequest:
 		state.requestReceived(a.requests.find(other.name, body.PlaceRequest.RequestId), seen)
 	case *pb.Frame_GangRequest:
@@ -129,7 +129,7 @@
 	case *pb.Frame_NodeListUpdate:
 		a.discoveryUpdate(body.NodeListUpdate, seen)
 	case *pb.Frame_Drain:
-		state.view(other.node).setDrainedByNode(seen.at, body.Drain.Draining)
+		state.view(other.node).setReportedDraining(seen.at, body.Drain.Draining)
 	case *pb.Frame_Offer:
 		a.offerSent(state, other.node, body.Offer, seen)
 	case *pb.Frame_Stop:
@@ -157,7 +157,7 @@
 	}
 }
 
-// stopSeen handles a stop. A workload of an earlier incarnation does not count for the spread once it is stopped.
+// stopSeen handles a stop. A workload of an earlier incarnation does not count towards the spread limit after its stop.
 func (s *allocatorState) stopSeen(stop *pb.Stop) {
 	b := s.openBinds[observer.KeyOf(stop.Bind)]
 	if b != nil && b.key.Incarnation < s.incarnation {
@@ -165,7 +165,7 @@
 	}
 }
 
-// replyReceived handles a node's reply to an offer. An acceptance after the offer's timeout comes too late: the
+// replyReceived handles a node's reply to an offer. An acceptance after the offer's timeout does not count: the
 // allocator has abandoned that bind, and sends a stop.
 func (s *allocatorState) replyReceived(reply *pb.OfferReply, seen frame) {
 	b := s.openBinds[observer.KeyOf(reply.Bind)]
@@ -191,7 +191,7 @@
 	delete(s.openBinds, b.key)
 }
 
-// answerSent checks an answer as it leaves the allocator.
+// answerSent checks an answer at the time at which the allocator sends it.
 func (a *Auditor) answerSent(req *request, answer *pb.Answer, seen frame) {
 	now := seen.at
 	if req == nil {
@@ -211,12 +211,12 @@
 	}
 }
 
-// checkRejection reports a rejection, which says that a retry is safe, of a workload that may have run and must not run
-// again anywhere.
+// checkRejection reports a rejection of a workload that may have run and must not run again on any node: a rejection
+// means that a retry is safe.
 func (a *Auditor) checkRejection(now placement.Millis, r *request) {
 	group := a.terms.Groups[r.spec.Group]
-	keyKnownEverywhere := group.Idempotency == placement.IdempotentByKey && group.KeyScope == placement.ScopeAll
-	if group.Idempotency == placement.Idempotent || keyKnownEverywhere {
+	keyRecognizedEverywhere := group.Idempotency == placement.IdempotentByKey && group.KeyScope == placement.ScopeAll
+	if group.Idempotency == placement.Idempotent || keyRecognizedEverywhere {
 		return
 	}
 	if b := r.bindThatMayHaveRun(); b != nil {
--- a/internal/simulation/audit/atmostonce.go
+++ b/internal/simulation/audit/atmostonce.go
@@ -8,10 +8,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// atMostOnceWorkloads holds the binds of at-most-once workloads over all requests and incarnations of allocators.
+// atMostOnceWorkloads holds the binds of at-most-once workloads, across all requests and allocator incarnations.
 type atMostOnceWorkloads struct {
-	binds   map[uint64][]*bind            // sent, by workload key
-	started map[uint64][]observer.BindKey // whose workload started, by workload key
+	binds   map[uint64][]*bind            // binds sent, by workload key
+	started map[uint64][]observer.BindKey // binds whose workload started, by workload key
 }
 
 func newAtMostOnceWorkloads() atMostOnceWorkloads {
@@ -21,7 +21,7 @@
 	}
 }
 
-// addBind adds a bind, and returns the earlier ones for other requests that may have run.
+// addBind adds a bind, and returns the earlier binds of other requests for the same workload that may have run.
 func (w *atMostOnceWorkloads) addBind(b *bind) (conflicts []*bind) {
 	key := b.request.spec.Key
 	for _, earlier := range w.binds[key] {
@@ -33,19 +33,19 @@
 	return conflicts
 }
 
-// addStart records that the workload of a bind has started, and reports whether another bind had started it before.
+// addStart records that the workload of a bind has started, and reports whether it had already started by another bind.
 func (w *atMostOnceWorkloads) addStart(b *bind) (again bool) {
 	key := b.request.spec.Key
 	earlier := w.started[key]
 	if slices.Contains(earlier, b.key) {
-		return false // a repeated report of one start
+		return false // repeated report of the same start
 	}
 	w.started[key] = append(earlier, b.key)
 	return len(earlier) > 0
 }
 
-// checkAtMostOnce reports a bind of an at-most-once workload that may have run for another request, or for another
-// incarnation of the allocator.
+// checkAtMostOnce reports a bind of an at-most-once workload that may already have run for another request, or for
+// another incarnation of the allocator.
 func (a *Auditor) checkAtMostOnce(b *bind) {
 	for _, earlier := range a.atMostOnce.addBind(b) {
 		a.reportBind(ruleIdempotency, b, "a run-once workload sent for another ask that may have run",
--- a/internal/simulation/audit/audit_test.go
+++ b/internal/simulation/audit/audit_test.go
@@ -16,8 +16,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// recorded reads a history that came with the project; testdata/histories/README.md says how each was made.
-func recorded(t *testing.T, name string) *observer.History {
+// readRecorded reads a history from testdata/histories; the README.md there describes how each was readRecorded.
+func readRecorded(t *testing.T, name string) *observer.History {
 	t.Helper()
 	f, err := os.Open(filepath.Join("..", "testdata", "histories", name+".jsonl.gz"))
 	require.NoError(t, err)
@@ -29,13 +29,13 @@
 	return h
 }
 
-// ruleSuspects are the workloads and nodes that may have broken a rule, found without the code of the auditor.
+// ruleSuspects are the workloads and nodes that may have violated a rule, computed without the auditor's code.
 type ruleSuspects struct {
 	workloads map[uint64]bool // by key
-	nodes     map[uint64]bool
+	nodes     map[uint64]bool // by ID
 }
 
-// suspectsOf reads from a history who may have broken a rule.
+// suspectsOf returns the workloads and nodes of a history that may have violated a rule.
 func suspectsOf(t *testing.T, history *observer.History, rule int) ruleSuspects {
 	t.Helper()
 	suspects := ruleSuspects{workloads: map[uint64]bool{}, nodes: map[uint64]bool{}}
@@ -51,7 +51,7 @@
 	case ruleSpread:
 		suspects.addCrowdedServices(history)
 	default:
-		require.Failf(t, "no suspects are known", "rule %d", rule)
+		require.Failf(t, "no search for suspects", "rule %d", rule)
 	}
 	return suspects
 }
@@ -67,7 +67,7 @@
 	return keys
 }
 
-// addWrongAnswerCounts adds the workloads whose requests got no answer, or more than one.
+// addWrongAnswerCounts adds the workloads whose requests received no answer, or more than one.
 func (s ruleSuspects) addWrongAnswerCounts(h *observer.History) {
 	answers := map[uint64]int{}
 	for _, e := range h.Events() {
@@ -102,7 +102,7 @@
 	}
 }
 
-// addDrainingNodes adds the nodes that drain at some time.
+// addDrainingNodes adds the nodes that drain at some time in the run.
 func (s ruleSuspects) addDrainingNodes(h *observer.History) {
 	for _, e := range h.Events() {
 		if e.Frame.GetDrain() != nil || e.Frame.GetRegister().GetState() == pb.NodeEntry_DRAINING {
@@ -124,19 +124,19 @@
 	}
 }
 
-// addCrowdedServices adds the workloads of services of which more than two were offered to one node.
+// addCrowdedServices adds the workloads of services with more than two workloads offered to the same node.
 func (s ruleSuspects) addCrowdedServices(h *observer.History) {
-	type place struct {
+	type nodeService struct {
 		node    int
 		service uint64
 	}
-	services := map[place]map[uint64]bool{}
+	services := map[nodeService]map[uint64]bool{}
 	for _, e := range h.Events() {
 		o := e.Frame.GetOffer()
 		if o == nil || e.Kind != observer.FrameReceived {
 			continue
 		}
-		at := place{e.Process.ID, o.Request.Service}
+		at := nodeService{e.Process.ID, o.Request.Service}
 		if services[at] == nil {
 			services[at] = map[uint64]bool{}
 		}
@@ -149,10 +149,12 @@
 	}
 }
 
+// An auditor that misses violations passes every run. Histories of mutants must be reported, with violations at a
+// workload or node that an independent search also finds; histories of unchanged allocators must not.
 func TestCheck_RecordedHistories(t *testing.T) {
 	for _, name := range []string{"honest", "cold-honest"} {
 		t.Run(name+" keeps the rules", func(t *testing.T) {
-			audited := Check(recorded(t, name))
+			audited := Check(readRecorded(t, name))
 			assert.Empty(t, audited.Violations)
 			assert.Greater(t, audited.Frames, 400)
 		})
@@ -166,12 +168,12 @@
 		"spread-blind": ruleSpread,
 	} {
 		t.Run(fmt.Sprintf("%s breaks rule %d", name, rule), func(t *testing.T) {
-			history := recorded(t, name)
+			history := readRecorded(t, name)
 			suspects := suspectsOf(t, history, rule)
 			found := 0
 			for _, violation := range Check(history).Violations {
 				if violation.Rule != rule {
-					continue // a second bind may also be one too many in a scope, or reach a node that is draining
+					continue // a mutant's second bind may also exceed the spread limit, or be offered to a draining node
 				}
 				found++
 				suspected := suspects.workloads[violation.Workload] || suspects.nodes[uint64(violation.Node)]
--- a/internal/simulation/audit/auditor.go
+++ b/internal/simulation/audit/auditor.go
@@ -1,12 +1,13 @@
-// Package audit decides from what passed between the processes of a run, and from nothing else, whether the rules held.
-// It shares no code with the engine.
+// Package audit checks the rules of a run from the observed traffic between its processes alone. It shares no code with
+// the engine.
 //
 // The rules are: every request gets one answer in time (1); a workload never runs more often than its idempotency
 // allows (2); nothing is offered to a node that is draining or removed (3); nodes that are warming up are not
 // overloaded (4); services stay spread (5). Violations of the all-or-nothing start of gangs are reported as rule 6.
 //
-// A frame is seen at both of its ends: client.go, allocator.go and node.go handle it at one kind of process each.
-// What a process may know at a time follows from the frames at its own end; what really happened, from the other.
+// A frame is observed when it is sent and when it is received: client.go, allocator.go and node.go each handle the
+// frames at one kind of process. The frames at a process's own end show which information it has; those at the other
+// end show what happened there.
 package audit
 
 import (
@@ -21,8 +22,8 @@
 )
 
 const (
-	clockTolerance = placement.Millis(1)  // two readings of one time may differ by as much
-	pauseTolerance = placement.Millis(50) // around a pause, within which its effects fall
+	clockTolerance = placement.Millis(1)  // ms by which two readings of the same time may differ
+	pauseTolerance = placement.Millis(50) // ms before and after a pause in which it may still have effects
 )
 
 // Auditor is an observer.Observer that checks the rules. It must be used by one goroutine at a time.
@@ -38,7 +39,7 @@
 	gangs       gangAuditor
 }
 
-// New returns an auditor that holds a run to these terms.
+// New returns an auditor that checks a run against the given terms.
 func New(terms scenario.Terms) *Auditor {
 	a := &Auditor{
 		terms:       terms,
@@ -52,7 +53,7 @@
 	return a
 }
 
-// Check audits a history that has ended.
+// Check audits a complete history.
 func Check(history *observer.History) *Auditor {
 	a := New(history.Terms())
 	history.Replay(a)
@@ -60,7 +61,7 @@
 	return a
 }
 
-// Process implements observer.Observer. A killed allocator loses its state, and no answers of it are due any more.
+// Process implements observer.Observer. A killed allocator loses its state, and no more answers of it are due.
 func (a *Auditor) Process(now placement.Millis, process *observer.Process, running bool) {
 	switch process.Role {
 	case pb.Role_NODE:
@@ -71,10 +72,10 @@
 		a.gangs.setAllocatorRunning(now, process.Name, running)
 		if !running {
 			a.allocator(process.Name).reset()
-			a.requests.excuseAllocator(process.Name)
+			a.requests.cancelAnswersFrom(process.Name)
 		}
 	case pb.Role_CLIENT, pb.Role_DISCOVERY, pb.Role_OPERATOR, pb.Role_ROLE_UNSPECIFIED:
-		// The rules are about allocators and nodes; the end of a client shows in its connections.
+		// The rules concern allocators and nodes only; a killed client closes its connections.
 	}
 }
 
@@ -86,11 +87,11 @@
 	}
 }
 
-// Connection implements observer.Observer. Binds that were pending on a connection when it closed may have run;
-// requests that were pending on it get no answer.
+// Connection implements observer.Observer. Binds that were pending on a closed connection may have run; requests that
+// were pending on it get no answer.
 func (a *Auditor) Connection(_ placement.Millis, process *observer.Process, conn transport.ConnID, open bool) {
 	if open {
-		return // a connection counts from the peer's hello
+		return // a connection is registered by the peer's hello
 	}
 	other, ok := a.connections.remove(process, conn)
 	switch {
@@ -99,7 +100,7 @@
 		a.allocator(process.Name).closeBinds(other.node)
 		a.endBindsOnRemovedNode(process, other.node)
 	case process.Role == pb.Role_CLIENT:
-		a.requests.excuseConnection(process.Name, other.name)
+		a.requests.cancelAnswersBetween(process.Name, other.name)
 	}
 }
 
@@ -128,11 +129,11 @@
 	case pb.Role_NODE:
 		a.atNode(seen)
 	case pb.Role_DISCOVERY, pb.Role_OPERATOR, pb.Role_ROLE_UNSPECIFIED:
-		// What discovery sends counts once an allocator receives it, and operators only read.
+		// Discovery updates count when an allocator receives them, and operators only read.
 	}
 }
 
-// helloReceived records who is at the other end of a connection.
+// helloReceived records the peer of a connection.
 func (a *Auditor) helloReceived(seen frame, hello *pb.Hello) {
 	a.connections.identify(seen.process, seen.conn, hello)
 	if seen.process.Role == pb.Role_ALLOCATOR && hello.Role == pb.Role_NODE {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Finish reports what is still unanswered or incomplete when the run has ended, and sorts the violations.
+// Finish reports overdue requests and incomplete gangs at the end of the run, and sorts the violations.
 func (a *Auditor) Finish(now placement.Millis) {
 	for _, r := range a.requests.sent {
 		a.checkAnswered(now, r)
@@ -151,8 +152,8 @@
 	})
 }
 
-// IncompleteGangs returns the number of gangs of which only a part ran for too long, or was left.
+// IncompleteGangs returns the number of gangs that ran incomplete for too long, including at the end of the run.
 func (a *Auditor) IncompleteGangs() int { return a.gangs.incomplete }
 
-// WastedCoreShare returns the share of the core time of gang parts that went to gangs which did not start.
+// WastedCoreShare returns the share (0 to 1) of the core time of gang parts that was spent on gangs that did not start.
 func (a *Auditor) WastedCoreShare() float64 { return a.gangs.coreTime.wastedShare() }
--- a/internal/simulation/audit/client.go
+++ b/internal/simulation/audit/client.go
@@ -7,7 +7,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// atClient handles a frame at a client's end.
+// atClient handles a frame that a client sent or received.
 func (a *Auditor) atClient(seen frame) {
 	client := seen.process.Name
 	switch body := seen.message.Body.(type) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// requestSent records a request, which is due to be answered once its allocator has received it.
+// requestSent records a request. An answer is due only if its allocator receives it.
 func (a *Auditor) requestSent(r *request, pendingTimeoutMs float64, seen frame) {
 	r.deadline = seen.at + placement.Millis(pendingTimeoutMs) + a.terms.AnswerSlack
 	if other, ok := a.connections.peerOf(seen); ok {
@@ -40,18 +40,18 @@
 	a.requests.add(r)
 }
 
-// withdrawSent records that a client waits for no answer any more. It also withdraws as the pending timeout ends, so a
-// deadline that is about to pass is checked now.
+// withdrawSent records that a client has withdrawn a request and expects no answer. Clients also withdraw when the
+// pending timeout expires, so a deadline within two clock tolerances is checked now.
 func (a *Auditor) withdrawSent(r *request, seen frame) {
 	if r == nil || r.answered {
 		return
 	}
 	r.frames = append(r.frames, seen)
 	a.checkAnswered(seen.at+2*clockTolerance, r)
-	r.excused = true
+	r.noAnswerDue = true
 }
 
-// answerReceived checks an answer as it reaches the client.
+// answerReceived checks an answer at the time at which the client receives it.
 func (a *Auditor) answerReceived(req *request, seen frame) {
 	now := seen.at
 	if req == nil {
@@ -63,21 +63,21 @@
 		a.report(ruleAnswer, now, 0, req, "a second answer")
 	}
 	a.checkAnswered(now, req)
-	if !req.answered && !req.excused {
+	if !req.answered && !req.noAnswerDue {
 		allowed := max(1, placement.Millis(req.spec.PendingTimeoutMs)+a.terms.AnswerSlack)
 		a.LimitUse.Answer = max(a.LimitUse.Answer, 1-float64((req.deadline-now)/allowed))
 	}
 	req.answered = true
 }
 
-// checkAnswered reports, once, a request that has no answer although its deadline has passed.
+// checkAnswered reports a request that has no answer by its deadline. Each request is reported at most once.
 func (a *Auditor) checkAnswered(now placement.Millis, r *request) {
-	if r.excused || r.answered || !r.received {
+	if r.noAnswerDue || r.answered || !r.received {
 		return
 	}
 	if now <= r.deadline+clockTolerance || a.allocator(r.allocator).wasPaused(r.deadline, now) {
 		return
 	}
 	a.report(ruleAnswer, now, 0, r, fmt.Sprintf("no answer within %.0f ms", r.spec.PendingTimeoutMs))
-	r.excused = true
+	r.noAnswerDue = true
 }
--- a/internal/simulation/audit/connection.go
+++ b/internal/simulation/audit/connection.go
@@ -6,18 +6,18 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// peer is the process at the other end of a connection, by its hello.
+// peer is the process at the other end of a connection, as identified by its hello.
 type peer struct {
 	role pb.Role
 	name string
-	node uint32
+	node uint32 // node ID, if the peer is a node
 }
 
-// connectionTable holds the peers of the connections of each process, from the peer's hello until the connection
-// closes.
+// connectionTable holds, for each process, the peers of its connections. An entry lasts from the peer's hello until the
+// connection closes.
 type connectionTable map[*observer.Process]map[transport.ConnID]peer
 
-// identify records who is at the other end of a connection.
+// identify records the peer of a connection.
 func (t connectionTable) identify(process *observer.Process, conn transport.ConnID, hello *pb.Hello) {
 	if t[process] == nil {
 		t[process] = map[transport.ConnID]peer{}
@@ -29,13 +29,13 @@
 	}
 }
 
-// peerOf returns the other end of the connection on which a frame was seen, and whether it has said hello.
+// peerOf returns the peer of the connection on which a frame was observed, or false before the peer's hello.
 func (t connectionTable) peerOf(seen frame) (peer, bool) {
 	other, ok := t[seen.process][seen.conn]
 	return other, ok
 }
 
-// remove forgets a connection, and returns its other end and whether that had said hello.
+// remove removes a connection and returns its peer, or false if there was no hello.
 func (t connectionTable) remove(process *observer.Process, conn transport.ConnID) (peer, bool) {
 	other, ok := t[process][conn]
 	delete(t[process], conn)
--- a/internal/simulation/audit/discovery.go
+++ b/internal/simulation/audit/discovery.go
@@ -6,46 +6,46 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// notDraining is the value of a time since which a node is draining, while it is not.
+// notDraining is the value of listedDrainingSince and reportedDrainingSince while the node is not draining.
 const notDraining = placement.Millis(-1)
 
-// nodeView is what an allocator has been notified of about a node.
+// nodeView is the information that an allocator has received about a node.
 type nodeView struct {
-	incarnation        uint64
-	removed            bool             // from the discovery service's list
-	drainedByDiscovery placement.Millis // since when the service lists it as draining or removed, or notDraining
-	drainedByNode      placement.Millis // since when the node itself says that it is draining, or notDraining
+	incarnation           uint64
+	removed               bool             // not listed by the discovery service, or listed as removed
+	listedDrainingSince   placement.Millis // start of drain or removal in the discovery service's list, or notDraining
+	reportedDrainingSince placement.Millis // start of drain as reported by the node itself, or notDraining
 }
 
-// view returns an allocator's view of a node, which is empty at first.
+// view returns an allocator's view of a node, which it adds if there is none.
 func (s *allocatorState) view(node uint32) *nodeView {
 	v := s.nodes[node]
 	if v == nil {
-		v = &nodeView{drainedByDiscovery: notDraining, drainedByNode: notDraining}
+		v = &nodeView{listedDrainingSince: notDraining, reportedDrainingSince: notDraining}
 		s.nodes[node] = v
 	}
 	return v
 }
 
-// setDrainedByNode records a node's own statement that it is draining, or not.
-func (v *nodeView) setDrainedByNode(now placement.Millis, draining bool) {
+// setReportedDraining records whether the node itself reports that it is draining.
+func (v *nodeView) setReportedDraining(now placement.Millis, draining bool) {
 	switch {
 	case !draining:
-		v.drainedByNode = notDraining
-	case v.drainedByNode == notDraining:
-		v.drainedByNode = now
+		v.reportedDrainingSince = notDraining
+	case v.reportedDrainingSince == notDraining:
+		v.reportedDrainingSince = now
 	}
 }
 
-// setListed records the discovery service's entry of a node, or nil if it lists the node no more.
+// setListed records the discovery service's entry for a node, or nil if the node is not listed.
 func (v *nodeView) setListed(now placement.Millis, entry *pb.NodeEntry) {
 	if entry != nil && entry.State == pb.NodeEntry_READY {
-		v.drainedByDiscovery = notDraining
+		v.listedDrainingSince = notDraining
 		v.removed = false
 		return
 	}
-	if v.drainedByDiscovery == notDraining {
-		v.drainedByDiscovery = now
+	if v.listedDrainingSince == notDraining {
+		v.listedDrainingSince = now
 	}
 	v.removed = entry == nil || entry.State == pb.NodeEntry_REMOVED
 }
@@ -63,8 +63,8 @@
 	}
 }
 
-// ignores reports whether an update does not count: it holds nothing, is older than the last one, or belongs to another
-// epoch and is no snapshot.
+// ignores reports whether an allocator ignores an update: a failed poll, an update older than the last one, or one of
+// another epoch that is not a snapshot.
 func (s *allocatorState) ignores(update *pb.NodeListUpdate) bool {
 	switch {
 	case update.Kind == pb.NodeListUpdate_POLL_FAILED:
@@ -76,15 +76,15 @@
 	}
 }
 
-// applyUpdate updates the views of all nodes, and returns the nodes that are removed, in no particular order.
+// applyUpdate updates the views of all nodes, and returns the IDs of the removed nodes, in no particular order.
 func (s *allocatorState) applyUpdate(now placement.Millis, update *pb.NodeListUpdate) (removed []uint32) {
 	snapshot := update.Kind == pb.NodeListUpdate_SNAPSHOT
 	current, outdated := s.currentEntries(update)
 	for node, view := range s.nodes {
 		entry := current[node]
 		ready := entry != nil && entry.State == pb.NodeEntry_READY
-		unmentioned := entry == nil && !snapshot
-		if !ready && (unmentioned || outdated[node]) {
+		notInUpdate := entry == nil && !snapshot
+		if !ready && (notInUpdate || outdated[node]) {
 			continue
 		}
 		view.setListed(now, entry)
@@ -95,8 +95,8 @@
 	return removed
 }
 
-// currentEntries returns the entries of an update by node, and the nodes with an entry that is about an earlier
-// incarnation than the allocator knows of.
+// currentEntries returns the entries of an update by node, and the nodes whose entry is outdated: the allocator has
+// received a later incarnation of them.
 func (s *allocatorState) currentEntries(
 	update *pb.NodeListUpdate,
 ) (current map[uint32]*pb.NodeEntry, outdated map[uint32]bool) {
@@ -111,15 +111,15 @@
 		}
 		current[entry.Id] = entry
 		if entry.Incarnation > view.incarnation {
-			view.drainedByNode = notDraining
+			view.reportedDrainingSince = notDraining
 		}
 		view.incarnation = entry.Incarnation
 	}
 	return current, outdated
 }
 
-// endBindsOnRemovedNode ends an allocator's binds on a node if the discovery service has removed it and it is not
-// connected any more.
+// endBindsOnRemovedNode ends an allocator's binds on a node that the discovery service has removed, unless the node is
+// still connected.
 func (a *Auditor) endBindsOnRemovedNode(process *observer.Process, node uint32) {
 	s := a.allocator(process.Name)
 	if s.view(node).removed && !a.connections.connectsNode(process, node) {
--- a/internal/simulation/audit/findings.go
+++ b/internal/simulation/audit/findings.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// The rules, by the numbers under which violations are reported.
+// Numbers of the rules in reported violations.
 const (
 	ruleAnswer      = 1 // every request gets one answer in time
 	ruleIdempotency = 2 // a workload never runs more often than its idempotency allows
@@ -17,29 +17,29 @@
 )
 
 const (
-	maxViolations  = 100 // that are kept
-	maxShownFrames = 24  // of one violation, the latest ones
+	maxViolations  = 100 // violations kept; more are only counted
+	maxShownFrames = 24  // latest frames kept for each violation
 )
 
-// Violation is a rule that did not hold, with the frames that show it.
+// Violation is one violation of a rule, with the frames that are evidence of it.
 type Violation struct {
 	Rule     int      `json:"rule"`
 	Message  string   `json:"what"`
-	Workload uint64   `json:"workload,omitempty"` // its key
+	Workload uint64   `json:"workload,omitempty"` // workload key
 	Node     uint32   `json:"node,omitempty"`
 	At       float64  `json:"at_ms"`
 	Frames   []string `json:"frames"`
 }
 
-// LimitUse is how close a run came to the limits of the rules; 1 is the limit.
+// LimitUse is the highest use of each limit of the rules in a run; 1 is the limit.
 type LimitUse struct {
-	Answer float64 `json:"answer_time"`  // of the pending timeout, until an answer
-	Drain  float64 `json:"drain_grace"`  // of the grace, until the last offer to a draining node
-	Cold   float64 `json:"cold_budget"`  // of the offers that a warming node withstands
-	Spread float64 `json:"spread_limit"` // of the workloads of a service allowed in one scope
+	Answer float64 `json:"answer_time"`  // time until an answer, as a share of the pending timeout and slack
+	Drain  float64 `json:"drain_grace"`  // time from the drain to the last offer, as a share of the grace
+	Cold   float64 `json:"cold_budget"`  // offers to a warming-up node, as a share of its bind limit
+	Spread float64 `json:"spread_limit"` // workloads of a service in one scope, as a share of the allowed number
 }
 
-// RaiseTo raises each value to that of other where other's is higher.
+// RaiseTo sets each value to the maximum of its own value and that of other.
 func (u *LimitUse) RaiseTo(other LimitUse) {
 	u.Answer = max(u.Answer, other.Answer)
 	u.Drain = max(u.Drain, other.Drain)
@@ -50,12 +50,12 @@
 // Findings are the results of an audit.
 type Findings struct {
 	Violations     []Violation
-	MoreViolations int // beyond those kept
-	Frames         int // seen, at both ends
+	MoreViolations int // number of violations that were not kept
+	Frames         int // frames observed; each counts when sent and when received
 	LimitUse       LimitUse
 }
 
-// report records a violation at a node, or 0 if it concerns none. The request may be nil; its frames are shown before
+// report records a violation. The node is 0 if the violation concerns none. The request may be nil; its frames precede
 // the others.
 func (f *Findings) report(rule int, now placement.Millis, node uint32, req *request, message string, frames ...frame) {
 	if len(f.Violations) >= maxViolations {
@@ -78,7 +78,7 @@
 	f.Violations = append(f.Violations, violation)
 }
 
-// reportBind records a violation by the offer of a bind, as it is sent.
+// reportBind records a violation by an offer, at the time at which the offer was sent.
 func (f *Findings) reportBind(rule int, b *bind, message string, frames ...frame) {
 	f.report(rule, b.sentAt, b.node, b.request, message, frames...)
 }
--- a/internal/simulation/audit/frame.go
+++ b/internal/simulation/audit/frame.go
@@ -9,17 +9,17 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// frame is a frame as it was seen at one end of a connection.
+// frame is a frame as observed at one end of a connection.
 type frame struct {
-	at      placement.Millis // when it was sent, or delivered to the process
-	arrived placement.Millis // before it waited for the process, if it did
+	at      placement.Millis // time at which it was sent, or delivered to the process
+	arrived placement.Millis // time at which it arrived, before any wait for delivery
 	process *observer.Process
 	conn    transport.ConnID
-	sent    bool // by the process, not received
+	sent    bool // true if the process sent it, false if it received it
 	message *pb.Frame
 }
 
-// String describes the frame in a line: when, which process, which way, what.
+// String describes the frame in one line: time, process, direction and content.
 func (f frame) String() string {
 	direction := "gets"
 	if f.sent {
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%.1f ms %s %s %s", float64(f.at), f.process.Name, direction, describe(f.message))
 }
 
-// describe returns the content of a frame in a few words, or its kind alone where the rules depend on no more.
+// describe returns a summary of a frame, or only its kind if the rules do not depend on its content.
 func describe(message *pb.Frame) string {
 	switch body := message.Body.(type) {
 	case *pb.Frame_PlaceRequest:
--- a/internal/simulation/audit/gang.go
+++ b/internal/simulation/audit/gang.go
@@ -10,38 +10,38 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// complete is the value of the time since which a gang is incomplete, while it is not.
+// complete is the value of gang.incompleteSince while the gang is not incomplete.
 const complete = placement.Millis(-1)
 
-// gangAuditor follows the parts of gangs at the nodes, and checks that gangs start together or not at all.
+// gangAuditor tracks the parts of gangs on the nodes, and checks that gangs start together or not at all.
 type gangAuditor struct {
 	groups   map[string]placement.Group
-	findings *Findings // where violations are reported
+	findings *Findings // receives the violations
 
 	gangs             map[requestRef]*gang
-	parts             map[observer.BindKey]*gangPart // offered to nodes, and not ended
-	partBinds         map[observer.BindKey]bool      // all binds of parts
-	lastStop          map[observer.BindKey]frame     // of each part that was stopped
+	parts             map[observer.BindKey]*gangPart // parts that were offered to nodes and have not ended
+	partBinds         map[observer.BindKey]bool      // all binds of parts, including those that have ended
+	lastStop          map[observer.BindKey]frame     // last stop of each part
 	stoppedAllocators map[string]bool
 	coreTime          coreTime
-	incomplete        int // gangs of which only a part ran for too long
+	incomplete        int // number of gangs that ran incomplete for too long
 }
 
-// gang is a gang as the nodes show it.
+// gang is the state of a gang as observed at the nodes.
 type gang struct {
 	ref             requestRef
 	allocator       string
 	minParts        int
 	lease           placement.Millis
-	running         map[uint32]*gangPart // by number of the part
-	started         bool                 // its client was notified
-	ending          bool                 // it started, and a part has finished
-	incompleteSince placement.Millis     // since when some parts run and not enough, or complete
-	reported        bool                 // as incomplete
+	running         map[uint32]*gangPart // by part number
+	started         bool                 // the allocator has answered that the gang is placed
+	ending          bool                 // a part has finished since the start
+	incompleteSince placement.Millis     // time since which some parts run, but fewer than minParts; or complete
+	reported        bool                 // already reported as incomplete
 	partRequests    map[uint64]*request  // by workload key
 }
 
-// newGangAuditor returns an auditor of gangs that reports violations in the findings.
+// newGangAuditor returns a gang auditor that adds violations to the findings.
 func newGangAuditor(groups map[string]placement.Group, findings *Findings) gangAuditor {
 	return gangAuditor{
 		groups:            groups,
@@ -54,7 +54,7 @@
 	}
 }
 
-// gangOf returns the gang that an offer belongs to.
+// gangOf returns the gang to which an offer belongs, which it adds if there is none.
 func (a *gangAuditor) gangOf(offer *pb.Offer) *gang {
 	ref := requestRef{offer.Client, offer.Request.RequestId}
 	if a.gangs[ref] == nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// setAllocatorRunning records whether an allocator runs. While it does not, ends of parts reach nobody, and nobody
-// completes a gang that had started.
+// setAllocatorRunning records whether an allocator runs. The time for which its gangs are incomplete restarts, since a
+// stopped allocator neither receives ends of parts nor replaces the missing parts of a started gang.
 func (a *gangAuditor) setAllocatorRunning(now placement.Millis, name string, running bool) {
 	a.stoppedAllocators[name] = !running
 	for _, g := range a.gangs {
@@ -87,11 +87,11 @@
 	}
 }
 
-// answered records that a gang has started, or checks that it may be rejected.
+// answered handles the answer to a gang's request: it records the start, or checks the rejection.
 func (a *gangAuditor) answered(now placement.Millis, r *request) {
 	g := a.gangs[r.ref]
 	if g == nil {
-		return // none of its parts was offered
+		return // no part was offered
 	}
 	switch r.verdict {
 	case pb.Verdict_PLACED:
@@ -99,11 +99,11 @@
 	case pb.Verdict_REJECTED:
 		a.checkRejection(now, g)
 	case pb.Verdict_UNSCHEDULABLE, pb.Verdict_VERDICT_UNSPECIFIED:
-		// Neither claims that a part runs, nor that none has run.
+		// These verdicts state neither that parts run nor that none has run.
 	}
 }
 
-// updateCompleteness records since when a gang is neither complete nor ended, once the set of its running parts has
+// updateCompleteness updates the time since which a gang is incomplete. It is called after the set of running parts has
 // changed.
 func (a *gangAuditor) updateCompleteness(now placement.Millis, g *gang) {
 	a.checkIncomplete(now, g)
@@ -116,7 +116,7 @@
 	}
 }
 
-// finish counts what still runs when the run has ended, and checks each gang a last time.
+// finish adds the core time of parts that still run at the end of the run, and checks each gang a last time.
 func (a *gangAuditor) finish(now placement.Millis) {
 	for _, key := range a.sortedParts() {
 		a.coreTime.addPart(now, a.parts[key])
--- a/internal/simulation/audit/gang_test.go
+++ b/internal/simulation/audit/gang_test.go
@@ -13,7 +13,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Connections of the processes of a gangRun. The client and the node have one each.
+// Connection IDs at the processes of a gangRun. The client and the node have one connection each, to the allocator.
 const (
 	connToAllocator = transport.ConnID(1)
 	connToClient    = transport.ConnID(1)
@@ -22,13 +22,13 @@
 
 const (
 	testNode    = 7
-	testGang    = 3 // number of the request
+	testGang    = 3 // request ID
 	testLease   = placement.Millis(1000)
 	offerWithin = placement.Millis(100)
 )
 
-// gangRun is a run of one client, which requests a gang of two parts, one allocator and one node. Frames arrive as they
-// are sent.
+// gangRun is a run with one client, which requests a gang of two parts, one allocator and one node. Frames arrive
+// without delay.
 type gangRun struct {
 	*Auditor
 	client    *observer.Process
@@ -36,7 +36,7 @@
 	node      *observer.Process
 }
 
-// newGangRun connects the processes and sends the request, at time 0.
+// newGangRun connects the processes and sends the gang request, at time 0.
 func newGangRun(idempotency placement.Idempotency) *gangRun {
 	run := &gangRun{
 		Auditor: New(scenario.Terms{
@@ -63,19 +63,19 @@
 	return run
 }
 
-// betweenClient passes a frame between the client and the allocator.
+// betweenClient delivers a frame between the client and the allocator, in the direction given by its sender.
 func (r *gangRun) betweenClient(now placement.Millis, from *observer.Process, frame *pb.Frame) {
 	r.Frame(now, now, r.client, connToAllocator, from == r.client, frame)
 	r.Frame(now, now, r.allocator, connToClient, from == r.allocator, frame)
 }
 
-// betweenNode passes a frame between the node and the allocator.
+// betweenNode delivers a frame between the node and the allocator, in the direction given by its sender.
 func (r *gangRun) betweenNode(now placement.Millis, from *observer.Process, frame *pb.Frame) {
 	r.Frame(now, now, r.node, connToAllocator, from == r.node, frame)
 	r.Frame(now, now, r.allocator, connToNode, from == r.allocator, frame)
 }
 
-// bindOf returns the identity of a bind of a part.
+// bindOf returns the ID of a bind of a part.
 func (r *gangRun) bindOf(part, number uint32) *pb.BindID {
 	return &pb.BindID{
 		Allocator: r.allocator.Name,
@@ -84,7 +84,7 @@
 	}
 }
 
-// offer sends a bind of a part to the node.
+// offer sends an offer of a part to the node.
 func (r *gangRun) offer(now placement.Millis, part, number uint32) {
 	r.betweenNode(now, r.allocator, &pb.Frame{Body: &pb.Frame_Offer{Offer: &pb.Offer{
 		Bind:   r.bindOf(part, number),
@@ -135,10 +135,10 @@
 	r.Frame(now, now, r.allocator, conn, true, &pb.Frame{Body: &pb.Frame_Stop{Stop: stop}})
 }
 
-// allowedIncomplete is how long a part of the gang may run without the rest of it.
+// allowedIncomplete is the time, in ms, for which the gang may be incomplete.
 const allowedIncomplete = testLease + maxIncomplete
 
-// startAndLosePart lets the whole gang start, and then lose a part at 40 ms.
+// startAndLosePart starts the whole gang, and ends one part as lost at 40 ms.
 func startAndLosePart(run *gangRun) {
 	run.start(10, 0)
 	run.start(20, 1)
@@ -146,6 +146,7 @@
 	run.end(40, 1, pb.Reason_LOST)
 }
 
+// A gang of which only some parts run holds cores without doing work.
 func TestGang_IncompleteForTooLong_IsReported(t *testing.T) {
 	for name, test := range map[string]struct {
 		play  func(run *gangRun)
@@ -168,7 +169,7 @@
 			violation := run.Violations[0]
 			assert.Equal(t, ruleGang, violation.Rule)
 			assert.Equal(t, "group 3 of client-0 has 1 parts standing of 2 needed for 6001 ms", violation.Message)
-			assert.Len(t, violation.Frames, 1, "the offer of the part that runs")
+			assert.Len(t, violation.Frames, 1, "the offer of the running part")
 			assert.Equal(t, 1, run.IncompleteGangs())
 		})
 	}
@@ -203,7 +204,7 @@
 			},
 			until: 1e5,
 		},
-		"allocator of a started gang is away": {
+		"allocator of a started gang is stopped": {
 			play: func(run *gangRun) {
 				startAndLosePart(run)
 				run.Process(50, run.allocator, false)
@@ -228,6 +229,7 @@
 	}
 }
 
+// An allocator repeats an unanswered stop only after a delay, or on a new connection; other repeats waste messages.
 func TestGang_StopOfAPartIsRepeated(t *testing.T) {
 	const connAfterReconnect = connToNode + 1
 	for name, test := range map[string]struct {
@@ -260,6 +262,7 @@
 	}
 }
 
+// A client may retry a rejected gang, so an at-most-once part that may have run must not be rejected.
 func TestGang_RejectedAfterAnOffer(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency placement.Idempotency
@@ -290,6 +293,7 @@
 	}
 }
 
+// Endless retries of a part show as binds beyond the limit.
 func TestGang_PartHasTooManyBinds(t *testing.T) {
 	for name, test := range map[string]struct {
 		binds    uint32
@@ -325,5 +329,5 @@
 	run.start(1000, 1)
 	run.answer(1000, pb.Verdict_PLACED)
 	run.Finish(4000)
-	assert.InDelta(t, 0.25, run.WastedCoreShare(), 1e-9, "one second of four")
+	assert.InDelta(t, 0.25, run.WastedCoreShare(), 1e-9, "part 0 ran for one of four seconds")
 }
--- a/internal/simulation/audit/gangpart.go
+++ b/internal/simulation/audit/gangpart.go
@@ -10,20 +10,21 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// notRunning is the value of the time since which a part runs, while it does not.
+// notRunning is the value of gangPart.runningSince while the part does not run.
 const notRunning = placement.Millis(-1)
 
-// gangPart is one part on a node.
+// gangPart is one part of a gang on a node.
 type gangPart struct {
 	gang         *gang
 	number       uint32
 	node         uint32
-	runningSince placement.Millis // or notRunning
+	runningSince placement.Millis // time since which the part runs, or notRunning
 	cores        float64
 	offer        frame
 }
 
-// partRequest returns the request that the rules on binds hold a part to: one of its own, with its workload key.
+// partRequest returns the request under which the binds of a part are checked. Each part has its own, with its own
+// workload key.
 func (a *gangAuditor) partRequest(gangRequest *request, offer *pb.Offer) *request {
 	g := a.gangOf(offer)
 	part := g.partRequests[offer.Request.Key]
@@ -32,12 +33,12 @@
 			ref:           gangRequest.ref,
 			spec:          offer.Request,
 			allocator:     gangRequest.allocator,
-			clientView:    clientView{excused: true},
+			clientView:    clientView{noAnswerDue: true},
 			allocatorView: allocatorView{received: true},
 		}
 		g.partRequests[offer.Request.Key] = part
 	}
-	// A part of a gang that was placed may be replaced; one of an abandoned gang may not be offered.
+	// A part of a placed gang may be replaced; a part of a rejected or unschedulable gang must not be offered.
 	part.verdict = pb.Verdict_VERDICT_UNSPECIFIED
 	if gangRequest.verdict == pb.Verdict_REJECTED || gangRequest.verdict == pb.Verdict_UNSCHEDULABLE {
 		part.verdict = gangRequest.verdict
@@ -46,7 +47,7 @@
 	return part
 }
 
-// partOffered records an offer of a part as it reaches a node. Offers of other workloads are ignored.
+// partOffered records the offer of a part when a node receives it. Offers of other workloads are ignored.
 func (a *gangAuditor) partOffered(node uint32, offer *pb.Offer, seen frame) {
 	if offer.Gang == nil {
 		return
@@ -67,8 +68,8 @@
 	}
 }
 
-// partAnswered handles a node's reply to the offer of a part. Replies to other offers are ignored.
-func (a *gangAuditor) partAnswered(now placement.Millis, reply *pb.OfferReply) {
+// partReplied handles a node's reply to the offer of a part. Replies to other offers are ignored.
+func (a *gangAuditor) partReplied(now placement.Millis, reply *pb.OfferReply) {
 	key := observer.KeyOf(reply.Bind)
 	part := a.parts[key]
 	if part == nil {
@@ -104,21 +105,21 @@
 	a.updateCompleteness(now, g)
 }
 
-// reconcileNode handles a node's hello to an allocator, which names that allocator's workloads on it: other parts have
-// ended while the two were not connected.
+// reconcileNode handles a node's hello to an allocator, which lists that allocator's workloads on the node: all other
+// parts have ended while the two were not connected.
 func (a *gangAuditor) reconcileNode(now placement.Millis, node uint32, allocator string, hello *pb.Hello) {
-	named := runningBinds(hello)
+	listed := runningBinds(hello)
 	for _, key := range a.sortedParts() {
 		part := a.parts[key]
-		listedHere := part.node == node && key.Allocator == allocator
+		onConnection := part.node == node && key.Allocator == allocator
 		running := part.runningSince != notRunning
-		if listedHere && running && !named[key] {
+		if onConnection && running && !listed[key] {
 			a.partEnded(now, key, pb.Reason_LOST)
 		}
 	}
 }
 
-// nodeKilled ends the parts on a node.
+// nodeKilled ends the parts on a killed node.
 func (a *gangAuditor) nodeKilled(now placement.Millis, node uint32) {
 	for _, key := range a.sortedParts() {
 		if a.parts[key].node == node {
@@ -128,7 +129,7 @@
 }
 
 // sortedParts returns the keys of the parts on nodes in a fixed order, so that floating-point sums over them do not
-// depend on the order of the map.
+// depend on the map's iteration order.
 func (a *gangAuditor) sortedParts() []observer.BindKey {
 	return slices.SortedFunc(maps.Keys(a.parts), func(x, y observer.BindKey) int {
 		return cmp.Or(
@@ -140,13 +141,13 @@
 	})
 }
 
-// coreTime is for how long parts of gangs ran, in core seconds.
+// coreTime is the core time of parts of gangs, in core seconds.
 type coreTime struct {
 	total  float64
-	wasted float64 // of that, in gangs that did not start
+	wasted float64 // part of the total spent on gangs that did not start
 }
 
-// addPart adds the time for which a part has run, if it runs.
+// addPart adds the core time of a part that runs until now; one that does not run adds none.
 func (t *coreTime) addPart(now placement.Millis, part *gangPart) {
 	if part.runningSince == notRunning {
 		return
@@ -158,7 +159,7 @@
 	}
 }
 
-// wastedShare returns the wasted share of the total, or 0 if no part ran.
+// wastedShare returns the wasted share of the total (0 to 1), or 0 if no part ran.
 func (t *coreTime) wastedShare() float64 {
 	if t.total == 0 {
 		return 0
--- a/internal/simulation/audit/gangrules.go
+++ b/internal/simulation/audit/gangrules.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxIncomplete is how long a part may run beyond its lease without the rest of its gang: leases run from
-	// acceptance, and a node may be paused when one ends.
+	// maxIncomplete is the time, in ms, for which a gang may be incomplete beyond its lease: leases run from
+	// acceptance, and a node may be paused when its lease expires.
 	maxIncomplete = placement.Millis(5e3)
-	// stopRetryDelay is how long a stop may be unanswered before it is repeated.
+	// stopRetryDelay is the minimum time, in ms, before an unanswered stop is repeated on the same connection.
 	stopRetryDelay = placement.Millis(1e3)
-	// maxPartBinds is the number of binds of one part. Each attempt at a gang and each replacement has those of an
-	// ordinary workload; the limit guards against retries without end.
+	// maxPartBinds is the maximum number of binds of one part. Each attempt to place a gang and each replacement may
+	// use as many binds as an ordinary workload; the limit detects endless retries.
 	maxPartBinds = 24
 )
 
-// checkRejection reports, once, a rejection of a gang with an at-most-once part that may have run: a rejection says
-// that a retry is safe.
+// checkRejection reports a rejection of a gang with an at-most-once part that may have run: a rejection means that a
+// retry is safe. A gang is reported once, even if several such parts may have run.
 func (a *gangAuditor) checkRejection(now placement.Millis, g *gang) {
 	for _, key := range slices.Sorted(maps.Keys(g.partRequests)) {
 		part := g.partRequests[key]
@@ -38,7 +38,8 @@
 	}
 }
 
-// checkIncomplete reports, once, a gang that is incomplete for longer than its lease and maxIncomplete.
+// checkIncomplete reports a gang that is incomplete for longer than its lease plus maxIncomplete. Each gang is reported
+// at most once.
 func (a *gangAuditor) checkIncomplete(now placement.Millis, g *gang) {
 	if g.reported || !a.incompleteTooLong(now, g) {
 		return
@@ -50,8 +51,9 @@
 	a.findings.report(ruleGang, now, 0, nil, message, g.runningOffers()...)
 }
 
-// incompleteTooLong reports whether a gang is incomplete for longer than its lease and maxIncomplete. Parts of a gang
-// that had started may run on while its allocator is away, which replaces the missing ones once it is back.
+// incompleteTooLong reports whether a gang is incomplete for longer than its lease plus maxIncomplete. Parts of a
+// started gang may continue to run while its allocator is stopped: the allocator replaces the missing ones after its
+// restart.
 func (a *gangAuditor) incompleteTooLong(now placement.Millis, g *gang) bool {
 	if g.incompleteSince == complete {
 		return false
@@ -62,7 +64,7 @@
 	return now-g.incompleteSince > g.lease+maxIncomplete
 }
 
-// runningOffers returns the offers of the parts that run, by time and then by number of the part.
+// runningOffers returns the offers of the running parts, sorted by time and then by part number.
 func (g *gang) runningOffers() []frame {
 	var offers []frame
 	for _, number := range slices.Sorted(maps.Keys(g.running)) {
@@ -72,7 +74,7 @@
 	return offers
 }
 
-// checkPartBinds reports the parts of a gang that had more binds than maxPartBinds.
+// checkPartBinds reports the parts of a gang that had more than maxPartBinds binds.
 func (a *gangAuditor) checkPartBinds(now placement.Millis, g *gang) {
 	for _, key := range slices.Sorted(maps.Keys(g.partRequests)) {
 		part := g.partRequests[key]
@@ -85,8 +87,8 @@
 	}
 }
 
-// stopSeen handles a stop at an allocator, and reports one of a running part that is repeated too early on the same
-// connection.
+// stopSeen handles a stop at an allocator. It reports a stop of a running part that is repeated on the same connection
+// before stopRetryDelay.
 func (a *gangAuditor) stopSeen(stop *pb.Stop, seen frame) {
 	key := observer.KeyOf(stop.Bind)
 	if !seen.sent || stop.OnlyWaiting || !a.partBinds[key] {
--- a/internal/simulation/audit/node.go
+++ b/internal/simulation/audit/node.go
@@ -6,7 +6,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// nodeState is what a node says of itself, and the offers that reached it lately if it is warming up.
+// nodeState is a node's own registration, and the recent offers that arrived at it while it is warming up.
 type nodeState struct {
 	zone        string
 	cell        string
@@ -15,10 +15,10 @@
 	arrivals    []arrival
 }
 
-// nodeTable holds the nodes by their numbers.
+// nodeTable holds the nodes by node ID.
 type nodeTable map[uint32]*nodeState
 
-// node returns the state of a node. One that has not registered has been up forever.
+// node returns the state of a node, which it adds if there is none. A node that has not registered counts as warmed up.
 func (t nodeTable) node(id uint32) *nodeState {
 	n := t[id]
 	if n == nil {
@@ -28,7 +28,7 @@
 	return n
 }
 
-// sameScope reports whether two nodes lie in the same node, cell or zone.
+// sameScope reports whether two nodes are in the same scope: the same node, cell or zone, or the whole fleet.
 func (t nodeTable) sameScope(scope placement.Scope, first, second uint32) bool {
 	n := t.node(first)
 	m := t.node(second)
@@ -47,7 +47,7 @@
 	return false
 }
 
-// register records a node's own entry. A new incarnation has no arrivals yet.
+// register records a node's registration. A new incarnation starts without arrivals.
 func (n *nodeState) register(now placement.Millis, entry *pb.NodeEntry) {
 	n.zone = entry.Zone
 	n.cell = entry.Cell
@@ -62,7 +62,7 @@
 	}
 }
 
-// atNode handles a frame at a node's end.
+// atNode handles a frame that a node sent or received.
 func (a *Auditor) atNode(seen frame) {
 	node := uint32(seen.process.ID)
 	switch body := seen.message.Body.(type) {
@@ -94,11 +94,11 @@
 	}
 }
 
-// replyAtNode handles a node's reply to an offer. Where nodes accept only what they have started, it also reports a
-// start.
+// replyAtNode handles a node's reply to an offer. If nodes accept a workload only after its start, an acceptance also
+// reports the start.
 func (a *Auditor) replyAtNode(node uint32, reply *pb.OfferReply, seen frame) {
 	if seen.sent {
-		a.gangs.partAnswered(seen.at, reply)
+		a.gangs.partReplied(seen.at, reply)
 	}
 	if reply.Accepted && a.terms.Model.ConfirmsRunning {
 		a.checkStart(seen.at, node, reply.Bind)
--- a/internal/simulation/audit/offer.go
+++ b/internal/simulation/audit/offer.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// offerSent checks an offer as it leaves the allocator.
+// offerSent checks an offer at the time at which the allocator sends it.
 func (a *Auditor) offerSent(state *allocatorState, node uint32, offer *pb.Offer, seen frame) {
 	req := a.offeredRequest(offer)
 	if req == nil {
@@ -25,7 +25,7 @@
 	}
 	group := a.terms.Groups[req.spec.Group]
 	a.checkRequestOpen(b)
-	if offer.Gang == nil { // parts of gangs have a limit of their own
+	if offer.Gang == nil { // checkPartBinds limits the binds of parts of gangs
 		a.checkBindCount(b)
 	}
 	for _, earlier := range req.binds {
@@ -42,7 +42,7 @@
 	}
 }
 
-// offeredRequest returns the request that an offer is for, or nil. Parts of gangs have requests of their own.
+// offeredRequest returns the request of an offer, or nil. Each part of a gang has its own request.
 func (a *Auditor) offeredRequest(offer *pb.Offer) *request {
 	r := a.requests.find(offer.Client, offer.Request.RequestId)
 	if r != nil && r.gang {
@@ -51,7 +51,7 @@
 	return r
 }
 
-// checkRequestOpen reports an offer for a request that was answered or withdrawn.
+// checkRequestOpen reports an offer for a request that was already answered or withdrawn.
 func (a *Auditor) checkRequestOpen(b *bind) {
 	switch {
 	case b.request.verdict != pb.Verdict_VERDICT_UNSPECIFIED:
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkBindCount reports a bind of a request beyond the number that the settings allow.
+// checkBindCount reports a bind that exceeds the maximum number of binds of a request.
 func (a *Auditor) checkBindCount(b *bind) {
 	limit := a.terms.MaxBinds
 	count := len(b.request.binds) + 1
@@ -70,7 +70,7 @@
 	}
 }
 
-// checkSecondBind reports a bind that must not follow an earlier one of the same request.
+// checkSecondBind reports a bind that is not allowed after an earlier one of the same request.
 func (a *Auditor) checkSecondBind(group placement.Group, earlier, b *bind) {
 	switch {
 	case earlier.neverRan:
@@ -85,17 +85,18 @@
 	}
 }
 
-// keyRecognized reports whether the node of a bind recognizes the idempotency key of an earlier one.
+// keyRecognized reports whether the node of a bind recognizes the idempotency key of an earlier bind: both are in one
+// key scope, and the key window has not expired.
 func (a *Auditor) keyRecognized(group placement.Group, earlier, b *bind) bool {
 	withinWindow := b.sentAt-earlier.sentAt < group.KeyWindow
 	return withinWindow && a.nodes.sameScope(group.KeyScope, earlier.node, b.node)
 }
 
-// checkDrain reports an offer to a node that the allocator has known for longer than the grace to be draining or
-// removed.
+// checkDrain reports an offer to a draining or removed node if the allocator received that state more than the drain
+// grace before.
 func (a *Auditor) checkDrain(view *nodeView, b *bind) {
 	grace := a.terms.DrainGrace
-	for _, since := range [2]placement.Millis{view.drainedByDiscovery, view.drainedByNode} {
+	for _, since := range [2]placement.Millis{view.listedDrainingSince, view.reportedDrainingSince} {
 		if since == notDraining {
 			continue
 		}
@@ -110,8 +111,8 @@
 	}
 }
 
-// checkSpread reports a bind that puts more workloads of a service into one scope than allowed. The bind is one of the
-// open ones.
+// checkSpread reports a bind by which the workloads of a service in one scope exceed the limit. The bind must already
+// be one of the open binds.
 func (a *Auditor) checkSpread(s *allocatorState, group placement.Group, b *bind) {
 	count := a.countInScope(s, group.SpreadScope, b)
 	limit := group.MaxPerScope
@@ -136,7 +137,7 @@
 	return count
 }
 
-// scopeNames are the names of the scopes in violations. The whole fleet limits no spread, so it has none.
+// scopeNames holds the names of scopes in violations. Spread limits never apply to the whole fleet, so it has no name.
 var scopeNames = map[placement.Scope]string{
 	placement.ScopeNode: "node",
 	placement.ScopeCell: "cell",
--- a/internal/simulation/audit/request.go
+++ b/internal/simulation/audit/request.go
@@ -6,7 +6,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// requestRef identifies a request. Numbers are the client's own.
+// requestRef identifies a request. Each client numbers its own requests.
 type requestRef struct {
 	client string
 	number uint64
@@ -15,7 +15,7 @@
 // request is a request for a workload or a gang. Rule 1 treats a gang as one request.
 type request struct {
 	ref       requestRef
-	spec      *pb.PlaceRequest // of a gang, its first part
+	spec      *pb.PlaceRequest // for a gang, its first part
 	gang      bool
 	allocator string
 	binds     []*bind
@@ -25,21 +25,21 @@
 	allocatorView
 }
 
-// clientView is a request as its client sees it.
+// clientView is the state of a request at its client.
 type clientView struct {
-	deadline placement.Millis // of the answer
-	excused  bool             // no answer is due any more
-	answered bool             // the answer has reached the client
+	deadline    placement.Millis // latest time for the answer
+	noAnswerDue bool             // the client expects no answer, or a missing answer was already reported
+	answered    bool             // the client has received an answer
 }
 
-// allocatorView is a request as its allocator sees it.
+// allocatorView is the state of a request at its allocator.
 type allocatorView struct {
 	received  bool
 	withdrawn bool
-	verdict   pb.Verdict // sent in the answer; unspecified before
+	verdict   pb.Verdict // verdict of the answer that was sent; unspecified before
 }
 
-// bindThatMayHaveRun returns the first bind of which it is not certain that it never ran, or nil.
+// bindThatMayHaveRun returns the first bind that may have run, or nil.
 func (r *request) bindThatMayHaveRun() *bind {
 	for _, b := range r.binds {
 		if !b.neverRan {
@@ -54,14 +54,14 @@
 	key      observer.BindKey
 	node     uint32
 	sentAt   placement.Millis
-	timeout  placement.Millis
-	closed   bool // replied to, or its connection was lost
-	accepted bool // by the node
-	neverRan bool // known for certain
+	timeout  placement.Millis // time after sentAt within which the node must accept
+	closed   bool             // a reply was received, or the connection was lost
+	accepted bool             // accepted by the node within the timeout, and not stopped after adoption
+	neverRan bool             // the node rejected the offer
 	request  *request
 }
 
-// pending reports whether a reply may still come.
+// pending reports whether a reply may still be received.
 func (b *bind) pending(now placement.Millis) bool {
 	return !b.closed && now < b.sentAt+b.timeout-clockTolerance
 }
@@ -81,25 +81,25 @@
 	t.sent = append(t.sent, r)
 }
 
-// find returns a request by the client's name and number of it, or nil.
+// find returns the request of a client with the given number, or nil.
 func (t *requestTable) find(client string, number uint64) *request {
 	return t.byRef[requestRef{client, number}]
 }
 
-// excuseAllocator records that no answers of an allocator are due any more.
-func (t *requestTable) excuseAllocator(allocator string) {
+// cancelAnswersFrom records that no more answers of an allocator are due, since it was killed.
+func (t *requestTable) cancelAnswersFrom(allocator string) {
 	for _, r := range t.sent {
 		if r.allocator == allocator && !r.answered {
-			r.excused = true
+			r.noAnswerDue = true
 		}
 	}
 }
 
-// excuseConnection records that no answers of an allocator to a client are due any more.
-func (t *requestTable) excuseConnection(client, allocator string) {
+// cancelAnswersBetween records that no more answers of an allocator to a client are due, since their connection closed.
+func (t *requestTable) cancelAnswersBetween(client, allocator string) {
 	for _, r := range t.sent {
 		if r.ref.client == client && r.allocator == allocator && !r.answered {
-			r.excused = true
+			r.noAnswerDue = true
 		}
 	}
 }
--- a/internal/simulation/audit/warmup.go
+++ b/internal/simulation/audit/warmup.go
@@ -9,46 +9,46 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// arrivalHistory is how long arrivals at a node that is warming up are kept.
-const arrivalHistory = placement.Millis(60e3)
+// arrivalRetention is the time, in ms, for which arrivals at a warming-up node are kept.
+const arrivalRetention = placement.Millis(60e3)
 
-// arrival is an offer that reached a node that is warming up.
+// arrival is an offer that arrived at a warming-up node.
 type arrival struct {
-	at    placement.Millis
-	known bool // the allocator knew of this incarnation of the node
-	key   observer.BindKey
-	seen  frame
+	at       placement.Millis
+	informed bool // the allocator had received this incarnation of the node
+	key      observer.BindKey
+	seen     frame
 }
 
-// hasArrival reports whether an offer of a bind has reached the node before.
+// hasArrival reports whether an offer of a bind has already arrived at the node.
 func (n *nodeState) hasArrival(key observer.BindKey) bool {
 	return slices.ContainsFunc(n.arrivals, func(x arrival) bool { return x.key == key })
 }
 
-// addArrival adds an arrival, and drops those that are too old to matter.
+// addArrival adds an arrival, and removes those older than arrivalRetention.
 func (n *nodeState) addArrival(added arrival) {
 	n.arrivals = append(n.arrivals, added)
-	oldest := added.at - arrivalHistory
+	oldest := added.at - arrivalRetention
 	n.arrivals = slices.DeleteFunc(n.arrivals, func(x arrival) bool { return x.at < oldest })
 }
 
-// arrivalsSince returns the offers that arrived since a time, and how many of them came from allocators that knew of
+// arrivalsSince returns the offers that arrived since a time, and the number of them from allocators that had received
 // the node's incarnation.
-func (n *nodeState) arrivalsSince(from placement.Millis) (offers []frame, known int) {
+func (n *nodeState) arrivalsSince(from placement.Millis) (offers []frame, informed int) {
 	for _, x := range n.arrivals {
 		if x.at < from {
 			continue
 		}
 		offers = append(offers, x.seen)
-		if x.known {
-			known++
+		if x.informed {
+			informed++
 		}
 	}
-	return offers, known
+	return offers, informed
 }
 
-// checkWarmUp reports more offers to a node that is warming up than it withstands. It does not if more than a third of
-// them came from allocators that could not know that the node had restarted.
+// checkWarmUp reports offers to a warming-up node in excess of its bind limit. It does not report them if more than a
+// third came from allocators that had not yet received the node's new incarnation.
 func (a *Auditor) checkWarmUp(node uint32, offer *pb.Offer, seen frame) {
 	model := a.terms.Model
 	n := a.nodes.node(node)
@@ -59,24 +59,24 @@
 	}
 	key := observer.KeyOf(offer.Bind)
 	if n.hasArrival(key) {
-		return // the network duplicated it; a node handles it once
+		return // duplicated by the network; a node handles it once
 	}
 	view := a.allocator(offer.Bind.Allocator).view(node)
 	n.addArrival(arrival{
-		at:    now,
-		known: view.incarnation == n.incarnation,
-		key:   key,
-		seen:  seen,
+		at:       now,
+		informed: view.incarnation == n.incarnation,
+		key:      key,
+		seen:     seen,
 	})
-	offers, known := n.arrivalsSince(now - model.OverloadWindow)
+	offers, informed := n.arrivalsSince(now - model.OverloadWindow)
 	count := len(offers)
 	rate := model.InitialRate + (1-model.InitialRate)*float64(upFor/model.WarmUpDuration)
 	limit := model.BindLimit(rate)
 	a.LimitUse.Cold = max(a.LimitUse.Cold, float64(count)/limit)
-	if float64(count) > limit && 3*known >= 2*count {
+	if float64(count) > limit && 3*informed >= 2*count {
 		message := fmt.Sprintf("%d offers within %.0f ms at a cold node that bears %.0f",
 			count, model.OverloadWindow, limit)
 		a.report(ruleWarmUp, now, node, nil, message, offers...)
-		n.arrivals = nil // so that one overload is reported once
+		n.arrivals = nil // so that each overload is reported once
 	}
 }
