--- a/internal/simulation/search/generated.go
+++ b/internal/simulation/search/generated.go
@@ -12,18 +12,18 @@
 	"grebeglade/placement"
 )
 
-// Properties of the scenario "quiet", from which a generated script is derived.
+// Properties of the scenario "quiet", from which generated scripts are derived.
 const (
 	smallCores = 24
 	largeCores = 48
-	// meanCoreSeconds is what one workload takes: its mean cores times its mean lifetime.
+	// meanCoreSeconds is the mean core time of a workload, in core seconds: mean cores times mean lifetime.
 	meanCoreSeconds = 17
-	// gangRateDivisor is the ratio of the rates of single workloads and of gangs.
+	// gangRateDivisor is the request rate of single workloads divided by that of gangs.
 	gangRateDivisor = 60
 )
 
-// generated is a generated script: what differs from the scenario "quiet". It has a field for each property that is
-// drawn.
+// generated is a generated script. Its fields are the properties that are drawn at random; all others are those of the
+// scenario "quiet".
 type generated struct {
 	seed            uint64
 	allocators      int
@@ -31,8 +31,8 @@
 	largeNodes      int
 	load            float64 // mean demand, as a share of the fleet's cores
 	length          placement.Millis
-	polled          bool // allocators poll the discovery service, which otherwise pushes changes
-	confirmsRunning bool // an accepted offer means that the workload runs
+	polled          bool // allocators poll the discovery service; otherwise it pushes changes
+	confirmsRunning bool // nodes accept an offer only when the workload runs
 	drainMode       scenario.DrainMode
 	warmUpBudget    int
 	faults          []scenario.Fault
@@ -40,7 +40,7 @@
 	durable         bool // allocators have durable state, and clients retry at-most-once workloads after a disconnect
 }
 
-// faultSizes are the ranges from which the sizes of faults are drawn.
+// faultSizes holds the ranges from which the sizes of faults are drawn, in the unit of the fault's kind.
 var faultSizes = map[scenario.FaultKind][2]float64{
 	scenario.NodeSlow:          {2, 12},
 	scenario.NodePause:         {100, 900},
@@ -67,21 +67,22 @@
 // generator draws the properties of one script.
 type generator struct{ rng *rand.Rand }
 
-// between draws a number from a range.
+// between draws a number from the range [least, most).
 func (g generator) between(least, most float64) float64 { return least + (most-least)*g.rng.Float64() }
 
-// millis draws a time from a range in ms.
+// millis draws a duration from the range [least, most), in ms.
 func (g generator) millis(least, most float64) placement.Millis {
 	return placement.Millis(g.between(least, most))
 }
 
-// few draws a number from 1 to most, small ones more often.
+// few draws a number from 1 to most; small numbers are more likely.
 func (g generator) few(most int) int { return 1 + int(float64(most)*g.rng.Float64()*g.rng.Float64()) }
 
-// oneIn reports true once in that many draws.
+// oneIn returns true with a probability of 1/count.
 func (g generator) oneIn(count int) bool { return g.rng.IntN(count) == 0 }
 
-// generate returns the script of a run. It depends on the seed and the index alone.
+// generate returns the script of the run with this index. It depends only on the index and the search's seed and
+// limits.
 func (s *Search) generate(index int) *generated {
 	draw := generator{rng: rand.New(rand.NewPCG(s.Seed, uint64(index)+1))}
 	nodes := 3 + draw.few(max(1, s.Nodes-3))
@@ -101,7 +102,7 @@
 		durable:         draw.oneIn(4),
 	}
 	if script.durable {
-		// It matters only where allocators crash, and most where binds are in flight for long.
+		// Durable state has an effect only if allocators crash, and most if binds are in flight for a long time.
 		script.confirmsRunning = true
 		for range 2 {
 			script.faults = append(script.faults, draw.allocatorCrash(script.length))
@@ -147,12 +148,12 @@
 	return fault
 }
 
-// millis returns a time as scripts state it.
+// millis returns a duration in the format of scripts.
 func millis(duration placement.Millis) string {
 	return fmt.Sprintf("%q", fmt.Sprintf("%.0fms", float64(duration)))
 }
 
-// text returns the script.
+// text returns the text of the script.
 func (g *generated) text() string {
 	var b strings.Builder
 	b.WriteString("about      = \"found by a hunt\"\nlike       = \"quiet\"\n")
@@ -175,12 +176,12 @@
 	return b.String()
 }
 
-// writeNodeKind writes a kind of nodes with twice as much memory as cores.
+// writeNodeKind writes a node kind. Its memory is twice its number of cores.
 func writeNodeKind(b *strings.Builder, name string, cores, count int) {
 	fmt.Fprintf(b, "kind %q {\n  cores  = %d\n  memory = %d\n  count  = %d\n}\n\n", name, cores, 2*cores, count)
 }
 
-// writeRules writes how allocators and nodes interact.
+// writeRules writes the blocks "rules" and "node", which set how allocators, nodes and the discovery service interact.
 func (g *generated) writeRules(b *strings.Builder) {
 	discovery := "push"
 	if g.polled {
@@ -195,13 +196,14 @@
 	fmt.Fprintf(b, "node {\n  drained = %q\n}\n\n", g.drainMode)
 }
 
-// writeGang writes a demand for gangs. Their parts outlive a lease; otherwise one that was not stopped ends unseen.
+// writeGang writes a demand for gangs. Parts live longer than a lease: a shorter part that the allocator fails to stop
+// would end before the auditor reports it.
 func writeGang(b *strings.Builder, rate float64) {
 	fmt.Fprintf(b, "\ngang \"parts\" {\n  group  = \"serve\"\n  rate   = %.3f\n", rate)
 	b.WriteString("  parts  = 3\n  cores  = 4\n  memory = 6\n  life   = \"30s\"\n}\n")
 }
 
-// writeFault writes a fault with the properties that its kind has.
+// writeFault writes a fault with the properties that apply to its kind.
 func writeFault(b *strings.Builder, name string, fault scenario.Fault) {
 	fmt.Fprintf(b, "\nfault %q {\n  kind  = %q\n", name, fault.Kind)
 	fmt.Fprintf(b, "  at    = %s\n  for   = %s\n", millis(fault.At), millis(fault.Duration))
@@ -225,7 +227,7 @@
 	b.WriteString("}\n")
 }
 
-// play plays the script from its text, as a reader of a report does.
+// play plays the script from its text, the form in which a report contains it.
 func (g *generated) play(mutant simulation.Mutant) (*simulation.Result, error) {
 	script, err := scenario.DecodeText("found.hcl", []byte(g.text()))
 	if err != nil {
@@ -234,7 +236,7 @@
 	return simulation.PlayVirtual(script, simulation.Options{Seed: g.seed, Mutant: mutant})
 }
 
-// breaks reports whether a run of the script breaks a rule.
+// breaks reports whether a run of the script breaks the rule. A script that cannot be played breaks none.
 func (g *generated) breaks(rule int, mutant simulation.Mutant) bool {
 	result, err := g.play(mutant)
 	if err != nil {
@@ -244,7 +246,7 @@
 	return slices.ContainsFunc(result.Violations, ofRule)
 }
 
-// size describes what reduce makes smaller.
+// size describes the properties that reduce minimizes.
 func (g *generated) size() string {
 	nodes := g.smallNodes + g.largeNodes
 	seconds := float64(g.length) / 1000
--- a/internal/simulation/search/reduce.go
+++ b/internal/simulation/search/reduce.go
@@ -6,13 +6,14 @@
 	"grebeglade/internal/simulation"
 )
 
-// The least length in ms and the least load of a reduced script.
+// Lower bounds for reduced scripts: the length in ms, and the load as a share of the fleet's cores.
 const (
 	minReducedLength = 2e3
 	minReducedLoad   = 0.05
 )
 
-// reductions make a script smaller, but for its faults. They return false if it is as small as it gets.
+// reductions each make a script smaller in one property other than its faults. They return false if the property is at
+// its minimum.
 var reductions = []func(*generated) bool{
 	func(script *generated) bool {
 		had := script.gangs
@@ -43,15 +44,16 @@
 	},
 }
 
-// reducer looks for a smaller script that breaks the same rule.
+// reducer searches for a smaller script that breaks the same rule.
 type reducer struct {
-	script *generated // the smallest so far
+	script *generated // smallest script found so far
 	rule   int
 	mutant simulation.Mutant
 }
 
-// reduce makes a script smaller while it still breaks the rule: fewer faults first, then fewer allocators and nodes, a
-// shorter run, a lower load. Every step is played; a step after which the rule holds is not taken.
+// reduce returns a smaller script that still breaks the rule: first with fewer faults, then without gangs and durable
+// state, with fewer allocators and nodes, a shorter run and a lower load. Each reduced script is played, and discarded
+// if the rule holds.
 func (g *generated) reduce(rule int, mutant simulation.Mutant) *generated {
 	r := reducer{
 		script: g,
@@ -67,7 +69,7 @@
 	return r.script
 }
 
-// removeFaults removes each fault without which the rule still breaks, and reports whether there was any.
+// removeFaults removes each fault that is not needed to break the rule, and reports whether it removed any.
 func (r *reducer) removeFaults() bool {
 	removed := false
 	for i := 0; i < len(r.script.faults); {
@@ -84,7 +86,7 @@
 	return removed
 }
 
-// try takes a step if it changes the script and the rule still breaks.
+// try applies a change if it returns true and the changed script still breaks the rule. It reports whether it did.
 func (r *reducer) try(change func(*generated) bool) bool {
 	changed := *r.script
 	changed.faults = slices.Clone(r.script.faults)
--- a/internal/simulation/search/report.go
+++ b/internal/simulation/search/report.go
@@ -12,13 +12,13 @@
 
 // Finding is a run that a search reports.
 type Finding struct {
-	Rule      int     `json:"rule,omitempty"` // that broke; 0 for a run that only places little
+	Rule      int     `json:"rule,omitempty"` // number of the broken rule, or 0 for a run that placed few workloads
 	What      string  `json:"what"`
-	Lost      float64 `json:"lost"` // share of the workloads wanted that were never placed
-	Run       int     `json:"day"`  // index in the search
-	Times     int     `json:"times"`
-	Reduction string  `json:"shrunk"` // from which size to which
-	Script    string  `json:"script"`
+	Lost      float64 `json:"lost"`   // share of the wanted workloads that their first requests did not place
+	Run       int     `json:"day"`    // index of the run in the search
+	Times     int     `json:"times"`  // runs with a violation of this kind
+	Reduction string  `json:"shrunk"` // sizes of the script before and after reduction
+	Script    string  `json:"script"` // text of the script, reduced if it broke a rule
 	Seed      uint64  `json:"seed"`
 }
 
@@ -27,8 +27,8 @@
 	Runs     int            `json:"days"`
 	Seconds  float64        `json:"seconds"`
 	Findings []Finding      `json:"finds"`
-	Faults   map[string]int `json:"faults"`  // runs in which each was injected
-	Nearest  audit.LimitUse `json:"nearest"` // how close to each limit any run came
+	Faults   map[string]int `json:"faults"`  // number of injected faults, by kind
+	Nearest  audit.LimitUse `json:"nearest"` // highest use of each limit in any run
 }
 
 // count adds a run to the report's totals.
@@ -40,14 +40,15 @@
 	r.Nearest.RaiseTo(played.result.LimitUse)
 }
 
-// addViolations adds one run of each kind of violation, reduced, and counts the others.
+// addViolations adds a finding with the reduced script of the first run for each kind of violation, and counts further
+// runs of the same kind.
 func (r *Report) addViolations(broken []outcome, mutant simulation.Mutant) {
 	slices.SortFunc(broken, func(x, y outcome) int { return x.index - y.index })
-	findings := map[string]int{} // index of the finding of each kind
+	findings := map[string]int{} // index in r.Findings, by kind of violation
 	for _, played := range broken {
 		violation := played.result.Violations[0]
 		kind := violationKind(violation)
-		if i, known := findings[kind]; known {
+		if i, found := findings[kind]; found {
 			r.Findings[i].Times++
 			continue
 		}
@@ -67,7 +68,7 @@
 	}
 }
 
-// violationKind returns what violations of one kind have in common: the rule, and the message but for its digits.
+// violationKind returns a key shared by all violations of one kind: the rule and the message without digits.
 func violationKind(violation audit.Violation) string {
 	withoutDigits := strings.Map(func(c rune) rune {
 		if c <= unicode.MaxASCII && unicode.IsDigit(c) {
@@ -78,7 +79,7 @@
 	return fmt.Sprintf("%d %s", violation.Rule, withoutDigits)
 }
 
-// addWorst adds runs without a violation.
+// addWorst adds the given runs without a violation, with their scripts not reduced.
 func (r *Report) addWorst(worst []outcome) {
 	for _, played := range worst {
 		r.Findings = append(r.Findings, Finding{
--- a/internal/simulation/search/search.go
+++ b/internal/simulation/search/search.go
@@ -1,5 +1,5 @@
-// Package search plays generated scripts and looks for runs that break a rule; those that it finds it reduces to
-// minimal examples.
+// Package search plays generated scripts, looks for runs that break a rule, and reduces their scripts to minimal
+// examples.
 package search
 
 import (
@@ -17,14 +17,14 @@
 // progressInterval is the number of runs between calls of the progress function.
 const progressInterval = 100
 
-// Search looks for runs that break a rule, or that place least.
+// Search looks for runs that break a rule, and for those that place the smallest share of their workloads.
 type Search struct {
 	Seed       uint64
 	MaxRuns    int           // 0 for no limit
 	MaxTime    time.Duration // 0 for no limit
-	Allocators int           // at most, in a run
-	Nodes      int           // at most, in a run
-	KeepWorst  int           // runs without a violation that are reported
+	Allocators int           // maximum per run
+	Nodes      int           // maximum per run
+	KeepWorst  int           // number of runs without a violation to report
 	Mutant     simulation.Mutant
 }
 
@@ -35,12 +35,13 @@
 	result *simulation.Result
 }
 
-// unplacedShare returns the share of the workloads wanted that no first request placed.
+// unplacedShare returns the share of the wanted workloads outside gangs that their first requests did not place.
 func (o outcome) unplacedShare() float64 { return 1 - o.result.FirstPlaced }
 
-// Run searches on all cores. Which runs are generated depends on the seed alone; how many of them, on the limits.
-// Progress, if not nil, is called now and then with the numbers of runs and of violations so far. The error is that of
-// the first run that could not be played; the end of the context ends the search without one.
+// Run searches on all cores. The scripts depend only on the seed and the limits of the search; the limits and the
+// context determine how many are played. If not nil, progress is called after every progressInterval runs with the
+// numbers of runs and of runs with violations so far. The error is that of the first run that could not be played; the
+// end of the context ends the search without an error.
 func (s *Search) Run(ctx context.Context, progress func(runs, violations int)) (*Report, error) {
 	if s.MaxTime > 0 {
 		var cancel context.CancelFunc
@@ -71,8 +72,8 @@
 	return report, nil
 }
 
-// playAll plays runs until the context or the number of runs ends, one on each core at a time. The channel is closed
-// after the last; failure then returns the first error.
+// playAll plays runs until the context ends or MaxRuns is reached, one per core at a time. The channel is closed after
+// the last run; failure then returns the first error.
 func (s *Search) playAll(ctx context.Context) (outcomes <-chan outcome, failure func() error) {
 	indexes := make(chan int)
 	played := make(chan outcome)
@@ -84,7 +85,7 @@
 				script := s.generate(index)
 				result, err := script.play(s.Mutant)
 				if err != nil {
-					first.set(fmt.Errorf("day %d: %w\n%s", index, err, script.text()))
+					first.set(fmt.Errorf("run %d: %w\n%s", index, err, script.text()))
 					continue
 				}
 				played <- outcome{
@@ -106,7 +107,7 @@
 	return played, first.get
 }
 
-// firstError keeps the first of the errors that it is given, from any goroutine.
+// firstError keeps the first error that is set. It is safe for concurrent use.
 type firstError struct {
 	mu  sync.Mutex
 	err error
@@ -126,7 +127,7 @@
 	return f.err
 }
 
-// insertWorst returns the KeepWorst runs that placed least of the workloads wanted.
+// insertWorst adds a run to the worst ones and returns the KeepWorst runs with the largest unplaced shares.
 func (s *Search) insertWorst(worst []outcome, played outcome) []outcome {
 	worst = append(worst, played)
 	slices.SortFunc(worst, func(x, y outcome) int {
--- a/internal/simulation/search/search_test.go
+++ b/internal/simulation/search/search_test.go
@@ -14,7 +14,7 @@
 	"grebeglade/internal/simulation/scenario"
 )
 
-// rareMutants break their rules in few of the generated runs.
+// rareMutants are the mutants that break their rules in only a few of the generated runs.
 var rareMutants = []simulation.Mutant{
 	simulation.IgnoresWarmUp,
 	simulation.RejectsUnknownOutcome,
@@ -24,7 +24,8 @@
 	simulation.NeverSyncs,
 }
 
-// A bounded search finds each mutant and reduces the run; the script that it writes breaks the same rule when played.
+// A search that misses a mutant, or whose reduced script no longer breaks the rule, reports nothing that can be
+// reproduced. Each mutant must be found within a bounded number of runs, and its reported script must break the rule.
 func TestSearch_FindsAndReducesEachMutant(t *testing.T) {
 	for mutant, rule := range simulation.MutantRules {
 		t.Run(string(mutant), func(t *testing.T) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// runSearch returns the report of a search, but for the time it took.
+// runSearch returns the report of a search without its duration, so that reports can be compared.
 func runSearch(t *testing.T, search Search) *Report {
 	t.Helper()
 	report, err := search.Run(context.Background(), nil)
@@ -63,7 +64,8 @@
 	return report
 }
 
-// What a search draws depends on its seed alone, and an allocator that is no mutant breaks no rule.
+// Findings must be reproducible: the report depends only on the seed, and an allocator without a mutation breaks no
+// rule.
 func TestSearch_DependsOnSeedOnly(t *testing.T) {
 	run := func(seed uint64) *Report {
 		return runSearch(t, Search{
@@ -84,8 +86,8 @@
 	assert.LessOrEqual(t, first.Nearest.Drain, 1.0)
 }
 
-// Runs are played one on each core and share nothing: neither the number of cores nor the order in which runs end
-// affects the report.
+// Runs are played in parallel, one per core. State shared between them, or dependence on the order in which they end,
+// would make the report depend on the number of cores.
 func TestSearch_DoesNotDependOnCores(t *testing.T) {
 	run := func(cores int) *Report {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
@@ -98,7 +100,7 @@
 			Mutant:     simulation.TwoBinds,
 		})
 	}
-	one := run(1)
-	assert.Equal(t, one, run(4))
-	assert.NotEmpty(t, one.Findings)
+	singleCore := run(1)
+	assert.Equal(t, singleCore, run(4))
+	assert.NotEmpty(t, singleCore.Findings)
 }
