--- a/internal/simulation/allocators.go
+++ b/internal/simulation/allocators.go
@@ -13,10 +13,10 @@
 	"grebeglade/trace"
 )
 
-// extraBinds is by how many binds of a request the mutant ExceedsMaxBinds exceeds the limit.
+// extraBinds is the number of binds per request that the mutant ExceedsMaxBinds allows beyond the limit.
 const extraBinds = 4
 
-// allocator holds what outlives the incarnations of one allocator.
+// allocator holds the state of one allocator that is shared by all of its incarnations.
 type allocator struct {
 	run              *Run
 	index            int
@@ -24,29 +24,29 @@
 	discoveryAddress string
 	process          *network.Interceptor
 	log              *simulatedLog
-	recorder         *trace.Recorder // of the current incarnation, or nil
-	frames           int             // counted by the injector of message faults
+	recorder         *trace.Recorder // trace recorder of the current incarnation, or nil
+	frames           int             // frames counted for message faults, over all incarnations
 }
 
-// newAllocator returns the process of a new allocator. Its durable state, if there is any, survives its incarnations.
+// newAllocator returns the process of a new allocator. Its durable state, if enabled, survives restarts.
 func (r *Run) newAllocator(i int, discoveryAddress string) *network.Interceptor {
 	r.frontends = append(r.frontends, nil)
-	state := &allocator{
+	a := &allocator{
 		run:              r,
 		index:            i,
 		name:             fmt.Sprintf("allocator-%d", i+1),
 		discoveryAddress: discoveryAddress,
 	}
-	state.log = &simulatedLog{
-		disk:     storage.NewMemoryDisk(mixHash(r.opts.Seed, uint64(i))),
-		syncTime: r.script.Storage.SyncTime,
-		syncs:    r.opts.Mutant != NeverSyncs,
-		now:      func() placement.Millis { return state.process.HostNow() },
-		schedule: func(at placement.Millis, do func(now placement.Millis)) { r.host.RunAt(state.process, at, do) },
+	a.log = &simulatedLog{
+		disk:        storage.NewMemoryDisk(mixHash(r.opts.Seed, uint64(i))),
+		syncTime:    r.script.Storage.SyncTime,
+		syncEnabled: r.opts.Mutant != NeverSyncs,
+		now:         func() placement.Millis { return a.process.HostNow() },
+		schedule:    func(at placement.Millis, do func(now placement.Millis)) { r.host.RunAt(a.process, at, do) },
 	}
-	state.process = network.NewInterceptor(state.name, pb.Role_ALLOCATOR, i, r.observer, state.newHandler)
-	state.process.OnKill = func(transport.FrameHandler) { state.log.crash() }
-	return state.process
+	a.process = network.NewInterceptor(a.name, pb.Role_ALLOCATOR, i, r.observer, a.newHandler)
+	a.process.OnKill = func(transport.FrameHandler) { a.log.crash() }
+	return a.process
 }
 
 // newHandler returns the handler of a new incarnation.
@@ -60,8 +60,8 @@
 		}
 	}
 	if a.run.script.Storage.SyncTime > 0 {
-		if err := a.log.begin(&config); err != nil {
-			panic(err) // a disk in memory fails only where a test makes it fail
+		if err := a.log.open(&config); err != nil {
+			panic(err) // an in-memory disk fails only if a test injects a failure
 		}
 		if a.run.opts.Mutant == IgnoresStorage {
 			config.RecoveredBinds = nil
@@ -94,7 +94,7 @@
 	}
 }
 
-// settings returns the script's settings, changed as the mutant says.
+// settings returns the script's settings with the changes of the mutant.
 func (a *allocator) settings() placement.Settings {
 	settings := a.run.script.Settings
 	settings.Allocators = a.run.script.Allocators
@@ -111,7 +111,7 @@
 	return settings
 }
 
-// injectMessageFault wraps a handler. Frames are counted over all incarnations.
+// injectMessageFault wraps a handler to inject the run's message fault. Frames are counted over all incarnations.
 func (a *allocator) injectMessageFault(handler transport.FrameHandler) transport.FrameHandler {
 	fault := a.run.opts.MessageFault
 	host := a.run.host
--- a/internal/simulation/benchmark_test.go
+++ b/internal/simulation/benchmark_test.go
@@ -8,7 +8,8 @@
 	"grebeglade/placement"
 )
 
-// BenchmarkPlayVirtual measures what a simulated workload costs, by the size of the fleet. Load grows with the nodes.
+// BenchmarkPlayVirtual measures the time per simulated workload for fleets of several sizes. The load is proportional
+// to the number of nodes.
 func BenchmarkPlayVirtual(b *testing.B) {
 	for _, size := range []struct{ nodes, allocators int }{
 		{10, 1}, {100, 10}, {100, 100}, {300, 300}, {1000, 100}, {1000, 1000},
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -11,14 +11,14 @@
 	"grebeglade/placement"
 )
 
-// plannedFault is a fault with its times by the host's clock.
+// plannedFault is a fault with its start and end by the host's clock.
 type plannedFault struct {
 	scenario.Fault
 	from  placement.Millis
 	until placement.Millis
 }
 
-// faultPlanners hold how each kind of fault is scheduled, on targets chosen at random.
+// faultPlanners holds a function for each kind of fault that schedules it. Targets are chosen at random.
 var faultPlanners = map[scenario.FaultKind]func(*Run, plannedFault){
 	scenario.NodeCrash:         (*Run).planNodeCrash,
 	scenario.NodeSlow:          (*Run).planNodeSlow,
@@ -70,8 +70,8 @@
 	return drawn[:min(len(drawn), count)]
 }
 
-// everyone returns all processes.
-func (r *Run) everyone() []*network.Interceptor {
+// allProcesses returns all processes.
+func (r *Run) allProcesses() []*network.Interceptor {
 	return slices.Concat(r.nodes, r.allocators, r.clients, []*network.Interceptor{r.discovery})
 }
 
@@ -83,7 +83,8 @@
 	}
 }
 
-// pauseRepeatedly pauses a share of the processes again and again, each at times of its own.
+// pauseRepeatedly pauses a share of the processes once per interval, each with its own random offset. The fault's size
+// is the duration of a pause in ms.
 func (r *Run) pauseRepeatedly(processes []*network.Interceptor, fault plannedFault) {
 	duration := placement.Millis(fault.Size)
 	for _, process := range r.sample(processes, fault.Share) {
@@ -95,7 +96,8 @@
 	}
 }
 
-// callHandler has the host call do on the process's goroutine, with its local time, if the process runs by then.
+// callHandler schedules a call of do on the process's goroutine, with the process's local time. It is skipped if the
+// process does not run at that time.
 func callHandler[H transport.FrameHandler](
 	r *Run, process *network.Interceptor, at placement.Millis, do func(now placement.Millis, handler H),
 ) {
--- a/internal/simulation/faults_clients.go
+++ b/internal/simulation/faults_clients.go
@@ -5,7 +5,7 @@
 	"grebeglade/placement"
 )
 
-// overloadLag is by how many ms a registration takes effect later, for each unit of a discovery overload's size.
+// overloadLag is the added delay in ms before a registration takes effect, per unit of a discovery overload's size.
 const overloadLag = 50
 
 func (r *Run) planAllocatorCrash(fault plannedFault) { r.crash(r.allocators, fault) }
@@ -27,7 +27,7 @@
 	})
 }
 
-// planClientDisconnect breaks the connections of clients, which reconnect at once.
+// planClientDisconnect breaks the connections of clients, which may reconnect 1 ms later.
 func (r *Run) planClientDisconnect(fault plannedFault) {
 	for _, process := range r.sample(r.clients, fault.Share) {
 		r.host.RunAt(process, fault.from, process.Cut)
@@ -61,7 +61,7 @@
 func (r *Run) planDiscoveryWrong(fault plannedFault) { r.misreport(fault, fault.Size, false) }
 func (r *Run) planDiscoveryEmpty(fault plannedFault) { r.misreport(fault, 1, true) }
 
-// misreport has the discovery service report a multiple of the free capacity, or no nodes, until the fault ends.
+// misreport makes the discovery service report a multiple of the free capacity, or no nodes, until the fault ends.
 func (r *Run) misreport(fault plannedFault, capacityFactor float64, empty bool) {
 	r.onDiscovery(fault.from, func(_ placement.Millis, s *emulator.DiscoveryService) {
 		s.Misreport(capacityFactor, empty)
--- a/internal/simulation/faults_network.go
+++ b/internal/simulation/faults_network.go
@@ -8,13 +8,13 @@
 	"grebeglade/placement"
 )
 
-// frameFaultStream is the random source of the frame faults of one process.
+// frameFaultStream is the stream number of the random source for the frame faults of a process.
 const frameFaultStream = 3
 
 // partsPerMillion is the unit of a clock skew's size.
 const partsPerMillion = 1e6
 
-// planZoneCut cuts off all nodes of a zone.
+// planZoneCut cuts all nodes of a zone off from the network.
 func (r *Run) planZoneCut(fault plannedFault) {
 	for i, process := range r.nodes {
 		if r.specs[i].Zone == fault.Zone {
@@ -23,7 +23,7 @@
 	}
 }
 
-// planOneWayCut cuts off nodes in one direction: every other one cannot send, the others cannot receive.
+// planOneWayCut cuts nodes off in one direction: alternately, a node cannot send or cannot receive.
 func (r *Run) planOneWayCut(fault plannedFault) {
 	for i, process := range r.sample(r.nodes, fault.Share) {
 		out := i%2 == 0
@@ -38,16 +38,17 @@
 	r.host.RunAt(process, fault.until, process.Heal)
 }
 
-// planClockSkew has clocks run at another rate, drawn up to the fault's size in either direction.
+// planClockSkew changes the rates of clocks by a random amount, up to the fault's size in ppm in either direction.
 func (r *Run) planClockSkew(fault plannedFault) {
-	for _, process := range r.sample(r.everyone(), fault.Share) {
+	for _, process := range r.sample(r.allProcesses(), fault.Share) {
 		rate := 1 + fault.Size/partsPerMillion*(2*r.rng.Float64()-1)
 		r.host.RunAt(process, fault.from, func(now placement.Millis) { process.SetClock(now, rate, 0) })
 		r.host.RunAt(process, fault.until, func(now placement.Millis) { process.SetClock(now, 1, 0) })
 	}
 }
 
-// planClockStep steps clocks ahead. Allocators and clients read a monotonic clock.
+// planClockStep steps clocks forward by the fault's size in ms. Allocators and clients are not affected, since they
+// read a monotonic clock.
 func (r *Run) planClockStep(fault plannedFault) {
 	step := placement.Millis(fault.Size)
 	withWallClock := slices.Concat(r.nodes, []*network.Interceptor{r.discovery})
@@ -56,28 +57,28 @@
 	}
 }
 
-// planFramesDuplicated duplicates frames, but for those to clients: the first rule is about answers that come twice.
+// planFramesDuplicated duplicates frames, except those to clients: an answer received twice violates rule 1.
 func (r *Run) planFramesDuplicated(fault plannedFault) {
 	targets := slices.Concat(r.nodes, r.allocators, []*network.Interceptor{r.discovery})
 	r.injectFrameFaults(targets, fault, network.FrameFaults{Duplicate: true})
 }
 
 func (r *Run) planFramesDelayed(fault plannedFault) {
-	r.injectFrameFaults(r.everyone(), fault, network.FrameFaults{Delay: placement.Millis(fault.Size)})
+	r.injectFrameFaults(r.allProcesses(), fault, network.FrameFaults{Delay: placement.Millis(fault.Size)})
 }
 
 func (r *Run) planFramesReordered(fault plannedFault) {
-	r.injectFrameFaults(r.everyone(), fault, network.FrameFaults{Delay: placement.Millis(fault.Size), Reorder: true})
+	r.injectFrameFaults(r.allProcesses(), fault, network.FrameFaults{Delay: placement.Millis(fault.Size), Reorder: true})
 }
 
-// injectFrameFaults applies faults to the fault's share of the frames that reach these processes.
+// injectFrameFaults applies frame faults to a share of the frames that arrive at the target processes.
 func (r *Run) injectFrameFaults(targets []*network.Interceptor, fault plannedFault, faults network.FrameFaults) {
 	for _, process := range targets {
-		own := faults
-		own.Share = fault.Share
-		own.Random = rand.New(rand.NewPCG(r.rng.Uint64(), frameFaultStream))
+		processFaults := faults
+		processFaults.Share = fault.Share
+		processFaults.Random = rand.New(rand.NewPCG(r.rng.Uint64(), frameFaultStream))
 		schedule := func(at placement.Millis, do func(now placement.Millis)) { r.host.RunAt(process, at, do) }
-		r.host.RunAt(process, fault.from, func(placement.Millis) { process.SetFrameFaults(&own, schedule) })
+		r.host.RunAt(process, fault.from, func(placement.Millis) { process.SetFrameFaults(&processFaults, schedule) })
 		r.host.RunAt(process, fault.until, func(placement.Millis) { process.SetFrameFaults(nil, schedule) })
 	}
 }
--- a/internal/simulation/faults_nodes.go
+++ b/internal/simulation/faults_nodes.go
@@ -8,7 +8,7 @@
 	"grebeglade/placement"
 )
 
-// deployRestartTime is how long, in ms, a node that was stopped for a deploy takes to come back.
+// deployRestartTime is the time, in ms, until a node that was stopped for a deploy restarts.
 const deployRestartTime = placement.Millis(300)
 
 func (r *Run) planNodeCrash(fault plannedFault) { r.crash(r.nodes, fault) }
@@ -32,7 +32,7 @@
 		func(n *emulator.Node) { n.UnderreportedShare = 0 })
 }
 
-// planUsageSurge schedules a surge on all nodes. The fault's share is that of the services.
+// planUsageSurge schedules a surge of resource use on all nodes. The fault's share is the share of services affected.
 func (r *Run) planUsageSurge(fault plannedFault) {
 	surge := emulator.UsageSurge{Share: fault.Share, Factor: fault.Size}
 	if fault.Kind == scenario.UsageOverrun {
@@ -44,7 +44,8 @@
 		func(n *emulator.Node) { n.Surge = emulator.UsageSurge{} })
 }
 
-// planNoisyNeighbour schedules a program that takes cores on and off, each for the fault's interval.
+// planNoisyNeighbour schedules a program outside the allocators' control that alternates between using cores for one
+// interval of the fault and being idle for one.
 func (r *Run) planNoisyNeighbour(fault plannedFault) {
 	for _, process := range r.sample(r.nodes, fault.Share) {
 		shift := fault.Interval * placement.Millis(r.rng.Float64())
@@ -69,7 +70,7 @@
 	}
 }
 
-// planRollingDeploy drains nodes in batches, and restarts each once it has drained.
+// planRollingDeploy drains nodes in batches, and restarts each at the end of its drain time.
 func (r *Run) planRollingDeploy(fault plannedFault) {
 	r.inBatches(fault, func(process *network.Interceptor, at placement.Millis) {
 		stop := at + fault.DrainTime
@@ -88,7 +89,8 @@
 	})
 }
 
-// inBatches calls plan for part of the nodes, with the time of their batch.
+// inBatches calls plan for a share of the nodes, with the start of their batch. The fault's size is the share of all
+// nodes in one batch.
 func (r *Run) inBatches(fault plannedFault, plan func(process *network.Interceptor, at placement.Millis)) {
 	nodes := r.sample(r.nodes, fault.Share)
 	batch := max(1, int(fault.Size*float64(len(r.nodes))))
@@ -97,7 +99,7 @@
 	}
 }
 
-// duringFault calls begin and end on a share of the nodes when the fault begins and ends.
+// duringFault schedules calls of begin and end on a share of the nodes for the start and the end of the fault.
 func (r *Run) duringFault(fault plannedFault, share float64, begin, end func(*emulator.Node)) {
 	for _, process := range r.sample(r.nodes, share) {
 		r.onNode(process, fault.from, func(_ placement.Millis, n *emulator.Node) { begin(n) })
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -9,8 +9,9 @@
 	"grebeglade/placement"
 )
 
-// Faults begin before the first node is known, and clients send requests at once.
-func TestFaults_BeforeAnyNodeIsKnown(t *testing.T) {
+// Without settle time, faults begin and clients send requests before the first node has registered. The rules must hold
+// for each kind of fault.
+func TestFaults_BeforeAnyNodeIsRegistered(t *testing.T) {
 	for kind, spec := range scenario.FaultSpecs {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -8,8 +8,8 @@
 	"grebeglade/internal/transport"
 )
 
-// StartFleet runs a script's discovery service, at that address, and its nodes, for an allocator that is started by
-// hand. It returns the loop that they run on and the service's address.
+// StartFleet starts a script's discovery service, on the given listen address, and its nodes, for an allocator that the
+// caller runs as a separate process. It returns the loop on which they run and the address of the discovery service.
 func StartFleet(s *scenario.Script, seed uint64, address string, log *slog.Logger) (*transport.Loop, string, error) {
 	loop := transport.NewLoop(log)
 	run := newRun(s, Options{Seed: seed}, loop, observer.Discard{}, 0)
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -8,29 +8,29 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Mutant names a change of the allocators that breaks a rule on purpose, to show that the auditor detects it.
+// Mutant is a change of the allocators that breaks a rule on purpose, to test that the auditor detects it.
 type Mutant string
 
-// The mutants, by their names on the command line, with the rule that each breaks.
+// The mutants, with their names on the command line and the rule that each breaks.
 const (
 	NoMutant              Mutant = ""
 	NoAnswer              Mutant = "no-answer"     // rule 1: some requests get no answer
-	TwoAnswers            Mutant = "two-answers"   // rule 1: some get two
+	TwoAnswers            Mutant = "two-answers"   // rule 1: some requests get two answers
 	LateAnswer            Mutant = "late-answer"   // rule 1: rejections are sent after the pending timeout
 	OffersAfterAnswer     Mutant = "offers-after"  // rule 1: a workload is offered after its answer
 	TwoBinds              Mutant = "two-binds"     // rule 2: some offers go to two nodes
-	RejectsUnknownOutcome Mutant = "rejects-maybe" // rule 2: workloads that may have run are rejected
-	ExceedsMaxBinds       Mutant = "binds-more"    // rule 2: more binds are made than the settings permit
+	RejectsUnknownOutcome Mutant = "rejects-maybe" // rule 2: requests for workloads that may have run are rejected
+	ExceedsMaxBinds       Mutant = "binds-more"    // rule 2: requests get more binds than the settings allow
 	IgnoresDrain          Mutant = "drain-deaf"    // rule 3: drains are ignored
 	IgnoresWarmUp         Mutant = "cold-blind"    // rule 4: nodes are never treated as warming up
 	IgnoresSpread         Mutant = "spread-blind"  // rule 5: spread limits are ignored
-	StopsTwice            Mutant = "stops-twice"   // check 6: every stop is sent twice
+	StopsTwice            Mutant = "stops-twice"   // rule 6: each stop is sent twice
 	IgnoresStorage        Mutant = "forgets-state" // rule 2: durable binds are not recovered
 	NeverSyncs            Mutant = "syncs-never"   // rule 2: offers are sent before binds are durable
-	LeavesGangParts       Mutant = "leaves-parts"  // check 6: parts are confirmed at once and never stopped
+	LeavesGangParts       Mutant = "leaves-parts"  // rule 6: parts are confirmed when accepted, and never stopped
 )
 
-// MutantRules holds the rule that each mutant breaks.
+// MutantRules holds the number of the rule that each mutant breaks.
 var MutantRules = map[Mutant]int{
 	NoAnswer:              1,
 	TwoAnswers:            1,
@@ -49,43 +49,43 @@
 }
 
 const (
-	mutationInterval = 7                      // frames of which one is changed
-	lateAnswerDelay  = placement.Millis(15e3) // ms by which late answers are delayed
-	unknownUptime    = -1                     // of a node that does not know when it started
+	mutationInterval = 7                      // one of this many frames is changed
+	lateAnswerDelay  = placement.Millis(15e3) // added delay of late answers, in ms
+	unknownUptime    = -1                     // value of UpForMs if the start of a node is unknown
 )
 
-// mutantHandler changes what an allocator's handler sends and receives. It is the handler of the allocator's process,
-// and the network of the handler that it wraps.
+// mutantHandler changes frames that an allocator's handler sends and receives. It wraps the handler of the allocator's
+// process, and is in turn the network of the wrapped handler.
 type mutantHandler struct {
 	transport.FrameHandler
 	transport.FrameNetwork
 	mutant     Mutant
-	count      int
+	count      int                // frames counted by mutateNext
 	nodes      []transport.ConnID // open connections to nodes
-	firstOffer *pb.Frame          // the first offer, until it is repeated
-	delayed    []delayedFrame
+	firstOffer *pb.Frame          // first offer sent; nil before, and after its repetition
+	delayed    []delayedFrame     // in order of time
 }
 
-// delayedFrame is a frame that is sent at a later time.
+// delayedFrame is a frame that is due to be sent at a later time.
 type delayedFrame struct {
 	at    placement.Millis
 	conn  transport.ConnID
 	frame *pb.Frame
 }
 
-// wrap returns the handler changed as the mutant says, or the handler itself if the mutant changes only settings.
+// wrap returns a handler with the changes of the mutant, or the handler itself if the mutant changes no frames.
 func (m Mutant) wrap(handler transport.FrameHandler) transport.FrameHandler {
 	switch m {
 	case NoMutant, IgnoresSpread, IgnoresStorage, NeverSyncs, ExceedsMaxBinds:
 		return handler
 	case NoAnswer, TwoAnswers, LateAnswer, OffersAfterAnswer, TwoBinds, RejectsUnknownOutcome, IgnoresDrain,
 		IgnoresWarmUp, StopsTwice, LeavesGangParts:
-		// These change frames.
+		// These mutants change frames.
 	}
 	return &mutantHandler{FrameHandler: handler, mutant: m}
 }
 
-// Start implements transport.FrameHandler. The handler gets the mutant as its network.
+// Start implements transport.FrameHandler. The wrapped handler is started with the mutantHandler as its network.
 func (h *mutantHandler) Start(now placement.Millis, network transport.FrameNetwork) {
 	h.FrameNetwork = network
 	h.FrameHandler.Start(now, h)
@@ -97,7 +97,7 @@
 	h.FrameHandler.Wake(now)
 }
 
-// mutateNext counts a frame, and reports whether it is one to change.
+// mutateNext counts a frame, and reports whether it is to be changed: every mutationInterval-th is.
 func (h *mutantHandler) mutateNext() bool {
 	h.count++
 	return h.count%mutationInterval == 0
@@ -142,7 +142,7 @@
 	h.FrameHandler.Received(now, conn, f)
 }
 
-// changeHello returns a node's hello without what the mutant ignores.
+// changeHello returns a node's hello without the properties that the mutant ignores.
 func (h *mutantHandler) changeHello(f *pb.Frame, hello *pb.Hello) *pb.Frame {
 	if h.mutant != IgnoresDrain && h.mutant != IgnoresWarmUp {
 		return f
@@ -162,7 +162,7 @@
 	return transport.HelloFrame(changed)
 }
 
-// changeUpdate returns a discovery update without what the mutant ignores.
+// changeUpdate returns a discovery update without the properties that the mutant ignores.
 func (h *mutantHandler) changeUpdate(update *pb.NodeListUpdate) *pb.Frame {
 	changed := &pb.NodeListUpdate{
 		Kind:     update.Kind,
@@ -176,7 +176,7 @@
 	return &pb.Frame{Body: &pb.Frame_NodeListUpdate{NodeListUpdate: changed}}
 }
 
-// changeEntry returns a copy of an entry without what the mutant ignores.
+// changeEntry returns a copy of an entry without the properties that the mutant ignores.
 func (h *mutantHandler) changeEntry(entry *pb.NodeEntry) *pb.NodeEntry {
 	changed := &pb.NodeEntry{
 		Id:          entry.Id,
@@ -213,7 +213,7 @@
 	}
 }
 
-// sendStop sends a stop once, twice or not at all.
+// sendStop sends a stop once, or as often as the mutant requires: twice, or not at all.
 func (h *mutantHandler) sendStop(conn transport.ConnID, f *pb.Frame) {
 	if h.mutant == LeavesGangParts {
 		return
@@ -224,7 +224,7 @@
 	h.FrameNetwork.Send(conn, f)
 }
 
-// sendOffer sends an offer, and another bind of its request to a second node if the mutant makes two binds.
+// sendOffer sends an offer. For TwoBinds, it also sends a second bind of some requests to another node.
 func (h *mutantHandler) sendOffer(conn transport.ConnID, f *pb.Frame, offer *pb.Offer) {
 	h.FrameNetwork.Send(conn, f)
 	if h.mutant == TwoBinds && h.mutateNext() {
@@ -248,7 +248,7 @@
 	}
 }
 
-// sendAnswer sends an answer as the mutant changes it.
+// sendAnswer sends an answer with the changes of the mutant.
 func (h *mutantHandler) sendAnswer(conn transport.ConnID, f *pb.Frame, answer *pb.Answer) {
 	switch h.mutant {
 	case NoAnswer:
@@ -279,12 +279,12 @@
 		return
 	case NoMutant, TwoBinds, ExceedsMaxBinds, IgnoresDrain, IgnoresWarmUp, IgnoresSpread, StopsTwice, IgnoresStorage,
 		NeverSyncs, LeavesGangParts:
-		// These change no answers.
+		// These mutants do not change answers.
 	}
 	h.FrameNetwork.Send(conn, f)
 }
 
-// repeatFirstOffer sends the first offer again if its request was just answered.
+// repeatFirstOffer sends the first offer again if the given answer is for its request.
 func (h *mutantHandler) repeatFirstOffer(answer *pb.Answer) {
 	if h.firstOffer == nil || len(h.nodes) == 0 {
 		return
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -15,28 +15,28 @@
 	"grebeglade/placement"
 )
 
-// socketSlack is how long, in ms, beyond the pending timeout clients wait on sockets, where other programs compete for
-// the cores.
+// socketSlack is the minimum time, in ms, that clients on sockets wait for an answer beyond the pending timeout, since
+// other programs compete for the cores.
 const socketSlack = placement.Millis(500)
 
 const (
-	pollInterval     = 200 * time.Millisecond // at which a run on sockets is polled for its end
-	pollsPerProgress = 5                      // of which one notifies of the progress, and does not look for the end
-	callsPerClock    = 4096                   // calls of Options.late of which one reads the clock
+	pollInterval     = 200 * time.Millisecond // interval between polls for the end of a run on sockets
+	pollsPerProgress = 5                      // one of this many polls reports progress and does not check for the end
+	callsPerClock    = 4096                   // one of this many calls of a stop check reads the clock
 )
 
-// PlayVirtual plays a script in virtual time. The result depends on the script and the options alone. The error is
-// ErrDeadline if the run took too long or was cancelled.
+// PlayVirtual plays a script in virtual time. Apart from RanSeconds, the result depends only on the script and the
+// options. The error is ErrDeadline if the run exceeded its deadline or was cancelled.
 func PlayVirtual(script *scenario.Script, options Options) (*Result, error) {
 	began := time.Now()
 	host := network.NewVirtual(options.Seed)
 	auditor := audit.New(script.Terms())
-	var watcher observer.Observer = auditor
+	var observers observer.Observer = auditor
 	history := observer.NewHistory(script.Terms())
 	if options.HistoryFile != "" {
-		watcher = observer.Tee{auditor, history}
+		observers = observer.Tee{auditor, history}
 	}
-	run, err := NewRun(script, options, host, watcher, host.Now())
+	run, err := NewRun(script, options, host, observers, host.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -62,19 +62,19 @@
 	return result, nil
 }
 
-// playVirtual runs the host until all requests are answered, and for the settle time after that.
+// playVirtual runs the host until all requests are answered or Deadline has passed, and then for the settle time.
 func (r *Run) playVirtual(host *network.Virtual) error {
-	late := r.opts.late()
-	host.Run(r.RequestsEnd(), late)
-	host.Run(r.Deadline(), func() bool { return late() || r.PendingRequests() == 0 })
-	host.Run(host.Now()+settleTime, late)
-	if late() {
+	stop := r.opts.stopCheck()
+	host.Run(r.RequestsEnd(), stop)
+	host.Run(r.Deadline(), func() bool { return stop() || r.PendingRequests() == 0 })
+	host.Run(host.Now()+settleTime, stop)
+	if stop() {
 		return ErrDeadline
 	}
 	return nil
 }
 
-// writeHistory writes the history to a file, unless its name is "".
+// writeHistory writes the history to the named file. It does nothing if the name is empty.
 func writeHistory(history *observer.History, file string) error {
 	if file == "" {
 		return nil
@@ -82,23 +82,23 @@
 	return history.WriteFile(file)
 }
 
-// ErrDeadline is returned for a run that was abandoned at its deadline or cancelled.
-var ErrDeadline = errors.New("the day took too long and was given up")
+// ErrDeadline is the error of a run in virtual time that exceeded its deadline or was cancelled.
+var ErrDeadline = errors.New("run stopped: it took too long or was cancelled")
 
-// late returns a function that reports whether the run is past its deadline or cancelled. It reads the clock only once
-// in callsPerClock calls.
-func (o *Options) late() func() bool {
+// stopCheck returns a function that reports whether the run has exceeded its deadline or is cancelled. The function
+// reads the clock only once in callsPerClock calls.
+func (o *Options) stopCheck() func() bool {
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
 	}
 	calls := 0
-	late := false
+	stopped := false
 	return func() bool {
 		calls++
-		if calls%callsPerClock == 1 && !late {
-			late = o.pastDeadline() || o.cancelled()
+		if calls%callsPerClock == 1 && !stopped {
+			stopped = o.pastDeadline() || o.cancelled()
 		}
-		return late
+		return stopped
 	}
 }
 
@@ -107,8 +107,8 @@
 
 // Progress is the progress of a run on sockets.
 type Progress struct {
-	At            placement.Millis // since the first request
-	Of            placement.Millis // for which clients send requests
+	At            placement.Millis // time since the start of the requests
+	Of            placement.Millis // duration for which clients send requests
 	Requests      int
 	Placed        int
 	Rejected      int
@@ -116,9 +116,9 @@
 	Pending       int
 }
 
-// PlaySockets plays a script on loopback sockets, in real time, and audits it once it has ended. Function notify, if
-// not nil, is called once a second. If the context ends, the run is abandoned and not audited, and the error wraps that
-// of the context.
+// PlaySockets plays a script on loopback sockets, in real time, and audits the run after its end. If not nil, notify is
+// called once per second. If the context ends first, the run is stopped without an audit, and the error wraps that of
+// the context.
 func PlaySockets(
 	ctx context.Context, script *scenario.Script, options Options, notify func(Progress),
 ) (*Result, error) {
@@ -151,7 +151,7 @@
 	return result, nil
 }
 
-// awaitAnswers waits until all requests are answered, or the last answer is overdue.
+// awaitAnswers waits until all requests are answered, or Deadline has passed.
 func (r *Run) awaitAnswers(ctx context.Context, loop *transport.Loop, notify func(Progress)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -171,7 +171,7 @@
 	}
 }
 
-// await waits for a timer. The error is that of a context that ended before.
+// await waits for a timer. If the context ends first, the error wraps that of the context.
 func await(ctx context.Context, timer <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -181,7 +181,7 @@
 	}
 }
 
-// progress polls the clients, each on its own goroutine.
+// progress reads the tallies of the clients, each on its client's goroutine.
 func (r *Run) progress(loop *transport.Loop) Progress {
 	progress := Progress{At: max(0, loop.Now()-r.requestsStart), Of: r.script.Length}
 	for _, process := range r.clients {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -13,8 +13,8 @@
 )
 
 // Result is the outcome of a run. Each request ends as one of Placed, Rejected, Unschedulable, Withdrawn (by its
-// client, before an answer), Disconnected (its allocator or connection was lost) and Unanswered. The fields, in their
-// order, are the JSON document of lab play: hence one structure for all of them.
+// client, before an answer), Disconnected (its allocator or connection was lost) and Unanswered. The fields are encoded
+// as the JSON document of lab play, in their order, and therefore are all in one struct.
 type Result struct {
 	Name                  string         `json:"name"`
 	About                 string         `json:"about,omitempty"`
@@ -22,8 +22,8 @@
 	Virtual               bool           `json:"virtual"`
 	Allocators            int            `json:"allocators"`
 	Nodes                 int            `json:"nodes"`
-	AllocatorIncarnations int            `json:"allocator_lives"` // allocator processes, restarts included
-	Workloads             int            `json:"workloads"`       // requests, retries included
+	AllocatorIncarnations int            `json:"allocator_lives"` // allocator processes started, including restarts
+	Workloads             int            `json:"workloads"`       // requests, including retries
 	FirstRequests         int            `json:"firsts"`
 	Placed                int            `json:"placed"`
 	Rejected              int            `json:"rejected"`
@@ -37,28 +37,29 @@
 	DiscoveryCalls        uint64         `json:"list_calls"`
 	Duplicates            uint64         `json:"duplicates"`
 	UnmatchedReplies      uint64         `json:"stray"`
-	AnsweredFromStorage   uint64         `json:"known_before"` // requests answered from the journal
+	AnsweredFromStorage   uint64         `json:"known_before"` // requests answered from durable state
 	Ended                 map[string]int `json:"ended"`
-	WaitMedian            float64        `json:"wait_median_ms"` // from the request to its placement
+	WaitMedian            float64        `json:"wait_median_ms"` // time from the answered request until the placement
 	Wait99                float64        `json:"wait_p99_ms"`
-	OverloadedNodes       int            `json:"fell"` // nodes that failed from too many offers while warming up
+	OverloadedNodes       int            `json:"fell"` // node failures caused by too many offers during warm-up
 
-	// CoreTimeShare is the share that ran of the core time that single workloads wanted while clients sent requests.
+	// CoreTimeShare is the core time that single workloads ran, as a share of the core time that they wanted, while
+	// clients sent requests.
 	CoreTimeShare    float64           `json:"core_time_share"`
-	DiscoveryEntries uint64            `json:"list_entries"` // sent to allocators
+	DiscoveryEntries uint64            `json:"list_entries"` // node list entries sent to allocators
 	Oracle           *Oracle           `json:"oracle,omitempty"`
-	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of Singles
-	Gangs            int               `json:"gangs"`                   // wanted by clients
-	GangsPlaced      int               `json:"gangs_standing"`          // that started
-	GangsAbandoned   int               `json:"gangs_given_up"`          // that never started
-	PartialLeft      int               `json:"partial_groups_left"`     // incomplete gangs at the end
-	GangMedian       float64           `json:"gang_wait_median_ms"`     // from first request to start
-	GangWasted       float64           `json:"gang_wasted_share"`       // of the parts' core time
-	GangStops        uint64            `json:"gang_stops"`              // of parts, by allocators
+	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of Singles placed by their first request
+	Gangs            int               `json:"gangs"`                   // gangs wanted by clients
+	GangsPlaced      int               `json:"gangs_standing"`          // gangs that started
+	GangsAbandoned   int               `json:"gangs_given_up"`          // gangs that never started
+	PartialLeft      int               `json:"partial_groups_left"`     // gangs that ran incomplete for too long
+	GangMedian       float64           `json:"gang_wait_median_ms"`     // time from the first request until the start
+	GangWasted       float64           `json:"gang_wasted_share"`       // core time share of gangs that did not start
+	GangStops        uint64            `json:"gang_stops"`              // stops of parts sent by allocators
 	Frames           int               `json:"frames"`
 	ScenarioSeconds  float64           `json:"day_seconds"`
 	RanSeconds       float64           `json:"ran_seconds"`
-	LimitUse         audit.LimitUse    `json:"nearest"` // the highest use of each limit
+	LimitUse         audit.LimitUse    `json:"nearest"` // highest use of each limit
 	Digest           string            `json:"digest"`
 	Violations       []audit.Violation `json:"broken"`
 	MoreViolations   int               `json:"more_broken,omitempty"`
@@ -68,7 +69,7 @@
 // SinglesWanted reports whether workloads outside gangs were wanted.
 func (r *Result) SinglesWanted() bool { return r.Singles > 0 }
 
-// Result returns the result of the run. No handler may run any more.
+// Result returns the result of the run. It must be called after all handlers have stopped.
 func (r *Run) Result(auditor *audit.Auditor) *Result {
 	result := &Result{
 		Name:            r.script.Name,
@@ -95,7 +96,7 @@
 	return result
 }
 
-// tallies returns what each client has counted.
+// tallies returns the tally of each client.
 func (r *Run) tallies() (all []*emulator.Tally) {
 	for _, process := range r.clients {
 		all = append(all, &process.Handler().(*emulator.Client).Tally)
@@ -103,8 +104,8 @@
 	return all
 }
 
-// addTallies adds what the clients have counted. Where they requested the parts of gangs independently, they know what
-// of the gangs' core time was wasted; otherwise the auditor does.
+// addTallies adds the tallies of the clients. If clients requested the parts of gangs independently, their tallies hold
+// the wasted core time of gangs, which replaces the value of the auditor.
 func (r *Result) addTallies(tallies []*emulator.Tally) {
 	var waits, gangWaits []float64
 	var placedFirst int
@@ -147,7 +148,8 @@
 	}
 }
 
-// coreTimeShare returns the share that ran of the core time wanted. It ends the accounting of the nodes.
+// coreTimeShare returns the core time that ran, as a share of the core time wanted. It stops the nodes, which completes
+// their accounting.
 func (r *Run) coreTimeShare() float64 {
 	ran := 0.0
 	for i, process := range r.nodes {
@@ -162,7 +164,7 @@
 	return ran
 }
 
-// addFrontends adds the counters of the allocators' incarnations, and the digest of their event logs.
+// addFrontends adds the counters of all incarnations of the allocators, and the digest of their event logs.
 func (r *Result) addFrontends(allocators [][]*native.Frontend) {
 	var digests []byte
 	for _, incarnations := range allocators {
@@ -202,7 +204,7 @@
 	return all
 }
 
-// percentile returns the value below which that share of the sorted values lies, or 0 if there are none.
+// percentile returns the value below which the given share (0 to 1) of the sorted values lies, or 0 without values.
 func percentile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -14,7 +14,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// decodeScript reads a script from its text.
+// decodeScript returns the script with the given text.
 func decodeScript(t *testing.T, text string) *scenario.Script {
 	t.Helper()
 	s, err := scenario.DecodeText("scenario.hcl", []byte(text))
@@ -22,8 +22,9 @@
 	return s
 }
 
-// Run 779 of a search (seed 71), reduced: a request that the network delayed by 58 ms, more than the margin of the
-// placement module, was answered after its client's timeout. Nearly every seed of it broke the rule.
+// A request that the network delays by more than the margin of the placement module (58 ms in the original case) may be
+// answered after its client's timeout, which violates rule 1. The script is run 779 of a search with seed 71, reduced;
+// nearly every seed of it fails if the delay is not accounted for.
 func TestRequests_DelayedByNetworkAnsweredInTime(t *testing.T) {
 	text := `
 like       = "quiet"
@@ -61,8 +62,9 @@
 	}
 }
 
-// restartFaults is the part of restartScript that is always the same. Nodes drain for a deploy, others come back cold
-// just as the allocators do, and most clients restart their services.
+// restartFaults is the common part of the scripts of restartScript, as a format for the mode of discovery updates.
+// Nodes drain for a deploy, others restart at the same time as the allocators and are warming up, and clients restart
+// most of their services.
 const restartFaults = `
 like       = "quiet"
 allocators = 4
@@ -94,8 +96,8 @@
 }
 `
 
-// restartScript returns a script in which a share of four allocators crashes at 6 s and is back at 6.3 s, with or
-// without durable state, while the discovery service suffers a fault, "" for none.
+// restartScript returns a script in which a share of four allocators crashes at 6 s and restarts at 6.3 s, with or
+// without durable state, during a fault of the discovery service ("" for none).
 func restartScript(share float64, durable bool, discoveryFault scenario.FaultKind) string {
 	discovery := "push"
 	if discoveryFault == scenario.DiscoveryOverload {
@@ -114,6 +116,8 @@
 	return text
 }
 
+// Restarted allocators start with an empty view of the fleet. The rules must hold whatever share of them restarts, with
+// or without durable state, also while the discovery service is late, empty or overloaded.
 func TestRestart_WithoutStateKeepsRules(t *testing.T) {
 	discoveryFaults := []scenario.FaultKind{
 		"", scenario.DiscoveryLate, scenario.DiscoveryEmpty, scenario.DiscoveryOverload,
@@ -132,14 +136,14 @@
 	}
 }
 
-// The shares of placed requests are measured in slots of half a second.
+// The shares of placed requests are measured in time slots of half a second.
 const (
-	slotCount    = 28
-	slotDuration = placement.Millis(500)
-	settledAt    = placement.Millis(1500) // when clients begin to send requests
+	slotCount     = 28
+	slotDuration  = placement.Millis(500)
+	requestsStart = placement.Millis(1500) // time at which clients begin to send requests
 )
 
-// placedShares returns the mean share, over seeds, of the requests sent in each slot that were placed.
+// placedShares returns, for each slot, the share of the requests sent in it that were placed, as a mean over seeds.
 func placedShares(t *testing.T, text string, seeds uint64) []float64 {
 	t.Helper()
 	sums := make([]float64, slotCount)
@@ -161,7 +165,7 @@
 	return sums
 }
 
-// countPlaced returns the number of requests sent in each slot, and how many of them were placed.
+// countPlaced returns the number of requests sent in each slot, and the number of them that were placed.
 func countPlaced(history *observer.History) (requested, placed []float64) {
 	requested = make([]float64, slotCount)
 	placed = make([]float64, slotCount)
@@ -169,7 +173,7 @@
 	for _, event := range history.Events() {
 		request := event.Frame.GetPlaceRequest()
 		if request != nil && event.Kind == observer.FrameSent {
-			slot := min(slotCount-1, int((event.At-settledAt)/slotDuration))
+			slot := min(slotCount-1, int((event.At-requestsStart)/slotDuration))
 			slots[retryKey{event.Process.Name, request.RequestId}] = slot
 			requested[slot]++
 		}
@@ -181,12 +185,12 @@
 	return requested, placed
 }
 
-// Allocators that restarted without state soon place as many requests as those that never stopped. For a moment they
-// place fewer, as workloads that clients withdrew while all allocators were away still run.
+// Allocators that restart without state must place about as many requests as allocators that never stop. A lower share
+// is allowed, since workloads that clients withdrew while all allocators were down still occupy nodes.
 func TestRestart_WithoutStatePlacesAsOthers(t *testing.T) {
 	const (
-		from  = 13 // slot of 6.5 s, just after the restart
-		until = 17 // slot of 8.5 s
+		from  = 13 // slot that starts at 6.5 s, just after the restart
+		until = 17 // slot that starts at 8.5 s, the first one not compared
 	)
 	uninterrupted := placedShares(t, restartScript(0, false, ""), 10)
 	for _, share := range []float64{0.25, 1} {
@@ -198,8 +202,9 @@
 	}
 }
 
-// allLayersRetry has every layer retry at once: nodes that accept and start nothing, a zone cut off, one-way cuts, an
-// overloaded discovery service, allocators that crash, and clients that retry after a disconnect and restart services.
+// allLayersRetry makes all layers retry at the same time: nodes accept offers and start nothing, a zone and single
+// directions are cut off, the discovery service is overloaded, allocators crash, and clients retry after disconnects
+// and restart services.
 const allLayersRetry = `
 like       = "quiet"
 allocators = 6
@@ -255,16 +260,16 @@
 }
 `
 
-// retryKey identifies what is counted: a process or client, and a number of its own, or 0.
+// retryKey identifies a repeated item: the name of a process or a bind, and a number of that process's own, or 0.
 type retryKey struct {
 	name   string
 	number uint64
 }
 
-// retryCounts counts the frames of a run by what they repeat.
+// retryCounts counts frames, by the kind of repetition and the repeated item.
 type retryCounts map[string]map[retryKey]int
 
-// add counts one more frame that repeats what the name and number identify.
+// add counts one frame for the item that the name and number identify.
 func (c retryCounts) add(what, name string, number uint64) {
 	if c[what] == nil {
 		c[what] = map[retryKey]int{}
@@ -295,7 +300,7 @@
 	}
 }
 
-// countRetries counts what the clients and allocators of a run repeated.
+// countRetries counts the frames that clients and allocators of a run repeated.
 func countRetries(h *observer.History) retryCounts {
 	counts := retryCounts{}
 	for _, event := range h.Events() {
@@ -309,13 +314,14 @@
 	return counts
 }
 
-// The worst product over all layers, counted from traffic: a request has at most four binds here, a client requests a
-// workload at most six times, a gang is started at most three times. No layer multiplies what another has counted.
+// Retries in several layers may multiply. The counts from the traffic must stay within the product of the layers' own
+// limits: a request has at most four binds, a client requests a workload at most six times, and a gang is attempted at
+// most three times.
 func TestRetries_AllLayersWithinBounds(t *testing.T) {
 	const (
-		binds        = 4 // of a request
-		attempts     = 6 // of a workload
-		gangAttempts = 3 // of a gang
+		binds        = 4 // per request
+		attempts     = 6 // per workload
+		gangAttempts = 3 // per gang
 	)
 	worst := map[string]int{}
 	for seed := range uint64(20) {
@@ -338,39 +344,40 @@
 		"binds of a request":     binds,
 		"binds of a workload":    attempts * binds,
 		"binds of a part":        gangAttempts * binds,
-		// One when it times out or is withdrawn, and one at each connection at which the node still names it; a part's
-		// every 2 s.
+		// One after a timeout or a withdrawal, and one for each new connection on which the node still lists the
+		// bind; for parts of gangs, one every 2 s.
 		"stops of a bind": 8,
-		// A poll every 1.5 s at first, later ones further apart, and one at each connection to the discovery service.
+		// One poll every 1.5 s at first, at longer intervals later, and one for each new connection to the discovery
+		// service.
 		"polls of an allocator":         16,
 		"health checks of an allocator": 9 + 14*14,
 	} {
 		assert.LessOrEqual(t, worst[what], most, what)
-		assert.NotZero(t, worst[what], "%s: never counted, so nothing is proved", what)
+		assert.NotZero(t, worst[what], "%s: no frame counted, so the limit was not tested", what)
 	}
 	assert.Greater(t, worst["binds of a request"], 1)
 }
 
-// Runs in which a rule breaks and no allocator could keep it, by the numbers of docs/review-findings.md. Each is
-// played: while the rule still breaks, the case is skipped with its finding; once it holds, the case fails and must go.
+// Each case is a run in which no allocator can prevent a violation, with its number in docs/review-findings.md. While
+// the rule is violated, the case is skipped with the finding; if the rule holds, the case fails and must be removed.
 func TestKnownViolations_StillOccur(t *testing.T) {
 	for _, known := range []struct {
-		name string
-		seed uint64
-		rule int
-		why  string
+		name   string
+		seed   uint64
+		rule   int
+		reason string
 	}{
 		{
-			name: "answer-held-up",
-			seed: 3783727273,
-			rule: 1,
-			why:  "finding 10: the answer leaves in time, and the network holds it up by more than the margin",
+			name:   "answer-held-up",
+			seed:   3783727273,
+			rule:   1,
+			reason: "finding 10: the answer is sent in time, and the network delays it by more than the margin",
 		},
 		{
-			name: "node-clock-stepped",
-			seed: 2918813409,
-			rule: 4,
-			why:  "finding 11: the node itself says that it has been up for long",
+			name:   "node-clock-stepped",
+			seed:   2918813409,
+			rule:   4,
+			reason: "finding 11: the node itself reports a long uptime after a step of its clock",
 		},
 	} {
 		t.Run(known.name, func(t *testing.T) {
@@ -378,11 +385,11 @@
 			r := playVirtual(t, script, Options{Seed: known.seed})
 			for _, b := range r.Violations {
 				if b.Rule == known.rule {
-					t.Skip(known.why)
+					t.Skip(known.reason)
 				}
 			}
-			t.Fatalf("rule %d holds now: remove the case, and say so in docs/review-findings.md (%s)",
-				known.rule, known.why)
+			t.Fatalf("rule %d holds now: remove the case, and update docs/review-findings.md (%s)",
+				known.rule, known.reason)
 		})
 	}
 }
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,5 +1,5 @@
-// Package simulation plays scenarios: real allocators against emulated nodes, clients and a discovery service, in
-// virtual time or on loopback sockets, with an audit of the rules.
+// Package simulation plays scenarios: real allocators run against emulated nodes, clients and a discovery service, in
+// virtual time or on loopback sockets, and an audit checks the rules.
 package simulation
 
 import (
@@ -23,12 +23,12 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// settleTime is how long a run goes on after the last answer, in ms, for workloads and gangs that are still starting or
-// ending.
+// settleTime is the time, in ms, for which a run continues after the last answer, so that workloads and gangs finish
+// starting or ending.
 const settleTime = placement.Millis(2e3)
 
-// Random sources of a run, besides those of the processes: one for the fleet, and one for each fault from
-// firstFaultStream on.
+// Stream numbers of a run's random sources, in addition to those of the processes: one for the fleet, and one per
+// fault, starting at firstFaultStream.
 const (
 	fleetStream      = 77
 	firstFaultStream = 1000
@@ -36,24 +36,24 @@
 
 const (
 	nodesPerCell    = 4
-	maxNodeFailures = 100 // room for the failures of each node in a run
+	maxNodeFailures = 100 // failures per node for which Run.overloads has room
 )
 
-// Options are the options of a run, besides its script.
+// Options are the options of a run in addition to its script.
 type Options struct {
 	Seed           uint64
-	Mutant         Mutant // breaks a rule on purpose
-	Log            *slog.Logger
-	MessageFault   *network.MessageFault
-	Oracle         bool         // compare with the best possible placement; in virtual time only
-	Cancelled      func() error // polled; an error ends a run in virtual time
-	Deadline       time.Time    // of a run in virtual time, by the wall clock; zero for none
-	HistoryFile    string       // to which the history is written; "" for none
-	TraceDirectory string       // with a directory for each allocator's trace; "" for none
+	Mutant         Mutant                // deliberate violation of a rule, or NoMutant
+	Log            *slog.Logger          // nil to discard log records
+	MessageFault   *network.MessageFault // injected at the first allocator; nil for none
+	Oracle         bool                  // compare with the optimal placement; virtual time only
+	Cancelled      func() error          // polled during a run in virtual time, which ends on an error; may be nil
+	Deadline       time.Time             // wall-clock time at which a run in virtual time is stopped; zero for none
+	HistoryFile    string                // name of the history file to write; "" for none
+	TraceDirectory string                // parent of a trace directory per allocator; "" for no traces
 }
 
-// Run is a script that is played on a host. It must not be copied. Its fields are what it was started with, its
-// processes, and what these share.
+// Run is a script that is played on a host. It must not be copied. It holds the script and options, the processes, and
+// the state that the processes share.
 type Run struct {
 	script   *scenario.Script
 	opts     Options
@@ -61,10 +61,10 @@
 	observer observer.Observer
 	rng      *rand.Rand
 	processes
-	requestsStart   placement.Millis // first requests; nodes and allocators are connected by then
-	overloads       chan struct{}    // a value for each node that failed while warming up
-	drains          map[*network.Interceptor][]oracle.Span
-	wallClockOffset float64 // Unix time, in ms, at which the host's clock stood at 0
+	requestsStart   placement.Millis                       // start of requests, after the settle time
+	overloads       chan struct{}                          // one value per node overloaded during warm-up
+	drains          map[*network.Interceptor][]oracle.Span // planned drains, by node
+	wallClockOffset float64                                // Unix time, in ms, of the host clock's zero; 0 in virtual time
 	traces          traces
 }
 
@@ -72,7 +72,7 @@
 type processes struct {
 	discovery  *network.Interceptor
 	nodes      []*network.Interceptor
-	specs      []*emulator.NodeSpec // of the nodes, in the same order
+	specs      []*emulator.NodeSpec // node specs, in the order of nodes
 	allocators []*network.Interceptor
 	clients    []*network.Interceptor
 	frontends  [][]*native.Frontend // by allocator and incarnation
@@ -112,13 +112,13 @@
 	return run
 }
 
-// virtual reports whether the run is played in virtual time.
+// virtual reports whether the run is in virtual time.
 func (r *Run) virtual() bool {
 	_, virtual := r.host.(*network.Virtual)
 	return virtual
 }
 
-// zone returns the zone of a process, by its index among those of its kind.
+// zone returns the zone of a process, given its index among the processes of its role.
 func (r *Run) zone(i int) string { return r.script.Zones[i%len(r.script.Zones)] }
 
 // newDiscovery returns the discovery service.
@@ -129,7 +129,7 @@
 	return network.NewInterceptor("list", pb.Role_DISCOVERY, 0, r.observer, newService)
 }
 
-// addNodes adds the nodes. Kinds and zones are assigned at random, so that no zone has nodes of one kind only.
+// addNodes adds the nodes. They are shuffled before they are assigned to zones, so that zones have a mix of kinds.
 func (r *Run) addNodes(discoveryAddress string) error {
 	for kind, count := range r.script.NodeCounts {
 		for range count {
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// newNodeSpec returns the next node of a kind, without its zone and cell. IDs depend on the seed; their last three
-// digits keep them apart.
+// newNodeSpec returns the spec of the next node of a kind, without zone and cell. The ID depends on the seed; its last
+// three digits depend only on the node's index, which keeps IDs unique for up to 1000 nodes.
 func (r *Run) newNodeSpec(kind int, discoveryAddress string) *emulator.NodeSpec {
 	i := len(r.specs)
 	return &emulator.NodeSpec{
@@ -183,7 +183,7 @@
 	return r.addClients(addresses)
 }
 
-// addClients adds the clients, each with its share of the request rates.
+// addClients adds the clients, each with an equal share of the request rates.
 func (r *Run) addClients(allocators []string) error {
 	model := r.clientModel(allocators)
 	for i := range r.script.Clients {
@@ -200,7 +200,8 @@
 	return nil
 }
 
-// clientModel returns the script's model of one client, with the times and addresses of the run.
+// clientModel returns the script's client model with the times and allocator addresses of the run, and the rates of one
+// client.
 func (r *Run) clientModel(allocators []string) *scenario.ClientModel {
 	model := r.script.Client
 	model.Allocators = append(model.Allocators, allocators...)
@@ -215,7 +216,7 @@
 	return &model
 }
 
-// addNode adds a node. It is killed if too many offers overload it.
+// addNode adds a node, which is killed if too many offers overload it.
 func (r *Run) addNode(spec *emulator.NodeSpec) error {
 	var process *network.Interceptor
 	newNode := func(incarnation uint64) transport.FrameHandler {
@@ -237,7 +238,8 @@
 	return err
 }
 
-// countCoreTime adds the core time of single workloads, while clients send requests, to their node.
+// countCoreTime adds the core time of a single workload to its node, up to the end of the requests. It is called when
+// the workload starts or stops running.
 func (r *Run) countCoreTime(spec *emulator.NodeSpec, task *emulator.Task, runs bool, at placement.Millis) {
 	at = min(at, r.RequestsEnd())
 	switch {
@@ -249,7 +251,7 @@
 	}
 }
 
-// mixHash hashes two numbers into one.
+// mixHash returns a hash of two numbers, used to derive seeds.
 func mixHash(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], a)
@@ -257,7 +259,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// Deadline returns the time by which the last answer is due.
+// Deadline returns the time after which no more answers are due, including the settle time.
 func (r *Run) Deadline() placement.Millis {
 	longest := placement.Millis(0)
 	for _, demand := range r.script.Demand {
@@ -272,7 +274,7 @@
 // RequestsEnd returns the time at which clients stop sending requests.
 func (r *Run) RequestsEnd() placement.Millis { return r.requestsStart + r.script.Length }
 
-// PendingRequests returns the number of requests that wait for an answer. The clients must not run meanwhile.
+// PendingRequests returns the number of requests without an answer. Clients must not run during the call.
 func (r *Run) PendingRequests() (count int) {
 	for _, process := range r.clients {
 		if client, ok := process.Handler().(*emulator.Client); ok {
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -34,7 +34,8 @@
 	return r
 }
 
-// assertRulesHold checks what must hold in every run of an allocator that is no mutant.
+// assertRulesHold checks the invariants of all runs without a mutant: no violations, no unanswered requests, no
+// overloaded nodes, and one outcome per request.
 func assertRulesHold(t *testing.T, r *Result) {
 	t.Helper()
 	assert.Empty(t, r.Violations, "seed %d", r.Seed)
@@ -45,7 +46,7 @@
 	assert.NotZero(t, r.Placed)
 }
 
-// seedsPerScript is the number of seeds with which each script is played, unless GREBEGLADE_SEEDS sets another.
+// seedsPerScript returns the number of seeds per script: the value of GREBEGLADE_SEEDS, or 50.
 func seedsPerScript() uint64 {
 	if n, err := strconv.Atoi(os.Getenv("GREBEGLADE_SEEDS")); err == nil {
 		return uint64(n)
@@ -80,7 +81,8 @@
 	assertRulesHold(t, playVirtual(t, s, Options{Seed: 1}))
 }
 
-// Two, ten and a hundred allocators place gangs that need half the fleet each.
+// Allocators that compete for gangs of half the fleet each may block each other with partial gangs. Gangs must start,
+// and no part may be left, with 2, 10 and 100 allocators.
 func TestGangs_OfHalfTheFleetCompete(t *testing.T) {
 	for _, allocators := range []int{2, 10, 100} {
 		s := openScript(t, "gang-contest")
@@ -113,7 +115,7 @@
 		g.MinParts = 50
 	})
 	assert.Zero(t, larger.GangsPlaced)
-	assert.Zero(t, larger.GangStops, "no part of it was offered, as it can never run")
+	assert.Zero(t, larger.GangStops, "a gang that cannot run must not be offered")
 	singleNode := playWith(func(g *scenario.GangDemand) {
 		g.Parts = 3
 		g.MinParts = 3
@@ -123,7 +125,7 @@
 	assert.NotZero(t, singleNode.GangsPlaced)
 }
 
-// singleGangScript returns a short script with one gang after another on four nodes.
+// singleGangScript returns a short script in which one client requests a sequence of gangs on four nodes.
 func singleGangScript(t *testing.T, group string, replace bool) *scenario.Script {
 	t.Helper()
 	script := openScript(t, "gang-contest")
@@ -147,8 +149,9 @@
 	return script
 }
 
-// Each frame between an allocator and its nodes is lost, duplicated or delayed, its connection closed, or the allocator
-// crashes as it passes, with and without a restart: no part of an incomplete gang is left in any case.
+// A fault at any single frame between an allocator and its nodes may leave a part of an incomplete gang running. Each
+// of the first 40 frames is lost, duplicated or delayed, or its connection is closed, or the allocator crashes at it,
+// with and without a restart: no part may be left.
 func TestGangs_NoPartLeftAfterAnyMessageFault(t *testing.T) {
 	const maxFrame = 40
 	runs := 0
@@ -156,7 +159,7 @@
 		for _, kind := range network.MessageFaultKinds {
 			for frame := 1; frame <= maxFrame; frame++ {
 				script := singleGangScript(t, group, frame%3 == 0)
-				// With withdrawals parts are stopped, and the fault may hit a stop.
+				// Withdrawals cause stops of parts, so that the fault may affect a stop.
 				script.Client.WithdrawShare = float64(frame / 2 % 2)
 				fault := &network.MessageFault{
 					Kind:     kind,
@@ -177,8 +180,8 @@
 	t.Logf("%d runs", runs)
 }
 
-// causedByMessageFault reports whether the fault itself is what the auditor saw: a duplicated frame, or a frame that
-// left the allocator in time and was delayed before the auditor saw it.
+// causedByMessageFault reports whether a violation shows only the injected fault: a duplicated frame, or a frame that
+// the allocator sent in time and that was delayed before the auditor observed it.
 func causedByMessageFault(kind network.MessageFaultKind, violation audit.Violation) bool {
 	const spreadRule = 5
 	switch kind {
@@ -191,7 +194,7 @@
 	return false
 }
 
-// On sockets, with overlapping faults.
+// Overlapping faults on sockets, where timing depends on the machine, must not cause violations either.
 func TestPlaySockets_RoughKeepsRules(t *testing.T) {
 	s := openScript(t, "rough")
 	s.SetLength(9000)
@@ -211,7 +214,7 @@
 	assert.Zero(t, r.PartialLeft)
 }
 
-// mutantScripts holds a script for each mutant in which it has occasion to break its rule.
+// mutantScripts holds, for each mutant, a script in which the mutant can break its rule.
 var mutantScripts = map[Mutant]string{
 	NoAnswer:              "quiet",
 	TwoAnswers:            "quiet",
@@ -229,6 +232,8 @@
 	ExceedsMaxBinds:       "throttle",
 }
 
+// An auditor that misses a violation passes every run. Each mutant must be detected, online and from the recorded
+// history, and the same run without the mutant must pass.
 func TestMutants_DetectedByAuditor(t *testing.T) {
 	for mutant, rule := range MutantRules {
 		t.Run(string(mutant), func(t *testing.T) {
@@ -244,8 +249,8 @@
 			require.NotEmpty(t, result.Violations)
 			recorded := audit.Check(readHistory(t, options.HistoryFile)).Violations
 			assert.Equal(t, result.Violations, recorded, "the audit of the recorded history differs")
-			honest := playVirtual(t, script, Options{Seed: result.Seed})
-			assert.Empty(t, honest.Violations, "an allocator that is no mutant breaks a rule")
+			unmutated := playVirtual(t, script, Options{Seed: result.Seed})
+			assert.Empty(t, unmutated.Violations, "an allocator without the mutant breaks a rule")
 			found := false
 			for _, violation := range result.Violations {
 				found = found || violation.Rule == rule
@@ -256,7 +261,8 @@
 	}
 }
 
-// playUntilViolation plays a script with one seed after the other until a rule breaks: some mutants need chance.
+// playUntilViolation plays a script with increasing seeds until a rule breaks, for at most 20 seeds: some mutants break
+// their rule with some seeds only.
 func playUntilViolation(t *testing.T, script *scenario.Script, options Options) *Result {
 	t.Helper()
 	const maxSeed = 20
@@ -285,7 +291,7 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// Each fault must show in the result, or the scripts prove nothing.
+// A fault without an effect tests nothing. Each fault must change the results of its script in the expected way.
 func TestFaults_ChangeResult(t *testing.T) {
 	quiet := playVirtual(t, openScript(t, "quiet"), Options{Seed: 1})
 	lost := func(r *Result) bool { return r.Ended["LOST"] > 0 }
@@ -298,7 +304,7 @@
 		"slow":            slower,
 		"stall":           slower,
 		"allocator-still": slower,
-		"forget":          slower, // than in a run whose programs stay cached; uncached starts are long
+		"forget":          slower, // starts of uncached programs take longer
 		"overrun":         func(r *Result) bool { return r.Ended["EVICTED"] > 0 },
 		"burst":           func(r *Result) bool { return r.FirstRequests > quiet.FirstRequests*5/4 },
 		"full":            func(r *Result) bool { return r.Rejected > r.Placed },
@@ -317,7 +323,7 @@
 	}
 }
 
-// Each fault of every script has an effect: without it the run has another digest.
+// A fault without an effect tests nothing. Without any one of its faults, a script must give another digest.
 func TestScripts_EachFaultChangesRun(t *testing.T) {
 	for _, name := range scenario.Names() {
 		with := playVirtual(t, openScript(t, name), Options{Seed: 1})
@@ -329,23 +335,24 @@
 	}
 }
 
-// Allocators and their machines crash at many moments and lose what their disks had not synced, while clients retry
-// workloads that may run at most once: none runs twice, and requests for what may have run are answered from storage.
+// An allocator that crashes may lose the record of a bind, and place an at-most-once workload again when its client
+// retries. Allocators and their machines crash at various times and lose unsynced data: no such workload may run twice,
+// and requests for workloads that may have run must be answered from storage.
 func TestStorage_AtMostOnceAcrossAllocatorCrashes(t *testing.T) {
-	known := 0
+	answeredFromStorage := 0
 	for seed := range uint64(20) {
 		s := openScript(t, "state-death")
 		for i := range s.Faults {
-			s.Faults[i].At += placement.Millis(seed) * 37 // crashes at another moment in each run
+			s.Faults[i].At += placement.Millis(seed) * 37 // another crash time in each run
 		}
 		r := playVirtual(t, s, Options{Seed: seed + 1})
 		assertRulesHold(t, r)
-		known += int(r.AnsweredFromStorage)
+		answeredFromStorage += int(r.AnsweredFromStorage)
 	}
-	assert.NotZero(t, known, "no request was answered from storage, so nothing is proved")
+	assert.NotZero(t, answeredFromStorage, "no request was answered from storage, so the test is inconclusive")
 }
 
-// readHistory reads the history of a run that was just played.
+// readHistory reads a history file that a run has written.
 func readHistory(t *testing.T, file string) *observer.History {
 	t.Helper()
 	f, err := os.Open(file)
@@ -356,7 +363,8 @@
 	return h
 }
 
-// The share is a sum of floating-point numbers: its last digit shows any change of the order in which they are added.
+// The share is a sum of floating-point numbers, so its last digit changes if the order of the additions depends on the
+// iteration order of a map.
 func TestRun_WastedShareIsTheSameEachTime(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "history")
 	r := playVirtual(t, openScript(t, "gang-node-failure"), Options{Seed: 2, HistoryFile: file})
--- a/internal/simulation/simulated_log.go
+++ b/internal/simulation/simulated_log.go
@@ -8,37 +8,37 @@
 	"grebeglade/placement"
 )
 
-// retention is how long, in ms, at-most-once keys are kept: longer than any run.
+// retention is the time, in ms, for which at-most-once keys are kept: longer than any run.
 const retention = placement.Millis(3600e3)
 
-// maxLogSize is the number of bytes beyond which the log of an allocator is replaced by a snapshot.
+// maxLogSize is the size, in bytes, above which an allocator's log is replaced by a snapshot.
 const maxLogSize = 1 << 14
 
-// simulatedLog is an allocator's durable state on a simulated disk. Syncs take time, writes that come meanwhile are
-// grouped, and a crash loses what was not synced.
+// simulatedLog is an allocator's durable state on a simulated disk. A sync takes syncTime, entries queued during a
+// write are written as one group, and a crash loses all data that was not synced.
 type simulatedLog struct {
 	disk        *storage.MemoryDisk
 	log         *storage.Log
-	syncTime    placement.Millis
-	syncs       bool // false to skip syncs
+	syncTime    placement.Millis // duration of a write with its sync
+	syncEnabled bool             // false to skip syncs, which then take no time
 	now         func() placement.Millis
 	schedule    func(at placement.Millis, do func(now placement.Millis))
 	queue       []pendingWrite
-	busy        bool // a write is in progress
-	incarnation int  // changes at each start and each crash
+	writing     bool // a write is in progress
+	incarnation int  // incremented at each start and each crash, to discard earlier scheduled writes
 }
 
-// pendingWrite is an entry that has not been written, and what to call once it is durable, or nil.
+// pendingWrite is an entry in the queue, and a function to call when it is durable, or nil.
 type pendingWrite struct {
-	entry   *statepb.Entry
-	durable func(now placement.Millis, err error)
+	entry     *statepb.Entry
+	onDurable func(now placement.Millis, err error)
 }
 
-// begin opens the log for an incarnation and puts what was recovered into its configuration.
-func (l *simulatedLog) begin(config *native.Config) error {
+// open opens the log for a new incarnation, and sets the journal and the recovered binds in its configuration.
+func (l *simulatedLog) open(config *native.Config) error {
 	l.disk.Recover()
 	l.queue = nil
-	l.busy = false
+	l.writing = false
 	l.incarnation++
 	unixMillis := func() float64 { return float64(l.now()) }
 	header := &statepb.Incarnation{Number: config.Incarnation}
@@ -53,15 +53,15 @@
 	return nil
 }
 
-// crash ends an incarnation, and drops what was not synced.
+// crash ends an incarnation, and discards all data that was not synced.
 func (l *simulatedLog) crash() {
 	l.incarnation++
 	l.disk.Crash()
 }
 
 // PersistBind implements native.Journal.
-func (l *simulatedLog) PersistBind(bind recovery.Bind, durable func(now placement.Millis, err error)) {
-	l.queue = append(l.queue, pendingWrite{entry: storage.BindEntry(bind), durable: durable})
+func (l *simulatedLog) PersistBind(bind recovery.Bind, onDurable func(now placement.Millis, err error)) {
+	l.queue = append(l.queue, pendingWrite{entry: storage.BindEntry(bind), onDurable: onDurable})
 	l.writeNext()
 }
 
@@ -71,16 +71,16 @@
 	l.writeNext()
 }
 
-// writeNext writes all pending entries in one group, unless a write is in progress.
+// writeNext starts to write all queued entries as one group, unless a write is in progress.
 func (l *simulatedLog) writeNext() {
-	if l.busy || len(l.queue) == 0 {
+	if l.writing || len(l.queue) == 0 {
 		return
 	}
-	l.busy = true
+	l.writing = true
 	group := l.queue
 	l.queue = nil
 	duration := l.syncTime
-	if !l.syncs {
+	if !l.syncEnabled {
 		duration = 0
 	}
 	incarnation := l.incarnation
@@ -91,18 +91,19 @@
 	})
 }
 
-// commit writes a group and reports it as durable. A call may crash the allocator; the calls after it are then dropped.
+// commit writes a group and calls its onDurable functions. Such a call may crash the allocator; the remaining ones are
+// then skipped.
 func (l *simulatedLog) commit(now placement.Millis, group []pendingWrite) {
 	entries := make([]*statepb.Entry, len(group))
 	for i, write := range group {
 		entries[i] = write.entry
 	}
-	err := l.log.Commit(entries, l.syncs)
-	l.busy = false
+	err := l.log.Commit(entries, l.syncEnabled)
+	l.writing = false
 	incarnation := l.incarnation
 	for _, write := range group {
-		if write.durable != nil && l.incarnation == incarnation {
-			write.durable(now, err)
+		if write.onDurable != nil && l.incarnation == incarnation {
+			write.onDurable(now, err)
 		}
 	}
 	l.writeNext()
--- a/internal/simulation/traces.go
+++ b/internal/simulation/traces.go
@@ -10,29 +10,29 @@
 	"grebeglade/trace/tracepb"
 )
 
-// traces are the open traces of a run. They are started on the allocators' goroutines.
+// traces holds the open traces of a run. They are started on the goroutines of the allocators.
 type traces struct {
 	mu        sync.Mutex // guards the fields below
 	recorders []*trace.Recorder
-	err       error // the last one met when a trace was started
+	err       error // last error of startTrace
 }
 
-// flushTrace writes out the trace of an allocator's last incarnation.
+// flushTrace flushes the trace of an allocator's latest incarnation.
 func (r *Run) flushTrace(allocator int) {
 	if incarnations := r.frontends[allocator]; len(incarnations) > 0 {
 		incarnations[len(incarnations)-1].FlushTrace()
 	}
 }
 
-// startTrace begins the trace of an allocator's incarnation, after it has closed that of the one before. It returns nil
-// if that fails; closeTraces then returns the error.
-func (r *Run) startTrace(before *trace.Recorder, config native.Config) *trace.Recorder {
+// startTrace closes the trace of an allocator's previous incarnation, if any, and starts that of a new one. It returns
+// nil on an error, which closeTraces then returns.
+func (r *Run) startTrace(previous *trace.Recorder, config native.Config) *trace.Recorder {
 	r.traces.mu.Lock()
 	defer r.traces.mu.Unlock()
-	if before != nil {
-		before.Close()
-		isBefore := func(recorder *trace.Recorder) bool { return recorder == before }
-		r.traces.recorders = slices.DeleteFunc(r.traces.recorders, isBefore)
+	if previous != nil {
+		previous.Close()
+		isPrevious := func(recorder *trace.Recorder) bool { return recorder == previous }
+		r.traces.recorders = slices.DeleteFunc(r.traces.recorders, isPrevious)
 	}
 	source := &tracepb.Source{
 		Allocator:   config.Name,
@@ -50,7 +50,7 @@
 	return recorder
 }
 
-// closeTraces writes out and closes all traces. No handler may run any more.
+// closeTraces flushes and closes all traces. It must be called after all handlers have stopped.
 func (r *Run) closeTraces() error {
 	for i := range r.frontends {
 		r.flushTrace(i)
--- a/internal/simulation/upper_bound.go
+++ b/internal/simulation/upper_bound.go
@@ -7,25 +7,25 @@
 	"grebeglade/placement"
 )
 
-// Oracle compares a scenario run with the optimum, in shares of the core time that clients wanted until they stopped
-// sending requests. The optimum lies between Best and Bound. The run falls short of Best by the sum of Rules, Asking,
-// Decisions and Knowledge.
+// Oracle compares a run with the optimal placement. All values are shares of the core time that clients wanted until
+// they stopped sending requests. The optimum is between Best and Bound. The difference between Best and the run is the
+// sum of Rules, Asking, Decisions and Knowledge.
 type Oracle struct {
 	Bound     float64 `json:"bound"`     // upper bound for any scheduler
-	Best      float64 `json:"best"`      // highest share that is known to be feasible
-	Rules     float64 `json:"rules"`     // lost by the best placement to spread limits and warm-up budgets
-	Asking    float64 `json:"asking"`    // lost to clients that retry late, or not at all, what a node lost
-	Decisions float64 `json:"decisions"` // the rest, with full knowledge: the engine's choices, and start times
-	Knowledge float64 `json:"knowledge"` // lost to stale state, and to allocators not knowing of each other's binds
+	Best      float64 `json:"best"`      // highest share of the compared schedules, which are all feasible
+	Rules     float64 `json:"rules"`     // lost to spread limits and warm-up budgets
+	Asking    float64 `json:"asking"`    // lost because clients retry lost workloads late, or not at all
+	Decisions float64 `json:"decisions"` // remainder, with full knowledge: the engine's choices, and start times
+	Knowledge float64 `json:"knowledge"` // lost to stale state, and to binds of other allocators not being visible
 }
 
 const (
-	freshDelay = placement.Millis(10) // ms between discovery updates, and load reports, in a run with full knowledge
-	noRetry    = placement.Millis(-1) // mean retry delay of what is never retried
-	noLimit    = -1                   // bind limit of a node that does not warm up
+	freshDelay = placement.Millis(10) // interval of discovery updates and load reports with full knowledge, in ms
+	noRetry    = placement.Millis(-1) // mean retry delay of workloads that are never retried
+	noLimit    = -1                   // bind limit of a node that has warmed up
 )
 
-// oracle compares the share of core time that ran with what the best placement of the same demand could have run.
+// oracle compares the share of core time that ran with placements of the same demand by the oracle.
 func (r *Run) oracle(ran float64) (*Oracle, error) {
 	wanted := r.wantedCores()
 	if wanted == 0 {
@@ -39,22 +39,22 @@
 	constrained := oracle.Place(machines, workloads, end, constraints) / wanted
 	constraints.AwaitRetry = true
 	retried := oracle.Place(machines, workloads, end, constraints) / wanted
-	informed, err := r.playWithFullKnowledge()
+	fullKnowledge, err := r.playWithFullKnowledge()
 	if err != nil {
 		return nil, err
 	}
 	result := &Oracle{
 		Bound:     oracle.Bound(machines, workloads, end) / wanted,
-		Best:      max(unconstrained, constrained, informed, ran),
+		Best:      max(unconstrained, constrained, fullKnowledge, ran),
 		Rules:     unconstrained - constrained,
 		Asking:    constrained - retried,
-		Knowledge: informed - ran,
+		Knowledge: fullKnowledge - ran,
 	}
-	result.Decisions = result.Best - result.Rules - result.Asking - informed
+	result.Decisions = result.Best - result.Rules - result.Asking - fullKnowledge
 	return result, nil
 }
 
-// oracleConstraints returns the limits on binds to nodes that warm up.
+// oracleConstraints returns the limits on binds to nodes that are warming up.
 func oracleConstraints(model *scenario.NodeModel) *oracle.Constraints {
 	limit := func(uptime placement.Millis) float64 {
 		if uptime >= model.WarmUpDuration {
@@ -66,8 +66,8 @@
 	return &oracle.Constraints{Window: model.OverloadWindow, BindLimit: limit}
 }
 
-// playWithFullKnowledge repeats the run with one allocator and without delays of its state, and returns the share that
-// ran.
+// playWithFullKnowledge repeats the run with one allocator that receives the state of the fleet within freshDelay, and
+// returns the share of the wanted core time that ran.
 func (r *Run) playWithFullKnowledge() (float64, error) {
 	script := *r.script
 	script.Allocators = 1
@@ -82,7 +82,7 @@
 	return result.CoreTimeShare, nil
 }
 
-// meanRetryDelay returns the mean delay before a client retries a lost workload, or noRetry.
+// meanRetryDelay returns the mean delay, in ms, before a client retries a lost workload, or noRetry.
 func (r *Run) meanRetryDelay(idempotency placement.Idempotency) placement.Millis {
 	delay := r.script.Client.RetryDelay
 	switch idempotency {
@@ -91,7 +91,7 @@
 	case placement.IdempotentByKey:
 		return max(delay, emulator.RetryAfterUnknown)
 	case placement.Idempotent:
-		// It is retried without a further delay.
+		// No delay in addition to RetryDelay.
 	}
 	return delay
 }
