--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -14,17 +14,18 @@
 	"grebeglade/internal/simulation"
 )
 
-const maxErrorLines = 10 // of a command's standard error
+const maxErrorLines = 10 // lines of a failed command's standard error in its CommandError
 
-var errNoRevision = errors.New("it is no revision")
+var errNoRevision = errors.New("not a git revision")
 
 // builds are programs of other revisions of this repository, each built once, in a temporary directory.
 type builds struct {
-	dir      string            // "" if there are none
+	dir      string            // "" before the first build
 	programs map[string]string // paths by revision
 }
 
-// makeBuilds builds the revisions that levels name. The result must be removed after an error too.
+// makeBuilds builds the revisions that the levels specify. The caller must call remove on the result, also after an
+// error.
 func (p *Plan) makeBuilds(ctx context.Context) (*builds, error) {
 	b := &builds{programs: map[string]string{}}
 	for _, f := range p.Factors {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// add builds the program of a revision of the repository that holds the working directory.
+// add builds the program at a revision of the repository that contains the working directory.
 func (b *builds) add(ctx context.Context, revision string) error {
 	if strings.HasPrefix(revision, "-") {
 		return fmt.Errorf("%q: %w", revision, errNoRevision)
@@ -62,7 +63,7 @@
 	source := filepath.Join(b.dir, fmt.Sprint("src", number))
 	program := filepath.Join(b.dir, fmt.Sprint("grebeglade", number))
 	if err := os.MkdirAll(source, directoryMode); err != nil {
-		return fmt.Errorf("make directory for build: %w", err)
+		return fmt.Errorf("create directory for build: %w", err)
 	}
 	if err := build(ctx, revision, source, program); err != nil {
 		return err
@@ -71,24 +72,24 @@
 	return nil
 }
 
-// makeDirectory makes the directory of the builds, unless it is there already.
+// makeDirectory creates the directory of the builds, unless it exists.
 func (b *builds) makeDirectory() error {
 	if b.dir != "" {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "grebeglade-build-")
 	if err != nil {
-		return fmt.Errorf("make directory for builds: %w", err)
+		return fmt.Errorf("create directory for builds: %w", err)
 	}
 	b.dir = dir
 	return nil
 }
 
-// build exports a revision into the directory source, and builds its program there.
+// build exports a revision into the directory source, and builds the file program from it.
 func build(ctx context.Context, revision, source, program string) error {
-	repository, err := output(ctx, "", "git", "rev-parse", "--show-toplevel")
+	repository, err := commandOutput(ctx, "", "git", "rev-parse", "--show-toplevel")
 	if err != nil {
-		return fmt.Errorf("a build of a revision needs the repository around it: %w", err)
+		return fmt.Errorf("find the git repository of the working directory, which a build needs: %w", err)
 	}
 	archive := source + ".tar"
 	for _, step := range []struct {
@@ -99,15 +100,15 @@
 		{source, []string{"tar", "-xf", archive}},
 		{source, []string{"go", "build", "-o", program, "./cmd/grebeglade"}},
 	} {
-		if _, err := output(ctx, step.dir, step.command...); err != nil {
+		if _, err := commandOutput(ctx, step.dir, step.command...); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// output runs a command and returns its standard output, also together with an error.
-func output(ctx context.Context, dir string, command ...string) (string, error) {
+// commandOutput runs a command in a directory and returns its standard output, also together with an error.
+func commandOutput(ctx context.Context, dir string, command ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, command[0], command[1:]...)
 	cmd.Dir = dir
 	var stderr bytes.Buffer
@@ -129,16 +130,17 @@
 	return strings.Join(lines[:min(n, len(lines))], "\n")
 }
 
-// simulate runs the scenario of a job by the command of another build, which takes the script and the levels' sizes.
+// simulate runs the scenario of a job with 'lab play' of another build. The arguments are the script and the settings
+// of the levels.
 func (b *builds) simulate(ctx context.Context, revision string, p *Plan, j job) (*simulation.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.Limits.Timeout)
 	defer cancel()
 	command := append([]string{b.programs[revision]}, playArguments(p, j)...)
-	stdout, err := output(ctx, "", command...)
+	stdout, err := commandOutput(ctx, "", command...)
 	var result simulation.Result
 	jsonErr := json.Unmarshal([]byte(stdout), &result)
 	if jsonErr == nil {
-		return &result, nil // an exit status of 1 means that a rule was broken, which the result shows
+		return &result, nil // exit status 1 reports a rule violation, which the result contains
 	}
 	if err == nil {
 		err = jsonErr
@@ -146,7 +148,7 @@
 	return nil, fmt.Errorf("build %s: %w", revision, err)
 }
 
-// playArguments returns the arguments with which a build plays the scenario of a job.
+// playArguments returns the arguments with which another build runs the scenario of a job.
 func playArguments(p *Plan, j job) []string {
 	arguments := []string{
 		"lab", "play", p.scriptName(j.cell),
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -1,20 +1,20 @@
 package experiment
 
-// Difference is how a measure differs between two sides, in pairs of the same seed.
+// Difference is the difference in one measure between sides A and B, over pairs of runs with the same seed.
 type Difference struct {
 	Measure     string   `json:"measure"`
 	Cell        string   `json:"cell"`
-	A           float64  `json:"a"` // mean
-	B           float64  `json:"b"` // mean
+	A           float64  `json:"a"` // mean of side A
+	B           float64  `json:"b"` // mean of side B
 	Delta       Estimate `json:"b_minus_a"`
-	Significant bool     `json:"sure"` // after Holm's correction for all differences of one comparison
+	Significant bool     `json:"sure"` // after Holm's correction over all differences of a comparison
 	Verdict     string   `json:"verdict"`
 
 	finding finding
 }
 
-// Compare returns how B differs from A in each measure and pair of cells. It leaves out the measures that have no seed
-// with a value on both sides.
+// Compare returns the difference of B from A in each measure and pair of cells. It leaves out measures without a seed
+// that has a value on both sides.
 func Compare(a, b *Side) ([]Difference, error) {
 	pairs, err := pairCells(a, b)
 	if err != nil {
@@ -28,14 +28,14 @@
 		return nil, NothingInCommonError{
 			A:       a.Name,
 			B:       b.Name,
-			Missing: "seed in common that came to an end on both sides",
+			Missing: "seed in common whose runs succeeded on both sides",
 		}
 	}
 	setVerdicts(differences)
 	return differences, nil
 }
 
-// differences returns how the pair's cells differ in each measure that they have values of.
+// differences returns the difference of the pair's cells in each measure for which both have values.
 func (p cellPair) differences(a, b *Result) (differences []Difference) {
 	for _, m := range Measures {
 		values := newPairedValues()
@@ -50,10 +50,10 @@
 	return differences
 }
 
-// pairedValues sums the values of two sides over pairs of the same seed, and their differences by seed.
+// pairedValues holds the sums of the values of two sides over pairs of the same seed, and their differences by seed.
 type pairedValues struct {
-	deltas seedValues // sums of B minus A
-	counts seedValues // numbers of pairs
+	deltas seedValues // sums of B minus A over the pairs of a seed
+	counts seedValues // numbers of pairs of a seed
 	sumA   float64
 	sumB   float64
 }
@@ -62,7 +62,8 @@
 	return pairedValues{deltas: seedValues{}, counts: seedValues{}}
 }
 
-// add adds the seeds that both sides have a value of. It goes through them in order, since the sums depend on it.
+// add adds the seeds for which both sides have a value. It adds them in order, because floating-point sums depend on
+// the order.
 func (p *pairedValues) add(a, b seedValues) {
 	for _, seed := range b.seeds() {
 		valueA, both := a[seed]
@@ -78,7 +79,7 @@
 
 func (p *pairedValues) seedCount() int { return len(p.deltas) }
 
-// difference returns the difference in a measure. The delta of a seed is the mean over its pairs.
+// difference returns the difference in a measure. The difference of a seed is the mean over its pairs.
 func (p *pairedValues) difference(measure string) Difference {
 	pairCount := 0.0
 	means := seedValues{}
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -26,7 +26,7 @@
 	runPlan(t, eightSeedsPlan(t), dir)
 	withoutFault := openSide(t, dir+":more/none")
 
-	t.Run("crashes, worse in pairs of seeds", func(t *testing.T) {
+	t.Run("cell with crashes, worse over pairs of seeds", func(t *testing.T) {
 		found := map[string]Difference{}
 		for _, d := range compareSides(t, withoutFault, openSide(t, dir+":more/crash")) {
 			found[d.Measure] = d
@@ -37,24 +37,24 @@
 		assert.True(t, coreTime.IsWorse())
 		assert.Less(t, coreTime.Delta.High, 0.0)
 	})
-	t.Run("the same cell, equal", func(t *testing.T) {
+	t.Run("same cell on both sides, equal", func(t *testing.T) {
 		for _, d := range compareSides(t, withoutFault, withoutFault) {
 			assert.Equal(t, "the same in every pair", d.Verdict, d.Measure)
 			assert.True(t, d.IsEqual(), d.Measure)
 		}
 	})
-	t.Run("a whole experiment on one side, error", func(t *testing.T) {
+	t.Run("whole experiment on one side, error", func(t *testing.T) {
 		_, err := Compare(withoutFault, openSide(t, dir))
 		require.ErrorIs(t, err, ErrOneCell)
 		require.ErrorContains(t, err, "name a cell on both")
 	})
-	t.Run("an unknown cell, error with the known ones", func(t *testing.T) {
+	t.Run("unknown cell, error with the names of all cells", func(t *testing.T) {
 		_, err := OpenSide(dir + ":more/flood")
 		require.ErrorContains(t, err, "known are few/none, few/crash, more/none, more/crash")
 		var unknown UnknownCellError
 		require.ErrorAs(t, err, &unknown)
 	})
-	t.Run("a directory without an experiment, error", func(t *testing.T) {
+	t.Run("directory without experiment, error", func(t *testing.T) {
 		_, err := OpenSide(t.TempDir())
 		require.ErrorContains(t, err, "holds no experiment")
 		var none NoExperimentError
--- a/internal/experiment/decode.go
+++ b/internal/experiment/decode.go
@@ -18,10 +18,10 @@
 	planExtension    = ".hcl"
 )
 
-// dayKey is the name of the blocks in which a level states what it changes in the scenario.
+// dayKey is the name of the blocks in which a level overrides values of the scenario.
 const dayKey = "day"
 
-// Decode decodes the text of a plan. Errors name the file and the line.
+// Decode decodes the text of a plan. Errors contain the file and the line.
 func Decode(file string, text []byte) (*Plan, error) {
 	block, err := config.Parse(file, text)
 	if err != nil {
@@ -36,7 +36,8 @@
 	}
 	d.reportConflicts()
 	if plan.Limits.Timeout <= 0 || plan.Limits.Budget <= 0 {
-		block.AddProblem("budget", "an experiment without time", `write times such as each = "2m" and budget = "1h"`)
+		block.AddProblem("budget", "each and budget must be longer than 0",
+			`write times such as each = "2m" and budget = "1h"`)
 	}
 	if err := block.Finish(); err != nil {
 		return nil, err
@@ -47,7 +48,7 @@
 	return plan, nil
 }
 
-// decodeArguments decodes what a plan states outside its factors.
+// decodeArguments decodes the arguments of a plan outside its factors.
 func decodeArguments(b *config.Block) *Plan {
 	return &Plan{
 		About:   b.String("about", ""),
@@ -63,7 +64,7 @@
 	}
 }
 
-// factorDecoder decodes factors, and records what cannot be used together.
+// factorDecoder decodes factors, and records builds and day blocks, which cannot be used together.
 type factorDecoder struct {
 	hasBuild  bool
 	dayBlocks []*config.Block
@@ -99,14 +100,15 @@
 	}
 }
 
-// reportConflicts adds a problem if a plan has both builds, which take scripts only, and day blocks.
+// reportConflicts adds a problem if a plan has both builds and day blocks: another build can be given the name of a
+// script, but no day blocks.
 func (d *factorDecoder) reportConflicts() {
 	if !d.hasBuild || len(d.dayBlocks) == 0 {
 		return
 	}
 	last := d.dayBlocks[len(d.dayBlocks)-1]
-	last.AddProblem("", "a day block beside a level with a build", "another build plays scripts as they are; "+
-		"put what the day block says into a script file and name that with script =")
+	last.AddProblem("", "a day block in a plan with a build", "another build plays scripts unchanged; "+
+		"move the settings of the day block to a script file and set script to its name")
 }
 
 // checkCells checks the number of cells and decodes the scenario of each.
@@ -116,8 +118,8 @@
 		return config.FileError{{
 			File:    p.source.file,
 			Line:    1,
-			Problem: fmt.Sprintf("%d cells are too many", len(cells)),
-			Fix:     "leave levels out",
+			Problem: fmt.Sprintf("the plan has too many cells: %d", len(cells)),
+			Fix:     "remove levels",
 		}}
 	}
 	for _, c := range cells {
--- a/internal/experiment/decode_test.go
+++ b/internal/experiment/decode_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// invalidPlans are plans with the problem that decoding must report.
+// invalidPlans are plans, each with the problem that decoding must report.
 var invalidPlans = []struct {
 	name    string
 	plan    string
@@ -59,7 +59,7 @@
 		problem: `x.hcl:4: a fault of kind "flood" is not known`,
 	},
 	{
-		name: "build beside a day block",
+		name: "build and day block in one plan",
 		plan: `factor "f" {
 				level "a" {
 					build = "HEAD"
@@ -70,11 +70,11 @@
 					}
 				}
 			}`,
-		problem: "x.hcl:6: a day block beside a level with a build",
+		problem: "x.hcl:6: a day block in a plan with a build",
 	},
 }
 
-func TestDecode_InvalidPlan_NamesLine(t *testing.T) {
+func TestDecode_InvalidPlan_ReportsLine(t *testing.T) {
 	for _, test := range invalidPlans {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Decode("x.hcl", []byte(test.plan))
--- a/internal/experiment/directory.go
+++ b/internal/experiment/directory.go
@@ -21,11 +21,11 @@
 	fileMode      = 0o644
 )
 
-// prepareDirectory writes the plan into a new directory, or reads the runs that an earlier execution of the same plan
-// left in it.
+// prepareDirectory writes the plan into a new directory. If the directory has the same plan, it returns the runs of
+// earlier executions.
 func (p *Plan) prepareDirectory(dir string) ([]Run, error) {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
-		return nil, fmt.Errorf("make directory of experiment: %w", err)
+		return nil, fmt.Errorf("create directory of experiment: %w", err)
 	}
 	path := filepath.Join(dir, planFile)
 	text, err := readPlanText(path)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// recoverRuns reads runs, and removes an incomplete last line, so that the next run begins a line of its own.
+// recoverRuns reads runs, and removes an incomplete last line, so that the next run is written on a new line.
 func recoverRuns(file string) ([]Run, error) {
 	runs, completeSize, err := readRuns(file)
 	if err != nil {
@@ -58,26 +58,26 @@
 		return runs, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("read size of runs: %w", err)
+		return nil, fmt.Errorf("read size of runs file: %w", err)
 	}
 	if info.Size() <= completeSize {
 		return runs, nil
 	}
 	if err := os.Truncate(file, completeSize); err != nil {
-		return nil, fmt.Errorf("remove incomplete run: %w", err)
+		return nil, fmt.Errorf("remove incomplete last line of runs file: %w", err)
 	}
 	return runs, nil
 }
 
-// readRuns reads runs line by line, none if there is no file. It leaves out a last line that is incomplete, since its
-// writer was killed, and returns the size in bytes of the lines before.
+// readRuns reads runs, one per line. A missing file is treated as empty. A last line without a newline, which a killed
+// process leaves, is skipped; completeSize is the size in bytes of the lines before it.
 func readRuns(file string) (runs []Run, completeSize int64, err error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, fmt.Errorf("read runs: %w", err)
+		return nil, 0, fmt.Errorf("read runs file: %w", err)
 	}
 	lineNumber := 0
 	for line := range bytes.Lines(text) {
@@ -102,7 +102,7 @@
 func openRunFile(file string) (*os.File, error) {
 	out, err := os.OpenFile(file, os.O_APPEND|os.O_WRONLY|os.O_CREATE, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("open file of runs: %w", err)
+		return nil, fmt.Errorf("open runs file: %w", err)
 	}
 	return out, nil
 }
--- a/internal/experiment/errors.go
+++ b/internal/experiment/errors.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// ErrOneCell means that one side of a comparison is a cell and the other a whole experiment.
+// ErrOneCell means that one side of a comparison is a cell and the other side is a whole experiment.
 var ErrOneCell = errors.New("one side is a cell and the other a whole experiment; name a cell on both")
 
-// OtherExperimentError means that a directory was written by another plan.
+// OtherExperimentError means that a directory contains the runs of another plan.
 type OtherExperimentError struct {
 	Dir string
 }
 
 func (e OtherExperimentError) Error() string {
-	return fmt.Sprintf("%s holds another experiment, or an earlier text of this one; "+
-		"give another directory, or remove it", e.Dir)
+	return fmt.Sprintf("%s holds another experiment, or an earlier version of this one; "+
+		"use another directory, or remove it", e.Dir)
 }
 
-// NoExperimentError means that a directory holds no experiment.
+// NoExperimentError means that a directory contains no experiment.
 type NoExperimentError struct {
 	Dir string
 }
 
 func (e NoExperimentError) Error() string {
-	return fmt.Sprintf("%s holds no experiment; make one with grebeglade lab run PLAN.hcl -o %s", e.Dir, e.Dir)
+	return fmt.Sprintf("%s holds no experiment; create one with grebeglade lab run PLAN.hcl -o %s", e.Dir, e.Dir)
 }
 
-// MalformedRunError means that a line of the file of runs is no JSON document of a run.
+// MalformedRunError means that a line of the runs file is not a valid run in JSON.
 type MalformedRunError struct {
 	File string
 	Line int
@@ -36,13 +36,13 @@
 }
 
 func (e MalformedRunError) Error() string {
-	return fmt.Sprintf("%s:%d: no run: %v; remove the line, and it is run again", e.File, e.Line, e.Err)
+	return fmt.Sprintf("%s:%d: malformed run: %v; remove the line to have the run repeated", e.File, e.Line, e.Err)
 }
 
 // Unwrap returns Err.
 func (e MalformedRunError) Unwrap() error { return e.Err }
 
-// ForeignRunError means that a run in a directory does not belong to the plan in it.
+// ForeignRunError means that a run in a directory does not belong to the directory's plan.
 type ForeignRunError struct {
 	Dir  string
 	Cell int
@@ -50,14 +50,14 @@
 }
 
 func (e ForeignRunError) Error() string {
-	return fmt.Sprintf("%s: a run of cell %d, seed %d is not of the plan beside it", e.Dir, e.Cell, e.Seed)
+	return fmt.Sprintf("%s: the run of cell %d, seed %d does not belong to the directory's plan", e.Dir, e.Cell, e.Seed)
 }
 
-// UnknownCellError means that an experiment has no cell of a name.
+// UnknownCellError means that an experiment has no cell with the requested name.
 type UnknownCellError struct {
 	Dir   string
 	Cell  string
-	Known []string
+	Known []string // names of the experiment's cells
 }
 
 func (e UnknownCellError) Error() string {
@@ -68,8 +68,8 @@
 type NothingInCommonError struct {
 	A       string
 	B       string
-	Missing string // what they do not share
-	Fix     string // "" if there is none
+	Missing string // what the two sides do not have in common
+	Fix     string // advice to the user; "" for none
 }
 
 func (e NothingInCommonError) Error() string {
@@ -80,7 +80,7 @@
 	return text
 }
 
-// CommandError means that a command for another build failed.
+// CommandError means that a command failed that makes or runs another build.
 type CommandError struct {
 	Command string
 	Err     error
--- a/internal/experiment/estimate.go
+++ b/internal/experiment/estimate.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	confidence   = 0.95           // of an interval
+	confidence   = 0.95           // confidence level of intervals
 	significance = 1 - confidence // highest p-value at which a difference is significant
-	power        = 0.8            // probability of detecting the smallest detectable difference
+	power        = 0.8            // probability with which Estimate.SmallestDetectable is detected
 )
 
-// Estimate is a mean with its 95% confidence interval, by Student's t.
+// Estimate is a mean with its 95% confidence interval by Student's t distribution.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
-	N    int     `json:"n"`
+	N    int     `json:"n"` // number of values
 
-	// SmallestDetectable is the smallest difference from 0 that as many values show with a power of 80%.
+	// SmallestDetectable is the smallest true mean that N values distinguish from 0 with a power of 80%.
 	SmallestDetectable float64 `json:"smallest_seen"`
 
-	P     float64 `json:"p"`     // probability of a mean as far from 0 if the true one is 0
+	P     float64 `json:"p"`     // p-value: probability of a mean at least as far from 0 if the true mean is 0
 	Alike bool    `json:"alike"` // all values are equal
 }
 
-// newEstimate returns the estimate of values. With fewer than two there is no interval: Low and High are infinite.
-// Without any the mean is NaN.
+// newEstimate returns the estimate of values. Fewer than two values have no interval: Low and High are infinite. The
+// mean of no values is NaN.
 func newEstimate(values []float64) Estimate {
 	if len(values) == 0 {
 		return estimateWithoutInterval(math.NaN(), 0)
@@ -40,12 +40,12 @@
 	case len(values) == 1:
 		return estimateWithoutInterval(mean, 1)
 	case slices.Min(values) == slices.Max(values):
-		return estimateOfEqual(mean, len(values))
+		return estimateOfEqualValues(mean, len(values))
 	}
 	return studentEstimate(mean, deviation, len(values))
 }
 
-// studentEstimate returns the estimate of values that differ, by Student's t distribution.
+// studentEstimate returns the estimate of values that are not all equal, by Student's t distribution.
 func studentEstimate(mean, deviation float64, count int) Estimate {
 	t := distuv.StudentsT{
 		Mu:    0,
@@ -76,8 +76,8 @@
 	}
 }
 
-// estimateOfEqual returns the estimate of two or more equal values.
-func estimateOfEqual(mean float64, count int) Estimate {
+// estimateOfEqualValues returns the estimate of two or more equal values.
+func estimateOfEqualValues(mean float64, count int) Estimate {
 	p := 1.0
 	if mean != 0 {
 		p = 0
@@ -92,7 +92,8 @@
 	}
 }
 
-// formatFigure formats a number with three significant digits.
+// formatFigure formats a number with three or four significant digits, and without decimals from 1000 on. NaN, the mean
+// of no values, is "-"; an infinite bound is "any".
 func formatFigure(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case math.IsNaN(value):
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	sampleCount = 4000 // samples of a test of probabilities
-	sampleSize  = 8
+	sampleCount = 4000 // samples from which a probability is estimated
+	sampleSize  = 8    // values of a sample
 )
 
 // normalSample draws values with a standard deviation of 1.
@@ -22,12 +22,12 @@
 	return values
 }
 
-// An interval must contain the true mean with the probability of its confidence, and the smallest detectable difference
-// must be significant with the probability of the power.
+// Guards against intervals of the wrong width: of many samples, 95% of the intervals must contain the true mean, and a
+// true mean of the smallest detectable size must be significant in 80%.
 func TestEstimate_ConfidenceAndPower(t *testing.T) {
 	const (
 		trueMean           = 5.0
-		smallestDetectable = 1.15 // for a deviation of 1 and 8 values
+		smallestDetectable = 1.15 // with a standard deviation of 1 and 8 values
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	contained := 0
@@ -50,10 +50,10 @@
 
 func TestEstimate_FewValues_NoInterval(t *testing.T) {
 	assert.True(t, math.IsNaN(newEstimate(nil).Mean))
-	ofOne := newEstimate([]float64{3})
-	assert.True(t, math.IsInf(ofOne.Low, -1) && math.IsInf(ofOne.High, 1))
-	assert.InDelta(t, 1, ofOne.P, 0)
-	ofEqual := newEstimate([]float64{2, 2, 2})
-	assert.InDelta(t, 2, ofEqual.Low, 0)
-	assert.True(t, ofEqual.Alike)
+	oneValue := newEstimate([]float64{3})
+	assert.True(t, math.IsInf(oneValue.Low, -1) && math.IsInf(oneValue.High, 1))
+	assert.InDelta(t, 1, oneValue.P, 0)
+	equalValues := newEstimate([]float64{2, 2, 2})
+	assert.InDelta(t, 2, equalValues.Low, 0)
+	assert.True(t, equalValues.Alike)
 }
--- a/internal/experiment/execution.go
+++ b/internal/experiment/execution.go
@@ -11,25 +11,25 @@
 	"grebeglade/internal/simulation"
 )
 
-const maxStackLines = 30 // of a run that panicked
+const maxStackLines = 30 // lines of the stack trace in the error of a run that panicked
 
-// job is a run to be executed.
+// job is a run that has not been executed.
 type job struct {
 	cell Cell
 	seed uint64
 }
 
-// execution is an experiment that is being executed.
+// execution is the state of an experiment that is being executed.
 type execution struct {
 	plan     *Plan
 	builds   *builds
 	start    time.Time
 	progress ProgressFunc // nil for none
-	runs     []Run        // those that are done, including the earlier ones
+	runs     []Run        // completed runs, including those of earlier executions
 	report   Report
 }
 
-// pendingJobs counts all runs and the earlier ones, and returns the jobs that are not done.
+// pendingJobs sets the report's numbers of all runs and of earlier runs, and returns the jobs that are not done.
 func (e *execution) pendingJobs() (jobs []job) {
 	done := e.countEarlierRuns()
 	cells := e.plan.Cells()
@@ -51,7 +51,7 @@
 	seed uint64
 }
 
-// countEarlierRuns counts the earlier runs, and returns which they are.
+// countEarlierRuns adds the runs of earlier executions to the report, and returns their keys.
 func (e *execution) countEarlierRuns() map[runKey]bool {
 	done := map[runKey]bool{}
 	for i := range e.runs {
@@ -63,7 +63,8 @@
 	return done
 }
 
-// execute executes the jobs and appends their runs to a file. After a failed write it continues with the other runs.
+// execute executes the jobs and appends their runs to a file. After a write error it continues with the other runs, and
+// returns the error at the end.
 func (e *execution) execute(ctx context.Context, file string, jobs []job) (err error) {
 	out, err := openRunFile(file)
 	if err != nil {
@@ -72,7 +73,7 @@
 	defer func() { err = errors.Join(err, out.Close()) }()
 	for run := range e.executeJobs(ctx, e.feed(ctx, jobs)) {
 		if ctx.Err() != nil && run.Error != "" {
-			continue // it was aborted with the experiment, and is executed when that is resumed
+			continue // aborted together with the experiment; executed again when the experiment is resumed
 		}
 		if writeErr := appendRun(out, &run); writeErr != nil {
 			err = errors.Join(err, writeErr)
@@ -106,7 +107,7 @@
 	return next
 }
 
-// executeJobs executes jobs concurrently until there are no more.
+// executeJobs executes jobs concurrently until the channel is closed.
 func (e *execution) executeJobs(ctx context.Context, jobs <-chan job) <-chan Run {
 	runs := make(chan Run)
 	var workers sync.WaitGroup
@@ -124,7 +125,7 @@
 	return runs
 }
 
-// executeJob executes a job. Every error of it, a panic too, becomes the run's error.
+// executeJob executes a job. An error or a panic is recorded in the run's Error.
 func (e *execution) executeJob(ctx context.Context, assigned job) (run Run) {
 	start := time.Now()
 	run = Run{
@@ -149,7 +150,7 @@
 	return run
 }
 
-// simulate runs the scenario of a job, in this process or in that of another build.
+// simulate runs the scenario of a job, in this process or in a process of another build.
 func (e *execution) simulate(ctx context.Context, assigned job) (*simulation.Result, error) {
 	script, err := e.plan.Scenario(assigned.cell)
 	if err != nil {
@@ -170,7 +171,7 @@
 	})
 }
 
-// stopReason returns why the experiment is not complete, or "" if it is.
+// stopReason returns why the experiment is incomplete, or "" if it is complete.
 func (e *execution) stopReason(ctx context.Context) string {
 	switch {
 	case e.report.Done == e.report.Total:
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// minSeedsOfEffect is the number of seeds below which there is no interval, and so no finding.
-const minSeedsOfEffect = 2
+// minEffectSeeds is the minimum number of seeds for an effect: fewer values have no confidence interval.
+const minEffectSeeds = 2
 
-// effect is how a level of a factor differs from the factor's first level in a measure.
+// effect is the difference in one measure between a level of a factor and the factor's first level.
 type effect struct {
 	difference Difference
-	comparison string // of the two levels
+	comparison string // text that names the two levels
 }
 
 // findings returns a sentence for each significant effect of a factor.
@@ -44,7 +44,7 @@
 		formatFigure(d.Delta.Mean), m.Unit, formatFigure(d.Delta.Low), formatFigure(d.Delta.High), formatFigure(d.A))
 }
 
-// effects returns the effects of each factor's levels, in which all else is equal.
+// effects returns the effect of each level on each measure, with equal levels of all other factors.
 func (r *Result) effects() (effects []effect) {
 	for i, factor := range r.Plan.Factors {
 		first := factor.Levels[0]
@@ -61,8 +61,8 @@
 	return effects
 }
 
-// effect compares the cells of a factor's level with those of its first level and the same levels of all other factors.
-// Seed by seed, it takes the mean over these pairs of cells. It returns false if there are fewer than two seeds.
+// effect compares each cell that has a level of a factor with the cell that has the factor's first level instead. A
+// seed's difference is the mean over these pairs of cells. ok is false if there are fewer than two seeds.
 func (r *Result) effect(factor int, level Level, measure Measure) (d Difference, ok bool) {
 	values := newPairedValues()
 	cells := r.Plan.Cells()
@@ -73,13 +73,13 @@
 		first := r.withFirstLevel(cells, c, factor)
 		values.add(r.values(first, measure.Name), r.values(c, measure.Name))
 	}
-	if values.seedCount() < minSeedsOfEffect {
+	if values.seedCount() < minEffectSeeds {
 		return Difference{}, false
 	}
 	return values.difference(measure.Name), true
 }
 
-// withFirstLevel returns the cell that differs from c only in that it has the factor's first level.
+// withFirstLevel returns the cell that has the factor's first level, and otherwise the levels of c.
 func (r *Result) withFirstLevel(cells []Cell, c Cell, factor int) Cell {
 	names := c.levelNames()
 	names[factor] = r.Plan.Factors[factor].Levels[0].Name
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -52,7 +52,7 @@
 	cellMoreCrash = 3
 )
 
-// eightSeedsPlan is smallPlan with enough seeds for significant differences.
+// eightSeedsPlan returns smallPlan with 8 seeds, which are enough for significant differences.
 func eightSeedsPlan(t *testing.T) *Plan {
 	t.Helper()
 	return decodePlan(t, strings.Replace(smallPlan, "repeats = 3", "repeats = 8", 1))
@@ -79,14 +79,14 @@
 	return result
 }
 
-// writeDirectory writes the directory of an execution of smallPlan that left runs behind.
+// writeDirectory writes smallPlan and the contents of its runs file into a directory.
 func writeDirectory(t *testing.T, dir string, runs []byte) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, planFile), []byte(smallPlan), fileMode))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, runsFile), runs, fileMode))
 }
 
-// writeReport writes the report of a directory, and returns its text.
+// writeReport writes the report of an experiment, and returns the text of its page.
 func writeReport(t *testing.T, result *Result) string {
 	t.Helper()
 	path, err := result.WriteReport()
@@ -96,7 +96,7 @@
 	return string(text)
 }
 
-// reproducible returns what is the same in identical runs: all but the time that they took.
+// reproducible returns the parts of all runs that do not depend on wall time. It removes the cost from the values.
 func reproducible(r *Result) string {
 	var text strings.Builder
 	for _, run := range r.Runs {
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -2,7 +2,7 @@
 
 import "grebeglade/internal/simulation"
 
-// preference says which values of a measure are better.
+// preference is the direction in which a measure improves.
 type preference uint8
 
 const (
@@ -21,10 +21,10 @@
 	value      measureFunc
 }
 
-// measureFunc computes a measure's value in a run. The value is not known if the run has nothing to compute it from.
+// measureFunc computes a measure's value in a run. known is false if the run has no data for the measure.
 type measureFunc func(r *simulation.Result) (value float64, known bool)
 
-// MeasureOf returns the measure of a name.
+// MeasureOf returns the measure with the given name, and whether it exists.
 func MeasureOf(name string) (Measure, bool) {
 	for _, m := range Measures {
 		if m.Name == name {
@@ -34,7 +34,7 @@
 	return Measure{}, false
 }
 
-// measureAll returns the values of the measures that are known of a run, by name.
+// measureAll returns the values of all measures that are known in a run, by name.
 func measureAll(r *simulation.Result) map[string]float64 {
 	values := map[string]float64{}
 	for _, m := range Measures {
@@ -45,29 +45,29 @@
 	return values
 }
 
-// ratio returns a ratio. It is unknown if the divisor is zero.
+// ratio divides two numbers. The value is unknown if the divisor is zero.
 func ratio(dividend, divisor float64) (value float64, known bool) {
 	return dividend / divisor, divisor > 0
 }
 
-// percent returns a share in percent. It is unknown if the total is zero.
+// percent returns a part in percent of a total. The value is unknown if the total is zero.
 func percent(part, total float64) (value float64, known bool) { return ratio(100*part, total) }
 
-// requestPercent measures the share of the requests with an outcome.
+// requestPercent measures the percentage of requests with an outcome; count returns the number of these requests.
 func requestPercent(count func(*simulation.Result) int) measureFunc {
 	return func(r *simulation.Result) (float64, bool) {
 		return percent(float64(count(r)), float64(r.Workloads))
 	}
 }
 
-// perWorkload measures an amount for each workload that was requested.
+// perWorkload measures an amount divided by the number of requested workloads.
 func perWorkload(amount func(*simulation.Result) float64) measureFunc {
 	return func(r *simulation.Result) (float64, bool) {
 		return ratio(amount(r), float64(r.Workloads))
 	}
 }
 
-// oraclePercent measures a share that the oracle computed. It is unknown of a run without the oracle.
+// oraclePercent measures a share that the oracle computed, in percent. The value is unknown in a run without oracle.
 func oraclePercent(share func(*simulation.Oracle) float64) measureFunc {
 	return func(r *simulation.Result) (float64, bool) {
 		if r.Oracle == nil {
--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -2,19 +2,19 @@
 
 import "grebeglade/internal/simulation"
 
-// Names of measures that are treated specially.
+// Names of measures with special handling.
 const (
-	brokenMeasure = "broken" // counts broken rules
-	costMeasure   = "cost"   // is wall time, and so differs between identical runs
+	brokenMeasure = "broken" // number of rule violations
+	costMeasure   = "cost"   // wall time, which differs between identical runs
 )
 
-// Ends of workloads, as results of the simulation count them.
+// Keys of simulation.Result.Ended: the reasons for which workloads ended.
 const (
 	endEvicted = "EVICTED"
 	endLost    = "LOST"
 )
 
-// Measures are the figures of each run, in the order in which reports show them.
+// Measures are the measures of each run, in the order of the report.
 var Measures = []Measure{
 	{
 		Name:       "core_time",
@@ -171,7 +171,8 @@
 	},
 }
 
-// discoveryEntries is unknown if there are none, since builds from before that figure do not count them.
+// discoveryEntries returns the entries of the node list per workload. The value is unknown if the count is zero,
+// because older builds do not count entries.
 func discoveryEntries(r *simulation.Result) (value float64, known bool) {
 	value, known = ratio(float64(r.DiscoveryEntries), float64(r.Workloads))
 	return value, known && r.DiscoveryEntries > 0
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -24,15 +24,15 @@
 
 var reportTemplate = template.Must(template.New("report").Parse(reportText))
 
-// page holds the values of the report's template.
+// page is the data of the report's template.
 type page struct {
 	Plan     *Plan
-	Text     string // of the plan
+	Text     string // text of the plan's file
 	Cells    int
-	Total    int   // runs of the experiment
-	Done     int   // runs
-	Failed   []Run // that have no values
-	Broken   []Run // in which a rule was broken
+	Total    int   // all runs of the experiment
+	Done     int   // completed runs
+	Failed   []Run // runs without values
+	Broken   []Run // runs with a rule violation
 	Seconds  string
 	Findings []string
 	Sections []section
@@ -55,8 +55,8 @@
 	Lacking int // runs without a value
 }
 
-// WriteReport writes the report of an experiment into its directory, and returns its path: one self-contained page, and
-// each plot as a PNG file. Failed runs are listed and left out of the figures.
+// WriteReport writes the report of an experiment into its directory, and returns the path of the page. The page is
+// self-contained; each plot is also written as a PNG file. Failed runs are listed and left out of the figures.
 func (r *Result) WriteReport() (string, error) {
 	sections, err := r.sections()
 	if err != nil {
@@ -73,7 +73,7 @@
 	return path, nil
 }
 
-// newPage returns the page with the sections, and what is shown of all runs.
+// newPage returns the page with the sections and the totals of all runs.
 func (r *Result) newPage(sections []section) *page {
 	cellCount := len(r.Plan.Cells())
 	report := &page{
@@ -104,7 +104,7 @@
 func (r *Result) sections() (sections []section, err error) {
 	plots := filepath.Join(r.Dir, plotsDirectory)
 	if err := os.MkdirAll(plots, directoryMode); err != nil {
-		return nil, fmt.Errorf("make directory for plots: %w", err)
+		return nil, fmt.Errorf("create directory for plots: %w", err)
 	}
 	for _, m := range Measures {
 		rows := r.rows(m)
@@ -151,7 +151,7 @@
 	return rows
 }
 
-// Description returns what a level sets.
+// Description returns the settings of a level as text.
 func (l Level) Description() string {
 	var settings []string
 	add := func(set bool, name, value string) {
--- a/internal/experiment/page_test.go
+++ b/internal/experiment/page_test.go
@@ -40,8 +40,8 @@
 		require.NoError(t, err)
 		assert.Contains(t, text, base64.StdEncoding.EncodeToString(plot), measure)
 	}
-	assert.Contains(t, text, "more / crash", "cells are named")
-	assert.Contains(t, text, "fault &#34;crash&#34; against &#34;none&#34;", "the effect of a factor is shown")
+	assert.Contains(t, text, "more / crash", "name of a cell")
+	assert.Contains(t, text, "fault &#34;crash&#34; against &#34;none&#34;", "effect of a level")
 }
 
 func TestWriteReport_SomeRunsFailed_CountsTheOthers(t *testing.T) {
--- a/internal/experiment/parquet.go
+++ b/internal/experiment/parquet.go
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// rows returns a row for each known measure, in the order of Measures, after that of the error if there is one.
+// rows returns a row for each measure with a value, in the order of Measures. The first row of a failed run has its
+// error and no measure.
 func (r *Run) rows() (rows []Row) {
 	common := Row{
 		Cell:    int32(r.Cell),
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -11,13 +11,13 @@
 	"grebeglade/placement"
 )
 
-// Plan is an experiment as its file describes it.
+// Plan is a decoded experiment file.
 type Plan struct {
 	Name    string
 	About   string
-	Script  string // scenario that is varied
-	Repeats int    // seeds of each cell
-	Seed    uint64 // the first of them
+	Script  string // name or path of the base scenario
+	Repeats int    // runs of each cell, each with its own seed
+	Seed    uint64 // seed of the first repeat; each further repeat adds 1
 	Limits  Limits
 	Oracle  bool // also compute the optimum of each run
 	Factors []Factor
@@ -25,20 +25,20 @@
 	source planSource
 }
 
-// Limits are limits of an experiment's use of the machine.
+// Limits bound the resources that an experiment uses.
 type Limits struct {
 	Workers int           // concurrent runs
-	Timeout time.Duration // of a run
-	Budget  time.Duration // after which no run begins
+	Timeout time.Duration // maximum duration of a run
+	Budget  time.Duration // time since the start after which no further run begins
 }
 
-// planSource is the text that a plan was decoded from.
+// planSource is the file that a plan was decoded from, with its text.
 type planSource struct {
 	file string
 	text []byte
 }
 
-// Factor is something that is varied.
+// Factor is a variable of an experiment with the levels that it takes.
 type Factor struct {
 	Name   string
 	Levels []Level
@@ -47,10 +47,10 @@
 // Level is one setting of a factor. Zero fields leave the scenario as it is.
 type Level struct {
 	Name       string
-	Build      string // git revision whose program executes the run; "" for this program
+	Build      string // git revision to build and run; "" for this program
 	Nodes      int
 	Allocators int
-	Load       float64 // share of the fleet's cores that is requested
+	Load       float64 // requested cores as a share of the fleet's cores
 	Rate       float64 // requests a second
 	Length     placement.Millis
 	Script     string
@@ -59,15 +59,15 @@
 // Cell is one combination of levels.
 type Cell struct {
 	Index  int
-	Levels []Level // one of each factor
+	Levels []Level // one per factor, in the order of the factors
 }
 
 const levelSeparator = " / "
 
-// nameWithoutFactors is the name of the one cell of a plan without factors.
+// nameWithoutFactors is the name of the only cell of a plan without factors.
 const nameWithoutFactors = "all"
 
-// Name returns the names of the cell's levels.
+// Name returns the joined names of the cell's levels.
 func (c Cell) Name() string {
 	if len(c.Levels) == 0 {
 		return nameWithoutFactors
@@ -83,7 +83,7 @@
 	return names
 }
 
-// build returns the revision whose program executes the cell's runs, or "" for this program.
+// build returns the git revision whose program executes the cell's runs, or "" for this program.
 func (c Cell) build() (revision string) {
 	for _, l := range c.Levels {
 		if l.Build != "" {
@@ -93,13 +93,13 @@
 	return revision
 }
 
-// with returns the cell at an index that has another level besides those of c.
-func (c Cell) with(level Level, index int) Cell {
+// withLevel returns a cell that has the levels of c and one more, at an index of its own.
+func (c Cell) withLevel(level Level, index int) Cell {
 	levels := append([]Level{}, c.Levels...)
 	return Cell{Index: index, Levels: append(levels, level)}
 }
 
-// Open reads a plan and decodes the scenario of each cell, so that errors are found before any run begins.
+// Open reads a plan and decodes the scenario of each cell, so that errors are reported before any run begins.
 func Open(file string) (*Plan, error) {
 	text, err := readPlanText(file)
 	if err != nil {
@@ -116,17 +116,17 @@
 	return text, nil
 }
 
-// digest identifies the plan's text.
+// digest returns a hash of the plan's text.
 func (p *Plan) digest() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.source.text)) }
 
-// Cells returns all combinations of levels. The last factor changes first.
+// Cells returns all combinations of levels. Successive cells differ in the level of the last factor first.
 func (p *Plan) Cells() []Cell {
 	cells := []Cell{{}}
 	for _, factor := range p.Factors {
 		var crossed []Cell
 		for _, c := range cells {
 			for _, l := range factor.Levels {
-				crossed = append(crossed, c.with(l, len(crossed)))
+				crossed = append(crossed, c.withLevel(l, len(crossed)))
 			}
 		}
 		cells = crossed
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -19,7 +19,7 @@
 	plotWidth    = 18 * vg.Centimeter
 	plotHeight   = 9 * vg.Centimeter
 	plotDPI      = 110
-	plotMargin   = 0.4 // to the left and right, in levels
+	plotMargin   = 0.4 // space beyond the first and the last level, in distances between two levels
 	lineWidth    = 1.5 // points
 	dashOnPoints = 4
 	dashGap      = 3 // points
@@ -36,8 +36,8 @@
 	{0, 0, 0, 255},
 }
 
-// plot plots a measure over the levels of the factor with the most of them, as a PNG image. There is a line for each
-// combination of the other factors' levels, and each point has its interval.
+// plot draws a measure as a PNG image. The x axis has the levels of the factor that has the most of them. There is a
+// line for each combination of the other factors' levels, and each point has its confidence interval.
 func (r *Result) plot(m Measure) ([]byte, error) {
 	axis := r.axis()
 	names := r.axisNames(axis)
@@ -63,8 +63,8 @@
 	return chart
 }
 
-// setRanges sets the ranges of the axes, which adding lines has set to those of the values. The y axis begins at zero
-// unless that leaves half of the plot empty.
+// setRanges sets the ranges of the axes, after adding lines has set them to the range of the values. The y axis begins
+// at zero unless that leaves half of the plot empty.
 func setRanges(chart *plot.Plot, levelCount int) {
 	chart.X.Min = -plotMargin
 	chart.X.Max = float64(levelCount-1) + plotMargin
@@ -87,10 +87,10 @@
 	return out.Bytes(), nil
 }
 
-// noAxis is the axis of a plan without factors, which has one cell.
+// noAxis is the index of the x axis' factor in a plan without factors.
 const noAxis = -1
 
-// axis returns the index of the factor on the x axis: the first of those with the most levels.
+// axis returns the index of the factor on the x axis: the one with the most levels, or the first of several such.
 func (r *Result) axis() int {
 	axis := noAxis
 	for i, f := range r.Plan.Factors {
@@ -112,14 +112,14 @@
 	return names
 }
 
-// line holds the estimates of one combination of levels of the factors that are not the axis.
+// line is a line of the plot, with the estimates of one combination of levels of the factors not on the x axis.
 type line struct {
 	name      string // "" if there are no other factors
 	points    plotter.XYs
 	intervals plotter.YErrors
 }
 
-// add adds a point, with an interval if the estimate has one.
+// add adds a point at a position on the x axis, with an interval if the estimate has one.
 func (l *line) add(x int, e Estimate) {
 	below := e.Mean - e.Low
 	above := e.High - e.Mean
@@ -149,7 +149,7 @@
 	return lines
 }
 
-// position returns where a cell is on the axis, and the name of its line.
+// position returns a cell's position on the x axis and the name of its line.
 func (c Cell) position(axis int, names []string) (x int, lineName string) {
 	if axis == noAxis {
 		return 0, ""
@@ -159,7 +159,7 @@
 	return x, strings.Join(slices.Delete(levels, axis, axis+1), levelSeparator)
 }
 
-// addTo adds the line to a plot. The index gives the colour; lines beyond the last colour are dashed.
+// addTo adds the line to a plot. The index selects the colour; lines beyond the last colour are dashed.
 func (l *line) addTo(chart *plot.Plot, index int) error {
 	lines, points, err := plotter.NewLinePoints(l.points)
 	if err != nil {
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -13,7 +13,7 @@
 type Result struct {
 	Plan *Plan
 	Dir  string
-	Runs []Run // by cell and seed
+	Runs []Run // sorted by cell, then by seed
 }
 
 // Read reads a directory that Plan.Run has written, whether or not the experiment is complete.
@@ -56,7 +56,7 @@
 	}, nil
 }
 
-// seedValues are values by seed.
+// seedValues are values of a measure by seed.
 type seedValues map[uint64]float64
 
 func (v seedValues) seeds() []uint64 { return slices.Sorted(maps.Keys(v)) }
@@ -70,7 +70,7 @@
 	return values
 }
 
-// values returns a measure's values in the runs of a cell that did not fail.
+// values returns a measure's values in the successful runs of a cell.
 func (r *Result) values(cell Cell, measure string) seedValues {
 	found := seedValues{}
 	for i := range r.Runs {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -13,23 +13,23 @@
 	Cell    int                `json:"cell"`
 	Levels  []string           `json:"levels"`
 	Seed    uint64             `json:"seed"`
-	Error   string             `json:"error,omitempty"` // why there are no values
+	Error   string             `json:"error,omitempty"` // reason why there are no values
 	Seconds float64            `json:"seconds"`
-	Digest  string             `json:"digest,omitempty"` // of the allocators' decisions; a function of plan and seed
-	Values  map[string]float64 `json:"values,omitempty"` // by the names of measures
+	Digest  string             `json:"digest,omitempty"` // hash of all decisions; depends on plan, cell and seed only
+	Values  map[string]float64 `json:"values,omitempty"` // by name of the measure
 }
 
 func (r *Run) brokeRule() bool { return r.Values[brokenMeasure] > 0 }
 
 // Report is the progress of an experiment.
 type Report struct {
-	Total      int     `json:"of"`      // runs of the experiment
-	Done       int     `json:"done"`    // runs that are done, including the earlier ones
-	Earlier    int     `json:"earlier"` // runs that the directory held at the start
+	Total      int     `json:"of"`      // all runs of the experiment
+	Done       int     `json:"done"`    // completed runs, including failed and earlier ones
+	Earlier    int     `json:"earlier"` // runs found in the directory at the start
 	Failed     int     `json:"failed"`
 	Broken     int     `json:"days_that_broke_a_rule"`
 	Seconds    float64 `json:"seconds"`
-	StopReason string  `json:"stopped,omitempty"` // why it is not complete
+	StopReason string  `json:"stopped,omitempty"` // reason why the experiment is incomplete
 }
 
 func (r *Report) count(run *Run) {
@@ -42,12 +42,12 @@
 	}
 }
 
-// ProgressFunc is called after a run, with the number of runs that are done and that of all runs.
+// ProgressFunc is called after each run, with the numbers of completed runs and of all runs.
 type ProgressFunc func(r Run, done, total int)
 
-// Run executes the runs that a directory does not hold yet, and calls progress, if it is not nil, after each. Every run
-// is written to the directory at once, so that an experiment that was stopped or killed can be resumed. Runs are
-// executed seed by seed, so that all cells have about as many runs whenever the experiment stops.
+// Run executes the runs that are missing in a directory, and calls progress after each, unless it is nil. Every run is
+// written to the directory as soon as it ends, so that an experiment that was stopped or killed can be resumed. Runs
+// are executed seed by seed, so that all cells have about the same number of runs whenever the experiment stops.
 func (p *Plan) Run(ctx context.Context, dir string, progress ProgressFunc) (report *Report, err error) {
 	start := time.Now()
 	earlier, err := p.prepareDirectory(dir)
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -29,10 +29,10 @@
 
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, parquetFile))
 	require.NoError(t, err)
-	assert.Greater(t, len(rows), smallPlanRuns*8, "each run has a row for each of its measures")
+	assert.Greater(t, len(rows), smallPlanRuns*8, "a row for each measure of each run")
 }
 
-func TestScenario_OfCell_HasWhatItsLevelsState(t *testing.T) {
+func TestScenario_Cell_AppliesLevels(t *testing.T) {
 	plan := decodePlan(t, smallPlan)
 	script, err := plan.Scenario(plan.Cells()[cellMoreCrash])
 	require.NoError(t, err)
@@ -50,7 +50,8 @@
 	assert.Equal(t, reproducible(readResult(t, withTwo)), reproducible(readResult(t, withOne)))
 }
 
-// An experiment that is killed leaves runs, and perhaps an incomplete line.
+// A killed process leaves a runs file that ends anywhere, also within a line. From each such file, the experiment must
+// end up with the same runs as without the kill.
 func TestRun_KilledExperiment_Resumes(t *testing.T) {
 	complete := t.TempDir()
 	resumed := t.TempDir()
@@ -65,7 +66,7 @@
 		assert.Equal(t, smallPlanRuns, report.Done)
 		assert.Equal(t, reproducible(readResult(t, complete)), reproducible(readResult(t, resumed)))
 	}
-	assert.Equal(t, smallPlanRuns, runPlan(t, plan, resumed).Earlier, "a complete experiment executes no run")
+	assert.Equal(t, smallPlanRuns, runPlan(t, plan, resumed).Earlier, "a complete experiment must execute no run")
 }
 
 func TestRun_DirectoryOfOtherPlan_ReturnsError(t *testing.T) {
@@ -80,7 +81,7 @@
 	dir := t.TempDir()
 	writeDirectory(t, dir, []byte("{}x\n"))
 	_, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
-	require.ErrorContains(t, err, "runs.jsonl:1: no run")
+	require.ErrorContains(t, err, "runs.jsonl:1: malformed run")
 	var malformed MalformedRunError
 	require.ErrorAs(t, err, &malformed)
 	assert.Equal(t, 1, malformed.Line)
@@ -123,5 +124,5 @@
 	require.NoError(t, os.Symlink("/dev/full", filepath.Join(dir, runsFile)))
 	report, err := decodePlan(t, smallPlan).Run(context.Background(), dir, nil)
 	require.ErrorIs(t, err, syscall.ENOSPC)
-	assert.Zero(t, report.Done, "a run that is not written is not done")
+	assert.Zero(t, report.Done, "a run that could not be written must not count as done")
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -7,8 +7,8 @@
 	"grebeglade/internal/simulation/scenario"
 )
 
-// Scenario returns the scenario of a cell: the day blocks of its levels, which take precedence over the script that the
-// levels or the plan name. Where two levels set the same value, that of the earlier factor counts.
+// Scenario returns the scenario of a cell: the script of its levels or of the plan, overridden by the day blocks of the
+// levels. Where two levels set the same value, that of the earlier factor takes precedence.
 func (p *Plan) Scenario(cell Cell) (*scenario.Script, error) {
 	blocks, err := p.dayBlocks(cell)
 	if err != nil {
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.source.file, err)
 	}
-	script, err := scenario.Decode(overlay(append(blocks, parsed)))
+	script, err := scenario.Decode(mergeBlocks(append(blocks, parsed)))
 	if err != nil {
 		return nil, err
 	}
@@ -28,8 +28,8 @@
 	return script, nil
 }
 
-// dayBlocks returns the day blocks of a cell's levels, those of earlier factors first. It parses the plan anew, since
-// blocks cannot be decoded twice.
+// dayBlocks returns the day blocks of a cell's levels, those of earlier factors first. It parses the plan again,
+// because blocks cannot be decoded twice.
 func (p *Plan) dayBlocks(c Cell) (blocks []*config.Block, err error) {
 	plan, err := config.Parse(p.source.file, p.source.text)
 	if err != nil {
@@ -45,15 +45,15 @@
 	return blocks, nil
 }
 
-// overlay combines blocks: the first block that states a value takes precedence.
-func overlay(blocks []*config.Block) *config.Block {
+// mergeBlocks merges blocks into the first one. The first block that sets a value takes precedence.
+func mergeBlocks(blocks []*config.Block) *config.Block {
 	for _, b := range blocks[1:] {
 		blocks[0].Inherit(b)
 	}
 	return blocks[0]
 }
 
-// scriptName returns the script that the last of the levels names, or else the plan's.
+// scriptName returns the script of the last level that sets one, or else the plan's script.
 func (p *Plan) scriptName(c Cell) string {
 	name := p.Script
 	for _, l := range c.Levels {
@@ -64,7 +64,7 @@
 	return name
 }
 
-// applyLevels changes the size of a scenario before its length, rate and load, which depend on the size.
+// applyLevels applies the levels to a scenario: all sizes first, because length, rate and load depend on the size.
 func applyLevels(script *scenario.Script, levels []Level) {
 	for _, l := range levels {
 		script.Resize(l.Allocators, l.Nodes)
--- a/internal/experiment/side.go
+++ b/internal/experiment/side.go
@@ -11,7 +11,7 @@
 	Result *Result
 
 	cells  []Cell
-	isCell bool // one cell was named
+	isCell bool // the side is a single cell
 }
 
 const (
@@ -19,7 +19,7 @@
 	sideLevelSeparator = "/" // between the levels in the name of a cell
 )
 
-// OpenSide reads the experiment in "DIR", or the one in "DIR:LEVEL/LEVEL" for one of its cells.
+// OpenSide reads the experiment in a directory. The name is "DIR", or "DIR:LEVEL/LEVEL" for one of its cells.
 func OpenSide(name string) (*Side, error) {
 	dir, cell, isCell := splitSideName(name)
 	result, err := Read(dir)
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// splitSideName splits a name at its last cell separator, unless there is a directory of the whole name.
+// splitSideName splits a name at its last cell separator, unless the whole name is an existing path.
 func splitSideName(name string) (dir, cell string, isCell bool) {
 	if _, err := os.Stat(name); err == nil {
 		return name, "", false
@@ -52,7 +52,7 @@
 	return name[:at], name[at+len(cellSeparator):], true
 }
 
-// selectCell reduces the side to one cell.
+// selectCell restricts the side to the cell with the given name.
 func (s *Side) selectCell(name string) error {
 	var known []string
 	for _, c := range s.cells {
@@ -71,7 +71,7 @@
 	}
 }
 
-// cellPair is a cell of each side.
+// cellPair is a cell of side A with the cell of side B that it is compared with.
 type cellPair struct{ a, b Cell }
 
 func (p cellPair) name() string {
@@ -81,7 +81,7 @@
 	return p.a.Name() + " -> " + p.b.Name()
 }
 
-// pairCells returns the cells that were named, or else those of the same name on both sides.
+// pairCells returns the pair of selected cells or, for two whole experiments, the pairs of cells with the same name.
 func pairCells(a, b *Side) ([]cellPair, error) {
 	if a.isCell != b.isCell {
 		return nil, ErrOneCell
@@ -95,7 +95,7 @@
 			A:       a.Name,
 			B:       b.Name,
 			Missing: "cell in common",
-			Fix:     "name one of each, as DIR:LEVEL/LEVEL",
+			Fix:     "select a cell of each, as DIR:LEVEL/LEVEL",
 		}
 	}
 	return pairs, nil
--- a/internal/experiment/verdict.go
+++ b/internal/experiment/verdict.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// finding is what a difference shows.
+// finding is the conclusion drawn from a difference.
 type finding uint8
 
 const (
 	tooFewPairs    finding = iota
 	equalPairs             // no difference in any pair
-	notSignificant         // would be significant on its own, but not among so many differences
+	notSignificant         // significant on its own, but not after the correction for many differences
 	noneSeen
-	moreFound // of a measure of which neither more nor less is better
+	moreFound // significantly more, for a measure without a better direction
 	lessFound
 	betterFound
 	worseFound
@@ -26,7 +26,7 @@
 // IsEqual reports whether A and B are equal in every pair.
 func (d *Difference) IsEqual() bool { return d.finding == equalPairs }
 
-// setVerdicts sets which of the differences are significant, and their findings and verdicts.
+// setVerdicts sets the significance, the findings and the verdicts of all differences of a comparison.
 func setVerdicts(differences []Difference) {
 	setSignificance(differences)
 	for i := range differences {
@@ -36,7 +36,7 @@
 	}
 }
 
-// setSignificance sets which of the differences are significant, by Holm's correction: among many differences some are
+// setSignificance sets which differences are significant by Holm's correction, because among many differences some are
 // large by chance.
 func setSignificance(differences []Difference) {
 	byP := make([]int, len(differences))
@@ -54,7 +54,7 @@
 	}
 }
 
-// classify returns the finding of a difference whose significance is known.
+// classify returns the finding of a difference whose significance is set.
 func (d *Difference) classify() finding {
 	switch {
 	case d.Delta.N < 2:
@@ -91,7 +91,7 @@
 	return worseFound
 }
 
-// verdict returns the text of the finding.
+// verdict returns the report's text for the finding.
 func (d *Difference) verdict() string {
 	switch d.finding {
 	case tooFewPairs:
--- a/internal/experiment/verdict_test.go
+++ b/internal/experiment/verdict_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Of twenty comparisons of equal things, one is significant on its own by chance.
+// Guards against false findings: at the 5% level, one of twenty comparisons without a true difference is significant by
+// chance, and must not be reported as a difference.
 func TestSetVerdicts_ManyComparisons_Corrected(t *testing.T) {
 	differences := make([]Difference, 20)
 	for i := range differences {
