--- a/internal/oracle/bound.go
+++ b/internal/oracle/bound.go
@@ -7,9 +7,9 @@
 	"grebeglade/placement"
 )
 
-// Bound returns the core time, in core milliseconds until the end, that no schedule can exceed: at each instant what is
-// requested, as far as the machines that are up could run it if they were one machine. Each resource is limited
-// independently of the others, and the tightest limit counts.
+// Bound returns an upper bound on the core time of any schedule, in core milliseconds until the end. At each instant it
+// treats the machines that are up as one machine, and counts the requested cores that fit on it. Each resource limits
+// them independently of the others, and the tightest limit counts.
 func Bound(machines []Machine, workloads []Workload, end placement.Millis) float64 {
 	dimensions := newDimensions(workloads)
 	times := changeTimes(machines, workloads, end)
@@ -25,7 +25,7 @@
 	return coreTime
 }
 
-// changeTimes returns the times at which a machine or a workload starts or ends, and the end, in order.
+// changeTimes returns the sorted times at which a machine or a workload starts or ends, and the end.
 func changeTimes(machines []Machine, workloads []Workload, end placement.Millis) []placement.Millis {
 	times := []placement.Millis{end}
 	for _, m := range machines {
@@ -40,14 +40,14 @@
 	return slices.Compact(times)
 }
 
-// dimension is one of the resource limits of machines.
+// dimension is one resource limit of a machine, with the workloads' need for that resource.
 type dimension struct {
 	need      func(*Workload) float64
 	capacity  func(*Machine) float64
-	workloads []*Workload // those with the most core time for their need come first
+	workloads []*Workload // sorted by cores per need, descending
 }
 
-// newDimensions returns the limits on requested and on used cores and memory.
+// newDimensions returns the dimensions of requested and of used cores and memory.
 func newDimensions(workloads []Workload) []dimension {
 	dimensions := []dimension{
 		{
@@ -73,7 +73,7 @@
 	return dimensions
 }
 
-// setWorkloads sorts pointers to the workloads by cores per need, descending. The products avoid a division by zero.
+// setWorkloads sets the sorted workloads. It compares products instead of quotients, since a need may be zero.
 func (d *dimension) setWorkloads(workloads []Workload) {
 	for i := range workloads {
 		d.workloads = append(d.workloads, &workloads[i])
@@ -83,7 +83,7 @@
 	})
 }
 
-// maxCores returns the cores of the workloads that can run at a time, by the tightest dimension.
+// maxCores returns the most cores of workloads that can run at a point in time, by the tightest dimension.
 func maxCores(dimensions []dimension, machines []Machine, at placement.Millis) float64 {
 	cores := dimensions[0].maxCores(machines, at)
 	for _, d := range dimensions[1:] {
@@ -92,8 +92,8 @@
 	return cores
 }
 
-// maxCores returns the cores of the workloads that can run at a time, if only this dimension limits them. The last of
-// them may run in part.
+// maxCores returns the most cores of workloads that can run at a point in time if only this dimension limits them. The
+// last workload that is counted may be counted in part.
 func (d *dimension) maxCores(machines []Machine, at placement.Millis) float64 {
 	available := d.available(machines, at)
 	cores := 0.0
@@ -115,7 +115,7 @@
 	return cores
 }
 
-// available returns the capacity of the machines that are up at a time.
+// available returns the total capacity of the machines that are up at a point in time.
 func (d *dimension) available(machines []Machine, at placement.Millis) float64 {
 	sum := 0.0
 	for i := range machines {
--- a/internal/oracle/events.go
+++ b/internal/oracle/events.go
@@ -7,7 +7,7 @@
 	"grebeglade/placement"
 )
 
-// eventOrder is the order of events at the same time: capacity that is released can be used at once.
+// eventOrder orders events at the same time, so that released capacity is available to requests of the same time.
 type eventOrder uint8
 
 const (
@@ -31,7 +31,7 @@
 	}
 }
 
-// eventQueue holds the events of a scenario in the order of their times, and at the same time by eventOrder.
+// eventQueue is a scenario's events, sorted by time and, at the same time, by eventOrder.
 type eventQueue struct {
 	events []event
 	next   int // index of the next event
@@ -44,7 +44,7 @@
 	return eventQueue{events: events}
 }
 
-// pop removes and returns the next event, if it is before the end.
+// pop removes and returns the next event. ok is false if no event is left before the end.
 func (q *eventQueue) pop(end placement.Millis) (e event, ok bool) {
 	if q.next == len(q.events) || q.events[q.next].at >= end {
 		return event{}, false
@@ -54,12 +54,12 @@
 	return e, true
 }
 
-// hasNextUntil reports whether the next event is at a time or before it.
+// hasNextUntil reports whether there is a next event whose time is t or earlier.
 func (q *eventQueue) hasNextUntil(t placement.Millis) bool {
 	return q.next < len(q.events) && q.events[q.next].at <= t
 }
 
-// insert adds an event after those of the same time. Its time must not be before that of the last event popped.
+// insert adds an event after those of the same time. Its time must not be before that of the last popped event.
 func (q *eventQueue) insert(e event) {
 	index := q.next
 	for index < len(q.events) && q.events[index].at <= e.at {
--- a/internal/oracle/machine.go
+++ b/internal/oracle/machine.go
@@ -6,16 +6,16 @@
 	"grebeglade/placement"
 )
 
-// roundingTolerance keeps rounding from rejecting what just fits.
+// roundingTolerance prevents rounding errors from rejecting a workload that fits exactly.
 const roundingTolerance = 1e-9
 
-// machineState is whether a machine accepts workloads.
+// machineState is a machine's state. Only a ready machine accepts workloads.
 type machineState uint8
 
 const (
 	machineDown machineState = iota
 	machineReady
-	machineDraining // runs the workloads that it has, and accepts none
+	machineDraining // continues its running workloads and accepts none
 )
 
 // runningWorkload is a workload that runs on a machine.
@@ -28,16 +28,16 @@
 	return r.workload.Cores * float64(until-r.since)
 }
 
-// machine is a machine at the current time of a placer.
+// machine is the state of a machine at the current time of a placer.
 type machine struct {
 	*Machine
 	state      machineState
 	startedAt  placement.Millis
-	firstStart bool      // it has not been down yet
-	requested  resources // sum over the workloads that run
-	used       resources // sum over the workloads that run
+	firstStart bool      // the machine has not been down yet
+	requested  resources // sum of the requests of running workloads
+	used       resources // sum of the use by running workloads
 	running    []runningWorkload
-	placedAt   []placement.Millis // times of all placements since its start
+	placedAt   []placement.Millis // times of all placements since the machine's start
 }
 
 // resources is an amount of each resource.
@@ -51,13 +51,13 @@
 	r.memory += memory
 }
 
-// plus returns the sum of the resources and an addition.
+// plus returns the resources increased by cores and memory.
 func (r resources) plus(cores, memory float64) resources {
 	r.add(cores, memory)
 	return r
 }
 
-// within reports whether the resources are within a capacity.
+// within reports whether the resources fit in a capacity of cores and memory.
 func (r resources) within(cores, memory float64) bool {
 	return r.cores <= cores+roundingTolerance && r.memory <= memory+roundingTolerance
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// stop takes the machine down and returns the workloads that ran on it.
+// stop sets the machine to down and returns the workloads that were running on it.
 func (m *machine) stop() []runningWorkload {
 	lost := m.running
 	m.state = machineDown
@@ -91,7 +91,7 @@
 	return lost
 }
 
-// fits reports whether the machine accepts a workload and has the capacity for it.
+// fits reports whether the machine accepts workloads and has the capacity for w.
 func (m *machine) fits(w *Workload) bool {
 	if m.state != machineReady {
 		return false
@@ -108,7 +108,7 @@
 	m.used.add(w.UsedCores, w.UsedMemory)
 }
 
-// remove removes a workload and returns it, if it runs on the machine.
+// remove removes a workload and returns it. ok is false if it is not running on the machine.
 func (m *machine) remove(w *Workload) (removed runningWorkload, ok bool) {
 	i := slices.IndexFunc(m.running, func(r runningWorkload) bool { return r.workload == w })
 	if i < 0 {
@@ -121,7 +121,7 @@
 	return removed, true
 }
 
-// placedSince returns how many workloads were placed after a time.
+// placedSince returns the number of workloads placed on the machine after time t.
 func (m *machine) placedSince(t placement.Millis) int {
 	count := 0
 	for _, at := range m.placedAt {
@@ -147,7 +147,7 @@
 	return true
 }
 
-// countService returns how many workloads of a service run on the machine.
+// countService returns the number of workloads of a service that are running on the machine.
 func (m *machine) countService(service uint64) int {
 	count := 0
 	for _, r := range m.running {
--- a/internal/oracle/model.go
+++ b/internal/oracle/model.go
@@ -10,44 +10,44 @@
 
 func (s Span) contains(t placement.Millis) bool { return s.From <= t && t < s.Until }
 
-// Machine is a machine, with the times at which it is available.
+// Machine is a machine with its capacity and availability.
 type Machine struct {
 	Zone               string
 	Cell               string
-	Cores              float64 // that workloads can use
-	Memory             float64 // that workloads can use
-	MaxRequestedCores  float64 // sum of requests above which the machine rejects workloads
-	MaxRequestedMemory float64
+	Cores              float64 // capacity for used cores
+	Memory             float64 // capacity for used memory
+	MaxRequestedCores  float64 // sum of requested cores above which the machine rejects workloads
+	MaxRequestedMemory float64 // sum of requested memory above which the machine rejects workloads
 	Up                 []Span
-	Drains             []Span // in which it accepts no new workload
+	Drains             []Span // times in which the machine accepts no new workload
 }
 
-// Workload is what a client requests, what the workload uses once it runs, and when the client wants it to run.
+// Workload is a workload that a client requests.
 //
-// Its fields are in three groups: the time, the resources, and the limits of Constraints.
+// Its fields are in three groups: the time in which it is to run, its resources, and the values for Constraints.
 type Workload struct {
 	From  placement.Millis
 	Until placement.Millis
 
 	Cores      float64 // requested
 	Memory     float64 // requested
-	UsedCores  float64
-	UsedMemory float64
+	UsedCores  float64 // used while running
+	UsedMemory float64 // used while running
 
 	Service     uint64
 	SpreadScope placement.Scope
-	MaxPerScope int              // workloads of the service in one scope
-	RetryDelay  placement.Millis // from the loss of its machine until its client's retry; negative for no retry
+	MaxPerScope int              // maximum number of workloads of the service in one scope
+	RetryDelay  placement.Millis // from the loss of the machine to the client's retry; negative: never retried
 }
 
 func (w *Workload) wantedAt(t placement.Millis) bool { return w.From <= t && t < w.Until }
 
-// Constraints are limits beyond those of the machines.
+// Constraints are limits on placements besides the capacity of the machines.
 type Constraints struct {
-	// BindLimit returns how many workloads may be placed within Window on a machine that has been up for some time;
-	// negative for any number. It does not apply to the first start of a machine. Nil means no limit.
+	// BindLimit returns the maximum number of placements within Window on a machine with an uptime; negative means
+	// unlimited. It does not apply after the first start of a machine. Nil means no limit.
 	BindLimit func(uptime placement.Millis) float64
 	Window    placement.Millis
 
-	AwaitRetry bool // workloads of a lost machine wait until their client retries
+	AwaitRetry bool // place workloads of a lost machine again only after their client's retry
 }
--- a/internal/oracle/place.go
+++ b/internal/oracle/place.go
@@ -8,9 +8,9 @@
 )
 
 // Place returns the core time, in core milliseconds until the end, that runs under a scheduler that places without
-// delay, knows the true state, and never migrates. It places the largest of the waiting workloads first, each on the
-// machine with the fewest unused cores. With nil constraints only the capacity of the machines limits it; a workload's
-// spread does not.
+// delay, by the true state of the machines, and never migrates. It places the largest waiting workload first, each on
+// the machine with the fewest unused cores. With nil constraints only the capacity of the machines limits placements,
+// and spread limits are ignored.
 func Place(machines []Machine, workloads []Workload, end placement.Millis, constraints *Constraints) float64 {
 	p := &placer{end: end, constraints: constraints}
 	p.events = newEventQueue(append(p.machineEvents(machines), p.workloadEvents(workloads)...))
@@ -18,14 +18,14 @@
 	return p.coreTime
 }
 
-// placer runs through a scenario event by event.
+// placer processes a scenario's events in order.
 type placer struct {
 	machines    []*machine
 	waiting     []*Workload
 	end         placement.Millis
 	constraints *Constraints // nil for none
 	events      eventQueue
-	coreTime    float64 // of the workloads that ended or lost their machine
+	coreTime    float64 // core milliseconds of workloads that ended or whose machine was lost
 }
 
 // machineEvents adds the machines to the placer, and returns their events.
@@ -76,7 +76,7 @@
 	return events
 }
 
-// run applies the events until the end, and places the waiting workloads after the last event of each point in time.
+// run processes the events until the end, and places the waiting workloads after the last event of each point in time.
 func (p *placer) run() {
 	for {
 		e, ok := p.events.pop(p.end)
@@ -97,7 +97,7 @@
 
 func (p *placer) enqueue(w *Workload) { p.waiting = append(p.waiting, w) }
 
-// loseMachine takes a machine down. Its workloads wait again, from now on or from their client's retry on.
+// loseMachine stops a machine. Its workloads are queued again, immediately or at their client's retry.
 func (p *placer) loseMachine(m *machine, now placement.Millis) {
 	for _, r := range m.stop() {
 		p.coreTime += r.coreTime(min(now, p.end))
@@ -109,7 +109,7 @@
 	}
 }
 
-// scheduleRetry lets a lost workload wait from its client's retry on, if the client retries before the workload ends.
+// scheduleRetry queues a lost workload at its client's retry, if the client retries before the workload's end.
 func (p *placer) scheduleRetry(w *Workload, now placement.Millis) {
 	retryAt := now + w.RetryDelay
 	if w.RetryDelay < 0 || retryAt >= w.Until {
@@ -118,7 +118,7 @@
 	p.events.insert(newEvent(retryAt, workloadRequested, func() { p.enqueue(w) }))
 }
 
-// endWorkload ends a workload, whether it waits or runs.
+// endWorkload ends a waiting or running workload.
 func (p *placer) endWorkload(w *Workload) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(x *Workload) bool { return x == w })
 	for _, m := range p.machines {
@@ -128,7 +128,7 @@
 	}
 }
 
-// placeWaiting places the waiting workloads for which there is a machine.
+// placeWaiting places the waiting workloads for which there is a suitable machine.
 func (p *placer) placeWaiting(now placement.Millis) {
 	slices.SortStableFunc(p.waiting, func(x, y *Workload) int { return cmp.Compare(y.Cores, x.Cores) })
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *Workload) bool {
@@ -141,7 +141,7 @@
 	})
 }
 
-// bestFit returns the machine with the fewest unused cores among those that a workload may be placed on, or nil.
+// bestFit returns the machine with the fewest unused cores on which a workload may be placed, or nil if there is none.
 func (p *placer) bestFit(now placement.Millis, w *Workload) *machine {
 	var best *machine
 	leastUnused := 0.0
@@ -162,7 +162,7 @@
 	return p.constraints == nil || p.withinWarmUpBudget(now, m) && p.withinSpread(m, w)
 }
 
-// withinWarmUpBudget reports whether another workload may be placed on a machine so soon after its start.
+// withinWarmUpBudget reports whether the bind limit at a machine's uptime permits another placement.
 func (p *placer) withinWarmUpBudget(now placement.Millis, m *machine) bool {
 	if p.constraints.BindLimit == nil || m.firstStart {
 		return true
@@ -171,7 +171,7 @@
 	return budget < 0 || float64(m.placedSince(now-p.constraints.Window)+1) <= budget
 }
 
-// withinSpread reports whether another workload of the service may be placed in the machine's scope.
+// withinSpread reports whether the spread limit permits another workload of the service in the machine's scope.
 func (p *placer) withinSpread(m *machine, w *Workload) bool {
 	if w.SpreadScope == placement.ScopeNone {
 		return true
