--- a/internal/benchmark/benchmark_test.go
+++ b/internal/benchmark/benchmark_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	shortLength = 100 * time.Millisecond // long enough for answers on a busy machine
+	shortLength = 100 * time.Millisecond // long enough for replies on a busy machine
 	mib         = 1 << 20
 )
 
@@ -29,7 +29,7 @@
 	assert.GreaterOrEqual(t, r.Offer99Ms, r.OfferMedianMs)
 }
 
-func TestMeasureRates_WithoutSockets_LeavesThemOut(t *testing.T) {
+func TestMeasureRates_WithoutSockets_SocketRatesZero(t *testing.T) {
 	r, err := MeasureRates(smallFleet, time.Millisecond, false)
 	require.NoError(t, err)
 	assert.Positive(t, r.EngineRatio)
@@ -51,7 +51,7 @@
 	assert.Equal(t, "quiet", c.Script)
 	assert.Greater(t, c.Records, c.Decisions)
 	assert.Greater(t, c.JSONRatio, c.PlainRatio)
-	assert.Greater(t, c.PlainRatio, 1.0, "files are compressed")
+	assert.Greater(t, c.PlainRatio, 1.0, "trace files must be compressed")
 	assert.InDelta(t, mib, c.FileBytes, mib/2)
 	assert.Positive(t, c.LookedUp)
 	assert.Positive(t, c.RecordingRatio)
@@ -71,13 +71,13 @@
 			require.NoError(t, err)
 			assert.Equal(t, sync, cost.Sync)
 			assert.Positive(t, cost.Placed)
-			assert.InDelta(t, 1, cost.Ratio, 0, "it is its own baseline")
+			assert.InDelta(t, 1, cost.Ratio, 0, "without a baseline, the rate is its own baseline")
 			assert.Positive(t, cost.P99)
 		})
 	}
 }
 
-func TestMeasureRecovery_History_FindsTheKeysThatWereNotForgotten(t *testing.T) {
+func TestMeasureRecovery_History_RecoversLiveKeysOnly(t *testing.T) {
 	r, err := measureRecovery(t.TempDir(), 100)
 	require.NoError(t, err)
 	assert.Equal(t, 100, r.Keys)
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -20,33 +20,33 @@
 
 const (
 	loopback         = "127.0.0.1:0"
-	adoptionTimeout  = 10 * time.Second // until every resident is adopted
-	adoptionInterval = 5 * time.Millisecond
+	adoptionTimeout  = 10 * time.Second     // for the adoption of all residents
+	adoptionInterval = 5 * time.Millisecond // between two checks of the adoption
 	clientBufferSize = 1 << 16
 )
 
-// clusterOptions say what is measured besides placing workloads. The zero value adds nothing.
+// clusterOptions are optional features of the allocator, and a hook. The zero value enables none.
 type clusterOptions struct {
-	trace      replay.Sink                // records the calls to the module; nil for no trace
-	state      config.State               // where binds are persisted, if it has a directory
-	atMostOnce bool                       // the idempotency of every workload; so it is with state
-	onOffer    func(requestNumber uint64) // called when a node receives a bind; nil for no calls
+	trace      replay.Sink                // destination of the trace of calls to the module; nil for no trace
+	state      config.State               // binds are persisted if it has a directory
+	atMostOnce bool                       // all workloads are at-most-once; implied by state
+	onOffer    func(requestNumber uint64) // called when a node receives a bind; may be nil
 }
 
-// cluster is an allocator on loopback sockets, with nodes that accept every bind at once, and a client's connection to
-// it.
+// cluster is an allocator on loopback sockets, with nodes that accept every bind immediately, and a client's connection
+// to the allocator.
 type cluster struct {
 	fleet     Fleet
 	options   clusterOptions
 	loop      *transport.Loop
 	frontend  *native.Frontend
 	bindStore *daemon.BindStore // nil without state
-	closers   []io.Closer       // of the sockets
+	closers   []io.Closer       // listeners, and the client's connection
 	client    net.Conn
-	received  *bufio.Reader // from the client's connection
+	received  *bufio.Reader // reads from the client's connection
 }
 
-// startCluster returns a cluster whose allocator has adopted every resident.
+// startCluster starts a cluster and waits until its allocator has adopted every resident.
 func startCluster(fleet Fleet, options clusterOptions) (*cluster, error) {
 	c := &cluster{
 		fleet:   fleet,
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// start starts the nodes, the discovery service, the allocator and the client, in this order.
+// start starts the nodes, the discovery service, the allocator and the client, in that order.
 func (c *cluster) start() error {
 	entries, err := c.startNodes()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return c.connectClient(address)
 }
 
-// close stops everything that has been started.
+// close closes all listeners and the client's connection, and stops the allocator.
 func (c *cluster) close() error {
 	var errs []error
 	for _, closer := range c.closers {
@@ -105,7 +105,7 @@
 	return entries, nil
 }
 
-// startDiscovery starts a discovery service that sends the node list once.
+// startDiscovery starts a discovery service that sends the node list once per connection.
 func (c *cluster) startDiscovery(entries []*pb.NodeEntry) (address string, err error) {
 	return c.serve(func(conn net.Conn) {
 		out := &frameWriter{out: conn}
@@ -134,8 +134,8 @@
 	}}}
 }
 
-// serve listens on a port of its own and handles each connection in a goroutine. A connection is closed once handle has
-// returned.
+// serve listens on a free port and calls handle for each connection in a goroutine. It closes a connection after handle
+// returns.
 func (c *cluster) serve(handle func(net.Conn)) (address string, err error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -150,7 +150,7 @@
 			}
 			go func() {
 				handle(conn)
-				_ = conn.Close() // nothing is sent on it any more
+				_ = conn.Close() // handle has sent all replies
 			}()
 		}
 	}()
@@ -171,7 +171,7 @@
 	}
 }
 
-// startAllocator starts the allocator and returns its address.
+// startAllocator starts the allocator, with state and trace as the options require, and returns its address.
 func (c *cluster) startAllocator(discovery string) (address string, err error) {
 	allocatorConfig := frontendConfig(discovery)
 	allocatorConfig.Trace = c.options.trace
@@ -208,12 +208,12 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("only %d of %d residents adopted", adopted, want)
+			return fmt.Errorf("adopt the residents: %d of %d adopted before the timeout", adopted, want)
 		}
 	}
 }
 
-// connectClient opens the client's connection to the allocator, and exchanges the hellos.
+// connectClient opens the client's connection to the allocator, and exchanges hellos.
 func (c *cluster) connectClient(address string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -7,16 +7,17 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Fleet is the nodes that are measured with, and how many workloads of the allocator run on each from the start.
+// Fleet is the size of a measurement: the number of nodes, and the number of residents on each node. Residents are
+// workloads that the allocator adopts at its start.
 type Fleet struct {
 	Nodes, Residents int
 }
 
-// The nodes and workloads of each measurement.
+// Sizes and names of nodes and workloads in all measurements.
 const (
 	nodeCores, nodeMemory         = 64, 256
 	workloadCores, workloadMemory = 0.5, 1
-	freeShare                     = 0.5 // of a node's capacity, as the node list says
+	freeShare                     = 0.5 // free share of a node's capacity in the node list
 	nodesPerCell                  = 8
 	services                      = 50
 	pendingTimeout                = 6000 // ms
@@ -24,14 +25,14 @@
 	allocatorName                 = "bench"
 )
 
-// loadReport is what each node reports at any time.
+// loadReport is the load report of every node.
 var loadReport = placement.LoadReport{
 	SpareCores:  nodeCores * 0.6,
 	SpareMemory: nodeMemory * 0.6,
 	Utilization: 0.4,
 }
 
-// protobufLoad returns loadReport as nodes send it.
+// protobufLoad returns loadReport as a protobuf message.
 func protobufLoad() *pb.Load {
 	l := loadReport
 	return &pb.Load{
@@ -41,7 +42,7 @@
 	}
 }
 
-// settings returns those of the placement module, with one group and one kind of node.
+// settings returns the settings of the placement module, with one group and one kind of node.
 func settings() placement.Settings {
 	return placement.Settings{
 		Allocators:           1,
@@ -62,7 +63,7 @@
 	}
 }
 
-// nodes returns the node list for the placement module.
+// nodes returns the fleet's nodes for the placement module.
 func (f Fleet) nodes() []placement.Node {
 	nodes := make([]placement.Node, f.Nodes)
 	for i := range nodes {
@@ -92,7 +93,7 @@
 	}
 }
 
-// workload returns a small workload, as clients request it and residents are.
+// workload returns a workload of the size that clients request and that residents have.
 func workload(id placement.WorkloadID) placement.Workload {
 	return placement.Workload{
 		ID:             id,
@@ -103,7 +104,7 @@
 	}
 }
 
-// resident returns a workload that runs on a node when the allocator connects to it.
+// resident returns a workload that is running on a node when the allocator connects to the node.
 func resident(id uint64, client string, timeoutMs float64) *pb.RunningWorkload {
 	return &pb.RunningWorkload{Running: true, Offer: &pb.Offer{
 		Bind: &pb.BindID{
--- a/internal/benchmark/frames.go
+++ b/internal/benchmark/frames.go
@@ -13,22 +13,22 @@
 	return transport.ReadFrame(in, transport.DefaultLimits.MaxFrameSize)
 }
 
-// frameWriter writes frames, one by one or many at once. After an error it writes nothing more: the benchmark notices
-// by the answers that do not come.
+// frameWriter writes frames, singly or in batches. After an error it discards all frames; the benchmark detects
+// the error by the missing replies.
 type frameWriter struct {
 	out    io.Writer
-	buffer []byte // encoded frames that wait for flush
-	err    error  // the first one
+	buffer []byte // encoded frames that are not flushed
+	err    error  // first error
 }
 
-// add puts a frame behind those that wait for flush.
+// add appends a frame to the buffer.
 func (w *frameWriter) add(frame *pb.Frame) {
 	if w.err == nil {
 		w.buffer, w.err = transport.AppendFrame(w.buffer, frame)
 	}
 }
 
-// flush writes the frames that were added since the last flush.
+// flush writes the buffered frames.
 func (w *frameWriter) flush() {
 	if w.err == nil && len(w.buffer) > 0 {
 		_, w.err = w.out.Write(w.buffer)
@@ -36,15 +36,15 @@
 	}
 }
 
-// send writes a frame at once.
+// send writes a frame immediately, after the buffered ones.
 func (w *frameWriter) send(frame *pb.Frame) {
 	w.add(frame)
 	w.flush()
 }
 
-// requestFrame returns the request for a new workload.
+// requestFrame returns the frame of a request for a new workload.
 func requestFrame(number uint64) *pb.Frame {
-	const keySpace = 1 << 40 // apart from the keys of residents
+	const keySpace = 1 << 40 // keeps the keys apart from those of residents
 	return &pb.Frame{Body: &pb.Frame_PlaceRequest{PlaceRequest: &pb.PlaceRequest{
 		RequestId:         number,
 		Key:               keySpace | number,
--- a/internal/benchmark/inprocess.go
+++ b/internal/benchmark/inprocess.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	maintenanceInterval = 250 // ms of the module's time
-	clockCheckInterval  = 64  // decisions between two looks at the clock
+	maintenanceInterval = 250 // ms of the module's clock
+	clockCheckInterval  = 64  // decisions between two reads of the wall clock
 	eventLogSize        = 1 << 14
 )
 
-// inProcess is what is measured without sockets: the placement module alone, or the engine around one.
+// inProcess is a subject that is measured without sockets: the placement module alone, or the engine with its module.
 type inProcess interface {
-	// decide carries a new workload from its request to its end.
+	// decide runs a new workload from its request to its end.
 	decide(now placement.Millis, id placement.WorkloadID)
-	// maintain does what is due beside the decisions.
+	// maintain runs the periodic maintenance.
 	maintain(now placement.Millis)
 }
 
-// bareModule is the placement module without an engine.
+// bareModule is the placement module alone.
 type bareModule struct{ scheduler *placement.Scheduler }
 
-// startModule returns the placement module, which knows the fleet and has adopted its residents.
+// startModule returns a placement module with the fleet's nodes, which has adopted the residents.
 func (f Fleet) startModule() *bareModule {
 	scheduler := placement.New(settings(), 1)
 	scheduler.UpdateNodes(0, placement.Snapshot, f.nodes())
@@ -44,14 +44,14 @@
 
 func (m *bareModule) maintain(now placement.Millis) { m.scheduler.Maintain(now) }
 
-// wholeEngine is the engine with its timers and its event log.
-type wholeEngine struct {
+// fullEngine is the engine with its timers and its event log.
+type fullEngine struct {
 	engine *allocator.Engine
 	host   *lastBind
 }
 
-// startEngine returns an engine, which knows the fleet and has adopted its residents.
-func (f Fleet) startEngine() *wholeEngine {
+// startEngine returns an engine with the fleet's nodes, which has adopted the residents.
+func (f Fleet) startEngine() *fullEngine {
 	host := &lastBind{}
 	engine := allocator.New(settings(), 1, host, allocator.Options{
 		EnforceTimeouts: true,
@@ -60,19 +60,19 @@
 	engine.Start(0)
 	engine.UpdateNodes(0, placement.Snapshot, f.nodes())
 	f.adoptResidents(func(w placement.Workload, node placement.NodeID) { engine.Adopt(0, w, node) })
-	return &wholeEngine{engine: engine, host: host}
+	return &fullEngine{engine: engine, host: host}
 }
 
-func (e *wholeEngine) decide(now placement.Millis, id placement.WorkloadID) {
+func (e *fullEngine) decide(now placement.Millis, id placement.WorkloadID) {
 	load := loadReport
 	e.engine.Schedule(now, workload(id))
 	e.engine.BindConfirmed(now, id, e.host.bind, &load)
 	e.engine.BindEnded(now, id, e.host.bind, e.host.node, placement.Result{Kind: placement.Ended})
 }
 
-func (e *wholeEngine) maintain(now placement.Millis) { e.engine.Tick(now) }
+func (e *fullEngine) maintain(now placement.Millis) { e.engine.Tick(now) }
 
-// adoptResidents adopts the residents of each node. Their ids are those up to lastResident.
+// adoptResidents adopts the residents of each node. Their ids are 1 to lastResident.
 func (f Fleet) adoptResidents(adopt func(placement.Workload, placement.NodeID)) {
 	var last placement.WorkloadID
 	for i := range f.Nodes {
@@ -88,15 +88,14 @@
 	return placement.WorkloadID(f.Nodes * f.Residents)
 }
 
-// decisions is a sequence of decisions that are a millisecond of the module's time apart, with the maintenance between
-// them.
+// decisions makes decisions in sequence, 1 ms of the module's clock apart, with the periodic maintenance between them.
 type decisions struct {
 	subject inProcess
 	now     placement.Millis
 	last    placement.WorkloadID // id of the latest workload
 }
 
-// decisions returns the sequence that begins once the subject has adopted the fleet's residents.
+// decisions returns the sequence of decisions of a subject that has adopted the fleet's residents.
 func (f Fleet) decisions(subject inProcess) *decisions {
 	return &decisions{subject: subject, last: f.lastResident()}
 }
@@ -111,7 +110,7 @@
 	d.now++
 }
 
-// rate makes decisions for that long, and returns how many a second it gets through.
+// rate makes decisions for a duration, and returns their number per second.
 func (d *decisions) rate(length time.Duration) float64 {
 	start := time.Now()
 	for made := 1; ; made++ {
@@ -122,7 +121,7 @@
 	}
 }
 
-// lastBind is a host of an engine that keeps the last bind and ignores all other actions.
+// lastBind is an engine's host that records the last bind and ignores all other actions.
 type lastBind struct {
 	node placement.NodeID
 	bind int
--- a/internal/benchmark/inprocess_test.go
+++ b/internal/benchmark/inprocess_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// thousandNodes is a fleet on which the placement module's work dominates a decision.
+// thousandNodes is a fleet so large that the placement module takes most of the time of a decision.
 var thousandNodes = Fleet{Nodes: 1000, Residents: 10}
 
-// BenchmarkDecision measures decisions of the placement module alone and of the engine, one after the other, as
-// MeasureRates does. Both make the same decisions. Allocations show a change that times hide: the engine makes one
-// allocation a decision more than the module, its entry of the workload.
+// BenchmarkDecision measures decisions of the placement module alone and then of the engine, as MeasureRates does. Both
+// make the same decisions. The number of allocations shows changes that are too small to see in the times: per
+// decision, the engine makes one allocation more than the module, for its entry of the workload.
 func BenchmarkDecision(b *testing.B) {
 	for _, subject := range []struct {
 		name  string
@@ -30,7 +30,7 @@
 }
 
 // BenchmarkDecision_Alternating makes each decision with the module and with the engine, in alternating order, so that
-// other load on the machine affects both alike. It reports the median time of each, and the median of their ratios.
+// other load on the machine affects both equally. It reports the median time of each, and the median of their ratios.
 func BenchmarkDecision_Alternating(b *testing.B) {
 	module := thousandNodes.decisions(thousandNodes.startModule())
 	engine := thousandNodes.decisions(thousandNodes.startEngine())
@@ -38,11 +38,11 @@
 	for i := 0; b.Loop(); i++ {
 		var moduleTime, engineTime float64
 		if i%2 == 0 {
-			moduleTime = timeOf(module)
-			engineTime = timeOf(engine)
+			moduleTime = timeDecision(module)
+			engineTime = timeDecision(engine)
 		} else {
-			engineTime = timeOf(engine)
-			moduleTime = timeOf(module)
+			engineTime = timeDecision(engine)
+			moduleTime = timeDecision(module)
 		}
 		moduleTimes = append(moduleTimes, moduleTime)
 		engineTimes = append(engineTimes, engineTime)
@@ -53,8 +53,8 @@
 	b.ReportMetric(median(ratios), "engine/module")
 }
 
-// timeOf returns how long the next decision takes, in ns.
-func timeOf(sequence *decisions) float64 {
+// timeDecision returns the duration of the next decision in ns.
+func timeDecision(sequence *decisions) float64 {
 	start := time.Now()
 	sequence.next()
 	return float64(time.Since(start).Nanoseconds())
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -15,20 +15,20 @@
 	memoryClients = 100
 )
 
-// Memory is the heap that an allocator needs for placed workloads.
+// Memory is the heap memory of an allocator for placed workloads.
 type Memory struct {
 	Residents        int     `json:"residents"`
 	Bytes            uint64  `json:"bytes"`
 	BytesPerResident float64 `json:"bytes_each"`
 }
 
-// MeasureMemory measures the memory of placed workloads in the engine, the placement module and the native frontend.
+// MeasureMemory measures the heap memory of placed workloads in the engine, placement module and native frontend.
 func MeasureMemory(residents int) (Memory, error) {
 	before := heapSize()
-	frontend := frontendWith(residents)
+	frontend := frontendWithResidents(residents)
 	after := heapSize()
 	if held := frontend.WorkloadCount(); held != residents {
-		return Memory{}, fmt.Errorf("%d of %d workloads are held", held, residents)
+		return Memory{}, fmt.Errorf("adopt the residents: %d of %d adopted", held, residents)
 	}
 	runtime.KeepAlive(frontend)
 	memory := Memory{Residents: residents, Bytes: after - min(before, after)}
@@ -36,7 +36,8 @@
 	return memory, nil
 }
 
-// heapSize returns the bytes of reachable objects. The second collection frees what finalizers released in the first.
+// heapSize returns the size of reachable objects in bytes. The second collection frees the objects whose finalizers the
+// first one ran.
 func heapSize() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -45,9 +46,10 @@
 	return s.HeapAlloc
 }
 
-// frontendWith returns an allocator that has adopted workloads from 1,000 nodes over the native protocol.
-func frontendWith(residents int) *native.Frontend {
-	network := &silentNetwork{}
+// frontendWithResidents returns an allocator's frontend that has adopted workloads from 1,000 nodes over the native
+// protocol.
+func frontendWithResidents(residents int) *native.Frontend {
+	network := &discardNetwork{}
 	frontend := native.New(frontendConfig("list"))
 	frontend.Start(0, network)
 	discovery := network.last
@@ -74,15 +76,15 @@
 	return frontend
 }
 
-// silentNetwork is a frontend's network that drops what is sent and on which nothing arrives.
-type silentNetwork struct{ last transport.ConnID } // dialed
+// discardNetwork is a frontend's network that discards all frames that are sent, and receives none.
+type discardNetwork struct{ last transport.ConnID } // last dialed connection
 
-func (n *silentNetwork) Dial(string) transport.ConnID {
+func (n *discardNetwork) Dial(string) transport.ConnID {
 	n.last++
 	return n.last
 }
 
-func (*silentNetwork) Send(transport.ConnID, *pb.Frame) {}
-func (*silentNetwork) Close(transport.ConnID)           {}
-func (*silentNetwork) WakeAt(placement.Millis)          {}
-func (*silentNetwork) Now() placement.Millis            { return 0 }
+func (*discardNetwork) Send(transport.ConnID, *pb.Frame) {}
+func (*discardNetwork) Close(transport.ConnID)           {}
+func (*discardNetwork) WakeAt(placement.Millis)          {}
+func (*discardNetwork) Now() placement.Millis            { return 0 }
--- a/internal/benchmark/node.go
+++ b/internal/benchmark/node.go
@@ -8,8 +8,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// serveNode serves the allocator's connection to the i-th node. The node confirms every bind, and ends its workload at
-// once.
+// serveNode serves the allocator's connection to the i-th node. The node confirms every bind, and ends its workload
+// immediately.
 func (c *cluster) serveNode(conn net.Conn, i int) {
 	requests := bufio.NewReader(conn)
 	replies := &frameWriter{out: conn}
@@ -48,7 +48,7 @@
 	return hello
 }
 
-// nodeHello returns the hello of the i-th node, on which nothing runs.
+// nodeHello returns the hello of the i-th node, without running workloads.
 func nodeHello(i int) *pb.Hello {
 	return &pb.Hello{
 		Role:        pb.Role_NODE,
@@ -59,7 +59,7 @@
 	}
 }
 
-// acceptedFrame returns a node's reply that it has accepted a bind.
+// acceptedFrame returns a node's reply that accepts a bind.
 func acceptedFrame(bind *pb.BindID, load *pb.Load) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_OfferReply{OfferReply: &pb.OfferReply{
 		Bind:     bind,
@@ -68,7 +68,7 @@
 	}}}
 }
 
-// finishedFrame returns a node's notice that a workload has finished.
+// finishedFrame returns a node's notification that a workload has finished.
 func finishedFrame(bind *pb.BindID) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_End{End: &pb.End{Bind: bind, Reason: pb.Reason_FINISHED}}}
 }
--- a/internal/benchmark/rates.go
+++ b/internal/benchmark/rates.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// rounds is how often each measurement is made; its median counts.
+// rounds is the number of repetitions of a measurement; the median is reported.
 const rounds = 5
 
-// Rates are decisions a second with one fleet, and their ratios to the placement module alone.
+// Rates are decisions per second with a fleet, and their ratios to the rate of the placement module alone.
 type Rates struct {
 	Nodes        int     `json:"nodes"`
 	Residents    int     `json:"residents"`
@@ -18,13 +18,15 @@
 	EngineRatio  float64 `json:"engine_ratio"`
 	Sockets      float64 `json:"sockets_per_second,omitempty"`
 	SocketsRatio float64 `json:"sockets_ratio,omitempty"`
-	// OfferMedianMs is the time from a request to its bind, at half of the sockets' rate.
+	// OfferMedianMs is the median time from a request to the arrival of its bind at the node, at half of the Sockets
+	// rate.
 	OfferMedianMs float64 `json:"ask_to_offer_median_ms,omitempty"`
-	Offer99Ms     float64 `json:"ask_to_offer_p99_ms,omitempty"` // 99th percentile
-	LateSends     int     `json:"late_sends"`                    // requests that the benchmark sent over 1 ms late
+	Offer99Ms     float64 `json:"ask_to_offer_p99_ms,omitempty"` // 99th percentile of the same
+	LateSends     int     `json:"late_sends"`                    // requests that the benchmark sent more than 1 ms late
 }
 
-// MeasureRates measures the rates with a fleet. Each of the measurements takes length.
+// MeasureRates measures the rates with a fleet, over sockets only if sockets is set. Each measurement takes length; the
+// latency measurement takes twice that.
 func MeasureRates(fleet Fleet, length time.Duration, sockets bool) (Rates, error) {
 	rates := Rates{Nodes: fleet.Nodes, Residents: fleet.Residents}
 	var samples rateSamples
@@ -51,13 +53,13 @@
 	return rates, nil
 }
 
-// rateSamples are what single rounds measured: decisions a second, and their ratios to the module of the same round.
+// rateSamples are the results of each round: decisions per second, and their ratios to the module in the same round.
 type rateSamples struct {
 	module, engine, sockets   []float64
 	engineRatio, socketsRatio []float64
 }
 
-// measure adds one round.
+// measure measures one round and adds its results.
 func (s *rateSamples) measure(fleet Fleet, length time.Duration, sockets bool) error {
 	module := fleet.decisions(fleet.startModule()).rate(length)
 	engine := fleet.decisions(fleet.startEngine()).rate(length)
--- a/internal/benchmark/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxPending     = 256 // requests that wait for their answers at a time
-	maxOfferDelay  = time.Minute
-	maxSendDelay   = time.Millisecond
-	lastOfferGrace = 200 * time.Millisecond // in which the last binds reach their nodes
+	maxPending     = 256                    // concurrent requests without an answer
+	maxOfferDelay  = time.Minute            // upper end of the histogram
+	maxSendDelay   = time.Millisecond       // after the due time; a request sent later is counted as late
+	lastOfferGrace = 200 * time.Millisecond // wait for the last binds to reach their nodes
 )
 
-var errNoOffer = errors.New("no offer arrived")
+var errNoOffer = errors.New("no offer reached a node during the measurement")
 
-// throughput returns how many workloads a second are placed if a fixed number of requests is pending at any time.
+// throughput returns the number of workloads placed per second while maxPending requests are always pending.
 func throughput(fleet Fleet, options clusterOptions, length time.Duration) (perSecond float64, err error) {
 	cluster, err := startCluster(fleet, options)
 	if err != nil {
@@ -55,13 +55,13 @@
 	return float64(placed) / time.Since(start).Seconds(), nil
 }
 
-// offerLatency is the time from when a request was due to the arrival of its bind at the node.
+// offerLatency is the time from a request's due time to the arrival of its bind at the node.
 type offerLatency struct {
 	medianMs, p99Ms float64
-	lateSends       int // requests that the benchmark itself sent over a millisecond late
+	lateSends       int // requests that the benchmark itself sent more than maxSendDelay late
 }
 
-// measureLatency sends requests at a steady rate, whether or not answers come.
+// measureLatency sends requests at a constant rate, independently of answers, and returns the latency of their binds.
 func measureLatency(
 	fleet Fleet, options clusterOptions, length time.Duration, perSecond float64,
 ) (latency offerLatency, err error) {
@@ -79,7 +79,7 @@
 	return latency, err
 }
 
-// discardAnswers reads until the client's connection ends.
+// discardAnswers reads and discards frames until the client's connection ends.
 func (c *cluster) discardAnswers() {
 	for {
 		if _, err := receive(c.received); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// sendSteadily sends the n-th request n intervals after the start, and returns how many were late.
+// sendSteadily sends the n-th request n intervals after the start, and returns the number of late requests.
 func (c *cluster) sendSteadily(start time.Time, interval, length time.Duration) (late int) {
 	out := &frameWriter{out: c.client}
 	defer out.flush()
@@ -107,15 +107,15 @@
 	}
 }
 
-// offerDelays collects the delays of binds. Nodes add to it concurrently.
+// offerDelays collects the delays of binds. Nodes add delays concurrently.
 type offerDelays struct {
-	interval  time.Duration // between two requests
-	startedAt atomic.Int64  // Unix time in ns
+	interval  time.Duration // between the due times of two requests
+	startedAt atomic.Int64  // Unix time in ns from which requests are due
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // in microseconds, guarded by mu
 }
 
-// newOfferDelays returns delays of requests at a steady rate, from start on.
+// newOfferDelays returns empty delays of requests at a constant rate, which begin with start.
 func newOfferDelays(perSecond float64) *offerDelays {
 	return &offerDelays{
 		interval:  time.Duration(float64(time.Second) / max(1, perSecond)),
@@ -123,20 +123,20 @@
 	}
 }
 
-// start returns the time from which requests are due.
+// start sets the time from which requests are due to now, and returns it.
 func (d *offerDelays) start() time.Time {
 	now := time.Now()
 	d.startedAt.Store(now.UnixNano())
 	return now
 }
 
-// add adds the delay of a bind that has just reached its node.
+// add adds the delay of the bind of a request, which has just reached its node.
 func (d *offerDelays) add(number uint64) {
 	due := d.startedAt.Load() + int64(number)*int64(d.interval)
 	delay := time.Duration(time.Now().UnixNano() - due)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// The value is within the histogram's range, which is the only error.
+	// RecordValue fails only outside the histogram's range, to which the value is clamped.
 	_ = d.histogram.RecordValue(min(max(delay, time.Microsecond), maxOfferDelay).Microseconds())
 }
 
--- a/internal/benchmark/statecost.go
+++ b/internal/benchmark/statecost.go
@@ -21,35 +21,35 @@
 	maxStateEntries = 1e7
 )
 
-// measuredKeys are the numbers of keys whose recovery is measured.
+// measuredKeys are the numbers of live keys for which recovery is measured.
 var measuredKeys = []int{1000, 10000, 100000}
 
-// StateCost is what durable state costs with one way of syncing, where every workload is at-most-once.
+// StateCost is the cost of durable state with one sync setting, when every workload is at-most-once.
 type StateCost struct {
-	Sync   string  `json:"sync"` // a value of config.State.Sync, or "off" for no state
+	Sync   string  `json:"sync"` // value of config.State.Sync, or "off" for no state
 	Placed float64 `json:"placed_per_second"`
-	Ratio  float64 `json:"ratio"` // of Placed to that without state
-	// Median is the time from a request to its bind, at a quarter of the rate without state, or at half of Placed if
-	// that is less.
+	Ratio  float64 `json:"ratio"` // ratio of Placed to the rate without state
+	// Median is the median time from a request to the arrival of its bind at the node, at a quarter of the rate without
+	// state, or at half of Placed if that is less.
 	Median float64 `json:"ask_to_offer_p50_ms"`
 	P99    float64 `json:"ask_to_offer_p99_ms"` // 99th percentile of the same
 }
 
-// StateRead is how long a start takes that recovers a number of keys.
+// StateRead is the duration of a start that recovers a number of keys.
 type StateRead struct {
 	Keys int     `json:"keys"`
 	Ms   float64 `json:"ms"`
 	MiB  float64 `json:"mib"` // size of the state directory
 }
 
-// StateResult is what a state directory costs.
+// StateResult is the cost of a state directory at run time and at the start.
 type StateResult struct {
 	Costs []StateCost `json:"costs"`
 	Reads []StateRead `json:"reads"`
 }
 
-// MeasureState measures the cost of state in a directory, which should lie on the disk in question, and leaves the
-// directory as it was. Each of the measurements takes length.
+// MeasureState measures the cost of state on the disk of a directory. It uses a temporary subdirectory, which it
+// removes. Each measurement over sockets takes length.
 func MeasureState(dir string, fleet Fleet, length time.Duration) (result *StateResult, err error) {
 	dir, err = os.MkdirTemp(dir, "state-bench-")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	measured := &StateResult{}
-	baseline := 0.0 // placed a second without state
+	baseline := 0.0 // workloads placed per second without state
 	for _, sync := range []string{noState, config.SyncNone, config.SyncGroup, config.SyncEach} {
 		cost, err := measureState(dir, sync, fleet, length, baseline)
 		if err != nil {
@@ -78,8 +78,8 @@
 	return measured, nil
 }
 
-// measureState measures one way of syncing. The baseline is what is placed a second without state, or 0 for a
-// measurement that is itself the baseline.
+// measureState measures the cost with one sync setting. The baseline is the number of workloads placed per second
+// without state, or 0 for the measurement of the baseline itself.
 func measureState(dir, sync string, fleet Fleet, length time.Duration, baseline float64) (cost StateCost, err error) {
 	var rates []float64
 	for i := range rounds {
@@ -101,8 +101,8 @@
 	return cost, err
 }
 
-// stateOptions returns the options of a cluster that keeps its state in a directory of that name below dir, or keeps
-// none.
+// stateOptions returns the options of a cluster that persists its state in the subdirectory name of dir, or has no
+// state if sync is noState.
 func stateOptions(dir, name, sync string) clusterOptions {
 	options := clusterOptions{atMostOnce: true}
 	if sync != noState {
@@ -116,7 +116,8 @@
 	return options
 }
 
-// measureRecovery measures how long a start takes on a directory with keys, and a history ten times as long.
+// measureRecovery measures the duration of a start on a directory with a number of live keys, and a history of ten
+// times as many binds.
 func measureRecovery(path string, keys int) (read StateRead, err error) {
 	disk, err := storage.OpenDir(path)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return read, log.Close()
 }
 
-// writeHistory writes binds of ten times as many keys, and that all but the first ones are forgotten.
+// writeHistory writes binds of ten times as many keys, and entries that forget all but the first keys.
 func writeHistory(disk storage.Disk, keys int) error {
 	const (
 		historyFactor = 10
@@ -169,10 +170,10 @@
 	return log.Close()
 }
 
-// fixedClock is a Unix time in ms at which nothing has expired.
+// fixedClock returns a Unix time in ms at which no entry has expired.
 func fixedClock() float64 { return 1 }
 
-// directoryMiB returns the size of the files in a directory.
+// directoryMiB returns the total size of the files in a directory in MiB.
 func directoryMiB(path string) (mib float64, err error) {
 	const bytesPerMiB = 1 << 20
 	files, err := os.ReadDir(path)
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -18,31 +18,32 @@
 	"grebeglade/trace/tracepb"
 )
 
-// TraceCost is what traces cost: bytes, time, and throughput of the allocator that is recorded. All fields stand in one
-// struct because they are one flat JSON document.
+// TraceCost is the cost of traces: their size, the time to write and read them, and the effect of recording on an
+// allocator's throughput and latency. All fields are in one struct because they form one flat JSON document.
 type TraceCost struct {
 	Script           string  `json:"script"`
 	Records          int     `json:"records"`
 	Decisions        int     `json:"decisions"`
 	BytesPerDecision float64 `json:"bytes_a_decision"`
-	JSONRatio        float64 `json:"json_lines_ratio"`            // size of plain JSON lines to that of the file
-	PlainRatio       float64 `json:"uncompressed_protobuf_ratio"` // size of the encoded records to that of the file
+	JSONRatio        float64 `json:"json_lines_ratio"`            // size of the records as JSON, relative to the file
+	PlainRatio       float64 `json:"uncompressed_protobuf_ratio"` // uncompressed size, relative to the file
 	WritePerSec      float64 `json:"records_written_per_second"`
 	ReadPerSec       float64 `json:"records_read_per_second"`
 	RateRecording    float64 `json:"placed_per_second_recording"`
 	RateNotRecording float64 `json:"placed_per_second_not_recording"`
-	RecordingRatio   float64 `json:"recording_ratio"` // median of the ratios of pairs
+	RecordingRatio   float64 `json:"recording_ratio"` // median over rounds of the rate with recording / without
 	Lost             uint64  `json:"records_lost"`
-	P99Recording     float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of the rate without recording
+	P99Recording     float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of RateNotRecording
 	P99NotRecording  float64 `json:"ask_to_offer_p99_ms_not_recording"`
 	FileBytes        int64   `json:"look_up_file_bytes"`
-	LookUpMs         float64 `json:"look_up_ms"` // to find the records of a minute by the index
-	ScanMs           float64 `json:"scan_ms"`    // to find them without it
+	LookUpMs         float64 `json:"look_up_ms"` // time to find the records of a minute by the index
+	ScanMs           float64 `json:"scan_ms"`    // time to find the same records by reading the file
 	LookedUp         int     `json:"looked_up_records"`
 }
 
-// MeasureTrace measures the trace of a scenario in virtual time, recording over sockets with a fleet, and a look-up in
-// a file of about fileBytes, or none for 0. Each of the measurements over sockets takes length.
+// MeasureTrace measures the encoding of a scenario's trace, the cost of recording over sockets with a fleet, and a
+// look-up in a file of about fileBytes; 0 skips the look-up. The scenario runs in virtual time. Each measurement over
+// sockets takes length.
 func MeasureTrace(script string, fleet Fleet, length time.Duration, fileBytes int64) (cost *TraceCost, err error) {
 	dir, err := os.MkdirTemp("", "grebeglade-bench")
 	if err != nil {
@@ -68,7 +69,7 @@
 	return measured, nil
 }
 
-// recording is the records of one allocator.
+// recording is the trace of one allocator: its records, and the sources in its header.
 type recording struct {
 	records []*trace.Record
 	sources []*tracepb.Source
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// withTraces calls use with the trace files of a directory, and closes them.
+// withTraces opens the trace files of a directory, calls use with them, and closes them.
 func withTraces(dir string, use func(files []*trace.Reader) error) (err error) {
 	var files []*trace.Reader
 	defer func() {
@@ -120,10 +121,10 @@
 	return use(files)
 }
 
-// lastMs returns the time of the last record.
+// lastMs returns the time of the last record in ms.
 func (r *recording) lastMs() float64 { return r.records[len(r.records)-1].AtMs }
 
-// write writes a trace that repeats the records, each time later.
+// write writes a trace in which the records are repeated, with each repetition shifted to begin after the previous one.
 func (r *recording) write(out io.Writer, times int) error {
 	writer, err := trace.NewWriter(out, &tracepb.Header{Sources: r.sources})
 	if err != nil {
@@ -144,7 +145,7 @@
 	return writer.Close()
 }
 
-// measureEncoding measures the size of a trace, and how fast it is written and read.
+// measureEncoding measures the size of a trace, and the rates of writing and reading its records.
 func (c *TraceCost) measureEncoding(recorded *recording) error {
 	c.Records = len(recorded.records)
 	plain, jsonLines, err := c.countDecisions(recorded)
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// countDecisions counts the decisions, and returns the bytes of all records as protobuf and as JSON lines.
+// countDecisions counts the decisions, and returns the size in bytes of all records as protobuf and as JSON lines.
 func (c *TraceCost) countDecisions(recorded *recording) (plain, jsonLines int, err error) {
 	for _, record := range recorded.records {
 		if record.Step != nil {
@@ -191,7 +192,7 @@
 	return plain, jsonLines, nil
 }
 
-// readRate returns how many records of a trace are read a second.
+// readRate returns the number of records of a trace that are read per second.
 func readRate(file []byte) (perSecond float64, err error) {
 	start := time.Now()
 	reader, err := trace.NewReader(bytes.NewReader(file), int64(len(file)))
@@ -209,7 +210,7 @@
 	return float64(count) / time.Since(start).Seconds(), nil
 }
 
-// measureRecording measures over sockets, alternating with and without a trace.
+// measureRecording measures throughput and latency over sockets, alternating between runs with and without a trace.
 func (c *TraceCost) measureRecording(fleet Fleet, length time.Duration, dir string) error {
 	var on, off, ratios []float64
 	for i := range rounds {
@@ -235,8 +236,8 @@
 	return c.measureRecordingLatency(fleet, length, dir)
 }
 
-// measureRecordingLatency measures the latency at a quarter of the rate without a trace, alternating with and without
-// one.
+// measureRecordingLatency measures the latency at a quarter of the rate without a trace, alternating between runs with
+// and without a trace.
 func (c *TraceCost) measureRecordingLatency(fleet Fleet, length time.Duration, dir string) error {
 	perSecond := c.RateNotRecording / 4
 	var on, off []float64
@@ -262,7 +263,7 @@
 	return trace.NewRecorder(dir, &tracepb.Source{Allocator: allocatorName, Incarnation: 2}, trace.DefaultLimits, nil)
 }
 
-// recordingThroughput is throughput with a trace.
+// recordingThroughput calls throughput for an allocator that records a trace.
 func recordingThroughput(fleet Fleet, length time.Duration, dir string) (float64, error) {
 	recorder, err := newRecorder(dir)
 	if err != nil {
@@ -272,7 +273,7 @@
 	return throughput(fleet, clusterOptions{trace: recorder}, length)
 }
 
-// recordingLatency is measureLatency with a trace.
+// recordingLatency calls measureLatency for an allocator that records a trace.
 func recordingLatency(fleet Fleet, length time.Duration, perSecond float64, dir string) (offerLatency, error) {
 	recorder, err := newRecorder(dir)
 	if err != nil {
@@ -282,7 +283,7 @@
 	return measureLatency(fleet, clusterOptions{trace: recorder}, length, perSecond)
 }
 
-// countLost counts the records that are missing in the traces of a directory.
+// countLost adds the number of records that are missing in the traces of a directory.
 func (c *TraceCost) countLost(dir string) error {
 	return withTraces(dir, func(files []*trace.Reader) error {
 		summary, err := trace.Summarise(files)
--- a/internal/benchmark/tracelookup.go
+++ b/internal/benchmark/tracelookup.go
@@ -10,9 +10,9 @@
 	"grebeglade/trace"
 )
 
-const lookUpLengthMs = 60e3 // of the part of the trace that is looked up
+const lookUpLengthMs = 60e3 // length of the span that is looked up
 
-// measureLookUp finds the records of one minute in a large file, by its index and by reading all of it.
+// measureLookUp finds the records of one minute in a large file, by its index and by reading the whole file.
 func (c *TraceCost) measureLookUp(recorded *recording, fileBytes int64, dir string) error {
 	name := filepath.Join(dir, "large"+trace.FileExtension)
 	recordingBytes := c.BytesPerDecision * float64(c.Decisions)
@@ -36,7 +36,7 @@
 		return err
 	}
 	if found != scanned || found == 0 {
-		return fmt.Errorf("the index finds %d records of that minute, a scan %d", found, scanned)
+		return fmt.Errorf("look up the records of a minute: found %d by the index, %d by a scan", found, scanned)
 	}
 	c.LookedUp = found
 	c.LookUpMs = lookUpMs
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// writeFile writes a trace file that repeats the records, each time later.
+// writeFile writes a trace file in which the records are repeated, as write does.
 func (r *recording) writeFile(name string, times int) (err error) {
 	out, err := os.Create(name)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return r.write(out, times)
 }
 
-// countRecords reads a span of a file, and returns how many of its records are within another span, and how long it
-// took.
+// countRecords reads a span of a file, and returns the number of records in it that are also within another span, and
+// the time taken in ms.
 func countRecords(name string, read, within trace.Span) (count int, ms float64, err error) {
 	start := time.Now()
 	reader, err := trace.Open(name)
