--- a/internal/compatibility/command_test.go
+++ b/internal/compatibility/command_test.go
@@ -20,7 +20,7 @@
 	processID   = regexp.MustCompile(`submit-\d+`)
 )
 
-// describeCommand writes a line for a command, for each of its flags, and for the commands below it.
+// describeCommand writes a line for a command and for each of its flags, and does the same for its subcommands.
 func describeCommand(t *testing.T, text *strings.Builder, path []string) {
 	t.Helper()
 	help := mustRun(t, append(slices.Clone(path), "--help")...)
@@ -45,7 +45,7 @@
 	}
 }
 
-// describeFlag returns the names, the type and the default of a flag from its line in the help text.
+// describeFlag extracts the names, the type and the default of a flag from its line in the help text.
 func describeFlag(line string) string {
 	match := helpFlag.FindStringSubmatch(line)
 	shorthand := match[1]
@@ -66,10 +66,10 @@
 	compareWithStored(t, "commands.txt", text.String())
 }
 
-// significantDigits are the digits of numbers that are compared: sums in map order differ in the last ones.
+// significantDigits is the number of digits that are compared: sums in map order differ in further digits.
 const significantDigits = 12
 
-// roundNumbers rounds all numbers of a JSON document, in place where it can, and returns the document.
+// roundNumbers rounds all numbers of a JSON document, in place in its lists and objects, and returns the document.
 func roundNumbers(document any) any {
 	switch value := document.(type) {
 	case json.Number:
@@ -86,7 +86,7 @@
 	return document
 }
 
-// roundNumber rounds a number to significantDigits. Integers are kept as they are.
+// roundNumber rounds a number to significantDigits. Integers are not changed.
 func roundNumber(number json.Number) json.Number {
 	value, err := strconv.ParseFloat(number.String(), 64)
 	if err != nil || value == math.Trunc(value) {
@@ -95,18 +95,18 @@
 	return json.Number(strconv.FormatFloat(value, 'g', significantDigits, 64))
 }
 
-// parseDocument decodes a document that must be the only one, keeping numbers as they are written.
+// parseDocument decodes a text that must be a single JSON document, and keeps the notation of its numbers.
 func parseDocument(t *testing.T, text string) any {
 	t.Helper()
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.UseNumber()
 	var document any
 	require.NoError(t, decoder.Decode(&document), "%s", text)
-	require.False(t, decoder.More(), "more than one document")
+	require.False(t, decoder.More(), "text after the document")
 	return document
 }
 
-// stableJSON returns a document with rounded numbers and without the keys whose values depend on wall time.
+// stableJSON returns a document with rounded numbers, and without the given keys, whose values depend on wall time.
 func stableJSON(t *testing.T, text string, without ...string) string {
 	t.Helper()
 	document := parseDocument(t, text)
--- a/internal/compatibility/golden_test.go
+++ b/internal/compatibility/golden_test.go
@@ -14,14 +14,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the text files in testdata with what the code produces now")
+var update = flag.Bool("update", false, "rewrite the text files in testdata with the current output")
 
-// compareWithStored checks that got equals the content of a file of testdata.
+// compareWithStored checks that got equals the content of a file in testdata, or rewrites the file with -update.
 func compareWithStored(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
-		require.Empty(t, os.Getenv("CI"), "stored files are compared in CI, not rewritten")
+		require.Empty(t, os.Getenv("CI"), "-update must not be used in CI")
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
 		return
@@ -38,7 +38,7 @@
 	return code, out.String(), errs.String()
 }
 
-// mustRun runs a command line that has to succeed, and returns its standard output.
+// mustRun runs a command line, which must succeed, and returns its standard output.
 func mustRun(t *testing.T, args ...string) string {
 	t.Helper()
 	code, stdout, stderr := runCommand(args...)
@@ -46,7 +46,7 @@
 	return stdout
 }
 
-// storedLines returns the lines of a text file of testdata.
+// storedLines returns the lines of a text file in testdata.
 func storedLines(t *testing.T, name string) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
--- a/internal/compatibility/history_test.go
+++ b/internal/compatibility/history_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storedHistories are files of testdata with the arguments of 'lab play' that wrote them.
+// storedHistories are files in testdata, each with the arguments of the 'lab play' that wrote it.
 var storedHistories = []struct {
 	file string
 	args []string
@@ -42,7 +42,7 @@
 			require.NoError(t, err)
 			want, err := os.ReadFile(filepath.Join("testdata", "history", h.file))
 			require.NoError(t, err)
-			assert.True(t, bytes.Equal(want, got), "%s is written differently", h.file)
+			assert.True(t, bytes.Equal(want, got), "%s must be written with the same bytes", h.file)
 		})
 	}
 }
@@ -57,10 +57,10 @@
 	}
 }
 
-// costMeasure is the measure of experiments that is wall time.
+// costMeasure is the name of the measure that depends on wall time.
 const costMeasure = "cost"
 
-// comparedMeasures compares the two cells of an experiment, and returns all measures but the cost.
+// comparedMeasures compares the two cells of an experiment, and returns the differences in all measures but the cost.
 func comparedMeasures(t *testing.T, dir string) (compared []any) {
 	t.Helper()
 	_, out, stderr := runCommand("lab", "compare", dir+":none", dir+":crash", "--json")
@@ -76,7 +76,7 @@
 	return compared
 }
 
-// reproducibleRuns returns the documents of the runs in an experiment's directory, without wall times.
+// reproducibleRuns returns the JSON documents of the runs in an experiment's directory, without wall times.
 func reproducibleRuns(t *testing.T, dir string) (runs []any) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "runs.jsonl"))
@@ -105,16 +105,16 @@
 	out = mustRun(t, "lab", "run", filepath.Join("testdata", "experiment", "small.hcl"), "-o", repeated, "--json")
 	compareWithStored(t, "json/lab-run.json", stableJSON(t, out, "seconds"))
 
-	assert.Equal(t, comparedMeasures(t, stored), comparedMeasures(t, repeated), "the scenarios have other results")
+	assert.Equal(t, comparedMeasures(t, stored), comparedMeasures(t, repeated), "the results must not change")
 	assert.ElementsMatch(t, reproducibleRuns(t, stored), reproducibleRuns(t, repeated),
-		"the runs are written differently")
+		"the documents of the runs must not change")
 }
 
 func TestExperiment_StoredRuns_Resumed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "experiment")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "experiment", "stored"))))
 	out := mustRun(t, "lab", "run", filepath.Join("testdata", "experiment", "small.hcl"), "-o", dir, "--json")
-	assert.Contains(t, out, `"earlier": 4`, "the stored runs are executed again")
+	assert.Contains(t, out, `"earlier": 4`, "stored runs must not be executed again")
 }
 
 func TestConfigCheckJSON_AsStored(t *testing.T) {
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -17,7 +17,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listKeys writes a line for each key that a type has in JSON: its path, the kind of its value, and its options.
+// listKeys writes a line for each key of a type's JSON document, with its path and the kind of its value, and a line
+// for the options of its tag.
 func listKeys(text *strings.Builder, path string, typ reflect.Type) {
 	switch typ.Kind() {
 	case reflect.Pointer:
@@ -35,7 +36,7 @@
 	}
 }
 
-// listFieldKeys writes the keys of a field as encoding/json names them.
+// listFieldKeys writes the keys of a struct field by the naming rules of encoding/json.
 func listFieldKeys(text *strings.Builder, path string, field reflect.StructField) {
 	name, options, _ := strings.Cut(field.Tag.Get("json"), ",")
 	switch {
@@ -53,8 +54,7 @@
 	listKeys(text, path+"."+name, field.Type)
 }
 
-// TestJSONDocuments_KeysAsStored covers the keys that a run does not always show, and the commands whose values are
-// wall time.
+// TestJSONDocuments_KeysAsStored covers keys that are omitted in some runs, and commands whose values are wall times.
 func TestJSONDocuments_KeysAsStored(t *testing.T) {
 	for name, document := range map[string]any{
 		"bench-rates":   benchmark.Rates{},
@@ -77,7 +77,7 @@
 	}
 }
 
-// listDocumentKeys writes a line for each key of a JSON document: its path and the JSON kind of its value.
+// listDocumentKeys adds a line for each key of a JSON document: its path and the JSON kind of its value.
 func listDocumentKeys(keys map[string]bool, path string, value any) {
 	switch typed := value.(type) {
 	case map[string]any:
@@ -99,8 +99,9 @@
 	}
 }
 
-// The document of config check encodes itself, so its keys are taken from a document that has all of them. The stored
-// file names the Go type of each value; both integers and floats are numbers in JSON.
+// The document of config check has a MarshalJSON method, so its keys are taken from a document that contains all of
+// them instead of from its type. The stored file lists the Go kind of each value; integers and floats are both numbers
+// in JSON.
 func TestConfigCheckJSON_KeysAsStored(t *testing.T) {
 	stored, err := os.ReadFile("testdata/keys/config-check.txt")
 	require.NoError(t, err)
@@ -118,7 +119,7 @@
 	require.Equal(t, want, got)
 }
 
-func TestBenchJSON_HoldsRatesAndMemory(t *testing.T) {
+func TestBenchJSON_ContainsRatesAndMemory(t *testing.T) {
 	out := mustRun(t,
 		"bench", "--for", "2ms", "--nodes", "4", "--held", "10", "--residents", "1", "--sockets=false", "--json")
 	document, ok := parseDocument(t, out).(map[string]any)
--- a/internal/compatibility/operator_test.go
+++ b/internal/compatibility/operator_test.go
@@ -21,7 +21,8 @@
 	stubTimeout  = 20 * time.Second
 )
 
-// stubAllocator listens as an allocator that answers each frame after the hello, and returns its address.
+// stubAllocator starts an allocator that replies to each frame after the hello with the frames that answer returns, and
+// returns its address.
 func stubAllocator(t *testing.T, answer func(request *pb.Frame) []*pb.Frame) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,14 +42,14 @@
 	return listener.Addr().String()
 }
 
-// serveConnection answers the frames of a connection until its peer closes it, or an answer is empty.
+// serveConnection replies to the frames of a connection until its peer closes it, or answer returns no frames.
 func serveConnection(conn net.Conn, answer func(request *pb.Frame) []*pb.Frame) (err error) {
 	defer func() { err = errors.Join(err, conn.Close()) }()
 	if err := conn.SetDeadline(time.Now().Add(stubTimeout)); err != nil {
 		return err
 	}
 	if _, err := transport.ReadFrame(conn, maxFrameSize); err != nil {
-		return fmt.Errorf("hello: %w", err)
+		return fmt.Errorf("read the hello: %w", err)
 	}
 	hello := &pb.Hello{
 		Role:        pb.Role_ALLOCATOR,
--- a/internal/compatibility/platform_codec_test.go
+++ b/internal/compatibility/platform_codec_test.go
@@ -16,14 +16,15 @@
 	"grebeglade/placement"
 )
 
-// The stored files were written by a codec whose messages were a verb, a cause and a map of fields, so that it
-// encoded any combination, in both directions. Some of the lines are therefore messages that the allocator never
-// sends: a load report, a migration to a node or one with a cause, a health check without a cause, and all with the
-// verbs PENDING, FINISHED and NOTICE. They are kept for decoding. Where the allocator sends the message in another
-// form, that form differs from the stored line in one part, which storedMessage.difference states; where it never
-// sends it, encoding it is an error. Some parts of such lines the allocator ignores: most of the causes, and a note
-// of an unknown kind. They are compared with the verb or the kind replaced by one that the allocator does use. The
-// flag -update does not rewrite the messages of nodes and clients.
+// The lines of the stored files combine verbs, causes and fields freely, in both directions. Some of them are therefore
+// messages that the allocator never sends: a load report, a migration to a node or one with a cause, a health check
+// without a cause, and all with the verbs PENDING, FINISHED and NOTICE. These lines test decoding. If the allocator
+// sends a message in another form, that form differs from the stored line in one part, which storedMessage.difference
+// specifies; if the allocator never sends the message, encoding it is an error.
+//
+// The allocator ignores some parts of such lines: most of the causes, and a usage report of an unsupported kind. To
+// test these parts, the verb or the kind is replaced by one for which the allocator decodes them. The flag -update does
+// not rewrite the messages of nodes and clients.
 
 // Files of testdata.
 const (
@@ -32,19 +33,19 @@
 	clientLinesReceivedFile = "platform/client-lines-received.txt"
 )
 
-// Lines with messages that tests treat specially, counted from 0, in nodeMessagesFile and clientLinesSentFile.
+// Indices of lines in nodeMessagesFile and clientLinesSentFile, and numbers of lines.
 const (
 	offerLine        = 0
 	pendingLine      = 1
-	loadReportLine   = 4 // a message that is ignored, with a load report
-	noteLine         = 5
+	loadReportLine   = 4 // ignorable message with a load report
+	usageReportLine  = 5
 	migrationLine    = 6
-	firstCauseLine   = 9 // the first of the lines with one cause each
+	firstCauseLine   = 9 // first of the lines that each have one cause
 	causeLineCount   = 9
-	healthCauseCount = 2 // causes of replies to health checks; the others are those of terminations
+	healthCauseCount = 2 // number of causes of health replies, which come first; the others are causes of terminations
 )
 
-// replacement changes one part of a stored line, which occurs in the line once. The zero value changes nothing.
+// replacement replaces a part of a stored line, which must occur exactly once. The zero value replaces nothing.
 type replacement struct{ old, new string }
 
 // apply returns the text with the part replaced.
@@ -57,18 +58,18 @@
 	return strings.Replace(text, r.old, r.new, 1)
 }
 
-// storedMessage is the message of a stored line.
+// storedMessage is the expected message of a stored line.
 type storedMessage struct {
 	decoded     codec.Message
-	unsupported bool        // decoded has no encoding
-	difference  replacement // from the stored line to the encoding of decoded
+	unsupported bool        // encoding decoded is an error
+	difference  replacement // turns the stored line into the encoding of decoded
 }
 
 // Tags of stored messages.
 const (
 	offerTag         = codec.Tag(0x9b1f03aa5c7e2d41)
 	loadReportTag    = codec.Tag(loadReportLine)
-	noteTag          = codec.Tag(noteLine)
+	usageReportTag   = codec.Tag(usageReportLine)
 	migrationTag     = codec.Tag(migrationLine)
 	firstCauseTag    = codec.Tag(100)
 	firstEndCauseTag = firstCauseTag + healthCauseCount
@@ -78,12 +79,13 @@
 // Other values of stored messages.
 const (
 	storedTimeoutMs  = 1500
-	storedNoteCores  = 2.5
+	storedUsedCores  = 2.5
 	offerKey         = "7f3a9c21e0b4d655"
 	offerDescription = "v=0\r\nm=audio 31000 <RTP> é\r\n"
 )
 
-// loadReport returns a report with the spare cores and, where there are two values, the spare memory.
+// loadReport returns a load report with the spare cores, the first value, and the spare memory, the second. Values that
+// are not given are unknown.
 func loadReport(spare ...float64) *placement.LoadReport {
 	load := settings.UnknownLoad()
 	if len(spare) > 0 {
@@ -101,7 +103,7 @@
 	return storedMessage{decoded: &codec.Ignorable{Header: header(tag)}, unsupported: true}
 }
 
-// ignoredCauses returns the lines with the verb FINISHED that carry one cause each, which the allocator ignores.
+// ignoredCauses returns the messages with the verb FINISHED and one cause each, which the allocator ignores.
 func ignoredCauses() (messages []storedMessage) {
 	for i := range codec.Tag(causeLineCount) {
 		messages = append(messages, ignorable(firstCauseTag+i))
@@ -109,8 +111,8 @@
 	return messages
 }
 
-// retypedMessage is the message of a stored line whose verb is replaced by one of which the allocator decodes all
-// parts of the line.
+// retypedMessage is the expected message of a stored line whose verb is replaced by one for which the allocator decodes
+// all parts of the line.
 type retypedMessage struct {
 	line    int // counted from 0, as in nodeMessages and clientMessages
 	oldVerb string
@@ -128,7 +130,7 @@
 	}
 }
 
-// retypedMessages returns the lines with parts that the allocator ignores for their verb: mostly causes.
+// retypedMessages returns the messages of lines whose stored verb makes the allocator ignore parts, mostly causes.
 func retypedMessages() []retypedMessage {
 	messages := []retypedMessage{
 		newRetypedMessage(loadReportLine, "FINISHED", "FINISH", codec.NewTermination(loadReportTag, codec.CauseNormal)),
@@ -153,7 +155,7 @@
 }
 
 // nodeMessages returns the messages of nodeMessagesFile, in its order: one of each verb, with all fields that nodes
-// understand, then one with each cause.
+// decode, then one with each cause.
 func nodeMessages() []storedMessage {
 	const causeZero = "2c000100"
 	confirmation := &codec.Confirmation{
@@ -176,7 +178,7 @@
 			decoded:     &codec.Ignorable{Header: codec.Header{Tag: loadReportTag, Load: loadReport(1)}},
 			unsupported: true,
 		},
-		ignorable(noteTag), // the kind of the note is unknown
+		ignorable(usageReportTag), // of an unsupported kind
 		{decoded: codec.NewMigration(migrationTag), unsupported: true},
 		{
 			decoded:    codec.NewHealthCheck(7),
@@ -197,8 +199,8 @@
 	}
 }
 
-// clientMessages returns the messages of clientLinesSentFile, in its order. Apart from the request they are those of
-// clientLinesReceivedFile.
+// clientMessages returns the messages of clientLinesSentFile, in its order. Except for the requests,
+// clientLinesReceivedFile has the same messages.
 func clientMessages() []storedMessage {
 	return append([]storedMessage{
 		{decoded: invalidRequest("key", "of 1 to 64 bytes"), unsupported: true},
@@ -206,7 +208,7 @@
 		{decoded: codec.NewConfirmation(2, "")},
 		{decoded: codec.NewTermination(3, codec.CauseCancelled)},
 		ignorable(loadReportTag),
-		ignorable(noteTag),
+		ignorable(usageReportTag),
 		{decoded: codec.NewMigration(migrationTag), difference: replacement{`,"rc":102`, ""}},
 		{decoded: codec.NewHealthCheck(7), difference: replacement{`"opts":{}`, `"opts":{},"rc":0`}},
 		{decoded: codec.NewHealthReply(lastTag, true)},
@@ -218,13 +220,13 @@
 	return &codec.Invalid{Header: header(offerTag), Err: &codec.FieldError{Field: field, Want: want}}
 }
 
-// messageCodec is a codec of one kind of connection.
+// messageCodec encodes and decodes the messages of one kind of connection.
 type messageCodec interface {
 	Decode(b []byte) (any, int, error)
 	Append(b []byte, m any) ([]byte, error)
 }
 
-// requireDecodes checks that bytes, with others after them, decode to a message of their whole length.
+// requireDecodes checks that bytes, followed by another byte, decode to a message that consumes exactly these bytes.
 func requireDecodes(t *testing.T, c messageCodec, encoded []byte, want codec.Message) {
 	t.Helper()
 	decoded, size, err := c.Decode(append(slices.Clone(encoded), '{'))
@@ -234,7 +236,8 @@
 	requireEqualMessages(t, want, decoded.(codec.Message))
 }
 
-// requireEqualMessages compares load reports as text, since a missing value in them is NaN and so not equal to itself.
+// requireEqualMessages compares two messages. Load reports are compared as text, because a missing value in them is
+// NaN, which does not equal itself.
 func requireEqualMessages(t *testing.T, want, got codec.Message) {
 	t.Helper()
 	assert.Equal(t, describeLoad(want), describeLoad(got))
@@ -254,10 +257,10 @@
 	return "none"
 }
 
-// bufferedBytes are the bytes in a buffer before a message is appended.
+// bufferedBytes is the content of a buffer before a message is appended.
 const bufferedBytes = "before"
 
-// requireEncodes checks the bytes that encoding a message appends to a buffer.
+// requireEncodes checks that encoding a message appends the wanted bytes to a buffer.
 func requireEncodes(t *testing.T, c messageCodec, m codec.Message, want string) {
 	t.Helper()
 	buffer, err := c.Append([]byte(bufferedBytes), m)
@@ -265,7 +268,7 @@
 	assert.Equal(t, bufferedBytes+want, string(buffer))
 }
 
-// requireUnsupported checks that a message cannot be encoded, and that the buffer stays as it is.
+// requireUnsupported checks that encoding a message is an error, and does not change the buffer.
 func requireUnsupported(t *testing.T, c messageCodec, m codec.Message) {
 	t.Helper()
 	buffer, err := c.Append([]byte(bufferedBytes), m)
@@ -273,11 +276,11 @@
 	assert.Equal(t, bufferedBytes, string(buffer))
 }
 
-// nodeMessageLengthSize is the size in bytes of the length in front of a node's message.
+// nodeMessageLengthSize is the size in bytes of the length prefix of a node's message.
 const nodeMessageLengthSize = 2
 
-// nodeMessageBytes returns the message of a line of hexadecimal digits, with one part of the digits replaced and the
-// length in front of the message corrected.
+// nodeMessageBytes decodes a line of hexadecimal digits to a message, after replacing one part of the digits. It
+// corrects the length in front of the message.
 func nodeMessageBytes(t *testing.T, line string, r replacement) []byte {
 	t.Helper()
 	message, err := hex.DecodeString(r.apply(t, line))
@@ -315,7 +318,7 @@
 	}
 }
 
-// verbCodes are the types of binary messages by verb, in hexadecimal digits.
+// verbCodes are the type codes of binary messages by verb, in hexadecimal digits.
 var verbCodes = map[string]string{
 	"FINISH":   "0c",
 	"FINISHED": "10",
@@ -344,20 +347,20 @@
 	}
 }
 
-// The stored note has the unknown kind "cores". With the kind "cpu" instead, its value is decoded.
-func TestNodeMessages_NoteOfKnownKind_Decoded(t *testing.T) {
+// The stored usage report has the unsupported kind "cores". With the kind "cpu" instead, its value is decoded.
+func TestNodeMessages_UsageReportOfSupportedKind_Decoded(t *testing.T) {
 	const (
 		cores = "1e0005636f726573"
 		cpu   = "1e0003637075"
 	)
-	line := storedLines(t, nodeMessagesFile)[noteLine]
-	note := &codec.UsageReport{
-		Header: header(noteTag),
+	line := storedLines(t, nodeMessagesFile)[usageReportLine]
+	report := &codec.UsageReport{
+		Header: header(usageReportTag),
 		Kind:   placement.CoresUsed,
-		Value:  storedNoteCores,
+		Value:  storedUsedCores,
 	}
-	requireDecodes(t, codec.NodeCodec{}, nodeMessageBytes(t, line, replacement{cores, cpu}), note)
-	requireUnsupported(t, codec.NodeCodec{}, note)
+	requireDecodes(t, codec.NodeCodec{}, nodeMessageBytes(t, line, replacement{cores, cpu}), report)
+	requireUnsupported(t, codec.NodeCodec{}, report)
 }
 
 func TestClientLines_EncodeAsStored(t *testing.T) {
@@ -373,10 +376,11 @@
 			requireEncodes(t, codec.ClientCodec{}, want[i].decoded, want[i].difference.apply(t, line)+"\n")
 		})
 	}
-	requireUnsupported(t, codec.ClientCodec{}, storedOffer()) // from which the first line was encoded
+	requireUnsupported(t, codec.ClientCodec{}, storedOffer()) // the message of the first line
 }
 
-// A confirmation's description is the only text that a client gets. The stored one is that of a request.
+// The allocator sends a client no description but that of a confirmation. The stored line with a description is a
+// request, so its verb is replaced.
 func TestClientLines_Description_EncodedAsStored(t *testing.T) {
 	line := storedLines(t, clientLinesSentFile)[offerLine]
 	want := replaceVerb(t, line, "START", "STARTED") + "\n"
@@ -403,14 +407,14 @@
 		}
 	}
 	t.Run("sent", func(t *testing.T) { checkAll(t, storedLines(t, clientLinesSentFile)) })
-	// The lines that are received have one request more.
+	// The received lines begin with one more request than the sent ones.
 	t.Run("received", func(t *testing.T) { checkAll(t, storedLines(t, clientLinesReceivedFile)[1:]) })
 }
 
-// A line without a cause and a description has the form of a migration.
+// A line without a cause and a description is encoded like a migration, so a migration tests its encoding.
 func TestClientLines_WithoutContent_EncodedAsStored(t *testing.T) {
 	lines := storedLines(t, clientLinesSentFile)
-	for i, verb := range map[int]string{pendingLine: "PENDING", noteLine: "NOTICE"} {
+	for i, verb := range map[int]string{pendingLine: "PENDING", usageReportLine: "NOTICE"} {
 		line := replaceVerb(t, lines[i], verb, "MOVE") + "\n"
 		requireEncodes(t, codec.ClientCodec{}, codec.NewMigration(codec.Tag(i)), line)
 	}
@@ -441,7 +445,8 @@
 	t.Run("received", func(t *testing.T) { decodeAll(t, clientLinesReceivedFile, received) })
 }
 
-// storedRequest returns the request of clientLinesReceivedFile.
+// storedRequest returns what both requests of clientLinesReceivedFile decode to, except that the first line lacks the
+// cores and memory and the second line has more fields.
 func storedRequest() *codec.PlaceRequest {
 	return &codec.PlaceRequest{
 		Header:  header(offerTag),
@@ -456,8 +461,8 @@
 	}
 }
 
-// The first stored request does not state the workload's cores and memory, so it is invalid. With them, its other
-// fields are decoded: a number as an option, an unknown option, and an escaped character.
+// The first stored request is invalid, because it lacks the workload's cores and memory. With them added, the other
+// parts of its line are decoded: a number as an option, an unknown option, and an escaped character.
 func TestClientLines_RequestWithExtras_Decoded(t *testing.T) {
 	const unknownOption = `"later":[1]`
 	line := storedLines(t, clientLinesReceivedFile)[0]
@@ -488,7 +493,7 @@
 	}
 }
 
-// decodeEvents decodes a discovery stream, and returns its events and the bytes that are not decoded.
+// decodeEvents decodes a discovery stream, and returns its events and the bytes that were not decoded.
 func decodeEvents(t *testing.T, stream []byte) (events []codec.Event, rest []byte) {
 	t.Helper()
 	var decoder codec.DiscoveryCodec
--- a/internal/compatibility/platform_process_test.go
+++ b/internal/compatibility/platform_process_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runAsProgram names the environment variable with a command line that the test's binary runs instead of the tests.
+// runAsProgram is the environment variable with a command line that the test binary runs instead of the tests.
 const runAsProgram = "GREBEGLADE_COMPATIBILITY_COMMAND"
 
 func TestMain(m *testing.M) {
@@ -44,10 +44,10 @@
   "memory_by_kind":[40],"apart_by":["off"],"spread_most":[2],"calm_level":[0.8],"lost_after":[0.15],
   "kind_by_class":[-1]}}}`
 
-// timeLeft matches the pending timeout in a message to a node, in milliseconds, which differs between runs.
+// timeLeft matches the pending timeout in ms in a message to a node, which differs between runs.
 var timeLeft = regexp.MustCompile(`120004(3[0-9]){4}`)
 
-// conversation records the messages between the program and its peers, in the order of the test.
+// conversation records the messages between the program and its peers, in the order in which the test handles them.
 type conversation struct {
 	t          *testing.T
 	text       strings.Builder
@@ -56,7 +56,7 @@
 	node       net.Conn
 }
 
-// newConversation returns an empty conversation, which is logged if the test fails.
+// newConversation returns a conversation without messages. It is logged if the test fails.
 func newConversation(t *testing.T) *conversation {
 	t.Helper()
 	c := &conversation{t: t}
@@ -104,7 +104,8 @@
 	fmt.Fprintf(&c.text, "node receives %s\n", timeLeft.ReplaceAllString(hex.EncodeToString(message), "120004LEFT"))
 }
 
-// startPlatform starts the program with the addresses of a discovery service and a node, and returns its own.
+// startPlatform starts the program with the addresses of a discovery service and a node, and returns the program's
+// address.
 func startPlatform(t *testing.T, discovery, node string) (addr string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -121,7 +122,7 @@
 	t.Cleanup(func() {
 		assert.NoError(t, program.Process.Kill())
 		var exit *exec.ExitError
-		assert.ErrorAs(t, program.Wait(), &exit, "it was killed")
+		assert.ErrorAs(t, program.Wait(), &exit, "the program must run until it is killed")
 	})
 	first, err := bufio.NewReader(log).ReadString('\n')
 	require.NoError(t, err)
@@ -129,7 +130,8 @@
 	return addr
 }
 
-// stubDiscovery starts a discovery service without events, which sends the requests that it receives to a channel.
+// stubDiscovery starts a discovery service that sends keep-alive comments and no events. It passes the requests that it
+// receives to a channel.
 func stubDiscovery(t *testing.T, requests chan<- string) (addr string) {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -156,7 +158,7 @@
 const (
 	confirmationType = "09"
 	terminationType  = "0c"
-	noteType         = "2c"
+	usageReportType  = "2c"
 )
 
 // Parameters of binary messages, in hexadecimal digits: type, size and value.
@@ -164,23 +166,23 @@
 	loadReport16Cores  = "220008" + "78303a31362e3030"
 	descriptionTakenBy = "2e0008" + "74616b656e206279"
 	emptyDescription   = "2e0000"
-	noteKindCPU        = "1e0003" + "637075"
-	noteValueHalf      = "280003" + "302e35"
-	noteKindOOM        = "1e0003" + "6f6f6d"
+	detailCPU          = "1e0003" + "637075"
+	valueHalf          = "280003" + "302e35"
+	detailOOM          = "1e0003" + "6f6f6d"
 	causeEvicted       = "2c0001" + "29"
 )
 
-// tagDigits returns a tag as binary messages have it, in hexadecimal digits.
+// tagDigits returns the encoding of a tag in binary messages, in hexadecimal digits.
 func tagDigits(tag int) string { return fmt.Sprintf("%016x", tag) }
 
-// placeRequestLine returns the line with which a client requests a workload.
+// placeRequestLine returns a client's line that requests a workload.
 func placeRequestLine(tag int, class string) string {
 	return fmt.Sprintf(`{"verb":"START","tag":"%016x",`+
 		`"opts":{"class":%q,"left":"6000","key":"aa","extras":"cores:1;memory:1;service:7"},"blob":"a <b> é"}`,
 		tag, class)
 }
 
-// connectClient connects the client, and returns once the connection is open.
+// connectClient connects the client to the program.
 func (c *conversation) connectClient(addr string) {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -191,7 +193,7 @@
 	c.clientRead = bufio.NewReader(conn)
 }
 
-// acceptNode waits for the program's connection to the node.
+// acceptNode accepts the program's connection to the node.
 func (c *conversation) acceptNode(nodes net.Listener) {
 	c.t.Helper()
 	conn, err := nodes.Accept()
@@ -209,14 +211,14 @@
 	t.Cleanup(func() { assert.NoError(t, nodes.Close()) })
 	addr := startPlatform(t, discovery, nodes.Addr().String())
 
-	talk := newConversation(t)
-	fmt.Fprintf(&talk.text, "discovery receives %s\n", <-requests)
-	talk.connectClient(addr)
-	talk.checksHealth()
-	talk.placesAndWithdraws(nodes)
-	talk.placesAndIsEvicted()
-	talk.requestsUnknownClass()
-	compareWithStored(t, "platform/conversation.txt", talk.text.String())
+	conv := newConversation(t)
+	fmt.Fprintf(&conv.text, "discovery receives %s\n", <-requests)
+	conv.connectClient(addr)
+	conv.checksHealth()
+	conv.placesAndWithdraws(nodes)
+	conv.placesAndIsEvicted()
+	conv.requestsUnknownClass()
+	compareWithStored(t, "platform/conversation.txt", conv.text.String())
 }
 
 func (c *conversation) checksHealth() {
@@ -225,7 +227,7 @@
 	c.clientReceives()
 }
 
-// placesAndWithdraws has a workload placed, which reports its use of cores and is then stopped by its client.
+// placesAndWithdraws places a workload, whose node reports its core use, and which its client then stops.
 func (c *conversation) placesAndWithdraws(nodes net.Listener) {
 	c.t.Helper()
 	c.clientSends(placeRequestLine(2, "tiles"))
@@ -233,27 +235,27 @@
 	c.nodeReceives()
 	c.nodeSends(confirmationType + tagDigits(2) + loadReport16Cores + descriptionTakenBy)
 	c.clientReceives()
-	c.nodeSends(noteType + tagDigits(2) + noteKindCPU + noteValueHalf)
+	c.nodeSends(usageReportType + tagDigits(2) + detailCPU + valueHalf)
 	c.clientSends(`{"verb":"FINISH","tag":"0000000000000002","opts":{},"rc":31}`)
 	c.nodeReceives()
 }
 
-// placesAndIsEvicted has a workload placed that its node then evicts.
+// placesAndIsEvicted places a workload, which its node then evicts.
 func (c *conversation) placesAndIsEvicted() {
 	c.t.Helper()
 	c.clientSends(placeRequestLine(3, "tiles"))
 	c.nodeReceives()
 	c.nodeSends(confirmationType + tagDigits(3) + emptyDescription)
 	c.clientReceives()
-	c.nodeSends(terminationType + tagDigits(3) + noteKindOOM + causeEvicted)
+	c.nodeSends(terminationType + tagDigits(3) + detailOOM + causeEvicted)
 	c.clientReceives()
 }
 
-// requestsUnknownClass sends an invalid request, after which the program ends the connection.
+// requestsUnknownClass sends an invalid request, after which the program closes the connection.
 func (c *conversation) requestsUnknownClass() {
 	c.t.Helper()
 	c.clientSends(placeRequestLine(4, "unknown"))
 	c.clientReceives()
 	_, err := c.clientRead.ReadByte()
-	require.ErrorIs(c.t, err, io.EOF, "the connection ends after an invalid request")
+	require.ErrorIs(c.t, err, io.EOF, "the connection must be closed after an invalid request")
 }
--- a/internal/compatibility/protobuf_test.go
+++ b/internal/compatibility/protobuf_test.go
@@ -19,14 +19,14 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxFieldNumber is above the numbers of all fields.
+// maxFieldNumber is greater than the number of any field.
 const maxFieldNumber = protoreflect.FieldNumber(1000)
 
-// fieldLister writes a line for each field that can be reached from a message, by the numbers on the way to it.
+// fieldLister writes a line for each field of a message and of the messages nested in it, by its path of field numbers.
 type fieldLister struct {
 	text    strings.Builder
-	names   bool // also the names of fields and values
-	reached map[protoreflect.FullName]bool
+	names   bool                           // also write the names of fields and values
+	reached map[protoreflect.FullName]bool // messages and enums that were listed
 }
 
 func (l *fieldLister) message(path string, m protoreflect.MessageDescriptor) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// unreached returns the messages and enums that cannot be reached from any message that was listed.
+// unreached returns the messages and enums that were not listed.
 func (l *fieldLister) unreached(
 	messages protoreflect.MessageDescriptors, enums protoreflect.EnumDescriptors,
 ) (names []string) {
@@ -93,7 +93,7 @@
 func TestProtobufSchemas_NumbersAndKindsAsStored(t *testing.T) {
 	for _, schema := range []struct {
 		file  string
-		names bool // histories and the JSON of commands show field and value names
+		names bool // the names appear in histories and in the JSON of commands
 		roots []proto.Message
 	}{
 		{
@@ -117,7 +117,7 @@
 			}
 			compareWithStored(t, schema.file, lister.text.String())
 			file := schema.roots[0].ProtoReflect().Descriptor().ParentFile()
-			assert.Empty(t, lister.unreached(file.Messages(), file.Enums()), "messages and enums that are not listed")
+			assert.Empty(t, lister.unreached(file.Messages(), file.Enums()), "messages and enums missing in the list")
 		})
 	}
 }
@@ -167,8 +167,8 @@
 	panic(fmt.Sprintf("no value for a field of kind %s", f.Kind()))
 }
 
-// distinctNumbers returns the numbers of an enum in the order of their first names. A number whose value was renamed
-// has several names.
+// distinctNumbers returns the numbers of an enum without duplicates, in the order of declaration. A number has several
+// names if its value was renamed.
 func distinctNumbers(e protoreflect.EnumDescriptor) (numbers []protoreflect.EnumNumber) {
 	values := e.Values()
 	for i := range values.Len() {
@@ -179,7 +179,7 @@
 	return numbers
 }
 
-// frames returns a frame of each kind with all fields set, by the number of the kind.
+// frames returns a frame of each kind with all fields set, ordered by field number.
 func frames() (all []*pb.Frame) {
 	fields := (&pb.Frame{}).ProtoReflect().Descriptor().Fields()
 	for number := protoreflect.FieldNumber(1); number < maxFieldNumber; number++ {
--- a/internal/compatibility/simulator_test.go
+++ b/internal/compatibility/simulator_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replyHeadSize is the size of a reply's head: the number of its records and their length.
+// replyHeadSize is the size of a reply's header in bytes: the number of its records and their total length.
 const replyHeadSize = 8
 
 func TestSimulator_StoredBatches_AnsweredAsStored(t *testing.T) {
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	stateDir     = "testdata/state" // as writeState writes it
-	tornStateDir = "testdata/state-torn"
+	stateDir     = "testdata/state"      // written by writeState
+	tornStateDir = "testdata/state-torn" // the same, with an incomplete end of the log
 
-	stateNow      = 1.8e12  // Unix time in ms of all that is written
-	snapshotAfter = 400     // bytes of log after which a snapshot replaces it
-	noSnapshot    = 1 << 20 // more bytes than these logs have
+	stateNow      = 1.8e12  // Unix time in ms of all entries
+	snapshotAfter = 400     // size of the log in bytes above which a snapshot replaces it
+	noSnapshot    = 1 << 20 // bytes; above the size of the logs in the tests
 )
 
 func boundEntry(key uint64, number uint32) *statepb.Entry {
@@ -38,7 +38,8 @@
 	return storage.ForgetEntry(key, 5, number)
 }
 
-// writeState writes a directory as two incarnations of an allocator do. The second does not close it, as after a kill.
+// writeState writes a state directory as two incarnations of an allocator do. The second incarnation does not close it,
+// as if it was killed.
 func writeState(t *testing.T, dir string) {
 	t.Helper()
 	disk, err := storage.OpenDir(dir)
@@ -62,7 +63,7 @@
 	require.NoError(t, disk.Unlock())
 }
 
-// stateFiles returns the contents of the files of a state directory by name, without the lock.
+// stateFiles returns the contents of the files in a state directory by name, without the lock file.
 func stateFiles(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -92,7 +93,7 @@
 		compareWithStored(t, name+"-show.txt", mustRun(t, "state", "show", dir))
 		compareWithStored(t, "json/"+name+"-show.json", stableJSON(t, mustRun(t, "state", "show", dir, "--json")))
 		compareWithStored(t, name+"-check.txt", mustRun(t, "state", "check", dir))
-		assert.Equal(t, before, stateFiles(t, dir), "reading changed the directory")
+		assert.Equal(t, before, stateFiles(t, dir), "reading must not change the directory")
 	}
 }
 
@@ -111,6 +112,6 @@
 		require.NoError(t, err)
 		assert.EqualValues(t, 6, found.Incarnation.GetNumber())
 		require.NoError(t, log.Close())
-		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s, after the next incarnation started", stored)
+		assert.Equal(t, before, mustRun(t, "state", "show", dir), "%s after the start of the next incarnation", stored)
 	}
 }
--- a/internal/compatibility/trace_test.go
+++ b/internal/compatibility/trace_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storedTraces are directories of testdata that 'lab play --trace' wrote.
+// storedTraces are directories in testdata that were written by 'lab play --trace'.
 var storedTraces = []string{"gang-mixed", "rough", "state-death"}
 
 func traceFiles(t *testing.T, name string) []string {
@@ -61,12 +61,12 @@
 		for _, file := range traceFiles(t, name) {
 			want, err := os.ReadFile(file)
 			require.NoError(t, err)
-			assert.True(t, bytes.Equal(want, encodeAgain(t, file)), "%s is encoded differently", file)
+			assert.True(t, bytes.Equal(want, encodeAgain(t, file)), "%s must be encoded to the same bytes", file)
 		}
 	}
 }
 
-// encodeAgain decodes the records of a trace file, and returns the bytes to which they are encoded.
+// encodeAgain decodes the records of a trace file, and returns their encoding as a trace file.
 func encodeAgain(t *testing.T, file string) []byte {
 	t.Helper()
 	reader, err := trace.Open(file)
