--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -11,27 +11,28 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// A client dials a lost allocator again after minReconnectDelay and up to reconnectJitter more, in ms.
+// Delay in ms before a client redials an allocator after a lost connection: minReconnectDelay plus up to
+// reconnectJitter.
 const (
 	minReconnectDelay = 200
 	reconnectJitter   = 600
 )
 
-// clientIncarnation is the incarnation that clients report: they do not restart.
+// clientIncarnation is the incarnation in the hellos of clients. It is constant, as clients do not restart.
 const clientIncarnation = 1
 
-// Client emulates the clients that request workloads and gangs. It sends what its demand source draws, and retries by
-// its model. It has more than ten fields, as retries depend on its sessions, its open requests and what faults set.
+// Client emulates a client that requests workloads and gangs. Its demand source draws the requests, and its model sets
+// how it retries. It has more than ten fields, as retries depend on sessions, open requests and active faults.
 type Client struct {
 	name   string
 	model  *scenario.ClientModel
-	rng    *rand.Rand // for its reactions
+	rng    *rand.Rand // draws allocators, retry delays and withdrawals of gangs
 	demand demandSource
 	process
 
-	allocators  []allocatorSession
-	requests    map[uint64]*clientRequest // that have not ended, by request ID
-	lastRequest uint64
+	allocators    []allocatorSession
+	requests      map[uint64]*clientRequest // open requests by ID: unanswered, or placed and not ended
+	lastRequestID uint64
 
 	RateFactor          float64 // multiplies the request rate; set by faults
 	FirstAllocatorShare float64 // additional share of the requests that goes to the first allocator; set by faults
@@ -40,12 +41,12 @@
 
 // allocatorSession is a client's session with one allocator.
 type allocatorSession struct {
-	conn        transport.ConnID // 0 while there is none
-	ready       bool             // the allocator's hello was received over conn
-	incarnation uint64           // of the allocator, as of its last hello
+	conn        transport.ConnID // 0 between a lost connection and the next dial
+	ready       bool             // the allocator's hello has arrived on conn
+	incarnation uint64           // incarnation in the allocator's last hello
 }
 
-// NewClient returns a client. The index keeps its workload keys apart from those of other clients.
+// NewClient returns a client. Its workload keys are unique in a run if its index is.
 func NewClient(name string, index int, model *scenario.ClientModel, seed uint64) *Client {
 	return &Client{
 		name:       name,
@@ -71,7 +72,7 @@
 		requestNext := func(now placement.Millis) { c.requestNextGang(now, i) }
 		c.timers.Schedule(begin+c.gangInterval(i), requestNext)
 	}
-	c.wake()
+	c.scheduleWake()
 }
 
 // dial connects to an allocator, by index.
@@ -87,10 +88,11 @@
 		Incarnation: clientIncarnation,
 		SentMs:      float64(now),
 	}))
-	c.wake()
+	c.scheduleWake()
 }
 
-// Closed implements transport.FrameHandler. Placed workloads keep running: the allocator names them after reconnecting.
+// Closed implements transport.FrameHandler. Unanswered requests are retried. Placed workloads keep running: the
+// allocator's next hello lists them.
 func (c *Client) Closed(now placement.Millis, conn transport.ConnID, _ error) {
 	i := c.allocatorOf(conn)
 	if i < 0 {
@@ -106,17 +108,17 @@
 	c.allocators[i].ready = false
 	delay := placement.Millis(minReconnectDelay + c.rng.Float64()*reconnectJitter)
 	c.timers.Schedule(now+delay, func(placement.Millis) { c.dial(i) })
-	c.wake()
+	c.scheduleWake()
 }
 
-// retryDisconnected retries a request whose connection was lost before its answer.
+// retryDisconnected retries a request whose connection was lost before the answer arrived.
 func (c *Client) retryDisconnected(now placement.Millis, request *clientRequest) {
 	c.Tally.Disconnected++
 	switch {
 	case request.gang != nil:
 		c.retryGang(now, request, mayHaveRun)
 	case c.model.RetriesAfterDisconnect && request.demand.Idempotency == placement.AtMostOnce:
-		// Only this allocator knows whether the workload may have run.
+		// Only this allocator has recorded whether the workload may have run.
 		request.requiredAllocator = request.allocator + 1
 		c.retrySingle(now, request, didNotRun)
 	default:
@@ -150,18 +152,18 @@
 	case *pb.Frame_WorkloadEnded:
 		c.handleWorkloadEnded(now, body.WorkloadEnded)
 	}
-	c.wake()
+	c.scheduleWake()
 }
 
-// handleHello handles an allocator's hello. Workloads that it placed and does not list are lost, unless it is a new
-// incarnation, which may not have recovered all of them yet.
+// handleHello handles an allocator's hello. Workloads that the allocator placed and the hello does not list are lost,
+// unless the incarnation is new: it may not have recovered all of them yet.
 func (c *Client) handleHello(now placement.Millis, conn transport.ConnID, hello *pb.Hello) {
 	i := c.allocatorOf(conn)
 	session := &c.allocators[i]
 	sameIncarnation := session.incarnation == hello.Incarnation
 	session.ready = true
 	session.incarnation = hello.Incarnation
-	reported := c.withdrawUnknown(conn, hello.RunningWorkloads)
+	reported := c.withdrawStale(conn, hello.RunningWorkloads)
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		request := c.requests[id]
 		if !request.placed || request.allocator != i {
@@ -179,9 +181,9 @@
 	}
 }
 
-// withdrawUnknown withdraws the requests of running workloads that the client no longer wants: it withdrew them while
-// the allocator was disconnected. It returns the IDs of all requests that the workloads belong to.
-func (c *Client) withdrawUnknown(conn transport.ConnID, running []*pb.RunningWorkload) map[uint64]bool {
+// withdrawStale withdraws the requests of running workloads that the client withdrew while it was disconnected from the
+// allocator. It returns the request IDs of all running workloads.
+func (c *Client) withdrawStale(conn transport.ConnID, running []*pb.RunningWorkload) map[uint64]bool {
 	reported := map[uint64]bool{}
 	for _, workload := range running {
 		id := workload.Offer.Request.RequestId
@@ -212,7 +214,7 @@
 	}
 }
 
-// PendingRequests returns the number of requests that wait for an answer.
+// PendingRequests returns the number of unanswered requests.
 func (c *Client) PendingRequests() int {
 	count := 0
 	for _, request := range c.requests {
--- a/internal/simulation/emulator/client_demand.go
+++ b/internal/simulation/emulator/client_demand.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	quickWithdrawal = placement.Millis(40)   // longest delay in ms of a withdrawal right after a request
-	maxInterval     = placement.Millis(60e3) // longest interval in ms between new requests
-	minRate         = 1e-6                   // requests a second; keeps an interval finite
-	lifetimeSigma   = 0.8                    // of the logarithm of lifetimes
+	maxEarlyWithdrawal = placement.Millis(40)   // longest delay in ms of an early withdrawal
+	maxInterval        = placement.Millis(60e3) // longest interval in ms between new requests
+	minRate            = 1e-6                   // requests per second; keeps intervals finite
+	lifetimeSigma      = 0.8                    // standard deviation of the logarithm of a lifetime
 )
 
 // Parameters of the 64-bit FNV-1a hash.
@@ -21,7 +21,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// Want is a single workload as its client wanted it.
+// Want is a single workload that a client requested, and the period in which the client wanted it to run.
 type Want struct {
 	From    placement.Millis
 	Until   placement.Millis
@@ -31,13 +31,13 @@
 	Memory  float64
 }
 
-// demandSource draws what a client wants. It has a random source of its own, so that the demand does not depend on what
-// happens to earlier requests.
+// demandSource draws the demand of a client. It has its own random source, so that the demand does not depend on the
+// outcome of earlier requests.
 type demandSource struct {
 	model   *scenario.ClientModel
 	rng     *rand.Rand
 	client  uint64 // index of the client
-	lastKey uint64 // of the workload keys in use
+	lastKey uint64 // sequence number of the last workload key
 }
 
 func newDemandSource(model *scenario.ClientModel, index int, seed uint64) demandSource {
@@ -48,13 +48,13 @@
 	}
 }
 
-// interval draws the time until the next request of a Poisson process with that rate a second.
+// interval draws the time until the next request of a Poisson process, at most maxInterval. The rate is per second.
 func (s *demandSource) interval(rate float64) placement.Millis {
 	return min(maxInterval, placement.Millis(s.rng.ExpFloat64()*1000/max(minRate, rate)))
 }
 
-// kind draws a kind of demand by its share.
-func (s *demandSource) kind() *scenario.Demand {
+// drawGroup draws the demand of one priority group. The probability of a group is its share.
+func (s *demandSource) drawGroup() *scenario.Demand {
 	quantile := s.rng.Float64()
 	sum := 0.0
 	for i := range s.model.Demand {
@@ -65,19 +65,19 @@
 	return &s.model.Demand[len(s.model.Demand)-1]
 }
 
-// lifetime draws a lifetime from a log-normal distribution whose mean is the lifetime of the demand.
+// lifetime draws a lifetime from a log-normal distribution whose mean is demand.Lifetime.
 func (s *demandSource) lifetime(demand *scenario.Demand) placement.Millis {
 	factor := math.Exp(s.rng.NormFloat64()*lifetimeSigma - lifetimeSigma*lifetimeSigma/2)
 	return max(minRemaining, demand.Lifetime*placement.Millis(factor))
 }
 
-// withdrawal draws whether a workload is withdrawn, and after what time. Half of the withdrawals come so early that the
-// answer may still be in transit.
+// withdrawal draws whether and after which delay a workload is withdrawn. Half of the withdrawals are early: the answer
+// may still be in transit.
 func (s *demandSource) withdrawal(demand *scenario.Demand) (delay placement.Millis, withdrawn bool) {
 	if s.rng.Float64() >= s.model.WithdrawShare {
 		return 0, false
 	}
-	within := quickWithdrawal
+	within := maxEarlyWithdrawal
 	if s.rng.IntN(2) == 0 {
 		within = demand.Lifetime
 	}
@@ -90,7 +90,7 @@
 	return s.client<<40 | s.lastKey
 }
 
-// newKeys returns that many unused workload keys.
+// newKeys returns count unused workload keys.
 func (s *demandSource) newKeys(count int) (keys []uint64) {
 	for range count {
 		keys = append(keys, s.newKey())
@@ -104,7 +104,7 @@
 		return
 	}
 	c.timers.Schedule(now+c.requestInterval(), c.requestNext)
-	demand := c.demand.kind()
+	demand := c.demand.drawGroup()
 	service := c.demand.rng.IntN(demand.Services)
 	request := &clientRequest{
 		key:     c.demand.newKey(),
@@ -124,7 +124,7 @@
 	return c.demand.interval(c.model.Rate * c.RateFactor)
 }
 
-// recordWant records a workload that is wanted for the first time.
+// recordWant adds a workload to the tally before its first request.
 func (c *Client) recordWant(now placement.Millis, request *clientRequest) {
 	request.want = &Want{
 		From:    now,
@@ -137,7 +137,7 @@
 	c.Tally.Wants = append(c.Tally.Wants, request.want)
 }
 
-// serviceID returns the ID of a service, the same at all clients: an FNV-1a hash of the group and the index.
+// serviceID returns the ID of a service, an FNV-1a hash of the group and the index. It is the same for all clients.
 func serviceID(group string, index int) uint64 {
 	hash := uint64(fnvOffset)
 	for _, b := range []byte(group) {
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// gangStopTimeout is how long, in ms, a client that requests parts independently waits for all of them before it
-	// stops the others.
+	// gangStopTimeout is the time in ms after which a client that requests parts independently stops the parts of an
+	// incomplete gang.
 	gangStopTimeout = placement.Millis(5e3)
-	// eagerRetryDelay is the time in ms between attempts of a client that retries gangs until they are placed.
+	// eagerRetryDelay is the delay in ms before a retry with the policy UntilPlaced.
 	eagerRetryDelay = placement.Millis(100)
-	// gangWithdrawalPeriod divides a gang's lifetime: withdrawals come within the first part of it.
-	gangWithdrawalPeriod = 4
-	// gangAttemptPeriod is for how many pending timeouts after the first request a gang is requested.
+	// gangWithdrawalDivisor divides a gang's lifetime: withdrawals fall into the first of the resulting parts.
+	gangWithdrawalDivisor = 4
+	// gangAttemptPeriod is the period after the first request in which attempts start, in pending timeouts.
 	gangAttemptPeriod = 2
 )
 
-// clientGang is a gang that a client wants.
+// clientGang is a gang that a client requests.
 type clientGang struct {
 	demand      *scenario.GangDemand
-	keys        []uint64 // workload key of each part, of the last attempt
+	keys        []uint64 // workload keys of the parts in the last attempt
 	service     uint64
 	requestedAt placement.Millis // time of the first request
 	until       placement.Millis // no attempt starts after this time
 	attempts    int
 	started     bool
-	placed      map[int]*clientRequest // placed parts, if they are requested independently
+	placed      map[int]*clientRequest // placed parts by index, if parts are requested independently
 	ended       bool
 }
 
@@ -78,8 +78,8 @@
 // atMostOnce reports whether parts that may have run must not be requested again.
 func (g *clientGang) atMostOnce() bool { return g.demand.Idempotency == placement.AtMostOnce }
 
-// requestGang sends one request for a whole gang. Each attempt has new keys, as parts of an earlier one may still run;
-// parts that may run at most once keep theirs.
+// requestGang sends one request for a whole gang. Each attempt has new keys, as parts of an earlier attempt may still
+// run. At-most-once parts keep their keys.
 func (c *Client) requestGang(now placement.Millis, gang *clientGang) {
 	connected := c.connectedAllocators()
 	if len(connected) == 0 {
@@ -103,12 +103,12 @@
 	c.network.Send(request.conn, &pb.Frame{Body: &pb.Frame_GangRequest{GangRequest: message}})
 	c.scheduleAnswerTimeout(now, demand.PendingTimeout, id, request)
 	if c.rng.Float64() < c.model.WithdrawShare {
-		delay := placement.Millis(c.rng.Float64()) * demand.Lifetime / gangWithdrawalPeriod
+		delay := placement.Millis(c.rng.Float64()) * demand.Lifetime / gangWithdrawalDivisor
 		c.timers.Schedule(now+delay, func(placement.Millis) { c.withdrawGang(id, request) })
 	}
 }
 
-// message returns the request for the whole gang.
+// message returns the message that requests the whole gang.
 func (g *clientGang) message(now placement.Millis, id uint64) *pb.GangRequest {
 	message := &pb.GangRequest{
 		RequestId:        id,
@@ -135,20 +135,20 @@
 	c.abandonGang(request.gang)
 }
 
-// handleGangPlaced handles the answer that a gang, or one of its independently requested parts, is placed.
+// handleGangPlaced handles the placement of a gang or of an independently requested part.
 func (c *Client) handleGangPlaced(now placement.Millis, request *clientRequest) {
 	gang := request.gang
-	request.requestedAt = now // from here on it holds capacity
+	request.requestedAt = now // it holds capacity from now on
 	gang.placed[request.part] = request
 	if c.model.GangPolicy == scenario.Independent {
 		c.checkGangComplete(now, gang)
 		return
 	}
-	c.gangStarted(now, gang)
+	c.recordGangStart(now, gang)
 }
 
-// gangStarted counts the start of a gang once.
-func (c *Client) gangStarted(now placement.Millis, gang *clientGang) {
+// recordGangStart records the start of a gang in the tally, once for each gang.
+func (c *Client) recordGangStart(now placement.Millis, gang *clientGang) {
 	if gang.started {
 		return
 	}
@@ -157,7 +157,8 @@
 	c.Tally.GangWaits = append(c.Tally.GangWaits, float64(now-gang.requestedAt))
 }
 
-// retryGang requests a gang again while there is time.
+// retryGang schedules the next attempt for a gang. It abandons a gang whose attempt period is over, and an
+// at-most-once gang that may have run.
 func (c *Client) retryGang(now placement.Millis, request *clientRequest, prior priorRun) {
 	gang := request.gang
 	if c.model.GangPolicy == scenario.Independent {
@@ -183,7 +184,7 @@
 	gang.ended = true
 }
 
-// requestParts requests each part independently, and stops them if the gang is incomplete after a timeout.
+// requestParts requests each part independently, and stops them if the gang is incomplete after gangStopTimeout.
 func (c *Client) requestParts(now placement.Millis, gang *clientGang) {
 	gang.keys = c.demand.newKeys(gang.demand.Parts)
 	for i := range gang.demand.Parts {
@@ -225,17 +226,18 @@
 	c.timers.Schedule(now+c.model.RetryDelay, retry)
 }
 
-// checkGangComplete starts a gang once enough of its independently requested parts are placed.
+// checkGangComplete records the start of a gang once MinParts of its independently requested parts are placed.
 func (c *Client) checkGangComplete(now placement.Millis, gang *clientGang) {
 	if gang.started || len(gang.placed) < gang.demand.MinParts {
 		return
 	}
 	cores := gang.demand.Shape[0]
 	c.Tally.Used += float64(gang.demand.Lifetime) / 1000 * cores * float64(len(gang.placed))
-	c.gangStarted(now, gang)
+	c.recordGangStart(now, gang)
 }
 
-// stopIncompleteGang stops the parts of an incomplete gang, and requests the gang again while there is time.
+// stopIncompleteGang stops the parts of an incomplete gang. It requests them again, unless they are at-most-once or the
+// attempt period is over.
 func (c *Client) stopIncompleteGang(now placement.Millis, gang *clientGang) {
 	if gang.started || gang.ended {
 		return
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// RetryAfterUnknown is how long a client waits before it retries a workload that may have run, in ms.
+	// RetryAfterUnknown is the least delay in ms before a retry of a workload that may have run and is idempotent by key.
 	RetryAfterUnknown = placement.Millis(3e3)
-	noAllocatorDelay  = placement.Millis(200) // ms after which a client without an allocator tries again
-	minRemaining      = placement.Millis(500) // ms of remaining lifetime below which a workload is not requested again
+	noAllocatorDelay  = placement.Millis(200) // delay in ms before a client without a connected allocator tries again
+	minRemaining      = placement.Millis(500) // remaining lifetime in ms below which a workload is not requested again
 )
 
-// A mean delay is drawn evenly from minDelayShare of it to delayShareRange more.
+// Retry delays are uniformly distributed between minDelayFactor and minDelayFactor + delayFactorRange times their mean.
 const (
-	minDelayShare   = 0.75
-	delayShareRange = 0.5
+	minDelayFactor   = 0.75
+	delayFactorRange = 0.5
 )
 
-// priorRun says whether the last attempt may have run the workload.
+// priorRun is whether the workload may have run in the last attempt.
 type priorRun bool
 
 const (
@@ -31,28 +31,28 @@
 	mayHaveRun priorRun = true
 )
 
-// clientRequest is a workload or gang that a client wants. It has more than ten fields, as retries of single workloads,
-// gangs and independently requested parts have most of them in common.
+// clientRequest is a workload, gang or gang part that a client requests. It has more than ten fields, as retries of
+// single workloads, gangs and independently requested parts share most of them.
 type clientRequest struct {
 	key               uint64
 	service           uint64
 	demand            *scenario.Demand // nil for gangs
 	shape             [2]float64       // cores and memory
-	endsAt            placement.Millis // of its lifetime
+	endsAt            placement.Millis // end of the lifetime
 	want              *Want
 	withdrawn         bool
 	attempts          int
 	requiredAllocator int // the only allocator that may be used, counted from 1; 0 for any
 	clientAttempt
-	gang *clientGang // of which it is a part, or nil
-	part int         // index in the gang
+	gang *clientGang // the requested gang, or the part's gang; nil for single workloads
+	part int         // index of the part in the gang
 }
 
 // clientAttempt is the last attempt of a request.
 type clientAttempt struct {
 	requestedAt placement.Millis
-	conn        transport.ConnID // over which it was sent, or over which its allocator confirmed it last
-	allocator   int              // index
+	conn        transport.ConnID // connection of the request, or of the last hello that listed its workload
+	allocator   int              // index in Client.allocators
 	placed      bool
 }
 
@@ -125,13 +125,13 @@
 
 // addRequest adds an open request and returns its ID.
 func (c *Client) addRequest(request *clientRequest) uint64 {
-	c.lastRequest++
-	c.requests[c.lastRequest] = request
+	c.lastRequestID++
+	c.requests[c.lastRequestID] = request
 	c.Tally.Requests++
-	return c.lastRequest
+	return c.lastRequestID
 }
 
-// scheduleAnswerTimeout gives an allocator the pending timeout, and some slack for the network, to answer a request.
+// scheduleAnswerTimeout schedules a request's timeout: the pending timeout, plus the model's slack for the network.
 func (c *Client) scheduleAnswerTimeout(now, timeout placement.Millis, id uint64, request *clientRequest) {
 	timedOut := func(now placement.Millis) { c.answerTimedOut(now, id, request) }
 	c.timers.Schedule(now+timeout+c.model.AnswerSlack, timedOut)
@@ -160,7 +160,7 @@
 	c.retry(now, request, prior)
 }
 
-// handlePlaced handles the answer that a gang, a part of one or a single workload is placed.
+// handlePlaced handles the placement of a gang, a gang part or a single workload.
 func (c *Client) handlePlaced(now placement.Millis, request *clientRequest) {
 	if request.gang != nil {
 		c.handleGangPlaced(now, request)
@@ -172,7 +172,7 @@
 	c.Tally.Waits = append(c.Tally.Waits, float64(now-request.requestedAt))
 }
 
-// answerTimedOut withdraws and retries a request that has no answer.
+// answerTimedOut withdraws and retries a request that is still unanswered.
 func (c *Client) answerTimedOut(now placement.Millis, id uint64, request *clientRequest) {
 	if c.requests[id] != request || request.placed {
 		return
@@ -182,7 +182,7 @@
 	c.retry(now, request, mayHaveRun)
 }
 
-// retry retries a gang, a part of one or a single workload.
+// retry retries a gang, a gang part or a single workload.
 func (c *Client) retry(now placement.Millis, request *clientRequest, prior priorRun) {
 	if request.gang != nil {
 		c.retryGang(now, request, prior)
@@ -191,8 +191,8 @@
 	c.retrySingle(now, request, prior)
 }
 
-// retrySingle requests a workload again while enough of its lifetime remains. One that may have run is retried only if
-// it is idempotent; by key only after a delay.
+// retrySingle schedules the next attempt for a workload, if attempts and minRemaining of its lifetime are left. A
+// workload that may have run is retried only if it is idempotent; by key, after RetryAfterUnknown at the earliest.
 func (c *Client) retrySingle(now placement.Millis, request *clientRequest, prior priorRun) {
 	wait := c.drawRetryDelay()
 	if prior == mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
@@ -209,10 +209,10 @@
 
 // drawRetryDelay draws the delay before a retry.
 func (c *Client) drawRetryDelay() placement.Millis {
-	return c.model.RetryDelay * placement.Millis(minDelayShare+c.rng.Float64()*delayShareRange)
+	return c.model.RetryDelay * placement.Millis(minDelayFactor+c.rng.Float64()*delayFactorRange)
 }
 
-// withdraw ends a workload that is no longer wanted, pending or placed.
+// withdraw withdraws a workload, pending or placed, and prevents further attempts.
 func (c *Client) withdraw(now placement.Millis, request *clientRequest) {
 	request.withdrawn = true
 	if request.want != nil {
@@ -226,7 +226,7 @@
 	}
 }
 
-// countWithdrawal counts the withdrawal of a request that has no answer yet.
+// countWithdrawal counts the withdrawal of an unanswered request.
 func (c *Client) countWithdrawal(request *clientRequest) {
 	if !request.placed {
 		c.Tally.Withdrawn++
@@ -239,7 +239,7 @@
 	c.network.Send(request.conn, withdrawFrame(id))
 }
 
-// Restart stops a share of the client's services and requests all their workloads again, within the given time.
+// Restart stops a share of the client's services, and requests each of their workloads again within the given time.
 func (c *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
 	restarted := map[*clientRequest]bool{}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
@@ -263,10 +263,10 @@
 			}
 		})
 	}
-	c.wake()
+	c.scheduleWake()
 }
 
-// restartable reports whether a request is for a single workload of a service among that share of all services.
+// restartable reports whether a request is for a single workload, and its service is in the given share of services.
 func (r *clientRequest) restartable(share float64) bool {
 	return !r.withdrawn && r.gang == nil && serviceQuantile(r.service+restartSalt) < share
 }
--- a/internal/simulation/emulator/client_test.go
+++ b/internal/simulation/emulator/client_test.go
@@ -14,7 +14,7 @@
 // clientConn is the connection of the client under test: the one that fakeNetwork dials.
 const clientConn = 1
 
-// newTestClient returns a client that is connected to one allocator, and that has sent one request.
+// newTestClient returns a client that is connected to one allocator and has sent one request.
 func newTestClient(t *testing.T, idempotency placement.Idempotency) (*Client, *fakeNetwork, *pb.PlaceRequest) {
 	t.Helper()
 	model := &scenario.ClientModel{
@@ -27,7 +27,7 @@
 			PendingTimeout: 1000,
 			Idempotency:    idempotency,
 		}},
-		Until:       1e6, // without a rate, the next new request comes at maxInterval
+		Until:       1e6, // without a rate, the next new request is sent at maxInterval
 		RetryDelay:  100,
 		MaxAttempts: 3,
 		AnswerSlack: 10,
@@ -39,13 +39,13 @@
 	client.Opened(0, clientConn)
 	client.Received(0, clientConn, helloOf(allocatorIncarnation))
 	client.requestNext(0)
-	client.wake()
+	client.scheduleWake()
 	requests := network.placeRequests()
 	require.Len(t, requests, 1)
 	return client, network, requests[0]
 }
 
-// helloOf returns the hello of an incarnation of the allocator, which runs no workloads.
+// helloOf returns the hello of an allocator incarnation that lists no running workloads.
 func helloOf(incarnation uint64) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_Hello{Hello: &pb.Hello{
 		Role:        pb.Role_ALLOCATOR,
@@ -58,7 +58,7 @@
 	return &pb.Frame{Body: &pb.Frame_Answer{Answer: &pb.Answer{RequestId: requestID, Verdict: verdict}}}
 }
 
-// placeRequests returns the requests that were sent, and forgets the frames sent.
+// placeRequests returns the requests that were sent since the last call, and clears the sent frames.
 func (n *fakeNetwork) placeRequests() (requests []*pb.PlaceRequest) {
 	for _, f := range n.sent {
 		if request := f.GetPlaceRequest(); request != nil {
--- a/internal/simulation/emulator/discovery.go
+++ b/internal/simulation/emulator/discovery.go
@@ -11,11 +11,11 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// callCost is the fixed cost of a poll, in entries.
-const callCost = 40
+// pollCost is the fixed cost of a poll's answer, in entries.
+const pollCost = 40
 
 // DiscoveryService emulates the discovery service: nodes register with it, and allocators poll it or subscribe. It has
-// more than ten fields, as faults change registrations, polls and updates alike.
+// more than ten fields, as faults affect registrations, polls and updates.
 type DiscoveryService struct {
 	model *scenario.DiscoveryModel
 	epoch uint64
@@ -32,14 +32,14 @@
 	ExtraLag placement.Millis // added to the time until a registration takes effect; set by faults
 }
 
-// subscriber is a connection to the service. Only a watching one receives updates as they occur.
+// subscriber is a connection to the service. Updates are pushed to it only if it is watching.
 type subscriber struct {
 	helloReceived bool
 	watching      bool
-	revision      uint64 // of the last update sent
+	revision      uint64 // revision of the last update sent
 }
 
-// watch has the subscriber receive the changes after a revision.
+// watch subscribes the connection to the changes after a revision.
 func (s *subscriber) watch(revision uint64) {
 	s.watching = true
 	s.revision = revision
@@ -47,8 +47,8 @@
 
 // pollQueue holds the polls that have not been answered.
 type pollQueue struct {
-	waiting []queuedPoll
-	busy    bool // an answer is being sent
+	queued []queuedPoll
+	busy   bool // an answer is being sent
 }
 
 // queuedPoll is a poll that has not been answered.
@@ -58,19 +58,19 @@
 	arrived placement.Millis
 }
 
-// staleness is a fault: changes are deferred while it lasts.
+// staleness is a fault that defers changes while it is active.
 type staleness struct {
 	active   bool
-	deferred []func() // changes, in the order of their arrival
+	deferred []func() // changes in order of arrival
 }
 
-// misreport is a fault: updates differ from what nodes registered.
+// misreport is a fault that makes updates differ from the registrations of nodes.
 type misreport struct {
 	capacityFactor float64 // multiplies the free capacity; 0 for no change
 	empty          bool    // updates list no nodes
 }
 
-// NewDiscoveryService returns a service that knows no nodes.
+// NewDiscoveryService returns a service without registered nodes.
 func NewDiscoveryService(model *scenario.DiscoveryModel, epoch uint64) *DiscoveryService {
 	return &DiscoveryService{
 		model:       model,
@@ -86,7 +86,7 @@
 func (s *DiscoveryService) Start(now placement.Millis, network transport.FrameNetwork) {
 	s.network = network
 	s.timers.Schedule(now+s.model.PushInterval, s.push)
-	s.wake()
+	s.scheduleWake()
 }
 
 // Opened implements transport.FrameHandler.
@@ -94,8 +94,8 @@
 	s.subscribers[conn] = &subscriber{}
 }
 
-// Closed implements transport.FrameHandler. A node is removed after a delay unless it registers over another connection
-// meanwhile.
+// Closed implements transport.FrameHandler. A node is removed after the model's RemovalDelay, unless it has registered
+// over another connection by then.
 func (s *DiscoveryService) Closed(now placement.Millis, conn transport.ConnID, _ error) {
 	delete(s.subscribers, conn)
 	if id, ok := s.nodeByConn[conn]; ok {
@@ -104,7 +104,7 @@
 			s.applyOrDefer(func() { s.registry.remove(id, conn) })
 		})
 	}
-	s.wake()
+	s.scheduleWake()
 }
 
 // Received implements transport.FrameHandler.
@@ -120,14 +120,14 @@
 			s.applyOrDefer(func() { s.registry.register(now, conn, entry) })
 		})
 	case f.GetNodeListRequest() != nil:
-		s.polls.waiting = append(s.polls.waiting, queuedPoll{
+		s.polls.queued = append(s.polls.queued, queuedPoll{
 			from:    conn,
 			request: f.GetNodeListRequest(),
 			arrived: now,
 		})
-		s.serve(now)
+		s.servePolls(now)
 	}
-	s.wake()
+	s.scheduleWake()
 }
 
 // handshake handles the first frame of a connection.
@@ -198,15 +198,16 @@
 	s.staleness.deferred = nil
 }
 
-// Misreport has the service multiply the free capacity of nodes, or list no nodes at all. Subscribers receive that with
-// the next push.
+// Misreport multiplies the free capacity of nodes in updates by a factor, unless it is 0, or makes updates list no
+// nodes. Subscribers receive the change with the next push.
 func (s *DiscoveryService) Misreport(factor float64, empty bool) {
 	s.misreport.capacityFactor = factor
 	s.misreport.empty = empty
 	s.registry.touchAll()
 }
 
-// push sends each watching subscriber the changes since its last update. Those at the same revision get the same frame.
+// push sends each watching subscriber the changes since its last update. One frame serves all subscribers at the same
+// revision.
 func (s *DiscoveryService) push(now placement.Millis) {
 	revision := s.registry.revision
 	frames := map[uint64]*pb.Frame{}
@@ -224,12 +225,12 @@
 	s.timers.Schedule(now+s.model.PushInterval, s.push)
 }
 
-// serve answers polls in order, one at a time, at the rate of the model. Polls that waited too long fail, those of lost
-// connections are dropped.
-func (s *DiscoveryService) serve(now placement.Millis) {
-	for !s.polls.busy && len(s.polls.waiting) > 0 {
-		poll := s.polls.waiting[0]
-		s.polls.waiting = s.polls.waiting[1:]
+// servePolls answers queued polls in order, one at a time. Polls that were queued for longer than CallTimeout fail, and
+// polls of closed connections are dropped.
+func (s *DiscoveryService) servePolls(now placement.Millis) {
+	for !s.polls.busy && len(s.polls.queued) > 0 {
+		poll := s.polls.queued[0]
+		s.polls.queued = s.polls.queued[1:]
 		sub := s.subscribers[poll.from]
 		switch {
 		case sub == nil:
@@ -245,7 +246,7 @@
 	}
 }
 
-// answerPoll begins to send the answer to a poll. The next one is served once it is sent.
+// answerPoll schedules the answer to a poll after its send duration. The next poll is served after that.
 func (s *DiscoveryService) answerPoll(now placement.Millis, sub *subscriber, poll queuedPoll) {
 	answer := s.pollUpdate(now, poll.request)
 	duration := s.sendDuration(len(answer.GetNodeListUpdate().Entries))
@@ -256,12 +257,12 @@
 	s.timers.Schedule(now+duration, func(now placement.Millis) {
 		s.polls.busy = false
 		s.network.Send(poll.from, answer)
-		s.serve(now)
+		s.servePolls(now)
 	})
 }
 
-// pollUpdate returns the answer to a poll: changes where the poller subscribes and its revision is of this epoch, else
-// a snapshot.
+// pollUpdate returns the answer to a poll: a delta if the poll subscribes and its revision is of this epoch, else a
+// snapshot.
 func (s *DiscoveryService) pollUpdate(now placement.Millis, poll *pb.NodeListRequest) *pb.Frame {
 	if poll.Epoch != s.epoch || !poll.Watch || poll.Revision > s.registry.revision {
 		return s.newUpdate(now, pb.NodeListUpdate_SNAPSHOT, 0)
@@ -269,10 +270,10 @@
 	return s.newUpdate(now, pb.NodeListUpdate_DELTA, poll.Revision)
 }
 
-// sendDuration returns the time that an answer with that many entries takes, or 0 if the model sets no rate.
+// sendDuration returns the time in ms to send an answer, or 0 if the model does not limit the rate of entries.
 func (s *DiscoveryService) sendDuration(entries int) placement.Millis {
 	if s.model.EntriesPerSecond <= 0 {
 		return 0
 	}
-	return placement.Millis(math.Ceil(float64(callCost+entries) / s.model.EntriesPerSecond * 1000 * s.Slowdown))
+	return placement.Millis(math.Ceil(float64(pollCost+entries) / s.model.EntriesPerSecond * 1000 * s.Slowdown))
 }
--- a/internal/simulation/emulator/discovery_registry.go
+++ b/internal/simulation/emulator/discovery_registry.go
@@ -6,16 +6,16 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// nodeRegistry holds the registered nodes. Each change has a revision of its own.
+// nodeRegistry holds the registered nodes. Each change increments the revision.
 type nodeRegistry struct {
 	records  map[uint32]*nodeRecord // by node ID
-	revision uint64                 // of the last change
+	revision uint64                 // revision of the last change
 }
 
 // nodeRecord is the registered state of a node.
 type nodeRecord struct {
 	pb.NodeEntry
-	since    placement.Millis // when UpForMs was reported
+	uptimeAt placement.Millis // time at which UpForMs was reported
 	revision uint64
 	conn     transport.ConnID
 }
@@ -32,12 +32,12 @@
 		return
 	}
 	record.set(entry)
-	record.since = at
+	record.uptimeAt = at
 	record.conn = conn
 	r.changed(record)
 }
 
-// remove marks a node as removed, unless it registered over another connection.
+// remove marks a node as removed, unless it has registered over another connection.
 func (r *nodeRegistry) remove(id uint32, conn transport.ConnID) {
 	if record := r.records[id]; record != nil && record.conn == conn {
 		record.State = pb.NodeEntry_REMOVED
@@ -45,13 +45,13 @@
 	}
 }
 
-// changed gives a record the next revision.
+// changed assigns the next revision to a record.
 func (r *nodeRegistry) changed(record *nodeRecord) {
 	r.revision++
 	record.revision = r.revision
 }
 
-// touchAll gives all records one new revision.
+// touchAll assigns one new revision to all records.
 func (r *nodeRegistry) touchAll() {
 	r.revision++
 	for _, record := range r.records {
@@ -59,14 +59,14 @@
 	}
 }
 
-// isUnchanged reports whether an entry states what the record holds, over the same connection.
+// isUnchanged reports whether an entry has the record's connection, incarnation, state and free capacity.
 func (r *nodeRecord) isUnchanged(conn transport.ConnID, entry *pb.NodeEntry) bool {
 	return r.Id != 0 && r.conn == conn &&
 		r.Incarnation == entry.Incarnation && r.State == entry.State &&
 		r.FreeCores == entry.FreeCores && r.FreeMemory == entry.FreeMemory
 }
 
-// set copies the fields of an entry, which must not be copied as a whole.
+// set copies an entry field by field, as a protobuf message must not be copied by assignment.
 func (r *nodeRecord) set(entry *pb.NodeEntry) {
 	r.Id = entry.Id
 	r.State = entry.State
@@ -80,11 +80,11 @@
 	r.FreeMemory = entry.FreeMemory
 }
 
-// entryAt returns the record as it is sent: with its uptime as of now, and its free capacity multiplied by a factor.
+// entryAt returns the entry to send: the uptime is as of now, and the free capacity is multiplied by a factor.
 func (r *nodeRecord) entryAt(now placement.Millis, capacityFactor float64) *pb.NodeEntry {
 	uptime := r.UpForMs
 	if uptime >= 0 {
-		uptime += float64(now - r.since)
+		uptime += float64(now - r.uptimeAt)
 	}
 	return &pb.NodeEntry{
 		Id:          r.Id,
--- a/internal/simulation/emulator/discovery_test.go
+++ b/internal/simulation/emulator/discovery_test.go
@@ -10,10 +10,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// nodeConn is the connection of the node that registers.
+// nodeConn is the connection of the registering node.
 const nodeConn = transport.ConnID(1)
 
-// newTestDiscovery returns a service that has started, and to which a node of four cores has registered.
+// newTestDiscovery returns a started service with one registered node of four cores.
 func newTestDiscovery() *DiscoveryService {
 	service := newEmptyDiscovery()
 	service.registry.register(0, nodeConn, testEntry(pb.NodeEntry_READY))
@@ -56,14 +56,14 @@
 	assert.Equal(t, pb.NodeEntry_DRAINING, service.listed()[0].State)
 }
 
-func TestDiscoveryService_Misreport_ChangesWhatIsListed(t *testing.T) {
+func TestDiscoveryService_Misreport_ChangesListedNodes(t *testing.T) {
 	service := newTestDiscovery()
 	service.Misreport(3, false)
 	assert.InDelta(t, 12.0, service.listed()[0].FreeCores, 0)
 	before := service.registry.revision
 	service.Misreport(1, true)
 	assert.Empty(t, service.listed())
-	assert.Greater(t, service.registry.revision, before, "subscribers receive the change")
+	assert.Greater(t, service.registry.revision, before, "the revision must grow, so that subscribers receive the change")
 }
 
 func TestDiscoveryService_ExtraLag_DelaysRegistration(t *testing.T) {
@@ -74,7 +74,7 @@
 	entry := &pb.NodeEntry{Id: 7, State: pb.NodeEntry_READY}
 	service.Received(0, nodeConn, &pb.Frame{Body: &pb.Frame_Register{Register: entry}})
 	service.Wake(400)
-	assert.Empty(t, service.registry.records, "the registration takes effect later")
+	assert.Empty(t, service.registry.records, "registration applied before the extra lag")
 	service.Wake(501)
 	assert.Len(t, service.registry.records, 1)
 }
--- a/internal/simulation/emulator/fake_network_test.go
+++ b/internal/simulation/emulator/fake_network_test.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// fakeNetwork is the network of one handler under test.
+// fakeNetwork records the sent frames and the wake-up time of one handler under test.
 type fakeNetwork struct {
 	now  placement.Millis
 	wake placement.Millis
@@ -23,7 +23,7 @@
 func (n *fakeNetwork) WakeAt(t placement.Millis) { n.wake = t }
 func (n *fakeNetwork) Now() placement.Millis     { return n.now }
 
-// run wakes a handler at each time that it asked for, up to a time.
+// run wakes a handler at each wake-up time that it sets, up to until, and advances the clock to until.
 func (n *fakeNetwork) run(handler interface{ Wake(now placement.Millis) }, until placement.Millis) {
 	for n.wake <= until {
 		n.now = n.wake
@@ -32,7 +32,7 @@
 	n.now = until
 }
 
-// offerAnswers returns the node's answers to offers as text, and forgets the frames sent.
+// offerAnswers returns the node's answers to offers as text since the last call, and clears the sent frames.
 func (n *fakeNetwork) offerAnswers() (all []string) {
 	for _, f := range n.sent {
 		if a := f.GetOfferReply(); a != nil {
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -1,5 +1,4 @@
-// Package emulator provides stand-ins for the processes that allocators talk to: nodes, clients and the discovery
-// service.
+// Package emulator emulates the peers of allocators: nodes, clients and the discovery service.
 package emulator
 
 import (
@@ -14,25 +13,25 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// reconnectDelay is the time in ms after which a node dials a lost discovery service again.
+// reconnectDelay is the delay in ms before a node redials the discovery service after a lost connection.
 const reconnectDelay = placement.Millis(500)
 
-// unknownUptime is what a node reports that does not know when it started.
+// unknownUptime is the uptime that a node reports if its start time is unknown.
 const unknownUptime = -1
 
-// nodeName is the name of every node in its hellos, which tell nodes apart by their IDs.
+// nodeName is the name in the hellos of all nodes. The ID in a hello identifies the node.
 const nodeName = "node"
 
-// errNotAllocator rejects a hello that is not an allocator's.
+// errNotAllocator rejects a hello whose role is not allocator.
 var errNotAllocator = errors.New("a node serves allocators")
 
-// Node emulates a machine: it admits offers one after the other, starts and ends tasks, and reports its load. Faults
-// set its NodeFaults, on its goroutine. It has more than ten fields as these steps share timers and one set of tasks.
+// Node emulates a machine: it admits offers one at a time, starts and ends tasks, and reports its load. Faults set its
+// NodeFaults on its goroutine. It has more than ten fields, as these steps share the timers and the tasks.
 type Node struct {
 	spec        *NodeSpec
 	model       *scenario.NodeModel
 	incarnation uint64
-	startedAt   placement.Millis // placement.DistantPast if it is not known
+	startedAt   placement.Millis // placement.DistantPast if unknown
 	process
 
 	discovery  transport.ConnID
@@ -48,10 +47,10 @@
 	NodeHooks
 }
 
-// NodeHooks are called, if not nil, by a node on its goroutine.
+// NodeHooks are callbacks, each of which may be nil. A node calls them on its goroutine.
 type NodeHooks struct {
-	OnOverload func()                   // too many offers during warm-up made the node fail
-	OnRunning  func(t *Task, runs bool) // a workload starts or ends
+	OnOverload func()                   // the node fails because of too many offers during warm-up
+	OnRunning  func(t *Task, runs bool) // a task starts to run, or a running task ends
 }
 
 // NodeSpec describes one machine of a run.
@@ -64,7 +63,7 @@
 	Memory        float64
 	DiscoveryAddr string
 	Addr          string
-	CoreTime      float64 // core milliseconds for which single workloads ran while clients sent requests
+	CoreTime      float64 // requested core ms of single workloads that ran while clients sent requests
 }
 
 // NewNode returns a node without workloads. In its first incarnation its uptime is unknown, and it does not warm up.
@@ -90,7 +89,7 @@
 	}
 	n.dialDiscovery(now)
 	n.report(now)
-	n.wake()
+	n.scheduleWake()
 }
 
 // dialDiscovery connects to the discovery service.
@@ -109,7 +108,7 @@
 	} else {
 		n.allocators.opened(conn)
 	}
-	n.wake()
+	n.scheduleWake()
 }
 
 // Closed implements transport.FrameHandler.
@@ -119,23 +118,23 @@
 	} else {
 		n.allocators.closed(conn)
 	}
-	n.wake()
+	n.scheduleWake()
 }
 
 // Received implements transport.FrameHandler. Frames of the discovery service are ignored.
 func (n *Node) Received(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
-	name, known := n.allocators.names[conn]
+	name, accepted := n.allocators.names[conn]
 	switch {
-	case !known:
+	case !accepted:
 	case name == "":
 		n.handshake(now, conn, f)
 	default:
 		n.receivedFromAllocator(now, conn, f)
 	}
-	n.wake()
+	n.scheduleWake()
 }
 
-// receivedFromAllocator handles a frame after the hello.
+// receivedFromAllocator handles a frame that an allocator sent after its hello.
 func (n *Node) receivedFromAllocator(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
 	switch body := f.Body.(type) {
 	case *pb.Frame_Offer:
@@ -148,9 +147,9 @@
 		}
 	case *pb.Frame_HealthCheck:
 		n.enqueue(now, &queuedFrame{
-			healthCheck: body.HealthCheck.Id,
-			from:        conn,
-			arrived:     now,
+			healthCheckID: body.HealthCheck.Id,
+			from:          conn,
+			arrived:       now,
 		})
 	}
 }
@@ -180,7 +179,7 @@
 	}))
 }
 
-// runningWorkloads returns the workloads of an allocator that the node has confirmed to it.
+// runningWorkloads returns an allocator's workloads whose acceptance the node has confirmed.
 func (n *Node) runningWorkloads(allocator string) (workloads []*pb.RunningWorkload) {
 	for _, t := range n.tasks.all {
 		if t.Offer.Bind.Allocator == allocator && (t.running || !n.model.ConfirmsRunning) {
@@ -201,7 +200,7 @@
 	}
 }
 
-// register sends the node's state and unrequested capacity to the discovery service.
+// register sends the node's state to the discovery service, and the capacity that no task has requested.
 func (n *Node) register(now placement.Millis) {
 	cores, memory := n.tasks.requestedCapacity()
 	state := pb.NodeEntry_READY
@@ -232,9 +231,9 @@
 
 // allocatorConns are a node's connections to allocators.
 type allocatorConns struct {
-	names             map[transport.ConnID]string // name of the allocator, "" before its hello
+	names             map[transport.ConnID]string // name of the allocator; "" before its hello
 	byName            map[string]transport.ConnID // the last connection of each allocator
-	latestIncarnation map[string]uint64           // of each allocator, as of its hellos
+	latestIncarnation map[string]uint64           // highest incarnation in each allocator's hellos
 }
 
 func newAllocatorConns() allocatorConns {
@@ -245,7 +244,7 @@
 	}
 }
 
-// opened adds a connection whose hello is awaited.
+// opened adds a connection on which no hello has arrived.
 func (a *allocatorConns) opened(conn transport.ConnID) { a.names[conn] = "" }
 
 // ready records the hello that was received on a connection.
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -9,24 +9,24 @@
 // pacedEvictionInterval is the time in ms between the evictions of a paced drain.
 const pacedEvictionInterval = placement.Millis(300)
 
-// NodeFaults are the faults that a node suffers at present.
+// NodeFaults are the active faults of a node.
 type NodeFaults struct {
 	Slowdown           float64 // multiplies the time of admissions and starts
-	NeighbourShare     float64 // share of the machine that another program takes
+	NeighbourShare     float64 // share of the machine's cores that another program uses
 	ThrottledGroup     string  // group whose offers are rejected without a reason
 	Surge              UsageSurge
-	UnderreportedShare float64 // share of the load that is left out of reports
+	UnderreportedShare float64 // share of the load that reports omit
 	StartsBlocked      bool    // offers are accepted, but nothing is started
 }
 
-// UsageSurge is a fault: some services use far more than they requested.
+// UsageSurge is a fault that multiplies the use of cores and memory by some services.
 type UsageSurge struct {
 	Group  string  // "" for every group
 	Share  float64 // share of the services that surge
-	Factor float64 // multiplies their usual use
+	Factor float64 // multiplies the usual use
 }
 
-// factor returns the factor by which a surge multiplies the use of a task, 1 without a surge.
+// factor returns the factor by which a surge multiplies the use of a task, or 1 if it does not affect the task.
 func (s *UsageSurge) factor(t *Task) float64 {
 	request := t.Offer.Request
 	affected := (s.Group == "" || s.Group == request.Group) && serviceQuantile(request.Service+surgeSalt) < s.Share
@@ -36,7 +36,7 @@
 	return 1
 }
 
-// Drain sets whether the node drains, and announces it.
+// Drain starts or ends a drain, and announces it to the discovery service and, depending on the model, to allocators.
 func (n *Node) Drain(now placement.Millis, draining bool) {
 	n.draining = draining
 	n.register(now)
@@ -48,10 +48,10 @@
 	if draining && n.model.DrainMode != scenario.DrainKeeps {
 		n.evictAll(now)
 	}
-	n.wake()
+	n.scheduleWake()
 }
 
-// evictAll evicts all tasks of a draining node, at once or one by one as its model says.
+// evictAll evicts all tasks of a draining node, together or at intervals, depending on the model's DrainMode.
 func (n *Node) evictAll(now placement.Millis) {
 	for n.draining && len(n.tasks.all) > 0 {
 		n.endTask(now, n.tasks.all[0], pb.Reason_DRAINED)
@@ -66,7 +66,7 @@
 func (n *Node) UnblockStarts(now placement.Millis) {
 	n.StartsBlocked = false
 	n.startNext(now)
-	n.wake()
+	n.scheduleWake()
 }
 
 // DropCachedPrograms drops a share of the cached programs, the least recently used first.
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// What depends on a service's ID is drawn apart for each purpose, by adding a salt to the ID.
+// Salts that are added to a service's ID, so that numbers derived from the ID differ for each purpose.
 const (
 	coreUseSalt   = 0
 	memoryUseSalt = 1
@@ -16,7 +16,7 @@
 	restartSalt   = 3
 )
 
-// minAvailableCores keeps the ratio of demanded to available cores finite.
+// minAvailableCores is the least divisor in the ratio of demanded to available cores. It keeps the ratio finite.
 const minAvailableCores = 0.1
 
 // report evicts tasks while memory is exceeded, measures the load, registers it, and repeats after the report interval.
@@ -29,7 +29,7 @@
 	n.timers.Schedule(now+n.model.ReportInterval, n.report)
 }
 
-// measureLoad returns the present load, less what a fault leaves out.
+// measureLoad returns the present load, less the share that UnderreportedShare omits.
 func (n *Node) measureLoad() *pb.Load {
 	spareCores := n.spec.Cores - n.coresUsed()
 	spareMemory := n.spec.Memory - n.memoryUsed()
@@ -55,7 +55,7 @@
 	measuredAt placement.Millis
 }
 
-// at returns the load with its age at a time, or nil before the first measurement.
+// at returns the load with its age as of now, or nil before the first measurement.
 func (r loadReport) at(now placement.Millis) *pb.Load {
 	if r.values == nil {
 		return nil
@@ -96,7 +96,7 @@
 	return used
 }
 
-// evictionCandidate returns the task to evict first: of the lowest rank, then of the highest use above its request.
+// evictionCandidate returns the task with the lowest eviction rank and, among those, the most memory above its request.
 func (n *Node) evictionCandidate() *Task {
 	excess := func(t *Task) float64 { return t.memory*n.Surge.factor(t) - t.Offer.Request.Memory }
 	return slices.MinFunc(n.tasks.all, func(x, y *Task) int {
@@ -107,12 +107,10 @@
 	})
 }
 
-// CoreUseFactor returns the factor, between 0.5 and 1.5, by which a service's use of cores differs from its group's
-// mean.
+// CoreUseFactor returns the ratio, between 0.5 and 1.5, of a service's use of cores to the mean of its group.
 func CoreUseFactor(service uint64) float64 { return serviceFactor(service + coreUseSalt) }
 
-// MemoryUseFactor returns the factor, between 0.5 and 1.5, by which a service's use of memory differs from its group's
-// mean.
+// MemoryUseFactor returns the ratio, between 0.5 and 1.5, of a service's use of memory to the mean of its group.
 func MemoryUseFactor(service uint64) float64 { return serviceFactor(service + memoryUseSalt) }
 
 // serviceFactor returns a factor between 0.5 and 1.5 that depends on the service alone.
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -9,24 +9,24 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// maxAnswered is the number of binds whose answer a node remembers.
-const maxAnswered = 4096
+// maxCachedAnswers is the number of binds whose answers a node keeps for duplicate offers.
+const maxCachedAnswers = 4096
 
-// admission is what a node has not decided on yet, and whether offers overloaded it while it warmed up.
+// admission is the state of a node's admission control: the queue, and the overload check during warm-up.
 type admission struct {
 	queue      []*queuedFrame
-	busy       bool               // the first of the queue is being decided on
-	arrivals   []placement.Millis // of the offers in the last overload window of the warm-up
-	overloaded bool
+	busy       bool               // the first frame of the queue is being processed
+	arrivals   []placement.Millis // arrival times of the offers in the overload window, during warm-up
+	overloaded bool               // too many offers arrived during warm-up; further ones are ignored
 }
 
 // queuedFrame is an offer or a health check in the admission queue.
 type queuedFrame struct {
-	offer       *pb.Offer // nil for a health check
-	healthCheck uint64    // its ID
-	from        transport.ConnID
-	arrived     placement.Millis
-	cancelled   bool // by a stop
+	offer         *pb.Offer // nil for a health check
+	healthCheckID uint64    // ID of the health check
+	from          transport.ConnID
+	arrived       placement.Millis
+	cancelled     bool // a stop has cancelled the offer
 }
 
 // isFor reports whether the frame is an offer for a bind.
@@ -34,8 +34,8 @@
 	return f.offer != nil && observer.KeyOf(f.offer.Bind) == bind
 }
 
-// offerOf returns the queued offer for a bind, or nil.
-func (a *admission) offerOf(bind observer.BindKey) *queuedFrame {
+// findOffer returns the queued offer for a bind, or nil.
+func (a *admission) findOffer(bind observer.BindKey) *queuedFrame {
 	for _, frame := range a.queue {
 		if frame.isFor(bind) {
 			return frame
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// handleOffer queues an offer for admission. Repeated offers are ignored, or answered as before. Too many offers during
-// warm-up make the node fail.
+// handleOffer queues an offer for admission. A duplicate of an answered offer gets the same answer; other duplicates
+// are ignored. Too many offers during warm-up make the node fail.
 func (n *Node) handleOffer(now placement.Millis, conn transport.ConnID, offer *pb.Offer) {
 	if n.admission.overloaded {
 		return
@@ -55,8 +55,8 @@
 		n.network.Send(conn, offerReplyFrame(reply))
 		return
 	}
-	if n.tasks.byBind[bind] != nil || n.admission.offerOf(bind) != nil {
-		return // a duplicate of an offer that is answered only once
+	if n.tasks.byBind[bind] != nil || n.admission.findOffer(bind) != nil {
+		return // duplicate of an offer whose answer is pending
 	}
 	if n.overloads(now) {
 		n.admission.overloaded = true
@@ -74,8 +74,8 @@
 	})
 }
 
-// overloads counts the arrival of an offer during warm-up, and reports whether it exceeds the limit of the overload
-// window.
+// overloads records the arrival of an offer during warm-up, and reports whether the offers in the overload window
+// exceed the limit.
 func (n *Node) overloads(now placement.Millis) bool {
 	rate, warmingUp := n.warmUpRate(now)
 	if !warmingUp {
@@ -83,7 +83,7 @@
 	}
 	arrived := now
 	if network, ok := n.network.(interface{ Arrived() placement.Millis }); ok {
-		arrived = network.Arrived() // it may have waited while the process was paused
+		arrived = network.Arrived() // earlier than now if the process was paused
 	}
 	tooOld := func(at placement.Millis) bool { return at < now-n.model.OverloadWindow }
 	n.admission.arrivals = append(n.admission.arrivals, arrived)
@@ -94,12 +94,12 @@
 // handleStop cancels a queued offer or, unless the stop is for queued offers only, ends the task.
 func (n *Node) handleStop(now placement.Millis, stop *pb.Stop) {
 	bind := observer.KeyOf(stop.Bind)
-	if frame := n.admission.offerOf(bind); frame != nil {
+	if frame := n.admission.findOffer(bind); frame != nil {
 		frame.cancelled = true
 		return
 	}
 	switch t := n.tasks.byBind[bind]; {
-	case t == nil: // it ended before, and the notification may have been lost
+	case t == nil: // the task has ended, and its end frame may have been lost
 		n.sendTo(stop.Bind.Allocator, endFrame(&pb.End{Bind: stop.Bind, Reason: pb.Reason_STOPPED}))
 	case !stop.OnlyWaiting:
 		n.endTask(now, t, pb.Reason_STOPPED)
@@ -132,10 +132,10 @@
 	})
 }
 
-// decide answers a health check, and accepts or rejects an offer.
+// decide answers a health check, or accepts or rejects an offer.
 func (n *Node) decide(now placement.Millis, frame *queuedFrame) {
 	if frame.offer == nil {
-		n.network.Send(frame.from, healthReplyFrame(frame.healthCheck, n.load.at(now)))
+		n.network.Send(frame.from, healthReplyFrame(frame.healthCheckID, n.load.at(now)))
 		return
 	}
 	offer := frame.offer
@@ -162,7 +162,7 @@
 	}
 }
 
-// reject answers an offer with a reason. A health check that finds the queue full is not answered.
+// reject rejects an offer with a reason. A health check that is rejected because the queue is full gets no answer.
 func (n *Node) reject(now placement.Millis, frame *queuedFrame, reason pb.Reason, text string) {
 	if frame.offer == nil {
 		return
@@ -175,7 +175,7 @@
 	})
 }
 
-// confirm answers an offer with its acceptance.
+// confirm confirms the acceptance of an offer.
 func (n *Node) confirm(now placement.Millis, offer *pb.Offer) {
 	n.answer(&pb.OfferReply{
 		Bind:     offer.Bind,
@@ -184,13 +184,13 @@
 	})
 }
 
-// answer sends the answer to an offer, and remembers it for duplicates of the offer.
+// answer sends the answer to an offer, and caches it for duplicates of the offer.
 func (n *Node) answer(reply *pb.OfferReply) {
 	n.answers.add(reply)
 	n.sendTo(reply.Bind.Allocator, offerReplyFrame(reply))
 }
 
-// accept adds a task for an offer and starts it when its turn comes.
+// accept adds a task for an offer and queues its start.
 func (n *Node) accept(now placement.Millis, offer *pb.Offer) {
 	t := &Task{Offer: offer, group: n.model.Groups[offer.Request.Group]}
 	n.tasks.add(t)
@@ -204,8 +204,8 @@
 	}
 }
 
-// scheduleLeaseEnd ends a gang part after its lease unless its allocator has confirmed it by then. The node's own clock
-// decides, as the allocator may have failed.
+// scheduleLeaseEnd schedules the end of a gang part that its allocator does not confirm within the lease. The lease
+// runs on the node's clock, as the allocator may have failed.
 func (n *Node) scheduleLeaseEnd(now placement.Millis, t *Task) {
 	n.timers.Schedule(now+placement.Millis(t.Offer.Gang.LeaseMs), func(now placement.Millis) {
 		if !t.confirmed {
@@ -214,7 +214,7 @@
 	})
 }
 
-// warmUpRate returns the share of its full rate at which the node starts tasks, and whether it is warming up.
+// warmUpRate returns the node's start rate as a share of its full rate, and whether the node is warming up.
 func (n *Node) warmUpRate(now placement.Millis) (rate float64, warmingUp bool) {
 	up := now - n.startedAt
 	if up >= n.model.WarmUpDuration {
@@ -223,7 +223,7 @@
 	return n.model.InitialRate + (1-n.model.InitialRate)*float64(up/n.model.WarmUpDuration), true
 }
 
-// answerCache holds a node's answers to the last maxAnswered binds.
+// answerCache holds a node's answers to the last maxCachedAnswers binds.
 type answerCache struct {
 	replies map[observer.BindKey]*pb.OfferReply
 	order   []observer.BindKey // keys of replies, oldest first
@@ -233,12 +233,12 @@
 	return answerCache{replies: map[observer.BindKey]*pb.OfferReply{}}
 }
 
-// add adds an answer, and drops the oldest beyond the limit.
+// add adds an answer, and drops the oldest one beyond maxCachedAnswers.
 func (c *answerCache) add(reply *pb.OfferReply) {
 	key := observer.KeyOf(reply.Bind)
 	c.replies[key] = reply
 	c.order = append(c.order, key)
-	if len(c.order) > maxAnswered {
+	if len(c.order) > maxCachedAnswers {
 		delete(c.replies, c.order[0])
 		c.order = c.order[1:]
 	}
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -13,7 +13,7 @@
 const (
 	usageReportInterval = placement.Millis(5e3) // ms between the usage reports of a workload
 	firstUsageReport    = placement.Millis(800) // ms from a workload's start to its first usage report
-	contentionSlowdown  = 4.0                   // relative increase of start times for each unit of core demand above 1
+	contentionSlowdown  = 4.0                   // relative increase of start times per unit of core demand above 1
 )
 
 // Task is an accepted workload.
@@ -24,13 +24,13 @@
 	ended        bool
 	confirmed    bool // its allocator has confirmed that the gang runs
 	RunningSince placement.Millis
-	cores        float64 // in use while it runs
-	memory       float64
+	cores        float64 // cores in use while it runs
+	memory       float64 // memory in use while it runs
 }
 
 // taskList holds a node's tasks.
 type taskList struct {
-	all              []*Task // in the order of their acceptance
+	all              []*Task // in order of acceptance
 	byBind           map[observer.BindKey]*Task
 	pendingStarts    []*Task
 	startsInProgress int
@@ -56,7 +56,7 @@
 	return slices.ContainsFunc(l.all, func(t *Task) bool { return t.running && t.Offer.Request.Service == service })
 }
 
-// startBacklog returns the number of tasks that are starting or wait for it.
+// startBacklog returns the number of tasks that are starting or queued for their start.
 func (l *taskList) startBacklog() int { return len(l.pendingStarts) + l.startsInProgress }
 
 // requestedCapacity returns the cores and memory that the accepted tasks request.
@@ -88,8 +88,7 @@
 	}
 }
 
-// startTime returns how long a start takes, which depends on the program cache, the warm-up and the contention for
-// cores.
+// startTime returns the duration of a start. It depends on the program cache, the warm-up and the contention for cores.
 func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
 	service := t.Offer.Request.Service
@@ -110,7 +109,7 @@
 	request := t.Offer.Request
 	t.cores = request.Cores * t.group.CoreUse * CoreUseFactor(request.Service)
 	t.memory = request.Memory * t.group.MemoryUse * MemoryUseFactor(request.Service)
-	n.programs.remove(request.Service) // while a task runs it, it does not count against the limit
+	n.programs.remove(request.Service) // running programs do not count against the cache limit
 	if n.model.ConfirmsRunning {
 		n.confirm(now, t.Offer)
 	} else {
@@ -139,7 +138,7 @@
 	n.timers.Schedule(now+usageReportInterval, func(now placement.Millis) { n.reportUsage(now, t) })
 }
 
-// endTask removes a task from the node and notifies its allocator. Ended tasks are ignored.
+// endTask removes a task from the node and notifies its allocator. It does nothing for an ended task.
 func (n *Node) endTask(now placement.Millis, t *Task, reason pb.Reason) {
 	if t.ended {
 		return
@@ -168,7 +167,7 @@
 	}))
 }
 
-// Stop ends the accounting of running tasks.
+// Stop calls OnRunning for the end of each running task. No frames are sent.
 func (n *Node) Stop() {
 	for _, t := range n.tasks.all {
 		if t.running && n.OnRunning != nil {
@@ -177,7 +176,7 @@
 	}
 }
 
-// programCache holds the programs of services that no longer run on a node, up to a limit.
+// programCache holds the programs of services that have run on a node and are not running, up to a limit.
 type programCache struct {
 	limit    int
 	services []uint64 // most recently used last
@@ -185,7 +184,7 @@
 
 func (c *programCache) has(service uint64) bool { return slices.Contains(c.services, service) }
 
-// add makes a service's program the most recently used one, and drops the least recently used beyond the limit.
+// add makes a service's program the most recently used one, and evicts the least recently used one beyond the limit.
 func (c *programCache) add(service uint64) {
 	if c.limit <= 0 {
 		return
--- a/internal/simulation/emulator/node_test.go
+++ b/internal/simulation/emulator/node_test.go
@@ -18,13 +18,13 @@
 	throttledGroup       = "t"
 )
 
-// testNode is a node of ten cores that is connected to one allocator.
+// testNode is a node with ten cores that is connected to one allocator.
 type testNode struct {
 	*Node
 	network *fakeNetwork
 }
 
-// newTestNode returns a node that decides on an offer within 10 ms, and queues three.
+// newTestNode returns a node with an admission time of 10 ms and a queue for three offers.
 func newTestNode() testNode {
 	model := &scenario.NodeModel{
 		CoreOvercommit:      1,
@@ -71,7 +71,7 @@
 	}
 }
 
-// receiveOffer delivers an offer of four cores, with changes.
+// receiveOffer delivers an offer for four cores, after applying changes to it.
 func (n testNode) receiveOffer(id uint64, changes ...func(*pb.Offer)) {
 	offer := &pb.Offer{
 		Bind:           testBind(id),
@@ -163,7 +163,7 @@
 	assert.True(t, node.tasks.all[0].running)
 }
 
-func TestNode_UnderreportsLoad(t *testing.T) {
+func TestNode_LoadUnderreported_SpareCapacityTooHigh(t *testing.T) {
 	node, network := newNodeWithOneTask()
 	node.UnblockStarts(0)
 	network.run(node, 100)
@@ -175,7 +175,7 @@
 	assert.Greater(t, *node.load.values.SpareCores, reported)
 }
 
-// newNodeWithOneTask returns a node that has accepted a task of four cores, and starts nothing yet.
+// newNodeWithOneTask returns a node that has accepted a task of four cores, with starts blocked.
 func newNodeWithOneTask() (*Node, *fakeNetwork) {
 	network := &fakeNetwork{}
 	node := newTenCoreNode(&scenario.NodeModel{
@@ -205,7 +205,7 @@
 	return node, network
 }
 
-func TestNode_FaultsRaiseCoresUsed(t *testing.T) {
+func TestNode_NeighbourOrSurge_RaisesCoresUsed(t *testing.T) {
 	for name, set := range map[string]func(*Node){
 		"neighbour": func(n *Node) { n.NeighbourShare = 0.5 },
 		"surge":     func(n *Node) { n.Surge = UsageSurge{Share: 1, Factor: 3} },
--- a/internal/simulation/emulator/process.go
+++ b/internal/simulation/emulator/process.go
@@ -5,7 +5,7 @@
 	"grebeglade/placement"
 )
 
-// process is what all emulated processes have: a network, and timers on its clock.
+// process has the fields and methods common to all emulated processes: a network, and timers on the network's clock.
 type process struct {
 	network transport.FrameNetwork
 	timers  transport.Timers
@@ -14,11 +14,11 @@
 // Wake implements transport.FrameHandler.
 func (p *process) Wake(now placement.Millis) {
 	p.timers.RunDue(now)
-	p.wake()
+	p.scheduleWake()
 }
 
-// wake has the network call Wake when the next timer is due. Each handler calls it last.
-func (p *process) wake() {
+// scheduleWake schedules a call of Wake for the next timer. Each handler method calls it last.
+func (p *process) scheduleWake() {
 	if at, ok := p.timers.Next(); ok {
 		p.network.WakeAt(at)
 	}
--- a/internal/simulation/emulator/tally.go
+++ b/internal/simulation/emulator/tally.go
@@ -4,18 +4,18 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// Tally counts what a client has seen of its requests, one counter for each outcome, of single workloads and gangs.
+// Tally counts a client's requests for single workloads and gangs, with one counter for each outcome.
 type Tally struct {
-	Requests      int // retries included
+	Requests      int // including retries
 	FirstRequests int
 	Placed        int
 	Rejected      int
 	Unschedulable int
-	Withdrawn     int // by the client, before an answer
+	Withdrawn     int // withdrawn by the client before an answer
 	Disconnected  int // the connection or the allocator was lost before an answer
 	Unanswered    int
-	Ended         map[pb.Reason]int
-	Waits         []float64 // ms from the request that was answered until the workload was placed
+	Ended         map[pb.Reason]int // placed workloads and gangs that ended
+	Waits         []float64         // ms from the answered request until the workload was placed
 	SingleTally
 	GangTally
 }
@@ -23,15 +23,15 @@
 // SingleTally counts workloads that belong to no gang.
 type SingleTally struct {
 	SinglesFirst  int
-	SinglesPlaced int     // those of them that their first request placed
-	Wants         []*Want // in the order in which they were first wanted
+	SinglesPlaced int     // workloads that their first request placed
+	Wants         []*Want // in order of the first request
 }
 
 // GangTally counts gangs.
 type GangTally struct {
 	Gangs          int
 	GangsStarted   int
-	GangsAbandoned int       // that never started
+	GangsAbandoned int       // gangs that ended without a start
 	GangWaits      []float64 // ms from the first request for a gang until it started
 	Wasted         float64   // core seconds of independently requested parts in gangs that did not start
 	Used           float64   // core seconds of independently requested parts in gangs that started
