--- a/internal/simulation/network/cut.go
+++ b/internal/simulation/network/cut.go
@@ -8,19 +8,19 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// CutTimeout is how long a connection survives a cut, in milliseconds: about as long as keep-alives allow.
+// CutTimeout is the time in ms after which a cut breaks connections. It is about the keep-alive timeout.
 const CutTimeout = placement.Millis(3e3)
 
-// Reasons for which a process's connections close.
+// Reasons for which the connections of a process that is cut off close.
 var (
-	errCutOff   = errors.New("cut off")
-	errTimedOut = errors.New("timed out")
+	errCutOff   = errors.New("connection not established: the process is cut off from the network")
+	errTimedOut = errors.New("connection timed out: the process is cut off from the network")
 )
 
-// cut is in which directions a process is cut off, with the frames that wait for the end of the cut.
+// cut is a network cut of a process, with the frames that are queued until the cut ends.
 type cut struct {
-	out       bool // frames that the process sends are queued
-	in        bool // frames that are sent to it are queued
+	out       bool // cuts the frames that the process sends
+	in        bool // cuts the frames that are sent to the process
 	queuedOut []queuedFrame
 	queuedIn  []queuedFrame
 }
@@ -44,8 +44,8 @@
 	i.cut.in = true
 }
 
-// CutDirection cuts one direction: what the process sends, or what is sent to it. Connections cannot be opened then,
-// and open ones break as they do in a full cut.
+// CutDirection cuts one direction: the frames that the process sends, or the frames that are sent to it. As in a full
+// cut, connections cannot be opened, and open ones break after CutTimeout.
 func (i *Interceptor) CutDirection(out bool) {
 	if out {
 		i.cut.out = true
@@ -54,8 +54,8 @@
 	}
 }
 
-// BreakConnections breaks the connections of a process that is still cut off. It must be called CutTimeout after the
-// cut.
+// BreakConnections breaks the connections of a process that is still cut off. For a network cut, it must be called
+// CutTimeout after the start.
 func (i *Interceptor) BreakConnections(now placement.Millis) {
 	if !i.cut.active() {
 		return
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -8,14 +8,14 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// endpoint is a handler in the virtual network, and the network as the handler sees it.
+// endpoint attaches a handler to the virtual network, and implements transport.FrameNetwork for it.
 type endpoint struct {
 	network *Virtual
 	handler transport.FrameHandler
 	zone    string
 	ends    []*connectionEnd // by ConnID-1
 
-	// The last wake-up that was set. Earlier ones do not count.
+	// The last wake-up that was set. It replaces earlier ones.
 	wakeID      uint64
 	wakeAt      placement.Millis
 	wakePending bool
@@ -23,11 +23,11 @@
 
 // connectionEnd is one side of a connection.
 type connectionEnd struct {
-	at   *endpoint
-	id   transport.ConnID
-	peer *connectionEnd   // nil if nothing was reached
-	open bool             // as far as this side is concerned
-	last placement.Millis // arrival of the last frame that was sent from here
+	at          *endpoint
+	id          transport.ConnID
+	peer        *connectionEnd   // nil if the dialed address has no handler
+	open        bool             // this side has neither closed it nor been notified of its close
+	lastArrival placement.Millis // time at which the last frame sent from this side arrives at the peer
 }
 
 func (p *endpoint) newEnd() *connectionEnd {
@@ -58,7 +58,7 @@
 		end.open = false
 		p.handler.Closed(now, due.conn, due.reason)
 	case eventCall, eventWake:
-		// They are on no connection.
+		// Not events of a connection.
 	}
 }
 
@@ -82,7 +82,7 @@
 			kind:   eventClosed,
 			at:     p,
 			conn:   near.id,
-			reason: fmt.Errorf("no handler at %s", addr),
+			reason: fmt.Errorf("dial %s: no handler has this address", addr),
 		})
 		return near.id
 	}
@@ -90,9 +90,9 @@
 	near.peer = far
 	far.peer = near
 	p.network.send(near, event{kind: eventOpened})
-	// The acceptance leaves as the dial arrives, and everything else from the far end comes after it.
-	far.last = near.last + p.network.latency(far.at, near.at)
-	p.network.events.Push(far.last, event{
+	// The far end sends the acceptance when the dial arrives, and its frames arrive after the acceptance.
+	far.lastArrival = near.lastArrival + p.network.latency(far.at, near.at)
+	p.network.events.Push(far.lastArrival, event{
 		kind: eventOpened,
 		at:   near.at,
 		conn: near.id,
--- a/internal/simulation/network/framefaults.go
+++ b/internal/simulation/network/framefaults.go
@@ -8,23 +8,23 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// FrameFaults are faults of the frames that reach a process. Each frame is hit independently; a delayed frame delays
-// those behind it on its connection unless frames may be reordered.
+// FrameFaults are faults of the frames that a process receives. Each frame is selected independently. A delayed frame
+// delays the later frames of its connection unless frames may be reordered.
 type FrameFaults struct {
-	Share     float64          // of the frames
-	Duplicate bool             // delivered twice
-	Delay     placement.Millis // the longest delay
-	Reorder   bool             // frames of one connection may come in another order
+	Share     float64          // share of the frames that is selected
+	Duplicate bool             // selected frames are delivered twice
+	Delay     placement.Millis // longest delay of a selected frame
+	Reorder   bool             // delayed frames may be overtaken by others of their connection
 
-	Random *rand.Rand // chooses the frames and their delays
+	Random *rand.Rand // draws the selected frames and their delays
 }
 
-// hitsNext draws whether the next frame is hit. No faults, nil, hit none.
-func (f *FrameFaults) hitsNext() bool {
+// selectsNext draws whether the next frame is selected. It returns false if f is nil.
+func (f *FrameFaults) selectsNext() bool {
 	return f != nil && f.Random.Float64() < f.Share
 }
 
-// drawDelay draws the delay of a frame that is hit.
+// drawDelay draws the delay of a selected frame.
 func (f *FrameFaults) drawDelay() placement.Millis {
 	if f.Delay <= 0 {
 		return 0
@@ -32,20 +32,20 @@
 	return f.Delay * placement.Millis(f.Random.Float64())
 }
 
-// mayReorder reports whether a frame may be overtaken by others. Without faults, nil, none may.
+// mayReorder reports whether a frame may be delivered out of order. It returns false if f is nil.
 func (f *FrameFaults) mayReorder(frame *pb.Frame) bool {
 	return f != nil && f.Reorder && !orderMatters(frame)
 }
 
-// frameDelays are the faults of the frames that reach a process, and the frames that they delay.
+// frameDelays are the faults of the frames that a process receives, and the delays that they cause.
 type frameDelays struct {
 	faults   *FrameFaults                          // nil for none
-	until    map[transport.ConnID]placement.Millis // until when delayed frames wait
+	until    map[transport.ConnID]placement.Millis // delivery time of the last delayed frame
 	schedule func(at placement.Millis, do func(now placement.Millis))
 }
 
-// SetFrameFaults sets the faults of received frames, nil for none. The function schedules calls on the process's
-// goroutine by the host's clock.
+// SetFrameFaults sets the faults of received frames, nil for none. The function schedules a call on the process's
+// goroutine at a host time.
 func (i *Interceptor) SetFrameFaults(
 	faults *FrameFaults, schedule func(at placement.Millis, do func(now placement.Millis)),
 ) {
@@ -53,14 +53,14 @@
 	i.delays.schedule = schedule
 }
 
-// active reports whether a frame may have to be changed or delayed. Frames that are behind delayed ones are still
-// delayed once the faults have ended.
+// active reports whether a frame may have to be duplicated or delayed. Frames behind delayed ones are still delayed
+// after the faults have ended.
 func (d *frameDelays) active() bool {
 	return d.faults != nil || len(d.until) > 0
 }
 
-// delay schedules the delivery of a frame that is due at a time, if it is later than now or if the frame is behind a
-// delayed one on a connection that keeps its order. It reports whether it did.
+// delay schedules the delivery of a frame if it is due after now, or if it must not overtake a delayed frame of its
+// connection. It reports whether it has scheduled the delivery.
 func (d *frameDelays) delay(
 	now, due placement.Millis, conn transport.ConnID, frame *pb.Frame, deliver func(now placement.Millis),
 ) bool {
@@ -71,13 +71,13 @@
 		d.schedule(due, deliver)
 		return true
 	}
-	until, waiting := d.until[conn]
-	if waiting && until < now {
+	until, delayed := d.until[conn]
+	if delayed && until < now {
 		delete(d.until, conn)
-		waiting = false
+		delayed = false
 	}
 	due = max(due, until)
-	if due <= now && !waiting {
+	if due <= now && !delayed {
 		return false
 	}
 	d.until[conn] = due
@@ -85,8 +85,8 @@
 	return true
 }
 
-// orderMatters reports whether the protocol depends on a frame's place among the others: a hello comes first, discovery
-// updates build on one another, and a client withdraws what it has requested.
+// orderMatters reports whether the protocol depends on the order of a frame: a hello comes first, discovery updates are
+// incremental, and a withdrawal follows its request.
 func orderMatters(frame *pb.Frame) bool {
 	switch frame.Body.(type) {
 	case *pb.Frame_Hello, *pb.Frame_Refusal, *pb.Frame_Withdraw, *pb.Frame_Register:
@@ -97,13 +97,13 @@
 	return false
 }
 
-// applyFaults delays or duplicates a received frame as the faults say, and reports whether it did. Otherwise the caller
-// delivers the frame.
+// applyFaults delays or duplicates a received frame according to the faults. If it returns false, the caller delivers
+// the frame.
 func (i *Interceptor) applyFaults(now placement.Millis, conn transport.ConnID, frame *pb.Frame) bool {
 	faults := i.delays.faults
-	hit := faults.hitsNext()
+	selected := faults.selectsNext()
 	due := now
-	if hit {
+	if selected {
 		due += faults.drawDelay()
 	}
 	deliver := func(now placement.Millis) {
@@ -114,7 +114,7 @@
 	if i.delays.delay(now, due, conn, frame, deliver) {
 		return true
 	}
-	if hit && faults.Duplicate && !orderMatters(frame) {
+	if selected && faults.Duplicate && !orderMatters(frame) {
 		deliver(now)
 		deliver(now)
 		return true
--- a/internal/simulation/network/interceptor.go
+++ b/internal/simulation/network/interceptor.go
@@ -16,8 +16,8 @@
 // into its connections and clock, and notifies an observer. Its methods must be called on the process's goroutine.
 type Interceptor struct {
 	observer.Process
-	OnKill func(handler transport.FrameHandler) // called before the process ends, or nil
-	Uptime []oracle.Span                        // times at which the process ran
+	OnKill func(handler transport.FrameHandler) // called before Kill ends the process, or nil
+	Uptime []oracle.Span                        // periods in which the process ran
 
 	observer observer.Observer
 	net      transport.FrameNetwork
@@ -28,8 +28,8 @@
 	delays frameDelays
 }
 
-// NewInterceptor returns an interceptor of the process that newHandler returns. It is called again at each start of the
-// process.
+// NewInterceptor returns an interceptor of a process. At each start of the process, newHandler is called with the
+// incarnation and returns the process's handler.
 func NewInterceptor(
 	name string, role pb.Role, id int, o observer.Observer, newHandler func(uint64) transport.FrameHandler,
 ) *Interceptor {
@@ -167,6 +167,6 @@
 	}
 }
 
-// Arrived returns the arrival of the frame that is being delivered, by the process's own clock: a process that was
-// paused is delivered at once what arrived one after the other.
+// Arrived returns the local time at which the frame that is being delivered arrived. It is earlier than Now for frames
+// that were queued during a pause, as they are delivered together.
 func (i *Interceptor) Arrived() placement.Millis { return i.clock.toLocal(i.arrivedAt) }
--- a/internal/simulation/network/lifecycle.go
+++ b/internal/simulation/network/lifecycle.go
@@ -8,14 +8,14 @@
 	"grebeglade/placement"
 )
 
-// lifecycle is the state of the process: whether it runs, and what it is called with.
+// lifecycle is the state of the process: its handler, its incarnation, and the calls that a pause defers.
 type lifecycle struct {
 	newHandler  func(incarnation uint64) transport.FrameHandler
 	handler     transport.FrameHandler // nil while the process does not run
 	incarnation uint64
 	paused      bool
-	deferred    []func(now placement.Millis) // calls that wait for the end of the pause
-	arrivedAt   placement.Millis             // arrival of the frame that is being delivered, by the host's clock
+	deferred    []func(now placement.Millis) // calls that are made when the pause ends
+	arrivedAt   placement.Millis             // host time at which the frame that is being delivered arrived
 }
 
 // Handler returns the handler of the running process, or nil while it does not run.
@@ -36,7 +36,7 @@
 	i.handler.Start(i.clock.toLocal(now), i)
 }
 
-// Kill ends the process at once: its connections break, and its state is lost.
+// Kill ends the process without a shutdown: its connections close, and its state is lost.
 func (i *Interceptor) Kill(now placement.Millis) {
 	if i.handler == nil {
 		return
@@ -52,7 +52,7 @@
 	i.closeAll(now)
 }
 
-// Pause stops the process until Resume is called. What happens meanwhile is delivered to it then.
+// Pause stops the process until Resume is called. Events in between are delivered by Resume.
 func (i *Interceptor) Pause(now, until placement.Millis) {
 	if i.handler != nil {
 		i.paused = true
@@ -60,12 +60,12 @@
 	}
 }
 
-// Resume lets a paused process run on.
+// Resume ends a pause, and delivers the deferred events in order.
 func (i *Interceptor) Resume(now placement.Millis) {
 	i.paused = false
-	waiting := i.deferred
+	deferred := i.deferred
 	i.deferred = nil
-	for _, call := range waiting {
+	for _, call := range deferred {
 		if i.handler != nil {
 			call(now)
 		}
--- a/internal/simulation/network/messagefault.go
+++ b/internal/simulation/network/messagefault.go
@@ -8,7 +8,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// MessageFaultKind names what happens to a frame.
+// MessageFaultKind is the kind of a message fault.
 type MessageFaultKind string
 
 // The kinds of message faults.
@@ -23,27 +23,27 @@
 // MessageFaultKinds are all kinds.
 var MessageFaultKinds = []MessageFaultKind{LoseFrame, DuplicateFrame, DelayFrame, CloseConnection, CrashAllocator}
 
-// MessageFault is a fault that hits one frame between an allocator and its nodes. Tests try each kind at each frame.
+// MessageFault is a fault of one frame between an allocator and its nodes. Tests apply each kind to each frame.
 type MessageFault struct {
 	Kind     MessageFaultKind
-	Frame    int  // from 1, over the frames that workloads depend on, in both directions; see Injector.selects
+	Frame    int  // number of the frame, from 1, among those that Injector.selects counts in both directions
 	Restarts bool // a crashed allocator restarts after CrashDuration
 }
 
 const (
-	messageDelay = placement.Millis(700)
-	// CrashDuration is how long a crashed allocator that restarts is away.
+	messageDelay = placement.Millis(700) // delay in ms of a delayed frame
+	// CrashDuration is the time in ms from a crash of an allocator to its restart.
 	CrashDuration = placement.Millis(900)
 )
 
-// errInjectedClose is why a connection closes that a fault has closed.
-var errInjectedClose = errors.New("cut")
+// errInjectedClose is the reason of a close by CloseConnection.
+var errInjectedClose = errors.New("connection closed by an injected fault")
 
 // Injector is a handler that applies a MessageFault to the frames of the handler that it wraps.
 type Injector struct {
 	transport.FrameHandler
 	Fault    *MessageFault
-	Frames   *int // seen so far, over all incarnations of the allocator
+	Frames   *int // number of frames counted so far, over all incarnations of the allocator
 	Schedule func(at placement.Millis, do func(now placement.Millis))
 	Crash    func(now placement.Millis)
 
@@ -68,7 +68,7 @@
 // Now implements transport.FrameNetwork.
 func (i *Injector) Now() placement.Millis { return i.net.Now() }
 
-// selects counts a frame that a workload depends on, and reports whether it is the one to be hit.
+// selects counts a frame if workloads depend on it, and reports whether the fault applies to it.
 func (i *Injector) selects(frame *pb.Frame) bool {
 	switch frame.Body.(type) {
 	case *pb.Frame_Offer, *pb.Frame_OfferReply, *pb.Frame_Stop, *pb.Frame_End, *pb.Frame_UsageReport,
@@ -97,7 +97,7 @@
 	i.inject(now, conn, func(now placement.Millis) { i.FrameHandler.Received(now, conn, frame) })
 }
 
-// inject applies the fault to a frame on a connection. Calling pass lets the frame through.
+// inject applies the fault to a frame on a connection. The function pass sends or delivers the frame.
 func (i *Injector) inject(now placement.Millis, conn transport.ConnID, pass func(now placement.Millis)) {
 	switch i.Fault.Kind {
 	case LoseFrame:
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -14,7 +14,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// recordingNetwork records what is sent.
+// recordingNetwork records the frames that are sent.
 type recordingNetwork struct{ sent []*pb.Frame }
 
 func (n *recordingNetwork) Dial(string) transport.ConnID             { return 1 }
@@ -23,11 +23,11 @@
 func (n *recordingNetwork) WakeAt(placement.Millis)                  {}
 func (n *recordingNetwork) Now() placement.Millis                    { return 0 }
 
-// recordingHandler records the health checks that it receives, and the times of these and of its wake-ups.
+// recordingHandler records the health checks that it receives, and the times of health checks and wake-ups.
 type recordingHandler struct {
 	transport.FrameHandler
-	received []uint64 // ids
-	at       []placement.Millis
+	received []uint64           // IDs of health checks
+	at       []placement.Millis // times of health checks and wake-ups
 }
 
 func (h *recordingHandler) Start(placement.Millis, transport.FrameNetwork)   {}
@@ -40,7 +40,7 @@
 	h.at = append(h.at, now)
 }
 
-// testProcess is a recordingHandler behind an interceptor, with connection 1 open. Delayed frames wait in virtual time.
+// testProcess is a recordingHandler behind an interceptor, with connection 1 open. Delays run in virtual time.
 type testProcess struct {
 	*Interceptor
 	handler *recordingHandler
@@ -48,7 +48,7 @@
 	virtual *Virtual
 }
 
-// newTestProcess starts the process, with these faults or nil for none.
+// newTestProcess returns a started process with the given faults, nil for none.
 func newTestProcess(faults *FrameFaults) testProcess {
 	process := testProcess{
 		handler: &recordingHandler{},
@@ -66,12 +66,12 @@
 	return process
 }
 
-// schedule calls do in virtual time.
+// schedule calls do at a virtual time.
 func (p testProcess) schedule(at placement.Millis, do func(now placement.Millis)) {
 	p.virtual.RunAt(nil, at, do)
 }
 
-// receiveTen lets ten frames with the ids 0 to 9 arrive, a millisecond apart, and waits until all are delivered.
+// receiveTen receives ten frames with the IDs 0 to 9, 1 ms apart, and runs until all of them are delivered.
 func (p testProcess) receiveTen() {
 	for id := range uint64(10) {
 		p.schedule(placement.Millis(id), func(now placement.Millis) { p.Received(now, 1, healthCheck(id)) })
@@ -85,18 +85,18 @@
 
 func TestInterceptor_FrameFaults(t *testing.T) {
 	inOrder := []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}
-	t.Run("duplicated frames arrive twice", func(t *testing.T) {
+	t.Run("duplicated frames are delivered twice", func(t *testing.T) {
 		process := newTestProcess(&FrameFaults{Share: 1, Duplicate: true})
 		process.receiveTen()
 		assert.Len(t, process.handler.received, 20)
 	})
-	t.Run("delayed frames keep the order of the stream", func(t *testing.T) {
+	t.Run("delayed frames keep the order of their connection", func(t *testing.T) {
 		process := newTestProcess(&FrameFaults{Share: 0.5, Delay: 50})
 		process.receiveTen()
 		assert.Equal(t, inOrder, process.handler.received)
 		assert.Greater(t, process.handler.at[9], placement.Millis(9))
 	})
-	t.Run("reordered frames arrive in another order", func(t *testing.T) {
+	t.Run("reordered frames are delivered in another order", func(t *testing.T) {
 		process := newTestProcess(&FrameFaults{
 			Share:   0.5,
 			Delay:   50,
@@ -106,7 +106,7 @@
 		assert.ElementsMatch(t, inOrder, process.handler.received)
 		assert.NotEqual(t, inOrder, process.handler.received)
 	})
-	t.Run("frames that are delayed when the faults end still come first", func(t *testing.T) {
+	t.Run("frames delayed when the faults end are delivered first", func(t *testing.T) {
 		process := newTestProcess(&FrameFaults{Share: 1, Delay: 50})
 		process.schedule(4.5, func(placement.Millis) { process.SetFrameFaults(nil, process.schedule) })
 		process.receiveTen()
@@ -122,7 +122,7 @@
 	process.Send(1, healthCheck(2))
 	assert.Len(t, process.network.sent, 1)
 	process.Heal(2)
-	assert.Equal(t, []uint64{1}, process.handler.received, "a queued frame arrives once the cut ends")
+	assert.Equal(t, []uint64{1}, process.handler.received, "a queued frame is delivered when the cut ends")
 
 	process.CutDirection(true)
 	process.Received(3, 1, healthCheck(3))
@@ -134,18 +134,18 @@
 	assert.Len(t, process.network.sent, 1, "a frame that is queued when the connection breaks is lost")
 }
 
-// A wake-up that was set by a clock of another rate must not come before its time by that clock: the process would ask
-// for the same again at the same instant, and virtual time would stop.
-func TestClock_WakeUpsAreNeverEarly(t *testing.T) {
+// Guards against wake-ups before their local time, caused by rounding in the conversion to host time: the process would
+// set the same wake-up again at the same instant, and virtual time would stop.
+func TestClock_ToHost_NeverEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := clock{
 			rate: rapid.Float64Range(0.5, 2).Draw(t, "rate"),
 			host: placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "host")),
 		}
-		k.own = k.host + placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "ahead"))
-		at := k.own + placement.Millis(rapid.Float64Range(0, 1e5).Draw(t, "due"))
+		k.local = k.host + placement.Millis(rapid.Float64Range(0, 1e7).Draw(t, "ahead"))
+		at := k.local + placement.Millis(rapid.Float64Range(0, 1e5).Draw(t, "due"))
 		if k.toLocal(k.toHost(at)) < at {
-			t.Fatalf("a wake-up at %v comes too early", at)
+			t.Fatalf("the wake-up for local time %v is early", at)
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	assert.Equal(t, []placement.Millis{150, 170, 170, 180}, p.handler.at)
 }
 
-func TestVirtual_DialOfAnUnknownAddressIsClosed(t *testing.T) {
+func TestVirtual_DialUnknownAddress_Closed(t *testing.T) {
 	for _, addr := range []string{"virtual:7", "virtual:-1", "127.0.0.1:80"} {
 		t.Run(addr, func(t *testing.T) {
 			v := NewVirtual(1)
@@ -172,7 +172,7 @@
 	}
 }
 
-// dialingHandler dials an address as it starts, and records why that connection closed.
+// dialingHandler dials an address when it starts, and records the reason for which the connection closed.
 type dialingHandler struct {
 	recordingHandler
 	addr   string
--- a/internal/simulation/network/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	addressFormat = "virtual:%d" // with the endpoint's index
-	// seedStream is the second half of the seed. Any constant will do, but another one gives other runs.
+	addressFormat = "virtual:%d" // an address, with the index of the endpoint
+	// seedStream is the second half of the seed. Any constant works, but a change of it changes all runs.
 	seedStream = 0x9e3779b97f4a7c15
 )
 
@@ -27,7 +27,7 @@
 type Host interface {
 	// AddHandler adds a handler and returns the address at which others reach it.
 	AddHandler(handler transport.FrameHandler, zone string) (addr string, err error)
-	// RunAt calls do on the handler's goroutine at that time.
+	// RunAt calls do on the handler's goroutine at the given time.
 	RunAt(handler transport.FrameHandler, at placement.Millis, do func(now placement.Millis))
 }
 
@@ -36,10 +36,10 @@
 	now       placement.Millis
 	events    timerqueue.Queue[event]
 	endpoints []*endpoint
-	random    *rand.Rand // of latencies
+	random    *rand.Rand // draws latencies
 }
 
-// eventKind is what an event does.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -50,15 +50,15 @@
 	eventWake
 )
 
-// event is something that is due at a time.
+// event is an entry of the event queue.
 type event struct {
 	kind   eventKind
-	at     *endpoint                  // of all but eventCall
-	conn   transport.ConnID           // of eventOpened, eventFrame and eventClosed
-	frame  *pb.Frame                  // of eventFrame
-	do     func(now placement.Millis) // of eventCall
-	wakeID uint64                     // of eventWake
-	reason error                      // of eventClosed
+	at     *endpoint                  // for all kinds except eventCall
+	conn   transport.ConnID           // for eventOpened, eventFrame and eventClosed
+	frame  *pb.Frame                  // for eventFrame
+	do     func(now placement.Millis) // for eventCall
+	wakeID uint64                     // for eventWake
+	reason error                      // for eventClosed
 }
 
 // NewVirtual returns an empty network at time 0.
@@ -87,7 +87,7 @@
 	v.events.Push(max(at, v.now), event{kind: eventCall, do: do})
 }
 
-// Run handles events until that time, or until done returns true.
+// Run handles events up to a time, or until done returns true.
 func (v *Virtual) Run(until placement.Millis, done func() bool) {
 	for {
 		at, ok := v.events.NextTime()
@@ -114,7 +114,7 @@
 	}
 }
 
-// latency returns the time that a frame takes from one endpoint to another.
+// latency draws the latency of a frame from one endpoint to another.
 func (v *Virtual) latency(from, to *endpoint) placement.Millis {
 	base := sameZoneLatency
 	if from.zone != to.zone {
@@ -123,13 +123,13 @@
 	return base * placement.Millis(1+latencyJitter*v.random.Float64())
 }
 
-// send schedules an event at the other end of a connection, after everything that was sent before it.
+// send schedules an event at the other end of a connection, after all events that were sent before it.
 func (v *Virtual) send(from *connectionEnd, e event) {
 	to := from.peer
-	from.last = max(from.last, v.now+v.latency(from.at, to.at))
+	from.lastArrival = max(from.lastArrival, v.now+v.latency(from.at, to.at))
 	e.at = to.at
 	e.conn = to.id
-	v.events.Push(from.last, e)
+	v.events.Push(from.lastArrival, e)
 }
 
 // findEndpoint returns the endpoint at an address, or nil.
