--- a/internal/simulation/scenario/decode.go
+++ b/internal/simulation/scenario/decode.go
@@ -12,10 +12,10 @@
 
 const (
 	minReportInterval = placement.Millis(10) // shortest interval in ms of load reports, and of discovery pushes
-	minTotalShare     = 1e-9                 // keeps the normalization of shares from dividing by zero
+	minTotalShare     = 1e-9                 // avoids a division by zero when shares are normalized
 )
 
-// Decode reads a parsed script. All problems found in it are returned as one error.
+// Decode decodes a parsed script. All problems that it finds are returned as one error.
 func Decode(block *config.Block) (*Script, error) {
 	file := block.File()
 	if like := block.String("like", ""); like != "" {
@@ -34,7 +34,7 @@
 		Limits:     config.ReadLimits(block.Block("limits")),
 	}
 	if script.Length <= 0 {
-		block.AddProblem("length", "the day has no length", `write one such as length = "20s"`)
+		block.AddProblem("length", "length is not a positive time", `write one such as length = "20s"`)
 	}
 	if len(script.Zones) == 0 {
 		block.AddProblem("zones", "zones is empty", `write at least one, such as ["hall-a"]`)
@@ -55,7 +55,7 @@
 	return script, block.Finish()
 }
 
-// inherit takes what a script does not say from one that comes with the program.
+// inherit adds the settings that a script does not have from the embedded script that it names in like.
 func inherit(block *config.Block, like string) error {
 	if !slices.Contains(Names(), like) {
 		known := strings.Join(Names(), ", ")
@@ -90,7 +90,7 @@
 	total := 0.0
 	for i, group := range block.Blocks("group") {
 		if i >= len(s.Settings.Groups) {
-			break // the settings reject the others
+			break // the settings have rejected the remaining groups
 		}
 		demand := readDemand(group)
 		demand.Idempotency = s.Settings.Groups[i].Idempotency
@@ -108,7 +108,7 @@
 	}
 }
 
-// readDemand reads the demand of one priority group, but for its idempotency.
+// readDemand reads the demand of one priority group, except its idempotency.
 func readDemand(group *config.Block) Demand {
 	demand := Demand{
 		Name:           group.Name,
@@ -124,7 +124,7 @@
 	return demand
 }
 
-// readNode reads how nodes behave. What allocators assume of nodes, it takes from the settings.
+// readNode reads how nodes behave. Properties of nodes that allocators assume are taken from the settings.
 func (s *Script) readNode(block *config.Block) {
 	rules := block.Block("rules")
 	s.DrainGrace = rules.Duration("drain_grace", 1e3)
@@ -168,7 +168,7 @@
 	}
 }
 
-// readGangs reads the demand for gangs. A gang of an unknown group is a problem, and is left out.
+// readGangs reads the demand for gangs. It reports gangs of undefined groups as problems, and skips them.
 func (s *Script) readGangs(block *config.Block) {
 	for _, gang := range block.Named("gang") {
 		demand := s.readGang(gang)
@@ -183,7 +183,7 @@
 	s.Client.GangPolicy = Together
 }
 
-// readGang reads the demand for gangs of one kind, but for their idempotency.
+// readGang reads the demand for gangs of one kind, except their idempotency.
 func (s *Script) readGang(gang *config.Block) GangDemand {
 	demand := GangDemand{
 		Group:          gang.String("group", firstName(s.Groups)),
@@ -200,7 +200,7 @@
 	return demand
 }
 
-// addUnknownGroup adds the problem that a block names a priority group which the script does not have.
+// addUnknownGroup adds a problem for a block with a priority group that the script does not define.
 func (s *Script) addUnknownGroup(block *config.Block, group string) {
 	block.AddProblem("group", fmt.Sprintf("group %q is not known", group), fmt.Sprintf("write one of %q", s.Groups))
 }
--- a/internal/simulation/scenario/decode_test.go
+++ b/internal/simulation/scenario/decode_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleet is the least that every script must state: a kind of nodes in line 1, and a priority group in line 2.
+// fleet has the blocks that every script needs: a kind of nodes in line 1, and a priority group in line 2.
 const fleet = "kind \"k\" {}\ngroup \"g\" {}\n"
 
 func TestDecode_ReportsProblemWithLine(t *testing.T) {
@@ -20,7 +20,7 @@
 	}{
 		{
 			"unknown fault kind", `fault "flood" {}`,
-			`x.hcl:3: a fault of kind "flood" is not known; give it the name of a kind`,
+			`x.hcl:3: a fault of kind "flood" is not known; name the block after a kind`,
 		},
 		{
 			"share above one", "fault \"crash\" {\n part = 2\n}",
@@ -36,11 +36,11 @@
 		},
 		{
 			"interval of zero", "fault \"stall\" {\n every = \"0s\"\n}",
-			"x.hcl:4: every is no time",
+			"x.hcl:4: every is not a positive time",
 		},
 		{
 			"length of zero", `length = "0s"`,
-			"x.hcl:3: the day has no length",
+			"x.hcl:3: length is not a positive time",
 		},
 		{
 			"text in place of a number", "load {\n rate = \"fast\"\n}",
@@ -67,7 +67,7 @@
 	require.ErrorContains(t, err, `no script is named "ruogh"; known are allocator-death`)
 }
 
-func TestOpen_MissingFile_SaysWhatWasDone(t *testing.T) {
+func TestOpen_MissingFile_ErrorNamesOperation(t *testing.T) {
 	_, err := Open("./missing.hcl")
 	require.ErrorContains(t, err, "read the script: ")
 	require.ErrorIs(t, err, os.ErrNotExist)
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -10,7 +10,7 @@
 	"grebeglade/placement"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // The kinds of faults, by their names in scripts.
@@ -50,14 +50,14 @@
 // Fault is one fault of a script.
 type Fault struct {
 	Kind      FaultKind
-	At        placement.Millis // since the first request
+	At        placement.Millis // time from the start of the requests to the fault
 	Duration  placement.Millis
-	Interval  placement.Millis // between repetitions, or waves
-	Share     float64          // of those that it may hit
-	Size      float64          // in the unit of the kind, see FaultSpec
+	Interval  placement.Millis // time between repetitions or waves
+	Share     float64          // share of the processes, services or frames that are affected
+	Size      float64          // in the unit of the kind; see FaultSpec
 	Group     string
 	Zone      string
-	DrainTime placement.Millis // from the begin of a drain to the process's end
+	DrainTime placement.Millis // time from the start of a drain to the stop of the process
 }
 
 // FaultSpec is the range of a fault's size, and the defaults of its size and interval. The unit of the size is the
@@ -159,7 +159,7 @@
 	StartsNeverHappen: {},
 }
 
-// FaultKinds returns all kinds, sorted by name.
+// FaultKinds returns all kinds of faults, sorted by name.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(FaultSpecs)) }
 
 // readFault reads one fault block. Its kind is its name, unless it states another one.
@@ -171,7 +171,7 @@
 	spec, ok := FaultSpecs[kind]
 	if !ok {
 		block.AddProblem("kind", fmt.Sprintf("a fault of kind %q is not known", kind),
-			"give it the name of a kind, or a kind = of "+joinKinds(FaultKinds()))
+			"name the block after a kind, or set kind to one of "+joinKinds(FaultKinds()))
 	}
 	fault := Fault{
 		Kind:      kind,
@@ -185,7 +185,7 @@
 		DrainTime: block.Duration("drain", 3e3),
 	}
 	if spec.DefaultInterval > 0 && fault.Interval <= 0 {
-		block.AddProblem("every", "every is no time", `write one such as "2s"`)
+		block.AddProblem("every", "every is not a positive time", `write one such as "2s"`)
 	}
 	if fault.Group != "" && !slices.Contains(s.Groups, fault.Group) {
 		s.addUnknownGroup(block, fault.Group)
@@ -198,7 +198,7 @@
 	s.Faults = append(s.Faults, fault)
 }
 
-// setDefaultTarget sets the group or zone of a fault that needs one and states none: the first group, or the last zone.
+// setDefaultTarget sets the group or zone of a fault that needs one and has none: the first group, or the last zone.
 func (s *Script) setDefaultTarget(fault *Fault) {
 	if fault.Kind == GroupThrottled && fault.Group == "" {
 		fault.Group = firstName(s.Groups)
@@ -208,7 +208,7 @@
 	}
 }
 
-// joinKinds returns the names of the kinds as one text.
+// joinKinds returns the names of the kinds, separated by commas.
 func joinKinds(kinds []FaultKind) string {
 	names := make([]string, len(kinds))
 	for i, kind := range kinds {
--- a/internal/simulation/scenario/models.go
+++ b/internal/simulation/scenario/models.go
@@ -3,30 +3,30 @@
 import "grebeglade/placement"
 
 // NodeModel describes how the nodes of a scenario behave. Its JSON keys are part of the format of recorded histories.
-// It has as many fields as a script's node and rules blocks have settings. A node that warms up fails if it gets more
-// offers in OverloadWindow than BindLimit says.
+// It has as many fields as a script's node and rules blocks have settings. A node that is warming up fails if it
+// receives more offers within OverloadWindow than BindLimit returns.
 type NodeModel struct {
-	CoreOvercommit      float64          `json:"OverCores"`  // multiple of the node's cores that is accepted
-	MemoryOvercommit    float64          `json:"OverMemory"` // multiple of its memory that is accepted
-	AdmissionTime       placement.Millis `json:"Admit"`      // to decide on one offer
-	QueueLimit          int              `json:"Line"`       // offers that wait for a decision
-	ConcurrentStarts    int              `json:"Starts"`
-	UncachedStartFactor float64          `json:"Setup"` // by which a start takes longer if the program is not cached
-	CachedPrograms      int              `json:"Kept"`  // kept after their last workload has ended
-	ReportInterval      placement.Millis `json:"ReportEvery"`
-	ConfirmsRunning     bool             // accepting an offer means that the workload runs
+	CoreOvercommit      float64          `json:"OverCores"`   // limit of requested cores, as a multiple of its cores
+	MemoryOvercommit    float64          `json:"OverMemory"`  // limit of requested memory, as a multiple of its memory
+	AdmissionTime       placement.Millis `json:"Admit"`       // time per offer or health check
+	QueueLimit          int              `json:"Line"`        // limit of queued offers and health checks
+	ConcurrentStarts    int              `json:"Starts"`      // limit of concurrent starts
+	UncachedStartFactor float64          `json:"Setup"`       // factor of the start time of an uncached program
+	CachedPrograms      int              `json:"Kept"`        // limit of cached programs that are not running
+	ReportInterval      placement.Millis `json:"ReportEvery"` // time between load reports
+	ConfirmsRunning     bool             // offers are confirmed when the workload runs, not when it is accepted
 	DrainMode           DrainMode        `json:"Away"`
-	AnnouncesDrain      bool             `json:"TellsDrain"` // to allocators itself, besides the discovery service
-	InitialRate         float64          `json:"ColdFrom"`   // share of the full start rate with which a node starts
+	AnnouncesDrain      bool             `json:"TellsDrain"` // drains are announced to allocators, too
+	InitialRate         float64          `json:"ColdFrom"`   // share of the full start rate at the start of the warm-up
 	WarmUpDuration      placement.Millis `json:"ColdFor"`
-	WarmUpBudget        float64          `json:"ColdBears"`   // offers in OverloadWindow that never overload it
-	OverloadFactor      float64          `json:"Overload"`    // of the starts possible in OverloadWindow, at most
-	OverloadWindow      placement.Millis `json:"OverloadFor"` // over which offers to a warming node are counted
+	WarmUpBudget        float64          `json:"ColdBears"`   // offers within OverloadWindow that are always allowed
+	OverloadFactor      float64          `json:"Overload"`    // limit of offers, as a multiple of the possible starts
+	OverloadWindow      placement.Millis `json:"OverloadFor"` // period in which offers to a warming node are counted
 	Groups              map[string]*GroupModel
 }
 
-// BindLimit returns the number of offers within OverloadWindow that a node withstands which starts workloads at this
-// share of its full rate.
+// BindLimit returns the number of offers within OverloadWindow that a warming node can receive without failing. The
+// rate is its start rate as a share of its full rate.
 func (m *NodeModel) BindLimit(rate float64) float64 {
 	longestStart := 1.0
 	for _, group := range m.Groups {
@@ -41,14 +41,14 @@
 
 // The drain modes, by their names in scripts.
 const (
-	DrainKeeps  DrainMode = "keeps"   // they run to their end
-	DrainPaced  DrainMode = "paced"   // it evicts them one after the other
-	DrainAtOnce DrainMode = "at-once" // it evicts all of them at once
+	DrainKeeps  DrainMode = "keeps"   // the workloads run to their end
+	DrainPaced  DrainMode = "paced"   // the node evicts them one at a time
+	DrainAtOnce DrainMode = "at-once" // the node evicts all of them together
 )
 
 // GroupModel describes how the workloads of a priority group behave on a node.
 type GroupModel struct {
-	StartTime    placement.Millis `json:"Work"`   // if the program is cached
+	StartTime    placement.Millis `json:"Work"`   // time to start a workload whose program is cached
 	CoreUse      float64          `json:"Cores"`  // mean share of the requested cores that is used
 	MemoryUse    float64          `json:"Memory"` // mean share of the requested memory that is used
 	EvictionRank int              `json:"Rank"`   // lower ranks are evicted first
@@ -56,27 +56,27 @@
 
 // DiscoveryModel describes how the discovery service of a scenario behaves.
 type DiscoveryModel struct {
-	Polled           bool             // it answers calls; otherwise it pushes changes to all subscribers
-	Lag              placement.Millis // from a node's registration until the service knows of it
-	PushInterval     placement.Millis
-	RemovalDelay     placement.Millis // from a node's disconnection until the service lists it as gone
-	EntriesPerSecond float64          // that it can send in answers to calls; 0 for no limit
-	CallTimeout      placement.Millis // after which a call that waits fails
+	Polled           bool             // allocators poll the service; otherwise it pushes changes to all of them
+	Lag              placement.Millis // time from a node's registration until it takes effect
+	PushInterval     placement.Millis // time between pushes to subscribers
+	RemovalDelay     placement.Millis // time from a node's disconnection until it is listed as removed
+	EntriesPerSecond float64          // limit of the entries per second in answers to polls; 0 for no limit
+	CallTimeout      placement.Millis // time in the queue after which a poll fails
 }
 
-// ClientModel describes what the clients of a scenario request, and how they behave. Beyond the settings of a script's
-// load block it has what a run fills in: the times to send at, and the allocators' addresses.
+// ClientModel describes what the clients of a scenario request, and how they behave. It has the settings of a script's
+// load block, and values that a run sets: From, Until and the allocators' addresses.
 type ClientModel struct {
 	Demand                 []Demand
-	Rate                   float64          // first requests a second of one client
-	From                   placement.Millis // when it sends its first request
-	Until                  placement.Millis // when it sends no more
-	RetryDelay             placement.Millis // mean delay after an answer that places nothing
-	MaxAttempts            int              // requests for one workload
-	AnswerSlack            placement.Millis // beyond the pending timeout that it waits for an answer
-	WithdrawShare          float64          // share of the workloads that it withdraws
-	RetriesAfterDisconnect bool             // also at-most-once workloads, at the same allocator
-	Allocators             []string         // addresses
+	Rate                   float64          // first requests per second and client
+	From                   placement.Millis // earliest time of a first request
+	Until                  placement.Millis // time after which no request is sent
+	RetryDelay             placement.Millis // mean delay before a retry
+	MaxAttempts            int              // limit of the requests for one workload
+	AnswerSlack            placement.Millis // time after the pending timeout at which an unanswered request times out
+	WithdrawShare          float64          // share of the workloads that are withdrawn
+	RetriesAfterDisconnect bool             // at-most-once workloads are retried, at the same allocator
+	Allocators             []string         // addresses of the allocators
 	Gangs                  []GangDemand
 	GangPolicy             GangPolicy
 }
@@ -84,10 +84,10 @@
 // Demand is the demand for single workloads of one priority group.
 type Demand struct {
 	Name           string
-	Share          float64      // of the request rate
-	Shapes         [][2]float64 // cores and memory
-	Lifetime       placement.Millis
-	Services       int
+	Share          float64          // share of the request rate
+	Shapes         [][2]float64     // cores and memory
+	Lifetime       placement.Millis // mean
+	Services       int              // number of services
 	PendingTimeout placement.Millis
 	Idempotency    placement.Idempotency
 }
@@ -96,28 +96,28 @@
 type GangDemand struct {
 	Group          string
 	Idempotency    placement.Idempotency
-	Rate           float64 // gangs a second of one client
+	Rate           float64 // gangs per second and client
 	Parts          int
-	MinParts       int        // that must run for the gang to run
+	MinParts       int        // least number of parts that the gang needs to run
 	Shape          [2]float64 // cores and memory of a part
 	Lifetime       placement.Millis
 	PendingTimeout placement.Millis
-	SpreadScope    string // of which no two parts share one: "node", "cell" or "zone"; "" for none
-	Replace        bool   // parts that are lost are replaced
+	SpreadScope    string // "node", "cell" or "zone", at most one part of the gang on each; "" for no limit
+	Replace        bool   // lost parts are replaced
 	ReplaceTimeout placement.Millis
 }
 
-// GangPolicy is how clients request gangs: as gangs, or in one of two ways to compare with.
+// GangPolicy is how clients request gangs: with gang requests, or in one of two ways that serve as a comparison.
 type GangPolicy string
 
 // The gang policies, by their names on the command line.
 const (
-	Together    GangPolicy = "together"    // one request for the gang
-	Independent GangPolicy = "independent" // one request a part; an incomplete gang is stopped after a timeout
-	UntilPlaced GangPolicy = "for-ever"    // one request for the gang, retried at once whenever it is rejected
+	Together    GangPolicy = "together"    // one request per gang
+	Independent GangPolicy = "independent" // one request per part; an incomplete gang is stopped after a timeout
+	UntilPlaced GangPolicy = "for-ever"    // one request per gang, retried after a short delay
 )
 
 // StorageModel describes the durable state of the allocators of a scenario.
 type StorageModel struct {
-	SyncTime placement.Millis // of one write to disk; 0 for allocators without durable state
+	SyncTime placement.Millis // duration of one write to disk; 0 for allocators without durable state
 }
--- a/internal/simulation/scenario/script.go
+++ b/internal/simulation/scenario/script.go
@@ -1,5 +1,5 @@
-// Package scenario reads the scripts of simulated runs: the fleet, what clients request from it, and the faults
-// that are injected. Scripts are HCL files; those that come with the program are embedded.
+// Package scenario reads the scripts of simulated runs: the fleet, the requests of clients, and the faults that are
+// injected. Scripts are HCL files. Predefined scripts are embedded.
 package scenario
 
 import (
@@ -22,20 +22,20 @@
 type Script struct {
 	Name       string
 	About      string
-	SettleTime placement.Millis // before clients send requests and faults count, for nodes and allocators to connect
-	Length     placement.Millis // for which clients send requests
+	SettleTime placement.Millis // time in which nodes and allocators connect, before requests and faults
+	Length     placement.Millis // time in which clients send requests
 	Allocators int
 	Clients    int
 	Zones      []string
 	Settings   placement.Settings
 	Groups     []string // names of Settings.Groups
 	NodeKinds  []string // names of Settings.NodeKinds
-	NodeCounts []int    // of each kind
+	NodeCounts []int    // number of nodes of each kind
 	Demand     []Demand
 	Node       NodeModel
 	Discovery  DiscoveryModel
 	Client     ClientModel
-	DrainGrace placement.Millis // within which offers to a draining node are allowed
+	DrainGrace placement.Millis // time from the start of a drain in which offers to the node are allowed
 	Faults     []Fault
 	Limits     config.Limits
 	Storage    StorageModel
@@ -43,14 +43,14 @@
 
 // Terms are the limits that an audited run is held to. Their JSON keys are part of the format of recorded histories.
 type Terms struct {
-	AnswerSlack placement.Millis `json:"Slack"` // beyond the pending timeout within which an answer still counts
-	DrainGrace  placement.Millis
-	MaxBinds    int        // of one request; 0 for no limit
-	Model       *NodeModel // for the binds that a node which is warming up withstands
+	AnswerSlack placement.Millis `json:"Slack"` // time after the pending timeout in which an answer is still accepted
+	DrainGrace  placement.Millis // as in Script
+	MaxBinds    int              // limit of the binds of a request; 0 for no limit
+	Model       *NodeModel       // limits the binds to a node that is warming up
 	Groups      map[string]placement.Group
 }
 
-// Names returns the names of the scripts that come with the program, sorted.
+// Names returns the names of the embedded scripts, sorted.
 func Names() []string {
 	entries, err := scripts.ReadDir("scripts")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return names
 }
 
-// Open reads the script of that name, or the script in that file.
+// Open reads an embedded script by its name, or a script file.
 func Open(nameOrFile string) (*Script, error) {
 	block, err := Parse(nameOrFile)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return Decode(block)
 }
 
-// Parse parses the script of that name, or the script in that file, without decoding it.
+// Parse parses an embedded script by its name, or a script file, without decoding it.
 func Parse(nameOrFile string) (*config.Block, error) {
 	if slices.Contains(Names(), nameOrFile) {
 		return parseEmbedded(nameOrFile)
@@ -87,7 +87,7 @@
 	return config.Parse(nameOrFile, src)
 }
 
-// parseEmbedded parses a script that comes with the program.
+// parseEmbedded parses an embedded script.
 func parseEmbedded(name string) (*config.Block, error) {
 	src, err := scripts.ReadFile("scripts/" + name + ".hcl")
 	if err != nil {
@@ -96,7 +96,7 @@
 	return config.Parse(name+".hcl", src)
 }
 
-// DecodeText reads a script from its text; file is the name used in errors.
+// DecodeText reads a script from its source; file is the name used in errors.
 func DecodeText(file string, src []byte) (*Script, error) {
 	block, err := config.Parse(file, src)
 	if err != nil {
@@ -143,7 +143,7 @@
 		s.NodeCounts[i] = s.NodeCounts[i] * nodes / before
 		left -= s.NodeCounts[i]
 	}
-	s.NodeCounts[0] += left // what rounding left over
+	s.NodeCounts[0] += left // the remainder of the rounding
 	s.Client.Rate *= float64(nodes) / float64(before)
 	for i := range s.Client.Gangs {
 		s.Client.Gangs[i].Rate *= float64(nodes) / float64(before)
@@ -164,8 +164,8 @@
 	}
 }
 
-// SetLoad scales the request rates of gangs and single workloads alike, so that their mean demand is that share of the
-// cores of all nodes.
+// SetLoad scales the request rates of gangs and single workloads by one factor, so that their mean demand is the given
+// share of the cores of all nodes.
 func (s *Script) SetLoad(share float64) {
 	cores := 0.0
 	for i, count := range s.NodeCounts {
