--- a/placement/constants.go
+++ b/placement/constants.go
@@ -10,7 +10,7 @@
 	// maxDegradationShare is the share of a group's degradation range that the load of a node may use up, from 0
 	// (full service) to 1 (no service).
 	maxDegradationShare = 0.5
-	// memoryCap is the largest share of a node's memory in use. The remaining tenth is for growth after a start.
+	// memoryCap is the largest allowed share of a node's memory in use. The remaining tenth is for growth after a start.
 	memoryCap = 0.9
 	// loadTieBand is the largest difference in utilization between loads that count as equal. Smaller
 	// differences are within the noise of load reports.
@@ -30,8 +30,9 @@
 	maxReportAge = Millis(5e3)
 	// maxReports is the number of load reports kept per node: enough to cover migrationWindow.
 	maxReports = 16
-	// reportSpacing is the minimum time between kept reports of a node. At this spacing, maxReports reports cover
-	// migrationWindow with two to spare.
+	// reportSpacing is the minimum time from the last but one kept report of a node to a new one: a new report that
+	// comes earlier replaces the last one. At this spacing, maxReports reports cover migrationWindow, since
+	// maxReports-2 intervals span it.
 	reportSpacing = migrationWindow / (maxReports - 2)
 	// maxUsageSamples is the number of usage ratios kept for the whole fleet: enough for a stable mean, few enough
 	// to follow changes over the day.
@@ -42,14 +43,13 @@
 
 // Bind timeouts, and retention of confirmations and rejections.
 const (
-	// minBindTimeout is the minimum timeout of a bind that is not the last one: the reply of a node with a full
-	// admission queue takes as long.
+	// minBindTimeout is the minimum timeout of a bind that is not the last one, unless less time remains: the reply of
+	// a node with a full admission queue takes as long.
 	minBindTimeout = Millis(1e3)
-	// bindTimeoutFactor is the timeout of a bind that is not the last one, in multiples of the median confirmation
-	// time.
+	// bindTimeoutFactor is a second minimum of that timeout, in multiples of the median confirmation time.
 	bindTimeoutFactor = 3
-	// remainingTimeDivisor divides a workload's remaining time to give the timeout of a bind. Half of the time is left for
-	// another bind.
+	// remainingTimeDivisor divides a workload's remaining time to give a third minimum of that timeout. Where it is the
+	// largest of the three, half of the time is left for another bind.
 	remainingTimeDivisor = 2
 	// answerMargin is the time between the latest final answer and the pending timeout.
 	answerMargin = Millis(20)
@@ -62,7 +62,7 @@
 	// first start of a program on a node.
 	defaultConfirmationTime = Millis(2e3)
 	// capacityRejectionPause is how long a node that rejected a bind for lack of capacity gets no request of the same
-	// size or more.
+	// size or more, or no request at all if its queue was full.
 	capacityRejectionPause = Millis(1e3)
 	// groupRejectionPause is how long a node gets no binds of a group after rejecting one for a reason other than
 	// capacity.
@@ -73,9 +73,9 @@
 
 // Reservations for groups of higher priority weight.
 const (
-	// minReservedSlots is the minimum number of reserved slots if any recorded request has precedence.
+	// minReservedSlots is the minimum number of reserved slots if any request with precedence sets the slot size.
 	minReservedSlots = 1
-	// maxReservedSlotsPerNode limits the slots reserved for groups of higher weight, in slots per node of the fleet.
+	// maxReservedSlotsPerNode limits the slots reserved for groups of higher weight, in slots per node in the node table.
 	maxReservedSlotsPerNode = 0.5
 	// maxReservationWindows limits the time over which this allocator's requests are counted as an estimate of the
 	// requests at all allocators, in multiples of reservationWindow.
@@ -92,8 +92,8 @@
 	// warmUpWindowFactor is the window over which binds are counted, in multiples of Settings.OverloadWindow. It is
 	// more than 1 because the network can delay binds so that they arrive closer together than they were sent.
 	warmUpWindowFactor = 1.2
-	// slowStartRamp is the time over which the binds to a new node rise from the initial rate to the whole share of
-	// its budget.
+	// slowStartRamp is the time over which the rate of binds to a new node would rise from 0 to its full rate. The rate
+	// starts at Settings.InitialRate, so it is full earlier if InitialRate is above 0.
 	slowStartRamp = Millis(5e3)
 	// minWarmUpBinds is the minimum number of binds per window, however low the rate is: below 1 no bind could be
 	// sent.
@@ -135,7 +135,7 @@
 	renewalsPerPollInterval = 2
 	// pollBackoff is the mean time from a failed poll to the next one. It doubles with each consecutive failure.
 	pollBackoff = Millis(1500)
-	// maxPollDoublings limits pollBackoff to 12 s: an overloaded discovery service needs as long to serve every
+	// maxPollDoublings limits the mean backoff to 12 s: an overloaded discovery service needs as long to serve every
 	// allocator.
 	maxPollDoublings = 3
 	// firstPollSpacing is the largest time between the first polls of two allocators with consecutive ordinals. It is
@@ -164,6 +164,6 @@
 	// minOverloadReports is the minimum number of reports above overloadThreshold that show an overload.
 	minOverloadReports = 2
 	// maxOverloadReportAge is the age above which a report is no evidence that a node is still overloaded. A node
-	// without a report for half of that time gets a health check.
+	// without contact for half of that time is due for a health check.
 	maxOverloadReportAge = 2 * healthCheckAfter
 )
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -21,7 +21,8 @@
 //   - Score: prefer nodes that already run the service and would give the workload full service, then other nodes that
 //     run the service, then all others. Among the preferred nodes, select the least loaded one and break ties at
 //     random; for a service that no node runs yet, several allocators select the node by a common rank (score.go).
-//   - Bind: offer the workload to the selected node, with a timeout that leaves time for another bind (schedule.go).
+//   - Bind: offer the workload to the selected node, with a timeout that leaves time for another bind if one is
+//     allowed (schedule.go).
 //   - Confirm or retry: process the result of the bind; answer the client if no further bind is allowed (outcome.go).
 //
 // In addition, Maintain migrates workloads off overloaded nodes (migration.go), checks nodes (health.go), renews the
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -3,9 +3,9 @@
 // Inputs: the node list, the settings of the workload's group, this allocator's binds, the nodes' rejections, and the
 // estimates of capacity and load.
 //
-// Cost of an error: a node that passes against the rules of a group or of slow start violates a rule without
-// exceptions; a node that passes without capacity costs a rejected bind. A node that is excluded although it is
-// feasible may cause the rejection of the workload, because the nodes are not filtered again by weaker rules.
+// Cost of an error: a bind to a node that the rules of the group or of slow start forbid violates a rule without
+// exceptions; a bind to a node without capacity is rejected. If a feasible node is excluded, the workload may be
+// rejected, because the nodes are not filtered again by weaker rules.
 
 package placement
 
@@ -50,15 +50,15 @@
 	return w.Cores > available.Cores || w.Memory > available.Memory
 }
 
-// exceedsMemoryCap reports whether the workload would raise the memory in use on n above memoryCap. Without a fresh
-// load report it returns false.
+// exceedsMemoryCap reports whether the workload would raise the memory in use on n above memoryCap. It returns false if
+// the memory in use is 0 or unknown.
 func (f *filter) exceedsMemoryCap(now Millis, w *workload, n *node) bool {
 	used := f.load.usedMemory(now, n)
 	return used > 0 && used+w.Memory > memoryCap*n.size.Memory
 }
 
-// mayRepeat reports whether n may get another bind of a workload that may already run on w.firstUncertain.node: a
-// second start there is harmless, or n recognizes the idempotency key.
+// mayRepeat reports whether n may get another bind of a workload that may already run on w.firstUncertain.node. It may
+// if the group is Idempotent, or if it is IdempotentByKey and n still recognizes the key of the first bind.
 func mayRepeat(now Millis, w *workload, n *node) bool {
 	first := w.firstUncertain
 	switch w.group.Idempotency {
--- a/placement/group.go
+++ b/placement/group.go
@@ -36,8 +36,7 @@
 	ScopeAll
 )
 
-// Group holds the settings of one priority group. Stored histories and "config check"
-// use the JSON keys.
+// Group holds the settings of one priority group. Stored histories and "config check" use the JSON keys.
 type Group struct {
 	// LatencyObjective is the time from the request within which the workload should start.
 	LatencyObjective Millis `json:"Target"`
--- a/placement/load.go
+++ b/placement/load.go
@@ -87,7 +87,8 @@
 }
 
 // loadWith returns the load of n with the workload added, which is assumed to use all the cores that it requests. For a
-// node without a fresh load report, the mean load of the other nodes is assumed.
+// node without a fresh load report, the mean load of the other nodes is assumed. The load of a node without cores is
+// infinite.
 func (l *loadEstimator) loadWith(now Millis, w *workload, n *node) utilization {
 	if n.size.Cores <= 0 {
 		return utilization(math.Inf(1))
@@ -99,8 +100,8 @@
 	return utilization((used + w.Cores) / n.size.Cores)
 }
 
-// meanLoad returns the mean load of the ready nodes with fresh load reports. It is computed once for each value of now,
-// because one decision may use it for many nodes.
+// meanLoad returns the mean load of the ready nodes with fresh load reports, or 0 if there are none. It is computed
+// once for each value of now, because one decision may use it for many nodes.
 func (l *loadEstimator) meanLoad(now Millis) utilization {
 	if l.meanAt == now {
 		return l.mean
--- a/placement/migration.go
+++ b/placement/migration.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// overloaded reports whether the load reports of n have been above overloadThreshold for at least migrationWindow, and
-// the last one is not older than maxOverloadReportAge.
+// overloaded reports whether the load reports of n have been above overloadThreshold for at least migrationWindow. It
+// returns false for fewer than minOverloadReports such reports, or if the last one is older than maxOverloadReportAge.
 func (n *node) overloaded(now Millis) bool {
 	if len(n.reports) == 0 || now-n.reports.lastAt() > maxOverloadReportAge {
 		return false
--- a/placement/nodelist.go
+++ b/placement/nodelist.go
@@ -27,8 +27,8 @@
 	Zone       ZoneID
 	Cell       CellID
 	StartedAt  Millis  // start time of this incarnation
-	FreeCores  float64 // not requested by any workload
-	FreeMemory float64 // not requested by any workload
+	FreeCores  float64 // cores not requested by any workload
+	FreeMemory float64 // memory not requested by any workload
 }
 
 // NodeUpdateKind is the kind of a node list message.
@@ -44,8 +44,8 @@
 
 // LoadReport is the load of a node as reported by the node. Missing values are NaN.
 type LoadReport struct {
-	SpareCores  float64 // not in use with Settings.ReportsUsage; otherwise not requested
-	SpareMemory float64 // same meaning as SpareCores
+	SpareCores  float64 // cores not in use (with Settings.ReportsUsage) or not requested (without)
+	SpareMemory float64 // memory not in use or not requested, as for SpareCores
 	Backlog     float64 // number of workloads queued on the node
 	Utilization float64 // share of the node's cores in use
 }
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -5,7 +5,7 @@
 //
 // Cost of an error: another bind of a workload that may already run is a second start, which some groups forbid; a
 // final answer although another bind was allowed loses the workload. The answer Rejected for a workload that may run
-// lets the client retry it, which starts it twice.
+// lets the client retry it, which may start it twice.
 
 package placement
 
--- a/placement/reports.go
+++ b/placement/reports.go
@@ -12,8 +12,9 @@
 // reportHistory holds the last reports of a node, oldest first.
 type reportHistory []receivedReport
 
-// latest returns the last report, or nil if it is older than maxReportAge. It returns a pointer because every decision
-// calls it several times per node: a copy that crosses a page of the stack makes a decision a tenth slower.
+// latest returns the last report, or nil if there is none or it is older than maxReportAge. It returns a pointer
+// because every decision calls it several times per node: a copy that crosses a page of the stack makes a decision a
+// tenth slower.
 func (h reportHistory) latest(now Millis) *receivedReport {
 	if now-h.lastAt() > maxReportAge {
 		return nil
@@ -29,8 +30,8 @@
 	return h[len(h)-1].at
 }
 
-// add appends a report. It replaces the last one if that came less than reportSpacing after its predecessor, so that
-// the kept reports cover migrationWindow.
+// add appends a report. The new report replaces the last one if it comes less than reportSpacing after the last but
+// one, so that frequent reports do not shorten the time that the history covers.
 func (h *reportHistory) add(now Millis, report receivedReport) {
 	last := len(*h) - 1
 	if last > 0 && now-(*h)[last-1].at < reportSpacing {
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -54,7 +54,8 @@
 }
 
 // newReservations returns reservations that count the requests in groups; the scheduler adds requests there. window
-// grows with the number of allocators up to maxReservationWindows windows, beyond that requestMultiplier grows instead.
+// is reservationWindow times the number of allocators, up to maxReservationWindows. If there are more allocators,
+// requestMultiplier grows instead.
 func newReservations(
 	settings *Settings, groups []group, nodes *nodeTable, capacity *capacityEstimator, load *loadEstimator,
 ) *reservations {
@@ -175,8 +176,8 @@
 }
 
 // slotSize returns the largest number of cores and the largest amount of memory among the requests with precedence over
-// the workload, or zero if there are none. For groups of higher weight it includes requests that are not recent,
-// because at least one slot is always reserved for these groups.
+// the workload, or zero if there are none. For groups of equal weight only recent requests count. For groups of higher
+// weight older ones count too, because at least one slot is always reserved for these groups.
 func (r *reservations) slotSize(now Millis, w *workload) (slot resources) {
 	for p, req := range r.preceding(w) {
 		if p == allPrecede || r.isRecent(now, req) && !req.retried {
@@ -219,8 +220,8 @@
 	return now-req.at < r.window
 }
 
-// requiredSlots returns the number of slots to reserve. Those for groups of higher weight are limited by the number of
-// nodes, so that a part of the fleet stays open.
+// requiredSlots returns the number of slots to reserve. Those for groups of higher weight are limited to
+// maxReservedSlotsPerNode times the number of nodes, so that a part of the fleet stays open.
 func (r *reservations) requiredSlots(competing demand) slots {
 	limit := slots(float64(len(r.nodes.sorted)) * maxReservedSlotsPerNode)
 	return max(minReservedSlots, min(competing.higherWeight, limit)+competing.firstRequests)
@@ -255,7 +256,7 @@
 	slots slots
 }
 
-// fleetSlots is the number of free slots on the fleet.
+// fleetSlots is the number of free slots in the fleet.
 type fleetSlots struct {
 	byNode []nodeSlots // for each ready node, ordered by ID
 	whole  slots       // sum of the whole slots of each node
--- a/placement/reservation_test.go
+++ b/placement/reservation_test.go
@@ -58,7 +58,7 @@
 	scheduler.reservations.requestMultiplier = 30
 	scheduler.groups[atMostOnce].requests = []request{{size: resources{1, 1}}}
 	for _, n := range scheduler.nodes.sorted {
-		n.FreeCores = 0.6 // too few for a slot of the higher weight: half of the nodes are reserved
+		n.FreeCores = 0.6 // too few for a slot of the group of higher weight: half of the nodes are reserved
 	}
 	reserved := scheduler.reservations.against(1, pendingWorkload(scheduler, idempotent, 0.5, 0.5))
 	count := 0
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -12,7 +12,7 @@
 
 import "slices"
 
-// Schedule takes a new workload and returns its first step.
+// Schedule takes a new workload and returns its first step, which is Rejected if the group is not in the settings.
 func (s *Scheduler) Schedule(now Millis, requested Workload) Step {
 	if int(requested.Group) >= len(s.groups) {
 		return Step{Kind: Rejected}
@@ -110,7 +110,8 @@
 	return feasible.best(pending, soleAllocator, s.random)
 }
 
-// bindTimeout returns the timeout of the next bind. Unless it is the last one, it leaves time for another bind.
+// bindTimeout returns the timeout of the next bind. Unless it is the last one, it leaves time for another bind where
+// the minimum timeouts allow it.
 func (s *Scheduler) bindTimeout(pending *workload, remaining Millis) Millis {
 	lastBind := pending.group.Idempotency == AtMostOnce || pending.binds+1 >= s.settings.MaxBinds
 	if lastBind {
--- a/placement/scheduler.go
+++ b/placement/scheduler.go
@@ -29,7 +29,7 @@
 }
 
 // New returns a scheduler without nodes. The same settings, seed and calls give the same decisions. The number of
-// allocators is raised to settings.Ordinal+1 if it is lower; a negative ordinal counts as 0.
+// allocators is raised to at least 1 and settings.Ordinal+1; a negative ordinal counts as 0.
 func New(settings Settings, seed uint64) *Scheduler {
 	settings.Allocators = max(1, settings.Allocators, settings.Ordinal+1)
 	settings.Ordinal = max(0, settings.Ordinal)
@@ -91,7 +91,8 @@
 	}
 }
 
-// HealthChecked records the result of a health check. report is nil if the reply contains no load report.
+// HealthChecked records the result of a health check. report is nil if the reply contains no load report. A result for
+// a node that is not in the node table is ignored.
 func (s *Scheduler) HealthChecked(now Millis, id NodeID, answered bool, report *LoadReport) {
 	n := s.nodes.byID[id]
 	if n == nil {
--- a/placement/score.go
+++ b/placement/score.go
@@ -33,7 +33,7 @@
 }
 
 // best returns the selected node, or nil if there is no candidate. A sole allocator selects the first node of a service
-// by load, since it has no other allocators to agree with. best may reorder the candidates.
+// by load, since it has no other allocators to agree with. best may overwrite the candidates.
 func (c *candidates) best(pending *workload, soleAllocator bool, rng *random) *node {
 	switch {
 	case len(c.running) > 0:
@@ -66,8 +66,8 @@
 }
 
 // highestRanked returns, of the two highest-ranked nodes, the one whose free capacity fits more workloads of this size.
-// All allocators with the same node list select the same node. It does not sort the nodes: on a large fleet, sorting
-// dominates the cost of a decision.
+// Allocators with the same candidates and node list select the same node. It does not sort the nodes: on a large fleet,
+// sorting dominates the cost of a decision.
 func highestRanked(pending *workload, nodes []candidate) *node {
 	var first, second *node
 	var firstRank, secondRank uint64
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -4,12 +4,12 @@
 // number of allocators, this allocator's ordinal, and the start time of this scheduler.
 //
 // All allocators together must stay within the warm-up budget of the node without communicating. Each has an equal
-// share of the budget, up to which its rate rises from the initial rate. If there are more allocators than binds in the
-// budget, they take turns, and an allocator may send one bind per turn; each computes the same order from the node, its
-// start time and the ordinals. A window overlaps at most two turns, binds in flight included, so each turn gets half of
-// the budget. Binds sent before a restart of the allocator are unknown, so after its start it waits for one window or
-// for the next turn. Binds that a network partition delays arrive together when it ends; therefore a bind counts until
-// it is answered, and for one window after that.
+// share of the budget; its rate rises from the initial rate to that share. If there are more allocators than binds in
+// the budget, they take turns: in each turn, some of them may send one bind each. All compute the same order from the
+// node, its start time and the ordinals. A window overlaps at most two turns, binds in flight included, so each turn
+// gets half of the budget. Binds sent before a restart of the allocator are unknown, so after its start it waits for
+// one window or for the next turn. Binds that a network partition delays arrive together when it ends; therefore a bind
+// counts until it is answered, and for one window after that. mayHaveJustArrived lists the exceptions.
 //
 // Cost of an error: a bind too many overloads the node and violates a rule without exceptions; a bind too few leaves
 // capacity idle just after a deployment or a crash. Capacity is also idle in the turns of allocators without requests,
@@ -148,8 +148,8 @@
 	}
 }
 
-// recordResult counts a bind to a node that is warming up from the time of its result instead of the time when it was
-// sent, if it may have arrived just before the result.
+// recordResult counts a bind in warmUpBinds at the time of its result instead of the time when it was sent. It does so
+// only if the bind was unanswered, its node is warming up, and the bind may have arrived just before the result.
 func (s *slowStart) recordResult(now Millis, b *bind, kind ResultKind) {
 	n := b.node
 	if b.state != bindSent || !s.warmingUp(now, n) || !s.mayHaveJustArrived(now, b, kind) {
@@ -163,8 +163,8 @@
 }
 
 // mayHaveJustArrived reports whether the bind may have reached its node just before this result. With
-// Settings.ConfirmsRunning, a confirmation comes only after the start of the workload; then only a confirmation later
-// than one window counts as such, because otherwise nodes would stay idle while replies are slow.
+// Settings.ConfirmsRunning, nodes confirm a workload only after its start. A confirmation then counts as such a result
+// only if it comes more than one window after the offer: otherwise nodes would stay idle while replies are slow.
 func (s *slowStart) mayHaveJustArrived(now Millis, b *bind, kind ResultKind) bool {
 	switch kind {
 	case NotDelivered, NotAttempted: // the bind never arrived
--- a/placement/subscription.go
+++ b/placement/subscription.go
@@ -41,7 +41,8 @@
 	s.nextPoll = now + min(spaced, partOfRenewal)
 }
 
-// due reports whether the scheduler must subscribe now. If so, it schedules the next renewal.
+// due reports whether the scheduler must subscribe now. If so, it schedules the next renewal. It is always false
+// without Settings.PolledDiscovery.
 func (s *subscription) due(now Millis) bool {
 	if !s.settings.PolledDiscovery || now < s.nextPoll {
 		return false
--- a/placement/workload.go
+++ b/placement/workload.go
@@ -22,7 +22,7 @@
 
 // Kinds of observations of a placed workload.
 const (
-	Running   UsageKind = iota // the workload runs; the value is ignored
+	Running   UsageKind = iota // the workload runs; the value has no meaning, but must not be NaN
 	CoresUsed                  // the value is the number of cores in use by the workload
 )
 
