--- a/internal/frontend/platform/codec/client.go
+++ b/internal/frontend/platform/codec/client.go
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// decodeRequest returns the request, or an Invalid if a field is out of range. An out-of-range number would corrupt the
-// running sums that placement decisions are based on.
+// decodeRequest returns the request, or an Invalid if a field is missing or invalid. A number out of range would
+// corrupt the sums that placement decisions are based on.
 func decodeRequest(header Header, opts options, description *string) Message {
 	task, node, err := decodeTask(opts, description)
 	if err != nil {
--- a/internal/frontend/platform/codec/codec.go
+++ b/internal/frontend/platform/codec/codec.go
@@ -1,9 +1,10 @@
 // Package codec implements the three encodings of the platform's protocol: lines of JSON with clients, binary messages
 // with nodes, and the discovery service's stream of server-sent events.
 //
-// Each message is decoded once, into a struct of validated fields. Bytes that cannot be framed are an error: the rest
-// of the connection's input cannot be decoded either. A correctly framed message with invalid content is decoded into
-// an Invalid, which has the tag of the workload, so that the receiver can reject that workload.
+// Each message is decoded once, into a struct of validated fields. Input that is not a message of the protocol is an
+// error, after which the rest of the connection's input cannot be trusted. A request with an invalid field, or a node's
+// message with an invalid load report, is decoded into an Invalid, which has the message's tag, so that the receiver
+// can reject the workload.
 //
 // ClientCodec, NodeCodec and DiscoveryCodec implement transport.Codec. The package does no I/O, and its buffers have
 // size limits.
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -12,7 +12,7 @@
 	// maxEventSize is the maximum size of a line, a chunk and an event of the discovery service, in bytes. A list of
 	// several thousand nodes fits.
 	maxEventSize = 1 << 20
-	// maxChunkHeader is the maximum size of the line before a chunk, which has the chunk's size, in bytes.
+	// maxChunkHeader is the maximum size, in bytes, of the line with the chunk size that precedes each chunk.
 	maxChunkHeader = 32
 
 	lineEnd = "\r\n"            // end of an HTTP header line
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -117,10 +117,10 @@
 }
 
 // Ignorable is a message of which only the load report is used: progress, an acknowledgement, a measurement of an
-// unsupported kind, or a message that only the other side of a connection handles.
+// unsupported kind or without a value, or a message that only the other side of a connection handles.
 type Ignorable struct{ Header }
 
-// Invalid is a correctly framed message with invalid content. The receiver decides whether to close the connection.
+// Invalid is a message with an invalid field or load report. The receiver decides whether to close the connection.
 type Invalid struct {
 	Header
 	Err error
