--- a/internal/frontend/platform/bind.go
+++ b/internal/frontend/platform/bind.go
@@ -31,7 +31,7 @@
 type bind struct {
 	state        bindState
 	number       int              // the engine's number of the bind, counted per workload
-	node         *node            // nil if the node was removed before the bind
+	node         *node            // nil before the first bind, or if the node was removed before the bind
 	conn         *nodeConn        // connection that the offer was sent on, also after the bind's end; nil if not sent
 	sentAt       placement.Millis // time when the offer was sent
 	runningSince placement.Millis // time of the confirmation or adoption
--- a/internal/frontend/platform/binder.go
+++ b/internal/frontend/platform/binder.go
@@ -23,7 +23,7 @@
 	deadline placement.Millis // time at which the offer expires
 }
 
-// offer begins a bind. The offer is sent as soon as a connection to the node is open, but not after the deadline.
+// offer begins a bind. The offer is sent as soon as a connection to the node is open, if that is before the deadline.
 func (b *binder) offer(w *workload, bind int, n *node, deadline placement.Millis) {
 	w.beginBind(bind, n)
 	b.conns.await(n, &pendingOffer{
@@ -39,8 +39,8 @@
 	return o.binder.workloads.contains(o.workload) && o.workload.connecting(o.bind)
 }
 
-// connected implements connWaiter: it sends the offer. If the node is not ready or the deadline has passed, it ends the
-// bind instead.
+// connected implements connWaiter: it sends the offer. If the node is not ready or the deadline has been reached, it
+// ends the bind instead. It does nothing if the offer is no longer pending.
 func (o *pendingOffer) connected(c *nodeConn) {
 	if !o.isPending() {
 		return
@@ -53,7 +53,7 @@
 	o.binder.send(now, o, c)
 }
 
-// unreachable implements connWaiter: it ends the bind.
+// unreachable implements connWaiter: it ends the bind, unless the offer is no longer pending.
 func (o *pendingOffer) unreachable() {
 	if o.isPending() {
 		o.binder.reportNotDelivered(o.workload)
@@ -74,8 +74,8 @@
 	})
 }
 
-// reportNotDelivered ends a bind and reports to the engine that its offer was not sent. The report is deferred, since
-// the engine may be handling an event.
+// reportNotDelivered ends a bind and reports to the engine that its offer was not sent. Both are deferred, since the
+// engine may be handling an event.
 func (b *binder) reportNotDelivered(w *workload) {
 	bind := w.bind.number
 	b.host.Defer(func(now placement.Millis) {
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -30,7 +30,7 @@
 type clientConn struct {
 	id           transport.ConnID
 	active       bool                               // a message was received
-	placed       int                                // number of workloads placed or adopted on this connection
+	placed       int                                // workloads placed or adopted for requests on this connection
 	lastReceived placement.Millis                   // time of the last message, or of opening if there is none
 	unanswered   map[placement.WorkloadID]*workload // requests on this connection without a final answer
 }
@@ -40,8 +40,8 @@
 	cancelAll(now placement.Millis, unanswered map[placement.WorkloadID]*workload)
 }
 
-// clientConns is the table of client connections. It also queues notifications while no client connection can take
-// them.
+// clientConns is the table of client connections. It also queues notifications while there is no connection to send
+// them on.
 type clientConns struct {
 	*environment
 	requests    requestCanceler
@@ -86,9 +86,9 @@
 	})
 }
 
-// evictConnection closes the first connection in eviction order among those without unanswered requests. If all others
-// have unanswered requests, it closes the latest connection. Eviction guards against clients that open thousands of
-// connections and keep them.
+// evictConnection closes the first connection in eviction order, excluding latest and connections with unanswered
+// requests. If all others have unanswered requests, it closes latest. Eviction guards against clients that open
+// thousands of connections and keep them.
 func (cs *clientConns) evictConnection(now placement.Millis, latest *clientConn) {
 	var first *clientConn
 	for _, c := range cs.conns {
--- a/internal/frontend/platform/dialhistory.go
+++ b/internal/frontend/platform/dialhistory.go
@@ -31,7 +31,7 @@
 	at := now + delay
 	if h.refusals.ongoing {
 		// An earlier dial cannot show that the node is down. After the loss of a zone, dialing its nodes more often
-		// uses so much of a fraction of a core that answers are late by half a second.
+		// delays answers by half a second if the process has only a fraction of a core.
 		at = max(at, h.refusals.since+nodeDownAfter)
 	}
 	return at
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -11,7 +11,7 @@
 	"grebeglade/placement"
 )
 
-// startTolerance, in ms, is the maximum difference between two calculated start times of one process of a node. They
+// startTolerance, in ms, is the difference below which two calculated start times of a node are considered equal. They
 // differ because each calculation reads the clocks again.
 const startTolerance = placement.Millis(20)
 
@@ -21,7 +21,7 @@
 	nodes    *nodeTable
 	conns    *nodeConns
 	binder   *binder
-	unixTime func() placement.Millis // current Unix time, the time base of Endpoint.StartedAt
+	unixTime func() placement.Millis // current Unix time in ms, the time base of Endpoint.StartedAt
 }
 
 // apply implements eventHandler. Events that are not about nodes are ignored.
@@ -82,8 +82,9 @@
 	}
 }
 
-// startedAt returns the start time of a node's process on the clock of now. If it differs from the last calculated one
-// by less than startTolerance, it returns the last, so that the node does not appear to have restarted.
+// startedAt returns the start time of a node's process on the clock of now, or DistantPast if the endpoint has none. If
+// the time differs from the last calculated one by less than startTolerance, startedAt returns the last one, so that
+// the node does not appear to have restarted.
 func (l *endpointList) startedAt(
 	now placement.Millis, endpoint *codec.Endpoint, last placement.Millis,
 ) placement.Millis {
--- a/internal/frontend/platform/frontend.go
+++ b/internal/frontend/platform/frontend.go
@@ -33,9 +33,10 @@
 	endGrace = placement.Millis(3000)
 	// messageTimeout, in ms, is the maximum time between the first and the last byte of a received message.
 	messageTimeout = placement.Millis(1000)
-	// maxWriteBuffer is the maximum size, in bytes, of a connection's write buffer, which fills if the peer does not read.
+	// maxWriteBuffer is the maximum number of unwritten bytes per connection. Above it, the connection is closed, since
+	// its peer does not read.
 	maxWriteBuffer = 256 << 10
-	// maxQueuedEvents is the number of queued messages at which connections are no longer read.
+	// maxQueuedEvents is the approximate number of queued events above which connections are not read.
 	maxQueuedEvents = 512
 )
 
--- a/internal/frontend/platform/frontend_test.go
+++ b/internal/frontend/platform/frontend_test.go
@@ -40,7 +40,7 @@
 			harness.receive(harness.network.lastDialed(nodeAddr), codec.NewTermination(tag, codec.CauseNormal))
 		case 1: // rejected by the node
 			harness.receive(harness.network.lastDialed(nodeAddr), codec.NewTermination(tag, codec.CauseNoCapacity))
-		case 2: // cancelled by the client; in case 3 its connection is closed
+		case 2: // cancelled by the client; in case 3, the close of the connection withdraws the request
 			harness.receive(conn, codec.NewTermination(tag, codec.CauseNormal))
 		}
 		harness.closeConn(conn, errClosed)
--- a/internal/frontend/platform/lifecycle.go
+++ b/internal/frontend/platform/lifecycle.go
@@ -36,7 +36,7 @@
 	pendingChecks []clientHealthCheck
 }
 
-// clientHealthCheck is a client's health check without a reply.
+// clientHealthCheck is a client's health check that waits for its reply.
 type clientHealthCheck struct {
 	client transport.ConnID
 	tag    codec.Tag
@@ -44,8 +44,8 @@
 
 func newLifecycle(env *environment) *lifecycle { return &lifecycle{environment: env} }
 
-// checkHealth replies to a client's health check. While the frontend is starting, the reply is delayed until it is
-// ready, for up to maxPendingChecks checks.
+// checkHealth replies to a client's health check. While the frontend is starting, the replies to up to maxPendingChecks
+// checks are delayed until it is ready; further checks get a reply immediately.
 func (l *lifecycle) checkHealth(client transport.ConnID, tag codec.Tag) {
 	check := clientHealthCheck{client: client, tag: tag}
 	if l.state == lifecycleStarting && len(l.pendingChecks) < maxPendingChecks {
--- a/internal/frontend/platform/lifecycle_test.go
+++ b/internal/frontend/platform/lifecycle_test.go
@@ -17,7 +17,7 @@
 	assert.Equal(t, []any{codec.NewHealthReply(1, false)}, harness.network.sent[harness.clientConn])
 	harness.advance(drainTimeout + 50)
 	assert.False(t, harness.Drained(harness.now))
-	harness.Drain(harness.now) // has no effect
+	harness.Drain(harness.now) // a second call has no effect
 	harness.receive(harness.clientConn, request(8))
 	assert.Equal(t, []sentMessage{aTermination(codec.CauseNoCapacity)}, harness.sentAbout(harness.clientConn, 8))
 	harness.receive(harness.nodeConn, confirmation(7))
--- a/internal/frontend/platform/nodeconn.go
+++ b/internal/frontend/platform/nodeconn.go
@@ -5,7 +5,8 @@
 	"grebeglade/placement"
 )
 
-// connState is the state of a node connection. States advance in the order of the constants; each may be skipped.
+// connState is the state of a node connection. States advance in the order of the constants; connClosed may follow any
+// other state.
 type connState uint8
 
 const (
@@ -17,10 +18,11 @@
 
 // nodeConn is a connection to a node.
 type nodeConn struct {
-	id           transport.ConnID
-	node         *node
-	state        connState
-	lastSent     placement.Millis                   // time of the last offer, release or check, or of the dial
+	id    transport.ConnID
+	node  *node
+	state connState
+	// lastSent is the time of the last offer, health check or release, or of the dial. Pending releases do not set it.
+	lastSent     placement.Millis
 	lastReceived placement.Millis                   // time of the last message, or of opening
 	offers       map[placement.WorkloadID]*workload // offers sent on the connection without a reply
 }
--- a/internal/frontend/platform/nodeconns.go
+++ b/internal/frontend/platform/nodeconns.go
@@ -37,10 +37,10 @@
 	processEnded(now placement.Millis, n *node)
 }
 
-// nodeConns is the table of node connections. At the limit, a connection is evicted for each new one.
+// nodeConns is the table of node connections. At the limit, a connection must be evicted for each new one.
 //
 // A node is dialed only when a message has to be sent to it or is expected from it: there may be more nodes than file
-// descriptors, and dialing all nodes together would delay a start on a fraction of a core.
+// descriptors, and dialing all nodes together would delay the start of a process that has only a fraction of a core.
 type nodeConns struct {
 	*environment
 	nodes          *nodeTable
@@ -68,8 +68,9 @@
 // get returns the connection with the given id, or nil.
 func (nc *nodeConns) get(id transport.ConnID) *nodeConn { return nc.conns[id] }
 
-// await calls waiter.connected once a connection to the node is open, or waiter.unreachable if there is none. If the
-// result is available, await calls the method before it returns. n may be nil.
+// await calls waiter.connected once a connection to the node is open, or waiter.unreachable if the node cannot be
+// dialed, its dial fails or it is removed. If a connection is open or the node cannot be dialed, await calls the method
+// before it returns. A nil n cannot be dialed.
 func (nc *nodeConns) await(n *node, waiter connWaiter) {
 	if n == nil {
 		waiter.unreachable()
--- a/internal/frontend/platform/nodeconnuse.go
+++ b/internal/frontend/platform/nodeconnuse.go
@@ -46,8 +46,8 @@
 	return c != nil && c.isOpen() && !nc.idle(now, c)
 }
 
-// replaceSilent retires the node's current connection and dials another one if nothing was received on it since the
-// given time: messages sent on it may have been lost.
+// replaceSilent retires c and dials another connection, if c is its node's current connection and nothing was received
+// on it since the given time: messages sent on it may have been lost.
 func (nc *nodeConns) replaceSilent(now placement.Millis, c *nodeConn, since placement.Millis) {
 	if c.lastReceived < since && c.node.conn == c {
 		c.retire()
@@ -67,7 +67,8 @@
 	})
 }
 
-// idle reports whether a connection was unused for idleShare of the idle timeout, so that the node may close it soon.
+// idle reports whether a connection was unused for more than idleShare of the idle timeout, so that the node may close
+// it soon. Without an idle timeout in the settings, it returns false.
 func (nc *nodeConns) idle(now placement.Millis, c *nodeConn) bool {
 	timeout := nc.config.Settings.IdleTimeout
 	return timeout > 0 && now-max(c.lastSent, c.lastReceived) > timeout*idleShare
--- a/internal/frontend/platform/nodedial.go
+++ b/internal/frontend/platform/nodedial.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// dial dials a node, unless it is connected, being dialed or unreachable. If no connection can be evicted at the limit,
-// the dial is retried after a backoff.
+// dial dials a node, unless it is unreachable or has a connection that is being dialed or open. An open connection that
+// is idle is retired and replaced. If no connection can be evicted at the limit, the dial is retried after a backoff.
 func (nc *nodeConns) dial(now placement.Millis, n *node) {
 	if c := n.openConn(); c != nil && nc.idle(now, c) {
 		c.retire() // the node may be closing the connection
@@ -53,7 +53,8 @@
 	nc.conns[id] = n.conn
 }
 
-// redial schedules a dial of a node after a backoff, unless a dial is already scheduled or no connection is needed.
+// redial schedules a dial of a node after a backoff, unless a dial is already scheduled, the node is unreachable or no
+// connection is needed. The node is dialed only if it still needs a connection at that time.
 func (nc *nodeConns) redial(now placement.Millis, n *node) {
 	history := &n.dialing
 	if history.timerPending() || !n.reachable() || !n.needsConn() {
@@ -77,7 +78,8 @@
 		return false
 	}
 	if first.node == successor {
-		// The connection was replaced and not closed yet. The node is being dialed, so no later dial is scheduled.
+		// The connection was replaced and not closed yet. The caller is about to dial the node, so redialEvicted is not
+		// needed.
 		nc.disconnect(now, first, errReplaced)
 		return true
 	}
@@ -87,7 +89,7 @@
 }
 
 // firstEvictable returns the first connection in eviction order that may be evicted for successor, or nil. Connections
-// with an offer without a reply are never evicted.
+// that are being dialed, or have an offer without a reply, are never evicted.
 func (nc *nodeConns) firstEvictable(successor *node) *nodeConn {
 	var first *nodeConn
 	for _, c := range nc.conns {
--- a/internal/frontend/platform/nodedial_test.go
+++ b/internal/frontend/platform/nodedial_test.go
@@ -122,7 +122,7 @@
 		before := harness.network.lastDialed(nodeAddr)
 		timers := harness.host.PendingTimers()
 		harness.nodeConns.redial(harness.now, n)
-		assert.Equal(t, timers, harness.host.PendingTimers(), "only one timer is set for a node")
+		assert.Equal(t, timers, harness.host.PendingTimers(), "no second redial timer is set")
 		for range 100 {
 			harness.advance(10)
 			if harness.network.lastDialed(nodeAddr) != before {
--- a/internal/frontend/platform/nodes.go
+++ b/internal/frontend/platform/nodes.go
@@ -12,7 +12,7 @@
 	id        placement.NodeID
 	name      string
 	addr      string                             // empty if there is none, or if another node has taken it over
-	entry     placement.Node                     // last entry of the endpoint list; Removed if there is none
+	entry     placement.Node                     // last entry of the endpoint list; in state Removed if there is none
 	listed    bool                               // an endpoint list has contained the node
 	workloads map[placement.WorkloadID]*workload // workloads being bound to the node or running on it
 
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -59,7 +59,7 @@
 	assert.Empty(t, table.byName)
 }
 
-func TestNode_Needed_ForWorkloadsReleasesAndWaiters(t *testing.T) {
+func TestNode_NeedsConn_ForWorkloadsReleasesAndWaiters(t *testing.T) {
 	assert.False(t, (&node{}).needsConn())
 	assert.True(t, (&node{workloads: map[placement.WorkloadID]*workload{1: {}}}).needsConn())
 	assert.True(t, (&node{pendingReleases: []codec.Tag{1}}).needsConn())
--- a/internal/frontend/platform/replies.go
+++ b/internal/frontend/platform/replies.go
@@ -37,8 +37,8 @@
 	h.conns.closeReplaced(c)
 }
 
-// handle handles a message about a health check or a bind. Messages that do not concern the last bind of a workload are
-// ignored.
+// handle handles a message about a health check or a bind. Of messages that do not concern the last bind of a workload,
+// only the load report is used.
 func (h *replyHandler) handle(now placement.Millis, c *nodeConn, message codec.Message) loadDisposition {
 	if reply, ok := message.(*codec.HealthReply); ok {
 		return h.healthReplied(now, c, reply)
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -145,8 +145,8 @@
 	h.net.Send(client.id, codec.NewTermination(earlier.tag, codec.CauseInvalid))
 }
 
-// engineWorkload converts a task to the engine's form, without an id. It returns an error for values out of range: they
-// would corrupt the running sums that placement decisions are based on.
+// engineWorkload converts a task to the engine's form, without an id. It returns an error if the class is unknown or no
+// kind of node is large enough: values out of range would corrupt the sums that placement decisions are based on.
 func (h *requestHandler) engineWorkload(task *codec.Task) (placement.Workload, error) {
 	class, ok := h.classes.Lookup(task.Class)
 	if !ok {
--- a/internal/frontend/platform/subscription.go
+++ b/internal/frontend/platform/subscription.go
@@ -58,7 +58,7 @@
 	conn         transport.ConnID // invalid in subscriptionDown
 	revision     uint64           // revision of the last event that was applied or skipped
 	lastReceived placement.Millis // time of the last message, or of dialing or opening
-	failures     int              // connections closed since the last applied event or change of address
+	failures     int              // lost connections and failed dials since the last new event or change of address
 	malformed    int              // failed attempts to decode the next event
 }
 
@@ -151,8 +151,8 @@
 	s.lifecycle.markReady(now)
 }
 
-// applyEvent applies an event, unless its revision is not above the last one. It returns false if the event cannot be
-// decoded and has to be requested again; after maxMalformed attempts the event is skipped.
+// applyEvent applies an event if its revision is above the last one. It returns false if the event cannot be decoded
+// and has to be requested again; after maxMalformed attempts the event is skipped.
 func (s *subscription) applyEvent(now placement.Millis, event codec.Event) bool {
 	if event.Revision <= s.revision {
 		return true
