--- a/internal/frontend/simulator/batch.go
+++ b/internal/frontend/simulator/batch.go
@@ -43,8 +43,8 @@
 
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// readBatch reads one batch. It returns io.EOF if the input ends between two batches, or immediately after the size
-// field of a batch: the adapter exits with success in both cases.
+// readBatch reads one batch. The error is or wraps io.EOF if the input ends between two batches, or immediately after
+// the size field of a batch: the adapter exits with success in both cases.
 func readBatch(r *bufio.Reader) (batch, error) {
 	b, bodySize, err := readBatchHeader(r)
 	if err != nil {
--- a/internal/frontend/simulator/server.go
+++ b/internal/frontend/simulator/server.go
@@ -19,8 +19,9 @@
 	reply     reply
 }
 
-// Serve replies to batches until the input ends, and returns nil if it ends between two batches. It returns an error on
-// the first batch that cannot be decoded or handled. The error is a *RecordError if the cause is one record's contents.
+// Serve replies to batches until the input ends, and returns nil if it ends between two batches or after a size field.
+// It returns an error on the first batch that cannot be read, handled or answered. The error is a *RecordError if the
+// cause is one record's contents.
 func Serve(input io.Reader, output io.Writer) error {
 	srv := &server{
 		instances: map[uint16]*instance{},
