--- a/internal/frontend/native/acceptor.go
+++ b/internal/frontend/native/acceptor.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// received handles the first frame of a connection: the hello of a client or an operator, or the connection is refused.
+// received handles the first frame of a connection. It refuses the connection unless the frame is the hello of a client
+// or an operator.
 func (a *acceptor) received(now placement.Millis, id transport.ConnID, peer *connection, frame *pb.Frame) {
 	hello, err := helloOf(frame, acceptRole)
 	switch {
@@ -42,7 +43,7 @@
 	}
 }
 
-// acceptRole returns an error if peers of the role may not connect to an allocator.
+// acceptRole returns an error if peers with the hello's role may not connect to an allocator.
 func acceptRole(hello *pb.Hello) error {
 	if hello.Role != pb.Role_CLIENT && hello.Role != pb.Role_OPERATOR {
 		return fmt.Errorf("an allocator serves owners and operators, not the role %s", hello.Role)
--- a/internal/frontend/native/binder.go
+++ b/internal/frontend/native/binder.go
@@ -5,8 +5,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// binder carries out the engine's binds: it sends offers and stops to the nodes, and keeps the state of each workload's
-// last bind until the node has its offer.
+// binder carries out the engine's binds: it sends offers and stops to the nodes, and maintains the bind state of each
+// workload.
 type binder struct {
 	*environment
 	workloads *workloadTable
@@ -32,7 +32,7 @@
 }
 
 // pendingBind is a bind whose offer was not sent yet. It has its own number, since its workload may have later binds.
-// It is passed by value, so that a bind that is sent without persisting needs no allocation.
+// It is passed by value, so that a bind that is not persisted needs no allocation for it.
 type pendingBind struct {
 	workload *workload
 	number   int
@@ -80,7 +80,7 @@
 	})
 }
 
-// persisted handles the journal's result for a bind. The bind is valid if the placement decision still holds.
+// persisted handles the journal's result for a bind. valid is true if the placement decision still holds.
 func (b *binder) persisted(bind pendingBind, valid bool, err error) {
 	switch {
 	case err != nil:
@@ -96,8 +96,8 @@
 	}
 }
 
-// finishPersisting removes a bind from persisting. It reports whether the placement decision is still valid, so that
-// the offer may be sent.
+// finishPersisting removes a workload from persisting, unless it has a later bind. It reports whether the placement
+// decision is still valid, so that the offer may be sent.
 func (b *binder) finishPersisting(bind pendingBind, incarnation uint64) bool {
 	if !bind.isLast() {
 		return false // the workload has a later bind
@@ -112,8 +112,8 @@
 	return listed && n.incarnation == incarnation && n.state() == placement.Ready
 }
 
-// invalidate prevents the offers of a service's binds that are being persisted. It is called when another running
-// workload of the service was found after the decision.
+// invalidate marks a service's binds that are being persisted, so that their offers are not sent. It is called when
+// another running workload of the service was found after the decision.
 func (b *binder) invalidate(service uint64) {
 	for _, w := range b.persisting {
 		if w.request.Service == service && w.bindState == bindPersisting {
@@ -122,7 +122,7 @@
 	}
 }
 
-// send sends the offer of a bind, if its node is connected.
+// send sends the offer of a bind. It rolls the bind back if the node is not connected.
 func (b *binder) send(bind pendingBind) {
 	if !b.sender.offer(bind.node, bind.offer) {
 		b.rollBack(bind)
@@ -145,7 +145,7 @@
 	})
 }
 
-// rejected undoes a bind that its node rejected.
+// rejected removes the durable record of a bind that its node rejected.
 func (b *binder) rejected(w *workload, id *pb.BindID) { b.durable.forget(w, id) }
 
 // stop stops a workload's last bind on its node.
--- a/internal/frontend/native/binder_test.go
+++ b/internal/frontend/native/binder_test.go
@@ -25,7 +25,7 @@
 		assert.Nil(t, frame.GetStop())
 	}
 	assert.Equal(t, 1, harness.WorkloadCount())
-	// An idempotent workload whose request is not pending is stopped.
+	// An idempotent workload whose bind was abandoned is stopped.
 	harness.request(2, idempotent)
 	offer = harness.offer(nodeConn)
 	harness.closeConn(nodeConn, errReset)
--- a/internal/frontend/native/bindid.go
+++ b/internal/frontend/native/bindid.go
@@ -20,7 +20,7 @@
 	return adoptedBindKey{node, b.Incarnation, b.Workload, b.Number}
 }
 
-// bindID is the identity of a workload's last bind on the wire.
+// bindID returns the protocol's id of a workload's last bind.
 func (t *workloadTable) bindID(w *workload) *pb.BindID {
 	if w.adopted != nil {
 		return w.adopted
--- a/internal/frontend/native/bounds_test.go
+++ b/internal/frontend/native/bounds_test.go
@@ -37,7 +37,7 @@
 func (h *testHarness) simulateMinute(minute uint32) {
 	h.t.Helper()
 	nodeConn := h.replaceNode(minute)
-	h.advance(25e3) // warm-up budgets apply only some time after the start
+	h.advance(25e3) // past the node's warm-up, so that no budget limits its binds
 	client := transport.ConnID(1e6 + minute)
 	h.connectNewClient(client, minute)
 	h.sendRequestsOfMinute(client, minute)
--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -71,7 +71,7 @@
 }
 
 // gangRequest converts a request for a gang to the type of the gang's state machine. The timeout, in ms, is the
-// remainder of the client's timeout.
+// remainder of the client's timeout, or 0 for a recovering gang.
 func (t *catalog) gangRequest(r *pb.GangRequest, timeout placement.Millis) gang.Request {
 	request := gang.Request{
 		MinParts:       int(r.MinParts),
@@ -88,7 +88,7 @@
 }
 
 // gangPart converts a part of a gang to the type of the gang's state machine. Its size is its largest share of the
-// cores or memory of a node, over all kinds.
+// cores or memory of a node, over all kinds, and at most 1.
 func (t *catalog) gangPart(r *pb.PlaceRequest) gang.Part {
 	part := gang.Part{Idempotency: t.idempotency(r.Group)}
 	for _, kind := range t.settings.NodeKinds {
@@ -97,8 +97,8 @@
 	return part
 }
 
-// fitsSomeKind reports whether a request is within the size of any kind of node. Unlike on the platform, an
-// oversized request is still passed to the engine; the result only selects the reason of its rejection.
+// fitsSomeKind reports whether a request is within the size of at least one kind of node. Unlike on the platform,
+// an oversized request is still passed to the engine; the result only selects the reason of its rejection.
 func (t *catalog) fitsSomeKind(r *pb.PlaceRequest) bool {
 	return frontend.FitsSomeKind(t.settings.NodeKinds, r.Cores, r.Memory)
 }
--- a/internal/frontend/native/clients.go
+++ b/internal/frontend/native/clients.go
@@ -14,10 +14,10 @@
 	transit transitTimes
 }
 
-// clientSessions has the sessions of the connected clients. On the platform a client is identified by its connection,
-// and notifications are queued for its next one. Here a client has a name, and nothing is queued: the reply to its next
-// hello lists its running workloads. A client has one session: a later connection under its name replaces the earlier
-// one.
+// clientSessions has the sessions of the connected clients. On the platform a client is a connection, and notifications
+// that cannot be sent are queued for a later one. Here a client has a name, and nothing is queued: the reply to its
+// next hello lists its running workloads. A client has one session: a later connection under its name replaces the
+// earlier one.
 type clientSessions struct {
 	*environment
 	byName map[string]*clientSession
--- a/internal/frontend/native/clients_test.go
+++ b/internal/frontend/native/clients_test.go
@@ -17,7 +17,7 @@
 	harness.request(2, idempotent)
 	harness.offer(nodeConn)
 	harness.closeConn(clientConn, errReset)
-	assert.Equal(t, uint64(1), harness.Counters.Withdrawn, "no answer can be sent to a pending request")
+	assert.Equal(t, uint64(1), harness.Counters.Withdrawn, "withdrawn, since no answer can be sent to it")
 	harness.openConn(otherConn)
 	harness.receive(otherConn, clientHello(clientName))
 	running := harness.network.takeSent(otherConn)[0].GetHello().RunningWorkloads
--- a/internal/frontend/native/config.go
+++ b/internal/frontend/native/config.go
@@ -45,18 +45,20 @@
 // struct because they are read together.
 type Counters struct {
 	frontend.Counters
-	NotAdmitted      uint64 // requests rejected before they reached the engine
+	NotAdmitted      uint64 // requests that failed validation
 	DiscoveryCalls   uint64 // subscriptions sent to the discovery service
 	DiscoveryEntries uint64 // node entries received from the discovery service
 
 	Gangs          uint64 // gangs admitted
 	GangsPlaced    uint64
-	GangsAbandoned uint64 // gangs whose final answer was a rejection or unschedulable
+	GangsAbandoned uint64 // admitted gangs whose final answer was a rejection or unschedulable
 	GangPartStops  uint64
 
-	DuplicateRequests   uint64 // requests received again
-	UnmatchedReplies    uint64 // node messages that match no bind of this allocator, or reject an accepted one
-	BindsPersisted      uint64 // binds that were durable before their offer was sent
-	BindsNotPersisted   uint64 // binds that were not sent because the journal failed
-	AnsweredFromJournal uint64 // requests answered from the journal's entry for their key or for lack of capacity
+	DuplicateRequests uint64 // requests received again or after their withdrawal
+	UnmatchedReplies  uint64 // node messages that match no bind of this allocator, or reject an accepted one
+	BindsPersisted    uint64 // binds that were durable before their offer was sent
+	BindsNotPersisted uint64 // binds that were not sent because the journal failed
+	// AnsweredFromJournal counts the requests that were not scheduled because a recorded bind of their key may have run
+	// or the limit on keys was reached.
+	AnsweredFromJournal uint64
 }
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -9,7 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// helloTimeout is the time limit, in ms, for the peer's hello on a new connection.
+// helloTimeout is the time limit, in ms, for the peer's hello after accepting a connection or dialing the discovery
+// service.
 const helloTimeout = placement.Millis(5e3)
 
 // reconnectBackoff is the delay before the next dial to a node or to the discovery service. A longer Max would
@@ -28,9 +29,9 @@
 
 // connection describes the peer of an accepted connection or of one to a node.
 type connection struct {
-	role   pb.Role        // unspecified until the hello is received
+	role   pb.Role        // role of the peer; unspecified until an accepted peer has sent its hello
 	client *clientSession // session of a peer with the role CLIENT; otherwise nil
-	node   *node          // node at the peer of a connection with the role NODE; otherwise nil
+	node   *node          // dialed node, for the role NODE; otherwise nil
 }
 
 // awaitsHello reports whether the connection was accepted and the peer has not sent its hello.
@@ -41,7 +42,7 @@
 	Closed(now placement.Millis, conn transport.ConnID, reason error)
 }
 
-// connections has all open connections except the one to the discovery service.
+// connections has the accepted connections and the dialed ones to nodes.
 type connections struct {
 	*environment
 	byID map[transport.ConnID]*connection
@@ -59,7 +60,7 @@
 
 func (t *connections) add(id transport.ConnID, peer *connection) { t.byID[id] = peer }
 
-// get returns the peer of a connection, if it is open.
+// get returns the peer of a connection. open is false if the connection is not in the table.
 func (t *connections) get(id transport.ConnID) (peer *connection, open bool) {
 	peer, open = t.byID[id]
 	return peer, open
@@ -89,7 +90,7 @@
 	return peer.client.name
 }
 
-// awaitsHello reports whether a connection is open and its peer has sent no hello.
+// awaitsHello reports whether a connection was accepted, is still open, and its peer has not sent its hello.
 func (t *connections) awaitsHello(id transport.ConnID) bool {
 	peer, open := t.get(id)
 	return open && peer.awaitsHello()
--- a/internal/frontend/native/discovery.go
+++ b/internal/frontend/native/discovery.go
@@ -16,9 +16,9 @@
 
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
-	failures int              // failed dials since the last hello
-	// awaitingUpdate is true from the engine's request for a subscription until an update is received or the
-	// connection ends. The request is sent after the hello.
+	failures int              // failed dials and lost connections since the last hello
+	// awaitingUpdate is true from a call of subscribe until an update is received or the connection ends. The request
+	// is sent after the hello.
 	awaitingUpdate bool
 	epoch          uint64 // epoch of the last update
 	revision       uint64 // revision of the last update; 0 for no update in this epoch
@@ -85,7 +85,7 @@
 	}
 }
 
-// handshake handles the first frame: a hello of a discovery service, or the connection ends.
+// handshake handles the first frame. It closes the connection unless the frame is the hello of a discovery service.
 func (d *discovery) handshake(frame *pb.Frame) {
 	_, err := helloOf(frame, func(hello *pb.Hello) error {
 		if hello.Role != pb.Role_DISCOVERY {
--- a/internal/frontend/native/discovery_test.go
+++ b/internal/frontend/native/discovery_test.go
@@ -56,9 +56,9 @@
 		harness.closeConn(before, errRefused)
 		closedAt := harness.now
 		harness.advanceTo(closedAt + delay*3/4 - 1)
-		assert.Equal(t, before, dialed[discoveryAddress], "dialed before the shortest delay after %v ms", delay)
+		assert.Equal(t, before, dialed[discoveryAddress], "dialed earlier than 3/4 of the backoff of %v ms", delay)
 		harness.advanceTo(closedAt + delay*5/4)
-		assert.NotEqual(t, before, dialed[discoveryAddress], "not dialed by the longest delay after %v ms", delay)
+		assert.NotEqual(t, before, dialed[discoveryAddress], "not dialed within 5/4 of the backoff of %v ms", delay)
 	}
 	failed := 0
 	events, _ := harness.EventLog().Since(0)
--- a/internal/frontend/native/doc.go
+++ b/internal/frontend/native/doc.go
@@ -33,8 +33,8 @@
 // There are two callbacks to Frontend: the engine calls engineActions, and connections calls Frontend.Closed for each
 // connection that it closes, as if the peer had closed it. Only the engine's placement module selects nodes.
 //
-// How a request is handled: Frontend.Received hands the client's frame to requestHandler, which rejects it or gives
-// it an id in the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder
+// How a request is handled: Frontend.Received passes the client's frame to requestHandler, which rejects it or adds it
+// to the workloadTable and schedules it with the engine. The engine calls engineActions.Bind, and binder
 // sends the offer. A bind that must be durable is written to the journal first. replyHandler passes the node's reply to
 // the engine, which calls engineActions.Answer, and requestHandler answers the client. Results that an action reports
 // to the engine are deferred until the engine is idle.
--- a/internal/frontend/native/durability.go
+++ b/internal/frontend/native/durability.go
@@ -43,7 +43,7 @@
 	return d.wallClockOffset + float64(now)
 }
 
-// admit returns whether the recorded binds of a request's key permit another bind.
+// admit returns whether a request may be scheduled, by the recorded binds of its key and the limit on keys.
 func (d *durableBinds) admit(now placement.Millis, r *pb.PlaceRequest) recovery.Admission {
 	if !d.enabled {
 		return recovery.Admit
--- a/internal/frontend/native/frontend.go
+++ b/internal/frontend/native/frontend.go
@@ -68,10 +68,10 @@
 	return f
 }
 
-// FlushTrace writes the records that were added since the last call to Config.Trace.
+// FlushTrace passes the buffered trace records to Config.Trace.
 func (f *Frontend) FlushTrace() { f.recorder.flush() }
 
-// EventLog returns the log of engine and connection events, ordered by revision.
+// EventLog returns the log of engine and frontend events, ordered by revision.
 func (f *Frontend) EventLog() *eventlog.Log { return f.eventLog }
 
 // Pending returns the number of requests that have no final answer, each gang counted as one.
@@ -84,7 +84,8 @@
 // number.
 func (f *Frontend) Drain() { f.validator.draining = true }
 
-// Start attaches the frontend to a network. It must be called once, before any other event.
+// Start starts the frontend on a network: it starts the engine and dials the discovery service. It must be called once,
+// before any other event.
 func (f *Frontend) Start(now placement.Millis, network transport.FrameNetwork) {
 	f.network = network
 	f.host.Attach(now, network)
--- a/internal/frontend/native/ganghandler.go
+++ b/internal/frontend/native/ganghandler.go
@@ -9,8 +9,8 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// gangHandler handles requests for gangs and their withdrawals: it admits a request and starts its gang, or rejects it
-// immediately.
+// gangHandler handles requests for gangs and their withdrawals: it admits a request and starts its gang, or answers
+// immediately why the gang is not started.
 type gangHandler struct {
 	*environment
 	clients   *clientSessions
@@ -21,7 +21,7 @@
 	executor  *gangExecutor
 }
 
-// request starts a gang, or rejects it immediately with a reason.
+// request starts a gang, or answers immediately why it is not started. It ignores duplicate requests.
 func (h *gangHandler) request(now placement.Millis, session *clientSession, request *pb.GangRequest) {
 	h.counters.Requests++
 	delay := h.clients.requestDelay(now, session, request.SentMs)
@@ -87,7 +87,7 @@
 	h.executor.execute(now, g, g.machine.Start(now))
 }
 
-// withdrawRequest handles a client's withdrawal of a request, and reports whether the request was one for a gang.
+// withdrawRequest handles a client's withdrawal of a request, and reports whether the gang table has a gang for it.
 func (h *gangHandler) withdrawRequest(now placement.Millis, id requestID) bool {
 	g, exists := h.gangs.get(id)
 	if exists {
--- a/internal/frontend/native/gangparts.go
+++ b/internal/frontend/native/gangparts.go
@@ -22,8 +22,8 @@
 	p.executor.deferEvent(w.gang, w.id, w.part, event)
 }
 
-// answered handles the engine's final answer for a part. A node that accepts a workload may still have to start it,
-// unless the settings say that it confirms those that run.
+// answered handles the engine's final answer for a part. A node may accept a part before the part runs, unless
+// Settings.ConfirmsRunning is set.
 func (p *gangParts) answered(w *workload, v allocator.Verdict) {
 	p.recorder.answer(p.host.Now(), w, v, w.lastNode(), reasonPartOfGang)
 	switch v {
@@ -56,7 +56,8 @@
 	})
 }
 
-// reportRunning reports that a workload runs to its gang, if it is part of one.
+// reportRunning notifies a workload's gang that the workload runs. It does nothing if the workload is not part of a
+// gang.
 func (p *gangParts) reportRunning(w *workload) {
 	if w.gang != nil {
 		p.deferEvent(w, func(placement.Millis) []gang.Action { return w.gang.machine.PartStarted(w.part) })
@@ -68,8 +69,8 @@
 	p.deferEvent(w, func(now placement.Millis) []gang.Action { return w.gang.machine.PartEnded(now, w.part, end) })
 }
 
-// resendConfirmation notifies a node again that a part's gang runs, if the first notification was lost with the last
-// connection.
+// resendConfirmation notifies a node again that a part's gang runs, if the node reports the part as unconfirmed: the
+// first notification may have been lost with the last connection.
 func (p *gangParts) resendConfirmation(n *node, w *workload, running *pb.RunningWorkload) {
 	if w.gang != nil && !running.Confirmed && w.gang.isRunning() {
 		p.sender.confirmGang(n.id, running.Offer.Bind)
--- a/internal/frontend/native/gangrecovery.go
+++ b/internal/frontend/native/gangrecovery.go
@@ -19,8 +19,8 @@
 	executor  *gangExecutor
 }
 
-// partFound handles a part that an earlier incarnation started. After gangRecoveryTime, its gang continues
-// if it was confirmed; otherwise all its parts are stopped.
+// partFound handles a part that an earlier incarnation started. After gangRecoveryTime, its gang continues if it was
+// confirmed and enough of its parts run; otherwise all its parts are stopped.
 func (r *gangRecovery) partFound(now placement.Millis, found *workload, running *pb.RunningWorkload) {
 	id := requestID{found.client, found.request.RequestId}
 	recovered, exists := r.gangs.get(id)
@@ -29,7 +29,7 @@
 	}
 	part := int(running.Offer.Gang.Part)
 	if !recovered.isPartMissing(part) {
-		// The part was found after gangRecoveryTime, or twice.
+		// The part was found after gangRecoveryTime or twice, or its index is out of range.
 		r.workloads.markWithdrawn(found)
 		r.host.Engine().Withdraw(now, found.id)
 		return
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// leaseMargin is how long, in ms, the lease of a part outlasts the timeout within which its gang must run.
+	// leaseMargin is the time, in ms, by which the lease of a part exceeds the time left for the gang's start or, once
+	// the gang runs, the replace timeout.
 	leaseMargin = placement.Millis(3e3)
 	// maxGangParts is the maximum number of parts of a gang.
 	maxGangParts = 1000
@@ -27,7 +28,7 @@
 	deadline     placement.Millis // time until which the client waits for its answer
 	answer       frontend.AnswerState
 	confirmation gang.Confirmation // only for recovery: whether any found part is confirmed
-	tracedState  gang.State        // state at the last check for the trace
+	tracedState  gang.State        // state after the last execute; only changes are traced
 }
 
 // recovering reports whether parts of the gang were found on nodes after a restart, and others may follow.
--- a/internal/frontend/native/membership.go
+++ b/internal/frontend/native/membership.go
@@ -51,8 +51,8 @@
 		return nil, false
 	}
 	n.updatedAt = now
-	// An entry with an earlier incarnation than the node reported itself is outdated. Applying it would undo a drain
-	// and end a warm-up.
+	// An entry with an incarnation lower than the latest reported one is outdated. Applying it would undo a drain and
+	// end a warm-up.
 	if entry.Incarnation < n.incarnation {
 		return n, true
 	}
@@ -75,7 +75,8 @@
 		"node", entry.Id, "kind", entry.Kind, "known", m.catalog.kindNames)
 }
 
-// removeUnlisted removes the nodes that the discovery service has removed and that are not connected.
+// removeUnlisted removes the nodes that the discovery service has removed and that are neither connected nor being
+// dialed.
 func (m *membership) removeUnlisted(now placement.Millis) {
 	unlisted := map[*node]bool{}
 	for _, n := range m.nodes.sorted {
--- a/internal/frontend/native/messages_test.go
+++ b/internal/frontend/native/messages_test.go
@@ -18,7 +18,7 @@
 	allocatorIncarnation = 5
 	earlierIncarnation   = 3
 	nodeIncarnation      = 1    // incarnation of nodes that were not restarted
-	longRunning          = -1.0 // uptime, in ms, of nodes that started before the tracked time
+	longRunning          = -1.0 // uptime of nodes that have been up for a long but unknown time
 )
 
 // placeRequest returns a request for a workload with one core, one unit of memory and a timeout of 6 s.
--- a/internal/frontend/native/node.go
+++ b/internal/frontend/native/node.go
@@ -16,7 +16,7 @@
 	incarnation   uint64           // latest incarnation that the service or the node reported
 	updatedAt     placement.Millis // when the service last listed it
 	draining      bool             // whether the node reports that it is draining
-	lastRejection string           // text of the last rejected handshake or bind, for operators
+	lastRejection string           // text of the last rejected handshake or bind since the last hello, for operators
 	session       nodeSession
 }
 
@@ -54,7 +54,7 @@
 type nodeSession struct {
 	state    sessionState
 	conn     transport.ConnID // 0 while disconnected
-	failures int              // failed dials since the node was last connected
+	failures int              // failed dials and lost connections since the last hello
 	dials    uint64           // total number of dials
 }
 
@@ -62,8 +62,8 @@
 func (n *node) connected() bool { return n.session.state == sessionConnected }
 
 // state is the node's state for placement. A node that reports that it is draining counts as draining even while the
-// discovery service lists it as ready, since the node list lags behind. The node clears the state by a report or a
-// restart.
+// discovery service lists it as ready, since the node list lags behind. A report of the node or a restart clears
+// the state.
 func (n *node) state() placement.NodeState {
 	if n.draining && n.entry.State == placement.Ready {
 		return placement.Draining
@@ -80,7 +80,7 @@
 
 // setIncarnation records a restart of the node if the incarnation changed. The start time is computed only once per
 // incarnation: message delays vary, and the placement module would treat a different start time as another restart.
-// upFor is the uptime in ms; if it is negative, the node has been up for longer than its source tracks.
+// upFor is the uptime in ms; if it is negative, the node has been up for a long but unknown time.
 func (n *node) setIncarnation(now placement.Millis, incarnation uint64, upFor float64) {
 	if n.incarnation == incarnation {
 		return
--- a/internal/frontend/native/nodehealth.go
+++ b/internal/frontend/native/nodehealth.go
@@ -9,8 +9,8 @@
 // healthCheckTimeout is the time limit, in ms, for a node's reply to a health check.
 const healthCheckTimeout = placement.Millis(250)
 
-// healthChecker sends health checks for the engine. Unlike on the platform, a check is not queued until the node is
-// connected.
+// healthChecker sends health checks for the engine. Unlike on the platform, a check of a node that is not connected
+// fails instead of being queued until the node is connected.
 type healthChecker struct {
 	*environment
 	nodes  *nodeTable
--- a/internal/frontend/native/nodereplies.go
+++ b/internal/frontend/native/nodereplies.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// offerRejected records a node's rejection of an offer, and undoes the bind.
+// offerRejected records a node's rejection of an offer, and removes the bind's durable record.
 func (h *replyHandler) offerRejected(now placement.Millis, n *node, offered *workload, reply *pb.OfferReply) {
 	n.lastRejection = reply.Text
 	h.recorder.nodeRejection(now, offered, n.id, reply.Text)
@@ -58,7 +58,7 @@
 }
 
 // ended handles a node's report that a workload has ended. The end of a placed workload is final. For any other
-// workload the outcome of its offer is unknown, and the workload may be placed on another node.
+// workload the outcome of its offer is unknown, and the workload may be placed on another node unless it was withdrawn.
 func (h *replyHandler) ended(now placement.Millis, n *node, end *pb.End) {
 	w, bind, ok := h.findBind(n, end.Bind)
 	if !ok {
--- a/internal/frontend/native/nodesessions.go
+++ b/internal/frontend/native/nodesessions.go
@@ -19,8 +19,8 @@
 // nodeSessions manages the connections to the nodes: it dials the nodes, completes the handshakes and passes the frames
 // that follow to their handlers.
 //
-// Unlike on the platform, where nodes are dialed on demand and idle connections are evicted, every listed node stays
-// connected: its hello lists the workloads that run there, and the size of the node table limits the connections.
+// Unlike on the platform, where nodes are dialed on demand and connections are evicted at a limit, every listed node
+// stays connected: its hello lists the workloads that run there, and the node table limits the connections.
 type nodeSessions struct {
 	*environment
 	nodes        *nodeTable
@@ -134,8 +134,8 @@
 	n.session.failures = 0
 	n.lastRejection = ""
 	s.logConnection(now, n, nodeConnected)
-	// A node's hello reports a restart long before the discovery service does. Until then, offers would exceed the
-	// node's warm-up budget.
+	// A node's hello reports a restart long before the discovery service does. If it were ignored, offers in the
+	// meantime could exceed the node's warm-up budget.
 	if hello.Incarnation > n.incarnation {
 		n.setIncarnation(now, hello.Incarnation, hello.UpForMs)
 		s.updatePlacement(now, n)
--- a/internal/frontend/native/nodesessions_test.go
+++ b/internal/frontend/native/nodesessions_test.go
@@ -61,7 +61,7 @@
 	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation, longRunning)
 	assert.Equal(t, placement.Ready, harness.firstNode().entry.State)
 	assert.InDelta(t, float64(harness.now), float64(harness.firstNode().entry.StartedAt), 0)
-	// Neither does it have one after the connection has ended: a search found a late update that undid a drain.
+	// The same holds after the connection has ended: a search found a late update that undid a drain.
 	harness.listNode(1, pb.NodeEntry_DRAINING, nodeIncarnation+1, longRunning)
 	harness.closeConn(nodeConn, errReset)
 	harness.listNode(1, pb.NodeEntry_READY, nodeIncarnation, longRunning)
--- a/internal/frontend/native/nodetable.go
+++ b/internal/frontend/native/nodetable.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// remove deletes nodes, and the numbers of zones and cells that have no other node.
+// remove deletes nodes, and the numbers of zones and cells that have no other node. The local zone keeps its number.
 func (t *nodeTable) remove(now placement.Millis, unlisted map[*node]bool) {
 	for n := range unlisted { // the order does not matter: each node has its own entry
 		if now-n.entry.StartedAt < t.warmUp {
--- a/internal/frontend/native/nodetable_test.go
+++ b/internal/frontend/native/nodetable_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Guards against an unused warm-up budget for a node that did not restart. The placement module treats a different
-// start time as a restart, and the delay of updates varies by some ms, so the start time is computed only once.
+// Guards against a new warm-up for a node that did not restart. The placement module treats a different start time as a
+// restart, and the delay of updates varies by some ms, so the start time is computed only once.
 func TestNode_RemovedAndListedAgain_KeepsStartTime(t *testing.T) {
 	harness := newHarness(t)
 	entry := listEntry(1, "z", "c")
--- a/internal/frontend/native/protocol.go
+++ b/internal/frontend/native/protocol.go
@@ -11,8 +11,8 @@
 // maxReportAge is the age, in ms, from which a load report is ignored.
 const maxReportAge = placement.Millis(100e3)
 
-// reasonOf translates a node's reason for rejecting or ending a workload. It returns
-// ReasonUnspecified for reasons that are only sent to clients and for those of later protocol versions.
+// reasonOf translates a node's reason for rejecting or ending a workload. It returns ReasonUnspecified for reasons that
+// the engine does not have, such as FINISHED and LOST, and for those of later protocol versions.
 func reasonOf(reason pb.Reason) placement.Reason {
 	switch reason {
 	case pb.Reason_INSUFFICIENT_CORES:
@@ -72,8 +72,8 @@
 	return pb.Verdict_UNSCHEDULABLE
 }
 
-// loadOf translates a load report. It returns nil if there is none or its age is maxReportAge or more. Missing values
-// are NaN.
+// loadOf translates a load report. It returns nil if there is none or its age is maxReportAge or more. Missing and
+// infinite values become NaN.
 func loadOf(load *pb.Load) *placement.LoadReport {
 	if load == nil || !(placement.Millis(load.AgeMs) < maxReportAge) { // not >=, so that an age of NaN is ignored too
 		return nil
--- a/internal/frontend/native/reconcile.go
+++ b/internal/frontend/native/reconcile.go
@@ -76,10 +76,10 @@
 	r.adopt(now, n, running)
 }
 
-// shouldStop reports whether a workload that the engine does not hold is to be stopped:
-//   - its client withdrew it, and the stop was lost with the connection;
-//   - it is a duplicate, since this incarnation abandoned its bind or has a workload with its key, and it is part of a
-//     gang, which must not run partially, or its group's duplicates are stopped.
+// shouldStop reports whether a workload that the engine has not placed on the node is to be stopped:
+//   - its client withdrew it, and the stop was lost with the connection; or
+//   - it is a duplicate, and either part of a gang, which must not run partially, or of a group whose duplicates are
+//     stopped. It is a duplicate if this incarnation abandoned its bind or has a workload with its key.
 func (r *reconciler) shouldStop(offer *pb.Offer) bool {
 	ours := offer.Bind.Incarnation == r.config.Incarnation
 	if ours && r.clients.hasWithdrawn(offer.Client, offer.Request.RequestId) {
--- a/internal/frontend/native/requests.go
+++ b/internal/frontend/native/requests.go
@@ -23,8 +23,8 @@
 	reasonPartMayHaveRun = "a part that must not run twice may have run"
 )
 
-// requestHandler handles the frames of clients: it passes requests to the engine or rejects them immediately, and sends
-// the final answers. It passes requests for gangs to the gangHandler.
+// requestHandler handles the frames of clients: it passes requests to the engine or answers them immediately, and sends
+// the engine's final answers. It passes requests for gangs to the gangHandler.
 type requestHandler struct {
 	*environment
 	connections *connections
@@ -51,7 +51,7 @@
 	}
 }
 
-// place passes a request to the engine, or rejects it immediately with a reason.
+// place passes a request to the engine, or answers immediately why it is not placed. It ignores duplicate requests.
 func (h *requestHandler) place(now placement.Millis, session *clientSession, request *pb.PlaceRequest) {
 	h.counters.Requests++
 	delay := h.clients.requestDelay(now, session, request.SentMs)
@@ -85,8 +85,8 @@
 	})
 }
 
-// answeredFromJournal answers a request if the journal has its key or no capacity for it, and reports whether it did.
-// The answer is final, since the outcome of an earlier bind cannot be determined.
+// answeredFromJournal answers a request if a recorded bind of its key may have run or the limit on keys is reached, and
+// reports whether it did. The answer is final, since the outcome of an earlier bind cannot be determined.
 func (h *requestHandler) answeredFromJournal(
 	now placement.Millis, id requestID, request *pb.PlaceRequest,
 ) bool {
--- a/internal/frontend/native/tracerecorder.go
+++ b/internal/frontend/native/tracerecorder.go
@@ -11,7 +11,7 @@
 // rejections by nodes, revisions of the node list, and gangs. Without a trace it does nothing.
 type traceRecorder struct{ recorder *replay.Recorder }
 
-// flush writes the records that were added since the last call to the trace.
+// flush passes the buffered records to the trace.
 func (t traceRecorder) flush() {
 	if t.recorder != nil {
 		t.recorder.Flush()
--- a/internal/frontend/native/transit.go
+++ b/internal/frontend/native/transit.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// maxTransitTimes is the number of frames per session to compare with; some of them were not delayed.
+	// maxTransitTimes is the maximum number of frames per session to compare with. It is large enough that some of them
+	// were not delayed.
 	maxTransitTimes = 64
-	// transitWindow is the maximum age, in ms, of frames to compare with. In a longer window, the two clocks may
+	// transitWindow is the age limit, in ms, of frames to compare with. In a longer window, the two clocks may
 	// drift apart by more than the answer margin.
 	transitWindow = placement.Millis(60e3)
 )
@@ -20,7 +21,7 @@
 // A client counts its pending timeout from when it sent the request. One that the network delays by more than the
 // placement module's answer margin would be answered after its client's timeout. A wider margin for all requests
 // costs far more than subtracting the delay from the requests that arrived late (see docs/review-findings.md).
-// It does not detect a delay that is the same for every frame of the last minute, frames without a send time, or the
+// It does not cover a delay that is the same for every frame of the last minute, frames without a send time, and the
 // transit time of the answer.
 type transitTimes []transitTime
 
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -62,7 +62,8 @@
 //
 //	notSent -> persisting -> sent          if the bind must be durable first
 //	notSent -> sent                        otherwise
-//	persisting -> invalidated -> notSent   if the placement decision became invalid
+//	persisting -> invalidated -> notSent   if another running workload of the service was found
+//	persisting -> notSent                  if the offer is not sent for another reason; see binder.persist
 //	any -> stopRequested                   if the engine cancels it
 //
 // The binder makes these transitions.
@@ -71,7 +72,7 @@
 const (
 	bindNone          bindState = iota // no bind was made
 	bindPersisting                     // being persisted; the offer is sent afterwards
-	bindInvalidated                    // being persisted; its decision became invalid, so no offer is sent
+	bindInvalidated                    // being persisted; another workload of the service was found, so no offer is sent
 	bindNotSent                        // offer not sent yet, or never to be sent
 	bindSent                           // offer sent
 	bindStopRequested                  // cancelled by the engine
--- a/internal/frontend/native/workloadtable.go
+++ b/internal/frontend/native/workloadtable.go
@@ -24,7 +24,7 @@
 	incarnation uint64
 
 	byID      map[placement.WorkloadID]*workload
-	byRequest map[requestID]placement.WorkloadID // without parts of gangs, which share their gang's request
+	byRequest map[requestID]placement.WorkloadID // parts of gangs, which share their gang's request, only if adopted
 	byKey     map[uint64]placement.WorkloadID
 	byAdopted map[adoptedBindKey]placement.WorkloadID
 	ids       frontend.WorkloadIDs
