--- a/internal/allocator/bind.go
+++ b/internal/allocator/bind.go
@@ -6,7 +6,9 @@
 )
 
 // BindConfirmed handles a node's reply that accepts a bind. If the bind is closed or was confirmed before, only the
-// load report is used: the node of a closed bind has already been notified.
+// load report is used, and it is attributed to the node of the latest bind. Nothing is sent to the node of a closed
+// bind: it was sent a stop when the bind timed out or was withdrawn. A reply for a workload that has left the engine is
+// ignored.
 func (e *Engine) BindConfirmed(
 	now placement.Millis, id placement.WorkloadID, bind int, load *placement.LoadReport,
 ) {
--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -57,10 +57,11 @@
 	e.requestTick(now)
 }
 
-// WorkloadCount returns the number of workloads that are pending or placed.
+// WorkloadCount returns the number of workloads in the engine, including withdrawn ones that have not ended yet.
 func (e *Engine) WorkloadCount() int { return len(e.workloads) }
 
-// IsPlaced reports whether the bind is the workload's latest one and the workload is placed.
+// IsPlaced reports whether the bind is the workload's latest one and the workload is on its node, which includes
+// workloads that are being stopped.
 func (e *Engine) IsPlaced(id placement.WorkloadID, bind int) bool {
 	entry := e.workloads[id]
 	return entry != nil && entry.onNode() && entry.isOpen(bind)
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -10,8 +10,8 @@
 const timeTolerance = placement.Millis(1e-6)
 
 // MaxTimerDelay is the longest delay of a timer, in ms. A timer for a later time is set again when it fires. Timers
-// cannot be cancelled and clients may wait for weeks, so this delay bounds the number of timers in the queue to those
-// of the requests within it.
+// cannot be cancelled and clients may wait for weeks; with this limit, the timer of a workload that has left the engine
+// stays in the queue for a minute at most.
 const MaxTimerDelay = placement.Millis(60e3)
 
 // timerKind selects what happens when a timer fires.
--- a/internal/allocator/workload_test.go
+++ b/internal/allocator/workload_test.go
@@ -18,7 +18,7 @@
 		events []event
 		want   state
 		onNode bool
-		wanted bool
+		client bool
 	}{
 		{"new", nil, pending, false, true},
 		{"confirmed", []event{confirm}, placed, true, true},
@@ -38,7 +38,7 @@
 			}
 			assert.Equal(t, test.want, entry.state)
 			assert.Equal(t, test.onNode, entry.onNode())
-			assert.Equal(t, test.wanted, entry.hasClient())
+			assert.Equal(t, test.client, entry.hasClient())
 		})
 	}
 }
