--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -29,8 +29,8 @@
 	stopRetryAt placement.Millis // time at which stops are repeated; used in both rollback states
 }
 
-// New returns a gang that has not been started. Gangs with different seeds retry at different times, so that gangs that
-// compete for the same nodes do not repeatedly block each other.
+// New returns a gang that has not been started. Gangs that compete for the same nodes need different seeds: these give
+// them different retry delays, so that they do not repeatedly block each other.
 func New(now placement.Millis, r Request, seed uint64) *Gang {
 	r.MinParts = min(max(1, r.MinParts), len(r.Parts))
 	return &Gang{
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// TimerFired handles the firing of a timer set by SetTimer. Timers that were set in an earlier state have no effect.
+// TimerFired handles the firing of a timer set by SetTimer. It acts on what is due in the current state, whichever
+// state the timer was set in. If nothing is due, it has no effect.
 func (g *Gang) TimerFired(now placement.Millis) []Action {
 	switch g.state {
 	case Pending:
@@ -122,7 +123,7 @@
 	case RollingBackToEnd:
 		return g.repeatStops(now)
 	case Running, Ended:
-		// Neither state has a timer: the engine reports a replacement that times out with PartFailed.
+		// Nothing is due in these states. The caller reports a replacement that times out with PartFailed.
 	}
 	return nil
 }
--- a/internal/gang/part.go
+++ b/internal/gang/part.go
@@ -12,12 +12,12 @@
 
 // The states of a part.
 const (
-	PartIdle      PartState = iota // never offered, or failed without having run
+	PartIdle      PartState = iota // not requested, not offered, or failed without having run
 	PartRequested                  // being placed, or offered to a node that has not confirmed it
 	PartRunning
 	PartFinished // ended because its work was done
 	PartStopping // being stopped; the end is not confirmed yet
-	PartLost     // ended before its work was done, or its bind has an unknown outcome
+	PartLost     // ended early or while being stopped, not found by Recover, or its bind has an unknown outcome
 )
 
 // active reports whether the part is requested, running or being stopped.
@@ -26,7 +26,7 @@
 // PartStarted handles a node's confirmation that a part has started.
 func (g *Gang) PartStarted(part int) []Action {
 	if g.parts[part] != PartRequested {
-		return nil // the part is being stopped or has failed
+		return nil // the part is running already, is being stopped, or has failed or ended
 	}
 	g.parts[part] = PartRunning
 	switch g.state {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// FailureOutcome says whether a part that could not be placed may have run.
+// FailureOutcome is whether a part that could not be placed may have run.
 type FailureOutcome uint8
 
 // The outcomes of a part that could not be placed.
@@ -60,7 +60,7 @@
 	return g.handlePartInactive(now, before)
 }
 
-// PartEnd says how a part ended.
+// PartEnd is the way in which a part ended.
 type PartEnd uint8
 
 // The ways in which a part ends.
@@ -97,7 +97,7 @@
 	case RollingBackToRetry, RollingBackToEnd:
 		return g.completeRollback(now)
 	case Pending, Ended:
-		// No part is active. A late report can only change the state of its part.
+		// No part is active, so a late report does not change the gang's state.
 	}
 	return nil
 }
--- a/internal/gang/request.go
+++ b/internal/gang/request.go
@@ -17,11 +17,11 @@
 	Size        float64 // size as a share of a node; larger parts are requested first
 }
 
-// LossPolicy selects how a running gang handles the loss of a part.
+// LossPolicy selects how a running gang handles the loss of a part that leaves fewer than MinParts.
 type LossPolicy uint8
 
 // The loss policies.
 const (
 	StopOnLoss    LossPolicy = iota // the whole gang is stopped
-	ReplaceOnLoss                   // the part is replaced within ReplaceTimeout; otherwise the whole gang is stopped
+	ReplaceOnLoss                   // the part is replaced within ReplaceTimeout, or else the whole gang is stopped
 )
