--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,6 +1,6 @@
 // Package recovery decides which binds an allocator must make durable before it sends them, and whether a request for a
-// key with an earlier bind is admitted. The earlier bind may be of this incarnation or, according to the directory of
-// package storage, of an earlier one.
+// key with an earlier bind is admitted. The earlier bind may be of this incarnation or, according to the state
+// directory of package storage, of an earlier one.
 //
 // The package does no I/O; its caller makes the binds durable and reads them back. Times are Unix milliseconds, because
 // stored times must be valid in the next incarnation. A key is in one of these states:
--- a/internal/recovery/registry.go
+++ b/internal/recovery/registry.go
@@ -11,7 +11,7 @@
 // Settings configure a Registry.
 type Settings struct {
 	Groups     map[string]GroupPolicy // policies by group name
-	Retention  placement.Millis       // time for which a bind of an AtMostOnce group is kept, in ms
+	Retention  placement.Millis       // time for which a key of an AtMostOnce group is kept after its last bind, in ms
 	MaxEntries int                    // limit on the number of recorded keys; 0 for no limit
 }
 
@@ -24,7 +24,7 @@
 	Incarnation uint64 // incarnation of the allocator that sent the offer
 	Workload    uint64
 	Number      uint32
-	ExpiresAt   float64 // Unix milliseconds from which on the bind may be removed
+	ExpiresAt   float64 // time from which on the bind may be removed, in Unix milliseconds
 }
 
 // Admission is the decision on a request.
