--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -32,7 +32,7 @@
 	digest *xxhash.Digest
 }
 
-// New returns a log that holds up to capacity events. The capacity is at least 1.
+// New returns a log that holds up to capacity events. A capacity below 1 counts as 1.
 func New(capacity int) *Log {
 	return &Log{ring: make([]Event, 0, max(1, capacity)), digest: xxhash.New()}
 }
