--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -6,7 +6,7 @@
 	"grebeglade/placement"
 )
 
-// Keys that are read in more than one place.
+// Paths of settings.
 const (
 	keyDiscovery     = "discovery"
 	keyConfirms      = "family_info.confirms"
@@ -23,8 +23,8 @@
 	"non_idempotent":  placement.AtMostOnce,
 }
 
-// scopes maps the names of scopes in the settings to their values. A scope limits where idempotency keys are recognised
-// or over what workloads are spread.
+// scopes maps the names of scopes in the settings to their values. A scope is the set of nodes that share idempotency
+// keys, or to which a limit on the workloads of a service applies.
 var scopes = map[string]placement.Scope{
 	"off":     placement.ScopeNone,
 	"machine": placement.ScopeNode,
@@ -33,11 +33,11 @@
 	"all":     placement.ScopeAll,
 }
 
-// Names of settings with two values, mapped to booleans.
+// Names of settings with two values, mapped to booleans. Each comment describes the true value.
 var (
-	polledDiscovery = map[string]bool{"subscribe": true, "automatic": false} // whether node discovery is polled
-	confirmsRunning = map[string]bool{"running": true, "accepted": false}    // whether a confirmed workload is running
-	reportsUsage    = map[string]bool{"used": true, "asked": false}          // whether spare values count unused resources
+	polledDiscovery = map[string]bool{"subscribe": true, "automatic": false} // changes are sent to subscribers only
+	confirmsRunning = map[string]bool{"running": true, "accepted": false}    // a confirmed workload is running
+	reportsUsage    = map[string]bool{"used": true, "asked": false}          // spare values are resources not in use
 )
 
 // decode decodes values by path. The error is a *KeyError for the first value that is missing or invalid.
