--- a/internal/frontend/host.go
+++ b/internal/frontend/host.go
@@ -132,8 +132,8 @@
 // PendingTimers returns the number of timers set with Schedule that have not run.
 func (h *Host) PendingTimers() int { return h.timers.Len() }
 
-// RetryDelay returns the delay before the next attempt, with jitter, in ms. The failures are the number of consecutive
-// earlier failures: 0 for the first delay. Each call takes one draw of the jitter.
+// RetryDelay returns the delay before the next attempt, with jitter, in ms. The parameter failures is the number of
+// consecutive earlier failures, 0 for the first delay. Each call takes one draw of the jitter.
 func (h *Host) RetryDelay(b Backoff, failures int) placement.Millis {
 	return h.jitter.apply(b.Delay(failures))
 }
--- a/internal/frontend/wakeup.go
+++ b/internal/frontend/wakeup.go
@@ -20,7 +20,7 @@
 type wakeup struct {
 	waker         Waker
 	maxInterval   placement.Millis // longest interval between two wake-ups, in ms
-	at            placement.Millis // time for which the wake-up is set, or of a later event; 0 if never set
+	at            placement.Millis // time for which the wake-up is set, or of a later event; 0 before the first event
 	tickAt        placement.Millis // time of the tick requested by the engine; valid if tickRequested
 	tickRequested bool
 }
