--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -18,7 +18,7 @@
 	numClasses
 )
 
-// connState is the lifecycle state of a connection on its worker's goroutine. States are passed in increasing order.
+// connState is the lifecycle state of a connection, as tracked by its worker. It only increases.
 type connState uint8
 
 const (
@@ -47,7 +47,7 @@
 // sharedState is the state of a connection that its worker and its event loop both access.
 type sharedState struct {
 	ended       atomic.Bool           // socket closed by the event loop; the worker may not have handled eventClosed yet
-	closeReason atomic.Pointer[error] // why this side closes the connection; nil if it does not
+	closeReason atomic.Pointer[error] // reason recorded by setCloseReason; nil if none
 	unwritten   atomic.Int64          // bytes flushed by the worker and not yet accepted by the event loop
 }
 
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -6,7 +6,7 @@
 )
 
 // dial connects to addr and registers the socket with an event loop, which queues eventOpened. On failure it queues
-// eventClosed. It blocks until it has succeeded or failed, or ctx ends.
+// eventClosed. It blocks until then; ctx limits the time to connect, not the registration.
 func (c *connection) dial(ctx context.Context, addr string) {
 	defer c.cancelDial()
 	if err := c.connect(ctx, addr); err != nil {
--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -38,7 +38,7 @@
 
 // register adds an established connection to the event loop of its class. On success the event loop owns the socket.
 func (l *eventLoops) register(socket net.Conn, c *connection) error {
-	// An urgent connection skips the semaphore, for which hundreds of connections may queue during a start.
+	// Urgent connections skip the semaphore, since hundreds of connections may be waiting for it at start-up.
 	if c.class != classUrgent {
 		l.registrationSlots <- struct{}{}
 		defer func() { <-l.registrationSlots }()
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -42,7 +42,7 @@
 }
 
 // ReadFrame reads the next frame of a stream, and blocks until it is complete. A length above maxSize is an error. The
-// error matches io.EOF if the stream ends between two frames.
+// error matches io.EOF if the stream ends between two frames, or between a length prefix and its body.
 func ReadFrame(r io.Reader, maxSize int) (*pb.Frame, error) {
 	var prefix [lengthPrefixSize]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
@@ -68,8 +68,8 @@
 	return int(size), nil
 }
 
-// DecodeFrame decodes the body of a frame. It returns an error if none of the fields of Frame.Body is set: the frame is
-// of a later protocol version than the one agreed on, or it is not a frame.
+// DecodeFrame decodes the body of a frame. A frame without a Body is an error: its kind was added by a later protocol
+// version, or it is not a frame.
 func DecodeFrame(body []byte) (*pb.Frame, error) {
 	f := &pb.Frame{}
 	if err := proto.Unmarshal(body, f); err != nil {
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -26,7 +26,7 @@
 	Send(c ConnID, message any)
 	// Close closes a connection after all sent messages are written, or cancels dialling it.
 	Close(c ConnID)
-	// IsClosed reports whether a connection has ended, including one for which Closed is not called yet.
+	// IsClosed reports whether a connection has ended, including one for which Closed has not been called yet.
 	IsClosed(c ConnID) bool
 	// WakeAt sets the time of the next call of Wake. Each call replaces the time set before.
 	WakeAt(t placement.Millis)
--- a/internal/transport/hello.go
+++ b/internal/transport/hello.go
@@ -40,7 +40,7 @@
 	return &pb.Frame{Body: &pb.Frame_Hello{Hello: h}}
 }
 
-// RefusalFrame returns a frame that rejects a Hello with the given reason.
+// RefusalFrame returns a frame that rejects a Hello, or a connection above the limit, with the given reason.
 func RefusalFrame(reason string) *pb.Frame {
 	return &pb.Frame{Body: &pb.Frame_Refusal{Refusal: &pb.Refusal{Reason: reason}}}
 }
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -4,16 +4,16 @@
 
 // Limits bounds the resources that the peers of a handler can consume.
 type Limits struct {
-	MaxFrameSize   int // size of a frame body in bytes
-	MaxWriteBuffer int // unwritten bytes per connection; above it the connection is closed
-	MaxConnections int // open incoming connections per handler
+	MaxFrameSize   int // maximum size of a frame body in bytes; used by ListenFrames only
+	MaxWriteBuffer int // maximum unwritten bytes per connection; above it the connection is closed
+	MaxConnections int // maximum number of incoming connections per handler
 
 	// PauseAcceptAtLimit leaves connections above MaxConnections in the listen backlog until another connection ends.
 	// It suits handlers that evict idle connections. If false, connections above the limit are rejected.
 	PauseAcceptAtLimit bool
 
 	// MaxQueuedEvents is the approximate limit of events queued for the handler. Above it, its sockets are not read, so
-	// that TCP flow control slows its peers down. Zero means defaultQueuedEvents.
+	// that TCP flow control slows its peers down; see Urgent for the exception. Zero means defaultQueuedEvents.
 	MaxQueuedEvents int
 
 	// MessageTimeout is the time limit in milliseconds from the first to the last byte of a message; zero means no
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -45,9 +45,9 @@
 	return l, nil
 }
 
-// serve accepts connections until the worker is closed. While no slot or file descriptor is free, it keeps retrying and
-// connections wait in the listen backlog: returning would leave the process without a listener. It returns an error if
-// the listener was closed while the worker was running.
+// serve accepts connections until the worker is closed. It waits for a free slot, and retries after Accept has failed,
+// while connections wait in the listen backlog: returning would leave the process without a listener. It returns an
+// error if the listener was closed while the worker was running.
 func (l *listener) serve() error {
 	for l.acquireSlot() {
 		socket, err := l.Accept()
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// admit registers an accepted connection with the event loop, or rejects it if there are too many.
+// admit registers an accepted connection with the event loop, or rejects it above MaxConnections.
 func (l *listener) admit(socket net.Conn) {
 	c := &connection{
 		worker: l.worker,
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -13,7 +13,7 @@
 const drainTimeout = 2 * time.Second
 
 // Loop runs handlers on sockets. Each handler has its own worker and event loops. Messages that a handler sends are
-// flushed after the worker has handled a batch of queued events, and at least every maxFlushDelay.
+// flushed after each batch of queued events, and between two events of a batch once maxFlushDelay has passed.
 type Loop struct {
 	// Stats count events on the sockets of all handlers.
 	Stats Stats
--- a/internal/transport/messagetimeout.go
+++ b/internal/transport/messagetimeout.go
@@ -14,7 +14,7 @@
 }
 
 // watchMessage starts and cancels the timeout of Limits.MessageTimeout. The event loop calls it after each read:
-// decoded reports whether at least one message was completed, begun whether a part of the next one remains.
+// decoded reports whether the codec consumed any bytes, begun whether bytes of an incomplete message remain.
 func (c *connection) watchMessage(decoded, begun bool) {
 	if decoded || !begun {
 		c.incomplete.number.Store(0)
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -72,7 +72,7 @@
 // stepHandler answers each request, signals seen, and then blocks until it receives from step.
 type stepHandler struct {
 	echoHandler
-	seen chan struct{} // is sent a value for each request
+	seen chan struct{} // one value is sent for each request
 	step chan struct{} // receiving a value unblocks the handler
 }
 
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -94,7 +94,7 @@
 }
 
 // takeQueued removes and returns all events that are not urgent. The queue reuses the memory of handled, the slice that
-// the previous call returned.
+// the previous call returned and that the caller must not use afterwards.
 func (q *eventQueue) takeQueued(handled []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/worker.go
+++ b/internal/transport/worker.go
@@ -86,8 +86,8 @@
 	return max(0, duration(at-w.loop.Now()))
 }
 
-// handleBatch handles events, and clears each so that its memory can be freed. Between events it handles urgent events,
-// and runs due timers and flushes every maxFlushDelay.
+// handleBatch handles events, and clears each so that its memory can be freed. Between events it handles urgent events
+// and, once maxFlushDelay has passed since the last time, runs due timers and flushes.
 func (w *worker) handleBatch(batch []event) {
 	for i := range batch {
 		w.handle(&batch[i])
