--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -24,7 +24,7 @@
 
 // File is a file that is open for appending.
 type File interface {
-	// Write appends data and returns the number of bytes appended. The error is non-nil if that is less than all.
+	// Write appends data and returns the number of bytes appended. The error is nil if and only if all were appended.
 	Write(data []byte) (int, error)
 	// Sync makes all written data durable. After an error the contents of the file are undefined, even if a later Sync
 	// succeeds.
--- a/internal/storage/filenames.go
+++ b/internal/storage/filenames.go
@@ -12,7 +12,7 @@
 	logExtension       = ".log"
 	snapshotExtension  = ".snap"
 	temporaryExtension = ".new"     // appended to the name of a snapshot while it is written
-	damagedExtension   = ".damaged" // appended by a repair to the name of a file that it drops
+	damagedExtension   = ".damaged" // appended by a repair to the name of a file that it drops or truncates
 )
 
 func logName(number uint64) string      { return fileName(number, logExtension) }
@@ -69,7 +69,7 @@
 	}
 }
 
-// obsolete returns the names of the files that the snapshot with the given number replaces.
+// obsolete returns the names of the files that the snapshot with the given number replaces, and of temporary files.
 func (f *directoryFiles) obsolete(number uint64) []string {
 	names := slices.Clone(f.temporary)
 	for _, log := range f.logs {
--- a/internal/storage/inspect.go
+++ b/internal/storage/inspect.go
@@ -7,7 +7,7 @@
 	Incarnation    *statepb.Incarnation // latest incarnation; nil in a new directory
 	LiveBinds      []*statepb.Bind      // last bind of each live key, sorted by key
 	Files          []string             // names of the files read, in reading order
-	TruncatedBytes int                  // size of the incomplete records that a crash left at the ends of logs
+	TruncatedBytes int                  // bytes without a valid record at the ends of logs, as a crash leaves them
 }
 
 // Inspect reads a directory without changing or locking it. Errors are of type *CorruptionError, *VersionError or
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -10,8 +10,8 @@
 	// DefaultMaxLogSize is the size of a log in bytes above which it is replaced by a snapshot.
 	DefaultMaxLogSize = 8 << 20
 
-	// logBytesPerLiveBind raises the size limit of a log in proportion to the number of live binds, so that a large
-	// snapshot is not written for a few changes.
+	// logBytesPerLiveBind is the minimum size limit of a log in bytes per live bind, so that a large snapshot is not
+	// written for a few changes.
 	logBytesPerLiveBind = 64
 )
 
@@ -64,7 +64,7 @@
 }
 
 // Commit appends entries to the log. If durable is true, they survive a crash of the machine once Commit has returned;
-// otherwise they do after the next durable commit, or once the operating system has written them.
+// otherwise once the next durable commit has returned, or the operating system has written them.
 //
 // After a failed write or sync the log file is never used again, since a later successful sync does not guarantee that
 // the data of the failed one was written. Instead all live binds, including these entries, are written to a new
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -107,7 +107,7 @@
 		}
 		return nil
 	}
-	require.NoError(t, log.Commit([]*statepb.Entry{bindEntry(1, 0)}, true), "the entries were written to a new file")
+	require.NoError(t, log.Commit([]*statepb.Entry{bindEntry(1, 0)}, true), "the entries must be written to a new file")
 	commitDurably(t, log, bindEntry(2, 0))
 	assert.True(t, failed)
 	assert.Len(t, inspectAfterCrash(t, disk).LiveBinds, 2)
--- a/internal/storage/logreader.go
+++ b/internal/storage/logreader.go
@@ -9,8 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decodeLog calls apply for each entry of a log. It returns the size in bytes of an incomplete record at the end, as a
-// crash may leave it. It returns a *CorruptionError if a valid record follows an invalid one.
+// decodeLog calls apply for each entry of a log. It returns the number of bytes without a valid record at the end, as a
+// crash may leave them. The error is a *VersionError, or a *CorruptionError if the header is invalid or a valid record
+// follows an invalid one.
 func decodeLog(name string, data []byte, number uint64, apply func(*statepb.Entry)) (truncated int, err error) {
 	if err := checkHeader(name, data, number); err != nil {
 		if truncatedWhileCreated(data, err) {
--- a/internal/storage/memorydisk.go
+++ b/internal/storage/memorydisk.go
@@ -11,8 +11,8 @@
 // MemoryDisk is an in-memory Disk for tests and simulations. Crash discards unsynced data, or a part of it, and
 // InjectFault makes operations fail. It is safe for concurrent use.
 type MemoryDisk struct {
-	// InjectFault, if not nil, is called before each operation, which fails with the error that it returns. ErrCrashed
-	// crashes the machine in the middle of the operation.
+	// InjectFault, if not nil, is called before each operation. If it returns an error, the operation fails with it;
+	// ErrCrashed crashes the machine in the middle of the operation.
 	InjectFault func(Call) error
 
 	mu       sync.Mutex
--- a/internal/storage/memoryfile.go
+++ b/internal/storage/memoryfile.go
@@ -38,7 +38,7 @@
 	name string
 }
 
-// Write implements File. If it fails, it writes a random prefix of the data, as on a full disk or in a crash.
+// Write implements File. With an injected fault it writes a random prefix of the data, as on a full disk or in a crash.
 func (f *memoryFile) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// RepairPlan lists the data that a repair of a corrupt directory drops: the corrupt file from Offset on, and all later
-// logs. The original files are kept under names that end in .damaged.
+// RepairPlan lists the data that a repair of a corrupt directory drops: a corrupt snapshot completely, or a corrupt log
+// from Offset on and all later logs. The original files are kept under names that end in .damaged.
 type RepairPlan struct {
 	File         string   // name of the corrupt file
 	Offset       int      // byte offset in File from which it cannot be read
--- a/internal/storage/rotate.go
+++ b/internal/storage/rotate.go
@@ -78,7 +78,7 @@
 }
 
 // removeObsolete removes the files that the current snapshot replaces. Errors are ignored: these files are not read,
-// and the next rotation removes them.
+// and the next rotation tries to remove them again.
 func (l *Log) removeObsolete() {
 	files, err := listFiles(l.disk)
 	if err != nil {
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -14,11 +14,11 @@
 	GroupCommit SyncPolicy = iota
 	// SyncPerEntry syncs once for each entry that has a callback.
 	SyncPerEntry
-	// NoSync never syncs: entries survive a crash of the process, but may be lost in a crash of the machine.
+	// NoSync commits without a sync: entries survive a crash of the process, but a crash of the machine may lose them.
 	NoSync
 )
 
-// maxQueuedEntries is the capacity of the queue of a Writer: more entries than are queued for a working disk.
+// maxQueuedEntries is the capacity of the queue of a Writer. A disk that works never has that many entries queued.
 const maxQueuedEntries = 1 << 16
 
 // Writer commits entries to a log on a separate goroutine, so that its callers never wait for the disk. It is safe for
