--- a/internal/daemon/bindstore.go
+++ b/internal/daemon/bindstore.go
@@ -22,7 +22,7 @@
 }
 
 // BindStore implements native.BindJournal: it writes the frontend's binds to the state directory, and notifies the
-// frontend on its own goroutine once they are durable.
+// frontend, on the frontend's goroutine, once they are durable.
 type BindStore struct {
 	writer   *storage.Writer
 	loop     *transport.Loop
