--- a/proto/grebeglade/v1/pb.go
+++ b/proto/grebeglade/v1/pb.go
@@ -9,5 +9,5 @@
 // different minor versions are compatible.
 const (
 	Major = 1
-	Minor = 1 // 1: adds gangs
+	Minor = 1 // version 1.1 adds gangs
 )
