--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWriter_EveryPolicy_CallsBackOnceDurable(t *testing.T) {
+func TestWriter_EveryPolicy_CallsBackOnceCommitted(t *testing.T) {
 	const count = 200
 	for _, policy := range []SyncPolicy{GroupCommit, SyncPerEntry, NoSync} {
 		disk := NewMemoryDisk(1)
