--- a/config/arguments.go
+++ b/config/arguments.go
@@ -54,7 +54,8 @@
 	return texts
 }
 
-// OneOf returns a string argument that must be one of choices, or fallback if it is absent or has another value.
+// OneOf returns a string argument that must be one of choices, or fallback if it is absent or has another value. The
+// fallback must be one of choices too.
 func (b *Block) OneOf(name, fallback string, choices ...string) string {
 	choice := b.String(name, fallback)
 	if !slices.Contains(choices, choice) {
@@ -64,7 +65,8 @@
 	return choice
 }
 
-// Float returns a number between minimum and maximum, both inclusive, or fallback if it is absent or out of range.
+// Float returns a number between minimum and maximum, both inclusive, or fallback if it is absent, not a number or out
+// of range.
 func (b *Block) Float(name string, fallback, minimum, maximum float64) float64 {
 	v, ok := b.value(name, cty.Number, "a number")
 	if !ok {
@@ -78,7 +80,8 @@
 	return n
 }
 
-// Int returns an integer between minimum and maximum, both inclusive, or fallback if it is absent or out of range.
+// Int returns an integer between minimum and maximum, both inclusive, or fallback if it is absent, not an integer or
+// out of range.
 func (b *Block) Int(name string, fallback, minimum, maximum int) int {
 	n := b.Float(name, float64(fallback), float64(minimum), float64(maximum))
 	if n != float64(int(n)) {
--- a/config/block.go
+++ b/config/block.go
@@ -10,8 +10,8 @@
 )
 
 // Block is a block of a file, or the file's top level. Each reading method returns one argument, or a default if it is
-// absent or invalid, and records the problem. Finish returns all recorded problems, and reports arguments and blocks
-// that no method has read.
+// absent or invalid, and records a problem if it is invalid. Finish adds problems for arguments and blocks that no
+// method has read, and returns all problems.
 type Block struct {
 	Name string // the block's label, "" for none
 
--- a/config/load.go
+++ b/config/load.go
@@ -30,7 +30,8 @@
 }
 
 // Decode reads an allocator's configuration from src, the content of a file; file is its name in errors. If the syntax
-// is valid but values are not, Decode returns both a FileError and a configuration with defaults for these values.
+// is valid but values are not, Decode returns both a FileError and the configuration as read, in which an invalid value
+// is either kept or replaced by its default.
 func Decode(file string, src []byte) (*Allocator, error) {
 	root, err := Parse(file, src)
 	if err != nil {
--- a/config/units.go
+++ b/config/units.go
@@ -57,7 +57,7 @@
 const maxByteSize = 1 << 53
 
 // ByteSize returns a size in bytes. The argument is a string with a unit, such as "4MiB"; fallback is returned if it is
-// absent or malformed.
+// absent, empty, malformed, not positive or 2^53 bytes or more.
 func (b *Block) ByteSize(name string, fallback int64) int64 {
 	text := b.String(name, "")
 	if text == "" {
