--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -14,7 +14,7 @@
 const (
 	handshakeTimeout = 5 * time.Second
 	bufferSize       = 1 << 16  // bytes, for reading and for writing
-	flushThreshold   = 1 << 15  // buffered bytes above which frames are flushed before the next pause
+	flushThreshold   = 1 << 15  // buffered bytes above which frames are flushed without waiting for a pause
 	maxFrameSize     = 16 << 20 // bytes
 )
 
@@ -35,8 +35,8 @@
 	state   requestState
 }
 
-// client is a connection to the allocator. Only the sending goroutine uses out, and only the connection's reading
-// goroutine uses in. The tally's mutex guards requests, last and err.
+// client is a connection to the allocator. After the handshake, only the sending goroutine uses out, and only the
+// connection's reading goroutine uses in. The tally's mutex guards requests, last and err.
 type client struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -65,8 +65,8 @@
 	return c, nil
 }
 
-// handshake sends the client's hello and checks the allocator's. The incarnation is the current
-// time, so each run is a new incarnation of the client.
+// handshake sends the client's hello and checks the allocator's. The incarnation is the current time, so that each run
+// is a new incarnation of the client.
 func (c *client) handshake(name string) error {
 	if err := c.conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return fmt.Errorf("set the handshake deadline: %w", err)
--- a/internal/loadgen/fromtrace_test.go
+++ b/internal/loadgen/fromtrace_test.go
@@ -13,7 +13,7 @@
 	"grebeglade/trace"
 )
 
-// recordTrace runs a scenario of 4 s in virtual time. It returns the trace of the scenario's first allocator, and the
+// recordTrace runs a scenario of 4 s in virtual time. It returns the first trace file of the first allocator, and the
 // number of requests that the clients of all allocators sent.
 func recordTrace(t *testing.T) (file *trace.Reader, sent int) {
 	t.Helper()
--- a/internal/loadgen/random.go
+++ b/internal/loadgen/random.go
@@ -59,7 +59,7 @@
 }
 
 // advanceEvenly sets the time of the next request by integrating the rate in steps of evenStep. It returns false if the
-// load ends before.
+// load ends first.
 func (s *randomSchedule) advanceEvenly() bool {
 	for s.due < 1 {
 		if s.at >= s.rate.For {
@@ -72,9 +72,9 @@
 	return true
 }
 
-// advanceRandomly sets the time of the next request, and returns false if the load ends before. It samples an
-// inhomogeneous Poisson process by thinning: events are drawn at the upper bound of the rate, and each is kept with the
-// ratio of the rate at its time to that bound as probability.
+// advanceRandomly sets the time of the next request, and returns false if the load ends first. It samples an
+// inhomogeneous Poisson process by thinning: events are drawn at the upper bound of the rate, and each is kept with
+// probability rate at its time / upper bound.
 func (s *randomSchedule) advanceRandomly() bool {
 	bound := s.rate.upperBound()
 	for {
--- a/internal/loadgen/random_test.go
+++ b/internal/loadgen/random_test.go
@@ -48,7 +48,7 @@
 	RunTime:        time.Second,
 }
 
-// The tolerances of this and the next random tests are four standard deviations of a Poisson process.
+// The tolerances of 4*N in this and the next tests are four standard deviations N of a Poisson process.
 func TestRandom_SteadyRate(t *testing.T) {
 	rate := steadyRate(200)
 	requests := randomRequests(rate)
--- a/internal/loadgen/rate.go
+++ b/internal/loadgen/rate.go
@@ -28,7 +28,7 @@
 // upperBound returns a rate that at never exceeds during the load.
 func (r Rate) upperBound() float64 { return max(r.From, r.To) * max(1, r.Burst) }
 
-// Check returns an error if the rate cannot be scheduled: no duration, no requests, or impossible bursts.
+// Check returns an error if the rate cannot be scheduled: no duration, a negative rate, no requests, or invalid bursts.
 func (r Rate) Check() error {
 	switch {
 	case r.For <= 0:
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -40,8 +40,8 @@
 	SendDelay     Latency `json:"sent_late"`      // scheduled time to sending
 }
 
-// Good reports whether every request was answered once and before its pending timeout, no connection was lost, and the
-// generator kept up.
+// Good reports whether every request was answered before its pending timeout, without protocol violations and lost
+// connections, and the generator kept up.
 func (r *Result) Good() bool {
 	return len(r.Wrong) == 0 && r.Unanswered == 0 && r.Late == 0 && r.Broken == "" && !r.Overrun
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -18,7 +18,7 @@
 	OnProgress  func(Progress) // called once a second while requests are sent; may be nil
 }
 
-// Run sends the requests of a schedule, and returns when all are answered or answerGrace has passed since the last
+// Run sends the requests of a schedule, and returns when none is pending or answerGrace has passed since the last
 // pending timeout. If ctx is cancelled earlier, Run returns the result so far. The error is not nil if a connection
 // cannot be established; a connection lost later is reported in the Result.
 func Run(ctx context.Context, schedule Schedule, options Options) (*Result, error) {
@@ -82,7 +82,8 @@
 }
 
 // send sends each request at its scheduled time, or as soon as possible after it. It returns the time when the last was
-// sent, and the time when the last pending timeout passes. Requests with the same time are sent in one write.
+// sent, and the time when the last pending timeout passes. Frames stay buffered until the next wait, or until they
+// exceed flushThreshold, so that requests due together share a write.
 func (r *runner) send(ctx context.Context, schedule Schedule) (lastSent, lastExpires time.Time) {
 	defer r.flush()
 	lastSent = time.Now()
@@ -109,8 +110,8 @@
 	return lastSent, lastExpires
 }
 
-// awaitTime blocks until a request is due, and returns false if ctx is cancelled before. It flushes earlier requests
-// before it waits.
+// awaitTime blocks until a request is due, and returns false if ctx is cancelled first. Before a wait
+// it flushes the earlier requests.
 func (r *runner) awaitTime(ctx context.Context, due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
