--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -14,7 +14,7 @@
 const (
 	maxBenchNodes   = 20_000
 	bytesPerMiB     = 1 << 20
-	measurementHelp = "length of each measurement; there are five of each"
+	measurementHelp = "length of one rate measurement; each rate is the median of five"
 	residentsHelp   = "number of placed workloads on each node"
 )
 
--- a/internal/command/bench_state.go
+++ b/internal/command/bench_state.go
@@ -51,7 +51,8 @@
 	return printStateCosts(cmd, costs)
 }
 
-// printStateCosts prints a row for each sync mode, and then the time to read the directory at startup.
+// printStateCosts prints a row without a state directory, a row for each sync mode, and then the times to read a
+// directory at startup.
 func printStateCosts(cmd *cobra.Command, costs *benchmark.StateResult) error {
 	rows := [][]string{{"SYNC", "PLACED/S", "RATIO", "ASK TO OFFER 50%", "99%"}}
 	for _, cost := range costs.Costs {
--- a/internal/command/bench_trace.go
+++ b/internal/command/bench_trace.go
@@ -12,7 +12,7 @@
 type benchTraceOptions struct {
 	fleet   benchmark.Fleet
 	script  string        // name of the scenario whose trace is measured
-	fileMiB int64         // size of the file for the look-up measurement, 0 to skip it
+	fileMiB int64         // size in MiB of the file for the look-up measurement, 0 to skip it
 	length  time.Duration // length of each measurement
 	asJSON  bool
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -3,8 +3,8 @@
 // Exit codes: 0 for success, 1 if a command has found a problem or could not do its work, 2 for invalid input. With
 // --json, standard output holds one JSON document and nothing else; logs and progress go to standard error.
 //
-// Each sub-command has a file named after it. A function whose name ends in Command defines its flags, which set the
-// fields of an options struct; a method of that struct does the work.
+// Most sub-commands have a file named after them. A function whose name ends in Command defines a sub-command and its
+// flags. Where the flags set the fields of an options struct, a method of that struct does the work.
 package command
 
 import (
--- a/internal/command/lab_hunt.go
+++ b/internal/command/lab_hunt.go
@@ -28,8 +28,9 @@
 }
 
 const labHuntHelp = `
-Generates random scenarios with overlapping faults, runs them in virtual time on all cores, and reduces each that
-breaks a rule to the fewest faults and the smallest size that still break it. Exit status 1 if a rule was broken.
+Generates random scenarios with overlapping faults and runs them in virtual time on all cores. Reduces the first
+scenario for each kind of violation to fewer faults and a smaller size that still break the rule. Exit status 1 if a
+rule was broken.
 `
 
 // labHuntCommand defines "lab hunt".
@@ -43,8 +44,8 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.seconds, "seconds", 0, "search time in seconds, without the reduction that follows")
-	flags.IntVar(&options.search.MaxRuns, "days", 0, "maximum number of scenarios to run")
+	flags.IntVar(&options.seconds, "seconds", 0, "search time in seconds, 0 for no limit; reduction follows")
+	flags.IntVar(&options.search.MaxRuns, "days", 0, "maximum number of scenarios to run, 0 for no limit")
 	flags.Uint64Var(&options.search.Seed, "seed", 1, "seed of the generated scenarios")
 	flags.IntVar(&options.search.Allocators, "allocators", 16, "maximum number of allocators in a scenario")
 	flags.IntVar(&options.search.Nodes, "nodes", 24, "maximum number of nodes in a scenario")
--- a/internal/command/lab_load.go
+++ b/internal/command/lab_load.go
@@ -26,8 +26,8 @@
 const labLoadHelp = `
 Sends requests at scheduled times, whether or not earlier ones are answered: at random (Poisson), in bursts, at
 a rate that changes, or as recorded in a trace. Latency is measured from the scheduled time. Ends when all
-requests are answered or have timed out. Exit status 1 if an answer is missing, late or duplicated, or if the
-tool itself did not keep up.
+requests are answered or have timed out. Exit status 1 if an answer is missing, late or duplicated, if a
+connection was lost, or if the tool itself did not keep up.
 `
 
 // labLoadCommand defines "lab load".
@@ -35,7 +35,7 @@
 	var options loadOptions
 	cmd := &cobra.Command{
 		Use:   "load --target ADDR",
-		Short: "Send requests to a running allocator at a fixed rate, and measure its answers",
+		Short: "Send requests to a running allocator at scheduled times, and measure its answers",
 		Long:  helpText(labLoadHelp),
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return options.measure(cmd) },
@@ -77,7 +77,7 @@
 	flags.DurationVar(&o.shape.RunTime, "life", 5*time.Second, "how long each workload runs")
 }
 
-// check validates the flags. It also rejects NaN for the cores.
+// check validates the flags. NaN for the cores is rejected, since it is not above 0.
 func (o *loadOptions) check() error {
 	counted := o.run.Connections >= 1 && o.shape.Services >= 1
 	sized := o.shape.Cores > 0 && !(o.shape.Memory < 0)
--- a/internal/command/lab_overrides.go
+++ b/internal/command/lab_overrides.go
@@ -11,14 +11,14 @@
 	"grebeglade/placement"
 )
 
-// scenarioOverrides are flags that replace properties of a scenario. Zero keeps the scenario's value.
+// scenarioOverrides are flags that replace properties of a scenario. A number of 0 keeps the scenario's value.
 type scenarioOverrides struct {
 	allocators int
 	nodes      int
 	rate       float64       // new workloads per second
 	load       float64       // mean demand as a share of the fleet's cores
 	length     time.Duration // length of the scenario
-	gangs      string        // a scenario.GangPolicy, never empty
+	gangs      string        // a scenario.GangPolicy, never empty; always replaces the scenario's
 }
 
 func (o *scenarioOverrides) addFlags(cmd *cobra.Command) {
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -23,9 +23,12 @@
 
 const (
 	heapShare         = 0.5                    // heap share of the memory limit; the rest is for code and sockets
-	drainPollInterval = 20 * time.Millisecond  // between checks whether all requests are answered
-	reloadInterval    = 100 * time.Millisecond // between attempts to read a new configuration
-	maxReloadAttempts = 10                     // 0.9 s in all; a new configuration counts as applied 4 s after its signal
+	drainPollInterval = 20 * time.Millisecond  // time between two calls of drained
+	reloadInterval    = 100 * time.Millisecond // time between attempts to read a new configuration
+
+	// maxReloadAttempts limits the attempts of a reload, which take 0.9 s in all. A new configuration counts as applied
+	// 4 s after its signal.
+	maxReloadAttempts = 10
 )
 
 // errNoConfig is returned if the environment does not contain the path of the configuration.
@@ -150,8 +153,9 @@
 	}
 }
 
-// reload reads the configuration and applies it. An invalid file may be incompletely written, so it is read again after
-// reloadInterval, up to maxReloadAttempts times in all; after that the current configuration stays in use.
+// reload reads the configuration and applies it. A file that cannot be read or is invalid may be incompletely written,
+// so it is read again after reloadInterval, up to maxReloadAttempts times in all. If all attempts fail, the current
+// configuration stays in use.
 func (s *platformServer) reload() {
 	s.reloadDue = nil
 	configuration, err := platform.ReadConfig(s.file, s.listen)
@@ -169,7 +173,7 @@
 	s.log.Error("configuration not reloaded", "error", err)
 }
 
-// drained reports whether all requests are answered.
+// drained reports whether the process may exit, as platform.Frontend.Drained defines it.
 func (s *platformServer) drained() bool {
 	drained := false
 	s.loop.Call(s.frontend, func(now placement.Millis) { drained = s.frontend.Drained(now) })
--- a/internal/command/platform_client_test.go
+++ b/internal/command/platform_client_test.go
@@ -60,13 +60,13 @@
 	healthy     = `{"verb":"ECHOED","tag":"0000000000000001","opts":{},"rc":1}`
 )
 
-// startRequest returns a request to place a workload of service tag.
+// startRequest returns a request to place a workload; tag is also its service number.
 func startRequest(tag int) string {
 	return fmt.Sprintf(`{"verb":"START","tag":"%016x","opts":{"class":"tiles","left":"6000","key":"aa",`+
 		`"extras":"cores:1;memory:1;service:%x"},"blob":"what is asked"}`+"\n", tag, tag)
 }
 
-// placedReply returns the answer to a request whose workload a node has accepted.
+// placedReply returns the answer to startRequest(tag) if a node has accepted the workload.
 func placedReply(tag int) string {
 	return fmt.Sprintf(`{"verb":"STARTED","tag":"%016x","opts":{},"blob":"taken by a node"}`, tag)
 }
--- a/internal/command/platform_config_test.go
+++ b/internal/command/platform_config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const defaultDescriptors = 256 // limit on sockets
+const defaultDescriptors = 256 // limits.sockets of a configuration, unless a test needs another limit
 
 const platformSettings = `{"balancers":1,"ordinal":0,"zones":["z"],"kinds":["small"],"discovery":"automatic",
  "contract":{"cold_ns":17000000000,"cold_from":0.28,"overload_for_ns":2000000000},"report":{"fields":["x0"]},
--- a/internal/command/state.go
+++ b/internal/command/state.go
@@ -27,8 +27,8 @@
 	return storage.OpenDir(path)
 }
 
-// inspectState reads a state directory without changing it. If the directory is damaged, the error is a runError, whose
-// exit code is exitProblem and not exitBadInput.
+// inspectState reads a state directory without changing it. If the directory exists but is damaged or cannot be read,
+// the error is a runError, whose exit code is exitProblem and not exitBadInput.
 func inspectState(path string) (*storage.Contents, error) {
 	disk, err := openStateDir(path)
 	if err != nil {
--- a/internal/command/state_repair.go
+++ b/internal/command/state_repair.go
@@ -7,9 +7,10 @@
 )
 
 const stateRepairHelp = `
-Reports the position of the damage and the records after it. With --drop, truncates the file there and sets later
-files aside; the original of each is kept beside it under a name that ends in .damaged. A run-once workload whose bind
-is dropped may be started a second time if its client retries. No allocator may use the directory during the repair.
+Reports the position of the damage, the number of valid records after it in the file, and the later logs. With
+--drop, drops all of these: a damaged log keeps only what precedes the damage, a damaged snapshot nothing. The
+original files are kept under names that end in .damaged. A run-once workload whose bind is dropped may be started a
+second time if its client retries. No allocator may use the directory during the repair.
 `
 
 // stateRepairCommand defines "state repair".
@@ -22,7 +23,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return repairState(cmd, args[0], drop) },
 	}
-	cmd.Flags().BoolVar(&drop, "drop", false, "set aside the damaged records and all that follow")
+	cmd.Flags().BoolVar(&drop, "drop", false, "drop the damaged records and all that follow, and keep the original files")
 	return cmd
 }
 
--- a/internal/command/state_show.go
+++ b/internal/command/state_show.go
@@ -28,7 +28,8 @@
 	return cmd
 }
 
-// printBinds prints the unexpired binds of a state directory as JSON or as a table.
+// printBinds prints the live binds of a state directory as JSON or as a table. They include expired binds that the
+// allocator has not removed yet.
 func printBinds(cmd *cobra.Command, contents *storage.Contents, asJSON bool) error {
 	binds := []durableBind{} // never null in JSON
 	rows := [][]string{{"KEY", "GROUP", "LAST NODE", "BIND", "KNOWN UNTIL"}}
--- a/internal/command/submission.go
+++ b/internal/command/submission.go
@@ -35,7 +35,7 @@
 	Nodes   []uint32 `json:"nodes,omitempty"` // nodes of a gang's parts, 0 for a part without one
 	Reason  string   `json:"reason,omitempty"`
 	TookMs  float64  `json:"took_ms"`
-	Ended   string   `json:"ended,omitempty"` // reason of the end, "" while running or not placed
+	Ended   string   `json:"ended,omitempty"` // reason of the end, "" if not waited for
 }
 
 // exchange sends the request and waits for its answer. It returns a runError if the allocator sends a refusal instead.
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -35,8 +35,8 @@
 }
 
 const submitHelp = `
-Requests the placement of one workload and prints the answer: placed, rejected (a retry is safe) or unschedulable
-(it may have run). Exit status 0 only if it was placed.
+Requests the placement of one workload or gang and prints the answer: placed, rejected (a retry is safe) or
+unschedulable (it may have run). Exit status 0 only if it was placed.
 `
 
 // submitCommand defines "submit".
--- a/internal/command/submit_gang.go
+++ b/internal/command/submit_gang.go
@@ -23,10 +23,10 @@
 	maxMemory      = 1e9
 )
 
-// Values of on_loss: how an allocator handles the loss of a part of a running gang.
+// Values of on_loss: how an allocator handles the loss of a part if a running gang then has fewer than "need" parts.
 const (
 	onLossUndo    = "undo"    // stops the other parts
-	onLossReplace = "replace" // places the part again; stops the other parts if that fails
+	onLossReplace = "replace" // places the part again, unless it is run-once; stops the other parts if not placed
 )
 
 // Default timeouts and run time of a gang.
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -6,7 +6,8 @@
 
 const traceHelp = `
 Traces hold the requests that allocators received and the decisions that they made. Record them with --trace DIR.
-Where a command takes files, a directory means all trace files in it, in the order in which they were written.
+Where a command takes files, a directory means all trace files in it and in its subdirectories, those of each
+allocator in the order in which they were written.
 `
 
 // traceCommand defines "trace".
--- a/internal/command/trace_files.go
+++ b/internal/command/trace_files.go
@@ -56,8 +56,8 @@
 	return files[0], nil
 }
 
-// withTraces converts a function of open trace files to a RunE, which opens the files that the arguments name before
-// calling run and closes them afterwards.
+// withTraces converts a function of open trace files to a RunE, which opens the files in the arguments, calls run and
+// closes the files.
 func withTraces(run func(cmd *cobra.Command, files traceFiles) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		files, err := openTraces(cmd, args)
--- a/internal/command/trace_show.go
+++ b/internal/command/trace_show.go
@@ -36,7 +36,7 @@
 }
 
 // run prints the matching records, as lines while they are read or as one JSON document, and the number of records
-// above the limit.
+// left out because of the limit.
 func (o *showOptions) run(cmd *cobra.Command, files traceFiles) error {
 	span, err := o.bounds.span(files)
 	if err != nil {
--- a/internal/command/trace_summary.go
+++ b/internal/command/trace_summary.go
@@ -83,7 +83,7 @@
 
 func formatWait(ms float64) string { return fmt.Sprintf("%.1f ms", ms) }
 
-// printRejections prints a table of the most frequent rejections, which begins with an empty line.
+// printRejections prints an empty line and a table of the most frequent rejections, or nothing if there are none.
 func printRejections(cmd *cobra.Command, rejections []trace.NodeRejection) error {
 	if len(rejections) == 0 {
 		return nil
