--- a/config/config.go
+++ b/config/config.go
@@ -31,10 +31,10 @@
 
 // State configures the state directory, which stores the binds that an allocator needs again after a crash.
 type State struct {
-	Dir        string           `json:"dir"` // path of the state directory, "" for no durable state
-	Retention  placement.Millis `json:"keep_ms"`
-	MaxEntries int              `json:"most"`
-	Sync       string           `json:"sync"` // one of the Sync constants
+	Dir        string           `json:"dir"`     // path of the state directory, "" for no durable state
+	Retention  placement.Millis `json:"keep_ms"` // time for which the last bind of a run-once workload is kept
+	MaxEntries int              `json:"most"`    // maximum number of idempotency keys kept at a time
+	Sync       string           `json:"sync"`    // one of the Sync constants
 }
 
 // Values of State.Sync: when an entry counts as durable.
@@ -47,9 +47,9 @@
 // Trace configures the recording of calls and decisions.
 type Trace struct {
 	Dir           string           // directory of the trace files, "" for no trace
-	MaxFileBytes  int64            // maximum size of one file
-	MaxFileAge    placement.Millis // time after which a new file is started
-	MaxTotalBytes int64            // maximum size of all files together
+	MaxFileBytes  int64            // size above which a new file is started
+	MaxFileAge    placement.Millis // age above which a new file is started
+	MaxTotalBytes int64            // total size above which the oldest files are removed
 }
 
 // Log configures logging.
