--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -11,7 +11,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// MinKeySize is the minimum size of a key in bytes. A shorter key can be found by trying all of them.
+// MinKeySize is the minimum size of a key in bytes. A shorter key can be found by brute force.
 const MinKeySize = 16
 
 // Anonymiser replaces ids and texts that identify someone or something by pseudonyms. Under the same key, an id or text
@@ -33,8 +33,8 @@
 	return &Anonymiser{key: key, roundKeys: map[string]*[feistelRounds]roundKey{}}, nil
 }
 
-// Anonymise writes anonymised copies of a file's records and closes the writer. Blocks and index are rebuilt; damaged
-// parts are omitted.
+// Anonymise writes anonymised copies of a file's records, and closes the writer unless an error occurs. Blocks and
+// index are rebuilt; damaged parts are omitted.
 func Anonymise(reader *Reader, writer *Writer, anonymiser *Anonymiser) error {
 	for record, err := range reader.Records(Span{}) {
 		if errors.As(err, new(DamageError)) {
--- a/trace/clocks.go
+++ b/trace/clocks.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// maxClockDifferenceMs is how much the times at which two allocators receive the same revision of the node list may
-	// differ before a clock difference is reported. Push and poll delays alone reach some hundred milliseconds.
+	// maxClockDifferenceMs is the threshold, in milliseconds, above which the median difference between the times at
+	// which two sources receive the same revisions of the node list is reported. Push and poll delays alone reach some
+	// hundred milliseconds.
 	maxClockDifferenceMs = 1000
 	millisPerSecond      = 1000
 )
@@ -20,7 +21,7 @@
 // list. The key is the source's index in the merged header.
 type receptionTimes map[uint32]map[nodeListRevision]float64
 
-// add stores the time at which a source first received a revision. Later times are ignored.
+// add stores the time at which a source received a revision, unless one is stored already.
 func (t receptionTimes) add(source uint32, revision nodeListRevision, unixMs float64) {
 	received := t[source]
 	if received == nil {
@@ -38,7 +39,8 @@
 	return append(sourceClockDifferences(header, received), backwardClockSteps(header)...)
 }
 
-// sourceClockDifferences describes the clock difference between the first source and each of the others.
+// sourceClockDifferences compares the first source that received a node list with each of the others. It describes the
+// differences whose median exceeds maxClockDifferenceMs.
 func sourceClockDifferences(header *tracepb.Header, received receptionTimes) []string {
 	found := []string{}
 	sources := slices.Sorted(maps.Keys(received))
@@ -70,8 +72,8 @@
 	return fmt.Sprintf("%.1f s %s", math.Abs(ms)/millisPerSecond, direction)
 }
 
-// receptionDelays returns how much later x received each revision than y, in milliseconds and ascending, for the
-// revisions that both received.
+// receptionDelays returns the time in x minus the time in y for each revision in both, in milliseconds and ascending
+// order.
 func receptionDelays(x, y map[nodeListRevision]float64) []float64 {
 	var differences []float64
 	for revision, at := range x {
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -1,7 +1,8 @@
 package trace
 
-// Cut copies the records within a span and closes the writer. The first record of each source is preceded by the
-// source's Start record, which defines the groups, node kinds and zones that its records refer to.
+// Cut copies the records within a span, and closes the writer unless an error occurs. Damage is an error. The first
+// record of each source is preceded by the source's Start record, if the file has it. The Start record defines the
+// groups, node kinds and zones that the other records refer to.
 func Cut(reader *Reader, writer *Writer, span Span) error {
 	started := map[uint32]bool{}
 	for record, err := range reader.Records(span) {
@@ -22,7 +23,7 @@
 }
 
 // copyStart copies the Start record of a source, given the source's first record within the span. It copies nothing if
-// that is the Start record itself.
+// that is the Start record itself, or if the file lacks it.
 func copyStart(reader *Reader, writer *Writer, first *Record) error {
 	if first.GetStart() != nil {
 		return nil
--- a/trace/export.go
+++ b/trace/export.go
@@ -100,7 +100,7 @@
 // exporter builds the rows of decisions. It stores the last row of each workload from its request to its final step.
 type exporter struct {
 	lastRows map[workloadKey]*Row   // last row of each workload without a final step
-	groups   map[SourceKey][]string // group names by number
+	groups   map[SourceKey][]string // group names of each source, indexed by number
 }
 
 // row returns the row of a record, false if the record is not a decision.
--- a/trace/fileseries.go
+++ b/trace/fileseries.go
@@ -114,7 +114,7 @@
 	s.current.unflushed = 0
 }
 
-// finish writes the index of the current file, closes the file, and removes old files over the limit in total.
+// finish writes the last block and the index of the current file, closes the file, and removes the oldest files.
 func (s *fileSeries) finish() {
 	if s.current == nil {
 		return
@@ -159,7 +159,7 @@
 	return true
 }
 
-// createNext creates a file with the next unused number.
+// createNext creates a file with the next unused number and writes its header.
 func (s *fileSeries) createNext() (*openFile, error) {
 	for {
 		s.number++
--- a/trace/header.go
+++ b/trace/header.go
@@ -7,7 +7,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// toolName is the value of Header.Tool in files that this program writes.
+// toolName is the value of Header.Tool in recorded and merged files. Copies keep the value of the original.
 const toolName = "grebeglade"
 
 // SourceKey identifies one incarnation of an allocator across files.
--- a/trace/kinds.go
+++ b/trace/kinds.go
@@ -27,7 +27,7 @@
 	resultTimerFired
 )
 
-// Reasons of nodes for rejecting binds.
+// Reasons of nodes for rejecting or ending workloads.
 const (
 	reasonUnspecified = iota
 	reasonInsufficientCores
@@ -88,7 +88,8 @@
 // ResultName returns the name of a kind of result, or fallback for a kind added by a later version.
 func ResultName(kind uint32, fallback string) string { return nameOr(resultNames, kind, fallback) }
 
-// RejectionName returns the name of a node's reason for a rejection, or fallback for a reason added by a later version.
+// RejectionName returns the name of a node's reason for rejecting or ending a workload, or fallback for a reason added
+// by a later version.
 func RejectionName(reason uint32, fallback string) string {
 	return nameOr(rejectionNames, reason, fallback)
 }
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -19,7 +19,7 @@
 
 // Merge writes the records of several files to one. Records are ordered by time; those of one allocator are always
 // ordered by incarnation and revision, even if its clock was set back. Merge calls create with the merged header to
-// obtain the writer, and closes the writer.
+// obtain the writer, and closes the writer unless an error occurs. Damage is an error.
 func Merge(readers []*Reader, create func(*tracepb.Header) (*Writer, error)) (*MergeReport, error) {
 	merged, err := newMerger(readers)
 	if err != nil {
@@ -55,7 +55,7 @@
 	revision uint64
 }
 
-// newMerger reads each file once to collect its sources, revisions and record counts.
+// newMerger reads each file once to collect its sources, revision ranges, record counts and node list revisions.
 func newMerger(readers []*Reader) (*merger, error) {
 	merged := &merger{
 		header:        &tracepb.Header{Tool: toolName},
@@ -88,7 +88,7 @@
 	}
 }
 
-// collect counts the records of a file and collects the times at which it received revisions of the node list.
+// collect counts the records of a file and collects the times at which its sources received revisions of the node list.
 func (m *merger) collect(input *mergeInput) error {
 	for record, err := range input.reader.Records(Span{}) {
 		if err != nil {
--- a/trace/mergeorder.go
+++ b/trace/mergeorder.go
@@ -26,7 +26,8 @@
 }
 
 // ready reports whether the head record of a file may be written: no file has remaining records of an earlier
-// incarnation of the same allocator, and no other file has remaining earlier records of the same incarnation.
+// incarnation of the same allocator, and no other file that begins at a lower revision of the same incarnation has
+// remaining records of it.
 func (m *merger) ready(input *mergeInput) bool {
 	for _, other := range m.inputs {
 		for source, remaining := range other.remaining {
--- a/trace/pseudonym.go
+++ b/trace/pseudonym.go
@@ -9,7 +9,7 @@
 
 const (
 	feistelRounds = 4
-	textHashBytes = 10 // bytes of a text's hash that its pseudonym contains
+	textHashBytes = 10 // number of hash bytes in the pseudonym of a text
 )
 
 type roundKey = [sha256.Size]byte
--- a/trace/reader.go
+++ b/trace/reader.go
@@ -27,7 +27,7 @@
 	closer  io.Closer // nil if the caller closes the input
 }
 
-// Open opens a trace file. The errors wrap those of os.Open, or those of NewReader together with the name.
+// Open opens a trace file. The errors contain the file name and wrap those of os.Open, os.File.Stat or NewReader.
 func Open(name string) (*Reader, error) {
 	file, err := os.Open(name)
 	if err != nil {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -13,7 +13,7 @@
 
 const (
 	maxQueuedBatches   = 1024        // queue capacity; batches beyond it are dropped and their records counted
-	flushInterval      = time.Second // time span of records that a killed process can lose
+	flushInterval      = time.Second // a killed process loses the records after the last flush
 	gapReasonQueueFull = "the queue was full"
 )
 
--- a/trace/records.go
+++ b/trace/records.go
@@ -18,8 +18,8 @@
 	return (s.FromMs == 0 || last >= s.FromMs) && (s.ToMs == 0 || first <= s.ToMs)
 }
 
-// Records iterates over the records within a span in file order. For a block that cannot be read it yields a
-// DamageError and continues with the next block. Blocks outside the span are not read.
+// Records iterates over the records within a span in file order. For a block that cannot be read or decoded it
+// yields a DamageError and continues with the next block. Blocks outside the span are not read.
 func (r *Reader) Records(span Span) iter.Seq2[*Record, error] {
 	return func(yield func(*Record, error) bool) {
 		var raw []byte // reused for every block
--- a/trace/scan.go
+++ b/trace/scan.go
@@ -25,7 +25,7 @@
 		}
 		offset += header.size()
 		if header.kind == indexBlock && r.size-offset <= footerSize {
-			return // only the footer is damaged or truncated; no record is lost
+			return // only the index or the footer is damaged; no record is lost
 		}
 	}
 }
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -45,7 +45,7 @@
 	Records        uint64          `json:"records"`
 	Groups         []*Outcomes     `json:"groups"`
 	NodeRejections []NodeRejection `json:"refusals"`    // most frequent first
-	OutcomeUnknown int             `json:"unclear"`     // binds that timed out, or whose connection was lost
+	OutcomeUnknown int             `json:"unclear"`     // binds with a timeout, a lost connection or a malformed reply
 	NotDelivered   int             `json:"unreachable"` // binds not sent because the node was not connected
 	Missing        uint64          `json:"missing"`     // lost records reported by Gap records
 	Damage         []string        `json:"damage"`
@@ -76,7 +76,7 @@
 	}
 }
 
-// summariseWaits sets median, 99th percentile and maximum of the waits; they stay 0 without any.
+// summariseWaits sets the median, 99th percentile and maximum of the waits. They stay 0 if there are no waits.
 func (o *Outcomes) summariseWaits() {
 	if o.waits.TotalCount() == 0 {
 		return
--- a/trace/tally.go
+++ b/trace/tally.go
@@ -15,7 +15,7 @@
 	summary    *Summary
 	pending    map[workloadKey]*pendingWorkload // workloads without a final answer
 	groups     map[string]*Outcomes             // by name
-	groupNames map[SourceKey][]string           // names by group number
+	groupNames map[SourceKey][]string           // group names of each source, indexed by number
 	rejections map[NodeRejection]int            // counts by node and reason; Count is 0 in the keys
 	sources    map[SourceKey]bool
 }
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// count counts a record of a file. Other kinds of records only affect the summary's totals, times and sources.
+// count counts a record of a file. Kinds without a case here only affect the summary's Records, times and sources.
 func (t *tally) count(file *Reader, record *Record) {
 	at := file.UnixMillis(record)
 	t.extendTime(at)
@@ -120,8 +120,8 @@
 	}
 }
 
-// countResult counts the results that indicate a problem with a node. Other results are counted with the answers that
-// follow from them.
+// countResult counts the results that indicate a problem with a node. Other results are not counted; the answers that
+// follow from them are.
 func (t *tally) countResult(workload *pendingWorkload, result *tracepb.StepResult) {
 	switch result.Kind {
 	case resultRejectedByNode:
--- a/trace/writer.go
+++ b/trace/writer.go
@@ -12,8 +12,8 @@
 	"grebeglade/trace/tracepb"
 )
 
-// targetBlockSize is the target size of a block's uncompressed records, in bytes; only a single larger record exceeds
-// it. It is large enough for zstd to find repetitions, and small enough for a lookup to read little data.
+// targetBlockSize is the target size of a block's uncompressed records, in bytes. A larger record gets a separate
+// block. The size is large enough for zstd to find repetitions, and small enough for a lookup to read little data.
 const targetBlockSize = 128 << 10
 
 // maxRecordSize is the size limit of an encoded record, in bytes. It leaves room for the record's length prefix.
@@ -35,7 +35,8 @@
 	err        error
 }
 
-// NewWriter returns a writer after writing the file header to output. A header that is too large is a SizeError.
+// NewWriter writes the file header to output and returns a writer. For a header that is too large the error is a
+// SizeError.
 func NewWriter(output io.Writer, header *tracepb.Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -54,7 +55,7 @@
 	return writer, writer.err
 }
 
-// encodeHeader returns the encoded file header. The error is a SizeError if its message exceeds maxHeaderSize.
+// encodeHeader returns the encoded file header. The error is a SizeError if the message exceeds maxHeaderSize.
 func encodeHeader(h *tracepb.Header) ([]byte, error) {
 	message, err := proto.MarshalOptions{Deterministic: true}.Marshal(h)
 	if err != nil {
