--- a/internal/replay/encodesettings.go
+++ b/internal/replay/encodesettings.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// decodeSettings converts recorded settings. A module with these settings makes the recorded decisions.
+// decodeSettings converts recorded settings to those of a module that replays the trace.
 func decodeSettings(encoded *tracepb.Settings) placement.Settings {
 	settings := placement.Settings{
 		Allocators:           int(encoded.GetAllocators()),
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -27,9 +27,9 @@
 	return fmt.Sprintf("%d records are missing here (%s); the records after them cannot be replayed", e.Missing, e.Reason)
 }
 
-// RevisionError means that the revisions of successive records are not consecutive, as with a missing file.
+// RevisionError means that the revisions of successive records are not consecutive, for example if a file is missing.
 type RevisionError struct {
-	Previous uint64 // last revision before the missing ones
+	Previous uint64 // revision of the previous record
 }
 
 func (e RevisionError) Error() string {
--- a/internal/replay/filter.go
+++ b/internal/replay/filter.go
@@ -8,7 +8,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// Filter selects the records of a workload, a service or a node. A zero field does not restrict the selection.
+// Filter selects the records that match all of its nonzero fields. A zero field does not restrict the selection.
 type Filter struct {
 	Workload uint32
 	Service  uint64
--- a/internal/replay/gosource.go
+++ b/internal/replay/gosource.go
@@ -12,7 +12,7 @@
 	"grebeglade/trace/tracepb"
 )
 
-// goLiterals replaces values that %#v does not print as valid Go, and puts each node and group of a list on a line.
+// goLiterals replaces values that %#v does not print as valid Go, and breaks lists of nodes and groups into lines.
 var goLiterals = strings.NewReplacer(
 	"StartedAt:-Inf", "StartedAt:placement.DistantPast",
 	"-Inf", "math.Inf(-1)",
@@ -58,7 +58,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// concernsWorkload reports whether a call returns a step of a workload, or reports its usage.
+// concernsWorkload reports whether a call returns a workload's step or is a usage report on a workload.
 func concernsWorkload(r *trace.Record) bool {
 	_, ok := workloadID(r)
 	return ok
--- a/internal/replay/kinds_test.go
+++ b/internal/replay/kinds_test.go
@@ -17,8 +17,8 @@
 // noName is the fallback for kinds without a name.
 const noName = "no name"
 
-// Guards against a change of the kinds' numbers in package placement alone: package trace defines its own numbers,
-// since a file outlives the scheduler that wrote it.
+// Guards against numbers of kinds that differ between packages placement and trace. Package trace defines its own
+// numbers, since files must stay readable after the scheduler that wrote them has changed.
 func TestKinds_NumbersEqualThoseOfPlacement(t *testing.T) {
 	steps := map[placement.StepKind]string{
 		placement.Bind:          "bind",
--- a/internal/replay/recordevents.go
+++ b/internal/replay/recordevents.go
@@ -55,7 +55,7 @@
 	Client         string
 	RequestID      uint64
 	Parts          int // number of parts
-	MinParts       int // least number of parts that must run
+	MinParts       int // minimum number of parts that must run
 	PendingTimeout placement.Millis
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -22,12 +22,14 @@
 
 // Report is the outcome of a run for one incarnation of an allocator.
 type Report struct {
-	Source    string      `json:"source"`
-	Calls     int         `json:"calls"`
-	Decisions int         `json:"decisions"` // number of steps and maintenance results compared
-	Same      int         `json:"same"`
-	Differ    *Divergence `json:"differ,omitempty"`  // first decision that differs, nil if there is none
-	WhatIf    *WhatIf     `json:"what_if,omitempty"` // nil with the recorded settings
+	Source    string `json:"source"`
+	Calls     int    `json:"calls"`
+	Decisions int    `json:"decisions"` // number of steps and maintenance results compared
+	Same      int    `json:"same"`
+	// Differ is the first decision that differs, nil if there is none. With replaced settings, only maintenance is
+	// considered.
+	Differ *Divergence `json:"differ,omitempty"`
+	WhatIf *WhatIf     `json:"what_if,omitempty"` // nil with the recorded settings
 }
 
 // Identical reports whether every decision was as recorded.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -106,7 +106,7 @@
 	changed := func(s placement.Settings, seed uint64) allocator.Module {
 		s.Groups = slices.Clone(s.Groups)
 		for i := range s.Groups {
-			s.Groups[i].FullServiceUtilization = 0.35 // a lower limit of the utilization ρ
+			s.Groups[i].FullServiceUtilization = 0.35 // a reduced maximum utilization
 		}
 		return placement.New(s, seed)
 	}
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -20,8 +20,8 @@
 	Decision    *tracepb.Step   // recorded step of that request
 }
 
-// Reproduce finds a short list of calls that leads to a workload's first step. It omits calls, first half of them, then
-// smaller parts, as long as the module makes the same decision with the remaining ones.
+// Reproduce finds a short list of calls that leads to the first step of a scheduled workload. It tries to omit half of
+// the calls at a time, then smaller parts, and omits a part if the module makes the same decision without it.
 func Reproduce(
 	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, workload uint32,
 ) (*Reproduction, error) {
@@ -48,7 +48,8 @@
 	return calls[:end], calls[end]
 }
 
-// findRequest returns the recorded decision on a workload's request, and the calls of its allocator up to the request.
+// findRequest returns the recorded decision on a workload's request, and the calls of its allocator up to and including
+// the request.
 func findRequest(records iter.Seq2[*trace.Record, error], workload uint32) (*Reproduction, []*trace.Record, error) {
 	calls := map[uint32][]*trace.Record{} // by source
 	starts := map[uint32]*tracepb.Start{}
@@ -89,8 +90,8 @@
 	return false
 }
 
-// shrink omits calls, first large parts, then smaller ones, then single calls, and keeps those without which reproduces
-// returns false.
+// shrink tries to omit parts of the calls, first large ones, then smaller ones, then single calls. It keeps a part if
+// reproduces returns false without it.
 func shrink(calls []*trace.Record, reproduces func([]*trace.Record) bool) []*trace.Record {
 	for size := max(1, len(calls)/2); ; size = max(1, size/2) {
 		for at := 0; at < len(calls); {
@@ -121,7 +122,8 @@
 	return encodeStep(module.Schedule(placement.Millis(last.AtMs), requested))
 }
 
-// isPossible reports whether a call can be made. A result needs the step that it belongs to, whose call may be omitted.
+// isPossible reports whether a call can be made. A result needs the workload's last step, which may be missing
+// if earlier calls are omitted.
 func (r *run) isPossible(call *trace.Record) bool {
 	result := call.GetStepResult()
 	if result == nil {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -14,12 +14,12 @@
 	"grebeglade/trace/tracepb"
 )
 
-// maxRecentCalls is the number of calls before a divergence that are reported.
+// maxRecentCalls is the maximum number of calls reported before a divergence.
 const maxRecentCalls = 12
 
 // Run replays the calls of records on a module and compares each decision. Records of several sources may be mixed;
-// each source has its own module and report. Run returns the first error of records. With the recorded settings, it
-// skips the records of a source after its first divergence, since they follow from a different decision.
+// each source has its own module and report. Damage, a gap, or a missing record is an error. With the recorded
+// settings, Run skips the records of a source after its first divergence, since they depend on the recorded decision.
 func Run(
 	records iter.Seq2[*trace.Record, error], sources []*tracepb.Source, options Options,
 ) ([]*Report, error) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// diverged reports whether the run ended with a divergence. With the recorded settings, the calls after it are not
-// comparable.
+// diverged reports whether a run with the recorded settings has diverged, after which the calls are not comparable. It
+// returns false with replaced settings.
 func (r *run) diverged() bool { return r.report.Differ != nil && r.options.Settings == nil }
 
 // add replays the next record if it is a call. The record's revision must be the successor of the previous one.
@@ -163,7 +163,8 @@
 	return true
 }
 
-// advance passes a recorded result to the workload's last step. With other settings there may be no such step.
+// advance passes a recorded result to the workload's last step. A missing step is a divergence with the recorded
+// settings, and is ignored with replaced settings.
 func (r *run) advance(record *trace.Record, result *tracepb.StepResult) {
 	step, ok := r.steps[result.Workload]
 	if !ok || step.NextStep == nil {
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -5,9 +5,9 @@
 	"grebeglade/trace"
 )
 
-// estimate compares a workload's next step under other settings. While its steps are of the recorded kinds, they get
-// the recorded results, even if a bind is to another node. The outcome of a step of another kind is unknown: a bind is
-// reported as not attempted, and the workload is not replayed further.
+// estimate compares a workload's next step under replaced settings with the recorded one. A step of the recorded kind
+// gets the recorded result, even if a bind is to another node. The outcome of a step of another kind is unknown: a Bind
+// or AwaitEnd gets the final result NotAttempted, and the workload is not replayed further.
 func (r *run) estimate(record *trace.Record, id uint32, step placement.Step) {
 	recorded := placement.StepKind(record.Step.GetKind())
 	sameNode := record.Step.GetNode() == uint32(step.Node)
@@ -29,8 +29,8 @@
 	}
 }
 
-// count counts the first step of a workload. Combinations with other kinds than bind and rejection only count as
-// requests.
+// count counts the first step of a workload. Steps of other kinds than Bind and Rejected, recorded or decided, count
+// only as requests.
 func (w *WhatIf) count(recorded, decided placement.StepKind, sameNode bool) {
 	w.Requests++
 	wasBound := recorded == placement.Bind
