--- a/internal/simulation/audit/allocator.go
+++ b/internal/simulation/audit/allocator.go
@@ -37,8 +37,8 @@
 	s.openBinds = map[observer.BindKey]*bind{}
 }
 
-// wasPaused reports whether the allocator was paused at a deadline and may still be late because of it: it answers
-// after the pause.
+// wasPaused reports whether the allocator was paused at a deadline and the pause has not ended before now: an answer
+// due during a pause is sent after it. Pauses count as pauseTolerance longer at both ends.
 func (s *allocatorState) wasPaused(deadline, now placement.Millis) bool {
 	for _, p := range s.pauses {
 		from := p.from - pauseTolerance
--- a/internal/simulation/audit/audit_test.go
+++ b/internal/simulation/audit/audit_test.go
@@ -16,7 +16,7 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// readRecorded reads a history from testdata/histories; the README.md there describes how each was readRecorded.
+// readRecorded reads a history from testdata/histories; the README.md there describes how each was recorded.
 func readRecorded(t *testing.T, name string) *observer.History {
 	t.Helper()
 	f, err := os.Open(filepath.Join("..", "testdata", "histories", name+".jsonl.gz"))
--- a/internal/simulation/audit/auditor.go
+++ b/internal/simulation/audit/auditor.go
@@ -1,5 +1,5 @@
-// Package audit checks the rules of a run from the observed traffic between its processes alone. It shares no code with
-// the engine.
+// Package audit checks the rules of a run. It uses only what an observer.Observer receives and the terms of the run,
+// and shares no code with the engine.
 //
 // The rules are: every request gets one answer in time (1); a workload never runs more often than its idempotency
 // allows (2); nothing is offered to a node that is draining or removed (3); nodes that are warming up are not
@@ -23,7 +23,7 @@
 
 const (
 	clockTolerance = placement.Millis(1)  // ms by which two readings of the same time may differ
-	pauseTolerance = placement.Millis(50) // ms before and after a pause in which it may still have effects
+	pauseTolerance = placement.Millis(50) // ms by which a pause counts as longer at both ends
 )
 
 // Auditor is an observer.Observer that checks the rules. It must be used by one goroutine at a time.
@@ -61,7 +61,7 @@
 	return a
 }
 
-// Process implements observer.Observer. A killed allocator loses its state, and no more answers of it are due.
+// Process implements observer.Observer. A killed allocator loses its state, and no more answers from it are due.
 func (a *Auditor) Process(now placement.Millis, process *observer.Process, running bool) {
 	switch process.Role {
 	case pb.Role_NODE:
@@ -141,7 +141,8 @@
 	}
 }
 
-// Finish reports overdue requests and incomplete gangs at the end of the run, and sorts the violations.
+// Finish reports overdue requests, incomplete gangs and parts with too many binds at the end of the run, and sorts the
+// violations.
 func (a *Auditor) Finish(now placement.Millis) {
 	for _, r := range a.requests.sent {
 		a.checkAnswered(now, r)
@@ -155,5 +156,6 @@
 // IncompleteGangs returns the number of gangs that ran incomplete for too long, including at the end of the run.
 func (a *Auditor) IncompleteGangs() int { return a.gangs.incomplete }
 
-// WastedCoreShare returns the share (0 to 1) of the core time of gang parts that was spent on gangs that did not start.
+// WastedCoreShare returns the share (0 to 1) of the core time of gang parts that belongs to parts whose gang had not
+// started when they ended.
 func (a *Auditor) WastedCoreShare() float64 { return a.gangs.coreTime.wastedShare() }
--- a/internal/simulation/audit/client.go
+++ b/internal/simulation/audit/client.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// requestSent records a request. An answer is due only if its allocator receives it.
+// requestSent records a request. An answer is due only if the allocator receives the request.
 func (a *Auditor) requestSent(r *request, pendingTimeoutMs float64, seen frame) {
 	r.deadline = seen.at + placement.Millis(pendingTimeoutMs) + a.terms.AnswerSlack
 	if other, ok := a.connections.peerOf(seen); ok {
@@ -41,7 +41,7 @@
 }
 
 // withdrawSent records that a client has withdrawn a request and expects no answer. Clients also withdraw when the
-// pending timeout expires, so a deadline within two clock tolerances is checked now.
+// pending timeout expires, so a deadline less than clockTolerance ahead already counts as missed.
 func (a *Auditor) withdrawSent(r *request, seen frame) {
 	if r == nil || r.answered {
 		return
@@ -70,7 +70,8 @@
 	req.answered = true
 }
 
-// checkAnswered reports a request that has no answer by its deadline. Each request is reported at most once.
+// checkAnswered reports a request that has no answer more than clockTolerance after its deadline, unless its allocator
+// was paused. Each request is reported at most once.
 func (a *Auditor) checkAnswered(now placement.Millis, r *request) {
 	if r.noAnswerDue || r.answered || !r.received {
 		return
--- a/internal/simulation/audit/discovery.go
+++ b/internal/simulation/audit/discovery.go
@@ -12,7 +12,7 @@
 // nodeView is the information that an allocator has received about a node.
 type nodeView struct {
 	incarnation           uint64
-	removed               bool             // not listed by the discovery service, or listed as removed
+	removed               bool             // removed from the discovery service's list, or listed as removed
 	listedDrainingSince   placement.Millis // start of drain or removal in the discovery service's list, or notDraining
 	reportedDrainingSince placement.Millis // start of drain as reported by the node itself, or notDraining
 }
@@ -76,7 +76,8 @@
 	}
 }
 
-// applyUpdate updates the views of all nodes, and returns the IDs of the removed nodes, in no particular order.
+// applyUpdate applies an update to the views of nodes, and returns the IDs of the nodes that it reports as removed, in
+// no particular order.
 func (s *allocatorState) applyUpdate(now placement.Millis, update *pb.NodeListUpdate) (removed []uint32) {
 	snapshot := update.Kind == pb.NodeListUpdate_SNAPSHOT
 	current, outdated := s.currentEntries(update)
--- a/internal/simulation/audit/gangpart.go
+++ b/internal/simulation/audit/gangpart.go
@@ -144,7 +144,7 @@
 // coreTime is the core time of parts of gangs, in core seconds.
 type coreTime struct {
 	total  float64
-	wasted float64 // part of the total spent on gangs that did not start
+	wasted float64 // core time of parts whose gang had not started when they ended
 }
 
 // addPart adds the core time of a part that runs until now; one that does not run adds none.
--- a/internal/simulation/audit/gangrules.go
+++ b/internal/simulation/audit/gangrules.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxIncomplete is the time, in ms, for which a gang may be incomplete beyond its lease: leases run from
-	// acceptance, and a node may be paused when its lease expires.
+	// acceptance, and a node may be paused when a lease expires.
 	maxIncomplete = placement.Millis(5e3)
 	// stopRetryDelay is the minimum time, in ms, before an unanswered stop is repeated on the same connection.
 	stopRetryDelay = placement.Millis(1e3)
--- a/internal/simulation/audit/offer.go
+++ b/internal/simulation/audit/offer.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// countInScope returns the number of an allocator's open binds of the same service in the same scope as a bind.
+// countInScope returns the number of an allocator's open binds, accepted or pending, that have the service and scope of
+// a bind. The bind itself counts.
 func (a *Auditor) countInScope(s *allocatorState, scope placement.Scope, b *bind) int {
 	count := 0
 	for _, other := range s.openBinds {
--- a/internal/simulation/audit/request.go
+++ b/internal/simulation/audit/request.go
@@ -28,7 +28,7 @@
 // clientView is the state of a request at its client.
 type clientView struct {
 	deadline    placement.Millis // latest time for the answer
-	noAnswerDue bool             // the client expects no answer, or a missing answer was already reported
+	noAnswerDue bool             // no answer is due, or a missing answer was already reported
 	answered    bool             // the client has received an answer
 }
 
@@ -86,7 +86,7 @@
 	return t.byRef[requestRef{client, number}]
 }
 
-// cancelAnswersFrom records that no more answers of an allocator are due, since it was killed.
+// cancelAnswersFrom records that no more answers from an allocator are due, since it was killed.
 func (t *requestTable) cancelAnswersFrom(allocator string) {
 	for _, r := range t.sent {
 		if r.allocator == allocator && !r.answered {
@@ -95,7 +95,7 @@
 	}
 }
 
-// cancelAnswersBetween records that no more answers of an allocator to a client are due, since their connection closed.
+// cancelAnswersBetween records that no more answers from an allocator to a client are due: their connection closed.
 func (t *requestTable) cancelAnswersBetween(client, allocator string) {
 	for _, r := range t.sent {
 		if r.ref.client == client && r.allocator == allocator && !r.answered {
--- a/internal/simulation/audit/warmup.go
+++ b/internal/simulation/audit/warmup.go
@@ -33,7 +33,7 @@
 }
 
 // arrivalsSince returns the offers that arrived since a time, and the number of them from allocators that had received
-// the node's incarnation.
+// the node's current incarnation.
 func (n *nodeState) arrivalsSince(from placement.Millis) (offers []frame, informed int) {
 	for _, x := range n.arrivals {
 		if x.at < from {
