--- a/internal/simulation/observer/file.go
+++ b/internal/simulation/observer/file.go
@@ -340,7 +340,8 @@
 	return nil
 }
 
-// framePresenceError is the error of a line that lacks a frame, or whose kind of event has none.
+// framePresenceError is the error of a line that lacks the frame of its event, or holds a frame although its kind of
+// event has none.
 func framePresenceError(line *fileLine) error {
 	return fmt.Errorf("process %q: event %q: frame missing or not allowed", line.Process, line.Kind)
 }
--- a/internal/simulation/observer/file_test.go
+++ b/internal/simulation/observer/file_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readRecorded reads a history from testdata/histories; the README.md there describes how each was readRecorded.
+// readRecorded reads a history from testdata/histories; the README.md there describes how each was recorded.
 func readRecorded(t *testing.T, name string) *History {
 	t.Helper()
 	f, err := os.Open(filepath.Join("..", "testdata", "histories", name+".jsonl.gz"))
--- a/internal/simulation/observer/history.go
+++ b/internal/simulation/observer/history.go
@@ -115,8 +115,8 @@
 	})
 }
 
-// End ends the history and sorts its events by time. Events of one process keep their order, because
-// its clock never steps back.
+// End ends the history and sorts its events by time. Events of one process keep their order, because the host's clock
+// never steps back.
 func (h *History) End(now placement.Millis) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
