--- a/internal/simulation/search/generated.go
+++ b/internal/simulation/search/generated.go
@@ -246,7 +246,7 @@
 	return slices.ContainsFunc(result.Violations, ofRule)
 }
 
-// size describes the properties that reduce minimizes.
+// size describes the size of the script: faults, allocators, nodes and length.
 func (g *generated) size() string {
 	nodes := g.smallNodes + g.largeNodes
 	seconds := float64(g.length) / 1000
--- a/internal/simulation/search/reduce.go
+++ b/internal/simulation/search/reduce.go
@@ -12,8 +12,8 @@
 	minReducedLoad   = 0.05
 )
 
-// reductions each make a script smaller in one property other than its faults. They return false if the property is at
-// its minimum.
+// reductions each make a script smaller in one property other than its faults. They return false if the property cannot
+// be reduced further.
 var reductions = []func(*generated) bool{
 	func(script *generated) bool {
 		had := script.gangs
@@ -52,8 +52,8 @@
 }
 
 // reduce returns a smaller script that still breaks the rule: first with fewer faults, then without gangs and durable
-// state, with fewer allocators and nodes, a shorter run and a lower load. Each reduced script is played, and discarded
-// if the rule holds.
+// state, with fewer allocators and nodes, a shorter run and a lower load, until nothing can be reduced further. Each
+// reduced script is played, and discarded if the rule holds.
 func (g *generated) reduce(rule int, mutant simulation.Mutant) *generated {
 	r := reducer{
 		script: g,
--- a/internal/simulation/search/report.go
+++ b/internal/simulation/search/report.go
@@ -16,7 +16,7 @@
 	What      string  `json:"what"`
 	Lost      float64 `json:"lost"`   // share of the wanted workloads that their first requests did not place
 	Run       int     `json:"day"`    // index of the run in the search
-	Times     int     `json:"times"`  // runs with a violation of this kind
+	Times     int     `json:"times"`  // runs whose first violation is of this kind
 	Reduction string  `json:"shrunk"` // sizes of the script before and after reduction
 	Script    string  `json:"script"` // text of the script, reduced if it broke a rule
 	Seed      uint64  `json:"seed"`
@@ -41,7 +41,7 @@
 }
 
 // addViolations adds a finding with the reduced script of the first run for each kind of violation, and counts further
-// runs of the same kind.
+// runs of the same kind. The kind of a run is that of its first violation.
 func (r *Report) addViolations(broken []outcome, mutant simulation.Mutant) {
 	slices.SortFunc(broken, func(x, y outcome) int { return x.index - y.index })
 	findings := map[string]int{} // index in r.Findings, by kind of violation
