--- a/internal/simulation/allocators.go
+++ b/internal/simulation/allocators.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// settings returns the script's settings with the changes of the mutant.
+// settings returns the script's settings for this allocator, with the changes of the mutant.
 func (a *allocator) settings() placement.Settings {
 	settings := a.run.script.Settings
 	settings.Allocators = a.run.script.Allocators
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -108,19 +108,19 @@
 	})
 }
 
-// onNode calls do on a node's goroutine.
+// onNode schedules a call of do on a node's goroutine.
 func (r *Run) onNode(process *network.Interceptor, at placement.Millis, do func(placement.Millis, *emulator.Node)) {
 	callHandler(r, process, at, do)
 }
 
-// onClients calls do for every client, on its goroutine.
+// onClients schedules a call of do for every client, on its goroutine.
 func (r *Run) onClients(at placement.Millis, do func(placement.Millis, *emulator.Client)) {
 	for _, process := range r.clients {
 		callHandler(r, process, at, do)
 	}
 }
 
-// onDiscovery calls do on the discovery service's goroutine.
+// onDiscovery schedules a call of do on the discovery service's goroutine.
 func (r *Run) onDiscovery(at placement.Millis, do func(placement.Millis, *emulator.DiscoveryService)) {
 	callHandler(r, r.discovery, at, do)
 }
--- a/internal/simulation/faults_clients.go
+++ b/internal/simulation/faults_clients.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// planClientDisconnect breaks the connections of clients, which may reconnect 1 ms later.
+// planClientDisconnect breaks the connections of clients, which can reconnect 1 ms later.
 func (r *Run) planClientDisconnect(fault plannedFault) {
 	for _, process := range r.sample(r.clients, fault.Share) {
 		r.host.RunAt(process, fault.from, process.Cut)
--- a/internal/simulation/faults_network.go
+++ b/internal/simulation/faults_network.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// cut cuts off a process until the fault ends. Its connections break after network.CutTimeout.
+// cut cuts off a process until the fault ends. Its connections break after network.CutTimeout, if it is still cut off.
 func (r *Run) cut(process *network.Interceptor, fault plannedFault, begin func(now placement.Millis)) {
 	r.host.RunAt(process, fault.from, begin)
 	r.host.RunAt(process, fault.from+network.CutTimeout, process.BreakConnections)
--- a/internal/simulation/faults_nodes.go
+++ b/internal/simulation/faults_nodes.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// planRollingDeploy drains nodes in batches, and restarts each at the end of its drain time.
+// planRollingDeploy drains nodes in batches, kills each at the end of its drain time, and restarts it after
+// deployRestartTime.
 func (r *Run) planRollingDeploy(fault plannedFault) {
 	r.inBatches(fault, func(process *network.Interceptor, at placement.Millis) {
 		stop := at + fault.DrainTime
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -16,9 +16,9 @@
 	NoMutant              Mutant = ""
 	NoAnswer              Mutant = "no-answer"     // rule 1: some requests get no answer
 	TwoAnswers            Mutant = "two-answers"   // rule 1: some requests get two answers
-	LateAnswer            Mutant = "late-answer"   // rule 1: rejections are sent after the pending timeout
+	LateAnswer            Mutant = "late-answer"   // rule 1: answers other than placements are sent too late
 	OffersAfterAnswer     Mutant = "offers-after"  // rule 1: a workload is offered after its answer
-	TwoBinds              Mutant = "two-binds"     // rule 2: some offers go to two nodes
+	TwoBinds              Mutant = "two-binds"     // rule 2: some offers are sent with two binds
 	RejectsUnknownOutcome Mutant = "rejects-maybe" // rule 2: requests for workloads that may have run are rejected
 	ExceedsMaxBinds       Mutant = "binds-more"    // rule 2: requests get more binds than the settings allow
 	IgnoresDrain          Mutant = "drain-deaf"    // rule 3: drains are ignored
@@ -62,7 +62,7 @@
 	mutant     Mutant
 	count      int                // frames counted by mutateNext
 	nodes      []transport.ConnID // open connections to nodes
-	firstOffer *pb.Frame          // first offer sent; nil before, and after its repetition
+	firstOffer *pb.Frame          // first offer since the last one was repeated; nil if none
 	delayed    []delayedFrame     // in order of time
 }
 
@@ -224,7 +224,8 @@
 	h.FrameNetwork.Send(conn, f)
 }
 
-// sendOffer sends an offer. For TwoBinds, it also sends a second bind of some requests to another node.
+// sendOffer sends an offer. For TwoBinds, it also sends a second bind of some requests, to a node chosen in turn, which
+// may be the same one.
 func (h *mutantHandler) sendOffer(conn transport.ConnID, f *pb.Frame, offer *pb.Offer) {
 	h.FrameNetwork.Send(conn, f)
 	if h.mutant == TwoBinds && h.mutateNext() {
@@ -284,7 +285,7 @@
 	h.FrameNetwork.Send(conn, f)
 }
 
-// repeatFirstOffer sends the first offer again if the given answer is for its request.
+// repeatFirstOffer sends firstOffer again, to the first of the connected nodes, if the given answer has its request ID.
 func (h *mutantHandler) repeatFirstOffer(answer *pb.Answer) {
 	if h.firstOffer == nil || len(h.nodes) == 0 {
 		return
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -21,12 +21,12 @@
 
 const (
 	pollInterval     = 200 * time.Millisecond // interval between polls for the end of a run on sockets
-	pollsPerProgress = 5                      // one of this many polls reports progress and does not check for the end
-	callsPerClock    = 4096                   // one of this many calls of a stop check reads the clock
+	pollsPerProgress = 5                      // one of this many polls only reports progress, if notify is set
+	callsPerClock    = 4096                   // one of this many calls of a stop check checks the deadline and Cancelled
 )
 
 // PlayVirtual plays a script in virtual time. Apart from RanSeconds, the result depends only on the script and the
-// options. The error is ErrDeadline if the run exceeded its deadline or was cancelled.
+// options. The error is ErrDeadline if the run exceeded options.Deadline or was cancelled.
 func PlayVirtual(script *scenario.Script, options Options) (*Result, error) {
 	began := time.Now()
 	host := network.NewVirtual(options.Seed)
@@ -62,7 +62,8 @@
 	return result, nil
 }
 
-// playVirtual runs the host until all requests are answered or Deadline has passed, and then for the settle time.
+// playVirtual runs the host until all requests are answered or Run.Deadline has passed, and then for settleTime. The
+// error is ErrDeadline if the run exceeded Options.Deadline or was cancelled.
 func (r *Run) playVirtual(host *network.Virtual) error {
 	stop := r.opts.stopCheck()
 	host.Run(r.RequestsEnd(), stop)
@@ -82,11 +83,11 @@
 	return history.WriteFile(file)
 }
 
-// ErrDeadline is the error of a run in virtual time that exceeded its deadline or was cancelled.
+// ErrDeadline is the error of a run in virtual time that exceeded Options.Deadline or was cancelled.
 var ErrDeadline = errors.New("run stopped: it took too long or was cancelled")
 
-// stopCheck returns a function that reports whether the run has exceeded its deadline or is cancelled. The function
-// reads the clock only once in callsPerClock calls.
+// stopCheck returns a function that reports whether the run has exceeded o.Deadline or is cancelled. The function
+// checks both only once in callsPerClock calls.
 func (o *Options) stopCheck() func() bool {
 	if o.Deadline.IsZero() && o.Cancelled == nil {
 		return func() bool { return false }
@@ -151,7 +152,7 @@
 	return result, nil
 }
 
-// awaitAnswers waits until all requests are answered, or Deadline has passed.
+// awaitAnswers waits until all requests are answered, or Run.Deadline has passed.
 func (r *Run) awaitAnswers(ctx context.Context, loop *transport.Loop, notify func(Progress)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -46,7 +46,7 @@
 	// CoreTimeShare is the core time that single workloads ran, as a share of the core time that they wanted, while
 	// clients sent requests.
 	CoreTimeShare    float64           `json:"core_time_share"`
-	DiscoveryEntries uint64            `json:"list_entries"` // node list entries sent to allocators
+	DiscoveryEntries uint64            `json:"list_entries"` // node list entries received by allocators
 	Oracle           *Oracle           `json:"oracle,omitempty"`
 	FirstPlaced      float64           `json:"singles_placed_at_first"` // share of Singles placed by their first request
 	Gangs            int               `json:"gangs"`                   // gangs wanted by clients
@@ -54,7 +54,7 @@
 	GangsAbandoned   int               `json:"gangs_given_up"`          // gangs that never started
 	PartialLeft      int               `json:"partial_groups_left"`     // gangs that ran incomplete for too long
 	GangMedian       float64           `json:"gang_wait_median_ms"`     // time from the first request until the start
-	GangWasted       float64           `json:"gang_wasted_share"`       // core time share of gangs that did not start
+	GangWasted       float64           `json:"gang_wasted_share"`       // share of core time in gangs that had not started
 	GangStops        uint64            `json:"gang_stops"`              // stops of parts sent by allocators
 	Frames           int               `json:"frames"`
 	ScenarioSeconds  float64           `json:"day_seconds"`
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -22,9 +22,9 @@
 	return s
 }
 
-// A request that the network delays by more than the margin of the placement module (58 ms in the original case) may be
-// answered after its client's timeout, which violates rule 1. The script is run 779 of a search with seed 71, reduced;
-// nearly every seed of it fails if the delay is not accounted for.
+// A request that the network delays by more than the margin of the placement module may be answered after its client's
+// timeout, which violates rule 1. The script is the reduced run 779 of a search with seed 71, in which the delay was
+// 58 ms; nearly every seed of it fails if the delay is not accounted for.
 func TestRequests_DelayedByNetworkAnsweredInTime(t *testing.T) {
 	text := `
 like       = "quiet"
@@ -63,8 +63,8 @@
 }
 
 // restartFaults is the common part of the scripts of restartScript, as a format for the mode of discovery updates.
-// Nodes drain for a deploy, others restart at the same time as the allocators and are warming up, and clients restart
-// most of their services.
+// Nodes drain for a deploy, others restart just after the allocators and are warming up, and clients restart most of
+// their services.
 const restartFaults = `
 like       = "quiet"
 allocators = 4
@@ -185,8 +185,9 @@
 	return requested, placed
 }
 
-// Allocators that restart without state must place about as many requests as allocators that never stop. A lower share
-// is allowed, since workloads that clients withdrew while all allocators were down still occupy nodes.
+// Allocators that restart without state must place about as many requests as allocators that never stop. Their share
+// may be lower by less than 0.15, since workloads that clients withdrew while all allocators were down still occupy
+// nodes.
 func TestRestart_WithoutStatePlacesAsOthers(t *testing.T) {
 	const (
 		from  = 13 // slot that starts at 6.5 s, just after the restart
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -61,8 +61,8 @@
 	observer observer.Observer
 	rng      *rand.Rand
 	processes
-	requestsStart   placement.Millis                       // start of requests, after the settle time
-	overloads       chan struct{}                          // one value per node overloaded during warm-up
+	requestsStart   placement.Millis                       // start of requests, after the script's settle time
+	overloads       chan struct{}                          // one value per overload of a node during warm-up
 	drains          map[*network.Interceptor][]oracle.Span // planned drains, by node
 	wallClockOffset float64                                // Unix time, in ms, of the host clock's zero; 0 in virtual time
 	traces          traces
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -35,7 +35,7 @@
 }
 
 // assertRulesHold checks the invariants of all runs without a mutant: no violations, no unanswered requests, no
-// overloaded nodes, and one outcome per request.
+// overloaded nodes, one outcome per request, and at least one placement.
 func assertRulesHold(t *testing.T, r *Result) {
 	t.Helper()
 	assert.Empty(t, r.Violations, "seed %d", r.Seed)
--- a/internal/simulation/simulated_log.go
+++ b/internal/simulation/simulated_log.go
@@ -11,7 +11,8 @@
 // retention is the time, in ms, for which at-most-once keys are kept: longer than any run.
 const retention = placement.Millis(3600e3)
 
-// maxLogSize is the size, in bytes, above which an allocator's log is replaced by a snapshot.
+// maxLogSize is the size, in bytes, above which an allocator's log is replaced by a snapshot. The limit is higher if
+// many binds are live.
 const maxLogSize = 1 << 14
 
 // simulatedLog is an allocator's durable state on a simulated disk. A sync takes syncTime, entries queued during a
@@ -34,7 +35,8 @@
 	onDurable func(now placement.Millis, err error)
 }
 
-// open opens the log for a new incarnation, and sets the journal and the recovered binds in its configuration.
+// open opens the log for a new incarnation, and sets the journal, the retention of at-most-once keys and the recovered
+// binds in its configuration.
 func (l *simulatedLog) open(config *native.Config) error {
 	l.disk.Recover()
 	l.queue = nil
