--- a/internal/simulation/emulator/client.go
+++ b/internal/simulation/emulator/client.go
@@ -26,7 +26,7 @@
 type Client struct {
 	name   string
 	model  *scenario.ClientModel
-	rng    *rand.Rand // draws allocators, retry delays and withdrawals of gangs
+	rng    *rand.Rand // draws allocators, delays of retries, reconnects and restarts, and withdrawals of gangs
 	demand demandSource
 	process
 
@@ -91,8 +91,8 @@
 	c.scheduleWake()
 }
 
-// Closed implements transport.FrameHandler. Unanswered requests are retried. Placed workloads keep running: the
-// allocator's next hello lists them.
+// Closed implements transport.FrameHandler. Unanswered requests are retried where their idempotency and the model allow
+// it. Placed workloads keep running: the allocator's next hello lists them.
 func (c *Client) Closed(now placement.Millis, conn transport.ConnID, _ error) {
 	i := c.allocatorOf(conn)
 	if i < 0 {
@@ -111,7 +111,7 @@
 	c.scheduleWake()
 }
 
-// retryDisconnected retries a request whose connection was lost before the answer arrived.
+// retryDisconnected retries a request whose connection was lost before the answer arrived, if a retry is allowed.
 func (c *Client) retryDisconnected(now placement.Millis, request *clientRequest) {
 	c.Tally.Disconnected++
 	switch {
@@ -156,7 +156,7 @@
 }
 
 // handleHello handles an allocator's hello. Workloads that the allocator placed and the hello does not list are lost,
-// unless the incarnation is new: it may not have recovered all of them yet.
+// unless the incarnation is new: a restarted allocator may not have recovered all of them yet.
 func (c *Client) handleHello(now placement.Millis, conn transport.ConnID, hello *pb.Hello) {
 	i := c.allocatorOf(conn)
 	session := &c.allocators[i]
@@ -181,8 +181,9 @@
 	}
 }
 
-// withdrawStale withdraws the requests of running workloads that the client withdrew while it was disconnected from the
-// allocator. It returns the request IDs of all running workloads.
+// withdrawStale withdraws the running workloads whose request is not open: the client withdrew it while it was
+// disconnected from the allocator, or lost the connection before the answer. It returns the request IDs of all running
+// workloads.
 func (c *Client) withdrawStale(conn transport.ConnID, running []*pb.RunningWorkload) map[uint64]bool {
 	reported := map[uint64]bool{}
 	for _, workload := range running {
@@ -198,7 +199,8 @@
 	return reported
 }
 
-// handleWorkloadEnded handles the end of a placed workload or gang. Single workloads that did not finish are retried.
+// handleWorkloadEnded handles the end of a placed workload or gang. Single workloads that did not finish are retried,
+// except at-most-once ones.
 func (c *Client) handleWorkloadEnded(now placement.Millis, ended *pb.WorkloadEnded) {
 	request := c.requests[ended.RequestId]
 	if request == nil || !request.placed {
--- a/internal/simulation/emulator/client_demand.go
+++ b/internal/simulation/emulator/client_demand.go
@@ -65,7 +65,7 @@
 	return &s.model.Demand[len(s.model.Demand)-1]
 }
 
-// lifetime draws a lifetime from a log-normal distribution whose mean is demand.Lifetime.
+// lifetime draws a lifetime from a log-normal distribution whose mean is demand.Lifetime. It is at least minRemaining.
 func (s *demandSource) lifetime(demand *scenario.Demand) placement.Millis {
 	factor := math.Exp(s.rng.NormFloat64()*lifetimeSigma - lifetimeSigma*lifetimeSigma/2)
 	return max(minRemaining, demand.Lifetime*placement.Millis(factor))
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -15,7 +15,7 @@
 	gangStopTimeout = placement.Millis(5e3)
 	// eagerRetryDelay is the delay in ms before a retry with the policy UntilPlaced.
 	eagerRetryDelay = placement.Millis(100)
-	// gangWithdrawalDivisor divides a gang's lifetime: withdrawals fall into the first of the resulting parts.
+	// gangWithdrawalDivisor limits the delay of a gang's withdrawal to the gang's lifetime divided by it.
 	gangWithdrawalDivisor = 4
 	// gangAttemptPeriod is the period after the first request in which attempts start, in pending timeouts.
 	gangAttemptPeriod = 2
@@ -157,8 +157,8 @@
 	c.Tally.GangWaits = append(c.Tally.GangWaits, float64(now-gang.requestedAt))
 }
 
-// retryGang schedules the next attempt for a gang. It abandons a gang whose attempt period is over, and an
-// at-most-once gang that may have run.
+// retryGang schedules the next attempt for a gang or, with the policy Independent, for the requested part. It abandons
+// a gang whose next attempt would start after the attempt period, and an at-most-once gang that may have run.
 func (c *Client) retryGang(now placement.Millis, request *clientRequest, prior priorRun) {
 	gang := request.gang
 	if c.model.GangPolicy == scenario.Independent {
@@ -194,7 +194,8 @@
 	c.timers.Schedule(now+gangStopTimeout, timedOut)
 }
 
-// requestPart requests one part of a gang from any connected allocator.
+// requestPart requests one part of a gang from any connected allocator. It does nothing if the gang has ended or no
+// allocator is connected.
 func (c *Client) requestPart(now placement.Millis, gang *clientGang, i int) {
 	connected := c.connectedAllocators()
 	if gang.ended || len(connected) == 0 {
@@ -216,7 +217,8 @@
 	c.scheduleAnswerTimeout(now, gang.demand.PendingTimeout, id, request)
 }
 
-// retryPart requests one part again after the retry delay.
+// retryPart requests one part again after the retry delay, unless the gang has ended, or the part may have run and is
+// at-most-once.
 func (c *Client) retryPart(now placement.Millis, request *clientRequest, prior priorRun) {
 	gang := request.gang
 	if gang.ended || prior == mayHaveRun && gang.atMostOnce() {
@@ -236,8 +238,8 @@
 	c.recordGangStart(now, gang)
 }
 
-// stopIncompleteGang stops the parts of an incomplete gang. It requests them again, unless they are at-most-once or the
-// attempt period is over.
+// stopIncompleteGang stops the parts of an incomplete gang. It requests them again, unless they are at-most-once or
+// less than gangStopTimeout of the attempt period is left.
 func (c *Client) stopIncompleteGang(now placement.Millis, gang *clientGang) {
 	if gang.started || gang.ended {
 		return
--- a/internal/simulation/emulator/client_requests.go
+++ b/internal/simulation/emulator/client_requests.go
@@ -51,7 +51,7 @@
 // clientAttempt is the last attempt of a request.
 type clientAttempt struct {
 	requestedAt placement.Millis
-	conn        transport.ConnID // connection of the request, or of the last hello that listed its workload
+	conn        transport.ConnID // connection of the request; if placed, of the allocator's last hello
 	allocator   int              // index in Client.allocators
 	placed      bool
 }
@@ -191,8 +191,9 @@
 	c.retrySingle(now, request, prior)
 }
 
-// retrySingle schedules the next attempt for a workload, if attempts and minRemaining of its lifetime are left. A
-// workload that may have run is retried only if it is idempotent; by key, after RetryAfterUnknown at the earliest.
+// retrySingle schedules the next attempt for a workload, if attempts are left and the next one is at least minRemaining
+// before the workload's end and the model's Until. A workload that may have run is retried only if it is idempotent; by
+// key, after RetryAfterUnknown at the earliest.
 func (c *Client) retrySingle(now placement.Millis, request *clientRequest, prior priorRun) {
 	wait := c.drawRetryDelay()
 	if prior == mayHaveRun && request.demand.Idempotency == placement.AtMostOnce {
@@ -239,7 +240,8 @@
 	c.network.Send(request.conn, withdrawFrame(id))
 }
 
-// Restart stops a share of the client's services, and requests each of their workloads again within the given time.
+// Restart withdraws the single workloads of a share of the client's services. It requests each of them again after a
+// random delay of less than within, if more than minRemaining is then left until the end.
 func (c *Client) Restart(now placement.Millis, share float64, within placement.Millis) {
 	restarted := map[*clientRequest]bool{}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
@@ -266,7 +268,8 @@
 	c.scheduleWake()
 }
 
-// restartable reports whether a request is for a single workload, and its service is in the given share of services.
+// restartable reports whether a request is for a single workload, has not been withdrawn, and belongs to a service in
+// the given share of services.
 func (r *clientRequest) restartable(share float64) bool {
 	return !r.withdrawn && r.gang == nil && serviceQuantile(r.service+restartSalt) < share
 }
--- a/internal/simulation/emulator/node.go
+++ b/internal/simulation/emulator/node.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// handshake handles an allocator's hello, and answers with the workloads that the node runs for it.
+// handshake handles the first frame of a connection. It answers an allocator's hello with the allocator's workloads.
+// After any other frame it sends a refusal and closes the connection.
 func (n *Node) handshake(now placement.Millis, conn transport.ConnID, f *pb.Frame) {
 	received, err := transport.CheckHello(f)
 	if err == nil && received.Role != pb.Role_ALLOCATOR {
--- a/internal/simulation/emulator/node_faults.go
+++ b/internal/simulation/emulator/node_faults.go
@@ -23,7 +23,7 @@
 type UsageSurge struct {
 	Group  string  // "" for every group
 	Share  float64 // share of the services that surge
-	Factor float64 // multiplies the usual use
+	Factor float64 // multiplies the usual use; no effect if at most 1
 }
 
 // factor returns the factor by which a surge multiplies the use of a task, or 1 if it does not affect the task.
--- a/internal/simulation/emulator/node_load.go
+++ b/internal/simulation/emulator/node_load.go
@@ -19,7 +19,8 @@
 // minAvailableCores is the least divisor in the ratio of demanded to available cores. It keeps the ratio finite.
 const minAvailableCores = 0.1
 
-// report evicts tasks while memory is exceeded, measures the load, registers it, and repeats after the report interval.
+// report evicts tasks while memory is exceeded, measures the load, sends the node's registration, and repeats after the
+// report interval.
 func (n *Node) report(now placement.Millis) {
 	for n.memoryUsed() > n.spec.Memory && len(n.tasks.all) > 0 {
 		n.endTask(now, n.evictionCandidate(), pb.Reason_EVICTED)
--- a/internal/simulation/emulator/node_offers.go
+++ b/internal/simulation/emulator/node_offers.go
@@ -91,7 +91,8 @@
 	return float64(len(n.admission.arrivals)) > n.model.BindLimit(rate)
 }
 
-// handleStop cancels a queued offer or, unless the stop is for queued offers only, ends the task.
+// handleStop cancels a queued offer or, unless the stop is for queued offers only, ends the task. If it finds neither,
+// it reports the workload as stopped.
 func (n *Node) handleStop(now placement.Millis, stop *pb.Stop) {
 	bind := observer.KeyOf(stop.Bind)
 	if frame := n.admission.findOffer(bind); frame != nil {
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// startTime returns the duration of a start. It depends on the program cache, the warm-up and the contention for cores.
+// startTime returns the duration of a start. It depends on the group, the program cache, the warm-up, the contention
+// for cores and the Slowdown fault.
 func (n *Node) startTime(now placement.Millis, t *Task) placement.Millis {
 	work := float64(t.group.StartTime) * n.Slowdown
 	service := t.Offer.Request.Service
@@ -176,7 +177,8 @@
 	}
 }
 
-// programCache holds the programs of services that have run on a node and are not running, up to a limit.
+// programCache holds the programs of services of which a task has ended on a node and none has started since, up to a
+// limit.
 type programCache struct {
 	limit    int
 	services []uint64 // most recently used last
--- a/internal/simulation/emulator/tally.go
+++ b/internal/simulation/emulator/tally.go
@@ -14,7 +14,7 @@
 	Withdrawn     int // withdrawn by the client before an answer
 	Disconnected  int // the connection or the allocator was lost before an answer
 	Unanswered    int
-	Ended         map[pb.Reason]int // placed workloads and gangs that ended
+	Ended         map[pb.Reason]int // placed workloads, gangs and gang parts that ended
 	Waits         []float64         // ms from the answered request until the workload was placed
 	SingleTally
 	GangTally
@@ -33,6 +33,6 @@
 	GangsStarted   int
 	GangsAbandoned int       // gangs that ended without a start
 	GangWaits      []float64 // ms from the first request for a gang until it started
-	Wasted         float64   // core seconds of independently requested parts in gangs that did not start
-	Used           float64   // core seconds of independently requested parts in gangs that started
+	Wasted         float64   // core seconds of independently placed parts until their incomplete gang was stopped
+	Used           float64   // core seconds in the full lifetimes of the parts placed when their gang started
 }
