--- a/internal/simulation/network/clock.go
+++ b/internal/simulation/network/clock.go
@@ -23,8 +23,8 @@
 	return k.local + (t-k.host)*placement.Millis(k.rate)
 }
 
-// toHost returns the earliest host time at which the local time is at least t. It never rounds down: a process that is
-// woken before t schedules the same wake-up again, forever.
+// toHost returns the host time at which the local time reaches t, rounded up: a process that is woken before t would
+// schedule the same wake-up again, forever.
 func (k *clock) toHost(t placement.Millis) placement.Millis {
 	if k.rate == 0 {
 		return t
--- a/internal/simulation/network/cut.go
+++ b/internal/simulation/network/cut.go
@@ -8,10 +8,10 @@
 	pb "grebeglade/proto/grebeglade/v1"
 )
 
-// CutTimeout is the time in ms after which a cut breaks connections. It is about the keep-alive timeout.
+// CutTimeout is the time in ms from a network cut to the call of BreakConnections. It is about the keep-alive timeout.
 const CutTimeout = placement.Millis(3e3)
 
-// Reasons for which the connections of a process that is cut off close.
+// Close reasons of the connections of a process that is cut off.
 var (
 	errCutOff   = errors.New("connection not established: the process is cut off from the network")
 	errTimedOut = errors.New("connection timed out: the process is cut off from the network")
@@ -38,14 +38,15 @@
 	c.queuedIn = nil
 }
 
-// Cut cuts the process off in both directions: frames are queued, and connections break after CutTimeout.
+// Cut cuts the process off in both directions until Heal is called. Frames are queued, and no connections can be
+// opened. BreakConnections breaks the open ones.
 func (i *Interceptor) Cut(placement.Millis) {
 	i.cut.out = true
 	i.cut.in = true
 }
 
-// CutDirection cuts one direction: the frames that the process sends, or the frames that are sent to it. As in a full
-// cut, connections cannot be opened, and open ones break after CutTimeout.
+// CutDirection cuts one direction: the frames that the process sends if out is set, or else the frames that are sent to
+// it. Connections are affected as by Cut.
 func (i *Interceptor) CutDirection(out bool) {
 	if out {
 		i.cut.out = true
@@ -54,8 +55,8 @@
 	}
 }
 
-// BreakConnections breaks the connections of a process that is still cut off. For a network cut, it must be called
-// CutTimeout after the start.
+// BreakConnections breaks the connections of a process that is still cut off, and drops the queued frames. For a
+// network cut, it must be called CutTimeout after the start.
 func (i *Interceptor) BreakConnections(now placement.Millis) {
 	if !i.cut.active() {
 		return
--- a/internal/simulation/network/framefaults.go
+++ b/internal/simulation/network/framefaults.go
@@ -9,12 +9,12 @@
 )
 
 // FrameFaults are faults of the frames that a process receives. Each frame is selected independently. A delayed frame
-// delays the later frames of its connection unless frames may be reordered.
+// delays the later frames of its connection unless Reorder is set.
 type FrameFaults struct {
 	Share     float64          // share of the frames that is selected
-	Duplicate bool             // selected frames are delivered twice
-	Delay     placement.Millis // longest delay of a selected frame
-	Reorder   bool             // delayed frames may be overtaken by others of their connection
+	Duplicate bool             // selected frames are delivered twice, unless they are delayed or their order matters
+	Delay     placement.Millis // longest delay of a selected frame; 0 for no delay
+	Reorder   bool             // frames may overtake others of their connection, unless their order matters
 
 	Random *rand.Rand // draws the selected frames and their delays
 }
--- a/internal/simulation/network/lifecycle.go
+++ b/internal/simulation/network/lifecycle.go
@@ -52,7 +52,8 @@
 	i.closeAll(now)
 }
 
-// Pause stops the process until Resume is called. Events in between are delivered by Resume.
+// Pause stops the process until Resume is called. Events in between are delivered by Resume. The planned end of the
+// pause, until, is only passed to the observer.
 func (i *Interceptor) Pause(now, until placement.Millis) {
 	if i.handler != nil {
 		i.paused = true
--- a/internal/simulation/network/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -87,7 +87,7 @@
 	v.events.Push(max(at, v.now), event{kind: eventCall, do: do})
 }
 
-// Run handles events up to a time, or until done returns true.
+// Run handles events up to a time and advances the clock to it, unless done returns true before.
 func (v *Virtual) Run(until placement.Millis, done func() bool) {
 	for {
 		at, ok := v.events.NextTime()
