--- a/internal/simulation/scenario/decode.go
+++ b/internal/simulation/scenario/decode.go
@@ -55,7 +55,7 @@
 	return script, block.Finish()
 }
 
-// inherit adds the settings that a script does not have from the embedded script that it names in like.
+// inherit adds the settings that a script does not have. It takes them from the embedded script with the name like.
 func inherit(block *config.Block, like string) error {
 	if !slices.Contains(Names(), like) {
 		known := strings.Join(Names(), ", ")
@@ -124,7 +124,7 @@
 	return demand
 }
 
-// readNode reads how nodes behave. Properties of nodes that allocators assume are taken from the settings.
+// readNode reads how nodes behave. Properties of nodes that are also allocator settings are taken from the settings.
 func (s *Script) readNode(block *config.Block) {
 	rules := block.Block("rules")
 	s.DrainGrace = rules.Duration("drain_grace", 1e3)
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -69,7 +69,7 @@
 	DefaultInterval placement.Millis // 0 for faults that do not repeat
 }
 
-// FaultSpecs holds every kind of fault.
+// FaultSpecs holds the spec of every kind of fault.
 var FaultSpecs = map[FaultKind]FaultSpec{
 	NodeCrash: {},
 	NodeSlow: {
@@ -162,7 +162,7 @@
 // FaultKinds returns all kinds of faults, sorted by name.
 func FaultKinds() []FaultKind { return slices.Sorted(maps.Keys(FaultSpecs)) }
 
-// readFault reads one fault block. Its kind is its name, unless it states another one.
+// readFault reads one fault block. The kind is the block's kind argument or, without one, the block's name.
 func (s *Script) readFault(block *config.Block) {
 	kind := FaultKind(block.Name)
 	if stated := block.String("kind", ""); stated != "" {
--- a/internal/simulation/scenario/models.go
+++ b/internal/simulation/scenario/models.go
@@ -12,7 +12,7 @@
 	QueueLimit          int              `json:"Line"`        // limit of queued offers and health checks
 	ConcurrentStarts    int              `json:"Starts"`      // limit of concurrent starts
 	UncachedStartFactor float64          `json:"Setup"`       // factor of the start time of an uncached program
-	CachedPrograms      int              `json:"Kept"`        // limit of cached programs that are not running
+	CachedPrograms      int              `json:"Kept"`        // limit of cached programs; starting a program removes it
 	ReportInterval      placement.Millis `json:"ReportEvery"` // time between load reports
 	ConfirmsRunning     bool             // offers are confirmed when the workload runs, not when it is accepted
 	DrainMode           DrainMode        `json:"Away"`
@@ -20,7 +20,7 @@
 	InitialRate         float64          `json:"ColdFrom"`   // share of the full start rate at the start of the warm-up
 	WarmUpDuration      placement.Millis `json:"ColdFor"`
 	WarmUpBudget        float64          `json:"ColdBears"`   // offers within OverloadWindow that are always allowed
-	OverloadFactor      float64          `json:"Overload"`    // limit of offers, as a multiple of the possible starts
+	OverloadFactor      float64          `json:"Overload"`    // limit of offers per start possible in OverloadWindow
 	OverloadWindow      placement.Millis `json:"OverloadFor"` // period in which offers to a warming node are counted
 	Groups              map[string]*GroupModel
 }
@@ -65,17 +65,18 @@
 }
 
 // ClientModel describes what the clients of a scenario request, and how they behave. It has the settings of a script's
-// load block, and values that a run sets: From, Until and the allocators' addresses.
+// load and gang blocks, and values that a run sets: Demand, From, Until, the allocators' addresses and the rates of one
+// client.
 type ClientModel struct {
 	Demand                 []Demand
-	Rate                   float64          // first requests per second and client
+	Rate                   float64          // first requests per second: of all clients in a script, of one in a run
 	From                   placement.Millis // earliest time of a first request
-	Until                  placement.Millis // time after which no request is sent
+	Until                  placement.Millis // time after which no request is sent, except retries of gang parts
 	RetryDelay             placement.Millis // mean delay before a retry
 	MaxAttempts            int              // limit of the requests for one workload
 	AnswerSlack            placement.Millis // time after the pending timeout at which an unanswered request times out
-	WithdrawShare          float64          // share of the workloads that are withdrawn
-	RetriesAfterDisconnect bool             // at-most-once workloads are retried, at the same allocator
+	WithdrawShare          float64          // share of the single workloads and gang attempts that are withdrawn
+	RetriesAfterDisconnect bool             // after a disconnect, at-most-once workloads are retried at the same allocator
 	Allocators             []string         // addresses of the allocators
 	Gangs                  []GangDemand
 	GangPolicy             GangPolicy
@@ -86,7 +87,7 @@
 	Name           string
 	Share          float64          // share of the request rate
 	Shapes         [][2]float64     // cores and memory
-	Lifetime       placement.Millis // mean
+	Lifetime       placement.Millis // mean lifetime
 	Services       int              // number of services
 	PendingTimeout placement.Millis
 	Idempotency    placement.Idempotency
@@ -96,7 +97,7 @@
 type GangDemand struct {
 	Group          string
 	Idempotency    placement.Idempotency
-	Rate           float64 // gangs per second and client
+	Rate           float64 // gangs per second: of all clients in a script, of one in a run
 	Parts          int
 	MinParts       int        // least number of parts that the gang needs to run
 	Shape          [2]float64 // cores and memory of a part
--- a/internal/simulation/scenario/script.go
+++ b/internal/simulation/scenario/script.go
@@ -128,8 +128,8 @@
 	return n
 }
 
-// Resize sets the numbers of allocators and nodes; 0 leaves a number as it is. Request rates and services grow with the
-// number of nodes.
+// Resize sets the numbers of allocators and nodes; 0 leaves a number as it is. Request rates and numbers of services
+// change in proportion to the number of nodes.
 func (s *Script) Resize(allocators, nodes int) {
 	if allocators > 0 {
 		s.Allocators = allocators
@@ -153,7 +153,7 @@
 	}
 }
 
-// SetLength sets the length of the run, and moves and scales its faults in proportion.
+// SetLength sets the length of the run, and scales the start times and durations of its faults in proportion.
 func (s *Script) SetLength(length placement.Millis) {
 	factor := length / s.Length
 	s.Length = length
