--- a/internal/oracle/machine.go
+++ b/internal/oracle/machine.go
@@ -33,7 +33,7 @@
 	*Machine
 	state      machineState
 	startedAt  placement.Millis
-	firstStart bool      // the machine has not been down yet
+	firstStart bool      // the latest start was the machine's first
 	requested  resources // sum of the requests of running workloads
 	used       resources // sum of the use by running workloads
 	running    []runningWorkload
--- a/internal/oracle/model.go
+++ b/internal/oracle/model.go
@@ -44,8 +44,8 @@
 
 // Constraints are limits on placements besides the capacity of the machines.
 type Constraints struct {
-	// BindLimit returns the maximum number of placements within Window on a machine with an uptime; negative means
-	// unlimited. It does not apply after the first start of a machine. Nil means no limit.
+	// BindLimit returns the maximum number of placements within Window on a machine that has the given uptime; negative
+	// means unlimited. It applies only after a restart of the machine, not after its first start. Nil means no limit.
 	BindLimit func(uptime placement.Millis) float64
 	Window    placement.Millis
 
--- a/internal/oracle/place.go
+++ b/internal/oracle/place.go
@@ -7,10 +7,10 @@
 	"grebeglade/placement"
 )
 
-// Place returns the core time, in core milliseconds until the end, that runs under a scheduler that places without
-// delay, by the true state of the machines, and never migrates. It places the largest waiting workload first, each on
-// the machine with the fewest unused cores. With nil constraints only the capacity of the machines limits placements,
-// and spread limits are ignored.
+// Place returns the core time, in core milliseconds until the end, of a schedule without delays and migrations, based
+// on the true state of the machines. It places the waiting workload with the most cores first, each on the machine
+// with the fewest unused cores. With nil constraints only the capacity of the machines limits placements, and spread
+// limits are ignored.
 func Place(machines []Machine, workloads []Workload, end placement.Millis, constraints *Constraints) float64 {
 	p := &placer{end: end, constraints: constraints}
 	p.events = newEventQueue(append(p.machineEvents(machines), p.workloadEvents(workloads)...))
@@ -97,7 +97,7 @@
 
 func (p *placer) enqueue(w *Workload) { p.waiting = append(p.waiting, w) }
 
-// loseMachine stops a machine. Its workloads are queued again, immediately or at their client's retry.
+// loseMachine stops a machine. Its workloads are queued again immediately, or with AwaitRetry at their client's retry.
 func (p *placer) loseMachine(m *machine, now placement.Millis) {
 	for _, r := range m.stop() {
 		p.coreTime += r.coreTime(min(now, p.end))
