--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -35,7 +35,7 @@
 	return differences, nil
 }
 
-// differences returns the difference of the pair's cells in each measure for which both have values.
+// differences returns the difference of the pair's cells in each measure for which both have a value of the same seed.
 func (p cellPair) differences(a, b *Result) (differences []Difference) {
 	for _, m := range Measures {
 		values := newPairedValues()
--- a/internal/experiment/decode.go
+++ b/internal/experiment/decode.go
@@ -21,7 +21,7 @@
 // dayKey is the name of the blocks in which a level overrides values of the scenario.
 const dayKey = "day"
 
-// Decode decodes the text of a plan. Errors contain the file and the line.
+// Decode decodes the text of a plan. Errors contain the file and the line, but no line if a script cannot be read.
 func Decode(file string, text []byte) (*Plan, error) {
 	block, err := config.Parse(file, text)
 	if err != nil {
--- a/internal/experiment/directory.go
+++ b/internal/experiment/directory.go
@@ -21,8 +21,8 @@
 	fileMode      = 0o644
 )
 
-// prepareDirectory writes the plan into a new directory. If the directory has the same plan, it returns the runs of
-// earlier executions.
+// prepareDirectory creates the directory, if necessary, and writes the plan into it. If the directory already contains
+// the same plan, it returns the runs of earlier executions. A different plan in it is an OtherExperimentError.
 func (p *Plan) prepareDirectory(dir string) ([]Run, error) {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return nil, fmt.Errorf("create directory of experiment: %w", err)
--- a/internal/experiment/errors.go
+++ b/internal/experiment/errors.go
@@ -9,7 +9,7 @@
 // ErrOneCell means that one side of a comparison is a cell and the other side is a whole experiment.
 var ErrOneCell = errors.New("one side is a cell and the other a whole experiment; name a cell on both")
 
-// OtherExperimentError means that a directory contains the runs of another plan.
+// OtherExperimentError means that a directory contains a different plan.
 type OtherExperimentError struct {
 	Dir string
 }
@@ -80,7 +80,7 @@
 	return text
 }
 
-// CommandError means that a command failed that makes or runs another build.
+// CommandError means that a command that makes or runs another build failed.
 type CommandError struct {
 	Command string
 	Err     error
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -22,8 +22,8 @@
 	return values
 }
 
-// Guards against intervals of the wrong width: of many samples, 95% of the intervals must contain the true mean, and a
-// true mean of the smallest detectable size must be significant in 80%.
+// Guards against intervals of the wrong width: of the intervals of many samples, 95% must contain the true mean, and a
+// true mean of the smallest detectable size must be significant in 80% of the samples.
 func TestEstimate_ConfidenceAndPower(t *testing.T) {
 	const (
 		trueMean           = 5.0
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -14,7 +14,8 @@
 	comparison string // text that names the two levels
 }
 
-// findings returns a sentence for each significant effect of a factor.
+// findings returns a sentence for each significant effect on a measure other than the cost, or a single sentence if
+// there is none. It returns nil if there are no effects.
 func (r *Result) findings() (sentences []string) {
 	effects := r.effects()
 	if len(effects) == 0 {
@@ -44,7 +45,7 @@
 		formatFigure(d.Delta.Mean), m.Unit, formatFigure(d.Delta.Low), formatFigure(d.Delta.High), formatFigure(d.A))
 }
 
-// effects returns the effect of each level on each measure, with equal levels of all other factors.
+// effects returns the effect of each level but a factor's first on each measure, if there are enough seeds.
 func (r *Result) effects() (effects []effect) {
 	for i, factor := range r.Plan.Factors {
 		first := factor.Levels[0]
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -45,12 +45,12 @@
 	return values
 }
 
-// ratio divides two numbers. The value is unknown if the divisor is zero.
+// ratio divides two numbers. The value is unknown unless the divisor is positive.
 func ratio(dividend, divisor float64) (value float64, known bool) {
 	return dividend / divisor, divisor > 0
 }
 
-// percent returns a part in percent of a total. The value is unknown if the total is zero.
+// percent returns a part in percent of a total. The value is unknown unless the total is positive.
 func percent(part, total float64) (value float64, known bool) { return ratio(100*part, total) }
 
 // requestPercent measures the percentage of requests with an outcome; count returns the number of these requests.
@@ -60,7 +60,7 @@
 	}
 }
 
-// perWorkload measures an amount divided by the number of requested workloads.
+// perWorkload measures an amount divided by the number of requests, including retries.
 func perWorkload(amount func(*simulation.Result) float64) measureFunc {
 	return func(r *simulation.Result) (float64, bool) {
 		return ratio(amount(r), float64(r.Workloads))
--- a/internal/experiment/measures.go
+++ b/internal/experiment/measures.go
@@ -171,8 +171,8 @@
 	},
 }
 
-// discoveryEntries returns the entries of the node list per workload. The value is unknown if the count is zero,
-// because older builds do not count entries.
+// discoveryEntries returns the entries of the node list per request, including retries. The value is unknown if the
+// count is zero, because older builds do not count entries.
 func discoveryEntries(r *simulation.Result) (value float64, known bool) {
 	value, known = ratio(float64(r.DiscoveryEntries), float64(r.Workloads))
 	return value, known && r.DiscoveryEntries > 0
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -19,7 +19,7 @@
 	Repeats int    // runs of each cell, each with its own seed
 	Seed    uint64 // seed of the first repeat; each further repeat adds 1
 	Limits  Limits
-	Oracle  bool // also compute the optimum of each run
+	Oracle  bool // also compute the optimum of each run of this program; ignored for other builds
 	Factors []Factor
 
 	source planSource
@@ -93,7 +93,7 @@
 	return revision
 }
 
-// withLevel returns a cell that has the levels of c and one more, at an index of its own.
+// withLevel returns a cell with the given index that has the levels of c and one more.
 func (c Cell) withLevel(level Level, index int) Cell {
 	levels := append([]Level{}, c.Levels...)
 	return Cell{Index: index, Levels: append(levels, level)}
@@ -119,7 +119,7 @@
 // digest returns a hash of the plan's text.
 func (p *Plan) digest() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.source.text)) }
 
-// Cells returns all combinations of levels. Successive cells differ in the level of the last factor first.
+// Cells returns all combinations of levels. The level of the last factor varies fastest.
 func (p *Plan) Cells() []Cell {
 	cells := []Cell{{}}
 	for _, factor := range p.Factors {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -63,8 +63,8 @@
 	return chart
 }
 
-// setRanges sets the ranges of the axes, after adding lines has set them to the range of the values. The y axis begins
-// at zero unless that leaves half of the plot empty.
+// setRanges sets the ranges of the axes, after adding lines has set them to the range of the values. A y axis of
+// positive values begins at zero unless that leaves at least half of the plot empty.
 func setRanges(chart *plot.Plot, levelCount int) {
 	chart.X.Min = -plotMargin
 	chart.X.Max = float64(levelCount-1) + plotMargin
@@ -87,7 +87,7 @@
 	return out.Bytes(), nil
 }
 
-// noAxis is the index of the x axis' factor in a plan without factors.
+// noAxis is the value of axis for a plan without factors.
 const noAxis = -1
 
 // axis returns the index of the factor on the x axis: the one with the most levels, or the first of several such.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,7 +15,7 @@
 	Seed    uint64             `json:"seed"`
 	Error   string             `json:"error,omitempty"` // reason why there are no values
 	Seconds float64            `json:"seconds"`
-	Digest  string             `json:"digest,omitempty"` // hash of all decisions; depends on plan, cell and seed only
+	Digest  string             `json:"digest,omitempty"` // hash of allocators' decisions; same for equal plan, cell, seed
 	Values  map[string]float64 `json:"values,omitempty"` // by name of the measure
 }
 
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -8,7 +8,8 @@
 )
 
 // Scenario returns the scenario of a cell: the script of its levels or of the plan, overridden by the day blocks of the
-// levels. Where two levels set the same value, that of the earlier factor takes precedence.
+// levels and then by their other arguments. If two day blocks set the same value, that of the earlier factor takes
+// precedence; if two levels set the same argument, that of the later factor does.
 func (p *Plan) Scenario(cell Cell) (*scenario.Script, error) {
 	blocks, err := p.dayBlocks(cell)
 	if err != nil {
@@ -64,7 +65,8 @@
 	return name
 }
 
-// applyLevels applies the levels to a scenario: all sizes first, because length, rate and load depend on the size.
+// applyLevels applies the levels to a scenario: all sizes first, because Resize scales the rate, and SetLoad depends on
+// the number of nodes.
 func applyLevels(script *scenario.Script, levels []Level) {
 	for _, l := range levels {
 		script.Resize(l.Allocators, l.Nodes)
