--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -79,7 +79,7 @@
 	return c.connectClient(address)
 }
 
-// close closes all listeners and the client's connection, and stops the allocator.
+// close closes all listeners and the client's connection, stops the allocator, and closes its state.
 func (c *cluster) close() error {
 	var errs []error
 	for _, closer := range c.closers {
--- a/internal/benchmark/memory.go
+++ b/internal/benchmark/memory.go
@@ -36,8 +36,8 @@
 	return memory, nil
 }
 
-// heapSize returns the size of reachable objects in bytes. The second collection frees the objects whose finalizers the
-// first one ran.
+// heapSize returns the size of reachable objects in bytes. The second collection frees the objects whose finalizers ran
+// after the first one.
 func heapSize() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/benchmark/rates.go
+++ b/internal/benchmark/rates.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rounds is the number of repetitions of a measurement; the median is reported.
+// rounds is the number of runs of each repeated measurement; their median is reported.
 const rounds = 5
 
 // Rates are decisions per second with a fleet, and their ratios to the rate of the placement module alone.
@@ -18,8 +18,8 @@
 	EngineRatio  float64 `json:"engine_ratio"`
 	Sockets      float64 `json:"sockets_per_second,omitempty"`
 	SocketsRatio float64 `json:"sockets_ratio,omitempty"`
-	// OfferMedianMs is the median time from a request to the arrival of its bind at the node, at half of the Sockets
-	// rate.
+	// OfferMedianMs is the median time from a request's due time to the arrival of its bind at the node, at half of the
+	// Sockets rate.
 	OfferMedianMs float64 `json:"ask_to_offer_median_ms,omitempty"`
 	Offer99Ms     float64 `json:"ask_to_offer_p99_ms,omitempty"` // 99th percentile of the same
 	LateSends     int     `json:"late_sends"`                    // requests that the benchmark sent more than 1 ms late
--- a/internal/benchmark/statecost.go
+++ b/internal/benchmark/statecost.go
@@ -29,8 +29,8 @@
 	Sync   string  `json:"sync"` // value of config.State.Sync, or "off" for no state
 	Placed float64 `json:"placed_per_second"`
 	Ratio  float64 `json:"ratio"` // ratio of Placed to the rate without state
-	// Median is the median time from a request to the arrival of its bind at the node, at a quarter of the rate without
-	// state, or at half of Placed if that is less.
+	// Median is the median time from a request's due time to the arrival of its bind at the node, at a quarter of the
+	// rate without state, or at half of Placed if that is less.
 	Median float64 `json:"ask_to_offer_p50_ms"`
 	P99    float64 `json:"ask_to_offer_p99_ms"` // 99th percentile of the same
 }
@@ -140,7 +140,7 @@
 	return read, log.Close()
 }
 
-// writeHistory writes binds of ten times as many keys, and entries that forget all but the first keys.
+// writeHistory writes the binds of ten times the number of keys, and entries that forget all but the first keys.
 func writeHistory(disk storage.Disk, keys int) error {
 	const (
 		historyFactor = 10
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -124,7 +124,7 @@
 // lastMs returns the time of the last record in ms.
 func (r *recording) lastMs() float64 { return r.records[len(r.records)-1].AtMs }
 
-// write writes a trace in which the records are repeated, with each repetition shifted to begin after the previous one.
+// write writes a trace that repeats the records a number of times. Each repetition begins after the previous one.
 func (r *recording) write(out io.Writer, times int) error {
 	writer, err := trace.NewWriter(out, &tracepb.Header{Sources: r.sources})
 	if err != nil {
