--- a/internal/compatibility/command_test.go
+++ b/internal/compatibility/command_test.go
@@ -106,7 +106,7 @@
 	return document
 }
 
-// stableJSON returns a document with rounded numbers, and without the given keys, whose values depend on wall time.
+// stableJSON returns a document with rounded numbers, and without the given keys, whose values differ between runs.
 func stableJSON(t *testing.T, text string, without ...string) string {
 	t.Helper()
 	document := parseDocument(t, text)
--- a/internal/compatibility/json_keys_test.go
+++ b/internal/compatibility/json_keys_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listKeys writes a line for each key of a type's JSON document, with its path and the kind of its value, and a line
-// for the options of its tag.
+// listKeys writes a line with the path and the kind of each value in a type's JSON document, except for lists and
+// objects, and a line with the options of each tag that has any.
 func listKeys(text *strings.Builder, path string, typ reflect.Type) {
 	switch typ.Kind() {
 	case reflect.Pointer:
--- a/internal/compatibility/platform_codec_test.go
+++ b/internal/compatibility/platform_codec_test.go
@@ -61,7 +61,7 @@
 // storedMessage is the expected message of a stored line.
 type storedMessage struct {
 	decoded     codec.Message
-	unsupported bool        // encoding decoded is an error
+	unsupported bool        // decoded cannot be encoded
 	difference  replacement // turns the stored line into the encoding of decoded
 }
 
@@ -379,8 +379,8 @@
 	requireUnsupported(t, codec.ClientCodec{}, storedOffer()) // the message of the first line
 }
 
-// The allocator sends a client no description but that of a confirmation. The stored line with a description is a
-// request, so its verb is replaced.
+// Confirmations are the only messages to clients with a description. The stored line with a description is a request,
+// so its verb is replaced.
 func TestClientLines_Description_EncodedAsStored(t *testing.T) {
 	line := storedLines(t, clientLinesSentFile)[offerLine]
 	want := replaceVerb(t, line, "START", "STARTED") + "\n"
--- a/internal/compatibility/state_test.go
+++ b/internal/compatibility/state_test.go
@@ -18,7 +18,7 @@
 	tornStateDir = "testdata/state-torn" // the same, with an incomplete end of the log
 
 	stateNow      = 1.8e12  // Unix time in ms of all entries
-	snapshotAfter = 400     // size of the log in bytes above which a snapshot replaces it
+	snapshotAfter = 400     // size limit of the log in bytes, raised for many live binds; a snapshot replaces a larger log
 	noSnapshot    = 1 << 20 // bytes; above the size of the logs in the tests
 )
 
