--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -20,11 +20,11 @@
 type eventLoops struct {
 	events            *socketEvents
 	log               *slog.Logger
-	closed            <-chan struct{} // once closed, no event loop is started
+	closed            <-chan struct{} // signal after which no event loop is started
 	registrationSlots chan struct{}   // semaphore: holds a value per registration in progress
 
 	mu    sync.Mutex
-	loops [numClasses]*gnet.Client // by priorityClass; nil until started
+	loops [numClasses]*gnet.Client // index: priorityClass; nil until started
 }
 
 func newEventLoops(events *socketEvents, log *slog.Logger, closed <-chan struct{}) *eventLoops {
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -88,7 +88,7 @@
 	handler := &stepHandler{seen: make(chan struct{}), step: make(chan struct{})}
 	loop, addr := start(t, handler, DefaultLimits)
 	client := dial(t, addr)
-	request := requestWithKey(1) // one answer
+	request := requestWithKey(1) // gets one answer
 	write(t, client, request)
 	<-handler.seen
 	write(t, client, request)
