--- a/internal/frontend/native/endcause.go
+++ b/internal/frontend/native/endcause.go
@@ -10,7 +10,7 @@
 type endCause uint8
 
 const (
-	endFinished    endCause = iota // the workload finished by itself
+	endFinished    endCause = iota // the workload completed its work
 	endInterrupted                 // the node stopped or lost the workload, or its lease expired
 )
 
--- a/internal/frontend/native/node.go
+++ b/internal/frontend/native/node.go
@@ -14,7 +14,7 @@
 	listing
 	entry         placement.Node   // latest entry from the discovery service
 	incarnation   uint64           // latest incarnation that the service or the node reported
-	updatedAt     placement.Millis // when the service last listed it
+	updatedAt     placement.Millis // time of the last listing by the service
 	draining      bool             // whether the node reports that it is draining
 	lastRejection string           // text of the last rejected handshake or bind since the last hello, for operators
 	session       nodeSession
--- a/internal/frontend/native/workload.go
+++ b/internal/frontend/native/workload.go
@@ -15,10 +15,10 @@
 
 const (
 	workloadPending    workloadState = iota // no final answer yet
-	workloadPlaced                          // answered: it was accepted by a node
+	workloadPlaced                          // answered: accepted by a node
 	workloadNotPlaced                       // answered: rejected or unschedulable
-	workloadCancelling                      // withdrawn or stopped before it was placed; a bind may be unanswered
-	workloadStopping                        // withdrawn or stopped after it was placed
+	workloadCancelling                      // withdrawn or stopped before placement; a bind may be unanswered
+	workloadStopping                        // withdrawn or stopped after placement
 )
 
 // String returns the state's name for operators, who are shown fewer states. The names are part of the command
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -69,7 +69,7 @@
 // An offer that waits for a connection must not be sent if, when the connection opens, the client has cancelled or
 // disconnected or the node is draining.
 func TestBinder_PendingOfferObsolete_NotSent(t *testing.T) {
-	for name, meanwhile := range map[string]func(harness *testHarness){
+	for name, makeObsolete := range map[string]func(harness *testHarness){
 		"client disconnected": func(harness *testHarness) { harness.closeConn(harness.clientConn, errClosed) },
 		"request cancelled": func(harness *testHarness) {
 			harness.receive(harness.clientConn, codec.NewTermination(7, codec.CauseNormal))
@@ -82,7 +82,7 @@
 			harness.receive(harness.clientConn, request(7))
 			dialed := harness.network.lastDialed(nodeAddr)
 			require.Greater(t, dialed, harness.nodeConn)
-			meanwhile(harness)
+			makeObsolete(harness)
 			harness.openConn(dialed)
 			assert.Empty(t, harness.sentAbout(dialed, 7))
 			assert.Zero(t, harness.workloads.unanswered.Count())
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -93,7 +93,7 @@
 	assert.Equal(t, codec.Tag(1), harness.clients.undelivered[0].message.Envelope().Tag, "the oldest is dropped")
 	harness.advance(undeliveredTTL)
 	harness.openConn(otherConn)
-	harness.receive(otherConn, codec.NewTermination(1, codec.CauseNormal)) // of an unknown workload
+	harness.receive(otherConn, codec.NewTermination(1, codec.CauseNormal)) // unknown workload
 	assert.Len(t, harness.clients.undelivered, maxUndelivered, "a message without effect sends no notification")
 	harness.receive(otherConn, codec.NewHealthCheck(1))
 	assert.Len(t, harness.network.sent[otherConn], 1, "only the health reply; the notifications have expired")
--- a/internal/frontend/platform/codec/discovery.go
+++ b/internal/frontend/platform/codec/discovery.go
@@ -47,7 +47,7 @@
 type DiscoveryCodec struct {
 	streaming bool   // the response head was decoded
 	chunked   bool   // the response uses chunked transfer encoding
-	body      []byte // if chunked: the incomplete last line of the chunks received so far
+	body      []byte // incomplete last line of the chunks received so far, if chunked
 	event     pendingEvent
 }
 
--- a/internal/frontend/platform/nodeconnuse_test.go
+++ b/internal/frontend/platform/nodeconnuse_test.go
@@ -50,7 +50,7 @@
 	harness.host.Handle(harness.now, func() { harness.nodeConns.closeReplaced(c) })
 	assert.False(t, harness.network.closed[harness.nodeConn], "its successor is still being dialed")
 	harness.openConn(successor)
-	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // of an unknown workload
+	harness.receive(harness.nodeConn, codec.NewTermination(99, codec.CauseNormal)) // unknown workload
 	assert.True(t, harness.network.closed[harness.nodeConn])
 	assert.Equal(t, connClosed, c.state)
 	assert.Equal(t, successor, harness.nodes.byName[nodeName].openConn().id)
--- a/internal/frontend/platform/nodes_test.go
+++ b/internal/frontend/platform/nodes_test.go
@@ -22,7 +22,7 @@
 func TestNodeTable_InternWithTakenID_UsesTheNext(t *testing.T) {
 	table := newNodeTable()
 	id := table.intern("s-01").id
-	delete(table.byName, "s-01") // so that another name has the same hash
+	delete(table.byName, "s-01") // emulates a second name with that hash
 	assert.Equal(t, id+1, table.intern("s-01").id)
 }
 
--- a/internal/frontend/platform/requests.go
+++ b/internal/frontend/platform/requests.go
@@ -51,7 +51,7 @@
 		h.adopt(now, client, message)
 	case *codec.Termination:
 		if !h.terminate(now, client, tag) {
-			return // without effect: does not show that the client expects notifications on this connection
+			return // no effect, hence no sign that the client expects notifications on this connection
 		}
 	case *codec.HealthCheck:
 		h.lifecycle.checkHealth(client.id, tag)
--- a/internal/frontend/platform/requests_test.go
+++ b/internal/frontend/platform/requests_test.go
@@ -106,7 +106,7 @@
 	harness.advance(1000)
 	const queuedFor = 700
 	harness.network.queuedFor = queuedFor
-	harness.receive(harness.clientConn, request(7, atMostOnce)) // its only bind has the whole timeout
+	harness.receive(harness.clientConn, request(7, atMostOnce)) // the only bind has the whole timeout
 	harness.network.queuedFor = 0
 	harness.advance(requestTimeout - queuedFor - 30)
 	assert.Empty(t, harness.sentAbout(harness.clientConn, 7))
