--- a/internal/allocator/bind.go
+++ b/internal/allocator/bind.go
@@ -85,8 +85,8 @@
 		return
 	}
 	if entry.hasClient() {
-		// An at-most-once workload that the node has accepted must not be stopped, because its client is answered that
-		// it may have run.
+		// An at-most-once workload that the node has accepted must not be stopped, because the answer to its client
+		// says that the workload may have run.
 		e.host.Stop(entry.id, entry.bind(), entry.node, TimedOut, e.atMostOnce(entry.group))
 	}
 	e.complete(now, entry, placement.Result{Kind: placement.TimedOut})
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -19,7 +19,7 @@
 	discovery string // address of the discovery service
 	mu        sync.Mutex
 	starts    map[uint64]int                   // number of starts by key
-	running   map[uint32][]*pb.RunningWorkload // by node ID
+	running   map[uint32][]*pb.RunningWorkload // key: node ID
 }
 
 func newCluster(t *testing.T, nodes int) *cluster {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -126,7 +126,7 @@
 		unanswered <- n
 	}()
 	late := request(d.Addr, 2)
-	if late.err == nil { // on an error the allocator had already stopped
+	if late.err == nil { // otherwise the allocator had already stopped
 		assert.Equal(t, reasonDraining, late.answer.GetReason())
 	}
 	got := <-pending
@@ -149,7 +149,7 @@
 	d := startWithoutNodes(t)
 	defer d.Close()
 	configuration := minimalConfig(t.TempDir())
-	configuration.ListenAddress = d.Addr // in use
+	configuration.ListenAddress = d.Addr // address in use
 
 	_, err := startWithoutLog(configuration)
 	require.ErrorContains(t, err, "address already in use")
--- a/internal/gang/part.go
+++ b/internal/gang/part.go
@@ -65,8 +65,8 @@
 
 // The ways in which a part ends.
 const (
-	EndedEarly PartEnd = iota // stopped, evicted or lost before its work was done
-	Finished                  // its work was done
+	EndedEarly PartEnd = iota // stopped, evicted or lost before the part's work was done
+	Finished                  // the part's work was done
 )
 
 // PartEnded handles the end of a running part.
--- a/internal/gang/start.go
+++ b/internal/gang/start.go
@@ -57,7 +57,7 @@
 
 // resetUnoffered resets the requested parts that were not offered to a node to PartIdle.
 func (g *Gang) resetUnoffered(offeredParts []int) {
-	offered := make([]bool, len(g.parts)) // by part
+	offered := make([]bool, len(g.parts)) // index: part
 	for _, part := range offeredParts {
 		offered[part] = true
 	}
@@ -101,7 +101,7 @@
 	return g.abandonStart(now)
 }
 
-// abandonStart ends a start that is not retried. The side effects of its parts must be recorded before. The client is
+// abandonStart ends a start that is not retried. The side effects of its parts must already be recorded. The client is
 // answered immediately, without waiting for the parts to end.
 func (g *Gang) abandonStart(now placement.Millis) []Action {
 	return append([]Action{g.failureAnswer()}, g.rollBack(now, RollingBackToEnd)...)
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -21,7 +21,7 @@
 	// A record is the length of its payload, a checksum of length and payload, and the payload.
 	lengthSize       = 4
 	recordHeaderSize = lengthSize + 4
-	maxPayloadSize   = 64 << 20 // in bytes; a larger length is corrupt, and no memory is allocated for it
+	maxPayloadSize   = 64 << 20 // limit, in bytes; a larger length is corrupt, and no memory is allocated for it
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -42,8 +42,8 @@
 
 // nodeTable holds the listed nodes and those that may still affect a decision.
 type nodeTable struct {
-	kinds  []NodeKind // by KindID
-	sorted []*node    // by ID
+	kinds  []NodeKind // index: KindID
+	sorted []*node    // sorted by ID
 	byID   map[NodeID]*node
 }
 
--- a/placement/reservation.go
+++ b/placement/reservation.go
@@ -190,8 +190,8 @@
 // demand is the estimated number of slots that the recent requests with precedence over a workload take, at all
 // allocators.
 type demand struct {
-	higherWeight  slots // by requests of groups of higher priority weight
-	firstRequests slots // by first requests of groups of equal weight; 0 if the workload is not a retry
+	higherWeight  slots // requests in groups of higher priority weight
+	firstRequests slots // first requests in groups of equal weight; 0 if the workload is not a retry
 }
 
 // competingDemand returns the demand of the requests with precedence over the workload, in slots of the given size.
@@ -258,7 +258,7 @@
 
 // fleetSlots is the number of free slots in the fleet.
 type fleetSlots struct {
-	byNode []nodeSlots // for each ready node, ordered by ID
+	byNode []nodeSlots // entry per ready node, ordered by ID
 	whole  slots       // sum of the whole slots of each node
 }
 
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -69,7 +69,7 @@
 	return len(s.nodes.sorted) == 0 && now+emptyNodeListRetryInterval < pending.startDeadline
 }
 
-// waitForNodes returns a Wait after which the workload is scheduled again, unless it is withdrawn meanwhile.
+// waitForNodes returns a Wait after which the workload is scheduled again, unless it is withdrawn first.
 func (s *Scheduler) waitForNodes(now Millis, pending *workload) Step {
 	return Step{
 		Kind:   Wait,
--- a/placement/slowstart.go
+++ b/placement/slowstart.go
@@ -169,7 +169,7 @@
 	switch kind {
 	case NotDelivered, NotAttempted: // the bind never arrived
 		return false
-	case Withdrawn: // not a reply of the node; that is still outstanding
+	case Withdrawn: // not a reply of the node, which is still outstanding
 		return false
 	case Confirmed:
 		withinWindow := now-b.sentAt <= s.window
--- a/placement/slowstart_test.go
+++ b/placement/slowstart_test.go
@@ -90,8 +90,8 @@
 // does not show when the bind arrived.
 func TestRecordResult_CountsFromTheResult(t *testing.T) {
 	const sentAt = Millis(100)
-	const lateResult = Millis(2900)  // after the window
-	const earlyResult = Millis(1600) // within the window
+	const lateResult = Millis(2900)  // time after the window
+	const earlyResult = Millis(1600) // time within the window
 	const onAcceptance = false       // value of Settings.ConfirmsRunning
 	const onStart = true
 	for _, c := range []struct {
