--- a/internal/allocator/engine.go
+++ b/internal/allocator/engine.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// requestTick asks the host to call Tick when the earliest timer is due, unless such a tick is already requested.
+// requestTick requests a Tick call by the host when the earliest timer is due, unless it is already requested.
 func (e *Engine) requestTick(now placement.Millis) {
 	if at, needed := e.timers.nextTick(now); needed {
 		e.host.Wake(at)
--- a/internal/allocator/timers.go
+++ b/internal/allocator/timers.go
@@ -25,7 +25,7 @@
 // timer is one entry of the timer queue.
 type timer struct {
 	kind     timerKind
-	workload placement.WorkloadID // only set for a stepTimer
+	workload placement.WorkloadID // set for a stepTimer only
 }
 
 // timers holds an engine's timers and the tick that it has requested from its host. A timer stays in the queue until it
--- a/internal/frontend/native/gangrequest.go
+++ b/internal/frontend/native/gangrequest.go
@@ -27,7 +27,7 @@
 	receivedAt   placement.Millis
 	deadline     placement.Millis // time until which the client waits for its answer
 	answer       frontend.AnswerState
-	confirmation gang.Confirmation // only for recovery: whether any found part is confirmed
+	confirmation gang.Confirmation // whether any found part is confirmed; recovery only
 	tracedState  gang.State        // state after the last execute; only changes are traced
 }
 
--- a/internal/frontend/platform/binder_test.go
+++ b/internal/frontend/platform/binder_test.go
@@ -108,7 +108,7 @@
 	harness.closeConn(harness.nodeConn, errClosed)
 	harness.receive(harness.clientConn, request(7))
 	dialed := harness.network.lastDialed(nodeAddr)
-	harness.now += 3000 // without a wake-up, which would time out the bind
+	harness.now += 3000 // no wake-up, which would time out the bind
 	harness.openConn(dialed)
 	assert.Empty(t, harness.sentAbout(dialed, 7))
 }
--- a/internal/frontend/platform/codec/message.go
+++ b/internal/frontend/platform/codec/message.go
@@ -78,7 +78,7 @@
 	Header
 	Class       string
 	Key         string
-	Timeout     placement.Millis // how long the allocator waits for the reply; truncated to whole ms on the wire
+	Timeout     placement.Millis // time that the allocator waits for the reply; truncated to whole ms on the wire
 	Description string
 }
 
--- a/internal/settings/error.go
+++ b/internal/settings/error.go
@@ -6,7 +6,7 @@
 type KeyError struct {
 	Key     string // path of the setting, such as "permissions.most_tries"
 	Problem string // what is wrong, as a predicate such as "is missing"
-	Fix     string // how to correct it, as an imperative such as "add it to the settings"
+	Fix     string // correction, as an imperative such as "add it to the settings"
 }
 
 func (e *KeyError) Error() string { return fmt.Sprintf("setting %s %s; %s", e.Key, e.Problem, e.Fix) }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -88,7 +88,7 @@
 func lock(disk Disk) error {
 	err := disk.Lock()
 	if errors.Is(err, ErrInUse) {
-		return err // its text already contains the path of the directory
+		return err // the text already contains the path of the directory
 	}
 	return diskError(StepLock, err)
 }
--- a/placement/schedule.go
+++ b/placement/schedule.go
@@ -36,7 +36,7 @@
 // Adopt adds a workload that already runs on the node with that ID and returns its step. The node list and the load
 // reports already include its resources, so no change is recorded in the change log.
 func (s *Scheduler) Adopt(now Millis, running Workload, id NodeID) Step {
-	g := &group{Group: Group{RequiredKind: AnyKind}} // for a group that is not in the settings
+	g := &group{Group: Group{RequiredKind: AnyKind}} // default if the group is not in the settings
 	if int(running.Group) < len(s.groups) {
 		g = &s.groups[running.Group]
 	}
