--- a/config/config.go
+++ b/config/config.go
@@ -39,9 +39,9 @@
 
 // Values of State.Sync: when an entry counts as durable.
 const (
-	SyncGroup = "group" // after a sync shared by all queued entries
-	SyncEach  = "each"  // after a separate sync for the entry
-	SyncNone  = "none"  // without a sync; entries can be lost if the machine fails
+	SyncGroup = "group" // one sync for all queued entries
+	SyncEach  = "each"  // a separate sync for each entry
+	SyncNone  = "none"  // no sync; entries can be lost if the machine fails
 )
 
 // Trace configures the recording of calls and decisions.
--- a/internal/benchmark/cluster.go
+++ b/internal/benchmark/cluster.go
@@ -20,8 +20,8 @@
 
 const (
 	loopback         = "127.0.0.1:0"
-	adoptionTimeout  = 10 * time.Second     // for the adoption of all residents
-	adoptionInterval = 5 * time.Millisecond // between two checks of the adoption
+	adoptionTimeout  = 10 * time.Second     // limit for adopting all residents
+	adoptionInterval = 5 * time.Millisecond // time between adoption checks
 	clientBufferSize = 1 << 16
 )
 
@@ -111,7 +111,7 @@
 		out := &frameWriter{out: conn}
 		out.send(transport.HelloFrame(discoveryHello()))
 		out.send(snapshotFrame(entries))
-		_, _ = io.Copy(io.Discard, conn) // until the allocator closes the connection
+		_, _ = io.Copy(io.Discard, conn) // ends when the allocator disconnects
 	})
 }
 
--- a/internal/benchmark/sockets.go
+++ b/internal/benchmark/sockets.go
@@ -14,7 +14,7 @@
 const (
 	maxPending     = 256                    // concurrent requests without an answer
 	maxOfferDelay  = time.Minute            // upper end of the histogram
-	maxSendDelay   = time.Millisecond       // after the due time; a request sent later is counted as late
+	maxSendDelay   = time.Millisecond       // delay after the due time; later requests count as late
 	lastOfferGrace = 200 * time.Millisecond // wait for the last binds to reach their nodes
 )
 
@@ -109,10 +109,10 @@
 
 // offerDelays collects the delays of binds. Nodes add delays concurrently.
 type offerDelays struct {
-	interval  time.Duration // between the due times of two requests
+	interval  time.Duration // time between due times
 	startedAt atomic.Int64  // Unix time in ns from which requests are due
 	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // in microseconds, guarded by mu
+	histogram *hdrhistogram.Histogram // microseconds, guarded by mu
 }
 
 // newOfferDelays returns empty delays of requests at a constant rate, which begin with start.
--- a/internal/benchmark/tracecost.go
+++ b/internal/benchmark/tracecost.go
@@ -33,7 +33,7 @@
 	RateNotRecording float64 `json:"placed_per_second_not_recording"`
 	RecordingRatio   float64 `json:"recording_ratio"` // median over rounds of the rate with recording / without
 	Lost             uint64  `json:"records_lost"`
-	P99Recording     float64 `json:"ask_to_offer_p99_ms_recording"` // at a quarter of RateNotRecording
+	P99Recording     float64 `json:"ask_to_offer_p99_ms_recording"` // rate: RateNotRecording / 4
 	P99NotRecording  float64 `json:"ask_to_offer_p99_ms_not_recording"`
 	FileBytes        int64   `json:"look_up_file_bytes"`
 	LookUpMs         float64 `json:"look_up_ms"` // time to find the records of a minute by the index
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	replyTimeout = 5 * time.Second // for connecting, and for replies that do not wait for a placement
+	replyTimeout = 5 * time.Second // limit for connecting, and for replies that await no placement
 	maxReplySize = 64 << 20        // maximum size in bytes of a frame from an allocator
 )
 
@@ -18,7 +18,7 @@
 type client struct {
 	conn      net.Conn
 	in        *bufio.Reader
-	connected time.Time // when the connection was established
+	connected time.Time // time of connection establishment
 }
 
 // dial connects to an allocator and exchanges hellos.
--- a/internal/command/lab_check.go
+++ b/internal/command/lab_check.go
@@ -32,7 +32,7 @@
 
 // checkHistories audits history files and prints the violations in each. The error is errProblemFound if there are any.
 func checkHistories(cmd *cobra.Command, names []string, asJSON bool) error {
-	violations := map[string][]audit.Violation{} // by file
+	violations := map[string][]audit.Violation{} // key: file
 	anyBroken := false
 	for _, name := range names {
 		history, err := readHistory(name)
--- a/internal/command/process_test.go
+++ b/internal/command/process_test.go
@@ -37,7 +37,7 @@
 	program.Stderr = write
 	require.NoError(t, program.Start())
 	require.NoError(t, write.Close())
-	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have exited
+	t.Cleanup(func() { _ = program.Process.Kill() }) // process may have exited
 	lines := bufio.NewReader(read)
 	for printed := ""; !strings.Contains(printed, ready); {
 		printed, err = lines.ReadString('\n')
@@ -68,7 +68,7 @@
 	log, err := program.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, program.Start())
-	t.Cleanup(func() { _ = program.Process.Kill() }) // it may have exited
+	t.Cleanup(func() { _ = program.Process.Kill() }) // process may have exited
 	lines := bufio.NewReader(log)
 	first, err := lines.ReadString('\n')
 	require.NoError(t, err)
--- a/internal/command/state_show.go
+++ b/internal/command/state_show.go
@@ -58,7 +58,7 @@
 	Node        uint32    `json:"node"`
 	Incarnation uint64    `json:"incarnation"`
 	Bind        uint32    `json:"bind"`
-	ExpiresAt   time.Time `json:"until"` // when the stored bind expires
+	ExpiresAt   time.Time `json:"until"` // expiry of the stored bind
 }
 
 // row returns the table row for a bind.
--- a/internal/compatibility/platform_codec_test.go
+++ b/internal/compatibility/platform_codec_test.go
@@ -114,7 +114,7 @@
 // retypedMessage is the expected message of a stored line whose verb is replaced by one for which the allocator decodes
 // all parts of the line.
 type retypedMessage struct {
-	line    int // counted from 0, as in nodeMessages and clientMessages
+	line    int // zero-based, as in nodeMessages and clientMessages
 	oldVerb string
 	newVerb string
 	storedMessage
@@ -178,7 +178,7 @@
 			decoded:     &codec.Ignorable{Header: codec.Header{Tag: loadReportTag, Load: loadReport(1)}},
 			unsupported: true,
 		},
-		ignorable(usageReportTag), // of an unsupported kind
+		ignorable(usageReportTag), // unsupported kind
 		{decoded: codec.NewMigration(migrationTag), unsupported: true},
 		{
 			decoded:    codec.NewHealthCheck(7),
--- a/internal/experiment/estimate_test.go
+++ b/internal/experiment/estimate_test.go
@@ -27,7 +27,7 @@
 func TestEstimate_ConfidenceAndPower(t *testing.T) {
 	const (
 		trueMean           = 5.0
-		smallestDetectable = 1.15 // with a standard deviation of 1 and 8 values
+		smallestDetectable = 1.15 // for 8 values with standard deviation 1
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	contained := 0
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,7 +16,7 @@
 	Error   string             `json:"error,omitempty"` // reason why there are no values
 	Seconds float64            `json:"seconds"`
 	Digest  string             `json:"digest,omitempty"` // hash of allocators' decisions; same for equal plan, cell, seed
-	Values  map[string]float64 `json:"values,omitempty"` // by name of the measure
+	Values  map[string]float64 `json:"values,omitempty"` // key: measure name
 }
 
 func (r *Run) brokeRule() bool { return r.Values[brokenMeasure] > 0 }
--- a/internal/experiment/side.go
+++ b/internal/experiment/side.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	cellSeparator      = ":" // between a directory and the name of a cell
-	sideLevelSeparator = "/" // between the levels in the name of a cell
+	cellSeparator      = ":" // separates directory and cell name
+	sideLevelSeparator = "/" // separates levels in a cell name
 )
 
 // OpenSide reads the experiment in a directory. The name is "DIR", or "DIR:LEVEL/LEVEL" for one of its cells.
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -31,7 +31,7 @@
 // sentRequest is a request that was sent. It is deleted when its workload ends.
 type sentRequest struct {
 	due     time.Time // scheduled time
-	expires time.Time // when the pending timeout has passed
+	expires time.Time // end of the pending timeout
 	state   requestState
 }
 
@@ -41,7 +41,7 @@
 	conn     net.Conn
 	in       *bufio.Reader
 	out      *bufio.Writer
-	requests map[uint64]*sentRequest // by request number
+	requests map[uint64]*sentRequest // key: request number
 	last     uint64                  // number of the latest request, 0 for none
 	err      error                   // cause of the connection's loss, nil while it is open
 }
--- a/internal/loadgen/fromtrace.go
+++ b/internal/loadgen/fromtrace.go
@@ -54,7 +54,7 @@
 
 // recordedRequest is a request from a trace.
 type recordedRequest struct {
-	request Request // without At and RunTime
+	request Request // At and RunTime are unset
 	unixMs  float64 // recorded wall-clock time
 }
 
--- a/internal/loadgen/run_test.go
+++ b/internal/loadgen/run_test.go
@@ -95,7 +95,7 @@
 		p.answer(number, pb.Verdict_PLACED)
 		p.answer(99, pb.Verdict_PLACED)
 		p.receiveRequest()
-		_ = p.conn.Close() // while the second request is unanswered
+		_ = p.conn.Close() // the second request is unanswered
 	})
 	result := runLoad(t, target, 1, requestAt(0), requestAt(time.Millisecond))
 	assert.Equal(t, []string{
--- a/internal/loadgen/schedule.go
+++ b/internal/loadgen/schedule.go
@@ -8,7 +8,7 @@
 	Service        uint64        // service that the workload belongs to
 	Group          string        // name of the priority group
 	Cores          float64
-	Memory         float64       // in the unit of the node kinds
+	Memory         float64       // unit of the node kinds
 	PendingTimeout time.Duration // time until the request expires if it is not answered
 	RunTime        time.Duration // expected run time of the workload
 	Retried        bool          // the client has requested this workload before
