--- a/internal/oracle/bound.go
+++ b/internal/oracle/bound.go
@@ -9,7 +9,7 @@
 
 // Bound returns an upper bound on the core time of any schedule, in core milliseconds until the end. At each instant it
 // treats the machines that are up as one machine, and counts the requested cores that fit on it. Each resource limits
-// them independently of the others, and the tightest limit counts.
+// the cores independently, and the tightest limit counts.
 func Bound(machines []Machine, workloads []Workload, end placement.Millis) float64 {
 	dimensions := newDimensions(workloads)
 	times := changeTimes(machines, workloads, end)
--- a/internal/oracle/model.go
+++ b/internal/oracle/model.go
@@ -37,7 +37,7 @@
 	Service     uint64
 	SpreadScope placement.Scope
 	MaxPerScope int              // maximum number of workloads of the service in one scope
-	RetryDelay  placement.Millis // from the loss of the machine to the client's retry; negative: never retried
+	RetryDelay  placement.Millis // time from machine loss to the client's retry; negative: never retried
 }
 
 func (w *Workload) wantedAt(t placement.Millis) bool { return w.From <= t && t < w.Until }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -255,7 +255,7 @@
 			calls++
 			method, found := module.MethodByName(f.Sel.Name)
 			if assert.True(t, found, f.Sel.Name) {
-				assert.Len(t, call.Args, method.Type.NumIn()-1, f.Sel.Name) // without the receiver
+				assert.Len(t, call.Args, method.Type.NumIn()-1, f.Sel.Name) // NumIn counts the receiver
 			}
 		}
 		return true
--- a/internal/replay/reproduction.go
+++ b/internal/replay/reproduction.go
@@ -51,7 +51,7 @@
 // findRequest returns the recorded decision on a workload's request, and the calls of its allocator up to and including
 // the request.
 func findRequest(records iter.Seq2[*trace.Record, error], workload uint32) (*Reproduction, []*trace.Record, error) {
-	calls := map[uint32][]*trace.Record{} // by source
+	calls := map[uint32][]*trace.Record{} // key: source
 	starts := map[uint32]*tracepb.Start{}
 	for record, err := range records {
 		if err != nil {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -26,7 +26,7 @@
 	if options.Module == nil {
 		options.Module = newModule
 	}
-	runs := map[uint32]*run{} // by source
+	runs := map[uint32]*run{} // key: source
 	for record, err := range records {
 		if err != nil {
 			return nil, err
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -23,7 +23,7 @@
 }
 
 // copyStart copies the Start record of a source, given the source's first record within the span. It copies nothing if
-// that is the Start record itself, or if the file lacks it.
+// first is the Start record, or if the file has none.
 func copyStart(reader *Reader, writer *Writer, first *Record) error {
 	if first.GetStart() != nil {
 		return nil
--- a/trace/mergeinput.go
+++ b/trace/mergeinput.go
@@ -12,7 +12,7 @@
 	stop          func()                   // nil until start
 	head          *Record                  // the next record, nil at the end
 	sourceIndexes map[uint32]uint32        // index in the merged header, by index in the file's header
-	ranges        map[uint32]revisionRange // by source
+	ranges        map[uint32]revisionRange // key: source
 	remaining     map[uint32]uint64        // number of records not merged yet, by source
 }
 
--- a/trace/tally.go
+++ b/trace/tally.go
@@ -14,7 +14,7 @@
 type tally struct {
 	summary    *Summary
 	pending    map[workloadKey]*pendingWorkload // workloads without a final answer
-	groups     map[string]*Outcomes             // by name
+	groups     map[string]*Outcomes             // key: group name
 	groupNames map[SourceKey][]string           // group names of each source, indexed by number
 	rejections map[NodeRejection]int            // counts by node and reason; Count is 0 in the keys
 	sources    map[SourceKey]bool
