--- a/internal/simulation/audit/allocator.go
+++ b/internal/simulation/audit/allocator.go
@@ -9,7 +9,7 @@
 // allocatorState is the information that an allocator has received so far, and its binds that have not ended.
 type allocatorState struct {
 	name        string
-	incarnation uint64 // as in the hello that it sent
+	incarnation uint64 // value in the hello it sent
 	pauses      []pause
 	nodes       map[uint32]*nodeView
 	openBinds   map[observer.BindKey]*bind
@@ -117,7 +117,7 @@
 	other, _ := a.connections.peerOf(seen)
 	switch body := seen.message.Body.(type) {
 	case *pb.Frame_Hello:
-		state.incarnation = body.Hello.Incarnation // its own hello; Auditor.Frame handles received ones
+		state.incarnation = body.Hello.Incarnation // sent hello; Auditor.Frame handles received ones
 	case *pb.Frame_PlaceRequest:
 		state.requestReceived(a.requests.find(other.name, body.PlaceRequest.RequestId), seen)
 	case *pb.Frame_GangRequest:
--- a/internal/simulation/audit/audit_test.go
+++ b/internal/simulation/audit/audit_test.go
@@ -31,8 +31,8 @@
 
 // ruleSuspects are the workloads and nodes that may have violated a rule, computed without the auditor's code.
 type ruleSuspects struct {
-	workloads map[uint64]bool // by key
-	nodes     map[uint64]bool // by ID
+	workloads map[uint64]bool // key: workload key
+	nodes     map[uint64]bool // key: node ID
 }
 
 // suspectsOf returns the workloads and nodes of a history that may have violated a rule.
--- a/internal/simulation/audit/gang.go
+++ b/internal/simulation/audit/gang.go
@@ -33,12 +33,12 @@
 	allocator       string
 	minParts        int
 	lease           placement.Millis
-	running         map[uint32]*gangPart // by part number
+	running         map[uint32]*gangPart // key: part number
 	started         bool                 // the allocator has answered that the gang is placed
 	ending          bool                 // a part has finished since the start
-	incompleteSince placement.Millis     // time since which some parts run, but fewer than minParts; or complete
+	incompleteSince placement.Millis     // time since which 1 to minParts-1 parts run; or complete
 	reported        bool                 // already reported as incomplete
-	partRequests    map[uint64]*request  // by workload key
+	partRequests    map[uint64]*request  // key: workload key
 }
 
 // newGangAuditor returns a gang auditor that adds violations to the findings.
@@ -54,7 +54,7 @@
 	}
 }
 
-// gangOf returns the gang to which an offer belongs, which it adds if there is none.
+// gangOf returns the gang to which an offer belongs, and adds it if there is none.
 func (a *gangAuditor) gangOf(offer *pb.Offer) *gang {
 	ref := requestRef{offer.Client, offer.Request.RequestId}
 	if a.gangs[ref] == nil {
--- a/internal/simulation/audit/gang_test.go
+++ b/internal/simulation/audit/gang_test.go
@@ -266,7 +266,7 @@
 func TestGang_RejectedAfterAnOffer(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency placement.Idempotency
-		rejected    bool // by the node
+		rejected    bool // node rejects offer
 		reported    bool
 	}{
 		"at-most-once part may have run": {idempotency: placement.AtMostOnce, reported: true},
--- a/internal/simulation/audit/request.go
+++ b/internal/simulation/audit/request.go
@@ -15,7 +15,7 @@
 // request is a request for a workload or a gang. Rule 1 treats a gang as one request.
 type request struct {
 	ref       requestRef
-	spec      *pb.PlaceRequest // for a gang, its first part
+	spec      *pb.PlaceRequest // first part, for a gang
 	gang      bool
 	allocator string
 	binds     []*bind
@@ -69,7 +69,7 @@
 // requestTable holds all requests that clients sent.
 type requestTable struct {
 	byRef map[requestRef]*request
-	sent  []*request // in the order in which they were sent
+	sent  []*request // requests in sending order
 }
 
 func newRequestTable() requestTable {
--- a/internal/simulation/audit/warmup.go
+++ b/internal/simulation/audit/warmup.go
@@ -77,6 +77,6 @@
 		message := fmt.Sprintf("%d offers within %.0f ms at a cold node that bears %.0f",
 			count, model.OverloadWindow, limit)
 		a.report(ruleWarmUp, now, node, nil, message, offers...)
-		n.arrivals = nil // so that each overload is reported once
+		n.arrivals = nil // report each overload only once
 	}
 }
--- a/internal/simulation/emulator/client_gangs.go
+++ b/internal/simulation/emulator/client_gangs.go
@@ -138,7 +138,7 @@
 // handleGangPlaced handles the placement of a gang or of an independently requested part.
 func (c *Client) handleGangPlaced(now placement.Millis, request *clientRequest) {
 	gang := request.gang
-	request.requestedAt = now // it holds capacity from now on
+	request.requestedAt = now // part holds capacity from now on
 	gang.placed[request.part] = request
 	if c.model.GangPolicy == scenario.Independent {
 		c.checkGangComplete(now, gang)
--- a/internal/simulation/emulator/discovery_registry.go
+++ b/internal/simulation/emulator/discovery_registry.go
@@ -8,7 +8,7 @@
 
 // nodeRegistry holds the registered nodes. Each change increments the revision.
 type nodeRegistry struct {
-	records  map[uint32]*nodeRecord // by node ID
+	records  map[uint32]*nodeRecord // key: node ID
 	revision uint64                 // revision of the last change
 }
 
--- a/internal/simulation/emulator/node_tasks.go
+++ b/internal/simulation/emulator/node_tasks.go
@@ -22,7 +22,7 @@
 	group        *scenario.GroupModel
 	running      bool
 	ended        bool
-	confirmed    bool // its allocator has confirmed that the gang runs
+	confirmed    bool // the allocator has confirmed that the gang runs
 	RunningSince placement.Millis
 	cores        float64 // cores in use while it runs
 	memory       float64 // memory in use while it runs
@@ -30,7 +30,7 @@
 
 // taskList holds a node's tasks.
 type taskList struct {
-	all              []*Task // in order of acceptance
+	all              []*Task // tasks in order of acceptance
 	byBind           map[observer.BindKey]*Task
 	pendingStarts    []*Task
 	startsInProgress int
--- a/internal/simulation/emulator/tally.go
+++ b/internal/simulation/emulator/tally.go
@@ -24,7 +24,7 @@
 type SingleTally struct {
 	SinglesFirst  int
 	SinglesPlaced int     // workloads that their first request placed
-	Wants         []*Want // in order of the first request
+	Wants         []*Want // sorted by first request
 }
 
 // GangTally counts gangs.
--- a/internal/simulation/mutant.go
+++ b/internal/simulation/mutant.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	mutationInterval = 7                      // one of this many frames is changed
+	mutationInterval = 7                      // frames per changed frame
 	lateAnswerDelay  = placement.Millis(15e3) // added delay of late answers, in ms
 	unknownUptime    = -1                     // value of UpForMs if the start of a node is unknown
 )
@@ -63,7 +63,7 @@
 	count      int                // frames counted by mutateNext
 	nodes      []transport.ConnID // open connections to nodes
 	firstOffer *pb.Frame          // first offer since the last one was repeated; nil if none
-	delayed    []delayedFrame     // in order of time
+	delayed    []delayedFrame     // sorted by time
 }
 
 // delayedFrame is a frame that is due to be sent at a later time.
--- a/internal/simulation/network/endpoint.go
+++ b/internal/simulation/network/endpoint.go
@@ -13,7 +13,7 @@
 	network *Virtual
 	handler transport.FrameHandler
 	zone    string
-	ends    []*connectionEnd // by ConnID-1
+	ends    []*connectionEnd // index: ConnID-1
 
 	// The last wake-up that was set. It replaces earlier ones.
 	wakeID      uint64
@@ -26,7 +26,7 @@
 	at          *endpoint
 	id          transport.ConnID
 	peer        *connectionEnd   // nil if the dialed address has no handler
-	open        bool             // this side has neither closed it nor been notified of its close
+	open        bool             // this side has neither closed nor been notified of a close
 	lastArrival placement.Millis // time at which the last frame sent from this side arrives at the peer
 }
 
--- a/internal/simulation/network/virtual.go
+++ b/internal/simulation/network/virtual.go
@@ -53,12 +53,12 @@
 // event is an entry of the event queue.
 type event struct {
 	kind   eventKind
-	at     *endpoint                  // for all kinds except eventCall
-	conn   transport.ConnID           // for eventOpened, eventFrame and eventClosed
-	frame  *pb.Frame                  // for eventFrame
-	do     func(now placement.Millis) // for eventCall
-	wakeID uint64                     // for eventWake
-	reason error                      // for eventClosed
+	at     *endpoint                  // all kinds except eventCall
+	conn   transport.ConnID           // eventOpened, eventFrame and eventClosed only
+	frame  *pb.Frame                  // eventFrame only
+	do     func(now placement.Millis) // eventCall only
+	wakeID uint64                     // eventWake only
+	reason error                      // eventClosed only
 }
 
 // NewVirtual returns an empty network at time 0.
--- a/internal/simulation/observer/file.go
+++ b/internal/simulation/observer/file.go
@@ -251,8 +251,8 @@
 
 // eventDecoder decodes lines into events, and checks that they are consistent with the lines before.
 type eventDecoder struct {
-	processes map[string]*Process // by name
-	running   map[string]bool     // by name
+	processes map[string]*Process // key: process name
+	running   map[string]bool     // key: process name
 }
 
 func newEventDecoder() *eventDecoder {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -21,8 +21,8 @@
 
 const (
 	pollInterval     = 200 * time.Millisecond // interval between polls for the end of a run on sockets
-	pollsPerProgress = 5                      // one of this many polls only reports progress, if notify is set
-	callsPerClock    = 4096                   // one of this many calls of a stop check checks the deadline and Cancelled
+	pollsPerProgress = 5                      // polls of which one only reports progress, if notify is set
+	callsPerClock    = 4096                   // calls of a stop check per check of the deadline and Cancelled
 )
 
 // PlayVirtual plays a script in virtual time. Apart from RanSeconds, the result depends only on the script and the
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -169,7 +169,7 @@
 func countPlaced(history *observer.History) (requested, placed []float64) {
 	requested = make([]float64, slotCount)
 	placed = make([]float64, slotCount)
-	slots := map[retryKey]int{} // by client and request
+	slots := map[retryKey]int{} // key: client and request
 	for _, event := range history.Events() {
 		request := event.Frame.GetPlaceRequest()
 		if request != nil && event.Kind == observer.FrameSent {
@@ -320,9 +320,9 @@
 // most three times.
 func TestRetries_AllLayersWithinBounds(t *testing.T) {
 	const (
-		binds        = 4 // per request
-		attempts     = 6 // per workload
-		gangAttempts = 3 // per gang
+		binds        = 4 // limit per request
+		attempts     = 6 // limit per workload
+		gangAttempts = 3 // limit per gang
 	)
 	worst := map[string]int{}
 	for seed := range uint64(20) {
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -75,7 +75,7 @@
 	specs      []*emulator.NodeSpec // node specs, in the order of nodes
 	allocators []*network.Interceptor
 	clients    []*network.Interceptor
-	frontends  [][]*native.Frontend // by allocator and incarnation
+	frontends  [][]*native.Frontend // index: allocator, incarnation
 }
 
 // NewRun adds the processes of the script to the host and schedules its faults.
--- a/internal/simulation/scenario/faults.go
+++ b/internal/simulation/scenario/faults.go
@@ -54,7 +54,7 @@
 	Duration  placement.Millis
 	Interval  placement.Millis // time between repetitions or waves
 	Share     float64          // share of the processes, services or frames that are affected
-	Size      float64          // in the unit of the kind; see FaultSpec
+	Size      float64          // unit depends on the kind; see FaultSpec
 	Group     string
 	Zone      string
 	DrainTime placement.Millis // time from the start of a drain to the stop of the process
--- a/internal/simulation/scenario/script.go
+++ b/internal/simulation/scenario/script.go
@@ -44,7 +44,7 @@
 // Terms are the limits that an audited run is held to. Their JSON keys are part of the format of recorded histories.
 type Terms struct {
 	AnswerSlack placement.Millis `json:"Slack"` // time after the pending timeout in which an answer is still accepted
-	DrainGrace  placement.Millis // as in Script
+	DrainGrace  placement.Millis // see Script
 	MaxBinds    int              // limit of the binds of a request; 0 for no limit
 	Model       *NodeModel       // limits the binds to a node that is warming up
 	Groups      map[string]placement.Group
