--- a/internal/transport/closereason.go
+++ b/internal/transport/closereason.go
@@ -9,7 +9,7 @@
 // Classes of close reasons. The reason passed to Handler.Closed matches at most one of them with errors.Is; its text
 // gives the details. Frontends and simulated networks define further reasons.
 var (
-	// ErrConnectionRefused means that nothing listens at the dialled address, so no bytes were sent.
+	// ErrConnectionRefused means that nothing listens at the dialed address, so no bytes were sent.
 	ErrConnectionRefused = errors.New("connection refused")
 	// ErrDialFailed means that a connection could not be established for another reason, such as a timeout.
 	ErrDialFailed = errors.New("dial failed")
@@ -35,7 +35,7 @@
 
 func (e *closeError) Unwrap() []error { return []error{e.class, e.cause} }
 
-// dialError classifies an error of dialling.
+// dialError classifies an error of dialing.
 func dialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrConnectionRefused
--- a/internal/transport/codec.go
+++ b/internal/transport/codec.go
@@ -16,7 +16,7 @@
 	Append(b []byte, message any) ([]byte, error)
 }
 
-// Urgent marks a Codec whose dialled connections have priority: their messages are handled before all other queued
+// Urgent marks a Codec whose dialed connections have priority: their messages are handled before all other queued
 // events of the handler, and are read even while its event queue is full.
 type Urgent interface{ Urgent() }
 
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -14,7 +14,7 @@
 const (
 	classIncoming priorityClass = iota
 	classOutgoing
-	classUrgent // dialled with an Urgent codec; its events are handled before those of other classes
+	classUrgent // dialed with an Urgent codec; its events are handled before those of other classes
 	numClasses
 )
 
--- a/internal/transport/conntable.go
+++ b/internal/transport/conntable.go
@@ -8,7 +8,7 @@
 // drainPollInterval is the time between two checks of the bytes that an event loop has not yet written.
 const drainPollInterval = 2 * time.Millisecond
 
-// connTable holds the open and dialling connections of a worker by ID.
+// connTable holds the open and dialing connections of a worker by ID.
 type connTable struct {
 	byID      map[ConnID]*connection
 	lastID    ConnID
@@ -17,8 +17,8 @@
 
 func newConnTable() connTable { return connTable{byID: map[ConnID]*connection{}} }
 
-// add adds a connection and assigns it an ID if it has none. Dialled connections are added twice, with the same ID:
-// when dialling starts and when they open.
+// add adds a connection and assigns it an ID if it has none. Dialed connections are added twice, with the same ID:
+// when dialing starts and when they open.
 func (t *connTable) add(c *connection) {
 	if c.id == 0 {
 		t.lastID++
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -6,11 +6,11 @@
 type Handler interface {
 	// Start is called once, before any other method. The handler keeps n for its output.
 	Start(now placement.Millis, n Network)
-	// Opened reports that a dialled or accepted connection is established.
+	// Opened reports that a dialed or accepted connection is established.
 	Opened(now placement.Millis, c ConnID)
 	// Received delivers a message. Messages of a connection are delivered in the order in which the peer sent them.
 	Received(now placement.Millis, c ConnID, message any)
-	// Closed reports that a connection has ended, or that dialling it failed. The reason is never nil; errors.Is matches
+	// Closed reports that a connection has ended, or that dialing it failed. The reason is never nil; errors.Is matches
 	// it to its class, such as ErrConnectionLost. Closed is not called for a connection that the handler has closed.
 	Closed(now placement.Millis, c ConnID, reason error)
 	// Wake is called at the time passed to WakeAt, or later.
@@ -19,12 +19,12 @@
 
 // Network is the output side of a Handler. Its methods never call the handler synchronously.
 type Network interface {
-	// DialCodec starts to dial addr for a connection with the given codec, and returns its ID. Dialling fails after the
+	// DialCodec starts to dial addr for a connection with the given codec, and returns its ID. Dialing fails after the
 	// timeout.
 	DialCodec(addr string, codec Codec, timeout placement.Millis) ConnID
 	// Send sends a message. The message is dropped if the connection is not open.
 	Send(c ConnID, message any)
-	// Close closes a connection after all sent messages are written, or cancels dialling it.
+	// Close closes a connection after all sent messages are written, or cancels dialing it.
 	Close(c ConnID)
 	// IsClosed reports whether a connection has ended, including one for which Closed has not been called yet.
 	IsClosed(c ConnID) bool
--- a/internal/transport/handlers_test.go
+++ b/internal/transport/handlers_test.go
@@ -14,7 +14,7 @@
 
 // echoHandler answers each request Key times, at least once, and records the events it receives.
 type echoHandler struct {
-	dialAddr string // dialled in Start unless empty
+	dialAddr string // dialed in Start unless empty
 
 	mu       sync.Mutex
 	network  FrameNetwork
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -81,7 +81,7 @@
 	return conn
 }
 
-// acceptOne accepts one connection, dialled by a handler. It is closed at the end of the test.
+// acceptOne accepts one connection, dialed by a handler. It is closed at the end of the test.
 func acceptOne(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
 	conn, err := ln.Accept()
--- a/internal/transport/queue.go
+++ b/internal/transport/queue.go
@@ -14,7 +14,7 @@
 	eventCall    eventKind = iota // function call that is due at a given time
 	eventOpened                   // connection established
 	eventMessage                  // message received
-	eventClosed                   // connection ended, or dialling failed
+	eventClosed                   // connection ended, or dialing failed
 )
 
 // event is one unit of work of a worker. Fields that do not apply to its kind are zero.
