--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -163,7 +163,7 @@
 	configuration := minimalConfig(t.TempDir())
 	first := mustStart(t, configuration)
 	_, err := startWithoutLog(configuration)
-	require.ErrorContains(t, err, "directory is locked by another process")
+	require.ErrorContains(t, err, "another process holds the directory")
 
 	require.NoError(t, first.binds.Close())
 	first.binds = nil
--- a/internal/frontend/native/connections.go
+++ b/internal/frontend/native/connections.go
@@ -17,13 +17,13 @@
 // delay the use of a node that is reachable again.
 var reconnectBackoff = frontend.Backoff{Initial: 100, Max: 10e3}
 
-// Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer, and operators see
-// errWrongNode.
+// Reasons for which the frontend ends a connection. errHelloTimeout is sent to the peer. errWrongNode keeps its
+// text, since the text is sent to operators.
 var (
 	errHelloTimeout   = errors.New("no hello came in time")
 	errConnectTimeout = errors.New("connection not established before the connect timeout")
 	errAddressChanged = errors.New("node address changed in the node list")
-	errWrongNode      = errors.New("peer at the node's address is not the listed node")
+	errWrongNode      = errors.New("another than the node that the list names answers at its address")
 	errNoDiscovery    = errors.New("peer at the discovery address does not have the discovery role")
 )
 
--- a/internal/frontend/platform/endpoints.go
+++ b/internal/frontend/platform/endpoints.go
@@ -56,7 +56,7 @@
 	}
 	// Guarded, since formatting a list of hundreds of endpoints is slower than decoding it.
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
-		l.log.Debug("applying endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
+		l.log.Debug("endpoint list", "kind", kind, "endpoints", fmt.Sprint(update.Endpoints))
 	}
 	l.host.Engine().UpdateNodes(now, kind, entries)
 	for i, entry := range entries {
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -83,8 +83,9 @@
 	return history.WriteFile(file)
 }
 
-// ErrDeadline is the error of a run in virtual time that exceeded Options.Deadline or was cancelled.
-var ErrDeadline = errors.New("run stopped: it took too long or was cancelled")
+// ErrDeadline is the error of a run in virtual time that exceeded Options.Deadline or was cancelled. It keeps its
+// text, since the text is stored with the runs of an experiment.
+var ErrDeadline = errors.New("the day took too long and was given up")
 
 // stopCheck returns a function that reports whether the run has exceeded o.Deadline or is cancelled. The function
 // checks both only once in callsPerClock calls.
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -7,7 +7,7 @@
 
 var (
 	// ErrInUse means that another process has locked the directory.
-	ErrInUse = errors.New("directory is locked by another process")
+	ErrInUse = errors.New("another process holds the directory")
 	// ErrBacklogFull means that an entry was not written because the queue of the Writer is full: the disk hangs or is
 	// too slow.
 	ErrBacklogFull = errors.New("the disk does not keep up: too many entries wait for it")
@@ -16,11 +16,11 @@
 // Causes of a CorruptionError. A log whose last record is truncated or has a wrong checksum is not corrupt: a crash can
 // cause both.
 var (
-	ErrTruncated      = errors.New("file ends within a header or record")
-	ErrNotStateFile   = errors.New("not a state file: wrong magic bytes")
-	ErrHeaderChecksum = errors.New("header checksum mismatch")
-	ErrRecordChecksum = errors.New("record checksum mismatch")
-	ErrTrailingBytes  = errors.New("unexpected bytes after the only record")
+	ErrTruncated      = errors.New("the file ends within a record")
+	ErrNotStateFile   = errors.New("not a file of a state directory")
+	ErrHeaderChecksum = errors.New("the checksum of the header does not match")
+	ErrRecordChecksum = errors.New("the checksum of a record does not match")
+	ErrTrailingBytes  = errors.New("unexpected bytes follow the record")
 )
 
 // VersionError means that a file was written by a later version of the program.
@@ -31,7 +31,7 @@
 
 func (e *VersionError) Error() string {
 	const remedy = "start the program that wrote it, or a newer one"
-	return fmt.Sprintf("%s has format version %d, this program reads versions up to %d: %s",
+	return fmt.Sprintf("%s is of version %d and this program reads up to %d: %s",
 		e.File, e.Version, formatVersion, remedy)
 }
 
@@ -58,7 +58,7 @@
 	StepLock   Step = "lock the state directory"
 	StepUnlock Step = "unlock the state directory"
 	StepList   Step = "list the state directory"
-	StepRead   Step = "read a state file"
+	StepRead   Step = "read the state"
 	StepBegin  Step = "begin an incarnation in the state directory"
 	StepAppend Step = "append to the log"
 	StepRotate Step = "replace the log by a snapshot"
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -52,7 +52,7 @@
 		return corruptHeader(name, ErrHeaderChecksum)
 	}
 	if stored := binary.LittleEndian.Uint64(data[numberOffset:]); stored != number {
-		return corruptHeader(name, fmt.Errorf("header has file number %d", stored))
+		return corruptHeader(name, fmt.Errorf("the header has number %d", stored))
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 	}
 	length := binary.LittleEndian.Uint32(data)
 	if length > maxPayloadSize {
-		return nil, nil, fmt.Errorf("record of %d bytes exceeds the limit of %d bytes", length, maxPayloadSize)
+		return nil, nil, fmt.Errorf("a record has %d bytes, which is more than %d", length, maxPayloadSize)
 	}
 	body := data[recordHeaderSize:]
 	if len(body) < int(length) {
--- a/internal/storage/log_test.go
+++ b/internal/storage/log_test.go
@@ -62,7 +62,7 @@
 	err := requireOpenFails(t, disk)
 	var later *VersionError
 	require.ErrorAs(t, err, &later)
-	require.ErrorContains(t, err, name+" has format version 2, this program reads versions up to 1")
+	require.ErrorContains(t, err, name+" is of version 2 and this program reads up to 1")
 	assert.False(t, disk.locked)
 	again, err := disk.Read(name)
 	require.NoError(t, err)
--- a/internal/storage/logreader.go
+++ b/internal/storage/logreader.go
@@ -26,7 +26,7 @@
 				return 0, &CorruptionError{
 					File:   name,
 					Offset: len(data) - len(rest),
-					Err:    fmt.Errorf("%w; next valid record begins %d bytes later", err, distance),
+					Err:    fmt.Errorf("%w; the next valid record begins %d bytes later", err, distance),
 				}
 			}
 			return len(rest), nil
