--- a/internal/frontend/native/catalog.go
+++ b/internal/frontend/native/catalog.go
@@ -12,7 +12,7 @@
 // catalog translates protocol names of priority groups and node kinds to their indexes in the settings. A name that is
 // not configured gets the index after the last one.
 type catalog struct {
-	settings   placement.Settings // excludes the variants of WithSpreadVariants
+	settings   placement.Settings // all but the variants of WithSpreadVariants
 	groupNames []string
 	kindNames  []string
 	groupIDs   frontend.GroupIDs
--- a/internal/frontend/simulator/doc.go
+++ b/internal/frontend/simulator/doc.go
@@ -1,4 +1,4 @@
-// Package simulator serves allocators to the users' simulator, with its protocol on standard input and output.
+// Package simulator serves allocators to an external simulator, which drives them over standard input and output.
 //
 // The simulator sends batches and waits for a reply to each. Integers are big-endian, floats are IEEE 754 single
 // precision, and durations and times are in nanoseconds:
--- a/internal/frontend/simulator/request.go
+++ b/internal/frontend/simulator/request.go
@@ -173,7 +173,7 @@
 	workload placement.WorkloadID
 	bind     int
 	node     placement.NodeID
-	result   placement.Result // excludes the load report
+	result   placement.Result // all but the load report
 	load     []float64        // values of the load report, in the order of instance.loadFields; empty if absent
 }
 
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -32,7 +32,8 @@
 
 // Open locks a directory, reads it and begins an incarnation in it. If incarnation.Number does not exceed that of the
 // previous incarnation, for example because the clock was set back, Open raises it. A log larger than maxLogSize bytes
-// is replaced by a snapshot. The function unixMs returns the current time in Unix milliseconds.
+// and than logBytesPerLiveBind bytes per live bind is replaced by a snapshot. The function unixMs returns the current
+// time in Unix milliseconds.
 //
 // The returned contents are those before the call. A truncated log is not an error. If the error matches ErrInUse, or
 // is a *CorruptionError or *VersionError, the directory is unchanged; any other error is a *DiskError.
--- a/internal/storage/logreader.go
+++ b/internal/storage/logreader.go
@@ -55,7 +55,7 @@
 	}
 	entry = &statepb.Entry{}
 	if err := proto.Unmarshal(payload, entry); err != nil {
-		return nil, nil, fmt.Errorf("decode entry: %w", err)
+		return nil, nil, fmt.Errorf("decode an entry: %w", err)
 	}
 	return entry, rest, nil
 }
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -40,7 +40,7 @@
 	}
 	snapshot := &statepb.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil {
-		return nil, corrupt(headerSize, fmt.Errorf("decode snapshot: %w", err))
+		return nil, corrupt(headerSize, fmt.Errorf("decode the snapshot: %w", err))
 	}
 	if len(rest) > 0 {
 		return nil, corrupt(len(data)-len(rest), ErrTrailingBytes)
--- a/internal/transport/eventloops.go
+++ b/internal/transport/eventloops.go
@@ -21,7 +21,7 @@
 	events            *socketEvents
 	log               *slog.Logger
 	closed            <-chan struct{} // signal after which no event loop is started
-	registrationSlots chan struct{}   // semaphore: holds a value per registration in progress
+	registrationSlots chan struct{}   // semaphore with a value per registration in progress
 
 	mu    sync.Mutex
 	loops [numClasses]*gnet.Client // index: priorityClass; nil until started
--- a/internal/transport/limits_test.go
+++ b/internal/transport/limits_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	_, err = inTime.Write(request[:5])
 	require.NoError(t, err)
-	time.Sleep(5 * time.Millisecond) // lets the first part be read separately
+	time.Sleep(5 * time.Millisecond) // time to read the first part separately
 	_, err = inTime.Write(request[5:])
 	require.NoError(t, err)
 	_, err = incomplete.Write([]byte{0, 0})
--- a/placement/nodetable.go
+++ b/placement/nodetable.go
@@ -43,7 +43,7 @@
 // nodeTable holds the listed nodes and those that may still affect a decision.
 type nodeTable struct {
 	kinds  []NodeKind // index: KindID
-	sorted []*node    // sorted by ID
+	sorted []*node    // order: ID
 	byID   map[NodeID]*node
 }
 
